--- a/internal/coordination/decide/moves_test.go
+++ b/internal/coordination/decide/moves_test.go
@@ -203,6 +203,22 @@
 				jobs[j.ID] = j
 			}
 		}
+		// usable is how many tasks of a job an empty machine could run. Work that needs no
+		// GPUs is not waited for on a machine with GPUs.
+		usable := func(j *Job, m *Machine) int {
+			if !Allowed(j.Spec, m.offer()) || v.idles(j, m.Type) > 0 {
+				return 0
+			}
+			return m.Size.Times(j.Need)
+		}
+		// capacity is how many tasks of a job all machines of a share could run, if they
+		// were empty.
+		capacity := func(j *Job, share int) (n int) {
+			for _, m := range v.Index.Machines(share) {
+				n += usable(j, m)
+			}
+			return n
+		}
 		seen := map[*Machine]bool{}
 		for _, x := range v.Moves(claims, guests, 60) {
 			if seen[x.Machine] || x.Machine.Share == x.Share || x.Machine.Block&(Gone|Returning|Moving) != 0 {
@@ -211,14 +227,14 @@
 			seen[x.Machine] = true
 			useful := false
 			for _, j := range append(claims[x.Share], guests[x.Share]...) {
-				useful = useful || j.Rank == x.Rank && Allowed(j.Spec, x.Machine.offer()) && x.Machine.Size.Times(j.Need) > 0
+				useful = useful || j.Rank == x.Rank && usable(j, x.Machine) > 0
 			}
 			if !useful {
 				t.Fatalf("%s goes to %d, where no job could use it", x.Machine.Name, x.Share)
 			}
 			if x.Drain {
 				if x.Spare || !v.DrainsSoon(x.Machine) || slices.ContainsFunc(claims[x.Machine.Share], func(j *Job) bool {
-					return j.Rank <= x.Rank && v.Wants(j) > x.Machine.Size.Times(j.Need)*len(v.Index.Machines(x.Machine.Share)) && Allowed(j.Spec, x.Machine.offer()) && !j.bound() && x.Machine.Size.Times(j.Need) > 0
+					return j.Rank <= x.Rank && usable(j, x.Machine) > 0 && v.Wants(j) > capacity(j, x.Machine.Share) && !j.bound()
 				}) {
 					t.Fatalf("%s is drained, spare %v", x.Machine.Name, x.Spare)
 				}
