--- a/cmd/dapplestage/main.go
+++ b/cmd/dapplestage/main.go
@@ -141,7 +141,7 @@
 		}
 	}
 	if o.account != "" {
-		account, err := node.ReadAccount(o.account)
+		account, err := node.ReadAccountSettings(o.account)
 		if err != nil {
 			return e, fmt.Errorf("%w: --account: %v", errUsage, err)
 		}
@@ -167,7 +167,7 @@
 	defer cancel(nil)
 
 	n := newNode(ctx, cfg, log, e)
-	n.SetLevel = func(l slog.Level, chosen bool) {
+	n.SetLogLevel = func(l slog.Level, chosen bool) {
 		if !chosen {
 			l = logLevel()
 		}
@@ -201,10 +201,10 @@
 	h.Write([]byte(cfg.Node))
 	seed := h.Sum64() ^ uint64(time.Now().UnixNano())
 	n := node.New(ctx, cfg, log, store, cloud, storage.NewWorkers(), seed)
-	store.OnContact = n.Contact
-	n.TakeTickets(e.classes)
+	store.OnContact = n.RecordContact
+	n.AcceptTickets(e.classes)
 	if e.account != nil {
-		n.KeepAccount(*e.account)
+		n.SetAccountSettings(*e.account)
 	}
 	return n
 }
@@ -216,8 +216,8 @@
 // the gateway that it does not know.
 func followSiteDaemon(n *node.Node, addr string) {
 	asks := transport.NewClient(addr, 0)
-	n.SiteFrom, _, _ = net.SplitHostPort(addr)
-	n.Known = func(ctx context.Context, id string) (s protocol.JobStatus, known bool, err error) {
+	n.SiteDaemonHost, _, _ = net.SplitHostPort(addr)
+	n.LookUpGatewayJob = func(ctx context.Context, id string) (s protocol.JobStatus, known bool, err error) {
 		a, err := asks.Call(ctx, siteDaemonTimeout, "GET", "/site/jobs/"+id, nil)
 		switch {
 		case err != nil:
@@ -228,7 +228,7 @@
 		}
 		return s, a.Status == 200 || a.Status == 409, err
 	}
-	go n.KeepGate(func(ctx context.Context) ([]byte, error) {
+	go n.KeepSiteLease(func(ctx context.Context) ([]byte, error) {
 		a, err := asks.Call(ctx, siteDaemonTimeout, "GET", "/site/lease", nil)
 		if err == nil && a.Status != 200 {
 			err = siteDaemonError(a.Status)
@@ -262,9 +262,9 @@
 		}()
 	}
 	connectSiblings(ctx, cfg, n)
-	serve(func() error { return transport.AcceptFrames(ctx, peers, node.HintQuiet, n.TakeHint, n.Answer) })
+	serve(func() error { return transport.AcceptFrames(ctx, peers, node.HintTimeout, n.ReceiveHint, n.AnswerPeer) })
 	front := transport.NewFront(ctx, api, frontLimits(cfg.Params.Quota), n.FromWorker)
-	n.OnLoaded, n.Closed = front.Ready, front.Closed
+	n.OnLoaded, n.ClosedConnections = front.Ready, front.Closed
 	serve(func() error { return transport.Serve(ctx, front, n.API()) })
 	return nil
 }
@@ -276,10 +276,10 @@
 		addrs[s.Node] = s.Addr
 	}
 	n.AskPeer = func(ctx context.Context, name string, question []byte) ([]byte, error) {
-		return transport.AskFrame(ctx, addrs[name], node.AskPatience, question)
+		return transport.AskFrame(ctx, addrs[name], node.AskTimeout, question)
 	}
 	for _, s := range cfg.Siblings {
-		go transport.SendFrames(ctx, s.Addr, node.HintPeriod, node.HintQuiet, n.Hint, func(e transport.Event) { n.Noticed(s.Node, e) })
+		go transport.SendFrames(ctx, s.Addr, node.HintInterval, node.HintTimeout, n.Hint, func(e transport.Event) { n.OnConnEvent(s.Node, e) })
 	}
 }
 
--- a/cmd/dapplestage/report.go
+++ b/cmd/dapplestage/report.go
@@ -448,7 +448,7 @@
 			printRow(&b, &p.Rows[i])
 		}
 	}
-	var w node.Why
+	var w node.Explanation
 	switch err := s.get(ctx, "/admin/why/"+a.Job, &w); {
 	case err != nil && strings.Contains(err.Error(), "answers 404"):
 	case err != nil:
--- a/cmd/dapplestage/ticket.go
+++ b/cmd/dapplestage/ticket.go
@@ -562,7 +562,7 @@
 		return printJSON(cmd.OutOrStdout(), v)
 	}
 	w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', 0)
-	if !v.Taken {
+	if !v.AcceptsTickets {
 		fmt.Fprintln(w, "this node takes no tickets (--tickets)")
 	}
 	fmt.Fprintln(w, "LOT\tURGENCY\tSHAPES\tRETRIES\tOVER\tFAILED\tTASKS\tVCPUS\tCARDS\tMEM GB\tIMAGE\tFROM")
--- a/cmd/dapplestage/why.go
+++ b/cmd/dapplestage/why.go
@@ -69,7 +69,7 @@
 func whyOnce(ctx context.Context, addr string, args []string, q url.Values, asJSON bool) (text string, over bool, err error) {
 	var b textBuffer
 	if len(args) == 1 {
-		var w node.Why
+		var w node.Explanation
 		if err := call(ctx, addr, "GET", "/admin/why/"+args[0], nil, &w); err != nil {
 			return "", false, err
 		}
@@ -80,7 +80,7 @@
 		}
 		return string(b), w.Waiting+w.Starting == 0 && w.Unknown == "", err
 	}
-	var p node.WhyPage
+	var p node.ExplanationPage
 	if err := call(ctx, addr, "GET", "/admin/why?"+q.Encode(), nil, &p); err != nil {
 		return "", false, err
 	}
@@ -100,8 +100,8 @@
 	return len(p), nil
 }
 
-func printWhy(out io.Writer, w *node.Why) {
-	fmt.Fprintf(out, "%s (%s, %s): %d tasks wait, %d are about to start, %d run; held by %s", w.Job, w.Class, w.Team, w.Waiting, w.Starting, w.Running, w.Holder)
+func printWhy(out io.Writer, w *node.Explanation) {
+	fmt.Fprintf(out, "%s (%s, %s): %d tasks wait, %d are about to start, %d run; held by %s", w.Job, w.Class, w.Team, w.Waiting, w.Starting, w.Running, w.Owner)
 	if w.StateAge > 3 {
 		fmt.Fprintf(out, "; the state service answered %.0f s ago", w.StateAge)
 	}
@@ -120,24 +120,24 @@
 	for _, r := range w.Release {
 		fmt.Fprintln(out, "until:  ", r)
 	}
-	if w.Waiting > 0 && !w.Enough {
+	if w.Waiting > 0 && !w.Sufficient {
 		fmt.Fprintln(out, "         (no change is known that would be enough)")
 	}
 }
 
-func printWhyPage(out io.Writer, p *node.WhyPage) {
+func printWhyPage(out io.Writer, p *node.ExplanationPage) {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	defer w.Flush()
 	for _, u := range p.Unknown {
 		fmt.Fprintln(w, u)
 	}
-	if len(p.Sums) == 0 {
+	if len(p.TasksByCause) == 0 {
 		fmt.Fprintln(w, "nothing waits, as far as is known")
 		return
 	}
 	fmt.Fprintln(w, "CAUSE\tWAITING TASKS")
-	for _, k := range slices.SortedFunc(maps.Keys(p.Sums), func(a, b string) int { return p.Sums[b] - p.Sums[a] }) {
-		fmt.Fprintf(w, "%s\t%d\n", k, p.Sums[k])
+	for _, k := range slices.SortedFunc(maps.Keys(p.TasksByCause), func(a, b string) int { return p.TasksByCause[b] - p.TasksByCause[a] }) {
+		fmt.Fprintf(w, "%s\t%d\n", k, p.TasksByCause[k])
 	}
 	fmt.Fprintln(w, "\nJOB\tTEAM\tCLASS\tWAITING\tSINCE\tCAUSE")
 	for _, j := range p.Jobs {
--- a/cmd/lab/start.go
+++ b/cmd/lab/start.go
@@ -31,8 +31,8 @@
 }
 
 // shares asks all controllers how far the shares are; false if one does not answer.
-func (f *farm) shares(ctx context.Context) (map[int]node.ShareStatus, bool) {
-	out := map[int]node.ShareStatus{}
+func (f *farm) shares(ctx context.Context) (map[int]node.PartitionStatus, bool) {
+	out := map[int]node.PartitionStatus{}
 	for i, api := range f.apis {
 		var s node.Status
 		status, data, err := f.call(ctx, "GET", api, "/admin/status", nil)
--- a/cmd/lab/why.go
+++ b/cmd/lab/why.go
@@ -264,19 +264,19 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		f.signal(syscall.SIGSTOP, w.Holder)
+		f.signal(syscall.SIGSTOP, w.Owner)
 		nodes = f.apis[:1]
-		if w.Holder == "n-0" {
+		if w.Owner == "n-0" {
 			nodes = f.apis[1:]
 		}
-		return nodes, func() { f.signal(syscall.SIGCONT, w.Holder) }, nil
+		return nodes, func() { f.signal(syscall.SIGCONT, w.Owner) }, nil
 	}
 	return f.apis, func() {}, nil
 }
 
 // why asks a node why a job waits.
-func (f *farm) why(ctx context.Context, api, id string, r *whyResult) (*node.Why, error) {
-	var w node.Why
+func (f *farm) why(ctx context.Context, api, id string, r *whyResult) (*node.Explanation, error) {
+	var w node.Explanation
 	from := time.Now()
 	status, out, err := f.call(ctx, "GET", api, "/admin/why/"+id, nil)
 	if err == nil {
@@ -291,7 +291,7 @@
 
 // check holds what a node says to what was built.
 func (c *condition) check(ctx context.Context, f *farm, api, id string, r *whyResult) {
-	var w *node.Why
+	var w *node.Explanation
 	var err error
 	r.checked++
 	if !until(ctx, c.patience(), func() bool {
@@ -317,9 +317,9 @@
 }
 
 // toldBy says whether an answer names the condition, first if it must be.
-func (c *condition) toldBy(w *node.Why) bool {
+func (c *condition) toldBy(w *node.Explanation) bool {
 	for i, cause := range w.Causes {
-		if cause.Kind.String() == c.name {
+		if cause.Reason.String() == c.name {
 			return i == 0 || !c.binds
 		}
 	}
--- a/internal/coordination/decide/agree_test.go
+++ b/internal/coordination/decide/agree_test.go
@@ -24,7 +24,7 @@
 		for i := range rapid.IntRange(0, 60).Draw(t, "machines") {
 			used := float64(rapid.IntRange(0, 4).Draw(t, "used"))
 			f := decide.Machine{Name: fmt.Sprintf("m%02d", i), Type: "g4", Zone: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot"),
-				HasType: true, Size: decide.SizeOf(typ), Used: decide.Amounts{CPUs: 4 * used, GPUs: used, MemoryGB: 20 * used}, Heard: now,
+				HasType: true, Size: decide.SizeOf(typ), Used: decide.Resources{CPUs: 4 * used, GPUs: used, MemoryGB: 20 * used}, LastReport: now,
 				SecPerGB: rapid.SampledFrom([]float64{2, 2, 2, 3, 4}).Draw(t, "cost")}
 			// Some images are everywhere, some nearly nowhere: both ways of finding them.
 			for k, most := range []int{1, 2, 12, 20} {
@@ -34,23 +34,23 @@
 			}
 			switch rapid.IntRange(0, 12).Draw(t, "state") {
 			case 0:
-				f.Block = decide.HeldBack
+				f.Block = decide.Cordoned
 			case 1:
-				f.Heard = now.Add(-time.Minute)
+				f.LastReport = now.Add(-time.Minute)
 			case 2:
-				f.AvoidTill = now.Add(time.Second)
+				f.AvoidUntil = now.Add(time.Second)
 			case 3:
-				f.Earmark, f.EarmarkTo = kept, now.Add(time.Second)
+				f.EarmarkedFor, f.EarmarkedUntil = kept, now.Add(time.Second)
 			}
 			x.Set(&decide.Machine{}, &f)
 		}
-		v := &decide.View{Now: now, Index: x, Types: map[string]*protocol.MachineType{"g4": typ}, Config: decide.Config{ReportS: 2}, Teams: []*decide.Team{{Name: "red", Limit: decide.Amounts{GPUs: 150}}}}
+		v := &decide.View{Now: now, Index: x, Types: map[string]*protocol.MachineType{"g4": typ}, Config: decide.Config{ReportS: 2}, Teams: []*decide.Team{{Name: "red", Limit: decide.Resources{GPUs: 150}}}}
 		for i := range rapid.IntRange(1, 12).Draw(t, "jobs") {
 			n := rapid.IntRange(1, 12).Draw(t, "tasks")
 			spec := &protocol.JobSpec{ID: fmt.Sprint("job-", i), Shape: protocol.Array, Priority: "standard", Tasks: n, CPUs: 4, GPUs: 1, MemoryGB: 20,
 				Image: fmt.Sprint("i", rapid.IntRange(0, 4).Draw(t, "image")), ImageGB: rapid.SampledFrom([]float64{0, 1, 4}).Draw(t, "gb"), Spot: rapid.Bool().Draw(t, "spot")}
-			j := &decide.Job{ID: spec.ID, Spec: spec, Rank: rapid.IntRange(0, 3).Draw(t, "rank"), Need: decide.Amounts{CPUs: 4, GPUs: 1, MemoryGB: 20}, Tasks: n, Waiting: n,
-				Heavy: rapid.Bool().Draw(t, "heavy"), Submitted: now, Seen: now}
+			j := &decide.Job{ID: spec.ID, Spec: spec, Rank: rapid.IntRange(0, 3).Draw(t, "rank"), Need: decide.Resources{CPUs: 4, GPUs: 1, MemoryGB: 20}, Tasks: n, Waiting: n,
+				Heavy: rapid.Bool().Draw(t, "heavy"), Submitted: now, FirstSeen: now}
 			switch rapid.IntRange(0, 5).Draw(t, "kind") {
 			case 0:
 				spec.Shape, spec.OneZone = protocol.Gang, rapid.Bool().Draw(t, "together")
@@ -63,7 +63,7 @@
 				spec.Zone = "b"
 			}
 			want := decidetest.Slots(v, j, false)
-			got := v.Place(j).On
+			got := v.Place(j).Machines
 			if !slices.Equal(got, want) {
 				t.Fatalf("job %d: %v, a walk takes %v", i, show(got), show(want))
 			}
--- a/internal/coordination/decide/apportion.go
+++ b/internal/coordination/decide/apportion.go
@@ -6,12 +6,12 @@
 // proportion to what the shares' teams are guaranteed of what the kind is for, GPUs if it
 // has any, or of the other where none of that is guaranteed. What a share is short of by
 // rounding it gets of the next ones. It returns a share for each machine.
-func Apportion(sizes []Amounts, guarantees []Amounts) []int {
-	var sum Amounts
+func Apportion(sizes []Resources, guarantees []Resources) []int {
+	var sum Resources
 	for _, g := range guarantees {
 		sum = sum.Add(g, 1)
 	}
-	part := func(g Amounts, gpus bool) float64 {
+	part := func(g Resources, gpus bool) float64 {
 		switch {
 		case gpus && sum.GPUs > 0 || !gpus && sum.CPUs == 0 && sum.GPUs > 0:
 			return g.GPUs / sum.GPUs
--- a/internal/coordination/decide/apportion_test.go
+++ b/internal/coordination/decide/apportion_test.go
@@ -12,18 +12,18 @@
 func TestApportion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shares := rapid.IntRange(1, 5).Draw(t, "shares")
-		var g []Amounts
-		var sum Amounts
+		var g []Resources
+		var sum Resources
 		for range shares {
-			a := Amounts{CPUs: float64(rapid.IntRange(0, 3).Draw(t, "cpus")), GPUs: float64(rapid.IntRange(0, 3).Draw(t, "gpus"))}
+			a := Resources{CPUs: float64(rapid.IntRange(0, 3).Draw(t, "cpus")), GPUs: float64(rapid.IntRange(0, 3).Draw(t, "gpus"))}
 			g, sum = append(g, a), sum.Add(a, 1)
 		}
 		gpus := rapid.Bool().Draw(t, "with gpus")
-		size := Amounts{CPUs: 4, MemoryGB: 8}
+		size := Resources{CPUs: 4, MemoryGB: 8}
 		if gpus {
 			size.GPUs = 1
 		}
-		sizes := make([]Amounts, rapid.IntRange(1, 60).Draw(t, "machines"))
+		sizes := make([]Resources, rapid.IntRange(1, 60).Draw(t, "machines"))
 		for i := range sizes {
 			sizes[i] = size
 		}
--- a/internal/coordination/decide/decide_test.go
+++ b/internal/coordination/decide/decide_test.go
@@ -19,12 +19,12 @@
 	c24 = &protocol.MachineType{Name: "c24", CPUs: 24, MemoryGB: 192, CacheGB: 100, FetchGBPerS: 0.5, Price: 1, SpotPrice: 0.5, BootS: 30, Zones: []string{"a", "b", "c"}}
 )
 
-var start = time.Date(2026, 3, 1, 0, 0, 0, 0, time.UTC)
+var testNow = time.Date(2026, 3, 1, 0, 0, 0, 0, time.UTC)
 
-// up is a machine that takes tasks.
-func up(name, zone string, used int, images ...string) *Machine {
-	return &Machine{Name: name, Type: "g4", Zone: zone, HasType: true, Size: SizeOf(g4), Used: Amounts{4 * float64(used), float64(used), 20 * float64(used)},
-		SecPerGB: 2, Images: images, Heard: start, Addressed: true}
+// g4Machine is a machine that takes tasks.
+func g4Machine(name, zone string, used int, images ...string) *Machine {
+	return &Machine{Name: name, Type: "g4", Zone: zone, HasType: true, Size: SizeOf(g4), Used: Resources{4 * float64(used), float64(used), 20 * float64(used)},
+		SecPerGB: 2, Images: images, LastReport: testNow, HasAddress: true}
 }
 
 func viewOf(ms ...*Machine) *View {
@@ -33,16 +33,16 @@
 		f := *m
 		x.Set(m, &f)
 	}
-	return &View{Now: start, Types: map[string]*protocol.MachineType{"g4": g4}, Index: x, Config: Config{ReportS: 2},
-		Teams: []*Team{{Name: "red", Guarantee: Amounts{GPUs: 4}, Limit: Amounts{GPUs: 1000}}, {Name: "guest"}}}
+	return &View{Now: testNow, Types: map[string]*protocol.MachineType{"g4": g4}, Index: x, Config: Config{ReportS: 2},
+		Teams: []*Team{{Name: "red", Guarantee: Resources{GPUs: 4}, Limit: Resources{GPUs: 1000}}, {Name: "guest"}}}
 }
 
-func array(id string, waiting int, heavy bool) *Job {
+func gpuJob(id string, waiting int, heavy bool) *Job {
 	return &Job{ID: id, Spec: &protocol.JobSpec{ID: id, Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: waiting, CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "i", ImageGB: 4},
-		Rank: protocol.Normal, Need: Amounts{4, 1, 20}, Tasks: waiting, Waiting: waiting, Heavy: heavy, Submitted: start, Seen: start}
+		Rank: protocol.Normal, Need: Resources{4, 1, 20}, Tasks: waiting, Waiting: waiting, Heavy: heavy, Submitted: testNow, FirstSeen: testNow}
 }
 
-func names(ms []*Machine) string {
+func machineNames(ms []*Machine) string {
 	out := ""
 	for _, m := range ms {
 		out += m.Name + " "
@@ -52,13 +52,13 @@
 
 // Heavy jobs take the cheapest slots, light ones the next, fullest machines first.
 func TestRanks(t *testing.T) {
-	v := viewOf(up("m1", "a", 3), up("m2", "a", 2, "i"), up("m3", "a", 3, "i"), up("m4", "a", 1), up("m5", "a", 4))
+	v := viewOf(g4Machine("m1", "a", 3), g4Machine("m2", "a", 2, "i"), g4Machine("m3", "a", 3, "i"), g4Machine("m4", "a", 1), g4Machine("m5", "a", 4))
 	for _, c := range []struct {
 		r     int
 		heavy bool
 		want  string
 	}{{2, true, "m3 m2 "}, {4, true, "m3 m2 m2 m1 "}, {2, false, "m2 m1 "}, {3, false, "m1 m4 m4 "}, {5, false, "m2 m1 m4 m4 m4 "}, {9, true, "m3 m2 m2 m1 m4 m4 m4 "}} {
-		if got := names(v.Place(array("job-1", c.r, c.heavy)).On); got != c.want {
+		if got := machineNames(v.Place(gpuJob("job-1", c.r, c.heavy)).Machines); got != c.want {
 			t.Errorf("r %d heavy %v: %s, want %s", c.r, c.heavy, got, c.want)
 		}
 	}
@@ -69,18 +69,18 @@
 // late arrays had lost one spot machine.) And nobody's late fetch is worth making a
 // job late that is well on its way.
 func TestFragileJobsAreSpared(t *testing.T) {
-	spot, ordinary := up("m1", "a", 0), up("m2", "a", 0)
+	spot, ordinary := g4Machine("m1", "a", 0), g4Machine("m2", "a", 0)
 	spot.Spot = true
 	v := viewOf(spot, ordinary)
-	v.Config.Aims = []protocol.Objective{{Kind: "finished", Class: "c", WithinS: 120, Share: 0.9}}
-	j := array("job-1", 1, true)
+	v.Config.Objectives = []protocol.Objective{{Kind: "finished", Class: "c", WithinS: 120, Share: 0.9}}
+	j := gpuJob("job-1", 1, true)
 	j.Spec.Spot = true
 	for _, c := range []struct {
 		estimate float64
 		fragile  bool
 	}{{20, false}, {100, true}, {300, false}} {
 		j.Spec.EstimateS = c.estimate
-		if got := v.Place(j).On[0] == ordinary; got != c.fragile {
+		if got := v.Place(j).Machines[0] == ordinary; got != c.fragile {
 			t.Errorf("%v s: ordinary machines first: %v, want %v", c.estimate, got, c.fragile)
 		}
 	}
@@ -89,7 +89,7 @@
 		ran   time.Duration
 		harms bool
 	}{{5 * time.Second, false}, {60 * time.Second, true}, {200 * time.Second, false}} {
-		if got := v.Config.harms(j, start, start.Add(c.ran)); got != c.harms {
+		if got := v.Config.preemptionMissesObjective(j, testNow, testNow.Add(c.ran)); got != c.harms {
 			t.Errorf("stopped after %v: harm %v, want %v", c.ran, got, c.harms)
 		}
 	}
@@ -98,20 +98,20 @@
 // A machine whose tasks save is emptied before one whose tasks lose all they did.
 func TestLeastIsLostForAGuarantee(t *testing.T) {
 	on := func(saves bool, ran ...time.Duration) *Machine {
-		m := up("m", "a", 0)
+		m := g4Machine("m", "a", 0)
 		for _, d := range ran {
-			j := array("job-1", 0, true)
+			j := gpuJob("job-1", 0, true)
 			if saves {
 				j.Spec.CheckpointS, j.Spec.SaveS = 30, 3
 			}
-			m.Held = append(m.Held, Held{Job: j, Since: start.Add(-d), Settled: true})
+			m.Assignments = append(m.Assignments, Assignment{Job: j, Since: testNow.Add(-d), Active: true})
 		}
 		return m
 	}
-	if a, b := on(true, time.Minute, time.Minute, time.Minute, time.Minute).emptyingLoss(start), on(false, time.Minute).emptyingLoss(start); a >= b {
+	if a, b := on(true, time.Minute, time.Minute, time.Minute, time.Minute).emptyingLoss(testNow), on(false, time.Minute).emptyingLoss(testNow); a >= b {
 		t.Errorf("four tasks that save lose %v s, one that does not %v s", a, b)
 	}
-	if a, b := on(true, time.Second).emptyingLoss(start), on(true, time.Minute).emptyingLoss(start); a >= b {
+	if a, b := on(true, time.Second).emptyingLoss(testNow), on(true, time.Minute).emptyingLoss(testNow); a >= b {
 		t.Errorf("a task just started loses %v s, one that saves %v s", a, b)
 	}
 }
@@ -119,16 +119,16 @@
 // drawFleet makes a share in any state.
 func drawFleet(t *rapid.T) (*View, []*Machine) {
 	var ms []*Machine
-	kept := array("job-kept", 2, true)
+	kept := gpuJob("job-kept", 2, true)
 	kept.Rank = protocol.High
 	for i := range rapid.IntRange(0, 40).Draw(t, "machines") {
-		m := up(fmt.Sprintf("m%02d", i), rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone"), rapid.IntRange(0, 4).Draw(t, "used"))
+		m := g4Machine(fmt.Sprintf("m%02d", i), rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone"), rapid.IntRange(0, 4).Draw(t, "used"))
 		m.Spot = rapid.Bool().Draw(t, "spot")
 		switch used := m.Used.GPUs; rapid.IntRange(0, 3).Draw(t, "type") {
 		case 0:
-			m.Type, m.Size, m.Used = "c24", SizeOf(c24), Amounts{CPUs: 4 * used, MemoryGB: 20 * used}
+			m.Type, m.Size, m.Used = "c24", SizeOf(c24), Resources{CPUs: 4 * used, MemoryGB: 20 * used}
 		case 1:
-			m.Type, m.Size, m.Used = "g2", SizeOf(g2), Amounts{4 * used, min(used, 2), 20 * used}
+			m.Type, m.Size, m.Used = "g2", SizeOf(g2), Resources{4 * used, min(used, 2), 20 * used}
 		}
 		m.SecPerGB = rapid.SampledFrom([]float64{2, 2, 3, 4}).Draw(t, "cost")
 		for k := range 4 {
@@ -140,11 +140,11 @@
 		case 0:
 			m.Block = Block(1 << rapid.IntRange(0, 8).Draw(t, "block"))
 		case 1:
-			m.Heard = start.Add(-time.Minute)
+			m.LastReport = testNow.Add(-time.Minute)
 		case 2:
-			m.AvoidTill = start.Add(time.Second)
+			m.AvoidUntil = testNow.Add(time.Second)
 		case 3:
-			m.Earmark, m.EarmarkTo = kept, start.Add(time.Second)
+			m.EarmarkedFor, m.EarmarkedUntil = kept, testNow.Add(time.Second)
 		}
 		ms = append(ms, m)
 	}
@@ -155,7 +155,7 @@
 
 // drawJob draws any job.
 func drawJob(t *rapid.T, id string) *Job {
-	j := array(id, rapid.IntRange(1, 20).Draw(t, "tasks"), rapid.Bool().Draw(t, "heavy"))
+	j := gpuJob(id, rapid.IntRange(1, 20).Draw(t, "tasks"), rapid.Bool().Draw(t, "heavy"))
 	j.Rank = rapid.IntRange(0, 3).Draw(t, "rank")
 	s := j.Spec
 	s.Image, s.ImageGB = fmt.Sprint("i", rapid.IntRange(0, 5).Draw(t, "image")), rapid.SampledFrom([]float64{0, 1, 4}).Draw(t, "gb")
@@ -193,18 +193,18 @@
 			f := *m
 			switch rapid.IntRange(0, 5).Draw(t, "change") {
 			case 0:
-				f.Used = Amounts{4, 1, 20}
+				f.Used = Resources{4, 1, 20}
 			case 1:
 				f.Used = SizeOf(g4)
 			case 2:
 				f.Images = []string{"i1", "i1", "i5"}
 			case 3:
-				f.Block ^= HeldBack
+				f.Block ^= Cordoned
 			case 4:
-				f.Share = 1 - f.Share
+				f.Partition = 1 - f.Partition
 			case 5:
 				f.SecPerGB = 7
-				f.Held = []Held{{Job: array("job-9", 1, true), Unwanted: true, Settled: true}}
+				f.Assignments = []Assignment{{Job: gpuJob("job-9", 1, true), Stopping: true, Active: true}}
 			}
 			v.Index.Set(m, &f)
 		}
@@ -220,7 +220,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		v, _ := drawFleet(t)
 		most := float64(rapid.IntRange(1, 60).Draw(t, "limit"))
-		v.Teams[0].Limit = Amounts{GPUs: most, CPUs: 4 * most}
+		v.Teams[0].Limit = Resources{GPUs: most, CPUs: 4 * most}
 		j := drawJob(t, "job-1")
 		p := v.Place(j)
 		took := map[*Machine]int{}
@@ -228,27 +228,27 @@
 		for z, n := range j.Zones {
 			zones[z] += n
 		}
-		for _, m := range p.On {
+		for _, m := range p.Machines {
 			took[m]++
 			zones[m.Zone]++
-			if !m.Usable(v.Now, 2) || !Allowed(j.Spec, m.offer()) || m.KeptFrom(j, v.Now) {
+			if !m.Usable(v.Now, 2) || !Allowed(j.Spec, m.offer()) || m.EarmarkExcludes(j, v.Now) {
 				t.Fatalf("on %+v", m)
 			}
 		}
 		for m, k := range took {
-			if m.Free().Times(j.Need) < k {
-				t.Fatalf("%d on %s, which has room for %d", k, m.Name, m.Free().Times(j.Need))
+			if m.Free().TaskCount(j.Need) < k {
+				t.Fatalf("%d on %s, which has room for %d", k, m.Name, m.Free().TaskCount(j.Need))
 			}
 		}
 		for _, n := range zones {
-			if j.Spec.OneZone && len(zones) > 1 || j.Spec.Spread && n > (j.Tasks+1)/2 && len(p.On) > 0 && n > j.Zones["a"] {
+			if j.Spec.OneZone && len(zones) > 1 || j.Spec.Spread && n > (j.Tasks+1)/2 && len(p.Machines) > 0 && n > j.Zones["a"] {
 				t.Fatalf("zones %v", zones)
 			}
 		}
-		if j.Spec.Shape == protocol.Gang && len(p.On) != 0 && len(p.On) != j.Tasks {
-			t.Fatalf("%d of a gang of %d", len(p.On), j.Tasks)
+		if j.Spec.Shape == protocol.Gang && len(p.Machines) != 0 && len(p.Machines) != j.Tasks {
+			t.Fatalf("%d of a gang of %d", len(p.Machines), j.Tasks)
 		}
-		if float64(len(p.On)) > most {
+		if float64(len(p.Machines)) > most {
 			t.Fatal("over the team's limit")
 		}
 	})
@@ -257,14 +257,14 @@
 // Jobs of equal needs after one that found nothing are not told so when machines are
 // only kept for a gang: the gang itself may take them.
 func TestKeptMachinesAreTheGangs(t *testing.T) {
-	m := up("m1", "a", 0)
-	gang, other := array("job-1", 2, true), array("job-2", 2, true)
-	m.Earmark, m.EarmarkTo = gang, start.Add(time.Minute)
+	m := g4Machine("m1", "a", 0)
+	gang, other := gpuJob("job-1", 2, true), gpuJob("job-2", 2, true)
+	m.EarmarkedFor, m.EarmarkedUntil = gang, testNow.Add(time.Minute)
 	v := viewOf(m)
-	if p := v.Place(other); len(p.On) != 0 || p.Why != NoFreeMachine {
+	if p := v.Place(other); len(p.Machines) != 0 || p.Reason != NoFreeMachine {
 		t.Fatalf("%+v", p)
 	}
-	if p := v.Place(gang); len(p.On) != 2 {
+	if p := v.Place(gang); len(p.Machines) != 2 {
 		t.Fatalf("%+v", p)
 	}
 }
@@ -272,14 +272,14 @@
 // What a look found out for one job holds for the next of equal needs, until something
 // becomes free.
 func TestEqualNeedsAreLookedAtOnce(t *testing.T) {
-	m := up("m1", "a", 4)
+	m := g4Machine("m1", "a", 4)
 	v := viewOf(m)
-	if p := v.Place(array("job-1", 1, true)); len(p.On) != 0 {
+	if p := v.Place(gpuJob("job-1", 1, true)); len(p.Machines) != 0 {
 		t.Fatal("placed on a full machine")
 	}
-	f := *up("m1", "a", 3)
+	f := *g4Machine("m1", "a", 3)
 	v.Index.Set(m, &f)
-	if p := v.Place(array("job-2", 1, true)); len(p.On) != 1 {
+	if p := v.Place(gpuJob("job-2", 1, true)); len(p.Machines) != 1 {
 		t.Fatal("not placed though a place became free")
 	}
 }
@@ -288,23 +288,23 @@
 // arrays wait, each with one of 16 images; machines hold four images each.
 func benchFleet(machines, waiting int) (*View, []*Job) {
 	var ms []*Machine
-	service := array("job-s", 0, true)
+	service := gpuJob("job-s", 0, true)
 	service.Spec.Shape, service.Rank = protocol.Service, protocol.Production
 	for i := range machines {
-		m := up(fmt.Sprintf("host-%06d", i), "a", 2+2*(i%2))
+		m := g4Machine(fmt.Sprintf("host-%06d", i), "a", 2+2*(i%2))
 		for k := range 4 {
 			m.Images = append(m.Images, fmt.Sprint("i", (i/2+k*k)%16))
 		}
 		for k := range 2 + 2*(i%2) {
-			m.Held = append(m.Held, Held{Job: service, Task: k, Since: start, Settled: true})
+			m.Assignments = append(m.Assignments, Assignment{Job: service, Task: k, Since: testNow, Active: true})
 		}
 		ms = append(ms, m)
 	}
 	v := viewOf(ms...)
-	v.Teams[0].Limit = Amounts{}
+	v.Teams[0].Limit = Resources{}
 	var jobs []*Job
 	for i := range waiting {
-		j := array(fmt.Sprintf("job-%06d", i), 30, i%3 > 0)
+		j := gpuJob(fmt.Sprintf("job-%06d", i), 30, i%3 > 0)
 		j.Spec.Image = fmt.Sprint("i", i%16)
 		jobs = append(jobs, j)
 	}
@@ -320,9 +320,9 @@
 			was := map[*Machine]Machine{}
 			b.ReportAllocs()
 			for b.Loop() {
-				v.noSlot, v.noRoom = nil, nil
+				v.noCapacityAt, v.noVictimsAt = nil, nil
 				for _, j := range jobs {
-					for _, m := range v.Place(j).On {
+					for _, m := range v.Place(j).Machines {
 						if _, ok := was[m]; !ok {
 							was[m] = *m
 						}
@@ -335,14 +335,14 @@
 				var waits []*Job
 				for _, j := range jobs {
 					if j.Waiting > 0 {
-						v.MakeRoom(j, j.Waiting, Anywhere)
+						v.Preempt(j, j.Waiting, AnyMachine)
 						waits = append(waits, j)
 					}
 				}
 				v.Rent(waits, nil, &Market{})
 				b.StopTimer()
 				for m, f := range was {
-					f.roomy = nil
+					f.group = nil
 					v.Index.Set(m, &f)
 				}
 				clear(was)
--- a/internal/coordination/decide/decidetest/plain.go
+++ b/internal/coordination/decide/decidetest/plain.go
@@ -19,7 +19,7 @@
 // Slots are the machines that a job's next r tasks would be placed on, one for each,
 // before anybody is stopped for it; nil if there are not enough for a gang.
 func Slots(v *decide.View, j *decide.Job, fragile bool) []*decide.Machine {
-	r := min(v.Startable(j), decide.MostPlaced)
+	r := min(v.Startable(j), decide.MaxPlacements)
 	if r == 0 {
 		return nil
 	}
@@ -33,12 +33,12 @@
 		return j.Tasks
 	}
 	var slots []slot
-	for _, m := range v.Index.Machines(v.Share) {
-		if !m.HasRoom() || !m.Usable(v.Now, v.Config.ReportS) || m.KeptFrom(j, v.Now) || zoneRoom(m.Zone) <= 0 ||
+	for _, m := range v.Index.Machines(v.Partition) {
+		if !m.HasCapacity() || !m.Usable(v.Now, v.Config.ReportS) || m.EarmarkExcludes(j, v.Now) || zoneRoom(m.Zone) <= 0 ||
 			!decide.Allowed(j.Spec, decide.Offer{Type: m.Type, Zone: m.Zone, Spot: m.Spot}) {
 			continue
 		}
-		s := slot{m: m, cost: m.Cost(j.Spec)}
+		s := slot{m: m, cost: m.FetchSeconds(j.Spec)}
 		if j.Spec.Spot && m.Spot == fragile {
 			s.order += 10
 		}
@@ -50,10 +50,10 @@
 			full = max(full, m.Used.CPUs/m.Size.CPUs)
 		}
 		s.order -= full
-		if j.Need.GPUs == 0 && (v.Wanted == nil || v.Wanted[m.Type]) {
+		if j.Need.GPUs == 0 && (v.GPUTypesInDemand == nil || v.GPUTypesInDemand[m.Type]) {
 			s.idles = m.Size.GPUs
 		}
-		for range m.Free().Times(j.Need) {
+		for range m.Free().TaskCount(j.Need) {
 			slots = append(slots, s)
 		}
 	}
--- a/internal/coordination/decide/displaced.go
+++ b/internal/coordination/decide/displaced.go
@@ -15,53 +15,53 @@
 // machines from gangs for four minutes, while another share ran arrays, which are less urgent,
 // on 700 CPUs.)
 
-// displaced is what makes places for shifted tasks equal.
-type displaced struct {
-	needs
+// relocationJobKey is what makes places for shifted tasks equal.
+type relocationJobKey struct {
+	placementKey
 	team int
 }
 
-// fetchForDisplaced plans machines for tasks that keep GPUs from jobs for which a share lacks
+// planMovesForRelocation plans machines for tasks that keep GPUs from jobs for which a share lacks
 // machines and that find no place in the share without them.
-func (p *movePlan) fetchForDisplaced(lacks []lack, own [][]*movable, guests [][]*Job, none map[missing]bool) {
+func (p *movePlan) planMovesForRelocation(lacks []shortfall, own [][]*moveCandidate, guests [][]*Job, none map[shortfallKey]bool) {
 	for _, l := range lacks {
-		if l.job.Need.GPUs == 0 || l.spare {
+		if l.job.Need.GPUs == 0 || l.unguaranteed {
 			continue
 		}
-		var lacking []lack
-		for _, j := range p.displacedBy(l, own[l.share]) {
-			found := p.imagine(j, l.share, j.Waiting, own[l.share], map[needs]bool{})
+		var lacking []shortfall
+		for _, j := range p.jobsToRelocate(l, own[l.partition]) {
+			found := p.placeInPartition(j, l.partition, j.Waiting, own[l.partition], map[placementKey]bool{})
 			if found.tasks > 0 {
 				lacking = append(lacking, found)
 			}
 		}
-		p.fetchAll(lacking, guests, none)
+		p.planMovesForAll(lacking, guests, none)
 	}
 }
 
-// displacedBy stands for the tasks that would have to run elsewhere for a job to have the
+// jobsToRelocate stands for the tasks that would have to run elsewhere for a job to have the
 // places that it lacks: one job for all that need the same in the same zone.
-func (p *movePlan) displacedBy(l lack, own []*movable) []*Job {
-	counts := map[displaced]*Job{}
+func (p *movePlan) jobsToRelocate(l shortfall, own []*moveCandidate) []*Job {
+	counts := map[relocationJobKey]*Job{}
 	for _, b := range own {
 		if l.tasks <= 0 {
 			break
 		}
-		if b.gone || b.displaces || !p.may(l.job, b, l.zone, nil) || !p.v.shiftsFor(l.job, b.m) {
+		if b.moved || b.relocationPlanned || !p.canUse(l.job, b, l.zone, nil) || !p.view.mayRelocateFor(l.job, b.m) {
 			continue
 		}
-		held, all := b.m.shiftable(l.job.Rank)
+		held, all := b.m.relocatableTasks(l.job.Rank)
 		if !all || len(held) == 0 {
 			continue
 		}
-		b.displaces = true
-		l.tasks -= b.m.Size.Times(l.job.Need)
+		b.relocationPlanned = true
+		l.tasks -= b.m.Size.TaskCount(l.job.Need)
 		for _, h := range held {
 			spec := *h.Job.Spec
 			spec.Zone, spec.Spread, spec.OneZone = b.m.Zone, false, false
-			key := displaced{needsOf(&Job{Spec: &spec, Need: h.Job.Need}), h.Job.Team}
+			key := relocationJobKey{placementKeyOf(&Job{Spec: &spec, Need: h.Job.Need}), h.Job.Team}
 			if counts[key] == nil {
-				counts[key] = &Job{Spec: &spec, Team: h.Job.Team, Share: l.share, Rank: l.job.Rank, Need: h.Job.Need}
+				counts[key] = &Job{Spec: &spec, Team: h.Job.Team, Partition: l.partition, Rank: l.job.Rank, Need: h.Job.Need}
 			}
 			counts[key].Tasks++
 			counts[key].Waiting++
@@ -77,15 +77,15 @@
 	return out
 }
 
-// shiftable are the tasks of a machine that are as urgent as a rank or more, and whether all
+// relocatableTasks are the tasks of a machine that are as urgent as a rank or more, and whether all
 // of them could be shifted if there were places: they are settled, need no GPUs and run
 // without others.
-func (m *Machine) shiftable(rank int) (held []Held, all bool) {
-	for _, h := range m.Held {
-		if h.Unwanted || h.Job.Rank > rank && h.Settled && !h.together() {
+func (m *Machine) relocatableTasks(rank int) (held []Assignment, all bool) {
+	for _, h := range m.Assignments {
+		if h.Stopping || h.Job.Rank > rank && h.Active && !h.coscheduled() {
 			continue
 		}
-		if !h.Settled || h.Job.Need.GPUs > 0 || h.Job.Spec.Shape != protocol.Service {
+		if !h.Active || h.Job.Need.GPUs > 0 || h.Job.Spec.Shape != protocol.Service {
 			return nil, false
 		}
 		held = append(held, h)
--- a/internal/coordination/decide/explain.go
+++ b/internal/coordination/decide/explain.go
@@ -17,7 +17,7 @@
 
 // Cause is one reason why a job waits, with its facts.
 type Cause struct {
-	Kind     Kind      `json:"cause"`
+	Reason   Reason    `json:"cause"`
 	Used     float64   `json:"used,omitempty"`  // GPUs, or vCPUs where the limit is theirs
 	Limit    float64   `json:"limit,omitempty"` // of the same
 	Lacks    string    `json:"lacks,omitempty"` // what is short: vcpus, cards, memGb
@@ -31,30 +31,30 @@
 }
 
 // MarshalJSON writes a reason by its name.
-func (k Kind) MarshalJSON() ([]byte, error) { return json.Marshal(k.String()) }
+func (k Reason) MarshalJSON() ([]byte, error) { return json.Marshal(k.String()) }
 
 // UnmarshalJSON reads a reason's name.
-func (k *Kind) UnmarshalJSON(data []byte) error {
+func (k *Reason) UnmarshalJSON(data []byte) error {
 	var name string
 	if err := json.Unmarshal(data, &name); err != nil {
 		return err
 	}
-	for i, t := range kindTexts {
+	for i, t := range reasonTexts {
 		if t.name == name {
-			*k = Kind(i)
+			*k = Reason(i)
 			return nil
 		}
 	}
 	return fmt.Errorf("no such cause: %q", name)
 }
 
-// mostNamed bounds the names in a cause.
-const mostNamed = 5
+// maxListed bounds the names in a cause.
+const maxListed = 5
 
-func some(names []string) string {
-	out := strings.Join(names[:min(len(names), mostNamed)], ", ")
-	if len(names) > mostNamed {
-		out += fmt.Sprintf(" and %d more", len(names)-mostNamed)
+func joinNames(names []string) string {
+	out := strings.Join(names[:min(len(names), maxListed)], ", ")
+	if len(names) > maxListed {
+		out += fmt.Sprintf(" and %d more", len(names)-maxListed)
 	}
 	return out
 }
@@ -62,33 +62,33 @@
 // String is a cause in words, its facts included.
 func (c Cause) String() string {
 	of := func(what string) string {
-		return fmt.Sprintf("%s: %d (%s)", what, c.Count, some(c.Machines))
+		return fmt.Sprintf("%s: %d (%s)", what, c.Count, joinNames(c.Machines))
 	}
-	switch c.Kind {
+	switch c.Reason {
 	case TeamLimit:
 		return fmt.Sprintf("team limit: its team uses %g of %g %s, and %d more are needed", c.Used, c.Limit, c.Lacks, c.Need)
 	case GangIncomplete:
 		return fmt.Sprintf("gang incomplete: %d of its %d tasks fit at once", c.Count, c.Need)
-	case GatheringRoom:
-		return fmt.Sprintf("gathering room: %d of %d machines kept (%s)", c.Count, c.Need, some(c.Machines))
+	case ReservingForGang:
+		return fmt.Sprintf("gathering room: %d of %d machines kept (%s)", c.Count, c.Need, joinNames(c.Machines))
 	case NoFreeMachine:
 		return fmt.Sprintf("no free machine: %d that it may use lack %s", c.Count, c.Lacks)
-	case Drained, NotReady, Silent, KeptForGang, Booting, Unheard:
-		return of(c.Kind.Text())
+	case Drained, NotReady, ReportOverdue, EarmarkedForGang, Booting, AwaitingFirstReport:
+		return of(c.Reason.Text())
 	case ZoneBound:
 		return "where its other tasks are leaves no room in " + strings.Join(c.Zones, ", ")
-	case Ahead:
-		return fmt.Sprintf("%d jobs come first: %s", c.Count, some(c.Jobs))
+	case JobsAhead:
+		return fmt.Sprintf("%d jobs come first: %s", c.Count, joinNames(c.Jobs))
 	case CloudRefused:
 		var kinds []string
 		for _, o := range c.Offers {
 			kinds = append(kinds, o.String())
 		}
-		return "the cloud refused " + some(kinds)
+		return "the cloud refused " + joinNames(kinds)
 	case FailsEverywhere:
-		return fmt.Sprintf("its tasks fail on every machine: %d tries, the last on %s", c.Count, some(c.Machines))
+		return fmt.Sprintf("its tasks fail on every machine: %d tries, the last on %s", c.Count, joinNames(c.Machines))
 	}
-	return c.Kind.Text()
+	return c.Reason.Text()
 }
 
 // String is an offer in words.
@@ -100,67 +100,67 @@
 	return s
 }
 
-// Around is what holds a job beside its share's machines and its team.
-type Around struct {
-	StateAge time.Duration // since the state service last answered
-	NoRents  bool          // operators stopped rentals
-	Claimed  bool          // work with a guarantee waits somewhere
-	Ahead    []*Job        // jobs of the share that wait and come before it
-	Market   *Market
+// ExplainContext is what holds a job beside its share's machines and its team.
+type ExplainContext struct {
+	SinceStateAnswer  time.Duration // since the state service last answered
+	RentalsStopped    bool          // operators stopped rentals
+	GuaranteedWaiting bool          // work with a guarantee waits somewhere
+	JobsAhead         []*Job        // jobs of the share that wait and come before it
+	Market            *Market
 }
 
-// stateLost is after how long without an answer nothing is decided.
-const stateLost = 2 * time.Second
+// stateServiceTimeout is after how long without an answer nothing is decided.
+const stateServiceTimeout = 2 * time.Second
 
 // Explain names what keeps a job's tasks waiting: nothing if a decision would start
 // one of them now.
-func (v *View) Explain(j *Job, a *Around) []Cause {
+func (v *View) Explain(j *Job, a *ExplainContext) []Cause {
 	var out []Cause
 	add := func(c Cause) { out = append(out, c) }
 	if j.Waiting == 0 {
 		return nil
 	}
-	if a.StateAge > stateLost {
-		add(Cause{Kind: StateLost})
+	if a.SinceStateAnswer > stateServiceTimeout {
+		add(Cause{Reason: StateServiceDown})
 	}
-	t := v.team(j).seenBy(j, v.Now)
+	t := v.team(j).effectiveFor(j, v.Now)
 	switch {
 	case j.Cancelled:
-		return append(out, Cause{Kind: Stopping})
-	case j.Closed:
-		add(Cause{Kind: SiteWithoutLease})
+		return append(out, Cause{Reason: Stopping})
+	case j.SiteLeaseMissing:
+		add(Cause{Reason: SiteWithoutLease})
 	}
-	if j.Busy {
-		add(Cause{Kind: BeingStored})
+	if j.WritePending {
+		add(Cause{Reason: WritePending})
 	}
-	if j.Abandon {
-		add(Cause{Kind: GangLeaving, Count: j.Placed})
+	if j.AbortAttempt {
+		add(Cause{Reason: GangLeaving, Count: j.Placed})
 	}
-	if j.Mistake && (v.Now.Before(j.NotBefore) || j.Placed > 0) {
-		add(Cause{Kind: FailsEverywhere, Count: j.Tries, Machines: []string{j.LastError}, Until: j.NotBefore})
-	} else if j.Pausing > 0 && j.Pausing == j.Waiting || v.Now.Before(j.NotBefore) {
-		add(Cause{Kind: Pausing, Count: j.Pausing, Until: j.NotBefore})
+	if j.FailsEverywhere && (v.Now.Before(j.NotBefore) || j.Placed > 0) {
+		add(Cause{Reason: FailsEverywhere, Count: j.Tries, Machines: []string{j.LastError}, Until: j.NotBefore})
+	} else if j.InBackoff > 0 && j.InBackoff == j.Waiting || v.Now.Before(j.NotBefore) {
+		add(Cause{Reason: RetryBackoff, Count: j.InBackoff, Until: j.NotBefore})
 	}
-	if c, short := t.short(j); short {
+	if c, short := t.exceededLimit(j); short {
 		add(c)
 	}
 	if c, never := v.neverFits(j); never {
 		add(c)
 	}
-	if len(out) == 0 && v.starts(j) {
+	if len(out) == 0 && v.wouldStart(j) {
 		return nil
 	}
 	out = append(out, v.machineCauses(j)...)
-	if t.Guest() && a.Claimed {
-		add(Cause{Kind: GuaranteesFirst})
+	if t.Unguaranteed() && a.GuaranteedWaiting {
+		add(Cause{Reason: GuaranteesFirst})
 	}
-	if a.NoRents {
-		add(Cause{Kind: RentalsStopped})
+	if a.RentalsStopped {
+		add(Cause{Reason: RentalsStopped})
 	}
 	if a.Market != nil {
 		var refused []Offer
 		last := time.Time{}
-		for o, till := range a.Market.Refused {
+		for o, till := range a.Market.RefusedUntil {
 			if v.Now.Before(till) && Allowed(j.Spec, o) {
 				refused = append(refused, o)
 				if till.After(last) {
@@ -170,47 +170,47 @@
 		}
 		if refused != nil {
 			slices.SortFunc(refused, func(a, b Offer) int { return cmp.Compare(a.String(), b.String()) })
-			add(Cause{Kind: CloudRefused, Offers: refused[:min(len(refused), mostNamed)], Count: len(refused), Until: last})
+			add(Cause{Reason: CloudRefused, Offers: refused[:min(len(refused), maxListed)], Count: len(refused), Until: last})
 		}
 	}
-	if len(a.Ahead) > 0 {
-		c := Cause{Kind: Ahead, Count: len(a.Ahead)}
-		for _, o := range a.Ahead[:min(len(a.Ahead), mostNamed)] {
+	if len(a.JobsAhead) > 0 {
+		c := Cause{Reason: JobsAhead, Count: len(a.JobsAhead)}
+		for _, o := range a.JobsAhead[:min(len(a.JobsAhead), maxListed)] {
 			c.Jobs = append(c.Jobs, o.ID)
 		}
 		add(c)
 	}
 	if len(out) == 0 {
-		add(Cause{Kind: NoCapacity}) // nothing is known to stand in its way but that there is no machine yet
+		add(Cause{Reason: NoCapacity}) // nothing is known to stand in its way but that there is no machine yet
 	}
 	return out
 }
 
-// starts says whether a decision would start some of a job's tasks, or make room.
-func (v *View) starts(j *Job) bool {
-	if j.Busy || j.Closed || j.Cancelled || j.Abandon || v.Now.Before(j.NotBefore) {
+// wouldStart says whether a decision would start some of a job's tasks, or make room.
+func (v *View) wouldStart(j *Job) bool {
+	if j.WritePending || j.SiteLeaseMissing || j.Cancelled || j.AbortAttempt || v.Now.Before(j.NotBefore) {
 		return false
 	}
 	p := v.Place(j)
-	return len(p.On) > 0 || p.Room.Made()
+	return len(p.Machines) > 0 || p.Preemption.HasEvictions()
 }
 
-// atOnce is how many of a job's tasks must fit for it to start.
-func (j *Job) atOnce() int {
+// minTasksToStart is how many of a job's tasks must fit for it to start.
+func (j *Job) minTasksToStart() int {
 	if j.Spec.Shape == protocol.Gang {
 		return j.Tasks
 	}
 	return 1
 }
 
-// short says whether the team's limit keeps a job from starting.
-func (t *Team) short(j *Job) (Cause, bool) {
-	n := j.atOnce()
-	if t.Room(j.Need) >= n {
+// exceededLimit says whether the team's limit keeps a job from starting.
+func (t *Team) exceededLimit(j *Job) (Cause, bool) {
+	n := j.minTasksToStart()
+	if t.TasksWithinLimit(j.Need) >= n {
 		return Cause{}, false
 	}
-	c := Cause{Kind: TeamLimit, Need: n}
-	if need := j.Need.GPUs * float64(n); t.Limit.GPUs > 0 && t.Used.GPUs+need > t.Limit.GPUs+Slack {
+	c := Cause{Reason: TeamLimit, Need: n}
+	if need := j.Need.GPUs * float64(n); t.Limit.GPUs > 0 && t.Used.GPUs+need > t.Limit.GPUs+Tolerance {
 		c.Used, c.Limit, c.Lacks = t.Used.GPUs, t.Limit.GPUs, "cards"
 	} else {
 		c.Used, c.Limit, c.Lacks = t.Used.CPUs, t.Limit.CPUs, "vcpus"
@@ -228,7 +228,7 @@
 	zone, zones := "", 0
 	for _, t := range v.Types {
 		for _, z := range t.Zones {
-			if z == zone || SizeOf(t).Times(j.Need) == 0 || !Allowed(j.Spec, Offer{Type: t.Name, Zone: z}) {
+			if z == zone || SizeOf(t).TaskCount(j.Need) == 0 || !Allowed(j.Spec, Offer{Type: t.Name, Zone: z}) {
 				continue
 			}
 			if zones++; !split || zones > 1 && !j.Spec.OneZone {
@@ -238,13 +238,13 @@
 		}
 	}
 	if zones == 0 {
-		return Cause{Kind: NeverFits}, true
+		return Cause{Reason: NeverFits}, true
 	}
-	return Cause{Kind: NeverTogether}, true
+	return Cause{Reason: GangNeverFits}, true
 }
 
-// never says whether a gang can't run whatever becomes free: it is asked for nothing else.
-func (v *View) never(j *Job) bool {
+// neverRuns says whether a gang can't run whatever becomes free: it is asked for nothing else.
+func (v *View) neverRuns(j *Job) bool {
 	if j.Spec.Shape != protocol.Gang || !j.Spec.Spread {
 		return false
 	}
@@ -252,50 +252,50 @@
 	return never
 }
 
-// state is what stands between a machine and a job.
-func (v *View) state(m *Machine, j *Job) Kind {
+// obstacle is what stands between a machine and a job.
+func (v *View) obstacle(m *Machine, j *Job) Reason {
 	switch {
-	case m.Block&(HeldBack|Notice) != 0:
+	case m.Block&(Cordoned|InterruptionNotice) != 0:
 		return Drained
-	case m.Heard.IsZero() && m.Block&(Gone|Returning|Moving) == 0 && m.Addressed:
-		return Unheard
-	case m.Heard.IsZero() && m.Block&(Gone|Returning|Moving) == 0:
+	case m.LastReport.IsZero() && m.Block&(Returned|Returning|Moving) == 0 && m.HasAddress:
+		return AwaitingFirstReport
+	case m.LastReport.IsZero() && m.Block&(Returned|Returning|Moving) == 0:
 		return Booting
-	case m.Block&(Unfenced|Doubt|Moving|Faulty|Returning|Gone) != 0 || v.Now.Before(m.AvoidTill):
+	case m.Block&(Unfenced|StartUnconfirmed|Moving|Faulty|Returning|Returned) != 0 || v.Now.Before(m.AvoidUntil):
 		return NotReady
-	case m.silent(v.Now, v.Config.ReportS):
-		return Silent
-	case m.KeptFrom(j, v.Now):
-		return KeptForGang
-	case j.zoneRoom(m.Zone) <= 0:
+	case m.reportOverdue(v.Now, v.Config.ReportS):
+		return ReportOverdue
+	case m.EarmarkExcludes(j, v.Now):
+		return EarmarkedForGang
+	case j.zoneCapacity(m.Zone) <= 0:
 		return ZoneBound
-	case m.Free().Times(j.Need) == 0:
+	case m.Free().TaskCount(j.Need) == 0:
 		return NoFreeMachine
 	}
-	return None
+	return NoReason
 }
 
 // machineCauses are what the share's machines have to do with a job's waiting.
 func (v *View) machineCauses(j *Job) []Cause {
-	count := map[Kind]*Cause{}
+	count := map[Reason]*Cause{}
 	fit := map[string]int{} // tasks that fit, by zone
 	lacks := map[string]int{}
-	for _, m := range v.Index.Machines(v.Share) {
+	for _, m := range v.Index.Machines(v.Partition) {
 		if !Allowed(j.Spec, m.offer()) {
 			continue
 		}
-		k := v.state(m, j)
-		if k == None {
-			fit[m.Zone] += m.Free().Times(j.Need)
+		k := v.obstacle(m, j)
+		if k == NoReason {
+			fit[m.Zone] += m.Free().TaskCount(j.Need)
 			continue
 		}
 		c := count[k]
 		if c == nil {
-			c = &Cause{Kind: k}
+			c = &Cause{Reason: k}
 			count[k] = c
 		}
 		c.Count++
-		if len(c.Machines) < mostNamed {
+		if len(c.Machines) < maxListed {
 			c.Machines = append(c.Machines, m.Name)
 		}
 		if !slices.Contains(c.Zones, m.Zone) {
@@ -307,7 +307,7 @@
 				name       string
 				free, need float64
 			}{{"vcpus", f.CPUs, j.Need.CPUs}, {"cards", f.GPUs, j.Need.GPUs}, {"memGb", f.MemoryGB, j.Need.MemoryGB}} {
-				if l.free+Slack < l.need {
+				if l.free+Tolerance < l.need {
 					lacks[l.name]++
 				}
 			}
@@ -324,13 +324,13 @@
 			}
 		}
 		if have < j.Tasks {
-			out = append(out, Cause{Kind: GangIncomplete, Count: min(have, j.Tasks), Need: j.Tasks})
+			out = append(out, Cause{Reason: GangIncomplete, Count: min(have, j.Tasks), Need: j.Tasks})
 		}
 	}
-	if c, reserved := v.gathering(j); reserved {
+	if c, reserved := v.reservedCause(j); reserved {
 		out = append(out, c)
 	}
-	for _, k := range []Kind{Drained, Silent, KeptForGang, ZoneBound, NoFreeMachine, NotReady, Booting, Unheard} {
+	for _, k := range []Reason{Drained, ReportOverdue, EarmarkedForGang, ZoneBound, NoFreeMachine, NotReady, Booting, AwaitingFirstReport} {
 		c := count[k]
 		if c == nil {
 			continue
@@ -349,18 +349,18 @@
 	return out
 }
 
-// gathering is how much of the room that a gang needs is reserved for it.
-func (v *View) gathering(j *Job) (c Cause, reserved bool) {
-	c = Cause{Kind: GatheringRoom}
+// reservedCause is how much of the room that a gang needs is reserved for it.
+func (v *View) reservedCause(j *Job) (c Cause, reserved bool) {
+	c = Cause{Reason: ReservingForGang}
 	size := 1 // tasks on the machine that takes most of them
-	for _, m := range v.Index.Machines(v.Share) {
-		if !m.HasReserved(j, v.Now) {
+	for _, m := range v.Index.Machines(v.Partition) {
+		if !m.IsReservedFor(j, v.Now) {
 			continue
 		}
 		c.Count++
-		c.Until = m.EarmarkTo
-		size = max(size, m.Size.Times(j.Need))
-		if len(c.Machines) < mostNamed {
+		c.Until = m.EarmarkedUntil
+		size = max(size, m.Size.TaskCount(j.Need))
+		if len(c.Machines) < maxListed {
 			c.Machines = append(c.Machines, m.Name)
 		}
 	}
@@ -370,23 +370,23 @@
 
 // Change is something that would have to happen for a job to start.
 type Change struct {
-	Kind     Kind     `json:"releases"`
+	Reason   Reason   `json:"releases"`
 	GPUs     float64  `json:"cards,omitempty"` // of the team's limit
 	CPUs     float64  `json:"vcpus,omitempty"`
 	Tasks    int      `json:"tasks,omitempty"`    // that end on each of the machines
 	Machines []string `json:"machines,omitempty"` // any Need of them
 	Need     int      `json:"need,omitempty"`
 	Offer    Offer    `json:"offer,omitzero"`
-	freed    map[string]Amounts
+	freed    map[string]Resources
 }
 
 // String is a change in words.
 func (c Change) String() string {
-	any := some(c.Machines)
+	any := joinNames(c.Machines)
 	if c.Need < len(c.Machines) {
 		any = fmt.Sprintf("any %d of %s", c.Need, any)
 	}
-	switch c.Kind {
+	switch c.Reason {
 	case TeamLimit:
 		if c.GPUs > 0 {
 			return fmt.Sprintf("%g more cards of the team's limit", c.GPUs)
@@ -396,48 +396,48 @@
 		return fmt.Sprintf("%d tasks end on %s", c.Tasks, any)
 	case Drained:
 		return "the drain ends of " + any
-	case Silent:
+	case ReportOverdue:
 		return "heard again: " + any
-	case KeptForGang:
+	case EarmarkedForGang:
 		return "no longer kept for a gang: " + any
-	case NotReady, Booting, Unheard:
+	case NotReady, Booting, AwaitingFirstReport:
 		return "ready: " + any
 	case NoCapacity:
 		return fmt.Sprintf("%d machines more of %s", c.Need, c.Offer)
-	case Pausing, FailsEverywhere:
+	case RetryBackoff, FailsEverywhere:
 		return "its next try"
-	case StateLost:
+	case StateServiceDown:
 		return "the state service answers"
 	case SiteWithoutLease:
 		return "the site has its lease again"
-	case BeingStored:
+	case WritePending:
 		return "the change is stored"
 	case GangLeaving:
 		return "the rest of its earlier attempt is gone"
 	}
-	return "not: " + c.Kind.Text()
+	return "not: " + c.Reason.Text()
 }
 
-// Release is the smallest change found that lets a job start: the causes that stand in
+// ChangesToStart is the smallest change found that lets a job start: the causes that stand in
 // the way by themselves, and of the machines' the one that asks least. ok says that
 // the decision, asked on a view with the change, starts it.
-func (v *View) Release(j *Job, a *Around) (changes []Change, ok bool) {
-	w, after := v.without(j)
-	if a.StateAge > stateLost {
-		changes = append(changes, Change{Kind: StateLost})
+func (v *View) ChangesToStart(j *Job, a *ExplainContext) (changes []Change, ok bool) {
+	w, after := v.withoutOwnCauses(j)
+	if a.SinceStateAnswer > stateServiceTimeout {
+		changes = append(changes, Change{Reason: StateServiceDown})
 	}
 	for _, c := range []struct {
 		is bool
-		k  Kind
-	}{{j.Closed, SiteWithoutLease}, {j.Busy, BeingStored}, {j.Abandon, GangLeaving}, {j.Mistake && (v.Now.Before(j.NotBefore) || j.Placed > 0), FailsEverywhere},
-		{!j.Mistake && (j.Pausing > 0 && j.Pausing == j.Waiting || v.Now.Before(j.NotBefore)), Pausing}} {
+		k  Reason
+	}{{j.SiteLeaseMissing, SiteWithoutLease}, {j.WritePending, WritePending}, {j.AbortAttempt, GangLeaving}, {j.FailsEverywhere && (v.Now.Before(j.NotBefore) || j.Placed > 0), FailsEverywhere},
+		{!j.FailsEverywhere && (j.InBackoff > 0 && j.InBackoff == j.Waiting || v.Now.Before(j.NotBefore)), RetryBackoff}} {
 		if c.is {
-			changes = append(changes, Change{Kind: c.k})
+			changes = append(changes, Change{Reason: c.k})
 		}
 	}
-	if t := v.team(j).seenBy(j, v.Now); t.Room(j.Need) < j.atOnce() {
-		n := float64(j.atOnce())
-		c := Change{Kind: TeamLimit}
+	if t := v.team(j).effectiveFor(j, v.Now); t.TasksWithinLimit(j.Need) < j.minTasksToStart() {
+		n := float64(j.minTasksToStart())
+		c := Change{Reason: TeamLimit}
 		if t.Limit.GPUs > 0 {
 			c.GPUs = max(0, t.Used.GPUs+n*j.Need.GPUs-t.Limit.GPUs)
 		}
@@ -445,7 +445,7 @@
 			c.CPUs = max(0, t.Used.CPUs+n*j.Need.CPUs-t.Limit.CPUs)
 		}
 		raised := *t
-		raised.Limit, raised.Kept = raised.Limit.Add(Amounts{CPUs: c.CPUs, GPUs: c.GPUs}, 1), nil
+		raised.Limit, raised.LimitReservations = raised.Limit.Add(Resources{CPUs: c.CPUs, GPUs: c.GPUs}, 1), nil
 		w.Teams = slices.Clone(v.Teams)
 		w.Teams[j.Team] = &raised
 		changes = append(changes, c)
@@ -454,45 +454,45 @@
 		return changes, false
 	}
 	// With that out of the way, do the machines that have room do?
-	base := v.relevant(j, nil)
+	base := v.usableMachines(j, nil)
 	w.Index = v.indexOf(base)
-	if w.starts(after) {
+	if w.wouldStart(after) {
 		return changes, true
 	}
-	for _, c := range v.options(j) {
-		w.Index = v.indexOf(append(slices.Clone(base), v.changed(j, c)...))
-		if w.starts(after) {
+	for _, c := range v.possibleChanges(j) {
+		w.Index = v.indexOf(append(slices.Clone(base), v.machinesAfter(j, c)...))
+		if w.wouldStart(after) {
 			return append(changes, c), true
 		}
 	}
 	return changes, false
 }
 
-// without is a view and a job without the causes that are the job's own.
-func (v *View) without(j *Job) (*View, *Job) {
+// withoutOwnCauses is a view and a job without the causes that are the job's own.
+func (v *View) withoutOwnCauses(j *Job) (*View, *Job) {
 	w := *v
-	w.noSlot, w.noRoom, w.shiftables = nil, nil, nil
+	w.noCapacityAt, w.noVictimsAt, w.relocatableByRank = nil, nil, nil
 	after := *j
-	after.Closed, after.Busy, after.Abandon, after.Pausing, after.NotBefore = false, false, false, 0, time.Time{}
-	if j.Abandon {
+	after.SiteLeaseMissing, after.WritePending, after.AbortAttempt, after.InBackoff, after.NotBefore = false, false, false, 0, time.Time{}
+	if j.AbortAttempt {
 		after.Waiting, after.Placed, after.Zones = j.Tasks, 0, nil
 	}
-	if j.Mistake {
+	if j.FailsEverywhere {
 		after.Placed = 0
 	}
-	after.RoomTill = v.Now // nobody is stopped for it here
-	after.Preempted = v.Now.Add(time.Hour)
+	after.PreemptionWaitUntil = v.Now // nobody is stopped for it here
+	after.PreemptAfter = v.Now.Add(time.Hour)
 	return &w, &after
 }
 
-// relevant are copies of the machines that a job could take now.
-func (v *View) relevant(j *Job, except map[string]bool) (out []*Machine) {
+// usableMachines are copies of the machines that a job could take now.
+func (v *View) usableMachines(j *Job, except map[string]bool) (out []*Machine) {
 	n := 0
-	for _, m := range v.Index.Machines(v.Share) {
-		if Allowed(j.Spec, m.offer()) && v.state(m, j) == None && !except[m.Name] {
+	for _, m := range v.Index.Machines(v.Partition) {
+		if Allowed(j.Spec, m.offer()) && v.obstacle(m, j) == NoReason && !except[m.Name] {
 			c := *m
 			out = append(out, &c)
-			if n += m.Free().Times(j.Need); n > 4*j.Tasks+64 {
+			if n += m.Free().TaskCount(j.Need); n > 4*j.Tasks+64 {
 				break // more do not matter
 			}
 		}
@@ -502,43 +502,43 @@
 
 // indexOf makes an index of copies of machines.
 func (v *View) indexOf(ms []*Machine) *Index {
-	x := NewIndex(len(v.Index.shares), len(v.Teams))
+	x := NewIndex(len(v.Index.partitions), len(v.Teams))
 	for _, m := range ms {
 		f := *m
-		f.id, f.listed, f.roomy = 0, false, nil
+		f.id, f.listed, f.group = 0, false, nil
 		x.Set(&Machine{}, &f)
 	}
 	return x
 }
 
-// options are what could happen to machines so that a job starts, the smallest first.
-func (v *View) options(j *Job) []Change {
-	byKind := map[Kind]*Change{}
+// possibleChanges are what could happen to machines so that a job starts, the smallest first.
+func (v *View) possibleChanges(j *Job) []Change {
+	byKind := map[Reason]*Change{}
 	ending := map[int]*Change{} // by how many tasks must end
-	n := j.atOnce()
+	n := j.minTasksToStart()
 	have := 0
-	for _, m := range v.Index.Machines(v.Share) {
+	for _, m := range v.Index.Machines(v.Partition) {
 		if !Allowed(j.Spec, m.offer()) {
 			continue
 		}
-		switch k := v.state(m, j); k {
-		case None:
-			have += m.Free().Times(j.Need)
-		case Drained, Silent, KeptForGang, NotReady, Booting, Unheard:
-			if m.Free().Times(j.Need) == 0 || m.Block&(Gone|Returning) != 0 {
+		switch k := v.obstacle(m, j); k {
+		case NoReason:
+			have += m.Free().TaskCount(j.Need)
+		case Drained, ReportOverdue, EarmarkedForGang, NotReady, Booting, AwaitingFirstReport:
+			if m.Free().TaskCount(j.Need) == 0 || m.Block&(Returned|Returning) != 0 {
 				continue
 			}
 			if byKind[k] == nil {
-				byKind[k] = &Change{Kind: k}
+				byKind[k] = &Change{Reason: k}
 			}
 			byKind[k].Machines = append(byKind[k].Machines, m.Name)
 		case NoFreeMachine:
-			ends, freed := m.endsFor(j.Need)
+			ends, freed := m.endsNeeded(j.Need)
 			if ends == 0 {
 				continue
 			}
 			if ending[ends] == nil {
-				ending[ends] = &Change{Kind: NoFreeMachine, Tasks: ends, freed: map[string]Amounts{}}
+				ending[ends] = &Change{Reason: NoFreeMachine, Tasks: ends, freed: map[string]Resources{}}
 			}
 			ending[ends].Machines = append(ending[ends].Machines, m.Name)
 			ending[ends].freed[m.Name] = freed
@@ -546,7 +546,7 @@
 	}
 	var out []Change
 	need := max(1, n-have)
-	for _, k := range []Kind{KeptForGang, Drained, Booting, Unheard, NotReady, Silent} {
+	for _, k := range []Reason{EarmarkedForGang, Drained, Booting, AwaitingFirstReport, NotReady, ReportOverdue} {
 		if c := byKind[k]; c != nil {
 			c.Need = min(need, len(c.Machines))
 			out = append(out, *c)
@@ -562,47 +562,47 @@
 		out = append(out, *ending[e])
 	}
 	// A machine more of the cheapest kind that may be rented, at worst one for each task.
-	f := &forecast{v: v, inZone: map[string]int{}, market: &Market{}}
+	f := &forecast{view: v, inZone: map[string]int{}, market: &Market{}}
 	if o, ok := f.bestOffer(j, func(o Offer) bool {
-		return Allowed(j.Spec, o) && j.zoneRoom(o.Zone) > 0
+		return Allowed(j.Spec, o) && j.zoneCapacity(o.Zone) > 0
 	}); ok {
-		per := max(1, SizeOf(v.Types[o.Type]).Times(j.Need))
-		out = append(out, Change{Kind: NoCapacity, Need: (need + per - 1) / per, Offer: o})
+		per := max(1, SizeOf(v.Types[o.Type]).TaskCount(j.Need))
+		out = append(out, Change{Reason: NoCapacity, Need: (need + per - 1) / per, Offer: o})
 		if j.Spec.OneZone {
-			out = append(out, Change{Kind: NoCapacity, Need: (n + per - 1) / per, Offer: o})
+			out = append(out, Change{Reason: NoCapacity, Need: (n + per - 1) / per, Offer: o})
 		}
 	}
 	return out
 }
 
-// endsFor is how many of a machine's tasks must end, the largest first, so that one
+// endsNeeded is how many of a machine's tasks must end, the largest first, so that one
 // more of a size fits, and what that frees; 0 if none would do.
-func (m *Machine) endsFor(need Amounts) (int, Amounts) {
-	held := slices.Clone(m.Held)
-	slices.SortFunc(held, func(a, b Held) int {
+func (m *Machine) endsNeeded(need Resources) (int, Resources) {
+	held := slices.Clone(m.Assignments)
+	slices.SortFunc(held, func(a, b Assignment) int {
 		return cmp.Or(cmp.Compare(b.Job.Need.GPUs, a.Job.Need.GPUs), cmp.Compare(b.Job.Need.CPUs, a.Job.Need.CPUs), cmp.Compare(b.Job.Need.MemoryGB, a.Job.Need.MemoryGB),
 			cmp.Compare(a.Job.ID, b.Job.ID), cmp.Compare(a.Task, b.Task))
 	})
-	var freed Amounts
+	var freed Resources
 	for i, h := range held {
-		if freed = freed.Add(h.Job.Need, 1); m.Free().Add(freed, 1).Times(need) > 0 {
+		if freed = freed.Add(h.Job.Need, 1); m.Free().Add(freed, 1).TaskCount(need) > 0 {
 			return i + 1, freed
 		}
 	}
 	return 0, freed
 }
 
-// changed are copies of machines as a change leaves them.
-func (v *View) changed(j *Job, c Change) (out []*Machine) {
-	if c.Kind == NoCapacity {
+// machinesAfter are copies of machines as a change leaves them.
+func (v *View) machinesAfter(j *Job, c Change) (out []*Machine) {
+	if c.Reason == NoCapacity {
 		t := v.Types[c.Offer.Type]
 		for i := range c.Need {
-			out = append(out, &Machine{Name: fmt.Sprintf("~new-%d", i), Type: c.Offer.Type, Zone: c.Offer.Zone, Spot: c.Offer.Spot, Share: v.Share,
-				HasType: true, Size: SizeOf(t), SecPerGB: SecondsPerGB(t, 0), Heard: v.Now, Addressed: true})
+			out = append(out, &Machine{Name: fmt.Sprintf("~new-%d", i), Type: c.Offer.Type, Zone: c.Offer.Zone, Spot: c.Offer.Spot, Partition: v.Partition,
+				HasType: true, Size: SizeOf(t), SecPerGB: SecondsPerGB(t, 0), LastReport: v.Now, HasAddress: true})
 		}
 		return out
 	}
-	for _, m := range v.Index.Machines(v.Share) {
+	for _, m := range v.Index.Machines(v.Partition) {
 		if len(out) == c.Need {
 			break
 		}
@@ -610,7 +610,7 @@
 			continue
 		}
 		f := *m
-		f.Block, f.AvoidTill, f.Heard, f.Earmark = 0, time.Time{}, v.Now, nil
+		f.Block, f.AvoidUntil, f.LastReport, f.EarmarkedFor = 0, time.Time{}, v.Now, nil
 		f.Used = f.Used.Add(c.freed[m.Name], -1)
 		out = append(out, &f)
 	}
--- a/internal/coordination/decide/index.go
+++ b/internal/coordination/decide/index.go
@@ -19,42 +19,42 @@
 //   - Which of them hold an image: compressed bitmaps over the machines' numbers.
 //   - What each team's tasks that are about to leave still take.
 type Index struct {
-	shares   []shareIndex
-	stopping []float64 // GPUs, by team
-	byID     []*Machine
-	unused   []uint32
-	version  uint64 // grows whenever something may have become free
+	partitions   []partitionIndex
+	stoppingGPUs []float64 // GPUs, by team
+	byID         []*Machine
+	freeIDs      []uint32
+	version      uint64 // grows whenever something may have become free
 }
 
-type shareIndex struct {
-	machines []*Machine // recorded, by name
-	groups   []*group
-	images   map[string]*roaring.Bitmap // of machines with room
-	roomy    int
+type partitionIndex struct {
+	machines     []*Machine // recorded, by name
+	groups       []*machineGroup
+	images       map[string]*roaring.Bitmap // of machines with room
+	withCapacity int
 }
 
-// group is the machines with room that are of one kind and cost the same to fetch to.
-type group struct {
+// machineGroup is the machines with room that are of one kind and cost the same to fetch to.
+type machineGroup struct {
 	offer    Offer
 	secPerGB float64
 	tree     *btree.BTreeG[*Machine]
 }
 
 func fullestFirst(a, b *Machine) bool {
-	return cmp.Or(cmp.Compare(a.fullness(), b.fullness()), cmp.Compare(a.Name, b.Name)) < 0
+	return cmp.Or(cmp.Compare(a.packingOrder(), b.packingOrder()), cmp.Compare(a.Name, b.Name)) < 0
 }
 
 // NewIndex makes an index for so many shares and teams.
 func NewIndex(shares, teams int) *Index {
-	x := &Index{shares: make([]shareIndex, shares), stopping: make([]float64, teams)}
-	for i := range x.shares {
-		x.shares[i].images = map[string]*roaring.Bitmap{}
+	x := &Index{partitions: make([]partitionIndex, shares), stoppingGPUs: make([]float64, teams)}
+	for i := range x.partitions {
+		x.partitions[i].images = map[string]*roaring.Bitmap{}
 	}
 	return x
 }
 
 // Machines are a share's, by name.
-func (x *Index) Machines(share int) []*Machine { return x.shares[share].machines }
+func (x *Index) Machines(share int) []*Machine { return x.partitions[share].machines }
 
 func byMachineName(a, b *Machine) int { return cmp.Compare(a.Name, b.Name) }
 
@@ -62,27 +62,27 @@
 // facts. What of the old facts put it into a place where it stays is left alone.
 func (x *Index) Set(m *Machine, to *Machine) {
 	if m.id == 0 {
-		m.id = x.number(m)
+		m.id = x.assignID(m)
 	}
-	listed := to.Block&NoRecord == 0
-	roomy := listed && to.Block == 0 && to.HasRoom()
-	stays := m.listed && listed && m.Share == to.Share && m.Name == to.Name
-	x.stops(m, -1)
-	var kept *group // where it stays in the order
-	images := false // and whether its images are noted already
-	if m.roomy != nil && stays && roomy {
+	listed := to.Block&NotRecorded == 0
+	roomy := listed && to.Block == 0 && to.HasCapacity()
+	stays := m.listed && listed && m.Partition == to.Partition && m.Name == to.Name
+	x.countAssignments(m, -1)
+	var kept *machineGroup // where it stays in the order
+	images := false        // and whether its images are noted already
+	if m.group != nil && stays && roomy {
 		images = slices.Equal(m.Images, to.Images)
-		if g := m.roomy; g.offer == to.offer() && g.secPerGB == to.SecPerGB && m.fullness() == to.fullness() {
+		if g := m.group; g.offer == to.offer() && g.secPerGB == to.SecPerGB && m.packingOrder() == to.packingOrder() {
 			kept = g
 		}
 	}
-	if m.roomy != nil {
+	if m.group != nil {
 		if kept == nil {
-			m.roomy.tree.Delete(m)
-			x.shares[m.Share].roomy--
+			m.group.tree.Delete(m)
+			x.partitions[m.Partition].withCapacity--
 		}
 		if !images {
-			x.shares[m.Share].drop(m)
+			x.partitions[m.Partition].dropImages(m)
 		}
 	}
 	if m.listed && !stays {
@@ -90,13 +90,13 @@
 	}
 	id := m.id
 	*m = *to
-	m.id, m.listed, m.roomy = id, stays, kept
-	x.stops(m, 1)
+	m.id, m.listed, m.group = id, stays, kept
+	x.countAssignments(m, 1)
 	if !listed {
 		return
 	}
 	x.version++
-	s := &x.shares[m.Share]
+	s := &x.partitions[m.Partition]
 	if !stays {
 		if i, found := slices.BinarySearchFunc(s.machines, m, byMachineName); !found {
 			s.machines = slices.Insert(s.machines, i, m)
@@ -107,42 +107,42 @@
 		return
 	}
 	if kept == nil {
-		m.roomy = s.group(m)
-		m.roomy.tree.ReplaceOrInsert(m)
-		s.roomy++
+		m.group = s.group(m)
+		m.group.tree.ReplaceOrInsert(m)
+		s.withCapacity++
 	}
 	if !images {
-		s.note(m)
+		s.addImages(m)
 	}
 }
 
-// stops counts what a machine's tasks that are to leave take, or no longer take, and
+// countAssignments counts what a machine's tasks that are to leave take, or no longer take, and
 // what could be stopped there.
-func (x *Index) stops(m *Machine, sign float64) {
-	m.stopping, m.lowest, m.idlers = 0, -1, 0
-	for _, h := range m.Held {
+func (x *Index) countAssignments(m *Machine, sign float64) {
+	m.stoppingTasks, m.lowestPriority, m.cpuOnlyTasks = 0, -1, 0
+	for _, h := range m.Assignments {
 		if m.Size.GPUs > 0 && h.Job.Need.GPUs == 0 {
-			m.idlers++
+			m.cpuOnlyTasks++
 		}
-		if h.Unwanted {
-			m.stopping++
-			x.stopping[h.Job.Team] += sign * h.Job.Need.GPUs
+		if h.Stopping {
+			m.stoppingTasks++
+			x.stoppingGPUs[h.Job.Team] += sign * h.Job.Need.GPUs
 		}
-		if h.Settled && !h.together() {
-			m.lowest = max(m.lowest, h.Job.Rank)
+		if h.Active && !h.coscheduled() {
+			m.lowestPriority = max(m.lowestPriority, h.Job.Rank)
 		}
 	}
 }
 
 func (x *Index) unlist(m *Machine) {
-	s := &x.shares[m.Share]
+	s := &x.partitions[m.Partition]
 	if i, found := slices.BinarySearchFunc(s.machines, m, byMachineName); found {
 		s.machines = slices.Delete(s.machines, i, i+1)
 	}
 }
 
-// note and drop keep which machines with room hold an image.
-func (s *shareIndex) note(m *Machine) {
+// addImages and drop keep which machines with room hold an image.
+func (s *partitionIndex) addImages(m *Machine) {
 	for _, im := range m.Images {
 		b := s.images[im]
 		if b == nil {
@@ -153,7 +153,7 @@
 	}
 }
 
-func (s *shareIndex) drop(m *Machine) {
+func (s *partitionIndex) dropImages(m *Machine) {
 	for _, im := range m.Images {
 		if b := s.images[im]; b != nil {
 			if b.Remove(m.id); b.IsEmpty() {
@@ -166,18 +166,18 @@
 // Remove forgets a machine.
 func (x *Index) Remove(m *Machine) {
 	if m.id != 0 {
-		gone := Machine{Name: m.Name, Block: NoRecord}
+		gone := Machine{Name: m.Name, Block: NotRecorded}
 		x.Set(m, &gone)
 		x.byID[m.id] = nil
-		x.unused = append(x.unused, m.id)
+		x.freeIDs = append(x.freeIDs, m.id)
 		m.id = 0
 	}
 }
 
-func (x *Index) number(m *Machine) uint32 {
-	if l := len(x.unused); l > 0 {
-		id := x.unused[l-1]
-		x.unused = x.unused[:l-1]
+func (x *Index) assignID(m *Machine) uint32 {
+	if l := len(x.freeIDs); l > 0 {
+		id := x.freeIDs[l-1]
+		x.freeIDs = x.freeIDs[:l-1]
 		x.byID[id] = m
 		return id
 	}
@@ -188,68 +188,68 @@
 	return uint32(len(x.byID) - 1)
 }
 
-func (s *shareIndex) group(m *Machine) *group {
+func (s *partitionIndex) group(m *Machine) *machineGroup {
 	o := m.offer()
 	for _, g := range s.groups {
 		if g.offer == o && g.secPerGB == m.SecPerGB {
 			return g
 		}
 	}
-	g := &group{offer: o, secPerGB: m.SecPerGB, tree: btree.NewG(16, fullestFirst)}
+	g := &machineGroup{offer: o, secPerGB: m.SecPerGB, tree: btree.NewG(16, fullestFirst)}
 	s.groups = append(s.groups, g)
 	return g
 }
 
-// stream walks one group in its order.
-type stream struct {
-	shift float64 // added to the order: spot machines before or after ordinary ones
-	items []*Machine
-	group *group
-	from  *Machine
-	done  bool
+// groupCursor walks one group in its order.
+type groupCursor struct {
+	orderOffset float64 // added to the order: spot machines before or after ordinary ones
+	buffered    []*Machine
+	group       *machineGroup
+	last        *Machine
+	done        bool
 }
 
-const chunk = 16
+const cursorChunk = 16
 
-// head is the next machine, nil at the end. Machines are fetched from the tree in
+// peek is the next machine, nil at the end. Machines are fetched from the tree in
 // chunks; nothing changes it meanwhile.
-func (s *stream) head() *Machine {
-	if len(s.items) == 0 && !s.done {
+func (s *groupCursor) peek() *Machine {
+	if len(s.buffered) == 0 && !s.done {
 		take := func(m *Machine) bool {
-			if m != s.from {
-				s.items = append(s.items, m)
+			if m != s.last {
+				s.buffered = append(s.buffered, m)
 			}
-			return len(s.items) < chunk
+			return len(s.buffered) < cursorChunk
 		}
-		if s.from == nil {
+		if s.last == nil {
 			s.group.tree.Ascend(take)
 		} else {
-			s.group.tree.AscendGreaterOrEqual(s.from, take)
+			s.group.tree.AscendGreaterOrEqual(s.last, take)
 		}
-		if len(s.items) == 0 {
+		if len(s.buffered) == 0 {
 			s.done = true
 			return nil
 		}
-		s.from = s.items[len(s.items)-1]
+		s.last = s.buffered[len(s.buffered)-1]
 	}
-	if len(s.items) == 0 {
+	if len(s.buffered) == 0 {
 		return nil
 	}
-	return s.items[0]
+	return s.buffered[0]
 }
 
-// merge walks several groups as one, by order and then name, until f returns false.
-func merge(streams []*stream, f func(m *Machine, order float64) bool) {
+// mergeGroups walks several groups as one, by order and then name, until f returns false.
+func mergeGroups(streams []*groupCursor, f func(m *Machine, order float64) bool) {
 	for {
-		var best *stream
+		var best *groupCursor
 		var bestM *Machine
 		var bestO float64
 		for _, s := range streams {
-			m := s.head()
+			m := s.peek()
 			if m == nil {
 				continue
 			}
-			o := s.shift + m.fullness()
+			o := s.orderOffset + m.packingOrder()
 			if best == nil || o < bestO || o == bestO && m.Name < bestM.Name {
 				best, bestM, bestO = s, m, o
 			}
@@ -257,7 +257,7 @@
 		if best == nil {
 			return
 		}
-		best.items = best.items[1:]
+		best.buffered = best.buffered[1:]
 		if !f(bestM, bestO) {
 			return
 		}
@@ -267,19 +267,19 @@
 // Check says where the index has something else than a new one of the same machines
 // would have.
 func (x *Index) Check() error {
-	fresh := NewIndex(len(x.shares), len(x.stopping))
+	fresh := NewIndex(len(x.partitions), len(x.stoppingGPUs))
 	for _, m := range x.byID {
 		if m != nil {
 			f := *m
-			f.id, f.listed, f.roomy = 0, false, nil
+			f.id, f.listed, f.group = 0, false, nil
 			fresh.Set(&Machine{}, &f)
 		}
 	}
-	for i := range x.shares {
-		a, b := &x.shares[i], &fresh.shares[i]
+	for i := range x.partitions {
+		a, b := &x.partitions[i], &fresh.partitions[i]
 		same := func(m, o *Machine) bool { return m.Name == o.Name }
-		if !slices.EqualFunc(a.machines, b.machines, same) || a.roomy != b.roomy || len(a.images) != len(b.images) {
-			return fmt.Errorf("share %d: %d machines, %d with room, %d images; %d, %d, %d in a new index", i, len(a.machines), a.roomy, len(a.images), len(b.machines), b.roomy, len(b.images))
+		if !slices.EqualFunc(a.machines, b.machines, same) || a.withCapacity != b.withCapacity || len(a.images) != len(b.images) {
+			return fmt.Errorf("share %d: %d machines, %d with room, %d images; %d, %d, %d in a new index", i, len(a.machines), a.withCapacity, len(a.images), len(b.machines), b.withCapacity, len(b.images))
 		}
 		for im, bits := range a.images {
 			if b.images[im] == nil || bits.GetCardinality() != b.images[im].GetCardinality() {
@@ -298,9 +298,9 @@
 			}
 		}
 	}
-	for i, s := range x.stopping {
-		if d := s - fresh.stopping[i]; d > Slack || d < -Slack {
-			return fmt.Errorf("team %d: %g GPUs about to be left, %g in a new index", i, s, fresh.stopping[i])
+	for i, s := range x.stoppingGPUs {
+		if d := s - fresh.stoppingGPUs[i]; d > Tolerance || d < -Tolerance {
+			return fmt.Errorf("team %d: %g GPUs about to be left, %g in a new index", i, s, fresh.stoppingGPUs[i])
 		}
 	}
 	return nil
--- a/internal/coordination/decide/place.go
+++ b/internal/coordination/decide/place.go
@@ -8,47 +8,47 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// MostPlaced is the most tasks that one decision places: they are stored in one change.
-const MostPlaced = 512
+// MaxPlacements is the most tasks that one decision places: they are stored in one change.
+const MaxPlacements = 512
 
-// Placing is what Place decides.
-type Placing struct {
-	On     []*Machine // a machine for each task that is placed
-	FetchS float64    // what the last of them has to fetch
-	Room   *Room      // room to be made where the job's image is
-	Idling bool       // some of them idle GPUs there, for as long as the job is there
-	Why    Kind       // why not all that wait are placed; None if they are
+// Placement is what Place decides.
+type Placement struct {
+	Machines   []*Machine  // a machine for each task that is placed
+	MaxFetchS  float64     // what the last of them has to fetch
+	Preemption *Preemption // room to be made where the job's image is
+	IdlesGPUs  bool        // some of them idle GPUs there, for as long as the job is there
+	Reason     Reason      // why not all that wait are placed; None if they are
 
-	Reserve *Reservation // for a gang that does not fit yet
-	KeptOff bool         // it would fit but for what is reserved for gangs
+	Reserve              *Reservation // for a gang that does not fit yet
+	BlockedByReservation bool         // it would fit but for what is reserved for gangs
 }
 
 // candidate is a machine that a job fits on so many times.
 type candidate struct {
-	m     *Machine
-	fit   int
-	idles float64 // GPUs that would be kept from others there
-	cost  float64
-	order float64
+	m         *Machine
+	fit       int
+	idledGPUs float64 // GPUs that would be kept from others there
+	cost      float64
+	order     float64
 }
 
 // Place gives a job's waiting tasks machines of the share, by the threshold rule: a
 // heavy job the r cheapest free slots, a light one ranks r+1 to 2r.
-func (v *View) Place(j *Job) Placing {
-	r := min(v.Startable(j), MostPlaced)
-	if v.never(j) {
-		return Placing{Why: NeverTogether}
+func (v *View) Place(j *Job) Placement {
+	r := min(v.Startable(j), MaxPlacements)
+	if v.neverRuns(j) {
+		return Placement{Reason: GangNeverFits}
 	}
 	if r == 0 {
-		if j.Pausing > 0 && j.Pausing == j.Waiting {
-			return Placing{Why: Pausing}
+		if j.InBackoff > 0 && j.InBackoff == j.Waiting {
+			return Placement{Reason: RetryBackoff}
 		}
-		return Placing{Why: TeamLimit}
+		return Placement{Reason: TeamLimit}
 	}
 	cands, zones := v.candidates(j, r)
 	var slots []Slot
 	for i, c := range cands {
-		if len(slots) >= 2*r && !j.bound() {
+		if len(slots) >= 2*r && !j.zoneConstrained() {
 			break // the rule looks at no more
 		}
 		for range c.fit {
@@ -62,11 +62,11 @@
 	if j.Spec.Spread {
 		room = map[int]int{}
 		for z, i := range zones {
-			room[i] = j.zoneRoom(z)
+			room[i] = j.zoneCapacity(z)
 		}
 	}
 	picked := Pick(slots, r, j.Heavy, room)
-	patience := v.Config.patience(j.Spec)
+	patience := v.Config.maxFetchSeconds(j.Spec)
 	late := countAbove(picked, patience)
 	if late > 0 && !j.Heavy {
 		// Its aim would be missed for leaving the cheapest slots to heavier jobs.
@@ -76,51 +76,51 @@
 	}
 	switch {
 	case j.Spec.Shape == protocol.Gang && len(picked) < j.Tasks:
-		return Placing{Why: GangIncomplete, Reserve: v.Reserve(j), KeptOff: v.fitsButForReservations(j, len(picked))}
+		return Placement{Reason: GangIncomplete, Reserve: v.Reserve(j), BlockedByReservation: v.blockedByReservations(j, len(picked))}
 	case len(picked) == 0:
-		return Placing{Why: NoFreeMachine, KeptOff: v.fitsButForReservations(j, 0)}
+		return Placement{Reason: NoFreeMachine, BlockedByReservation: v.blockedByReservations(j, 0)}
 	}
-	p := Placing{FetchS: picked[len(picked)-1].Cost}
+	p := Placement{MaxFetchS: picked[len(picked)-1].Cost}
 	service := j.Spec.Shape == protocol.Service // what ends gives GPUs back
 	idling := 0
 	for _, s := range picked {
-		if service && cands[s.Machine].idles > 0 {
+		if service && cands[s.Machine].idledGPUs > 0 {
 			idling++
 		}
 	}
-	p.Idling = idling > 0
+	p.IdlesGPUs = idling > 0
 	made := false
-	if late+idling > 0 && !v.Keep && !v.Now.Before(j.Preempted) {
+	if late+idling > 0 && !v.NoPreemption && !v.Now.Before(j.PreemptAfter) {
 		// The aim would be missed for the fetch alone, or GPUs lie idle for as long as
 		// the job is there. Room that was made without regard to the image is taken, or
 		// another job would take it.
-		if made = v.Now.Before(j.RoomTill) && v.leaving(j); !made && j.RoomTill.IsZero() {
+		if made = v.Now.Before(j.PreemptionWaitUntil) && v.vacating(j); !made && j.PreemptionWaitUntil.IsZero() {
 			if late > 0 {
-				p.Room = v.MakeRoom(j, late, Cached)
+				p.Preemption = v.Preempt(j, late, MachinesWithImage)
 			}
-			if idling > 0 && !p.Room.Made() {
-				p.Room = v.MakeRoom(j, idling, OwnKind)
+			if idling > 0 && !p.Preemption.HasEvictions() {
+				p.Preemption = v.Preempt(j, idling, MachinesWithoutIdleGPUs)
 			}
-			made = p.Room.Made()
+			made = p.Preemption.HasEvictions()
 		}
 	}
 	if made {
-		p.Why = RoomIsMade
+		p.Reason = PreemptionInProgress
 		if j.Spec.Shape == protocol.Gang {
 			return p
 		}
 	}
 	for _, s := range picked {
 		// What need not wait for the room goes at once.
-		if c := cands[s.Machine]; !made || c.cost <= patience && !(service && c.idles > 0) {
-			p.On = append(p.On, c.m)
+		if c := cands[s.Machine]; !made || c.cost <= patience && !(service && c.idledGPUs > 0) {
+			p.Machines = append(p.Machines, c.m)
 		}
 	}
 	if made {
 		return p
 	}
-	if len(p.On) < j.Waiting {
-		p.Why = NoFreeMachine
+	if len(p.Machines) < j.Waiting {
+		p.Reason = NoFreeMachine
 	}
 	return p
 }
@@ -129,19 +129,19 @@
 // their slots, and the zones' numbers. For a job that is bound to zones there are
 // enough of each zone; else the first ones with 2r slots together.
 func (v *View) candidates(j *Job, r int) ([]candidate, map[string]int) {
-	s := &v.Index.shares[v.Share]
+	s := &v.Index.partitions[v.Partition]
 	zones := map[string]int{}
 	v.reservedSlots = 0
-	if s.roomy == 0 {
+	if s.withCapacity == 0 {
 		return nil, zones
 	}
-	key := needsOf(j)
-	if at, known := v.noSlot[key]; known && at == v.Index.version && !j.bound() {
+	key := placementKeyOf(j)
+	if at, known := v.noCapacityAt[key]; known && at == v.Index.version && !j.zoneConstrained() {
 		return nil, zones
 	}
-	var open []*group
+	var open []*machineGroup
 	for _, g := range s.groups {
-		if g.tree.Len() > 0 && Allowed(j.Spec, g.offer) && j.zoneRoom(g.offer.Zone) > 0 {
+		if g.tree.Len() > 0 && Allowed(j.Spec, g.offer) && j.zoneCapacity(g.offer.Zone) > 0 {
 			open = append(open, g)
 			if _, ok := zones[g.offer.Zone]; !ok {
 				zones[g.offer.Zone] = len(zones)
@@ -149,29 +149,29 @@
 		}
 	}
 	var out []candidate
-	if !j.bound() {
-		v.kept = false
-		if out = v.leastIdle(j, open, r); len(out) == 0 && !v.kept {
-			if v.noSlot == nil {
-				v.noSlot = map[needs]uint64{}
+	if !j.zoneConstrained() {
+		v.skippedEarmarked = false
+		if out = v.leastIdledGPUs(j, open, r); len(out) == 0 && !v.skippedEarmarked {
+			if v.noCapacityAt == nil {
+				v.noCapacityAt = map[placementKey]uint64{}
 			}
-			v.noSlot[key] = v.Index.version
+			v.noCapacityAt[key] = v.Index.version
 		}
 		return out, zones
 	}
 	for z := range zones {
-		out = append(out, v.leastIdle(j, slices.DeleteFunc(slices.Clone(open), func(g *group) bool { return g.offer.Zone != z }), r)...)
+		out = append(out, v.leastIdledGPUs(j, slices.DeleteFunc(slices.Clone(open), func(g *machineGroup) bool { return g.offer.Zone != z }), r)...)
 	}
 	slices.SortFunc(out, byCost)
 	return out, zones
 }
 
-// leastIdle are the cheapest of the groups on which no GPUs would idle, and of the next
+// leastIdledGPUs are the cheapest of the groups on which no GPUs would idle, and of the next
 // ones only as many as are missing.
-func (v *View) leastIdle(j *Job, open []*group, r int) []candidate {
-	levels := map[float64][]*group{}
+func (v *View) leastIdledGPUs(j *Job, open []*machineGroup, r int) []candidate {
+	levels := map[float64][]*machineGroup{}
 	for _, g := range open {
-		idles := v.idles(j, g.offer.Type)
+		idles := v.idledGPUs(j, g.offer.Type)
 		levels[idles] = append(levels[idles], g)
 	}
 	var out []candidate
@@ -185,7 +185,7 @@
 			want = 2 * r
 		}
 		for _, c := range v.cheapest(j, levels[idles], want) {
-			c.idles = idles
+			c.idledGPUs = idles
 			have += c.fit
 			out = append(out, c)
 		}
@@ -193,45 +193,45 @@
 	return out
 }
 
-func (v *View) sizeOf(typ string) Amounts {
+func (v *View) sizeOf(typ string) Resources {
 	if t := v.Types[typ]; t != nil {
 		return SizeOf(t)
 	}
-	return Amounts{}
+	return Resources{}
 }
 
 func byCost(a, b candidate) int {
-	return cmp.Or(cmp.Compare(a.idles, b.idles), cmp.Compare(a.cost, b.cost), cmp.Compare(a.order, b.order), cmp.Compare(a.m.Name, b.m.Name))
+	return cmp.Or(cmp.Compare(a.idledGPUs, b.idledGPUs), cmp.Compare(a.cost, b.cost), cmp.Compare(a.order, b.order), cmp.Compare(a.m.Name, b.m.Name))
 }
 
 // cheapest are the first machines of some groups, until they have so many slots.
-func (v *View) cheapest(j *Job, groups []*group, slots int) (out []candidate) {
-	s := &v.Index.shares[v.Share]
-	fragile := v.Config.Fragile(j, v.Now)
+func (v *View) cheapest(j *Job, groups []*machineGroup, slots int) (out []candidate) {
+	s := &v.Index.partitions[v.Partition]
+	fragile := v.Config.RestartMissesObjective(j, v.Now)
 	left := slots
 	add := func(m *Machine, order, cost float64) bool {
-		if m.KeptFrom(j, v.Now) {
-			v.kept = true
+		if m.EarmarkExcludes(j, v.Now) {
+			v.skippedEarmarked = true
 			if m.Reserved && v.usable(m) {
-				v.reservedSlots += m.Free().Times(j.Need)
+				v.reservedSlots += m.Free().TaskCount(j.Need)
 			}
 		} else if v.usable(m) {
-			if k := min(m.Free().Times(j.Need), slots); k > 0 {
+			if k := min(m.Free().TaskCount(j.Need), slots); k > 0 {
 				out = append(out, candidate{m: m, fit: k, cost: cost, order: order})
 				left -= k
 			}
 		}
 		return left > 0
 	}
-	shift := func(g *group) float64 {
+	shift := func(g *machineGroup) float64 {
 		if j.Spec.Spot && g.offer.Spot == fragile {
 			return 10
 		}
 		return 0
 	}
-	streams := func(gs []*group) (out []*stream) {
+	streams := func(gs []*machineGroup) (out []*groupCursor) {
 		for _, g := range gs {
-			out = append(out, &stream{group: g, shift: shift(g)})
+			out = append(out, &groupCursor{group: g, orderOffset: shift(g)})
 		}
 		return out
 	}
@@ -239,12 +239,12 @@
 	// met soon in the order of the groups.
 	cached := s.images[j.Spec.Image]
 	if cached != nil && j.Spec.ImageGB > 0 {
-		if int(cached.GetCardinality())*8 < s.roomy {
+		if int(cached.GetCardinality())*8 < s.withCapacity {
 			var few []candidate
 			for it := cached.Iterator(); it.HasNext(); {
 				m := v.Index.byID[it.Next()]
-				if slices.Contains(groups, m.roomy) {
-					few = append(few, candidate{m: m, order: shift(m.roomy) + m.fullness()})
+				if slices.Contains(groups, m.group) {
+					few = append(few, candidate{m: m, order: shift(m.group) + m.packingOrder()})
 				}
 			}
 			slices.SortFunc(few, byCost)
@@ -254,7 +254,7 @@
 				}
 			}
 		} else {
-			merge(streams(groups), func(m *Machine, order float64) bool {
+			mergeGroups(streams(groups), func(m *Machine, order float64) bool {
 				return !cached.Contains(m.id) || add(m, order, 0)
 			})
 			if left <= 0 {
@@ -264,15 +264,15 @@
 	}
 	// Then the others, by what they have to fetch.
 	rest := slices.Clone(groups)
-	costOf := func(g *group) float64 { return g.secPerGB * j.Spec.ImageGB }
-	slices.SortStableFunc(rest, func(a, b *group) int { return cmp.Compare(costOf(a), costOf(b)) })
+	costOf := func(g *machineGroup) float64 { return g.secPerGB * j.Spec.ImageGB }
+	slices.SortStableFunc(rest, func(a, b *machineGroup) int { return cmp.Compare(costOf(a), costOf(b)) })
 	for len(rest) > 0 && left > 0 {
 		n := 1
 		for n < len(rest) && costOf(rest[n]) == costOf(rest[0]) {
 			n++
 		}
 		cost := costOf(rest[0])
-		merge(streams(rest[:n]), func(m *Machine, order float64) bool {
+		mergeGroups(streams(rest[:n]), func(m *Machine, order float64) bool {
 			if cached != nil && j.Spec.ImageGB > 0 && cached.Contains(m.id) {
 				return true
 			}
@@ -304,9 +304,9 @@
 		sc := score(s)
 		if best >= 0 && sc == bestScore {
 			if bestName == "" {
-				bestName = v.firstIn(j, cands[byZone[best][0].Machine].m.Zone)
+				bestName = v.firstMachineInZone(j, cands[byZone[best][0].Machine].m.Zone)
 			}
-			name = v.firstIn(j, cands[s[0].Machine].m.Zone)
+			name = v.firstMachineInZone(j, cands[s[0].Machine].m.Zone)
 		}
 		if best < 0 || sc < bestScore || sc == bestScore && name < bestName {
 			best, bestScore, bestName = z, sc, name
@@ -315,20 +315,20 @@
 	return byZone[best]
 }
 
-// leaving says whether somebody is about to leave a machine where a job wants room made.
-func (v *View) leaving(j *Job) bool {
-	for _, m := range v.Index.Machines(v.Share) {
-		if m.stopping > 0 && j.zoneRoom(m.Zone) > 0 && Allowed(j.Spec, m.offer()) && (m.Has(j.Spec.Image) || v.idles(j, m.Type) == 0) {
+// vacating says whether somebody is about to leave a machine where a job wants room made.
+func (v *View) vacating(j *Job) bool {
+	for _, m := range v.Index.Machines(v.Partition) {
+		if m.stoppingTasks > 0 && j.zoneCapacity(m.Zone) > 0 && Allowed(j.Spec, m.offer()) && (m.HasImage(j.Spec.Image) || v.idledGPUs(j, m.Type) == 0) {
 			return true
 		}
 	}
 	return false
 }
 
-// firstIn is the first machine by name in a zone that a job could take.
-func (v *View) firstIn(j *Job, zone string) string {
-	for _, m := range v.Index.Machines(v.Share) {
-		if m.Zone == zone && m.roomy != nil && v.usable(m) && Allowed(j.Spec, m.offer()) && !m.KeptFrom(j, v.Now) && m.Free().Times(j.Need) > 0 {
+// firstMachineInZone is the first machine by name in a zone that a job could take.
+func (v *View) firstMachineInZone(j *Job, zone string) string {
+	for _, m := range v.Index.Machines(v.Partition) {
+		if m.Zone == zone && m.group != nil && v.usable(m) && Allowed(j.Spec, m.offer()) && !m.EarmarkExcludes(j, v.Now) && m.Free().TaskCount(j.Need) > 0 {
 			return m.Name
 		}
 	}
--- a/internal/coordination/decide/policy.go
+++ b/internal/coordination/decide/policy.go
@@ -38,9 +38,9 @@
 	}
 }
 
-// Arrive records an arrival with n jobs present and an image of x GB, and says
+// RecordArrival records an arrival with n jobs present and an image of x GB, and says
 // whether Theorem 4 counts it as heavy: x >= p*mean(x), p = N/(2N+1).
-func (w *Window) Arrive(n int, x float64) (heavy bool) {
+func (w *Window) RecordArrival(n int, x float64) (heavy bool) {
 	w.present = append(w.present, float64(n))
 	w.images = append(w.images, x)
 	w.trim()
@@ -108,31 +108,31 @@
 	return out
 }
 
-// Amounts is a vector of resources.
-type Amounts struct{ CPUs, GPUs, MemoryGB float64 }
+// Resources is a vector of resources.
+type Resources struct{ CPUs, GPUs, MemoryGB float64 }
 
-// Slack is what sums of amounts may differ by.
-const Slack = 1e-6
+// Tolerance is what sums of amounts may differ by.
+const Tolerance = 1e-6
 
 // Add returns a + k*b.
-func (a Amounts) Add(b Amounts, k float64) Amounts {
-	return Amounts{a.CPUs + k*b.CPUs, a.GPUs + k*b.GPUs, a.MemoryGB + k*b.MemoryGB}
+func (a Resources) Add(b Resources, k float64) Resources {
+	return Resources{a.CPUs + k*b.CPUs, a.GPUs + k*b.GPUs, a.MemoryGB + k*b.MemoryGB}
 }
 
-// Times says how many tasks of size t fit into a.
-func (a Amounts) Times(t Amounts) int {
+// TaskCount says how many tasks of size t fit into a.
+func (a Resources) TaskCount(t Resources) int {
 	n := math.MaxInt32
 	for _, p := range [3][2]float64{{a.CPUs, t.CPUs}, {a.GPUs, t.GPUs}, {a.MemoryGB, t.MemoryGB}} {
 		if p[1] > 0 {
-			n = min(n, int(math.Floor((p[0]+Slack)/p[1])))
+			n = min(n, int(math.Floor((p[0]+Tolerance)/p[1])))
 		}
 	}
 	return max(n, 0)
 }
 
-// AssignShares gives each team a share, in settings order, each to the share
+// AssignPartitions gives each team a share, in settings order, each to the share
 // with the least guarantee so far.
-func AssignShares(guarantees []float64, shares int) []int {
+func AssignPartitions(guarantees []float64, shares int) []int {
 	load := make([]float64, shares)
 	count := make([]int, shares)
 	out := make([]int, len(guarantees))
@@ -151,11 +151,11 @@
 }
 
 // Within says whether a fits into a guarantee (0: none of that kind given).
-func (a Amounts) Within(g Amounts) bool {
-	return (g.GPUs > 0 || g.CPUs > 0) && (g.GPUs == 0 || a.GPUs <= g.GPUs+Slack) && (g.CPUs == 0 || a.CPUs <= g.CPUs+Slack)
+func (a Resources) Within(g Resources) bool {
+	return (g.GPUs > 0 || g.CPUs > 0) && (g.GPUs == 0 || a.GPUs <= g.GPUs+Tolerance) && (g.CPUs == 0 || a.CPUs <= g.CPUs+Tolerance)
 }
 
 // Need is what each task of a job takes.
-func Need(s *protocol.JobSpec) Amounts {
-	return Amounts{CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB}
+func Need(s *protocol.JobSpec) Resources {
+	return Resources{CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB}
 }
--- a/internal/coordination/decide/policy_test.go
+++ b/internal/coordination/decide/policy_test.go
@@ -9,17 +9,17 @@
 // The window follows Theorem 4: x >= N/(2N+1) * mean(x), the arrival counted.
 func TestWindowThreshold(t *testing.T) {
 	w := NewWindow(3)
-	if !w.Arrive(1, 5) {
+	if !w.RecordArrival(1, 5) {
 		t.Fatal("the first job sets the mean and is heavy")
 	}
 	// N = 1.5, p = 0.375, mean = 3: 1 < 1.125.
-	if w.Arrive(2, 1) {
+	if w.RecordArrival(2, 1) {
 		t.Fatal("1 GB against a mean of 3 should be light")
 	}
-	if !w.Arrive(3, 3) {
+	if !w.RecordArrival(3, 3) {
 		t.Fatal("the mean itself should be heavy")
 	}
-	w.Arrive(3, 3)
+	w.RecordArrival(3, 3)
 	if len(w.images) != 3 {
 		t.Fatalf("window holds %d, want 3", len(w.images))
 	}
@@ -31,21 +31,21 @@
 func TestTinyImageSwarmMakesAllHeavy(t *testing.T) {
 	w := NewWindow(DefaultWindow)
 	for range DefaultWindow {
-		w.Arrive(10, 8)
+		w.RecordArrival(10, 8)
 	}
-	if w.Arrive(10, 2) {
+	if w.RecordArrival(10, 2) {
 		t.Fatal("2 GB among 8 GB images should be light")
 	}
 	for range DefaultWindow {
-		w.Arrive(10, 0.01)
+		w.RecordArrival(10, 0.01)
 	}
-	if !w.Arrive(10, 0.5) {
+	if !w.RecordArrival(10, 0.5) {
 		t.Fatal("after the swarm even 0.5 GB should count as heavy")
 	}
 	for range DefaultWindow {
-		w.Arrive(10, 8)
+		w.RecordArrival(10, 8)
 	}
-	if w.Arrive(10, 2) {
+	if w.RecordArrival(10, 2) {
 		t.Fatal("a window later the swarm should be forgotten")
 	}
 }
@@ -121,7 +121,7 @@
 		k := rapid.IntRange(1, 5).Draw(t, "shares")
 		load := make([]float64, k)
 		most := 0.0
-		for i, s := range AssignShares(g, k) {
+		for i, s := range AssignPartitions(g, k) {
 			load[s] += g[i]
 			most = max(most, g[i])
 		}
--- a/internal/coordination/decide/rent.go
+++ b/internal/coordination/decide/rent.go
@@ -11,7 +11,7 @@
 // Bin is a machine that waiting tasks are imagined on, to see what to rent.
 type Bin struct {
 	Offer
-	free    Amounts
+	free    Resources
 	machine *Machine // nil: asked for, or only imagined
 	uses    int      // tasks imagined on it
 	gpus    bool     // of a type with GPUs
@@ -26,13 +26,13 @@
 }
 
 // SizeOf is what a machine of a type has.
-func SizeOf(t *protocol.MachineType) Amounts { return Amounts{t.CPUs, t.GPUs, t.MemoryGB} }
+func SizeOf(t *protocol.MachineType) Resources { return Resources{t.CPUs, t.GPUs, t.MemoryGB} }
 
 func (b *Bin) tasks() int {
 	if b.machine == nil {
 		return 0
 	}
-	return len(b.machine.Held)
+	return len(b.machine.Assignments)
 }
 
 func (b *Bin) images() int {
@@ -43,26 +43,26 @@
 }
 
 // full says whether hardly anything can fit into a bin any more.
-func (b *Bin) full() bool { return b.free.CPUs <= Slack || b.gpus && b.free.GPUs <= Slack }
+func (b *Bin) full() bool { return b.free.CPUs <= Tolerance || b.gpus && b.free.GPUs <= Tolerance }
 
-// Asked are machines that were asked for and are not recorded yet.
-type Asked struct {
+// PendingRental are machines that were asked for and are not recorded yet.
+type PendingRental struct {
 	Offer
 	Count int
 }
 
 // Market is what is known of the cloud beside its catalogue.
 type Market struct {
-	Asked   []Asked             // for this share
-	Refused map[Offer]time.Time // until when an offer is not asked for
-	Lend    []int               // shares without waiting tasks, whose free machines may come
+	Pending         []PendingRental     // for this share
+	RefusedUntil    map[Offer]time.Time // until when an offer is not asked for
+	DonorPartitions []int               // shares without waiting tasks, whose free machines may come
 }
 
-// RefusedFor is for how long an offer that was refused so often in a row is not asked
+// RefusalBackoff is for how long an offer that was refused so often in a row is not asked
 // for: long enough, after some times, that all the others can be asked for meanwhile. (On
 // simulated days with 20 kinds of machine the ten cheapest were asked for round and round,
 // one a second, while 74 of the dearer ones stood unused and 9,000 tasks waited.)
-func RefusedFor(times, offers int, period time.Duration) time.Duration {
+func RefusalBackoff(times, offers int, period time.Duration) time.Duration {
 	const first = 8 * time.Second
 	round := time.Duration(1.5 * float64(offers) * float64(period))
 	return max(first, min(first<<min(times-1, 4), round))
@@ -70,30 +70,30 @@
 
 // Rental is what Rent decides.
 type Rental struct {
-	Want map[Offer]int
-	Why  []Kind            // of each waiting job: why it waits, as far as machines go
-	Need map[*Machine]bool // of the share's machines: whether something needs it
+	ToRent  map[Offer]int
+	Reasons []Reason          // of each waiting job: why it waits, as far as machines go
+	Needed  map[*Machine]bool // of the share's machines: whether something needs it
 }
 
 // Rent says which machines the waiting jobs lack beyond those on the way, and which
 // jobs like the recent ones will need before a machine rented later could serve them.
 func (v *View) Rent(waits, expected []*Job, market *Market) Rental {
-	out := Rental{Want: map[Offer]int{}, Need: map[*Machine]bool{}}
-	f := &forecast{v: v, used: make([]Amounts, len(v.Teams)), want: out.Want, inZone: map[string]int{}, market: market}
+	out := Rental{ToRent: map[Offer]int{}, Needed: map[*Machine]bool{}}
+	f := &forecast{view: v, placedByTeam: make([]Resources, len(v.Teams)), toRent: out.ToRent, inZone: map[string]int{}, market: market}
 	var running []*Bin
-	for _, m := range v.Index.Machines(v.Share) {
-		if m.Block&(Gone|Returning|HeldBack|Moving) != 0 {
+	for _, m := range v.Index.Machines(v.Partition) {
+		if m.Block&(Returned|Returning|Cordoned|Moving) != 0 {
 			continue
 		}
 		f.inZone[m.Zone]++
-		out.Need[m] = false
-		if m.Heard.IsZero() && m.Block&Notice == 0 {
+		out.Needed[m] = false
+		if m.LastReport.IsZero() && m.Block&InterruptionNotice == 0 {
 			f.bins = append(f.bins, binOf(m))
 		} else if v.usable(m) {
 			running = append(running, binOf(m))
 		}
 	}
-	for _, a := range market.Asked {
+	for _, a := range market.Pending {
 		if t := v.Types[a.Type]; t != nil {
 			for range a.Count {
 				f.inZone[a.Zone]++
@@ -105,38 +105,38 @@
 	for _, b := range running {
 		b.free = b.free.Add(v.freedWithin(b.machine, v.bootTime(b.Type)), 1)
 	}
-	lent := v.lendable(market.Lend)
+	lent := v.donorMachines(market.DonorPartitions)
 	f.bins = append(slices.Clone(running), f.bins...)
-	f.open = slices.Clone(f.bins)
+	f.openBins = slices.Clone(f.bins)
 	for _, j := range waits {
-		if v.Now.Sub(j.Seen) < v.moveTime() {
+		if v.Now.Sub(j.FirstSeen) < v.moveTime() {
 			f.bins = append(f.bins, lent...)
-			f.open = append(f.open, lent...)
+			f.openBins = append(f.openBins, lent...)
 			lent = nil
 		}
 		why := NoCapacity
-		if v.never(j) {
-			out.Why = append(out.Why, NeverTogether)
+		if v.neverRuns(j) {
+			out.Reasons = append(out.Reasons, GangNeverFits)
 			continue
 		}
-		if !f.imagine(j, j.MayTry(v.Now)) {
+		if !f.placeTasks(j, j.EligibleTasks(v.Now)) {
 			why = TeamLimit
 		}
-		out.Why = append(out.Why, why)
+		out.Reasons = append(out.Reasons, why)
 	}
 	// Running machines come first for what is only expected: the fullest ones, and
 	// then those with the most images, so that the others can go.
 	slices.SortStableFunc(f.bins, func(a, b *Bin) int {
 		return cmp.Or(b.tasks()-a.tasks(), b.images()-a.images())
 	})
-	f.open = slices.DeleteFunc(slices.Clone(f.bins), (*Bin).full)
-	f.from = nil
+	f.openBins = slices.DeleteFunc(slices.Clone(f.bins), (*Bin).full)
+	f.scanFrom = nil
 	for _, j := range expected {
-		f.imagine(j, j.Tasks)
+		f.placeTasks(j, j.Tasks)
 	}
 	for _, b := range f.bins {
 		if b.machine != nil {
-			out.Need[b.machine] = b.uses > 0
+			out.Needed[b.machine] = b.uses > 0
 		}
 	}
 	return out
@@ -157,28 +157,28 @@
 
 // freedWithin is what a machine's tasks that should be done within d take. By the
 // owner's estimate, which is often wrong; an overdue task counts as ending soon.
-func (v *View) freedWithin(m *Machine, d time.Duration) Amounts {
-	var out Amounts
-	for _, h := range m.Held {
+func (v *View) freedWithin(m *Machine, d time.Duration) Resources {
+	var out Resources
+	for _, h := range m.Assignments {
 		j := h.Job
 		if j.Spec.Shape == protocol.Service && !j.Cancelled {
 			continue
 		}
 		ran := v.Now.Sub(h.Since).Seconds()
-		if j.Cancelled || j.Spec.EstimateS+m.Cost(j.Spec)-ran < d.Seconds() {
+		if j.Cancelled || j.Spec.EstimateS+m.FetchSeconds(j.Spec)-ran < d.Seconds() {
 			out = out.Add(j.Need, 1)
 		}
 	}
 	return out
 }
 
-// lendable are free machines that the leader can be expected to move here sooner than
+// donorMachines are free machines that the leader can be expected to move here sooner than
 // a rented one boots.
-func (v *View) lendable(shares []int) []*Bin {
+func (v *View) donorMachines(shares []int) []*Bin {
 	var out []*Bin
 	for _, s := range shares {
 		for _, m := range v.Index.Machines(s) {
-			if len(m.Held) == 0 && m.Addressed {
+			if len(m.Assignments) == 0 && m.HasAddress {
 				b := binOf(m)
 				b.machine = nil // not ours to keep
 				out = append(out, b)
@@ -195,26 +195,26 @@
 	Team int
 }
 
-// arrivalMemory is how long arrivals are remembered.
-const arrivalMemory = 120 * time.Second
+// arrivalWindow is how long arrivals are remembered.
+const arrivalWindow = 120 * time.Second
 
-// Remembered drops arrivals that are too old.
-func Remembered(recent []Arrival, now time.Time) []Arrival {
-	for len(recent) > 0 && now.Sub(recent[0].At) > arrivalMemory {
+// TrimArrivals drops arrivals that are too old.
+func TrimArrivals(recent []Arrival, now time.Time) []Arrival {
+	for len(recent) > 0 && now.Sub(recent[0].At) > arrivalWindow {
 		recent = recent[1:]
 	}
 	return recent
 }
 
-// Expected are stand-ins for the jobs that will come while a machine boots: every so
+// ExpectedJobs are stand-ins for the jobs that will come while a machine boots: every so
 // manieth of the recent ones. held is for how long the share has been held, headroom
 // the operators' setting.
-func (v *View) Expected(recent []Arrival, held time.Duration, headroom float64) []*Job {
+func (v *View) ExpectedJobs(recent []Arrival, held time.Duration, headroom float64) []*Job {
 	boot := 0.0
 	for _, t := range v.Types {
 		boot = max(boot, t.BootS)
 	}
-	span := min(arrivalMemory.Seconds(), held.Seconds())
+	span := min(arrivalWindow.Seconds(), held.Seconds())
 	if span < 20 {
 		return nil
 	}
@@ -222,7 +222,7 @@
 	var out []*Job
 	sums := map[string]float64{}
 	for _, a := range recent {
-		if v.Teams[a.Team].Guest() {
+		if v.Teams[a.Team].Unguaranteed() {
 			continue // a guest's one huge job says nothing of what will come
 		}
 		sum, ok := sums[a.Spec.Class]
@@ -236,7 +236,7 @@
 			continue
 		}
 		sums[a.Spec.Class] = sum - 1
-		out = append(out, &Job{ID: a.Spec.ID, Spec: a.Spec, Team: a.Team, Share: v.Share, Rank: a.Spec.Rank(),
+		out = append(out, &Job{ID: a.Spec.ID, Spec: a.Spec, Team: a.Team, Partition: v.Partition, Rank: a.Spec.Rank(),
 			Need: Need(a.Spec), Tasks: min(a.Spec.Tasks, 200)})
 	}
 	return out
@@ -244,30 +244,30 @@
 
 // forecast is one look at what machines the near future needs.
 type forecast struct {
-	v      *View
-	bins   []*Bin        // all, in order
-	open   []*Bin        // those with room
-	from   map[needs]int // of jobs of equal needs: where in open to begin
-	used   []Amounts     // by team, of what was imagined
-	want   map[Offer]int
-	inZone map[string]int
-	market *Market
+	view         *View
+	bins         []*Bin               // all, in order
+	openBins     []*Bin               // those with room
+	scanFrom     map[placementKey]int // of jobs of equal needs: where in open to begin
+	placedByTeam []Resources          // by team, of what was imagined
+	toRent       map[Offer]int
+	inZone       map[string]int
+	market       *Market
 
-	onlyBins bool // open no new ones
+	noNewBins bool // open no new ones
 }
 
-// imagine puts r tasks of a job on bins, opening new ones where allowed. It returns
+// placeTasks puts r tasks of a job on bins, opening new ones where allowed. It returns
 // false if the team's limit keeps all of them waiting.
-func (f *forecast) imagine(j *Job, r int) bool {
-	tm := *f.v.team(j)
-	tm.Used = tm.Used.Add(f.used[j.Team], 1)
-	r = min(r, tm.Room(j.Need))
+func (f *forecast) placeTasks(j *Job, r int) bool {
+	tm := *f.view.team(j)
+	tm.Used = tm.Used.Add(f.placedByTeam[j.Team], 1)
+	r = min(r, tm.TasksWithinLimit(j.Need))
 	if r <= 0 || (j.Spec.Shape == protocol.Gang && r < j.Tasks) {
 		return false
 	}
 	const horizon = 2000 // tasks looked at: renting is limited to 50 a request anyway
 	r = min(r, horizon)
-	f.used[j.Team] = f.used[j.Team].Add(j.Need, float64(r))
+	f.placedByTeam[j.Team] = f.placedByTeam[j.Team].Add(j.Need, float64(r))
 	byZone := map[string]int{}
 	only := "" // zone that the job is bound to
 	for z, n := range j.Zones {
@@ -282,7 +282,7 @@
 			(!j.Spec.Spread || byZone[o.Zone] < half)
 	}
 	put := func(b *Bin) {
-		for r > 0 && b.free.Times(j.Need) > 0 && fits(b.Offer) {
+		for r > 0 && b.free.TaskCount(j.Need) > 0 && fits(b.Offer) {
 			b.free = b.free.Add(j.Need, -1)
 			b.uses++
 			byZone[b.Zone]++
@@ -295,13 +295,13 @@
 	// A bin only becomes fuller, so one pass over those open does, and a job of equal
 	// needs goes on where the last one stopped. What a fleet has filled up is not
 	// looked at again for the next job.
-	key := needsOf(j)
+	key := placementKeyOf(j)
 	at, full := 0, 0
-	if !j.bound() {
-		at = f.from[key]
+	if !j.zoneConstrained() {
+		at = f.scanFrom[key]
 	}
-	for ; at < len(f.open) && r > 0; at++ {
-		b := f.open[at]
+	for ; at < len(f.openBins) && r > 0; at++ {
+		b := f.openBins[at]
 		put(b)
 		if b.full() {
 			full++
@@ -311,27 +311,27 @@
 		}
 	}
 	if full > 16 {
-		f.open = slices.DeleteFunc(f.open, (*Bin).full)
-		f.from = nil
-	} else if !j.bound() {
-		if f.from == nil {
-			f.from = map[needs]int{}
+		f.openBins = slices.DeleteFunc(f.openBins, (*Bin).full)
+		f.scanFrom = nil
+	} else if !j.zoneConstrained() {
+		if f.scanFrom == nil {
+			f.scanFrom = map[placementKey]int{}
 		}
-		f.from[key] = at
+		f.scanFrom[key] = at
 	}
-	for r > 0 && !f.onlyBins {
+	for r > 0 && !f.noNewBins {
 		o, ok := f.bestOffer(j, fits)
 		if !ok {
 			return true
 		}
 		f.inZone[o.Zone]++
-		f.want[o]++
-		b := newBin(o, f.v.Types[o.Type])
+		f.toRent[o]++
+		b := newBin(o, f.view.Types[o.Type])
 		put(b)
 		if b.uses == 0 {
 			return true
 		}
-		f.bins, f.open = append(f.bins, b), append(f.open, b)
+		f.bins, f.openBins = append(f.bins, b), append(f.openBins, b)
 	}
 	return true
 }
@@ -344,8 +344,8 @@
 		return !ok || cmp.Or(cmp.Compare(p, price), cmp.Compare(f.inZone[o.Zone], f.inZone[best.Zone]),
 			cmp.Compare(o.Zone, best.Zone), cmp.Compare(o.Type, best.Type)) < 0
 	}
-	for _, t := range f.v.Types {
-		if SizeOf(t).Times(j.Need) == 0 {
+	for _, t := range f.view.Types {
+		if SizeOf(t).TaskCount(j.Need) == 0 {
 			continue
 		}
 		for _, z := range t.Zones {
@@ -355,7 +355,7 @@
 					p = t.SpotPrice
 				}
 				o := Offer{t.Name, z, spot}
-				if fits(o) && !f.v.Now.Before(f.market.Refused[o]) && better(o, p) {
+				if fits(o) && !f.view.Now.Before(f.market.RefusedUntil[o]) && better(o, p) {
 					best, price, ok = o, p, true
 				}
 			}
--- a/internal/coordination/decide/reserve.go
+++ b/internal/coordination/decide/reserve.go
@@ -18,17 +18,17 @@
 // expected to end before the gang can start, or may be stopped for it.
 
 const (
-	// shortestReservation and longestReservation bound how long machines are reserved for
+	// minReservation and longestReservation bound how long machines are reserved for
 	// a gang. In between it is as long as the gang itself is expected to run.
-	shortestReservation = 2 * time.Minute
-	longestReservation  = 10 * time.Minute
-	// ReservationPause is how long others may use what a reservation that came to nothing
+	minReservation = 2 * time.Minute
+	maxReservation = 10 * time.Minute
+	// ReservationBackoff is how long others may use what a reservation that came to nothing
 	// had kept, before the gang may have another.
-	ReservationPause = 30 * time.Second
-	// longestKeptOff is how long a job waits beside machines that it would fit on, for others'
+	ReservationBackoff = 30 * time.Second
+	// maxReservationBlock is how long a job waits beside machines that it would fit on, for others'
 	// reservations alone. After that they do not hold for it: nobody should wait for 90 s
 	// while a machine has room, and several gangs may reserve the same one in turn.
-	longestKeptOff = 75 * time.Second
+	maxReservationBlock = 75 * time.Second
 )
 
 // Reservation is what is reserved for a gang that can't start yet.
@@ -40,7 +40,7 @@
 // ReservationTime is for how long machines are reserved for a gang at most.
 func (j *Job) ReservationTime() time.Duration {
 	runs := time.Duration(j.Spec.EstimateS * float64(time.Second))
-	return max(shortestReservation, min(runs, longestReservation))
+	return max(minReservation, min(runs, maxReservation))
 }
 
 // ReservationExpired says whether a gang has held its reservation for as long as it may.
@@ -48,38 +48,38 @@
 	return !j.ReservedSince.IsZero() && now.Sub(j.ReservedSince) >= j.ReservationTime()
 }
 
-// HasReserved says whether a machine is reserved for a gang.
-func (m *Machine) HasReserved(j *Job, now time.Time) bool {
-	return m.Reserved && m.Earmark != nil && m.Earmark.ID == j.ID && now.Before(m.EarmarkTo)
+// IsReservedFor says whether a machine is reserved for a gang.
+func (m *Machine) IsReservedFor(j *Job, now time.Time) bool {
+	return m.Reserved && m.EarmarkedFor != nil && m.EarmarkedFor.ID == j.ID && now.Before(m.EarmarkedUntil)
 }
 
-// reservedFrom says whether a machine's reservation for a gang keeps a job of no higher
+// reservationExcludes says whether a machine's reservation for a gang keeps a job of no higher
 // priority off it.
-func (m *Machine) reservedFrom(j *Job, now time.Time) bool {
-	gang := m.Earmark
-	if gang.Cancelled || gang.Share != m.Share || j.precedes(gang) || j.passesReservations(now) {
+func (m *Machine) reservationExcludes(j *Job, now time.Time) bool {
+	gang := m.EarmarkedFor
+	if gang.Cancelled || gang.Partition != m.Partition || j.precedes(gang) || j.exemptFromReservations(now) {
 		return false
 	}
-	canBeStopped := j.Rank > gang.Rank && !j.together()
+	canBeStopped := j.Rank > gang.Rank && !j.coscheduled()
 	if canBeStopped {
 		return false
 	}
 	if j.Spec.Shape == protocol.Service {
 		return true // it does not end by itself
 	}
-	ends := now.Add(secondsOf(j.Spec.EstimateS + m.Cost(j.Spec)))
+	ends := now.Add(durationOfSeconds(j.Spec.EstimateS + m.FetchSeconds(j.Spec)))
 	return ends.After(gang.ExpectedStart)
 }
 
-// passesReservations says whether reservations have kept a job off machines for as long as they
+// exemptFromReservations says whether reservations have kept a job off machines for as long as they
 // may.
-func (j *Job) passesReservations(now time.Time) bool {
-	return !j.KeptOff.IsZero() && now.Sub(j.KeptOff) >= longestKeptOff
+func (j *Job) exemptFromReservations(now time.Time) bool {
+	return !j.ReservationBlockedSince.IsZero() && now.Sub(j.ReservationBlockedSince) >= maxReservationBlock
 }
 
-// fitsButForReservations says whether what was just looked at has room for a job that found
+// blockedByReservations says whether what was just looked at has room for a job that found
 // too few slots, if nothing were reserved.
-func (v *View) fitsButForReservations(j *Job, found int) bool {
+func (v *View) blockedByReservations(j *Job, found int) bool {
 	if j.Spec.Shape == protocol.Gang {
 		return found+v.reservedSlots >= j.Tasks
 	}
@@ -92,13 +92,13 @@
 	return cmp.Or(j.Rank-other.Rank, j.Submitted.Compare(other.Submitted), strings.Compare(j.ID, other.ID)) < 0
 }
 
-// together says whether a job's tasks run only all at once, on several machines.
-func (j *Job) together() bool { return j.Spec.Shape == protocol.Gang && j.Tasks > 1 }
+// coscheduled says whether a job's tasks run only all at once, on several machines.
+func (j *Job) coscheduled() bool { return j.Spec.Shape == protocol.Gang && j.Tasks > 1 }
 
-func secondsOf(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func durationOfSeconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// place is room for one task of a gang.
-type place struct {
+// gangPlace is room for one task of a gang.
+type gangPlace struct {
 	machine *Machine
 	at      time.Time // when it should be free
 	ready   bool      // it is free, or could be made so for the gang
@@ -107,12 +107,12 @@
 // Reserve says what to reserve for a gang that finds too few places: nothing if it may not
 // have a reservation now or its places are not expected to become free in time.
 func (v *View) Reserve(j *Job) *Reservation {
-	if !j.together() || j.Mistake || v.Now.Before(j.ReserveAfter) || j.ReservationExpired(v.Now) {
+	if !j.coscheduled() || j.FailsEverywhere || v.Now.Before(j.ReserveAfter) || j.ReservationExpired(v.Now) {
 		return nil
 	}
-	var best []place
+	var best []gangPlace
 	for _, zone := range v.expectedPlaces(j) {
-		if chosen := v.firstPlaces(j, zone); chosen != nil && (best == nil || sooner(chosen, best)) {
+		if chosen := v.earliestPlaces(j, zone); chosen != nil && (best == nil || startsSooner(chosen, best)) {
 			best = chosen
 		}
 	}
@@ -133,18 +133,18 @@
 
 // earliestFirst orders places by when they should be free, at the same time the ready ones
 // first: what is overdue counts as ending now, and may go on for long.
-func earliestFirst(a, b place) int {
-	return cmp.Or(a.at.Compare(b.at), countReady([]place{b})-countReady([]place{a}))
+func earliestFirst(a, b gangPlace) int {
+	return cmp.Or(a.at.Compare(b.at), countReady([]gangPlace{b})-countReady([]gangPlace{a}))
 }
 
-// sooner says whether a gang should start earlier on some places than on others, or at the
+// startsSooner says whether a gang should start earlier on some places than on others, or at the
 // same time with more of them ready.
-func sooner(a, b []place) bool {
+func startsSooner(a, b []gangPlace) bool {
 	last := len(a) - 1
 	return cmp.Or(a[last].at.Compare(b[last].at), countReady(b)-countReady(a), strings.Compare(a[0].machine.Zone, b[0].machine.Zone)) < 0
 }
 
-func countReady(places []place) (ready int) {
+func countReady(places []gangPlace) (ready int) {
 	for _, p := range places {
 		if p.ready {
 			ready++
@@ -155,25 +155,25 @@
 
 // expectedPlaces are the places that a gang could have on the share's machines, by zone if
 // it must be in one. Those that another gang's reservation still lacks are left out.
-func (v *View) expectedPlaces(j *Job) map[string][]place {
-	out := map[string][]place{}
+func (v *View) expectedPlaces(j *Job) map[string][]gangPlace {
+	out := map[string][]gangPlace{}
 	lacking := map[string]map[*Job]int{}
-	for _, m := range v.Index.Machines(v.Share) {
-		if m.Size.Times(j.Need) == 0 || j.zoneRoom(m.Zone) <= 0 || !Allowed(j.Spec, m.offer()) || !v.usable(m) || v.idles(j, m.Type) > 0 {
+	for _, m := range v.Index.Machines(v.Partition) {
+		if m.Size.TaskCount(j.Need) == 0 || j.zoneCapacity(m.Zone) <= 0 || !Allowed(j.Spec, m.offer()) || !v.usable(m) || v.idledGPUs(j, m.Type) > 0 {
 			continue
 		}
 		zone := ""
 		if j.Spec.OneZone {
 			zone = m.Zone
 		}
-		if m.KeptFrom(j, v.Now) {
+		if m.EarmarkExcludes(j, v.Now) {
 			if lacking[zone] == nil {
 				lacking[zone] = map[*Job]int{}
 			}
-			if _, seen := lacking[zone][m.Earmark]; !seen {
-				lacking[zone][m.Earmark] = m.Earmark.Waiting
+			if _, seen := lacking[zone][m.EarmarkedFor]; !seen {
+				lacking[zone][m.EarmarkedFor] = m.EarmarkedFor.Waiting
 			}
-			lacking[zone][m.Earmark] -= m.Free().Times(m.Earmark.Need)
+			lacking[zone][m.EarmarkedFor] -= m.Free().TaskCount(m.EarmarkedFor.Need)
 			continue
 		}
 		out[zone] = append(out[zone], v.placesOn(m, j)...)
@@ -189,92 +189,92 @@
 }
 
 // placesOn are the places for a gang's tasks on a machine, as its tasks should end.
-func (v *View) placesOn(m *Machine, j *Job) []place {
+func (v *View) placesOn(m *Machine, j *Job) []gangPlace {
 	type ending struct {
 		at   time.Time
-		need Amounts
+		need Resources
 	}
 	var endings []ending
 	free := m.Free()
-	for _, h := range m.Held {
-		if v.makesWay(m, h, j) {
+	for _, h := range m.Assignments {
+		if v.vacatesFor(m, h, j) {
 			free = free.Add(h.Job.Need, 1)
 		} else if at, ends := v.expectedEnd(m, h); ends {
 			endings = append(endings, ending{at, h.Job.Need})
 		}
 	}
 	slices.SortStableFunc(endings, func(a, b ending) int { return a.at.Compare(b.at) })
-	var out []place
-	for range min(free.Times(j.Need), j.Tasks) {
-		out = append(out, place{m, v.Now, true})
+	var out []gangPlace
+	for range min(free.TaskCount(j.Need), j.Tasks) {
+		out = append(out, gangPlace{m, v.Now, true})
 	}
 	for _, e := range endings {
 		free = free.Add(e.need, 1)
-		for len(out) < min(free.Times(j.Need), j.Tasks) {
-			out = append(out, place{m, e.at, false})
+		for len(out) < min(free.TaskCount(j.Need), j.Tasks) {
+			out = append(out, gangPlace{m, e.at, false})
 		}
 	}
 	return out
 }
 
-// makesWay says whether a task leaves its place to a gang when all of the gang fits: it is
+// vacatesFor says whether a task leaves its place to a gang when all of the gang fits: it is
 // leaving already, is less urgent and may be stopped, or can run elsewhere.
-func (v *View) makesWay(m *Machine, h Held, gang *Job) bool {
+func (v *View) vacatesFor(m *Machine, h Assignment, gang *Job) bool {
 	switch {
-	case h.Unwanted:
+	case h.Stopping:
 		return true
-	case !h.Settled || h.together():
+	case !h.Active || h.coscheduled():
 		return false
 	case h.Job.Rank > gang.Rank:
 		return true
 	}
-	return h.Job.Need.GPUs == 0 && v.shiftsFor(gang, m) && v.shiftable(gang.Rank)[m]
+	return h.Job.Need.GPUs == 0 && v.mayRelocateFor(gang, m) && v.relocatableMachines(gang.Rank)[m]
 }
 
-// shiftable are the machines of the share from which all tasks that need none of the GPUs
+// relocatableMachines are the machines of the share from which all tasks that need none of the GPUs
 // and are as urgent as a rank could be shifted, together.
-func (v *View) shiftable(rank int) map[*Machine]bool {
-	if out, known := v.shiftables[rank]; known {
+func (v *View) relocatableMachines(rank int) map[*Machine]bool {
+	if out, known := v.relocatableByRank[rank]; known {
 		return out
 	}
 	var with []*Machine
-	for _, m := range v.Index.Machines(v.Share) {
-		if m.idlers > 0 {
+	for _, m := range v.Index.Machines(v.Partition) {
+		if m.cpuOnlyTasks > 0 {
 			with = append(with, m)
 		}
 	}
-	slices.SortStableFunc(with, func(a, b *Machine) int { return a.idlers - b.idlers })
-	places := v.elsewhere(v.Share)
+	slices.SortStableFunc(with, func(a, b *Machine) int { return a.cpuOnlyTasks - b.cpuOnlyTasks })
+	places := v.newRelocationPlan(v.Partition)
 	out := map[*Machine]bool{}
 	for _, m := range with {
-		out[m] = (v.Wanted == nil || v.Wanted[m.Type]) && places.takeAll(m, rank)
+		out[m] = (v.GPUTypesInDemand == nil || v.GPUTypesInDemand[m.Type]) && places.placeAll(m, rank)
 	}
-	if v.shiftables == nil {
-		v.shiftables = map[int]map[*Machine]bool{}
+	if v.relocatableByRank == nil {
+		v.relocatableByRank = map[int]map[*Machine]bool{}
 	}
-	v.shiftables[rank] = out
+	v.relocatableByRank[rank] = out
 	return out
 }
 
 // expectedEnd is when a task should end, by the owner's estimate: at once if it is overdue,
 // never for a service.
-func (v *View) expectedEnd(m *Machine, h Held) (at time.Time, ends bool) {
+func (v *View) expectedEnd(m *Machine, h Assignment) (at time.Time, ends bool) {
 	if h.Job.Spec.Shape == protocol.Service {
 		return time.Time{}, false
 	}
-	at = h.Since.Add(secondsOf(h.Job.Spec.EstimateS + m.Cost(h.Job.Spec)))
+	at = h.Since.Add(durationOfSeconds(h.Job.Spec.EstimateS + m.FetchSeconds(h.Job.Spec)))
 	if at.Before(v.Now) {
 		at = v.Now
 	}
 	return at, true
 }
 
-// firstPlaces are the first places on which all of a gang fits, nil if there are too few.
-func (v *View) firstPlaces(j *Job, places []place) []place {
-	var out []place
+// earliestPlaces are the first places on which all of a gang fits, nil if there are too few.
+func (v *View) earliestPlaces(j *Job, places []gangPlace) []gangPlace {
+	var out []gangPlace
 	inZone := map[string]int{}
 	for _, p := range places {
-		if inZone[p.machine.Zone] >= j.zoneRoom(p.machine.Zone) {
+		if inZone[p.machine.Zone] >= j.zoneCapacity(p.machine.Zone) {
 			continue
 		}
 		inZone[p.machine.Zone]++
--- a/internal/coordination/node/account.go
+++ b/internal/coordination/node/account.go
@@ -30,13 +30,13 @@
 
 // AccountSettings say how much is remembered of what ended.
 type AccountSettings struct {
-	Entries int           // jobs; 0: a thousand, and nothing stored
-	Keep    time.Duration // for so long
-	Every   time.Duration // stored so often; 0: never
+	Entries       int           // jobs; 0: a thousand, and nothing stored
+	Retention     time.Duration // for so long
+	StoreInterval time.Duration // stored so often; 0: never
 }
 
-// ReadAccount reads a file such as deploy/account.toml.
-func ReadAccount(path string) (AccountSettings, error) {
+// ReadAccountSettings reads a file such as deploy/account.toml.
+func ReadAccountSettings(path string) (AccountSettings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return AccountSettings{}, err
@@ -62,18 +62,18 @@
 
 // account is what a node remembers.
 type account struct {
-	set       AccountSettings
-	book      *ledger.Book
-	runs      map[string]*ledger.Runs // by class
-	samples   []ledger.Sample
-	lost      int // since the last sample
-	ended     int
-	storing   bool
-	led       bool // this node was the leader when it last looked
-	loaded    bool
-	lastStore time.Time
-	segments  []string  // stored, the oldest first, while this node is the leader
-	lastRow   time.Time // of samples
+	settings   AccountSettings
+	history    *ledger.Book
+	runTimes   map[string]*ledger.Runs // by class
+	samples    []ledger.Sample
+	lostRuns   int // since the last sample
+	endedCount int
+	storing    bool
+	wasLeader  bool // this node was the leader when it last looked
+	loaded     bool
+	lastStore  time.Time
+	segments   []string  // stored, the oldest first, while this node is the leader
+	lastSample time.Time // of samples
 }
 
 // mostClasses bounds the classes whose runs are remembered.
@@ -81,26 +81,26 @@
 
 func newAccount(s AccountSettings, now time.Time) account {
 	if s.Entries == 0 {
-		s.Entries, s.Keep, s.Every = 1000, 24*time.Hour, 0
+		s.Entries, s.Retention, s.StoreInterval = 1000, 24*time.Hour, 0
 	}
-	return account{set: s, book: ledger.NewBook(s.Entries, s.Keep, now), runs: map[string]*ledger.Runs{}}
+	return account{settings: s, history: ledger.NewBook(s.Entries, s.Retention, now), runTimes: map[string]*ledger.Runs{}}
 }
 
-// KeepAccount sets how much is remembered of what ended. It is called before Run.
-func (n *Node) KeepAccount(s AccountSettings) { n.account = newAccount(s, time.Now()) }
+// SetAccountSettings sets how much is remembered of what ended. It is called before Run.
+func (n *Node) SetAccountSettings(s AccountSettings) { n.account = newAccount(s, time.Now()) }
 
-// story is what this node saw of a job's runs while it held it.
-type story struct {
-	lost     int
-	lastLost time.Time
-	vain     int // starts in a row that came to nothing
-	state    string
-	since    time.Time // when that state was first seen
-	events   []ledger.Event
+// jobHistory is what this node saw of a job's runs while it held it.
+type jobHistory struct {
+	lostRuns     int
+	lastLostAt   time.Time
+	failedStarts int // starts in a row that came to nothing
+	state        string
+	stateSince   time.Time // when that state was first seen
+	events       []ledger.Event
 }
 
-// tell remembers something of a job; of the same thing again and again the last time.
-func (s *story) tell(now time.Time, text string) {
+// addEvent remembers something of a job; of the same thing again and again the last time.
+func (s *jobHistory) addEvent(now time.Time, text string) {
 	if l := len(s.events); l > 0 && s.events[l-1].Text == text {
 		s.events[l-1].AtMS = now.UnixMilli()
 		return
@@ -110,83 +110,83 @@
 	}
 }
 
-// lostMS is when the last run was lost; 0: none was.
-func (s *story) lostMS() int64 {
-	if s.lastLost.IsZero() {
+// lastLostMS is when the last run was lost; 0: none was.
+func (s *jobHistory) lastLostMS() int64 {
+	if s.lastLostAt.IsZero() {
 		return 0
 	}
-	return s.lastLost.UnixMilli()
+	return s.lastLostAt.UnixMilli()
 }
 
-// learn takes in what earlier holders, or the present one, stored of losses.
-func (s *story) learn(lost int, lostMS int64) {
-	if s.lost = max(s.lost, lost); lostMS > s.lostMS() {
-		s.lastLost = time.UnixMilli(lostMS)
+// mergeStored takes in what earlier holders, or the present one, stored of losses.
+func (s *jobHistory) mergeStored(lost int, lostMS int64) {
+	if s.lostRuns = max(s.lostRuns, lost); lostMS > s.lastLostMS() {
+		s.lastLostAt = time.UnixMilli(lostMS)
 	}
 }
 
-// inVain counts a start that came to nothing, unless somebody wanted it so.
-func (s *story) inVain(cause string) {
+// countFailedStart counts a start that came to nothing, unless somebody wanted it so.
+func (s *jobHistory) countFailedStart(cause string) {
 	if cause != protocol.CauseStopped {
-		s.vain++
+		s.failedStarts++
 	}
 }
 
-func (n *Node) runBegan(j *job, i int, now time.Time) {
+func (n *Node) runStarted(j *job, i int, now time.Time) {
 	t := &j.tasks[i]
-	j.story.tell(now, "a task runs on "+t.machine.name)
+	j.history.addEvent(now, "a task runs on "+t.machine.name)
 	switch {
-	case !t.began.IsZero():
-	case t.sent.IsZero():
+	case !t.runningSince.IsZero():
+	case t.startSentAt.IsZero():
 		// An earlier holder started it. Every node heard when it was recorded, and a
 		// stall must not begin anew with each take-over. (Found by the lab.)
-		t.began = t.since
+		t.runningSince = t.phaseSince
 	default:
-		t.began = now
+		t.runningSince = now
 	}
 }
 
 func (n *Node) runEnded(j *job, t *task, now time.Time) {
-	j.story.vain = 0
-	if t.began.IsZero() || t.fact != noFact {
+	j.history.failedStarts = 0
+	if t.runningSince.IsZero() || t.outcome != outcomeNone {
 		return
 	}
-	r := n.account.runs[j.spec.Class]
-	if r == nil && len(n.account.runs) < mostClasses {
+	r := n.account.runTimes[j.spec.Class]
+	if r == nil && len(n.account.runTimes) < mostClasses {
 		r = &ledger.Runs{}
-		n.account.runs[j.spec.Class] = r
+		n.account.runTimes[j.spec.Class] = r
 	}
 	if r != nil {
-		r.Saw(now.Sub(t.began))
+		r.Saw(now.Sub(t.runningSince))
 	}
 }
 
 // runLost notes that a task that ran was lost with its machine or its lease.
 func (n *Node) runLost(j *job, t *task, now time.Time) {
-	if t.phase != placed || t.fact != noFact || t.seen < seenRunning || t.seen == seenExited || j.cancelled || t.stop {
+	if t.phase != phasePlaced || t.outcome != outcomeNone || t.reportedState < reportedRunning || t.reportedState == reportedExited || j.cancelled || t.stopRequested {
 		return
 	}
-	j.story.lost++
-	j.story.lastLost = now
-	j.story.tell(now, "a run was lost on "+t.machine.name)
-	n.account.lost++
+	j.history.lostRuns++
+	j.history.lastLostAt = now
+	j.history.addEvent(now, "a run was lost on "+t.machine.name)
+	n.account.lostRuns++
 }
 
-// noteEnd remembers a job whose record is gone: it is over. Every node hears of it.
-func (n *Node) noteEnd(j *job) {
+// recordJobEnd remembers a job whose record is gone: it is over. Every node hears of it.
+func (n *Node) recordJobEnd(j *job) {
 	if j.step != nil {
 		return // its ticket is what people ask for
 	}
 	state := ledger.Done
-	if f, ok := n.finals.byID[j.id]; ok && f.Status == protocol.JobCancelled || j.cancelled {
+	if f, ok := n.finalJobs.byID[j.id]; ok && f.Status == protocol.JobCancelled || j.cancelled {
 		state = ledger.Withdrawn
 	}
-	n.remembered(ledger.Entry{Job: j.id, Team: j.spec.Team, Class: j.spec.Class, Shape: j.spec.Shape, State: state, Submitted: j.submitted.UnixMilli(), Tasks: j.spec.Tasks, Lost: j.story.lost})
+	n.addToHistory(ledger.Entry{Job: j.id, Team: j.spec.Team, Class: j.spec.Class, Shape: j.spec.Shape, State: state, Submitted: j.submitted.UnixMilli(), Tasks: j.spec.Tasks, Lost: j.history.lostRuns})
 }
 
-func (n *Node) noteTicketEnd(t *openTicket) {
+func (n *Node) recordTicketEnd(t *openTicket) {
 	state := ledger.Done
-	f, known := n.finals.byID[t.id]
+	f, known := n.finalJobs.byID[t.id]
 	switch {
 	case known:
 		state = f.Status // the same words
@@ -198,59 +198,59 @@
 		state = ledger.Failed
 	}
 	b := t.rec.Base
-	n.remembered(ledger.Entry{Job: t.id, Team: b.Team, Class: b.Class, Shape: b.Shape, State: state, Submitted: t.submitted.UnixMilli(), Tasks: b.Tasks})
+	n.addToHistory(ledger.Entry{Job: t.id, Team: b.Team, Class: b.Class, Shape: b.Shape, State: state, Submitted: t.submitted.UnixMilli(), Tasks: b.Tasks})
 }
 
-func (n *Node) remembered(e ledger.Entry) {
+func (n *Node) addToHistory(e ledger.Entry) {
 	e.Ended = time.Now().UnixMilli()
-	n.account.book.Add(e)
-	n.account.ended++
+	n.account.history.Add(e)
+	n.account.endedCount++
 }
 
-// keepAccount samples, stores and forgets, each now and then.
-func (n *Node) keepAccount(now time.Time) {
+// tickAccount samples, stores and forgets, each now and then.
+func (n *Node) tickAccount(now time.Time) {
 	a := &n.account
-	if now.Sub(a.lastRow) >= ledger.SamplePause {
-		a.lastRow = now
-		a.book.Age(now)
-		a.samples = append(a.samples, n.sample(now))
+	if now.Sub(a.lastSample) >= ledger.SamplePause {
+		a.lastSample = now
+		a.history.Age(now)
+		a.samples = append(a.samples, n.takeSample(now))
 		if len(a.samples) > ledger.MostSamples {
 			a.samples = a.samples[1:]
 		}
 	}
-	if a.set.Every == 0 || n.sinceContact(now) > 2*time.Second {
+	if a.settings.StoreInterval == 0 || n.sinceContact(now) > 2*time.Second {
 		return
 	}
 	if !a.loaded {
 		a.loaded = true
-		n.loadBook()
+		n.loadHistory()
 	}
-	if leads := n.leads(); !leads || !a.led {
-		if a.led = leads; leads && !a.storing {
-			n.lead(now)
+	if leads := n.isLeader(); !leads || !a.wasLeader {
+		if a.wasLeader = leads; leads && !a.storing {
+			n.beginStoring(now)
 		} else if leads {
-			a.led = false // a change of an earlier time is still under way
+			a.wasLeader = false // a change of an earlier time is still under way
 		}
 		return
 	}
-	if a.storing || now.Sub(a.lastStore) < a.set.Every {
+	if a.storing || now.Sub(a.lastStore) < a.settings.StoreInterval {
 		return
 	}
 	a.lastStore = now
-	n.storeBook(now)
+	n.storeHistory(now)
 }
 
-// storeBook stores what ended since the last time in one change, and with it removes
+// storeHistory stores what ended since the last time in one change, and with it removes
 // the oldest segment if that is too old.
-func (n *Node) storeBook(now time.Time) {
+func (n *Node) storeHistory(now time.Time) {
 	a := &n.account
-	key, data, done := a.book.Unstored(now, int(n.cfg.Params.State.ValueKB*1024)-64)
+	key, data, done := a.history.Unstored(now, int(n.cfg.Params.State.ValueKB*1024)-64)
 	if key == "" {
 		return
 	}
 	key = protocol.BookRoot + key
-	op := &storage.Op{Conds: []storage.Cond{n.cond(protocol.HolderKey(0))}, Writes: []storage.Write{{Put: key, Value: data}}}
-	oldest := protocol.BookRoot + ledger.SegmentKey(now.Add(-a.set.Keep).UnixMilli())
+	op := &storage.Op{Conds: []storage.Cond{n.unchanged(protocol.HolderKey(0))}, Writes: []storage.Write{{Put: key, Value: data}}}
+	oldest := protocol.BookRoot + ledger.SegmentKey(now.Add(-a.settings.Retention).UnixMilli())
 	trimmed := a.segments
 	for len(trimmed) > 0 && trimmed[0] < oldest && len(op.Writes) < 3 {
 		op.Writes = append(op.Writes, storage.Write{Delete: trimmed[0]})
@@ -265,22 +265,22 @@
 			}
 		})
 	}
-	if !n.books.Submit(op) {
+	if !n.backgroundCommitter.Submit(op) {
 		a.storing = false
 	}
 }
 
-// lead makes this node the one that stores. Which segments there are is read once: then
+// beginStoring makes this node the one that stores. Which segments there are is read once: then
 // only this node adds and removes any.
-func (n *Node) lead(now time.Time) {
+func (n *Node) beginStoring(now time.Time) {
 	a := &n.account
-	a.book.Begin(now, 2*a.set.Every)
+	a.history.Begin(now, 2*a.settings.StoreInterval)
 	a.lastStore, a.segments, a.storing = now, nil, true
 	n.spawn(func(ctx context.Context) {
 		items, _, err := n.store.List(ctx, protocol.BookRoot)
 		n.post(func() {
 			if a.storing = false; err != nil {
-				a.led = false // again, later
+				a.wasLeader = false // again, later
 				return
 			}
 			for _, it := range items {
@@ -290,8 +290,8 @@
 	})
 }
 
-// loadBook takes in what earlier nodes stored.
-func (n *Node) loadBook() {
+// loadHistory takes in what earlier nodes stored.
+func (n *Node) loadHistory() {
 	n.spawn(func(ctx context.Context) {
 		items, _, err := n.store.List(ctx, protocol.BookRoot)
 		n.post(func() {
@@ -301,29 +301,29 @@
 				return
 			}
 			for _, it := range items {
-				if err := n.account.book.Load(it.Value, now); err != nil {
+				if err := n.account.history.Load(it.Value, now); err != nil {
 					n.log.Error("segment of the account not understood", "key", it.Key, "why", err)
 				}
 			}
-			n.account.book.Loaded(now)
-			n.log.Info("account loaded", "segments", len(items), "jobs", n.account.book.Len())
+			n.account.history.Loaded(now)
+			n.log.Info("account loaded", "segments", len(items), "jobs", n.account.history.Len())
 		})
 	})
 }
 
-// sample is how the shares held are now.
-func (n *Node) sample(now time.Time) ledger.Sample {
-	s := ledger.Sample{AtMS: now.UnixMilli(), Lost: n.account.lost}
-	if n.leads() {
-		s.Ended = n.account.ended // every node hears of each
+// takeSample is how the shares held are now.
+func (n *Node) takeSample(now time.Time) ledger.Sample {
+	s := ledger.Sample{AtMS: now.UnixMilli(), Lost: n.account.lostRuns}
+	if n.isLeader() {
+		s.Ended = n.account.endedCount // every node hears of each
 	}
-	n.account.lost, n.account.ended = 0, 0
-	for _, sh := range n.shares {
-		if !n.mine(sh) {
+	n.account.lostRuns, n.account.endedCount = 0, 0
+	for _, sh := range n.partitions {
+		if !n.owns(sh) {
 			continue
 		}
 		for _, m := range sh.machines {
-			if !m.heard.IsZero() {
+			if !m.lastFencedReport.IsZero() {
 				if s.Machines++; n.silent(m, now) {
 					s.Silent++
 				}
@@ -333,7 +333,7 @@
 			if !j.cancelled {
 				s.Waiting += j.nWaiting()
 			}
-			r := n.row(j, now)
+			r := n.jobRow(j, now)
 			s.Running += r.Running
 			if r.State == ledger.Stuck {
 				s.Stuck++
@@ -343,17 +343,17 @@
 	return s
 }
 
-// row is one open job of a share held by this node.
-func (n *Node) row(j *job, now time.Time) ledger.Row {
-	r := n.baseRow(j, now)
+// jobRow is one open job of a share held by this node.
+func (n *Node) jobRow(j *job, now time.Time) ledger.Row {
+	r := n.storedRow(j, now)
 	f := n.stuckFacts(j, now, &r)
-	binding := n.binding(j, now)
+	binding := n.bindingCause(j, now)
 	busy := r.Running + r.Starting
 	switch {
 	case j.cancelled:
 		r.State = ledger.Stopping
-	case busy > 0 && n.unheardTasks(j) >= busy:
-		r.State, r.Why = ledger.Unknown, fmt.Sprintf("none of its machines has spoken since %s took its share, %.0f s ago", n.cfg.Node, now.Sub(n.shares[j.share].taken).Seconds())
+	case busy > 0 && n.tasksAwaitingReport(j) >= busy:
+		r.State, r.Why = ledger.Unknown, fmt.Sprintf("none of its machines has spoken since %s took its share, %.0f s ago", n.cfg.Node, now.Sub(n.partitions[j.partition].acquiredAt).Seconds())
 	case busy > 0 && r.Silent == busy:
 		r.State, r.Why = ledger.Unknown, fmt.Sprintf("all of its machines are silent, for %.0f s", f.Silent.Seconds())
 	default:
@@ -373,34 +373,34 @@
 			r.Why = binding.Text()
 		}
 	}
-	if j.story.state != r.State {
+	if j.history.state != r.State {
 		text := r.State
 		if r.Why != "" {
 			text += ": " + r.Why
 		}
-		j.story.tell(now, text)
-		if j.story.state != "" && (r.State == ledger.Stuck || j.story.state == ledger.Stuck) {
-			n.log.Info("job is "+r.State, "job", j.id, "was", j.story.state, "why", r.Why)
+		j.history.addEvent(now, text)
+		if j.history.state != "" && (r.State == ledger.Stuck || j.history.state == ledger.Stuck) {
+			n.log.Info("job is "+r.State, "job", j.id, "was", j.history.state, "why", r.Why)
 		}
-		j.story.state, j.story.since = r.State, now
+		j.history.state, j.history.stateSince = r.State, now
 	}
-	r.Since = j.story.since.UnixMilli()
+	r.Since = j.history.stateSince.UnixMilli()
 	return r
 }
 
-// storyOf adds a job's story to its row, where it alone was asked for.
-func (n *Node) storyOf(p *ledger.Page, q *ledger.Query) {
+// addJobEvents adds a job's story to its row, where it alone was asked for.
+func (n *Node) addJobEvents(p *ledger.Page, q *ledger.Query) {
 	for i := range p.Rows {
 		if j := n.jobs[p.Rows[i].Job]; j != nil && j.id == q.Text {
-			p.Rows[i].Story = j.story.events
+			p.Rows[i].Story = j.history.events
 		}
 	}
 }
 
-// baseRow is what any node can tell of a job: what is stored.
-func (n *Node) baseRow(j *job, now time.Time) ledger.Row {
-	r := ledger.Row{Job: j.id, Team: j.spec.Team, Class: j.spec.Class, Shape: j.spec.Shape, Image: j.spec.Image, Tasks: len(j.tasks), Done: j.nDone, Failed: j.nSpent,
-		Waiting: j.nWaiting(), Lost: j.story.lost, LostMS: j.story.lostMS(), Submitted: j.submitted.UnixMilli(), AsOf: now.UnixMilli(), Node: n.cfg.Node}
+// storedRow is what any node can tell of a job: what is stored.
+func (n *Node) storedRow(j *job, now time.Time) ledger.Row {
+	r := ledger.Row{Job: j.id, Team: j.spec.Team, Class: j.spec.Class, Shape: j.spec.Shape, Image: j.spec.Image, Tasks: len(j.tasks), Done: j.nDone, Failed: j.nExhausted,
+		Waiting: j.nWaiting(), Lost: j.history.lostRuns, LostMS: j.history.lastLostMS(), Submitted: j.submitted.UnixMilli(), AsOf: now.UnixMilli(), Node: n.cfg.Node}
 	if j.step != nil {
 		r.Ticket = j.step.Ticket
 	}
@@ -412,55 +412,55 @@
 
 // stuckFacts gathers what a job is judged by, and fills in a row's tasks.
 func (n *Node) stuckFacts(j *job, now time.Time, r *ledger.Row) *ledger.Facts {
-	f := &ledger.Facts{Service: j.spec.Shape == protocol.Service, Gang: j.spec.Shape == protocol.Gang, Expect: n.seconds(j.spec.EstimateS), Class: n.account.runs[j.spec.Class],
-		GangWait: n.seconds(n.cfg.Params.Workers.GangWaitS), Restarts: j.story.vain}
-	if j.trouble.mistake {
-		f.Restarts = max(f.Restarts, j.trouble.tries+2)
+	f := &ledger.Facts{Service: j.spec.Shape == protocol.Service, Gang: j.spec.Shape == protocol.Gang, Expect: n.seconds(j.spec.EstimateS), Class: n.account.runTimes[j.spec.Class],
+		GangWait: n.seconds(n.cfg.Params.Workers.GangWaitS), Restarts: j.history.failedStarts}
+	if j.failures.failsEverywhere {
+		f.Restarts = max(f.Restarts, j.failures.tries+2)
 	}
 	if j.step != nil {
 		f.Restarts = 0 // its retries are limited, and end it
 	}
 	longest := func(d *time.Duration, since time.Time) { *d = max(*d, now.Sub(since)) }
-	mine := n.mine(n.shares[j.share])
+	mine := n.owns(n.partitions[j.partition])
 	firstSilent := true
 	for i := range j.tasks {
 		t := &j.tasks[i]
 		switch {
-		case t.phase == waiting:
-			longest(&f.Waits, t.since)
-			longest(&f.Missing, t.since)
+		case t.phase == phaseWaiting:
+			longest(&f.Waits, t.phaseSince)
+			longest(&f.Missing, t.phaseSince)
 			continue
-		case t.phase != placed && t.phase != proposed:
+		case t.phase != phasePlaced && t.phase != phaseProposed:
 			continue
-		case t.fact != noFact:
-			if !j.dirtyAt.IsZero() {
-				longest(&f.Untold, j.dirtyAt)
+		case t.outcome != outcomeNone:
+			if !j.dirtySince.IsZero() {
+				longest(&f.Untold, j.dirtySince)
 			}
-			if t.fact == finished {
+			if t.outcome == outcomeFinished {
 				r.Done++
 				continue
 			}
 		}
 		m := t.machine
-		if m.known && !slices.Contains(r.Zones, m.rec.Zone) {
+		if m.recorded && !slices.Contains(r.Zones, m.rec.Zone) {
 			r.Zones = append(r.Zones, m.rec.Zone)
 		}
 		if len(r.Machines) < mostTold && !slices.Contains(r.Machines, m.name) {
 			r.Machines = append(r.Machines, m.name)
 		}
-		silent := mine && m.known && m.wasUp() && n.silent(m, now)
+		silent := mine && m.recorded && m.hasBooted() && n.silent(m, now)
 		if silent {
 			r.Silent++
-			if d := now.Sub(n.lastHeard(m)); firstSilent || d < f.Silent {
+			if d := now.Sub(n.silentSince(m)); firstSilent || d < f.Silent {
 				f.Silent, firstSilent = d, false
 			}
 		}
-		switch t.seen {
-		case seenRunning, seenSaving:
+		switch t.reportedState {
+		case reportedRunning, reportedSaving:
 			r.Running++
-			began := t.began
+			began := t.runningSince
 			if began.IsZero() {
-				began = t.since
+				began = t.phaseSince
 			}
 			if !silent {
 				longest(&f.Longest, began)
@@ -470,18 +470,18 @@
 			}
 		default:
 			r.Starting++
-			longest(&f.Missing, t.since)
-			if t.seen == seenFetching && !silent {
-				longest(&f.Fetching, t.since)
-				f.FetchDue = max(f.FetchDue, n.seconds(n.factsOf(m).SecPerGB*j.spec.ImageGB))
+			longest(&f.Missing, t.phaseSince)
+			if t.reportedState == reportedFetching && !silent {
+				longest(&f.Fetching, t.phaseSince)
+				f.FetchDue = max(f.FetchDue, n.seconds(n.currentFacts(m).SecPerGB*j.spec.ImageGB))
 			}
-			if t.seen == seenWaiting && !silent {
-				longest(&f.Gather, t.since)
+			if t.reportedState == reportedWaiting && !silent {
+				longest(&f.Gather, t.phaseSince)
 			}
 		}
 	}
-	if j.nWaiting() > 0 && mine && !j.busy {
-		f.Free = j.waits == decide.None
+	if j.nWaiting() > 0 && mine && !j.writePending {
+		f.Free = j.waitCause == decide.NoReason
 	}
 	slices.Sort(r.Zones)
 	return f
@@ -490,12 +490,12 @@
 // unknownRow is a job of a share whose holder does not answer: what is stored, and no
 // more.
 func (n *Node) unknownRow(j *job, why string, since, now time.Time) ledger.Row {
-	r := n.baseRow(j, now)
+	r := n.storedRow(j, now)
 	r.State, r.Why, r.Since = ledger.Unknown, why, since.UnixMilli()
 	for i := range j.tasks {
-		if t := &j.tasks[i]; t.phase == placed {
+		if t := &j.tasks[i]; t.phase == phasePlaced {
 			r.Starting++ // recorded there: whether it runs is not known
-			if m := t.machine; m.known && !slices.Contains(r.Zones, m.rec.Zone) {
+			if m := t.machine; m.recorded && !slices.Contains(r.Zones, m.rec.Zone) {
 				r.Zones = append(r.Zones, m.rec.Zone)
 			}
 		}
@@ -503,45 +503,45 @@
 	return r
 }
 
-// accountPart is the part of the account that this node tells: jobs and machines of the
+// accountOfOwned is the part of the account that this node tells: jobs and machines of the
 // shares that it holds.
-func (n *Node) accountPart(q *ledger.Query, now time.Time) *ledger.Page {
+func (n *Node) accountOfOwned(q *ledger.Query, now time.Time) *ledger.Page {
 	p := ledger.NewPage(n.cfg.Node, now)
-	p.StateAge = round(min(n.sinceContact(now), now.Sub(n.started)).Seconds())
-	for _, s := range n.shares {
-		if !n.mine(s) {
+	p.StateAge = roundToTenth(min(n.sinceContact(now), now.Sub(n.startedAt)).Seconds())
+	for _, s := range n.partitions {
+		if !n.owns(s) {
 			continue
 		}
 		for _, j := range s.jobs {
-			p.Add(q, n.row(j, now))
+			p.Add(q, n.jobRow(j, now))
 		}
 		for _, m := range s.machines {
 			z := ledger.ZoneSums{}
 			switch {
-			case m.gone:
+			case m.returned:
 				continue
-			case m.heard.IsZero() && !m.wasUp():
+			case m.lastFencedReport.IsZero() && !m.hasBooted():
 				z.Booting = 1
 			case n.silent(m, now):
 				z.Silent = 1
-			case m.heldBack || m.notice:
+			case m.heldBack || m.spotNotice:
 				z.Drained = 1
 			default:
 				z.Up = 1
 			}
-			if t := n.types[m.rec.Type]; t != nil && z.Booting == 0 {
+			if t := n.machineTypes[m.rec.Type]; t != nil && z.Booting == 0 {
 				z.GPUs, z.Used = t.GPUs, m.used.GPUs
 			}
 			p.Zones[m.rec.Zone] = p.Zones[m.rec.Zone].Add(z)
 		}
 	}
 	p.Finish(q)
-	n.storyOf(p, q)
+	n.addJobEvents(p, q)
 	return p
 }
 
 // addUnknown adds what is stored of shares whose holder did not answer.
-func (n *Node) addUnknown(p *ledger.Page, q *ledger.Query, shares []*share, why string, since, now time.Time) {
+func (n *Node) addUnknown(p *ledger.Page, q *ledger.Query, shares []*partition, why string, since, now time.Time) {
 	for _, s := range shares {
 		for _, j := range s.jobs {
 			p.Add(q, n.unknownRow(j, why, since, now))
@@ -557,36 +557,36 @@
 // ended.
 func (n *Node) onAccount(q ledger.Query, now time.Time, reply chan<- answer) {
 	if !n.loaded {
-		reply <- busy
+		reply <- busyAnswer
 		return
 	}
-	p := n.accountPart(&q, now)
-	n.account.book.Age(now)
-	p.Since = n.account.book.Since()
-	n.account.book.Each(func(e *ledger.Entry) {
+	p := n.accountOfOwned(&q, now)
+	n.account.history.Age(now)
+	p.Since = n.account.history.Since()
+	n.account.history.Each(func(e *ledger.Entry) {
 		if n.jobs[e.Job] == nil { // claimed anew, it is open again
 			p.Add(&q, e.Row(n.cfg.Node))
 		}
 	})
-	if p.StateAge > stateLost.Seconds() {
+	if p.StateAge > stateServiceTimeout.Seconds() {
 		p.Unknown = append(p.Unknown, fmt.Sprintf("the state service last answered %s %.0f s ago: what others accepted or ended since is not known", n.cfg.Node, p.StateAge))
 	}
-	held, vacant := n.othersShares()
+	held, vacant := n.peerPartitions()
 	for _, s := range vacant {
-		n.addUnknown(p, &q, []*share{s}, fmt.Sprintf("share %d has no holder since %.0f s", s.index, now.Sub(s.vacant).Seconds()), s.vacant, now)
+		n.addUnknown(p, &q, []*partition{s}, fmt.Sprintf("share %d has no holder since %.0f s", s.index, now.Sub(s.vacantSince).Seconds()), s.vacantSince, now)
 	}
 	ask := protocol.Ask{Kind: protocol.AskAccount, State: q.State, Team: q.Team, Class: q.Class, Zone: q.Zone, Image: q.Image, Text: q.Text, SinceMS: q.Since, After: q.After, Most: q.Most}
-	askHolders(n, held, ask, func(holder string, part ledger.Page, unknown string) {
+	askOwners(n, held, ask, func(holder string, part ledger.Page, unknown string) {
 		if unknown == "" && part.Sums == nil {
-			unknown = answeredBadly(holder, http.StatusOK)
+			unknown = unexpectedAnswer(holder, http.StatusOK)
 		}
 		if unknown == "" {
 			p.Join(&part)
 			return
 		}
 		since := now
-		if sib := n.siblings[holder]; sib != nil && !sib.heard.IsZero() {
-			since = sib.heard
+		if sib := n.peers[holder]; sib != nil && !sib.lastHint.IsZero() {
+			since = sib.lastHint
 		}
 		n.addUnknown(p, &q, held[holder], unknown, since, time.Now())
 	}, func() {
@@ -598,9 +598,9 @@
 // onSamples adds up how all nodes' shares were.
 func (n *Node) onSamples(reply chan<- answer) {
 	all := [][]ledger.Sample{n.account.samples}
-	held, _ := n.othersShares()
+	held, _ := n.peerPartitions()
 	var unknown []string
-	askHolders(n, held, protocol.Ask{Kind: protocol.AskSamples}, func(_ string, part []ledger.Sample, why string) {
+	askOwners(n, held, protocol.Ask{Kind: protocol.AskSamples}, func(_ string, part []ledger.Sample, why string) {
 		if why != "" {
 			unknown = append(unknown, why)
 		}
@@ -616,7 +616,7 @@
 	Unknown []string        `json:"unknown,omitempty"`
 }
 
-func queryOf(q protocol.Ask) ledger.Query {
+func accountQuery(q protocol.Ask) ledger.Query {
 	return ledger.Query{State: q.State, Team: q.Team, Class: q.Class, Zone: q.Zone, Image: q.Image, Text: q.Text, Since: q.SinceMS, After: q.After, Most: max(1, min(q.Most, ledger.MostRows))}
 }
 
@@ -624,14 +624,14 @@
 	r.GET("/admin/account", func(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 		q, err := parseQuery(r)
 		if err != nil {
-			write(w, answer{status: 400, body: errorBody{err.Error()}})
+			writeAnswer(w, answer{status: 400, body: errorBody{err.Error()}})
 			return
 		}
-		n.serve(w, r, n.listing(func(reply chan<- answer) { n.onAccount(q, time.Now(), reply) }))
+		n.serve(w, r, n.withLoadShedding(func(reply chan<- answer) { n.onAccount(q, time.Now(), reply) }))
 	})
 	r.GET("/admin/report", n.getReport)
 	r.GET("/admin/samples", func(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-		n.serve(w, r, n.listing(n.onSamples))
+		n.serve(w, r, n.withLoadShedding(n.onSamples))
 	})
 }
 
@@ -650,7 +650,7 @@
 		case <-r.Context().Done():
 			return answer{}, r.Context().Err()
 		case <-n.ctx.Done():
-			return busy, nil
+			return busyAnswer, nil
 		}
 	}
 	var samples []ledger.Sample
@@ -670,7 +670,7 @@
 		return nil, cmp.Or(err, errNotReady)
 	}, samples, mostReported)
 	if err != nil {
-		write(w, busy)
+		writeAnswer(w, busyAnswer)
 		return
 	}
 	for _, u := range unknown {
--- a/internal/coordination/node/account_test.go
+++ b/internal/coordination/node/account_test.go
@@ -13,8 +13,8 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// told is the whole account as a node tells it, page by page.
-func (w *world) told(name string) (rows map[string]ledger.Row, last *ledger.Page) {
+// readAccount is the whole account as a node tells it, page by page.
+func (w *simCluster) readAccount(name string) (rows map[string]ledger.Row, last *ledger.Page) {
 	rows = map[string]ledger.Row{}
 	q := ledger.Query{Most: 3}
 	defer func() {
@@ -26,7 +26,7 @@
 	}()
 	for {
 		ctx, cancel := context.WithTimeout(w.ctx, 10*time.Second)
-		a, err := w.ask(ctx, name, func(n *Node, reply chan<- answer) { n.onAccount(q, time.Now(), reply) })
+		a, err := w.userRequest(ctx, name, func(n *Node, reply chan<- answer) { n.onAccount(q, time.Now(), reply) })
 		cancel()
 		p, ok := a.body.(*ledger.Page)
 		if err != nil || !ok {
@@ -46,8 +46,8 @@
 }
 
 // rowsNode is the node that tells a job's row.
-func rowsNode(w *world, id string) string {
-	rows, _ := w.told(w.names[0])
+func rowsNode(w *simCluster, id string) string {
+	rows, _ := w.readAccount(w.names[0])
 	return rows[id].Node
 }
 
@@ -56,14 +56,14 @@
 }
 
 // inWorld runs a test among three nodes that ask one another.
-func inWorld(t *testing.T, set func(n *Node), f func(w *world)) {
+func inWorld(t *testing.T, set func(n *Node), f func(w *simCluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		setAccount = set
-		defer func() { setAccount = nil }()
-		w := newWorld(t, ctx, 11, asTheyAre)
+		configureAccount = set
+		defer func() { configureAccount = nil }()
+		w := newWorld(t, ctx, 11, defaultSettings)
 		time.Sleep(6 * time.Second)
-		w.peers()
+		w.connectPeers()
 		f(w)
 		cancel()
 		time.Sleep(2 * time.Minute)
@@ -74,16 +74,16 @@
 // A worker whose machine reports on while its task does not move: the job is shown as
 // stuck within a minute, by every node, and is not when it moves again.
 func TestStalledWorkerIsShownWithinAMinute(t *testing.T) {
-	inWorld(t, nil, func(w *world) {
+	inWorld(t, nil, func(w *simCluster) {
 		w.submit(albumOf("job-1", 2, 8))
 		w.submit(albumOf("job-2", 2, 8))
-		for !w.ran("job-1") {
+		for !w.isRunning("job-1") {
 			time.Sleep(time.Second)
 		}
 		w.fleet.Stall("job-1", true)
 		from := time.Now()
 		for time.Since(from) < 2*time.Minute {
-			if rows, _ := w.told("n-1"); rows["job-1"].State == ledger.Stuck {
+			if rows, _ := w.readAccount("n-1"); rows["job-1"].State == ledger.Stuck {
 				break
 			}
 			time.Sleep(time.Second)
@@ -91,7 +91,7 @@
 		if took := time.Since(from); took > time.Minute {
 			t.Errorf("shown after %v", took)
 		}
-		a, _ := w.ask(w.ctx, rowsNode(w, "job-1"), func(n *Node, reply chan<- answer) {
+		a, _ := w.userRequest(w.ctx, rowsNode(w, "job-1"), func(n *Node, reply chan<- answer) {
 			n.onAccount(ledger.Query{Text: "job-1", Most: 3}, time.Now(), reply)
 		})
 		var story []string
@@ -102,14 +102,14 @@
 			t.Errorf("its story: %s", s)
 		}
 		for _, name := range w.names {
-			rows, p := w.told(name)
+			rows, p := w.readAccount(name)
 			if r := rows["job-1"]; r.State != ledger.Stuck || !strings.Contains(r.Why, "a task runs for") || rows["job-2"].State != ledger.Done || p.Sums[ledger.Stuck] != 1 {
 				t.Errorf("%s: %+v, %+v, %v", name, r, rows["job-2"], p.Sums)
 			}
 		}
 		w.fleet.Stall("job-1", false)
 		time.Sleep(30 * time.Second)
-		if rows, _ := w.told("n-0"); rows["job-1"].State != ledger.Done {
+		if rows, _ := w.readAccount("n-0"); rows["job-1"].State != ledger.Done {
 			t.Errorf("after it moved: %+v", rows["job-1"])
 		}
 	})
@@ -118,20 +118,20 @@
 // A stall that began under an earlier holder is not young again with each take-over.
 // (Found by the lab: with a controller that stood still twice a stall was never shown.)
 func TestStallIsAsOldAsItIs(t *testing.T) {
-	inWorld(t, nil, func(w *world) {
+	inWorld(t, nil, func(w *simCluster) {
 		w.submit(albumOf("job-1", 2, 8))
-		for !w.ran("job-1") {
+		for !w.isRunning("job-1") {
 			time.Sleep(time.Second)
 		}
 		w.fleet.Stall("job-1", true)
 		from := time.Now()
-		rows, _ := w.told("n-1")
+		rows, _ := w.readAccount("n-1")
 		go w.freeze(rows["job-1"].Node, 12*time.Second)
 		time.Sleep(25 * time.Second)
-		rows, _ = w.told("n-1")
+		rows, _ = w.readAccount("n-1")
 		go w.freeze(rows["job-1"].Node, 12*time.Second)
 		for time.Since(from) < 2*time.Minute {
-			if rows, _ := w.told("n-1"); rows["job-1"].State == ledger.Stuck {
+			if rows, _ := w.readAccount("n-1"); rows["job-1"].State == ledger.Stuck {
 				break
 			}
 			time.Sleep(time.Second)
@@ -146,14 +146,14 @@
 // A share whose holder stands still, a holder without the state service, machines that
 // are not heard: not known, never fine, and each job still in one row.
 func TestUnknownIsNotFine(t *testing.T) {
-	inWorld(t, nil, func(w *world) {
+	inWorld(t, nil, func(w *simCluster) {
 		for i := range 7 {
 			s := albumOf(fmt.Sprintf("job-%d", i), 1, 10000)
 			s.Team = []string{"red", "blue", "green"}[i%3]
 			w.submit(s)
 		}
 		time.Sleep(40 * time.Second)
-		rows, p := w.told("n-0")
+		rows, p := w.readAccount("n-0")
 		if p.Sums[ledger.Running] != 7 || len(p.Unknown) != 0 {
 			t.Fatalf("%v %v", p.Sums, p.Unknown)
 		}
@@ -164,7 +164,7 @@
 		if holder == asked {
 			asked = w.names[1]
 		}
-		rows, p = w.told(asked)
+		rows, p = w.readAccount(asked)
 		if len(rows) != 7 || rows["job-0"].State != ledger.Unknown || p.Sums[ledger.Unknown] == 0 || len(p.Unknown) == 0 || !strings.Contains(strings.Join(p.Unknown, " "), holder) {
 			t.Errorf("with %s standing still: %+v; %v %v", holder, rows["job-0"], p.Sums, p.Unknown)
 		}
@@ -172,25 +172,25 @@
 			t.Errorf("its machines are shown as known: %v", p.Zones)
 		}
 		time.Sleep(40 * time.Second) // taken over, and it is back
-		if rows, p = w.told(asked); rows["job-0"].State != ledger.Running || len(p.Unknown) != 0 {
+		if rows, p = w.readAccount(asked); rows["job-0"].State != ledger.Running || len(p.Unknown) != 0 {
 			t.Errorf("afterwards: %+v %v", rows["job-0"], p.Unknown)
 		}
-		w.set(func() {
-			w.gone = true // one that came late would count as heard
+		w.withLock(func() {
+			w.noLateReports = true // one that came late would count as heard
 			for _, n := range w.names {
-				w.deaf[n] = true
+				w.workersUnreachable[n] = true
 			}
 		})
 		time.Sleep(8 * time.Second)
-		if rows, p = w.told(asked); rows["job-0"].State != ledger.Unknown || p.Zones["a"].Silent+p.Zones["b"].Silent+p.Zones["a"].Unknown+p.Zones["b"].Unknown == 0 {
+		if rows, p = w.readAccount(asked); rows["job-0"].State != ledger.Unknown || p.Zones["a"].Silent+p.Zones["b"].Silent+p.Zones["a"].Unknown+p.Zones["b"].Unknown == 0 {
 			t.Errorf("machines not heard: %+v %v", rows["job-0"], p.Zones)
 		}
-		w.set(func() { clear(w.deaf); w.outage = true })
+		w.withLock(func() { clear(w.workersUnreachable); w.outage = true })
 		time.Sleep(5 * time.Second)
-		if _, p = w.told(asked); p.StateAge < 3 || len(p.Unknown) == 0 {
+		if _, p = w.readAccount(asked); p.StateAge < 3 || len(p.Unknown) == 0 {
 			t.Errorf("without the state service: %v s, %v", p.StateAge, p.Unknown)
 		}
-		w.set(func() { w.outage = false })
+		w.withLock(func() { w.outage = false })
 		w.state.Refill()
 	})
 }
@@ -198,7 +198,7 @@
 // Many machines lost at once: every accepted job is in exactly one column, and those
 // that lost something say so, before and after they run again.
 func TestAccountOfAMassLoss(t *testing.T) {
-	inWorld(t, nil, func(w *world) {
+	inWorld(t, nil, func(w *simCluster) {
 		for i := range 6 {
 			s := albumOf(fmt.Sprintf("job-%d", i), 2, 60)
 			s.Team = []string{"red", "blue", "green"}[i%3]
@@ -210,7 +210,7 @@
 		}
 		for i := range 90 {
 			time.Sleep(2 * time.Second)
-			rows, p := w.told(w.names[i%3])
+			rows, p := w.readAccount(w.names[i%3])
 			if p == nil {
 				continue
 			}
@@ -222,7 +222,7 @@
 				t.Fatalf("%d rows, sums %v", len(rows), p.Sums)
 			}
 		}
-		rows, _ := w.told("n-0")
+		rows, _ := w.readAccount("n-0")
 		lost := 0
 		for id, r := range rows {
 			if r.State != ledger.Done {
@@ -240,9 +240,9 @@
 // over the end of all of them.
 func TestEndsOutliveAllNodes(t *testing.T) {
 	settings := func(n *Node) {
-		n.KeepAccount(AccountSettings{Entries: 1000, Keep: 24 * time.Hour, Every: 10 * time.Second})
+		n.SetAccountSettings(AccountSettings{Entries: 1000, Retention: 24 * time.Hour, StoreInterval: 10 * time.Second})
 	}
-	inWorld(t, settings, func(w *world) {
+	inWorld(t, settings, func(w *simCluster) {
 		for i := range 5 {
 			w.submit(albumOf(fmt.Sprintf("job-%d", i), 1, 5))
 		}
@@ -254,9 +254,9 @@
 			go w.crash(name)
 		}
 		time.Sleep(20 * time.Second)
-		w.peers()
+		w.connectPeers()
 		for _, name := range w.names {
-			rows, _ := w.told(name)
+			rows, _ := w.readAccount(name)
 			for i := range 5 {
 				if r := rows[fmt.Sprintf("job-%d", i)]; r.State != ledger.Done || r.Ended == 0 {
 					t.Errorf("%s: %+v", name, r)
@@ -285,9 +285,9 @@
 // earlier leader stored; nothing else of the state service is touched.
 func TestOldEndsAreRemoved(t *testing.T) {
 	settings := func(n *Node) {
-		n.KeepAccount(AccountSettings{Entries: 1000, Keep: 3 * time.Minute, Every: 10 * time.Second})
+		n.SetAccountSettings(AccountSettings{Entries: 1000, Retention: 3 * time.Minute, StoreInterval: 10 * time.Second})
 	}
-	inWorld(t, settings, func(w *world) {
+	inWorld(t, settings, func(w *simCluster) {
 		for i := range 40 {
 			w.submit(albumOf(fmt.Sprintf("job-%d", i), 1, 2))
 			time.Sleep(10 * time.Second)
@@ -300,7 +300,7 @@
 		if len(items) < 5 || len(items) > 30 || items[0].Key < oldest {
 			t.Errorf("%d segments, the oldest %v", len(items), items)
 		}
-		rows, p := w.told("n-1")
+		rows, p := w.readAccount("n-1")
 		if len(rows) < 10 || len(rows) > 25 || p.Since < time.Now().Add(-4*time.Minute).UnixMilli() {
 			t.Errorf("%d jobs are remembered since %v", len(rows), time.UnixMilli(p.Since))
 		}
@@ -309,14 +309,14 @@
 
 // Ten thousand open jobs: a page costs what it shows and one pass over the jobs.
 func BenchmarkAccountPage(b *testing.B) {
-	n := newBench(b)
-	n.fleetOf(1600, 8400)
+	n := newTestNode(b)
+	n.addFleet(1600, 8400)
 	now := time.Now()
-	n.Contact(now)
+	n.RecordContact(now)
 	q := ledger.Query{Most: 200}
 	b.ReportAllocs()
 	for b.Loop() {
-		if p := n.accountPart(&q, now); len(p.Rows) != 200 {
+		if p := n.accountOfOwned(&q, now); len(p.Rows) != 200 {
 			b.Fatal(len(p.Rows))
 		}
 	}
@@ -325,7 +325,7 @@
 // A job of more tasks than one value holds leaves nothing behind in what every node
 // reads at its start: the chunks beyond its head go when there is time for it.
 func TestChunksOfEndedJobsAreRemoved(t *testing.T) {
-	inWorld(t, nil, func(w *world) {
+	inWorld(t, nil, func(w *simCluster) {
 		big := albumOf("job-1", 300, 1)
 		big.CPUs, big.GPUs, big.MemoryGB = 0.5, 0.1, 1
 		w.submit(big)
@@ -339,14 +339,14 @@
 		time.Sleep(60 * time.Second)
 		w.crash("n-0") // who leads next must know of them too
 		time.Sleep(2 * time.Minute)
-		if rows, _ := w.told("n-1"); rows["job-1"].State != ledger.Done {
+		if rows, _ := w.readAccount("n-1"); rows["job-1"].State != ledger.Done {
 			t.Fatalf("%+v", rows["job-1"])
 		}
 		time.Sleep(3 * time.Minute)
 		if a, b := chunks("job-1"), chunks("job-2"); a != 0 || b != 2 {
 			t.Errorf("%d keys are left of a job that is over, %d of one that is not", a, b)
 		}
-		if rows, _ := w.told("n-2"); rows["job-2"].Running == 0 {
+		if rows, _ := w.readAccount("n-2"); rows["job-2"].Running == 0 {
 			t.Errorf("%+v", rows["job-2"])
 		}
 	})
--- a/internal/coordination/node/admin.go
+++ b/internal/coordination/node/admin.go
@@ -36,7 +36,7 @@
 }
 
 func (n *Node) settingsView() SettingsView {
-	v := SettingsView{Stamp: n.stamp(protocol.PolicyKey), Settings: n.policy, Bounds: map[string]string{}}
+	v := SettingsView{Stamp: n.revisionOf(protocol.PolicyKey), Settings: n.policy, Bounds: map[string]string{}}
 	for _, s := range settingsList {
 		v.Bounds[s.name] = s.bounds
 	}
@@ -50,13 +50,13 @@
 }
 
 func (n *Node) putSetting(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
-	data, err := body(r)
+	data, err := readBody(r)
 	var c SettingChange
 	if err == nil {
 		err = json.Unmarshal(data, &c)
 	}
 	if err != nil || c.Stamp == nil {
-		write(w, answer{status: 400, body: errorBody{`need {"value":...,"stamp":N} with the stamp that /admin/settings shows`}})
+		writeAnswer(w, answer{status: 400, body: errorBody{`need {"value":...,"stamp":N} with the stamp that /admin/settings shows`}})
 		return
 	}
 	name, from := p.ByName("name"), r.RemoteAddr
@@ -66,7 +66,7 @@
 // onSetting stores a change; every node sees it by the watch.
 func (n *Node) onSetting(name string, c SettingChange, from string, reply chan<- answer) {
 	if !n.loaded {
-		reply <- busy
+		reply <- busyAnswer
 		return
 	}
 	changed, known, err := n.policy.Set(name, c.Value)
@@ -77,7 +77,7 @@
 	case err != nil:
 		reply <- answer{status: 400, body: errorBody{err.Error()}}
 		return
-	case *c.Stamp != n.stamp(protocol.PolicyKey):
+	case *c.Stamp != n.revisionOf(protocol.PolicyKey):
 		reply <- answer{status: 409, body: errorBody{"changed meanwhile: read the settings again"}}
 		return
 	}
@@ -87,18 +87,18 @@
 		n.post(func() {
 			switch {
 			case r.OK:
-				n.learn(op.Writes[0], r.Epoch)
+				n.applyOwnWrite(op.Writes[0], r.Epoch)
 				n.log.Info("setting changed", "setting", name, "value", string(c.Value), "by", from)
 				reply <- answer{status: 200, body: n.settingsView()}
 			case r.Err != nil:
-				reply <- busy
+				reply <- busyAnswer
 			default:
 				reply <- answer{status: 409, body: errorBody{"changed meanwhile: read the settings again"}}
 			}
 		})
 	}
-	if !n.users.Submit(op) {
-		reply <- busy
+	if !n.userCommitter.Submit(op) {
+		reply <- busyAnswer
 	}
 }
 
--- a/internal/coordination/node/adopt.go
+++ b/internal/coordination/node/adopt.go
@@ -31,19 +31,19 @@
 	foundTime = 10 * time.Second
 )
 
-// adoptStrays does the next step.
-func (n *Node) adoptStrays(now time.Time) {
+// adoptUnrecorded does the next step.
+func (n *Node) adoptUnrecorded(now time.Time) {
 	patience, pause := adoptPatience, adoptPause
-	if n.founded && now.Sub(n.ordering.follows) < foundTime {
+	if n.freshCluster && now.Sub(n.loadControl.followingSince) < foundTime {
 		patience, pause = foundPatience, foundPause
 	}
-	may := n.leads() && !n.standing.leaving && n.sinceContact(now) < 2*time.Second && len(n.early) == 0 && len(n.types) > 0
-	step, recs := n.adoption.Look(may, patience, pause, n.caught, now)
-	holder := n.cond(protocol.HolderKey(0))
+	may := n.isLeader() && !n.standby.leaving && n.sinceContact(now) < 2*time.Second && len(n.nodesWithoutEntries) == 0 && len(n.machineTypes) > 0
+	step, recs := n.adoption.Look(may, patience, pause, n.completeRevision, now)
+	holder := n.unchanged(protocol.HolderKey(0))
 	switch step {
 	case duty.Raise:
-		n.submit(&storage.Op{For: uint8(forMachines), Conds: []storage.Cond{holder, n.cond(protocol.FenceKey)},
-			Writes: []storage.Write{{Put: protocol.FenceKey, Value: mustJSON(protocol.FenceRecord{Round: n.rentals.Round + 1})}}},
+		n.submit(&storage.Op{For: uint8(forMachines), Conds: []storage.Cond{holder, n.unchanged(protocol.FenceKey)},
+			Writes: []storage.Write{{Put: protocol.FenceKey, Value: mustJSON(protocol.FenceRecord{Round: n.rentalFence.Round + 1})}}},
 			func(r storage.Result) {
 				epoch := r.Epoch
 				if !r.OK {
@@ -61,7 +61,7 @@
 func (n *Node) recordStrays(recs []protocol.MachineRecord, holder storage.Cond, now time.Time) {
 	recs = slices.DeleteFunc(recs, func(r protocol.MachineRecord) bool {
 		m := n.machines[r.Name]
-		not := n.types[r.Type] == nil || m != nil && (m.known || len(m.on) > 0)
+		not := n.machineTypes[r.Type] == nil || m != nil && (m.recorded || len(m.tasks) > 0)
 		if not {
 			n.adoption.Drop(r.Name)
 		}
@@ -71,26 +71,26 @@
 		n.adoption.Recorded(true, now)
 		return
 	}
-	var sizes []Amounts
+	var sizes []Resources
 	for _, r := range recs {
-		sizes = append(sizes, decide.SizeOf(n.types[r.Type]))
+		sizes = append(sizes, decide.SizeOf(n.machineTypes[r.Type]))
 	}
-	guarantees := make([]Amounts, len(n.shares))
+	guarantees := make([]Resources, len(n.partitions))
 	for _, t := range n.teams {
-		guarantees[t.share] = guarantees[t.share].Add(t.Guarantee, 1)
+		guarantees[t.partition] = guarantees[t.partition].Add(t.Guarantee, 1)
 	}
-	token := n.counter + 1
-	byShare := make([][]protocol.MachineRecord, len(n.shares))
+	token := n.tokenCounter + 1
+	byShare := make([][]protocol.MachineRecord, len(n.partitions))
 	for i, s := range decide.Apportion(sizes, guarantees) {
 		byShare[s] = append(byShare[s], recs[i])
 	}
-	op := &storage.Op{For: uint8(forMachines), Conds: []storage.Cond{holder, {Key: protocol.FenceKey, Stamp: n.adoption.Fence()}, n.cond(protocol.CounterKey)},
+	op := &storage.Op{For: uint8(forMachines), Conds: []storage.Cond{holder, {Key: protocol.FenceKey, Stamp: n.adoption.Fence()}, n.unchanged(protocol.CounterKey)},
 		Writes: []storage.Write{{Put: protocol.CounterKey, Value: mustJSON(protocol.CounterRecord{Token: token})}}}
 	taken := 0
 	for s, ms := range byShare {
 		room := math.MaxInt // by the longest type and zone
 		for _, r := range ms {
-			room = min(room, n.batchSize(r))
+			room = min(room, n.batchCapacity(r))
 		}
 		i := 0
 		for part := range slices.Chunk(ms, room) {
@@ -111,8 +111,8 @@
 	})
 }
 
-// awaitsStrays says whether machines without a record are about to be taken up, so that
+// awaitsAdoption says whether machines without a record are about to be taken up, so that
 // none is to be rented beside them.
-func (n *Node) awaitsStrays(now time.Time) bool {
-	return n.founded && now.Sub(n.ordering.follows) < foundTime && n.adoption.Expects(now)
+func (n *Node) awaitsAdoption(now time.Time) bool {
+	return n.freshCluster && now.Sub(n.loadControl.followingSince) < foundTime && n.adoption.Expects(now)
 }
--- a/internal/coordination/node/answers_test.go
+++ b/internal/coordination/node/answers_test.go
@@ -26,12 +26,12 @@
 
 // userRequest is one request about a job, with its response if one has come.
 type userRequest struct {
-	kind      requestKind
-	job, node string
-	asked     instant
-	answered  instant
-	status    int    // the HTTP status
-	said      string // the job's status in the body, if there is one
+	kind       requestKind
+	job, node  string
+	asked      instant
+	answered   instant
+	httpStatus int    // the HTTP status
+	jobStatus  string // the job's status in the body, if there is one
 }
 
 // instant orders requests and responses: several may carry the same simulated time.
@@ -41,7 +41,7 @@
 }
 
 func (r *userRequest) String() string {
-	return fmt.Sprintf("%s of %s at %s, asked %s, answered %s: %d %s", r.kind, r.job, r.node, r.asked.at.Format("4:05.000"), r.answered.at.Format("4:05.000"), r.status, r.said)
+	return fmt.Sprintf("%s of %s at %s, asked %s, answered %s: %d %s", r.kind, r.job, r.node, r.asked.at.Format("4:05.000"), r.answered.at.Format("4:05.000"), r.httpStatus, r.jobStatus)
 }
 
 // toldOfJob is what users were told of one job.
@@ -75,15 +75,15 @@
 	return t
 }
 
-// askedToCancel says whether somebody has asked to cancel a job.
-func (c *answerChecker) askedToCancel(job string) bool {
+// cancelRequested says whether somebody has asked to cancel a job.
+func (c *answerChecker) cancelRequested(job string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.of(job).cancelled
 }
 
-// ask notes that a request is sent.
-func (c *answerChecker) ask(kind requestKind, job, node string) *userRequest {
+// noteRequest notes that a request is sent.
+func (c *answerChecker) noteRequest(kind requestKind, job, node string) *userRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	told := c.of(job)
@@ -92,11 +92,11 @@
 	return &userRequest{kind: kind, job: job, node: node, asked: c.next()}
 }
 
-// answer takes in the response to a request and returns what is wrong with it.
-func (c *answerChecker) answer(r *userRequest, status int, said string) (wrong []string) {
+// checkResponse takes in the response to a request and returns what is wrong with it.
+func (c *answerChecker) checkResponse(r *userRequest, status int, said string) (wrong []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r.status, r.said, r.answered = status, said, c.next()
+	r.httpStatus, r.jobStatus, r.answered = status, said, c.next()
 	told := c.of(r.job)
 	for _, check := range []func(*userRequest, *toldOfJob) string{invented, forgotten, acceptedTwice, refusedAgain, unclear, wentBack, cancelledByNobody} {
 		if why := check(r, told); why != "" {
@@ -116,7 +116,7 @@
 }
 
 // accepts says whether a response shows that the job was accepted.
-func (r *userRequest) accepts() bool { return r.status == 200 || r.status == 201 }
+func (r *userRequest) accepts() bool { return r.httpStatus == 200 || r.httpStatus == 201 }
 
 // before says whether a response was given before another request was sent.
 func (r *userRequest) before(other *userRequest) bool {
@@ -135,21 +135,21 @@
 }
 
 func forgotten(r *userRequest, told *toldOfJob) string {
-	if r.status == 404 && told.accepted.before(r) {
+	if r.httpStatus == 404 && told.accepted.before(r) {
 		return fmt.Sprintf("forgotten after the %s", told.accepted)
 	}
 	return ""
 }
 
 func acceptedTwice(r *userRequest, told *toldOfJob) string {
-	if r.status == 201 && told.accepted.before(r) {
+	if r.httpStatus == 201 && told.accepted.before(r) {
 		return fmt.Sprintf("accepted again after the %s", told.accepted)
 	}
 	return ""
 }
 
 func refusedAgain(r *userRequest, told *toldOfJob) string {
-	if (r.status == 400 || r.status == 422) && told.accepted.before(r) {
+	if (r.httpStatus == 400 || r.httpStatus == 422) && told.accepted.before(r) {
 		return fmt.Sprintf("refused after the %s", told.accepted)
 	}
 	return ""
@@ -160,11 +160,11 @@
 	switch {
 	case !r.accepts():
 		return ""
-	case r.status == 201 && r.kind != submitRequest:
+	case r.httpStatus == 201 && r.kind != submitRequest:
 		return "201 for what is not a submission"
-	case r.kind == cancelRequest && !isFinal(r.said):
+	case r.kind == cancelRequest && !isFinal(r.jobStatus):
 		return "a cancellation confirmed without saying how the job ended"
-	case !isFinal(r.said) && r.said != protocol.JobQueued && r.said != protocol.JobRunning:
+	case !isFinal(r.jobStatus) && r.jobStatus != protocol.JobQueued && r.jobStatus != protocol.JobRunning:
 		return "a status that there is not"
 	}
 	return ""
@@ -173,37 +173,37 @@
 // wentBack finds responses older than an earlier one, and two ends of one job.
 func wentBack(r *userRequest, told *toldOfJob) string {
 	switch {
-	case !r.accepts() || told.final == nil || r.said == told.final.said:
+	case !r.accepts() || told.final == nil || r.jobStatus == told.final.jobStatus:
 		return ""
-	case isFinal(r.said), told.final.before(r):
+	case isFinal(r.jobStatus), told.final.before(r):
 		return fmt.Sprintf("went back after the %s", told.final)
 	}
 	return ""
 }
 
 func cancelledByNobody(r *userRequest, told *toldOfJob) string {
-	if r.accepts() && r.said == protocol.JobCancelled && !told.cancelled {
+	if r.accepts() && r.jobStatus == protocol.JobCancelled && !told.cancelled {
 		return "called cancelled, but nobody asked for that"
 	}
 	return ""
 }
 
-// askAs sends one request of a user to a node and checks the response.
-func (w *world) askAs(ctx context.Context, kind requestKind, node, id string, send func(n *Node, reply chan<- answer)) (answer, error) {
-	r := w.answers.ask(kind, id, node)
-	if without := answersWithout[w.leftOut]; without != nil {
+// sendChecked sends one request of a user to a node and checks the response.
+func (w *simCluster) sendChecked(ctx context.Context, kind requestKind, node, id string, send func(n *Node, reply chan<- answer)) (answer, error) {
+	r := w.answers.noteRequest(kind, id, node)
+	if without := answerWithoutGuard[w.disabledGuard]; without != nil {
 		send = without(w, kind, id, send)
 	}
-	a, err := w.ask(ctx, node, send)
+	a, err := w.userRequest(ctx, node, send)
 	if err != nil {
 		return a, err
 	}
-	said, about := saidOf(a)
-	for _, wrong := range w.answers.answer(r, a.status, said) {
-		w.complain("%s", wrong)
+	said, about := statusInAnswer(a)
+	for _, wrong := range w.answers.checkResponse(r, a.status, said) {
+		w.violation("%s", wrong)
 	}
 	if r.accepts() && about != id {
-		w.complain("the response is about %q (%s)", about, r)
+		w.violation("the response is about %q (%s)", about, r)
 	}
 	if r.accepts() {
 		w.userTold(id, said)
@@ -211,8 +211,8 @@
 	return a, nil
 }
 
-// saidOf is the status that a response gives, and of which job.
-func saidOf(a answer) (said, id string) {
+// statusInAnswer is the status that a response gives, and of which job.
+func statusInAnswer(a answer) (said, id string) {
 	switch body := a.body.(type) {
 	case protocol.JobStatus:
 		return body.Status, body.ID
@@ -223,18 +223,18 @@
 }
 
 // submitAt submits a job to a node once.
-func (w *world) submitAt(ctx context.Context, node string, s *protocol.JobSpec) (answer, error) {
-	return w.askAs(ctx, submitRequest, node, s.ID, func(n *Node, reply chan<- answer) { n.onSubmit(s, time.Now(), reply) })
+func (w *simCluster) submitAt(ctx context.Context, node string, s *protocol.JobSpec) (answer, error) {
+	return w.sendChecked(ctx, submitRequest, node, s.ID, func(n *Node, reply chan<- answer) { n.onSubmit(s, time.Now(), reply) })
 }
 
 // pollAt asks a node once how a job is.
-func (w *world) pollAt(ctx context.Context, node, id string) (answer, error) {
-	return w.askAs(ctx, statusRequest, node, id, func(n *Node, reply chan<- answer) { n.onPoll(id, reply) })
+func (w *simCluster) pollAt(ctx context.Context, node, id string) (answer, error) {
+	return w.sendChecked(ctx, statusRequest, node, id, func(n *Node, reply chan<- answer) { n.onPoll(id, reply) })
 }
 
 // cancelAt asks a node once to cancel a job.
-func (w *world) cancelAt(ctx context.Context, node, id string) (answer, error) {
-	return w.askAs(ctx, cancelRequest, node, id, func(n *Node, reply chan<- answer) { n.onCancel(id, cancelTries, reply) })
+func (w *simCluster) cancelAt(ctx context.Context, node, id string) (answer, error) {
+	return w.sendChecked(ctx, cancelRequest, node, id, func(n *Node, reply chan<- answer) { n.onCancel(id, cancelTries, reply) })
 }
 
 // cancelTries is how often a node tries to store a cancellation, as for a request over HTTP.
@@ -242,18 +242,18 @@
 
 // userTold notes what any user was told of a job: a cancellation that is confirmed, in whichever
 // way, reaches the checker of starts.
-func (w *world) userTold(id, said string) {
+func (w *simCluster) userTold(id, said string) {
 	w.mu.Lock()
 	u := w.userOf[id]
 	w.mu.Unlock()
 	if u != nil {
-		u.told(said)
+		u.checkAnswer(said)
 	}
 	if said != protocol.JobCancelled {
 		return
 	}
 	if left := w.fleet.Left(id); w.fleet.ToldLate && left > 0 && u == nil {
-		w.complain("%s is called cancelled with %d tasks left", id, left)
+		w.violation("%s is called cancelled with %d tasks left", id, left)
 	}
 	w.fleet.Cancelled(id)
 }
@@ -322,10 +322,10 @@
 			checker, open, wrong := newAnswerChecker(), map[string]*userRequest{}, []string{}
 			for _, s := range c.steps {
 				if s.kind != "" {
-					open[s.name] = checker.ask(s.kind, "job-1", "n-0")
+					open[s.name] = checker.noteRequest(s.kind, "job-1", "n-0")
 					continue
 				}
-				wrong = append(wrong, checker.answer(open[s.name], s.code, s.said)...)
+				wrong = append(wrong, checker.checkResponse(open[s.name], s.code, s.said)...)
 			}
 			if found := strings.Join(wrong, "; "); (c.wrong == "") != (found == "") || !strings.Contains(found, c.wrong) {
 				t.Errorf("found %q, want %q", found, c.wrong)
--- a/internal/coordination/node/api.go
+++ b/internal/coordination/node/api.go
@@ -25,7 +25,7 @@
 	r.GET("/ready", n.getReady)
 	n.routeAdmin(r)
 	n.routeTickets(r)
-	n.routeWhy(r)
+	n.routeExplanations(r)
 	n.routeAccount(r)
 	n.routeSite(r)
 	return r
@@ -42,18 +42,18 @@
 func (n *Node) await(w http.ResponseWriter, r *http.Request, reply <-chan answer) {
 	select {
 	case a := <-reply:
-		write(w, a)
+		writeAnswer(w, a)
 	case <-r.Context().Done():
 	case <-n.ctx.Done():
-		write(w, busy)
+		writeAnswer(w, busyAnswer)
 	}
 }
 
-func write(w http.ResponseWriter, a answer) {
+func writeAnswer(w http.ResponseWriter, a answer) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
-	if a.retryS > 0 {
-		h.Set("Retry-After", strconv.Itoa(a.retryS))
+	if a.retryAfterS > 0 {
+		h.Set("Retry-After", strconv.Itoa(a.retryAfterS))
 	}
 	if a.body == nil {
 		a.body = struct{}{}
@@ -69,7 +69,7 @@
 
 var errTooLong = errors.New("body over 64 KiB")
 
-func body(r *http.Request) ([]byte, error) {
+func readBody(r *http.Request) ([]byte, error) {
 	data, err := io.ReadAll(io.LimitReader(r.Body, protocol.MaxBody+1))
 	if err == nil && len(data) > protocol.MaxBody {
 		err = errTooLong
@@ -78,29 +78,29 @@
 }
 
 func (n *Node) postJob(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	data, err := body(r)
+	data, err := readBody(r)
 	if err != nil {
-		write(w, answer{status: 400, body: errorBody{err.Error()}})
+		writeAnswer(w, answer{status: 400, body: errorBody{err.Error()}})
 		return
 	}
 	s, err := protocol.ParseJob(data)
 	if errors.Is(err, protocol.ErrTicket) {
-		n.postCarried(w, r, data)
+		n.postEmbeddedTicket(w, r, data)
 		return
 	}
 	if err != nil {
-		write(w, answer{status: 400, body: errorBody{err.Error()}})
+		writeAnswer(w, answer{status: 400, body: errorBody{err.Error()}})
 		return
 	}
 	came := time.Now()
 	n.serve(w, r, func(reply chan<- answer) { n.onSubmit(s, time.Now(), reply) })
-	since(n.metrics.accept, came, time.Now())
+	observeSince(n.metrics.accept, came, time.Now())
 }
 
 func (n *Node) getJob(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 	id := p.ByName("id")
 	if !protocol.ValidJobID(id) {
-		write(w, answer{status: 404, body: errorBody{"no such job"}})
+		writeAnswer(w, answer{status: 404, body: errorBody{"no such job"}})
 		return
 	}
 	n.serve(w, r, func(reply chan<- answer) { n.onPoll(id, reply) })
@@ -109,7 +109,7 @@
 func (n *Node) postCancel(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 	id := p.ByName("id")
 	if !protocol.ValidJobID(id) {
-		write(w, answer{status: 404, body: errorBody{"no such job"}})
+		writeAnswer(w, answer{status: 404, body: errorBody{"no such job"}})
 		return
 	}
 	io.Copy(io.Discard, io.LimitReader(r.Body, protocol.MaxBody))
@@ -127,8 +127,8 @@
 		rep, err = protocol.ParseReport(data)
 	}
 	if err != nil {
-		n.metrics.refused.WithLabelValues("malformed_report").Inc()
-		write(w, answer{status: 400, body: errorBody{err.Error()}})
+		n.metrics.guardRefusals.WithLabelValues("malformed_report").Inc()
+		writeAnswer(w, answer{status: 400, body: errorBody{err.Error()}})
 		return
 	}
 	reply, dealt := make(chan answer, 1), make(chan struct{})
--- a/internal/coordination/node/batches.go
+++ b/internal/coordination/node/batches.go
@@ -13,16 +13,16 @@
 // value for many machines makes renting and returning a fleet of a thousand
 // cost tens of writes and not thousands. Only the share's holder changes it.
 type batch struct {
-	key   string
-	rec   protocol.BatchRecord
-	busy  bool      // a change of it is being stored
-	since time.Time // when something became worth storing; zero: nothing is
+	key        string
+	rec        protocol.BatchRecord
+	storing    bool      // a change of it is being stored
+	dirtySince time.Time // when something became worth storing; zero: nothing is
 }
 
-// changed notes that the stored batch is out of date.
-func (b *batch) changed(now time.Time) {
-	if b.since.IsZero() {
-		b.since = now
+// markDirty notes that the stored batch is out of date.
+func (b *batch) markDirty(now time.Time) {
+	if b.dirtySince.IsZero() {
+		b.dirtySince = now
 	}
 }
 
@@ -62,9 +62,9 @@
 	}
 }
 
-// write is the batch with only the machines that keep wants, which may change
+// writeKeeping is the batch with only the machines that keep wants, which may change
 // them; without any it is deleted.
-func (b *batch) write(keep func(r *protocol.MachineRecord) bool) storage.Write {
+func (b *batch) writeKeeping(keep func(r *protocol.MachineRecord) bool) storage.Write {
 	rec := b.rec
 	rec.Machines = nil
 	for _, r := range b.rec.Machines {
@@ -78,19 +78,19 @@
 	return storage.Write{Put: b.key, Value: mustJSON(rec)}
 }
 
-// batchSize is how many machines of a kind fit one stored value.
-func (n *Node) batchSize(r protocol.MachineRecord) int {
+// batchCapacity is how many machines of a kind fit one stored value.
+func (n *Node) batchCapacity(r protocol.MachineRecord) int {
 	const each = 100 // name, address and frame
 	return max(1, int(n.cfg.Params.State.ValueKB*1024*0.9)/(each+len(r.Type)+len(r.Zone)))
 }
 
-// adopt records the machines of a rental, and then calls done. The batch has
+// recordRental records the machines of a rental, and then calls done. The batch has
 // the request's name, which is never used twice. fence is how the fence was when they
 // were asked for: once it was raised, others may take them up.
-func (n *Node) adopt(s *share, req protocol.RentRequest, names []string, fence storage.Cond, done func()) {
+func (n *Node) recordRental(s *partition, req protocol.RentRequest, names []string, fence storage.Cond, done func()) {
 	var batches []protocol.BatchRecord
 	kind := protocol.MachineRecord{Type: req.Type, Zone: req.Zone, Spot: req.Spot}
-	for part := range slices.Chunk(names, n.batchSize(kind)) {
+	for part := range slices.Chunk(names, n.batchCapacity(kind)) {
 		rec := protocol.BatchRecord{Share: s.index}
 		for _, name := range part {
 			r := kind
@@ -107,7 +107,7 @@
 		key := protocol.BatchKey(fmt.Sprintf("%s-%d", req.Request, i))
 		n.submit(&storage.Op{
 			For:    uint8(forMachines),
-			Conds:  []storage.Cond{{Key: key}, n.cond(protocol.HolderKey(s.index)), fence},
+			Conds:  []storage.Cond{{Key: key}, n.unchanged(protocol.HolderKey(s.index)), fence},
 			Writes: []storage.Write{{Put: key, Value: mustJSON(rec)}},
 		}, func(storage.Result) {
 			if open--; open == 0 {
@@ -117,28 +117,28 @@
 	}
 }
 
-// batchPause is how long changes of a batch are gathered: addresses come one by
+// batchSaveDelay is how long changes of a batch are gathered: addresses come one by
 // one as machines boot, and none of them is urgent.
-const batchPause = 5 * time.Second
+const batchSaveDelay = 5 * time.Second
 
 // saveBatches stores new addresses, and drops the records of machines that are
 // gone, with everything on them noted.
 func (n *Node) saveBatches(now time.Time) {
 	for _, b := range n.batches {
-		if b.busy || b.since.IsZero() || now.Sub(b.since) < batchPause || !n.mine(n.shares[b.rec.Share]) {
+		if b.storing || b.dirtySince.IsZero() || now.Sub(b.dirtySince) < batchSaveDelay || !n.owns(n.partitions[b.rec.Share]) {
 			continue
 		}
-		b.since = time.Time{}
+		b.dirtySince = time.Time{}
 		changes := false
-		w := b.write(func(r *protocol.MachineRecord) bool {
+		w := b.writeKeeping(func(r *protocol.MachineRecord) bool {
 			m := n.machines[r.Name]
-			if m == nil || m.batch != b || m.gone && len(m.on) == 0 {
+			if m == nil || m.batch != b || m.returned && len(m.tasks) == 0 {
 				changes = true
 				return false
 			}
-			if m.gone {
-				b.changed(now) // once its tasks are settled
-			} else if m.addr != r.Addr && !m.heard.IsZero() {
+			if m.returned {
+				b.markDirty(now) // once its tasks are settled
+			} else if m.addr != r.Addr && !m.lastFencedReport.IsZero() {
 				// An address says that the machine is up. The cloud's list names it while it
 				// still boots, and a holder that stored that gave the machine up for silence.
 				r.Addr, changes = m.addr, true
@@ -148,12 +148,12 @@
 		if !changes {
 			continue
 		}
-		b.busy = true
-		n.submitTo(n.books, &storage.Op{For: uint8(forMachines), Conds: []storage.Cond{n.cond(b.key), n.cond(protocol.HolderKey(b.rec.Share))}, Writes: []storage.Write{w}},
+		b.storing = true
+		n.submitTo(n.backgroundCommitter, &storage.Op{For: uint8(forMachines), Conds: []storage.Cond{n.unchanged(b.key), n.unchanged(protocol.HolderKey(b.rec.Share))}, Writes: []storage.Write{w}},
 			func(r storage.Result) {
-				b.busy = false
+				b.storing = false
 				if !r.OK {
-					b.changed(time.Now())
+					b.markDirty(time.Now())
 				}
 			})
 	}
--- a/internal/coordination/node/cancel_now_test.go
+++ b/internal/coordination/node/cancel_now_test.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// cancelNow lets the users of up to count jobs that have tasks on machines cancel them within a
+// cancelRunningJobs lets the users of up to count jobs that have tasks on machines cancel them within a
 // fifth of a second, each at a node of its own choice. With hang set, the machines of these jobs
 // stand still for that long from the same moment. It returns the jobs.
-func (w *world) cancelNow(count int, hang time.Duration) []*user {
+func (w *simCluster) cancelRunningJobs(count int, hang time.Duration) []*user {
 	w.mu.Lock()
 	users := w.users
 	w.mu.Unlock()
 	var called []*user
 	for _, u := range users {
-		if len(called) < count && u.ended() == "" && w.fleet.Left(u.spec.ID) > 0 {
+		if len(called) < count && u.knownFinalStatus() == "" && w.fleet.Left(u.spec.ID) > 0 {
 			called = append(called, u)
 		}
 	}
@@ -19,28 +19,28 @@
 		if hang > 0 {
 			w.hangMachinesOf(u.spec.ID, hang)
 		}
-		go u.cancelUntilTold(w.between(0, 200*time.Millisecond))
+		go u.cancelUntilConfirmed(w.randDuration(0, 200*time.Millisecond))
 	}
 	return called
 }
 
 // hangMachinesOf makes the machines on which a job runs stand still.
-func (w *world) hangMachinesOf(job string, lasts time.Duration) {
+func (w *simCluster) hangMachinesOf(job string, lasts time.Duration) {
 	till := time.Now().Add(lasts)
 	for _, machine := range w.fleet.Names() {
 		if w.fleet.Runs(machine, job) {
-			w.set(func() { w.hung[machine] = till })
-			w.took("machine of a cancelled job hangs")
+			w.withLock(func() { w.hungUntil[machine] = till })
+			w.recordEvent("machine of a cancelled job hangs")
 		}
 	}
 }
 
-// cancelUntilTold asks for a cancellation after a while, again and again, until a final answer
+// cancelUntilConfirmed asks for a cancellation after a while, again and again, until a final answer
 // has come.
-func (u *user) cancelUntilTold(after time.Duration) {
+func (u *user) cancelUntilConfirmed(after time.Duration) {
 	time.Sleep(after)
-	for u.w.ctx.Err() == nil && u.ended() == "" {
-		if a := u.w.cancelOnce(u.any(), u.spec.ID); a.status == 200 {
+	for u.w.ctx.Err() == nil && u.knownFinalStatus() == "" {
+		if a := u.w.cancelOnce(u.randomNode(), u.spec.ID); a.status == 200 {
 			return
 		}
 		time.Sleep(time.Second)
@@ -48,14 +48,14 @@
 }
 
 // releaseReports lets all kept copies of reports arrive at all nodes now.
-func (w *world) releaseReports() {
+func (w *simCluster) releaseReports() {
 	w.mu.Lock()
 	kept := w.kept
 	w.kept = nil
 	w.mu.Unlock()
 	for _, r := range kept {
 		for _, name := range w.names {
-			go w.deliver(name, r)
+			go w.redeliver(name, r)
 		}
 	}
 }
--- a/internal/coordination/node/carried_test.go
+++ b/internal/coordination/node/carried_test.go
@@ -12,21 +12,21 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-// store puts a value into the state service, and the watch tells of it.
-func (b *bench) store(key string, v any) {
+// storePut puts a value into the state service, and the watch tells of it.
+func (b *testNode) storePut(key string, v any) {
 	b.state.Put(key, v)
 	it, _ := b.state.Get(b.t.Context(), key)
-	b.rev = it.Stamp
-	b.follow([]storage.Item{it}, it.Stamp)
+	b.revision = it.Stamp
+	b.applyWatch([]storage.Item{it}, it.Stamp)
 }
 
-// answered runs what the actor is told until nothing of a share's jobs is being stored.
-func (b *bench) answered(s *share) {
+// awaitStored runs what the actor is told until nothing of a share's jobs is being stored.
+func (b *testNode) awaitStored(s *partition) {
 	b.t.Helper()
-	busy := func(j *job) bool { return j.busy }
-	for s.append != nil || s.saving > 0 || slices.ContainsFunc(s.jobs, busy) {
+	busy := func(j *job) bool { return j.writePending }
+	for s.pendingAppend != nil || s.pendingRecords > 0 || slices.ContainsFunc(s.jobs, busy) {
 		select {
-		case f := <-b.inbox:
+		case f := <-b.mailbox:
 			f()
 		case <-time.After(10 * time.Second):
 			b.t.Fatal("no answer of the state service")
@@ -34,11 +34,11 @@
 	}
 }
 
-// proposedArray is a job of one task on host-1 that is to be stored.
-func (b *bench) proposedArray(id string) *job {
+// addProposedArray is a job of one task on host-1 that is to be stored.
+func (b *testNode) addProposedArray(id string) *job {
 	spec := &protocol.JobSpec{ID: id, Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 1, CPUs: 4, GPUs: 1, Image: "i", ImageGB: 1}
-	b.store(protocol.JobKey(id), protocol.JobRecord{Spec: spec, Next: 1})
-	b.propose(b.jobs[id], []int{0}, []*machine{b.machines["host-1"]}, time.Now())
+	b.storePut(protocol.JobKey(id), protocol.JobRecord{Spec: spec, Next: 1})
+	b.proposePlacements(b.jobs[id], []int{0}, []*machine{b.machines["host-1"]}, time.Now())
 	return b.jobs[id]
 }
 
@@ -57,28 +57,28 @@
 	return l.State.Txn(ctx, conds, writes)
 }
 
-// withLog makes the bench write entries of four slots, of which the one that the next entry
+// newTestNodeWithLog makes the bench write entries of four slots, of which the one that the next entry
 // takes the place of places a service's task on host-1 with attempt 2.
-func withLog(t *testing.T) (b *bench, service *job) {
-	packedOnly(t, 4)
-	b = newBench(t)
-	for range b.rev + 1 { // what is stored from here on is later than what the bench began with
+func newTestNodeWithLog(t *testing.T) (b *testNode, service *job) {
+	storeOnlyEntries(t, 4)
+	b = newTestNode(t)
+	for range b.revision + 1 { // what is stored from here on is later than what the bench began with
 		b.state.Put("revision", 0)
 	}
-	b.store(protocol.FormatKey, protocol.FormatRecord{Packed: true})
-	b.store(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 7, Lease: 3})
+	b.storePut(protocol.FormatKey, protocol.FormatRecord{Packed: true})
+	b.storePut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 7, Lease: 3})
 	spec := &protocol.JobSpec{ID: "job-1", Team: "red", Class: "c", Shape: protocol.Service, Priority: "critical", Tasks: 1, CPUs: 4, GPUs: 1, Image: "i", ImageGB: 1}
-	b.store(protocol.JobKey(spec.ID), protocol.JobRecord{Spec: spec, Next: 2})
+	b.storePut(protocol.JobKey(spec.ID), protocol.JobRecord{Spec: spec, Next: 2})
 	for seq := uint64(1); seq <= 4; seq++ {
 		e := protocol.Entry{Version: protocol.EntryVersion, Seq: seq}
 		if seq == 1 {
 			e.Machines = []string{"host-1"}
 			e.Parts = []protocol.Part{{Job: spec.ID, Next: 3, Placed: []protocol.Run{{0, 0, 2, 0}}}}
 		}
-		b.store(protocol.LogKey(0, int(seq%4)), e)
+		b.storePut(protocol.LogKey(0, int(seq%4)), e)
 	}
 	service = b.jobs[spec.ID]
-	if task := &service.tasks[0]; task.phase != placed || task.attempt != 2 || !task.overlaid {
+	if task := &service.tasks[0]; task.phase != phasePlaced || task.attempt != 2 || !task.fromLog {
 		t.Fatalf("the entry's task is read as %+v", task)
 	}
 	return b, service
@@ -91,40 +91,40 @@
 func TestEntryDoesNotUndoALaterRecord(t *testing.T) {
 	for _, recordFirst := range []bool{true, false} {
 		t.Run(fmt.Sprintf("record first %v", recordFirst), func(t *testing.T) {
-			b, service := withLog(t)
-			s := b.shares[0]
-			array := b.proposedArray("job-2")
+			b, service := newTestNodeWithLog(t)
+			s := b.partitions[0]
+			array := b.addProposedArray("job-2")
 			b.flush(time.Now())
-			if s.append == nil {
+			if s.pendingAppend == nil {
 				t.Fatal("no entry is being stored")
 			}
-			b.note(service, 0, gone)
+			b.recordOutcome(service, 0, outcomeGone)
 			b.flush(time.Now())
-			if s.saving != 1 {
+			if s.pendingRecords != 1 {
 				t.Fatal("the service's own record is not being stored meanwhile")
 			}
-			first, second := b.press, b.books
+			first, second := b.urgentCommitter, b.backgroundCommitter
 			if !recordFirst {
-				first, second = b.books, b.press
+				first, second = b.backgroundCommitter, b.urgentCommitter
 			}
 			go first.Run(t.Context())
-			(<-b.inbox)()
+			(<-b.mailbox)()
 			go second.Run(t.Context())
-			b.answered(s)
+			b.awaitStored(s)
 			b.flush(time.Now()) // what was refused is stored now
-			b.answered(s)
-			if is := &service.tasks[0]; is.phase != waiting {
+			b.awaitStored(s)
+			if is := &service.tasks[0]; is.phase != phaseWaiting {
 				t.Errorf("the node that stored the end knows the task as %v with attempt %d", is.phase, is.attempt)
 			}
-			if read := reread(t, b.cfg, b.state).storedJobs()["job-1"]; read != "1 false false - " {
+			if read := newNodeFromStore(t, b.cfg, b.state).jobSummaries()["job-1"]; read != "1 false false - " {
 				t.Errorf("a node that starts reads %q", read)
 			}
-			if array.tasks[0].phase == waiting { // its entry was refused
-				b.propose(array, []int{0}, []*machine{b.machines["host-1"]}, time.Now())
+			if array.tasks[0].phase == phaseWaiting { // its entry was refused
+				b.proposePlacements(array, []int{0}, []*machine{b.machines["host-1"]}, time.Now())
 				b.flush(time.Now())
-				b.answered(s)
+				b.awaitStored(s)
 			}
-			if array.tasks[0].phase != placed {
+			if array.tasks[0].phase != phasePlaced {
 				t.Error("the array's placement was not stored in the end")
 			}
 		})
@@ -134,33 +134,33 @@
 // Of entries with many jobs some get records of their own before they would be said again: an
 // entry's transaction has no more conditions than the state service takes.
 func TestConditionsOfCarriedJobsFit(t *testing.T) {
-	b, _ := withLog(t)
-	s := b.shares[0]
+	b, _ := newTestNodeWithLog(t)
+	s := b.partitions[0]
 	b.cfg.Params.State.ValueKB = 64
 	e := *s.log.Old()
 	for i := range 60 { // more than conditions
 		id := fmt.Sprintf("job-10%02d", i)
 		spec := &protocol.JobSpec{ID: id, Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 2, CPUs: 0.1, Image: "i"}
-		b.store(protocol.JobKey(id), protocol.JobRecord{Spec: spec, Next: 1})
+		b.storePut(protocol.JobKey(id), protocol.JobRecord{Spec: spec, Next: 1})
 		e.Parts = append(e.Parts, protocol.Part{Job: id, Next: 2, Placed: []protocol.Run{{0, 0, 1, 0}}})
 	}
-	b.store(protocol.LogKey(0, 1), e)
-	limited := &conditionLimit{b.state, t, b.mostConditions()}
-	b.press = storage.NewCommitter(limited, b.cfg.Params.State.TxnOps, b.pace, storage.UrgentLevel)
-	b.books = storage.NewCommitter(limited, b.cfg.Params.State.TxnOps, b.pace, storage.BackgroundLevel)
-	go b.press.Run(t.Context())
-	go b.books.Run(t.Context())
-	array := b.proposedArray("job-2")
+	b.storePut(protocol.LogKey(0, 1), e)
+	limited := &conditionLimit{b.state, t, b.maxConditions()}
+	b.urgentCommitter = storage.NewCommitter(limited, b.cfg.Params.State.TxnOps, b.rateLimiter, storage.UrgentLevel)
+	b.backgroundCommitter = storage.NewCommitter(limited, b.cfg.Params.State.TxnOps, b.rateLimiter, storage.BackgroundLevel)
+	go b.urgentCommitter.Run(t.Context())
+	go b.backgroundCommitter.Run(t.Context())
+	array := b.addProposedArray("job-2")
 	for range 5 {
 		b.flush(time.Now())
-		b.answered(s)
+		b.awaitStored(s)
 	}
-	if _, seq := s.log.Next(); seq != 6 || array.tasks[0].phase != placed {
+	if _, seq := s.log.Next(); seq != 6 || array.tasks[0].phase != phasePlaced {
 		t.Errorf("the next entry is %d, the fifth one's task %v", seq, array.tasks[0].phase)
 	}
-	live, read := b.storedJobs(), reread(t, b.cfg, b.state).storedJobs()
+	live, read := b.jobSummaries(), newNodeFromStore(t, b.cfg, b.state).jobSummaries()
 	for id, j := range b.jobs {
-		if live[id] != read[id] || j.tasks[0].phase != placed {
+		if live[id] != read[id] || j.tasks[0].phase != phasePlaced {
 			t.Errorf("%s is known as %q and read as %q", id, live[id], read[id])
 		}
 	}
