--- a/internal/coordination/node/close_looks_test.go
+++ b/internal/coordination/node/close_looks_test.go
@@ -23,18 +23,18 @@
 	retryPause    = time.Second
 )
 
-// enroll makes the user of a new job of a test's own, which all checks know.
-func (w *world) enroll(shape func(s *protocol.JobSpec)) *user {
+// addTrackedUser makes the user of a new job of a test's own, which all checks know.
+func (w *simCluster) addTrackedUser(shape func(s *protocol.JobSpec)) *user {
 	w.mu.Lock()
-	w.met["enrolled"]++
-	number := w.met["enrolled"]
+	w.eventCounts["enrolled"]++
+	number := w.eventCounts["enrolled"]
 	w.mu.Unlock()
 	s := &protocol.JobSpec{ID: fmt.Sprintf("job-95%05d", number), Team: []string{"red", "blue", "green"}[number%3], Class: "c", Shape: protocol.Array,
 		Priority: "high", Tasks: 1, CPUs: 1, GPUs: 0.25, Image: "i", ImageGB: 1, EstimateS: 1}
 	shape(s)
 	w.fleet.Submitted(s)
 	u := &user{w: w, spec: s}
-	w.set(func() { w.userOf[s.ID] = u })
+	w.withLock(func() { w.userOf[s.ID] = u })
 	return u
 }
 
@@ -56,10 +56,10 @@
 	return u.w.cancelAt(ctx, node, u.spec.ID)
 }
 
-// repeat sends a request to one node after the other until it is answered with success.
-func (u *user) repeat(send func(node string) (answer, error)) {
+// retryUntilSuccess sends a request to one node after the other until it is answered with success.
+func (u *user) retryUntilSuccess(send func(node string) (answer, error)) {
 	for u.w.ctx.Err() == nil {
-		if a, err := send(u.any()); err == nil && (a.status == 200 || a.status == 201) {
+		if a, err := send(u.randomNode()); err == nil && (a.status == 200 || a.status == 201) {
 			return
 		}
 		time.Sleep(retryPause)
@@ -69,15 +69,15 @@
 // requestsPerLook is how often a close look sends each request to each node.
 const requestsPerLook = 2
 
-// lookClosely asks all nodes within milliseconds how the job is and repeats its submission
+// askAllNodes asks all nodes within milliseconds how the job is and repeats its submission
 // there; the event is what was told before.
-func (u *user) lookClosely(event string) {
+func (u *user) askAllNodes(event string) {
 	var open sync.WaitGroup
 	send := func(what, node string, request func(node string) (answer, error)) {
 		open.Go(func() {
-			time.Sleep(u.w.between(0, 10*time.Millisecond))
+			time.Sleep(u.w.randDuration(0, 10*time.Millisecond))
 			if a, err := request(node); err == nil && a.status == 200 {
-				u.w.took(what + " " + event)
+				u.w.recordEvent(what + " " + event)
 			}
 		})
 	}
@@ -93,7 +93,7 @@
 // meanwhile sends a request and lets others read the job's status until its answer comes; seen
 // says whether one of them was told something that shows that it had been executed.
 func (u *user) meanwhile(send func(node string) (answer, error), shows func(said string) bool) (a answer, err error, seen bool) {
-	node, over := u.any(), make(chan struct{})
+	node, over := u.randomNode(), make(chan struct{})
 	var others sync.WaitGroup
 	for _, other := range u.w.names {
 		if other == node {
@@ -104,11 +104,11 @@
 				select {
 				case <-over:
 					return
-				case <-time.After(u.w.between(20*time.Millisecond, 150*time.Millisecond)):
+				case <-time.After(u.w.randDuration(20*time.Millisecond, 150*time.Millisecond)):
 				}
 				r, err := u.pollOnce(other)
-				if said, _ := saidOf(r); err == nil && r.status == 200 && shows(said) {
-					u.w.set(func() { seen = true })
+				if said, _ := statusInAnswer(r); err == nil && r.status == 200 && shows(said) {
+					u.w.withLock(func() { seen = true })
 				}
 			}
 		})
@@ -124,11 +124,11 @@
 // lost, whatever the node then finds out about that write.
 func (u *user) repeatMeanwhile(what string, send func(node string) (answer, error), shows func(said string) bool) {
 	for u.w.ctx.Err() == nil {
-		lost := u.w.times(answerLostAbout(u.spec.ID))
+		lost := u.w.eventCount(answerLostAbout(u.spec.ID))
 		a, err, seen := u.meanwhile(send, shows)
-		if seen && u.w.times(answerLostAbout(u.spec.ID)) > lost {
-			u.w.took(what + " read by others while its answer was lost")
-			u.lookClosely("after its answer was lost")
+		if seen && u.w.eventCount(answerLostAbout(u.spec.ID)) > lost {
+			u.w.recordEvent(what + " read by others while its answer was lost")
+			u.askAllNodes("after its answer was lost")
 		}
 		if err == nil && (a.status == 200 || a.status == 201) {
 			return
@@ -142,24 +142,24 @@
 
 // noteLostAnswer notes which jobs are written about by a transaction that is executed and whose
 // answer is lost.
-func (w *world) noteLostAnswer(writes []storage.Write) {
-	w.took("executed without an answer")
+func (w *simCluster) noteLostAnswer(writes []storage.Write) {
+	w.recordEvent("executed without an answer")
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for id := range w.userOf {
 		for _, write := range writes {
 			if strings.Contains(write.Put, id) || strings.Contains(string(write.Value), id) {
-				w.met[answerLostAbout(id)]++
+				w.eventCounts[answerLostAbout(id)]++
 			}
 		}
 	}
 }
 
-// ends waits until somebody was told how the job ended.
-func (u *user) ends() {
-	for u.w.ctx.Err() == nil && u.ended() == "" {
-		u.pollOnce(u.any())
-		time.Sleep(u.w.between(100*time.Millisecond, 300*time.Millisecond))
+// awaitEnd waits until somebody was told how the job ended.
+func (u *user) awaitEnd() {
+	for u.w.ctx.Err() == nil && u.knownFinalStatus() == "" {
+		u.pollOnce(u.randomNode())
+		time.Sleep(u.w.randDuration(100*time.Millisecond, 300*time.Millisecond))
 	}
 }
 
@@ -167,7 +167,7 @@
 const mostUserWait = 4 * time.Minute
 
 // awaitAll waits for users, and complains if that takes too long.
-func (w *world) awaitAll(users *sync.WaitGroup) {
+func (w *simCluster) awaitAll(users *sync.WaitGroup) {
 	over := make(chan struct{})
 	go func() {
 		users.Wait()
@@ -176,7 +176,7 @@
 	select {
 	case <-over:
 	case <-time.After(mostUserWait):
-		w.complain("some users were not told how their jobs ended")
+		w.violation("some users were not told how their jobs ended")
 	case <-w.ctx.Done():
 	}
 }
@@ -192,69 +192,69 @@
 
 // closeLooks: users look closely after a job was accepted, has ended, or was confirmed as
 // cancelled; some cancel at once.
-func closeLooks(w *world) {
+func askAfterEachEvent(w *simCluster) {
 	var users sync.WaitGroup
 	for i := range 24 {
-		u, cancels := w.enroll(mixedShape(i)), i%3 == 0
+		u, cancels := w.addTrackedUser(mixedShape(i)), i%3 == 0
 		users.Go(func() {
-			u.repeat(u.submitOnce)
+			u.retryUntilSuccess(u.submitOnce)
 			if cancels {
 				users.Go(func() {
-					time.Sleep(w.between(0, 20*time.Millisecond))
-					u.repeat(u.cancelOnce)
-					u.lookClosely("after a cancellation")
+					time.Sleep(w.randDuration(0, 20*time.Millisecond))
+					u.retryUntilSuccess(u.cancelOnce)
+					u.askAllNodes("after a cancellation")
 				})
 			}
-			u.lookClosely("after acceptance")
-			u.ends()
-			u.lookClosely("after the end")
-			time.Sleep(w.between(100*time.Millisecond, 400*time.Millisecond))
-			u.lookClosely("once no node has the job any more")
+			u.askAllNodes("after acceptance")
+			u.awaitEnd()
+			u.askAllNodes("after the end")
+			time.Sleep(w.randDuration(100*time.Millisecond, 400*time.Millisecond))
+			u.askAllNodes("once no node has the job any more")
 		})
-		time.Sleep(w.between(0, 600*time.Millisecond))
+		time.Sleep(w.randDuration(0, 600*time.Millisecond))
 	}
 	w.awaitAll(&users)
 }
 
 // lostAnswers: what a node writes is stored, its answer is lost, and others read it before the
 // node that wrote it knows.
-func lostAnswers(w *world) {
-	w.set(func() { w.lostAnswers = 0.3 })
+func askWhileAnswersAreLost(w *simCluster) {
+	w.withLock(func() { w.lostAnswerRate = 0.3 })
 	var users sync.WaitGroup
 	for i := range 24 {
-		u, cancels := w.enroll(mixedShape(i)), i%3 == 0
+		u, cancels := w.addTrackedUser(mixedShape(i)), i%3 == 0
 		users.Go(func() {
 			u.repeatMeanwhile("acceptance", u.submitOnce, func(string) bool { return true })
-			u.lookClosely("after acceptance")
+			u.askAllNodes("after acceptance")
 			if cancels {
 				u.repeatMeanwhile("cancellation", u.cancelOnce, func(said string) bool { return said == protocol.JobCancelled })
-				u.lookClosely("after a cancellation")
+				u.askAllNodes("after a cancellation")
 			}
-			u.ends()
-			u.lookClosely("after the end")
+			u.awaitEnd()
+			u.askAllNodes("after the end")
 		})
-		time.Sleep(w.between(0, 600*time.Millisecond))
+		time.Sleep(w.randDuration(0, 600*time.Millisecond))
 	}
 	time.Sleep(10 * time.Second)
-	w.set(func() { w.lostAnswers = 0 })
+	w.withLock(func() { w.lostAnswerRate = 0 })
 	w.awaitAll(&users)
 }
 
 // A node that the watch has not told that jobs are stored in entries now, and that does not know
 // what is in them, gives no user an answer older than another node's.
 func TestNodeThatDoesNotKnowOfEntries(t *testing.T) {
-	packedOnly(t, 8)
+	storeOnlyEntries(t, 8)
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, 3, asTheyAre)
-		w.set(func() { w.noWatch["n-0"], w.noWatch["n-1"] = true, true }) // nobody writes entries yet
+		w := newWorld(t, ctx, 3, defaultSettings)
+		w.withLock(func() { w.watchStalled["n-0"], w.watchStalled["n-1"] = true, true }) // nobody writes entries yet
 		time.Sleep(2 * time.Second)
-		early := w.enroll(func(s *protocol.JobSpec) { s.EstimateS = 30 })
-		early.repeat(early.submitOnce)
+		early := w.addTrackedUser(func(s *protocol.JobSpec) { s.EstimateS = 30 })
+		early.retryUntilSuccess(early.submitOnce)
 		time.Sleep(2 * time.Second)
-		w.set(func() { clear(w.noWatch); w.noWatch["n-2"] = true })
+		w.withLock(func() { clear(w.watchStalled); w.watchStalled["n-2"] = true })
 		knows := func(name string) bool {
-			return onActor(w.node(name), func() bool { return w.node(name).packedEver() })
+			return onActor(w.node(name), func() bool { return w.node(name).mayHaveEntries() })
 		}
 		for from := time.Now(); time.Since(from) < 20*time.Second && !(knows("n-0") && knows("n-1")); {
 			time.Sleep(100 * time.Millisecond)
@@ -262,19 +262,19 @@
 		if !knows("n-0") || !knows("n-1") || knows("n-2") {
 			t.Fatalf("who knows of entries: %v %v %v", knows("n-0"), knows("n-1"), knows("n-2"))
 		}
-		late := w.enroll(func(*protocol.JobSpec) {})
+		late := w.addTrackedUser(func(*protocol.JobSpec) {})
 		if a, err := late.submitOnce("n-0"); err != nil || a.status != 201 {
 			t.Fatalf("submission: %d %v", a.status, err)
 		}
-		late.lookClosely("after acceptance")
-		for from := time.Now(); time.Since(from) < time.Minute && early.ended() == ""; time.Sleep(100 * time.Millisecond) {
+		late.askAllNodes("after acceptance")
+		for from := time.Now(); time.Since(from) < time.Minute && early.knownFinalStatus() == ""; time.Sleep(100 * time.Millisecond) {
 			early.pollOnce("n-0")
 		}
-		if early.ended() == "" {
+		if early.knownFinalStatus() == "" {
 			t.Error("the job that was accepted before did not end")
 		}
-		early.lookClosely("after the end")
-		w.set(func() { clear(w.noWatch) })
+		early.askAllNodes("after the end")
+		w.withLock(func() { clear(w.watchStalled) })
 		time.Sleep(2 * time.Second)
 		if a, err := early.pollOnce("n-2"); err != nil || a.status != 200 {
 			t.Errorf("when the watch has told: %d %v", a.status, err)
--- a/internal/coordination/node/closing_check_test.go
+++ b/internal/coordination/node/closing_check_test.go
@@ -136,7 +136,7 @@
 		}
 	}
 	team := r.teams[job.Team]
-	return (team.CPUsMax == 0 || cpus <= team.CPUsMax+slack) && (team.GPUsMax == 0 || gpus <= team.GPUsMax+slack)
+	return (team.CPUsMax == 0 || cpus <= team.CPUsMax+tolerance) && (team.GPUsMax == 0 || gpus <= team.GPUsMax+tolerance)
 }
 
 // slotsFor is how many more tasks of a job, up to a number, the machines have room for, given
@@ -172,18 +172,18 @@
 
 // roomFor is how many more tasks of a job a machine has room for.
 func roomFor(machine *standin.MachineView, job *protocol.JobSpec) int {
-	free := size(machine.Type)
+	free := capacityOf(machine.Type)
 	for i := range machine.Tasks {
 		if t := &machine.Tasks[i]; t.Occupies() {
-			free = free.Add(Amounts{CPUs: t.Job.CPUs, GPUs: t.Job.GPUs, MemoryGB: t.Job.MemoryGB}, -1)
+			free = free.Add(Resources{CPUs: t.Job.CPUs, GPUs: t.Job.GPUs, MemoryGB: t.Job.MemoryGB}, -1)
 		}
 	}
-	return free.Times(Amounts{CPUs: job.CPUs, GPUs: job.GPUs, MemoryGB: job.MemoryGB})
+	return free.TaskCount(Resources{CPUs: job.CPUs, GPUs: job.GPUs, MemoryGB: job.MemoryGB})
 }
 
 // closingCheck waits, for a time at most, until all users' jobs have ended and the closing
 // check has nothing left to follow, and complains about what breaks it.
-func (w *world) closingCheck(most time.Duration) {
+func (w *simCluster) closingCheck(most time.Duration) {
 	from := time.Now()
 	r := newRecovery(w.fleet.Teams)
 	complained := map[string]bool{}
@@ -194,7 +194,7 @@
 		for _, v := range violations {
 			if !complained[v.job] {
 				complained[v.job] = true
-				w.complain("closing check: %s %s: %s", v.job, v.what, w.about(v.job))
+				w.violation("closing check: %s %s: %s", v.job, v.what, w.describeJob(v.job))
 			}
 		}
 		if settled && len(w.unended()) == 0 {
@@ -204,19 +204,19 @@
 		time.Sleep(time.Second)
 	}
 	for _, u := range w.unended() {
-		w.complain("%s (%s, %d tasks) never ended: %s", u.spec.ID, u.spec.Shape, u.spec.Tasks, w.about(u.spec.ID))
+		w.violation("%s (%s, %d tasks) never ended: %s", u.spec.ID, u.spec.Shape, u.spec.Tasks, w.describeJob(u.spec.ID))
 	}
 }
 
 // follow takes one look at the fleet, and says whether all is as it should be at the end and
 // what breaks the check.
-func (w *world) follow(r *recovery, jobs []*protocol.JobSpec) (settled bool, violations []violation) {
+func (w *simCluster) follow(r *recovery, jobs []*protocol.JobSpec) (settled bool, violations []violation) {
 	view, now := w.fleet.View(), time.Now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var open []*protocol.JobSpec
 	for _, job := range jobs {
-		if !r.final[job.ID] && !w.answers.askedToCancel(job.ID) {
+		if !r.final[job.ID] && !w.answers.cancelRequested(job.ID) {
 			open = append(open, job)
 		}
 	}
@@ -226,7 +226,7 @@
 }
 
 // checkedJobs are the jobs that the closing check follows: those that some node has accepted.
-func (w *world) checkedJobs() (out []*protocol.JobSpec) {
+func (w *simCluster) checkedJobs() (out []*protocol.JobSpec) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, u := range w.users {
@@ -238,11 +238,11 @@
 }
 
 // unended are the users whose jobs have not ended.
-func (w *world) unended() (out []*user) {
+func (w *simCluster) unended() (out []*user) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, u := range w.users {
-		if u.final == "" {
+		if u.finalStatus == "" {
 			out = append(out, u)
 		}
 	}
@@ -250,7 +250,7 @@
 }
 
 // askAll asks about each job at all nodes.
-func (w *world) askAll(r *recovery, jobs []*protocol.JobSpec) {
+func (w *simCluster) askAll(r *recovery, jobs []*protocol.JobSpec) {
 	for _, job := range jobs {
 		for _, name := range w.names {
 			go func() {
@@ -258,7 +258,7 @@
 				defer cancel()
 				a, err := w.pollAt(ctx, name, job.ID)
 				if err == nil {
-					w.set(func() { r.answer(job.ID, a, time.Now()) })
+					w.withLock(func() { r.answer(job.ID, a, time.Now()) })
 				}
 			}()
 		}
--- a/internal/coordination/node/corrupt.go
+++ b/internal/coordination/node/corrupt.go
@@ -11,46 +11,46 @@
 // and nothing is tried that would fail again and again. It ends when a value comes that can be
 // read. (Entries of logs and inboxes: see packed.go.)
 
-// checked is a record that says whether it can be true.
-type checked interface{ Check() error }
+// checkedRecord is a record that says whether it can be true.
+type checkedRecord interface{ Check() error }
 
-// corrupted notes a value that is not understood, once.
-func (n *Node) corrupted(it storage.Item, err error) {
-	if n.corrupt[it.Key] == it.Stamp {
+// markCorrupt notes a value that is not understood, once.
+func (n *Node) markCorrupt(it storage.Item, err error) {
+	if n.corruptKeys[it.Key] == it.Stamp {
 		return
 	}
-	n.corrupt[it.Key] = it.Stamp
-	n.metrics.refused.WithLabelValues("corrupt_record").Inc()
-	n.log.Error("stored value not understood: what was known of it stays, and nothing is stored for it", "key", it.Key, "stamp", it.Stamp, "known_stamp", n.ver[it.Key], "why", err)
+	n.corruptKeys[it.Key] = it.Stamp
+	n.metrics.guardRefusals.WithLabelValues("corrupt_record").Inc()
+	n.log.Error("stored value not understood: what was known of it stays, and nothing is stored for it", "key", it.Key, "stamp", it.Stamp, "known_stamp", n.revisions[it.Key], "why", err)
 }
 
-// corruptJob says so of a job's own record.
-func (n *Node) corruptJob(j *job) bool {
-	if len(n.corrupt) == 0 {
+// hasCorruptRecord says so of a job's own record.
+func (n *Node) hasCorruptRecord(j *job) bool {
+	if len(n.corruptKeys) == 0 {
 		return false
 	}
-	if _, head := n.corrupt[protocol.JobKey(j.id)]; head {
+	if _, head := n.corruptKeys[protocol.JobKey(j.id)]; head {
 		return true
 	}
-	for k := range j.chunks {
-		if _, chunk := n.corrupt[protocol.ChunkKey(j.id, k)]; chunk {
+	for k := range j.storedChunks {
+		if _, chunk := n.corruptKeys[protocol.ChunkKey(j.id, k)]; chunk {
 			return true
 		}
 	}
 	return false
 }
 
-// mayBeStored says whether a task that this node does not know may be stored in a value that it
+// mayBeInCorruptValue says whether a task that this node does not know may be stored in a value that it
 // can't read.
-func (n *Node) mayBeStored(id string, task int) bool {
-	_, head := n.corrupt[protocol.JobKey(id)]
-	_, chunk := n.corrupt[protocol.ChunkKey(id, task/protocol.ChunkTasks)]
-	return head || chunk || n.inboxBroken()
+func (n *Node) mayBeInCorruptValue(id string, task int) bool {
+	_, head := n.corruptKeys[protocol.JobKey(id)]
+	_, chunk := n.corruptKeys[protocol.ChunkKey(id, task/protocol.ChunkTasks)]
+	return head || chunk || n.anyInboxUnreadable()
 }
 
-// corruptShare says so of what a share is taken by.
-func (n *Node) corruptShare(s *share) bool {
-	_, holder := n.corrupt[protocol.HolderKey(s.index)]
-	_, counter := n.corrupt[protocol.CounterKey]
+// hasCorruptOwner says so of what a share is taken by.
+func (n *Node) hasCorruptOwner(s *partition) bool {
+	_, holder := n.corruptKeys[protocol.HolderKey(s.index)]
+	_, counter := n.corruptKeys[protocol.CounterKey]
 	return holder || counter
 }
--- a/internal/coordination/node/corrupt_test.go
+++ b/internal/coordination/node/corrupt_test.go
@@ -42,14 +42,14 @@
 // none of it proves that a job has ended, a machine has gone or a share is free.
 func TestCorruptRecordsProveNothing(t *testing.T) {
 	counted := 0
-	for seed := range seeds(300) {
+	for seed := range seedCount(300) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		b := newBench(t)
-		b.put(protocol.FormatKey, protocol.FormatRecord{Packed: true})
-		b.job("job-000001", false, onHost1)
+		b := newTestNode(t)
+		b.watchPut(protocol.FormatKey, protocol.FormatRecord{Packed: true})
+		b.addJob("job-000001", false, placedOnHost1)
 		spec := func(id string) *protocol.JobSpec { s := *b.jobs["job-000001"].spec; s.ID = id; return &s }
 		good := map[string]any{
-			protocol.JobKey("job-000001"):   protocol.JobRecord{Spec: spec("job-000001"), Next: 2, Chunk: protocol.Chunk{Placed: []protocol.Placement{onHost1}, Errors: [][2]int{{0, 1}}}},
+			protocol.JobKey("job-000001"):   protocol.JobRecord{Spec: spec("job-000001"), Next: 2, Chunk: protocol.Chunk{Placed: []protocol.Placement{placedOnHost1}, Errors: [][2]int{{0, 1}}}},
 			protocol.JobKey("job-000002"):   protocol.JobRecord{Spec: spec("job-000002"), Next: 2, Chunk: protocol.Chunk{Done: [][2]int{{0, 0}}}},
 			protocol.ChunkKey("job-1", 1):   protocol.Chunk{Placed: []protocol.Placement{{Task: 130, Attempt: 1, Machine: "host-1"}}},
 			protocol.JobKey("job-000003"):   protocol.JobRecord{Ticket: &protocol.TicketRecord{Name: "t", Base: spec("job-000003"), Steps: []protocol.TicketStep{{Name: "s", Tasks: 2, Deps: []int{0}}}}},
@@ -87,22 +87,22 @@
 						t.Fatalf("seed %d: %s %s ended the process: %v", seed, key, data, r)
 					}
 				}()
-				b.rev++
-				b.apply(storage.Item{Key: key, Value: data, Stamp: b.rev})
-				if b.corrupt[key] != 0 {
+				b.revision++
+				b.applyItem(storage.Item{Key: key, Value: data, Stamp: b.revision})
+				if b.corruptKeys[key] != 0 {
 					counted++
 				}
 			}()
 			// What it could not read it still knows as before.
-			if _, bad := b.corrupt[protocol.JobKey("job-000001")]; bad && b.jobs["job-000001"] == nil && !b.logBroken(0) {
-				if _, _, over := b.shares[0].log.Ended("job-000001"); !over {
+			if _, bad := b.corruptKeys[protocol.JobKey("job-000001")]; bad && b.jobs["job-000001"] == nil && !b.logUnreadable(0) {
+				if _, _, over := b.partitions[0].log.Ended("job-000001"); !over {
 					t.Fatalf("seed %d: %s %s ended a job", seed, key, data)
 				}
 			}
-			if _, bad := b.corrupt[protocol.HolderKey(0)]; bad && b.shares[0].holder.Token == 0 {
+			if _, bad := b.corruptKeys[protocol.HolderKey(0)]; bad && b.partitions[0].owner.Token == 0 {
 				t.Fatalf("seed %d: %s %s freed a share", seed, key, data)
 			}
-			if _, bad := b.corrupt[protocol.BatchKey("r-0-7-1-0")]; bad && !b.machines["host-1"].known {
+			if _, bad := b.corruptKeys[protocol.BatchKey("r-0-7-1-0")]; bad && !b.machines["host-1"].recorded {
 				t.Fatalf("seed %d: %s %s took a machine", seed, key, data)
 			}
 		}
@@ -113,10 +113,10 @@
 				}
 			}()
 			for i := range 3 {
-				b.report(7, uint64(i+1), protocol.TaskReport{Task: "job-000001/0", Attempt: 9, State: protocol.TaskRunning}, protocol.TaskReport{Task: "job-000001/77", Attempt: 1, State: "nonsense"}, protocol.TaskReport{Task: "x", State: protocol.TaskExited})
+				b.sendReport(7, uint64(i+1), protocol.TaskReport{Task: "job-000001/0", Attempt: 9, State: protocol.TaskRunning}, protocol.TaskReport{Task: "job-000001/77", Attempt: 1, State: "nonsense"}, protocol.TaskReport{Task: "x", State: protocol.TaskExited})
 				b.tick(time.Now())
-				b.settle(time.Now())
-				b.tellCaches(time.Now())
+				b.processPendingWork(time.Now())
+				b.prepareHints(time.Now())
 				b.status(time.Now())
 			}
 		}()
@@ -129,22 +129,22 @@
 // A record that can't be read is counted once, its job is left alone until it can be read,
 // and nobody is told that the job is unknown.
 func TestCorruptJobIsLeftAlone(t *testing.T) {
-	b := newBench(t)
-	j := b.job("job-000001", false, onHost1)
+	b := newTestNode(t)
+	j := b.addJob("job-000001", false, placedOnHost1)
 	key := protocol.JobKey("job-000001")
-	known := b.stamp(key)
+	known := b.revisionOf(key)
 	for range 3 {
-		b.apply(storage.Item{Key: key, Value: json.RawMessage(`{"s":7}`), Stamp: b.rev + 5})
+		b.applyItem(storage.Item{Key: key, Value: json.RawMessage(`{"s":7}`), Stamp: b.revision + 5})
 	}
-	if b.jobs["job-000001"] != j || b.stamp(key) != known || len(b.corrupt) != 1 {
-		t.Fatalf("job %v, stamp %d for %d, corrupt %v", b.jobs["job-000001"], b.stamp(key), known, b.corrupt)
+	if b.jobs["job-000001"] != j || b.revisionOf(key) != known || len(b.corruptKeys) != 1 {
+		t.Fatalf("job %v, stamp %d for %d, corrupt %v", b.jobs["job-000001"], b.revisionOf(key), known, b.corruptKeys)
 	}
-	if !b.quieted(j) {
+	if !b.jobChangesPaused(j) {
 		t.Error("changes of it are tried that fail again and again")
 	}
-	b.rev += 10
-	b.job("job-000001", true, onHost1)
-	if b.quieted(j) || !j.cancelled || len(b.corrupt) != 0 {
-		t.Errorf("readable again: quieted %v, cancelled %v, corrupt %v", b.quieted(j), j.cancelled, b.corrupt)
+	b.revision += 10
+	b.addJob("job-000001", true, placedOnHost1)
+	if b.jobChangesPaused(j) || !j.cancelled || len(b.corruptKeys) != 0 {
+		t.Errorf("readable again: quieted %v, cancelled %v, corrupt %v", b.jobChangesPaused(j), j.cancelled, b.corruptKeys)
 	}
 }
--- a/internal/coordination/node/facts.go
+++ b/internal/coordination/node/facts.go
@@ -15,78 +15,78 @@
 
 // Names from package decide that the actor's state is made of.
 type (
-	Amounts = decide.Amounts
-	Window  = decide.Window
-	offer   = decide.Offer
+	Resources = decide.Resources
+	Window    = decide.Window
+	offer     = decide.Offer
 )
 
-const slack = decide.Slack
+const tolerance = decide.Tolerance
 
-// touch notes that something of a machine has changed.
-func (n *Node) touch(m *machine) {
-	if m != nil && !m.stale {
-		m.stale = true
-		n.seen.stale = append(n.seen.stale, m)
+// markStale notes that something of a machine has changed.
+func (n *Node) markStale(m *machine) {
+	if m != nil && !m.factsStale {
+		m.factsStale = true
+		n.planningFacts.staleMachines = append(n.planningFacts.staleMachines, m)
 	}
 }
 
-// touchJob notes that something of a job has changed which its machines' facts tell.
-func (n *Node) touchJob(j *job) {
+// markJobStale notes that something of a job has changed which its machines' facts tell.
+func (n *Node) markJobStale(j *job) {
 	for i := range j.tasks {
-		n.touch(j.tasks[i].machine)
+		n.markStale(j.tasks[i].machine)
 	}
 }
 
-func (n *Node) touchAll() {
+func (n *Node) markAllStale() {
 	for _, m := range n.machines {
-		n.touch(m)
+		n.markStale(m)
 	}
 }
 
-// syncIndex makes the facts of all machines that were touched anew.
-func (n *Node) syncIndex(now time.Time) {
-	if shut := n.shut(now); shut != n.seen.wasShut {
-		n.seen.wasShut = shut // with the site's lease jobs of the gateway may not run: no event tells
-		n.touchAll()
+// refreshIndex makes the facts of all machines that were touched anew.
+func (n *Node) refreshIndex(now time.Time) {
+	if shut := n.gatewayJobsBlocked(now); shut != n.planningFacts.gatewayClosed {
+		n.planningFacts.gatewayClosed = shut // with the site's lease jobs of the gateway may not run: no event tells
+		n.markAllStale()
 	}
-	for _, m := range n.seen.stale {
-		n.factsOf(m)
+	for _, m := range n.planningFacts.staleMachines {
+		n.currentFacts(m)
 	}
-	n.seen.stale = n.seen.stale[:0]
+	n.planningFacts.staleMachines = n.planningFacts.staleMachines[:0]
 }
 
-// factsOf are a machine's facts as they are now.
-func (n *Node) factsOf(m *machine) *decide.Machine {
-	if m.stale {
-		m.stale = false
+// currentFacts are a machine's facts as they are now.
+func (n *Node) currentFacts(m *machine) *decide.Machine {
+	if m.factsStale {
+		m.factsStale = false
 		if n.machines[m.name] != m {
-			n.seen.index.Remove(&m.facts)
+			n.planningFacts.index.Remove(&m.facts)
 			return &m.facts
 		}
-		f := n.machineFacts(m)
-		n.seen.index.Set(&m.facts, &f)
+		f := n.buildMachineFacts(m)
+		n.planningFacts.index.Set(&m.facts, &f)
 	}
 	return &m.facts
 }
 
-func (n *Node) machineFacts(m *machine) decide.Machine {
-	t := n.types[m.rec.Type]
-	f := decide.Machine{Name: m.name, Type: m.rec.Type, Zone: m.rec.Zone, Spot: m.rec.Spot, Share: m.rec.Share, Used: m.used, SecPerGB: decide.SecondsPerGB(t, m.secPerGB),
-		AvoidTill: m.avoidTill, Heard: m.heard, Addressed: m.rec.Addr != "", EarmarkTo: m.earmarkTo, Reserved: m.reserved, Needed: m.needed}
+func (n *Node) buildMachineFacts(m *machine) decide.Machine {
+	t := n.machineTypes[m.rec.Type]
+	f := decide.Machine{Name: m.name, Type: m.rec.Type, Zone: m.rec.Zone, Spot: m.rec.Spot, Partition: m.rec.Share, Used: m.used, SecPerGB: decide.SecondsPerGB(t, m.secPerGB),
+		AvoidUntil: m.avoidUntil, LastReport: m.lastFencedReport, HasAddress: m.rec.Addr != "", EarmarkedUntil: m.earmarkedUntil, Reserved: m.gangReservation, Needed: m.needed}
 	if t != nil {
 		f.HasType, f.Size = true, decide.SizeOf(t)
 	}
 	for _, b := range [...]struct {
 		is  bool
 		bit decide.Block
-	}{{!m.known, decide.NoRecord}, {!m.fenced, decide.Unfenced}, {m.notice, decide.Notice}, {m.returning, decide.Returning}, {m.gone, decide.Gone},
-		{m.moving, decide.Moving}, {m.heldBack, decide.HeldBack}, {len(m.doubt) > 0, decide.Doubt}, {n.faulty(m), decide.Faulty}} {
+	}{{!m.recorded, decide.NotRecorded}, {!m.fenced, decide.Unfenced}, {m.spotNotice, decide.InterruptionNotice}, {m.returning, decide.Returning}, {m.returned, decide.Returned},
+		{m.moving, decide.Moving}, {m.heldBack, decide.Cordoned}, {len(m.unconfirmedStarts) > 0, decide.StartUnconfirmed}, {n.faulty(m), decide.Faulty}} {
 		if b.is {
 			f.Block |= b.bit
 		}
 	}
-	if m.unreported() {
-		f.Heard = m.heard.Add(-n.silentLimit()) // silent at once: a start would end with the lease
+	if m.reachableOnlyDirectly() {
+		f.LastReport = m.lastFencedReport.Add(-n.silenceTimeout()) // silent at once: a start would end with the lease
 	}
 	for _, im := range m.images {
 		f.Images = append(f.Images, im.Name)
@@ -94,12 +94,12 @@
 	for im := range m.fetchSince {
 		f.Images = append(f.Images, im)
 	}
-	for k := range m.on {
+	for k := range m.tasks {
 		t := &k.job.tasks[k.task]
-		f.Held = append(f.Held, decide.Held{Job: &k.job.facts, Task: k.task, Since: t.since, Settled: t.phase == placed && t.fact == noFact, Unwanted: n.unwanted(k.job, t)})
+		f.Assignments = append(f.Assignments, decide.Assignment{Job: &k.job.facts, Task: k.task, Since: t.phaseSince, Active: t.phase == phasePlaced && t.outcome == outcomeNone, Stopping: n.shouldStop(k.job, t)})
 	}
-	if m.earmark != nil {
-		f.Earmark = &m.earmark.facts
+	if m.earmarkedFor != nil {
+		f.EarmarkedFor = &m.earmarkedFor.facts
 	}
 	return f
 }
@@ -108,19 +108,19 @@
 // setPhase.
 func (n *Node) jobFacts(j *job, now time.Time) *decide.Job {
 	f := &j.facts
-	f.Pausing = 0
-	if j.errored {
-		f.Pausing = j.nWaiting() - j.tryable(now)
-	}
-	f.Cancelled, f.Abandon, f.Busy, f.Closed = j.cancelled, j.abandon, j.busy, n.closed(j, now)
-	f.Mistake, f.Tries, f.LastError, f.Heavy = j.trouble.mistake, j.trouble.tries, j.trouble.last, j.heavy
-	f.NotBefore, f.RoomTill, f.Preempted, f.NoVictims = j.notBefore, j.roomTill, j.preempted, j.noVictims
-	f.ReservedSince, f.ReserveAfter, f.ExpectedStart, f.KeptOff = j.reservedSince, j.reserveAfter, j.expectedStart, j.keptOff
+	f.InBackoff = 0
+	if j.hasErrors {
+		f.InBackoff = j.nWaiting() - j.startableTasks(now)
+	}
+	f.Cancelled, f.AbortAttempt, f.WritePending, f.SiteLeaseMissing = j.cancelled, j.abortAttempt, j.writePending, n.blockedBySiteLease(j, now)
+	f.FailsEverywhere, f.Tries, f.LastError, f.Heavy = j.failures.failsEverywhere, j.failures.tries, j.failures.lastMachine, j.heavy
+	f.NotBefore, f.PreemptionWaitUntil, f.PreemptAfter, f.VictimSearchAfter = j.notBefore, j.preemptionWaitUntil, j.preemptAfter, j.victimSearchAfter
+	f.ReservedSince, f.ReserveAfter, f.ExpectedStart, f.ReservationBlockedSince = j.reservedSince, j.reserveAfter, j.expectedStart, j.reservationBlockedSince
 	return f
 }
 
-// boundFacts are a job's facts with the zones that its tasks are in, if they bind it.
-func (n *Node) boundFacts(j *job, now time.Time) *decide.Job {
+// jobFactsWithZones are a job's facts with the zones that its tasks are in, if they bind it.
+func (n *Node) jobFactsWithZones(j *job, now time.Time) *decide.Job {
 	f := n.jobFacts(j, now)
 	f.Zones = nil
 	if j.spec.OneZone || j.spec.Spread {
@@ -135,15 +135,15 @@
 }
 
 func newJobFacts(j *job) decide.Job {
-	return decide.Job{ID: j.id, Spec: j.spec, Team: j.team, Share: j.share, Rank: j.rank, Need: j.need, Tasks: len(j.tasks),
-		Submitted: j.submitted, Seen: j.seen, Waiting: j.nWaiting(), Step: j.step != nil}
+	return decide.Job{ID: j.id, Spec: j.spec, Team: j.team, Partition: j.partition, Rank: j.rank, Need: j.need, Tasks: len(j.tasks),
+		Submitted: j.submitted, FirstSeen: j.firstSeen, Waiting: j.nWaiting(), TicketStep: j.step != nil}
 }
 
 // view is one look at a share.
-func (n *Node) view(s *share, now time.Time) *decide.View {
-	n.syncIndex(now)
-	v := &decide.View{Now: now, Share: s.index, Keep: n.mine(s) && !s.square.MayDisplace(), Types: n.types, Index: n.seen.index, Wanted: n.wantedTypes(now),
-		Config: decide.Config{ReportS: n.cfg.Params.Workers.ReportS, Aims: n.cfg.Params.Aims, MoveS: n.policy.MoveS}}
+func (n *Node) view(s *partition, now time.Time) *decide.View {
+	n.refreshIndex(now)
+	v := &decide.View{Now: now, Partition: s.index, NoPreemption: n.owns(s) && !s.reconciliation.MayDisplace(), Types: n.machineTypes, Index: n.planningFacts.index, GPUTypesInDemand: n.wantedTypes(now),
+		Config: decide.Config{ReportS: n.cfg.Params.Workers.ReportS, Objectives: n.cfg.Params.Aims, MoveS: n.policy.MoveS}}
 	for _, t := range n.teams {
 		v.Teams = append(v.Teams, &t.Team)
 	}
@@ -156,54 +156,54 @@
 // wantedTypes are the types that work with GPUs could use: jobs that are there, of any
 // share, and those that came lately.
 func (n *Node) wantedTypes(now time.Time) map[string]bool {
-	if n.seen.wanted != nil && now.Sub(n.seen.wantedAt) < wantedFor {
-		return n.seen.wanted
+	if n.planningFacts.gpuTypesInDemand != nil && now.Sub(n.planningFacts.gpuTypesAt) < wantedFor {
+		return n.planningFacts.gpuTypesInDemand
 	}
-	n.seen.wanted, n.seen.wantedAt = map[string]bool{}, now
+	n.planningFacts.gpuTypesInDemand, n.planningFacts.gpuTypesAt = map[string]bool{}, now
 	for _, j := range n.jobs {
-		decide.Want(n.seen.wanted, n.types, j.spec)
+		decide.MarkGPUTypesInDemand(n.planningFacts.gpuTypesInDemand, n.machineTypes, j.spec)
 	}
-	for _, s := range n.shares {
-		for _, a := range decide.Remembered(s.recent, now) {
-			decide.Want(n.seen.wanted, n.types, a.Spec)
+	for _, s := range n.partitions {
+		for _, a := range decide.TrimArrivals(s.recentArrivals, now) {
+			decide.MarkGPUTypesInDemand(n.planningFacts.gpuTypesInDemand, n.machineTypes, a.Spec)
 		}
 	}
-	return n.seen.wanted
+	return n.planningFacts.gpuTypesInDemand
 }
 
 // usable says whether new tasks may be placed on a machine.
 func (n *Node) usable(m *machine, now time.Time) bool {
-	return n.factsOf(m).Usable(now, n.cfg.Params.Workers.ReportS)
+	return n.currentFacts(m).Usable(now, n.cfg.Params.Workers.ReportS)
 }
 
-// free is what a machine has left.
-func (n *Node) free(m *machine) Amounts { return n.factsOf(m).Free() }
+// available is what a machine has left.
+func (n *Node) available(m *machine) Resources { return n.currentFacts(m).Free() }
 
-// hasRoom says whether another task could start on a machine.
-func (n *Node) hasRoom(m *machine) bool { return n.factsOf(m).HasRoom() }
+// hasCapacity says whether another task could start on a machine.
+func (n *Node) hasCapacity(m *machine) bool { return n.currentFacts(m).HasCapacity() }
 
-// stopping says whether something on a machine is to leave it.
-func (n *Node) stopping(m *machine) bool {
-	for k := range m.on {
-		if n.unwanted(k.job, &k.job.tasks[k.task]) {
+// hasStoppingTask says whether something on a machine is to leave it.
+func (n *Node) hasStoppingTask(m *machine) bool {
+	for k := range m.tasks {
+		if n.shouldStop(k.job, &k.job.tasks[k.task]) {
 			return true
 		}
 	}
 	return false
 }
 
-// wants is how many tasks of a job room should be made for.
-func (n *Node) wants(j *job, now time.Time) int {
-	return decide.Wants(n.jobFacts(j, now), &n.teams[j.team].Team, now)
+// preemptionDemand is how many tasks of a job room should be made for.
+func (n *Node) preemptionDemand(j *job, now time.Time) int {
+	return decide.Demand(n.jobFacts(j, now), &n.teams[j.team].Team, now)
 }
 
-// guest says whether a job's team has no guarantee.
-func (n *Node) guest(j *job) bool { return n.teams[j.team].Guest() }
+// unguaranteed says whether a job's team has no guarantee.
+func (n *Node) unguaranteed(j *job) bool { return n.teams[j.team].Unguaranteed() }
 
-// onlyGuests says whether all that a machine has to do is guests' work.
-func (n *Node) onlyGuests(m *machine) bool {
-	for k := range m.on {
-		if !n.guest(k.job) {
+// onlyUnguaranteed says whether all that a machine has to do is guests' work.
+func (n *Node) onlyUnguaranteed(m *machine) bool {
+	for k := range m.tasks {
+		if !n.unguaranteed(k.job) {
 			return false
 		}
 	}
@@ -212,7 +212,7 @@
 
 // overLimit says whether what is counted for a team is more than it may use: then
 // nothing of it is started, whatever is recorded.
-func (n *Node) overLimit(team int) bool { return n.teams[team].Over() }
+func (n *Node) overLimit(team int) bool { return n.teams[team].OverLimit() }
 
-// size is what a machine of a type has.
-func size(t *protocol.MachineType) Amounts { return decide.SizeOf(t) }
+// capacityOf is what a machine of a type has.
+func capacityOf(t *protocol.MachineType) Resources { return decide.SizeOf(t) }
--- a/internal/coordination/node/facts_test.go
+++ b/internal/coordination/node/facts_test.go
@@ -13,18 +13,18 @@
 
 // Whatever the simulated troubles do, each decision is made on facts that are those of
 // the actor's state, and chooses what a walk over all machines would.
-var checkedPlacings atomic.Int64
+var checkedPlacements atomic.Int64
 
 func init() {
-	checkPlacing = func(n *Node, v *decide.View, j *decide.Job, p decide.Placing) {
+	checkPlacement = func(n *Node, v *decide.View, j *decide.Job, p decide.Placement) {
 		for _, m := range n.machines {
-			want := n.machineFacts(m)
-			got := decide.Machine{Name: m.facts.Name, Type: m.facts.Type, Zone: m.facts.Zone, Spot: m.facts.Spot, Share: m.facts.Share, Block: m.facts.Block, HasType: m.facts.HasType, Size: m.facts.Size, Used: m.facts.Used,
-				SecPerGB: m.facts.SecPerGB, Images: m.facts.Images, AvoidTill: m.facts.AvoidTill, Heard: m.facts.Heard, Addressed: m.facts.Addressed, Held: m.facts.Held, Earmark: m.facts.Earmark, EarmarkTo: m.facts.EarmarkTo, Reserved: m.facts.Reserved, Needed: m.facts.Needed}
+			want := n.buildMachineFacts(m)
+			got := decide.Machine{Name: m.facts.Name, Type: m.facts.Type, Zone: m.facts.Zone, Spot: m.facts.Spot, Partition: m.facts.Partition, Block: m.facts.Block, HasType: m.facts.HasType, Size: m.facts.Size, Used: m.facts.Used,
+				SecPerGB: m.facts.SecPerGB, Images: m.facts.Images, AvoidUntil: m.facts.AvoidUntil, LastReport: m.facts.LastReport, HasAddress: m.facts.HasAddress, Assignments: m.facts.Assignments, EarmarkedFor: m.facts.EarmarkedFor, EarmarkedUntil: m.facts.EarmarkedUntil, Reserved: m.facts.Reserved, Needed: m.facts.Needed}
 			for _, f := range []*decide.Machine{&want, &got} {
-				f.Held, f.Images = slices.Clone(f.Held), slices.Clone(f.Images)
+				f.Assignments, f.Images = slices.Clone(f.Assignments), slices.Clone(f.Images)
 				sort.Strings(f.Images)
-				slices.SortFunc(f.Held, func(a, b decide.Held) int {
+				slices.SortFunc(f.Assignments, func(a, b decide.Assignment) int {
 					return compareNames(fmt.Sprint(a.Job.ID, "/", a.Task), fmt.Sprint(b.Job.ID, "/", b.Task))
 				})
 			}
@@ -32,12 +32,12 @@
 				panic(fmt.Sprintf("facts of %s are %+v, they should be %+v", m.name, got, want))
 			}
 		}
-		if p.Room.Made() || p.Why == decide.RoomIsMade {
+		if p.Preemption.HasEvictions() || p.Reason == decide.PreemptionInProgress {
 			return
 		}
-		if want := decidetest.Slots(v, j, v.Config.Fragile(j, v.Now)); !slices.Equal(p.On, want) {
-			panic(fmt.Sprintf("%s: %d places, a walk finds %d", j.ID, len(p.On), len(want)))
+		if want := decidetest.Slots(v, j, v.Config.RestartMissesObjective(j, v.Now)); !slices.Equal(p.Machines, want) {
+			panic(fmt.Sprintf("%s: %d places, a walk finds %d", j.ID, len(p.Machines), len(want)))
 		}
-		checkedPlacings.Add(1)
+		checkedPlacements.Add(1)
 	}
 }
--- a/internal/coordination/node/gap_test.go
+++ b/internal/coordination/node/gap_test.go
@@ -53,7 +53,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		w := newWorld(t, ctx, g.seed, func(p *protocol.WorkerSettings) { p.ReportS, p.LeaseS, p.CancelS = 3, 20, 40 })
-		w.leftOut, w.quietly = g.leftOut, g.leftOut != ""
+		w.disabledGuard, w.collectOnly = g.leftOut, g.leftOut != ""
 		if g.early {
 			w.fleet.ToldLate = false
 			w.state.Put(protocol.NodeKey("n-9"), map[string]uint64{"lease": 1})
@@ -64,10 +64,10 @@
 		}
 		time.Sleep(45 * time.Second)
 		for i := range w.names[g.nodes:] { // those that the place does not have are cut off for good
-			w.set(func() { w.noNet[w.names[g.nodes+i]] = true })
+			w.withLock(func() { w.isolated[w.names[g.nodes+i]] = true })
 		}
 		time.Sleep(20 * time.Second)
-		leader := w.leader(0)
+		leader := w.partitionOwner(0)
 		others := []string{}
 		for _, name := range w.names[:g.nodes] {
 			if name != leader {
@@ -82,7 +82,7 @@
 			if i%3 == 0 {
 				for _, name := range others {
 					if name != leader {
-						w.set(func() { w.unheard[name+" "+host] = true })
+						w.withLock(func() { w.cutPairs[name+" "+host] = true })
 					}
 				}
 			}
@@ -90,16 +90,16 @@
 		var mu sync.Mutex // guards what follows, and done
 		var outageFrom, outageTill time.Time
 		lose := func(is bool) {
-			w.set(func() {
+			w.withLock(func() {
 				if g.hangs {
-					w.mute[leader] = is
+					w.stateSilent[leader] = is
 				} else {
-					w.noState[leader] = is
+					w.stateRefused[leader] = is
 				}
 			})
 		}
 		down := func(is bool) {
-			w.set(func() { w.outage = is })
+			w.withLock(func() { w.outage = is })
 			mu.Lock()
 			defer mu.Unlock()
 			if is {
@@ -110,7 +110,7 @@
 			}
 		}
 		if g.stale {
-			w.set(func() { w.noWatch[others[len(others)-1]] = true })
+			w.withLock(func() { w.watchStalled[others[len(others)-1]] = true })
 			time.Sleep(4 * time.Second)
 		}
 		lost := time.Now()
@@ -119,7 +119,7 @@
 			wg.Go(func() {
 				id := fmt.Sprintf("job-%06d", i)
 				if g.atOnce {
-					time.Sleep(w.between(0, atOnceWithin))
+					time.Sleep(w.randDuration(0, atOnceWithin))
 				}
 				from := time.Now()
 				mu.Lock()
@@ -131,7 +131,7 @@
 				for k := 0; time.Since(from) < time.Minute; k++ {
 					by := others[0]
 					if g.atOnce {
-						by = w.names[w.pick(g.nodes)]
+						by = w.names[w.randInt(g.nodes)]
 					}
 					a := w.cancelOnce(by, id)
 					if a.status == 200 {
@@ -159,7 +159,7 @@
 			time.Sleep(g.apart)
 			down(true)
 		}
-		before := w.times("reported to " + leader)
+		before := w.eventCount("reported to " + leader)
 		if g.ends {
 			time.Sleep(10 * time.Second)
 			w.restart(leader, 300*time.Millisecond)
@@ -167,20 +167,20 @@
 		} else {
 			time.Sleep(g.outage)
 		}
-		done.atLeader = w.times("reported to "+leader) - before
+		done.atLeader = w.eventCount("reported to "+leader) - before
 		down(false)
 		time.Sleep(10 * time.Second)
 		lose(false)
-		w.set(func() { clear(w.unheard); clear(w.noWatch) })
+		w.withLock(func() { clear(w.cutPairs); clear(w.watchStalled) })
 		wg.Wait()
 		if lasted := outageTill.Sub(outageFrom); lasted <= 40*time.Second {
 			t.Errorf("the outage lasted %v", lasted)
 		}
 		time.Sleep(60 * time.Second)
 		for _, b := range w.fleet.Broken {
-			w.complain("rule broken: %s", b)
+			w.violation("rule broken: %s", b)
 		}
-		done.broken = w.complaints
+		done.broken = w.violations
 		cancel()
 		time.Sleep(2 * time.Minute)
 		synctest.Wait()
@@ -216,7 +216,7 @@
 		{apart: 2 * time.Second, outage: 90 * time.Second, atOnce: true},
 	}
 	for i, g := range ways {
-		for seed := range seeds(1) {
+		for seed := range seedCount(1) {
 			if g.seed = 40 + 100*seed + uint64(i); g.nodes == 0 {
 				g.nodes = 3
 			}
@@ -245,7 +245,7 @@
 // A user who is told that a job is cancelled as soon as that is stored, while its tasks go on
 // at a leader that can't know of it, is found.
 func TestGapFindsWhatIsLeftOut(t *testing.T) {
-	for seed := range seeds(4) {
+	for seed := range seedCount(4) {
 		g := gap{apart: time.Second, outage: 60 * time.Second, atOnce: true, nodes: 3, seed: 80 + seed, leftOut: "gone tasks"}
 		if d := g.play(t); len(d.broken) > 0 {
 			t.Logf("found with seed %d: %s", g.seed, d.broken[0])
--- a/internal/coordination/node/guards_test.go
+++ b/internal/coordination/node/guards_test.go
@@ -19,47 +19,47 @@
 	"dapplestage.example/dapplestage/internal/transport"
 )
 
-// bench is one node whose actor is not running: the test is the actor.
-type bench struct {
+// testNode is one node whose actor is not running: the test is the actor.
+type testNode struct {
 	*Node
-	t     testing.TB
-	state *standin.State
-	rev   uint64
+	t        testing.TB
+	state    *standin.State
+	revision uint64
 }
 
-// newBench makes a node that holds share 0 under token 7, with one machine
+// newTestNode makes a node that holds share 0 under token 7, with one machine
 // host-1 and no jobs.
-func newBench(t testing.TB) *bench {
+func newTestNode(t testing.TB) *testNode {
 	st := standin.NewState()
 	names := []string{"n-0", "n-1", "n-2"}
 	n := New(t.Context(), settingsFor(names, 0), slog.New(slog.NewTextHandler(io.Discard, nil)), st, standin.NewFleet(t.Context()), nil, 1)
-	n.setTypes([]protocol.MachineType{{Name: "g4", CPUs: 24, GPUs: 4, MemoryGB: 192, Zones: []string{"a"}}})
-	n.Contact(time.Now())
-	n.reload(nil, 0)
-	n.complete = time.Now()
+	n.applyCatalog([]protocol.MachineType{{Name: "g4", CPUs: 24, GPUs: 4, MemoryGB: 192, Zones: []string{"a"}}})
+	n.RecordContact(time.Now())
+	n.applyListing(nil, 0)
+	n.completeAt = time.Now()
 	n.lease = 3
-	b := &bench{Node: n, t: t, state: st, rev: 10}
-	b.put(protocol.CounterKey, protocol.CounterRecord{Token: 7})
-	b.put(protocol.BatchKey("r-0-7-1-0"), protocol.BatchRecord{Machines: []protocol.MachineRecord{{Name: "host-1", Type: "g4", Zone: "a"}}})
-	b.put(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 7, Lease: 3})
+	b := &testNode{Node: n, t: t, state: st, revision: 10}
+	b.watchPut(protocol.CounterKey, protocol.CounterRecord{Token: 7})
+	b.watchPut(protocol.BatchKey("r-0-7-1-0"), protocol.BatchRecord{Machines: []protocol.MachineRecord{{Name: "host-1", Type: "g4", Zone: "a"}}})
+	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 7, Lease: 3})
 	return b
 }
 
-// put is a change that the watch tells.
-func (b *bench) put(key string, v any) {
-	b.rev++
-	b.follow([]storage.Item{{Key: key, Value: mustJSON(v), Stamp: b.rev}}, b.rev)
+// watchPut is a change that the watch tells.
+func (b *testNode) watchPut(key string, v any) {
+	b.revision++
+	b.applyWatch([]storage.Item{{Key: key, Value: mustJSON(v), Stamp: b.revision}}, b.revision)
 }
 
-// job stores a one-task job of the share's team, placed on host-1.
-func (b *bench) job(id string, cancelled bool, placed ...protocol.Placement) *job {
+// addJob stores a one-task job of the share's team, placed on host-1.
+func (b *testNode) addJob(id string, cancelled bool, placed ...protocol.Placement) *job {
 	spec := &protocol.JobSpec{ID: id, Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 1, CPUs: 4, GPUs: 1, Image: "i", ImageGB: 1}
-	b.put(protocol.JobKey(id), protocol.JobRecord{Spec: spec, Next: 2, Cancelled: cancelled, Chunk: protocol.Chunk{Placed: placed}})
+	b.watchPut(protocol.JobKey(id), protocol.JobRecord{Spec: spec, Next: 2, Cancelled: cancelled, Chunk: protocol.Chunk{Placed: placed}})
 	return b.jobs[id]
 }
 
-// report sends a worker's report and returns the answer, or nil if it is parked.
-func (b *bench) report(token, seq uint64, tasks ...protocol.TaskReport) *answer {
+// sendReport sends a worker's report and returns the answer, or nil if it is parked.
+func (b *testNode) sendReport(token, seq uint64, tasks ...protocol.TaskReport) *answer {
 	reply := make(chan answer, 1)
 	b.onReport(&protocol.Report{Machine: "host-1", Type: "g4", Zone: "a", Session: 1, Seq: seq, Token: token, Tasks: tasks}, time.Now(), reply)
 	select {
@@ -70,39 +70,39 @@
 	}
 }
 
-var onHost1 = protocol.Placement{Task: 0, Attempt: 1, Machine: "host-1"}
+var placedOnHost1 = protocol.Placement{Task: 0, Attempt: 1, Machine: "host-1"}
 
 // A list under an earlier token proves nothing: an earlier holder's start may
 // still be on its way.
 func TestUnfencedListProvesNothing(t *testing.T) {
-	b := newBench(t)
-	j := b.job("job-1", true, onHost1)
-	a := b.report(6, 1)
+	b := newTestNode(t)
+	j := b.addJob("job-1", true, placedOnHost1)
+	a := b.sendReport(6, 1)
 	if a == nil || a.status != 200 || a.body.(protocol.Orders).Token != 7 || len(a.body.(protocol.Orders).Commands) != 0 {
 		t.Fatalf("answer %+v, want the token and no commands", a)
 	}
-	if j.tasks[0].fact != noFact {
+	if j.tasks[0].outcome != outcomeNone {
 		t.Fatal("a task counts as gone by a report of an earlier token")
 	}
 	if b.machines["host-1"].fenced {
 		t.Fatal("fenced by an earlier token")
 	}
-	b.report(7, 2)
-	if j.tasks[0].fact != gone {
+	b.sendReport(7, 2)
+	if j.tasks[0].outcome != outcomeGone {
 		t.Fatal("a report of the present token without the task proves it gone")
 	}
 }
 
 // A report held on its way lists what was, not what is.
 func TestOldReportProvesNothing(t *testing.T) {
-	b := newBench(t)
-	b.job("job-1", false, onHost1)
-	b.report(7, 5, protocol.TaskReport{Task: "job-1/0", Attempt: 1, State: protocol.TaskRunning})
-	j := b.job("job-1", true, onHost1)
-	if a := b.report(7, 4); a == nil || len(a.body.(protocol.Orders).Commands) != 0 {
+	b := newTestNode(t)
+	b.addJob("job-1", false, placedOnHost1)
+	b.sendReport(7, 5, protocol.TaskReport{Task: "job-1/0", Attempt: 1, State: protocol.TaskRunning})
+	j := b.addJob("job-1", true, placedOnHost1)
+	if a := b.sendReport(7, 4); a == nil || len(a.body.(protocol.Orders).Commands) != 0 {
 		t.Fatalf("an older report was answered %+v", a)
 	}
-	if j.tasks[0].fact != noFact {
+	if j.tasks[0].outcome != outcomeNone {
 		t.Fatal("a running task counts as gone by an older report")
 	}
 }
@@ -110,23 +110,23 @@
 // A report of a higher token means that somebody else is entitled: answering
 // would at best let the lease run out, at worst command against them.
 func TestHigherTokenIsNotAnswered(t *testing.T) {
-	b := newBench(t)
-	if a := b.report(8, 1); a == nil || a.status != 503 {
+	b := newTestNode(t)
+	if a := b.sendReport(8, 1); a == nil || a.status != 503 {
 		t.Fatalf("answered %+v", a)
 	}
 }
 
 // No start is commanded before its placement is stored.
 func TestStartOnlyWhatIsStored(t *testing.T) {
-	b := newBench(t)
-	b.report(7, 1)
-	j := b.job("job-1", false)
-	b.propose(j, []int{0}, []*machine{b.machines["host-1"]}, time.Now())
-	if a := b.report(7, 2); a != nil && len(a.body.(protocol.Orders).Commands) != 0 {
+	b := newTestNode(t)
+	b.sendReport(7, 1)
+	j := b.addJob("job-1", false)
+	b.proposePlacements(j, []int{0}, []*machine{b.machines["host-1"]}, time.Now())
+	if a := b.sendReport(7, 2); a != nil && len(a.body.(protocol.Orders).Commands) != 0 {
 		t.Fatalf("commanded %+v", a.body)
 	}
-	b.job("job-1", false, onHost1)
-	a := b.report(7, 3)
+	b.addJob("job-1", false, placedOnHost1)
+	a := b.sendReport(7, 3)
 	if a == nil || len(a.body.(protocol.Orders).Commands) != 1 || a.body.(protocol.Orders).Commands[0].Op != protocol.OpStart {
 		t.Fatalf("a stored placement was answered %+v", a)
 	}
@@ -134,17 +134,17 @@
 
 // Done is stored before the worker is told to forget the task.
 func TestForgetOnlyWhatIsStored(t *testing.T) {
-	b := newBench(t)
-	j := b.job("job-1", false, onHost1)
+	b := newTestNode(t)
+	j := b.addJob("job-1", false, placedOnHost1)
 	over := protocol.TaskReport{Task: "job-1/0", Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseDone}
-	if a := b.report(7, 1, over); a != nil && len(a.body.(protocol.Orders).Commands) != 0 {
+	if a := b.sendReport(7, 1, over); a != nil && len(a.body.(protocol.Orders).Commands) != 0 {
 		t.Fatalf("commanded %+v before done is stored", a.body)
 	}
-	if j.tasks[0].fact != finished {
+	if j.tasks[0].outcome != outcomeFinished {
 		t.Fatal("done was not noted")
 	}
-	b.apply(storage.Item{Key: protocol.JobKey("job-1"), Stamp: b.rev + 1})
-	a := b.report(7, 2, over)
+	b.applyItem(storage.Item{Key: protocol.JobKey("job-1"), Stamp: b.revision + 1})
+	a := b.sendReport(7, 2, over)
 	if a == nil || len(a.body.(protocol.Orders).Commands) != 1 || a.body.(protocol.Orders).Commands[0].Op != protocol.OpForget {
 		t.Fatalf("answered %+v, want clear", a)
 	}
@@ -154,33 +154,33 @@
 // cancellation could be missed without the store, so leases may be extended only while
 // they would still end within cancel_s of the last contact.
 func TestLeasesAreNotExtendedForeverWithoutStore(t *testing.T) {
-	b := newBench(t)
-	if now := time.Now(); !b.mayAnswer(now.Add(time.Hour)) {
+	b := newTestNode(t)
+	if now := time.Now(); !b.mayExtendLeases(now.Add(time.Hour)) {
 		t.Fatal("leases end in an outage though nobody is told of a cancellation before it is over")
 	}
-	b.put(protocol.NodeKey("n-2"), map[string]uint64{"lease": 9})
+	b.watchPut(protocol.NodeKey("n-2"), map[string]uint64{"lease": 9})
 	now := time.Now()
 	w := b.cfg.Params.Workers
-	if !b.mayAnswer(now.Add(time.Duration((w.CancelS - w.LeaseS - 3) * float64(time.Second)))) {
+	if !b.mayExtendLeases(now.Add(time.Duration((w.CancelS - w.LeaseS - 3) * float64(time.Second)))) {
 		t.Fatal("leases should survive a short outage")
 	}
 	over := now.Add(time.Duration((w.CancelS - w.LeaseS) * float64(time.Second)))
-	if b.mayAnswer(over) {
+	if b.mayExtendLeases(over) {
 		t.Fatal("a cancelled task could outlive cancel_s")
 	}
-	b.Contact(over)
-	if b.mayAnswer(over) {
+	b.RecordContact(over)
+	if b.mayExtendLeases(over) {
 		t.Fatal("an answered call that tells nothing of what is stored extends leases")
 	}
 }
 
 // An event that the watch brings late does not bring a job back.
 func TestLateEventDoesNotRevive(t *testing.T) {
-	b := newBench(t)
-	b.job("job-1", false)
-	late := storage.Item{Key: protocol.JobKey("job-1"), Value: mustJSON(b.head(b.jobs["job-1"])), Stamp: b.rev}
-	b.apply(storage.Item{Key: protocol.JobKey("job-1"), Stamp: b.rev + 1})
-	b.apply(late)
+	b := newTestNode(t)
+	b.addJob("job-1", false)
+	late := storage.Item{Key: protocol.JobKey("job-1"), Value: mustJSON(b.headRecord(b.jobs["job-1"])), Stamp: b.revision}
+	b.applyItem(storage.Item{Key: protocol.JobKey("job-1"), Stamp: b.revision + 1})
+	b.applyItem(late)
 	if b.jobs["job-1"] != nil {
 		t.Fatal("a final job is back")
 	}
@@ -190,24 +190,24 @@
 // the replica when the answer comes, and is not unknown. (Seen on a simulated
 // day: a poll got 404 just after the holder on another node had finished it.)
 func TestFinishedWhilePolledIsNotUnknown(t *testing.T) {
-	b := newBench(t)
-	b.job("job-1", false)
+	b := newTestNode(t)
+	b.addJob("job-1", false)
 	b.state.Put(protocol.FinalKey("job-1"), protocol.FinalRecord{Status: protocol.JobDone, Tasks: 1})
 	var got []bool
-	b.readJob("job-1", func(known bool, s protocol.JobStatus, err error) {
+	b.readJobStatus("job-1", func(known bool, s protocol.JobStatus, err error) {
 		got = append(got, known && s.Status == protocol.JobDone)
 	})
-	conditions := &barrierConditions{n: b.Node, known: map[string]bool{}}
-	barrier := b.polls.Next(time.Now(), conditions.add)
-	if !conditions.known["job-1"] {
+	conditions := &barrierConditions{node: b.Node, inReplica: map[string]bool{}}
+	barrier := b.statusReads.Next(time.Now(), conditions.add)
+	if !conditions.inReplica["job-1"] {
 		t.Fatal("the replica lacks the job when the store is asked")
 	}
-	b.apply(storage.Item{Key: protocol.JobKey("job-1"), Stamp: b.rev + 1})
-	b.finishRead(barrier, conditions.known, true, nil, nil)
+	b.applyItem(storage.Item{Key: protocol.JobKey("job-1"), Stamp: b.revision + 1})
+	b.finishReadBarrier(barrier, conditions.inReplica, true, nil, nil)
 	if len(got) != 0 {
 		t.Fatal("answered from a replica that has lost the job")
 	}
-	f := <-b.inbox // the store's answer
+	f := <-b.mailbox // the store's answer
 	f()
 	if len(got) != 1 || !got[0] {
 		t.Fatalf("answered %v, want done", got)
@@ -219,7 +219,7 @@
 func TestFinalIDIsNotTakenAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, 1, asTheyAre)
+		w := newWorld(t, ctx, 1, defaultSettings)
 		w.state.Put(protocol.FinalKey("job-000001"), protocol.FinalRecord{Status: protocol.JobDone, Tasks: 1})
 		time.Sleep(5 * time.Second)
 		s := &protocol.JobSpec{ID: "job-000001", Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 1, CPUs: 4, GPUs: 1, Image: "i"}
@@ -237,16 +237,16 @@
 func TestTakeOverRaisesToken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, 1, asTheyAre)
+		w := newWorld(t, ctx, 1, defaultSettings)
 		w.state.Put(protocol.CounterKey, protocol.CounterRecord{Token: 41})
 		time.Sleep(8 * time.Second)
 		synctest.Wait()
 		seen := map[uint64]bool{}
-		for _, s := range w.nodes["n-0"].shares {
-			if s.holder.Token <= 41 || seen[s.holder.Token] {
-				t.Errorf("share %d is held under token %d", s.index, s.holder.Token)
+		for _, s := range w.nodes["n-0"].partitions {
+			if s.owner.Token <= 41 || seen[s.owner.Token] {
+				t.Errorf("share %d is held under token %d", s.index, s.owner.Token)
 			}
-			seen[s.holder.Token] = true
+			seen[s.owner.Token] = true
 		}
 		cancel()
 		time.Sleep(time.Minute)
@@ -257,19 +257,19 @@
 // A machine that was moved here long after it was rented is not one that never
 // booted. (Seen on a simulated day: each moved machine was returned at once.)
 func TestMovedMachineIsGivenTime(t *testing.T) {
-	b := newBench(t)
+	b := newTestNode(t)
 	host2 := []protocol.MachineRecord{{Name: "host-2", Type: "g4", Zone: "a", Addr: "host-2:9000"}}
-	b.put(protocol.BatchKey("r-1-6-1-0"), protocol.BatchRecord{Share: 1, Machines: host2})
+	b.watchPut(protocol.BatchKey("r-1-6-1-0"), protocol.BatchRecord{Share: 1, Machines: host2})
 	m := b.machines["host-2"]
-	m.added = time.Now().Add(-time.Hour)
-	b.put(protocol.BatchKey("m-0-8"), protocol.BatchRecord{Share: 0, Token: 8, Machines: host2})
-	b.apply(storage.Item{Key: protocol.BatchKey("r-1-6-1-0"), Stamp: b.rev})
-	if b.dead(m, time.Now()) {
+	m.trackedSince = time.Now().Add(-time.Hour)
+	b.watchPut(protocol.BatchKey("m-0-8"), protocol.BatchRecord{Share: 0, Token: 8, Machines: host2})
+	b.applyItem(storage.Item{Key: protocol.BatchKey("r-1-6-1-0"), Stamp: b.revision})
+	if b.presumedDead(m, time.Now()) {
 		t.Fatal("given up at once")
 	}
-	if !b.dead(m, time.Now().Add(2*b.silentLimit())) {
-		b.Contact(time.Now().Add(2 * b.silentLimit()))
-		if !b.dead(m, time.Now().Add(2*b.silentLimit())) {
+	if !b.presumedDead(m, time.Now().Add(2*b.silenceTimeout())) {
+		b.RecordContact(time.Now().Add(2 * b.silenceTimeout()))
+		if !b.presumedDead(m, time.Now().Add(2*b.silenceTimeout())) {
 			t.Fatal("a machine that is never heard is kept for ever")
 		}
 	}
@@ -279,26 +279,26 @@
 // they count as dead. (Seen on a simulated day: nine working machines were
 // given up within two seconds of a partition's end.)
 func TestMachinesGetTimeAfterACut(t *testing.T) {
-	b := newBench(t)
-	b.report(7, 1)
+	b := newTestNode(t)
+	b.sendReport(7, 1)
 	m := b.machines["host-1"]
 	now := time.Now().Add(40 * time.Second)
-	b.Contact(now)
-	if !b.dead(m, now) {
+	b.RecordContact(now)
+	if !b.presumedDead(m, now) {
 		t.Fatal("a machine silent for 40 s without a cut should be given up")
 	}
-	b.siblings["n-1"].zone = "a"
+	b.peers["n-1"].zone = "a"
 	b.cfg.Zone = "b" // a sibling in the machine's zone has never been heard
-	b.noteCuts(now)
+	b.detectZoneOutages(now)
 	later := now.Add(2 * time.Second)
-	b.Contact(later)
-	if b.dead(m, later) {
+	b.RecordContact(later)
+	if b.presumedDead(m, later) {
 		t.Fatal("given up just after the cut")
 	}
-	if later = now.Add(maxCut); true {
-		b.Contact(later)
+	if later = now.Add(maxZoneOutage); true {
+		b.RecordContact(later)
 	}
-	if !b.dead(m, later) {
+	if !b.presumedDead(m, later) {
 		t.Fatal("kept for ever")
 	}
 }
@@ -307,23 +307,23 @@
 // guarantee and not more. (Seen on a simulated day: teams were stopped below
 // their guarantee, had others stopped in turn, and half of all work was lost.)
 func TestLenderKeepsItsGuarantee(t *testing.T) {
-	b := newBench(t)
-	b.report(7, 1)
-	b.teams[1].share = 0 // blue lends to red on the same machines
+	b := newTestNode(t)
+	b.sendReport(7, 1)
+	b.teams[1].partition = 0 // blue lends to red on the same machines
 	for i, id := range []string{"job-1", "job-2", "job-3", "job-4"} {
 		spec := &protocol.JobSpec{ID: id, Team: "blue", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 1, CPUs: 4, GPUs: 1, Image: "i", EstimateS: 60}
-		b.put(protocol.JobKey(id), protocol.JobRecord{Spec: spec, SubmittedMS: int64(i), Next: 2, Chunk: protocol.Chunk{Placed: []protocol.Placement{onHost1}}})
+		b.watchPut(protocol.JobKey(id), protocol.JobRecord{Spec: spec, SubmittedMS: int64(i), Next: 2, Chunk: protocol.Chunk{Placed: []protocol.Placement{placedOnHost1}}})
 	}
 	b.teams[1].Guarantee.GPUs = 3
 	spec := &protocol.JobSpec{ID: "job-9", Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 3, CPUs: 4, GPUs: 1, Image: "i"}
-	b.put(protocol.JobKey("job-9"), protocol.JobRecord{Spec: spec, SubmittedMS: 9, Next: 1})
+	b.watchPut(protocol.JobKey("job-9"), protocol.JobRecord{Spec: spec, SubmittedMS: 9, Next: 1})
 	now := time.Now()
 	for range 3 {
 		b.roomFor(b.jobs["job-9"], 3, now)
 	}
 	stopped := 0
 	for _, id := range []string{"job-1", "job-2", "job-3", "job-4"} {
-		if b.jobs[id].tasks[0].stop {
+		if b.jobs[id].tasks[0].stopRequested {
 			stopped++
 		}
 	}
@@ -336,7 +336,7 @@
 // seen, each machine is in the list of its share exactly once.
 func TestBatchesAndShareListsAgree(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		b := newBench(t)
+		b := newTestNode(t)
 		names := []string{"host-1", "host-2", "host-3", "host-4", "host-5"}
 		where := map[string]string{"host-1": "r-0-7-1-0"} // machine to batch
 		share := map[string]int{"r-0-7-1-0": 0}
@@ -348,18 +348,18 @@
 				}
 			}
 			if len(rec.Machines) == 0 {
-				b.rev++
-				b.apply(storage.Item{Key: protocol.BatchKey(key), Stamp: b.rev})
+				b.revision++
+				b.applyItem(storage.Item{Key: protocol.BatchKey(key), Stamp: b.revision})
 				return
 			}
-			b.put(protocol.BatchKey(key), rec)
+			b.watchPut(protocol.BatchKey(key), rec)
 		}
 		for k := range rapid.IntRange(1, 20).Draw(rt, "steps") {
 			name := rapid.SampledFrom(names).Draw(rt, "machine")
 			from, to := where[name], ""
 			if rapid.IntRange(0, 3).Draw(rt, "gone") > 0 {
 				to = fmt.Sprintf("m-%d", k)
-				share[to] = rapid.IntRange(0, len(b.shares)-1).Draw(rt, "share")
+				share[to] = rapid.IntRange(0, len(b.partitions)-1).Draw(rt, "share")
 			}
 			where[name] = to
 			keys := []string{to, from}
@@ -373,10 +373,10 @@
 			}
 			for _, name := range names {
 				m := b.machines[name]
-				if known := m != nil && m.known; known != (where[name] != "") {
+				if known := m != nil && m.recorded; known != (where[name] != "") {
 					rt.Fatalf("%s in batch %q: known is %v", name, where[name], known)
 				}
-				for _, s := range b.shares {
+				for _, s := range b.partitions {
 					in := 0
 					for _, x := range s.machines {
 						if x.name == name {
@@ -396,19 +396,19 @@
 // was up before. (Seen on a simulated day: 325 machines were given up and rented
 // again just as they came up.)
 func TestListedAddressIsNoSignOfLife(t *testing.T) {
-	b := newBench(t)
+	b := newTestNode(t)
 	now := time.Now()
-	b.onList([]protocol.ListedMachine{{ID: "host-1", Addr: "host-1:9000", Type: "g4", Zone: "a", State: "booting"}}, now, now)
+	b.onMachineList([]protocol.ListedMachine{{ID: "host-1", Addr: "host-1:9000", Type: "g4", Zone: "a", State: "booting"}}, now, now)
 	m := b.machines["host-1"]
-	m.batch.changed(now.Add(-time.Hour))
+	m.batch.markDirty(now.Add(-time.Hour))
 	b.saveBatches(now)
-	if m.batch.busy {
+	if m.batch.storing {
 		t.Fatal("the address of a booting machine is being stored")
 	}
-	b.report(7, 1)
-	m.batch.changed(now.Add(-time.Hour))
+	b.sendReport(7, 1)
+	m.batch.markDirty(now.Add(-time.Hour))
 	b.saveBatches(now)
-	if !m.batch.busy {
+	if !m.batch.storing {
 		t.Fatal("the address of a machine that is up is not stored")
 	}
 }
@@ -417,20 +417,20 @@
 // user with a later turn. (Seen on a simulated day: 674 submissions got no
 // answer within their 5 s, and were sent again.)
 func TestWaveOfSubmissionsIsAnsweredAtOnce(t *testing.T) {
-	b := newBench(t)
+	b := newTestNode(t)
 	replies := make([]chan answer, 400)
 	for i := range replies {
 		replies[i] = make(chan answer, 1)
-		b.forUser(&storage.Op{Writes: []storage.Write{{Put: "k"}}}, replies[i], func(storage.Result) {})
+		b.submitForUser(&storage.Op{Writes: []storage.Write{{Put: "k"}}}, replies[i], func(storage.Result) {})
 	}
 	turned, last := 0, 0
 	for _, r := range replies {
 		select {
 		case a := <-r:
-			if a.status != 503 || a.retryS < max(1, last) || a.retryS > 30 {
+			if a.status != 503 || a.retryAfterS < max(1, last) || a.retryAfterS > 30 {
 				t.Fatalf("answer %+v after one with Retry-After %d", a, last)
 			}
-			turned, last = turned+1, a.retryS
+			turned, last = turned+1, a.retryAfterS
 		default:
 		}
 	}
@@ -443,26 +443,26 @@
 // half the time that silence alone takes; one that is listed, or too young for
 // the list's lag, is not.
 func TestUnlistedSilentMachineIsGivenUpSoon(t *testing.T) {
-	b := newBench(t)
-	b.report(7, 1)
+	b := newTestNode(t)
+	b.sendReport(7, 1)
 	m := b.machines["host-1"]
-	m.born = m.born.Add(-time.Minute)
-	now := time.Now().Add(b.suspectLimit() + time.Second)
-	b.Contact(now)
-	if b.dead(m, now) || !b.suspect(m, now) {
+	m.firstSeen = m.firstSeen.Add(-time.Minute)
+	now := time.Now().Add(b.overdueTimeout() + time.Second)
+	b.RecordContact(now)
+	if b.presumedDead(m, now) || !b.reportsOverdue(m, now) {
 		t.Fatal("silence this short should be a suspicion only")
 	}
-	b.onList([]protocol.ListedMachine{{ID: "host-1", State: "running"}}, now, now)
-	if b.dead(m, now) {
+	b.onMachineList([]protocol.ListedMachine{{ID: "host-1", State: "running"}}, now, now)
+	if b.presumedDead(m, now) {
 		t.Fatal("given up though it is listed")
 	}
-	b.onList(nil, now, now)
-	if !b.dead(m, now) {
+	b.onMachineList(nil, now, now)
+	if !b.presumedDead(m, now) {
 		t.Fatal("kept though it is silent and not listed")
 	}
-	m.born = now
-	b.onList(nil, now, now)
-	if b.dead(m, now) {
+	m.firstSeen = now
+	b.onMachineList(nil, now, now)
+	if b.presumedDead(m, now) {
 		t.Fatal("given up before a list could show it")
 	}
 }
@@ -471,18 +471,18 @@
 // it. (Seen on a simulated day: 120 working machines with 354 tasks were given up
 // 13 s after a take-over in a partition.)
 func TestMachinesBeyondACutAreKeptAfterATakeOver(t *testing.T) {
-	b := newBench(t)
-	j := b.job("job-1", false, onHost1)
+	b := newTestNode(t)
+	j := b.addJob("job-1", false, placedOnHost1)
 	m := b.machines["host-1"]
-	now := time.Now().Add(b.silentLimit() + 4*time.Second)
-	b.Contact(now)
-	if !b.dead(m, now) {
+	now := time.Now().Add(b.silenceTimeout() + 4*time.Second)
+	b.RecordContact(now)
+	if !b.presumedDead(m, now) {
 		t.Fatalf("a machine with %d tasks that was never heard should be given up", j.nPlaced)
 	}
-	b.siblings["n-1"].zone = "a"
+	b.peers["n-1"].zone = "a"
 	b.cfg.Zone = "b"
-	b.noteCuts(now)
-	if b.dead(m, now) {
+	b.detectZoneOutages(now)
+	if b.presumedDead(m, now) {
 		t.Fatal("given up although its zone is cut off")
 	}
 }
@@ -490,20 +490,20 @@
 // Where images are is known beyond the node that learned it, and a sibling's
 // word does not replace what this node sees itself.
 func TestCachesAreToldToSiblings(t *testing.T) {
-	a, b := newBench(t), newBench(t)
+	a, b := newTestNode(t), newTestNode(t)
 	a.machines["host-1"].images = []protocol.CachedImage{{Name: "i", GB: 4}}
-	a.tellCaches(time.Now())
+	a.prepareHints(time.Now())
 	h, err := protocol.DecodeHint(a.Hint())
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.learnCaches(h.Caches)
-	if b.machines["host-1"].has("i") {
+	b.applyCacheHints(h.Caches)
+	if b.machines["host-1"].hasImage("i") {
 		t.Fatal("a holder believed another about its own machine")
 	}
-	b.put(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 4})
-	b.learnCaches(h.Caches)
-	if !b.machines["host-1"].has("i") {
+	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 4})
+	b.applyCacheHints(h.Caches)
+	if !b.machines["host-1"].hasImage("i") {
 		t.Fatal("what a sibling told is not known")
 	}
 }
@@ -511,31 +511,31 @@
 // A service that finds all but one of its places where its image is gets one task
 // stopped there, and not as many as it has itself.
 func TestRoomIsMadeOnlyForWhatLacksTheImage(t *testing.T) {
-	b := newBench(t)
-	b.put(protocol.BatchKey("r-0-7-2-0"), protocol.BatchRecord{Machines: []protocol.MachineRecord{{Name: "host-2", Type: "g4", Zone: "a"}, {Name: "host-3", Type: "g4", Zone: "a"}}})
+	b := newTestNode(t)
+	b.watchPut(protocol.BatchKey("r-0-7-2-0"), protocol.BatchRecord{Machines: []protocol.MachineRecord{{Name: "host-2", Type: "g4", Zone: "a"}, {Name: "host-3", Type: "g4", Zone: "a"}}})
 	now := time.Now()
 	for _, name := range []string{"host-1", "host-2", "host-3"} {
 		m := b.machines[name]
-		m.fenced, m.heard = true, now
+		m.fenced, m.lastFencedReport = true, now
 		if name != "host-3" {
 			m.images = []protocol.CachedImage{{Name: "i", GB: 30}}
 		}
 	}
 	b.cfg.Params.Aims = []protocol.Objective{{Kind: "wait", Class: "s", WithinS: 10, Share: 0.9}}
-	b.teams[0].Limit = Amounts{}
+	b.teams[0].Limit = Resources{}
 	var placed []protocol.Placement
 	for i := range 4 {
 		placed = append(placed, protocol.Placement{Task: i, Attempt: 1, Machine: "host-2"})
 	}
 	low := &protocol.JobSpec{ID: "job-1", Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 4, CPUs: 4, GPUs: 1, Image: "x"}
-	b.put(protocol.JobKey("job-1"), protocol.JobRecord{Spec: low, Next: 2, Chunk: protocol.Chunk{Placed: placed}})
+	b.watchPut(protocol.JobKey("job-1"), protocol.JobRecord{Spec: low, Next: 2, Chunk: protocol.Chunk{Placed: placed}})
 	spec := &protocol.JobSpec{ID: "job-2", Team: "red", Class: "s", Shape: protocol.Service, Priority: "critical", Tasks: 5, CPUs: 4, GPUs: 1, Image: "i", ImageGB: 30}
-	b.put(protocol.JobKey("job-2"), protocol.JobRecord{Spec: spec, SubmittedMS: 1, Next: 1})
-	b.policy.NoRents = true
+	b.watchPut(protocol.JobKey("job-2"), protocol.JobRecord{Spec: spec, SubmittedMS: 1, Next: 1})
+	b.policy.StopRentals = true
 	b.plan(now)
 	stopped := 0
 	for i := range 4 {
-		if b.jobs["job-1"].tasks[i].stop {
+		if b.jobs["job-1"].tasks[i].stopRequested {
 			stopped++
 		}
 	}
@@ -548,8 +548,8 @@
 // once, whatever becomes of the record: stored, lost to another holder, or
 // replaced by a later attempt on the same machine.
 func TestPlaceIsGivenBackOnce(t *testing.T) {
-	b := newBench(t)
-	j := b.job("job-1", false, onHost1)
+	b := newTestNode(t)
+	j := b.addJob("job-1", false, placedOnHost1)
 	m, tm := b.machines["host-1"], b.teams[0]
 	used := func(want float64) {
 		t.Helper()
@@ -558,19 +558,19 @@
 		}
 	}
 	used(1)
-	b.note(j, 0, gone)
+	b.recordOutcome(j, 0, outcomeGone)
 	used(0)
-	if len(m.on) != 1 {
+	if len(m.tasks) != 1 {
 		t.Fatal("a machine with a task whose end is not stored counts as empty")
 	}
-	again := onHost1
+	again := placedOnHost1
 	again.Attempt = 2
-	b.put(protocol.JobKey("job-1"), protocol.JobRecord{Spec: j.spec, Next: 3, Chunk: protocol.Chunk{Placed: []protocol.Placement{again}}})
+	b.watchPut(protocol.JobKey("job-1"), protocol.JobRecord{Spec: j.spec, Next: 3, Chunk: protocol.Chunk{Placed: []protocol.Placement{again}}})
 	used(1)
-	b.note(j, 0, finished)
-	b.put(protocol.JobKey("job-1"), protocol.JobRecord{Spec: j.spec, Next: 3, Chunk: protocol.Chunk{Done: [][2]int{{0, 0}}}})
+	b.recordOutcome(j, 0, outcomeFinished)
+	b.watchPut(protocol.JobKey("job-1"), protocol.JobRecord{Spec: j.spec, Next: 3, Chunk: protocol.Chunk{Done: [][2]int{{0, 0}}}})
 	used(0)
-	if len(m.on) != 0 {
+	if len(m.tasks) != 0 {
 		t.Fatal("a task that is done is still counted on its machine")
 	}
 }
@@ -580,19 +580,19 @@
 // a task stopped every 8 s for 40 s, the same one three times.)
 func TestNoRoomIsMadeInAFullZone(t *testing.T) {
 	for _, zone := range []string{"a", "b"} {
-		b := newBench(t)
-		b.put(protocol.BatchKey("r-0-7-2-0"), protocol.BatchRecord{Machines: []protocol.MachineRecord{{Name: "host-2", Type: "g4", Zone: zone}}})
-		b.teams[0].Limit = Amounts{}
+		b := newTestNode(t)
+		b.watchPut(protocol.BatchKey("r-0-7-2-0"), protocol.BatchRecord{Machines: []protocol.MachineRecord{{Name: "host-2", Type: "g4", Zone: zone}}})
+		b.teams[0].Limit = Resources{}
 		now := time.Now()
 		for _, name := range []string{"host-1", "host-2"} {
 			m := b.machines[name]
-			m.fenced, m.heard = true, now
+			m.fenced, m.lastFencedReport = true, now
 		}
 		place := func(id, priority, shape string, tasks int, spread bool, placed ...protocol.Placement) {
-			b.put(protocol.JobKey(id), protocol.JobRecord{Spec: &protocol.JobSpec{ID: id, Team: "red", Class: "c", Shape: shape, Priority: priority,
+			b.watchPut(protocol.JobKey(id), protocol.JobRecord{Spec: &protocol.JobSpec{ID: id, Team: "red", Class: "c", Shape: shape, Priority: priority,
 				Tasks: tasks, CPUs: 4, GPUs: 1, Image: "i", Spread: spread}, Next: 2, Chunk: protocol.Chunk{Placed: placed}})
 		}
-		place("job-1", "critical", protocol.Service, 2, true, onHost1)
+		place("job-1", "critical", protocol.Service, 2, true, placedOnHost1)
 		var low []protocol.Placement
 		for i := range 4 {
 			low = append(low, protocol.Placement{Task: i, Attempt: 1, Machine: "host-2"})
@@ -608,18 +608,18 @@
 // A share that comes back brings no proof with it: another holder may have
 // started the same attempt again meanwhile.
 func TestFactsDoNotOutliveTheHolding(t *testing.T) {
-	for _, f := range []fact{gone, finished} {
-		b := newBench(t)
-		j := b.job("job-1", false, onHost1)
-		b.note(j, 0, f)
-		b.put(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
-		b.put(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
-		if m := b.machines["host-1"]; j.tasks[0].fact != noFact || m.used.GPUs != 1 || b.teams[0].Used.GPUs != 1 {
-			t.Fatalf("fact %v, %v GPUs of the machine and %v of the team in use", j.tasks[0].fact, m.used.GPUs, b.teams[0].Used.GPUs)
+	for _, f := range []taskOutcome{outcomeGone, outcomeFinished} {
+		b := newTestNode(t)
+		j := b.addJob("job-1", false, placedOnHost1)
+		b.recordOutcome(j, 0, f)
+		b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
+		b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
+		if m := b.machines["host-1"]; j.tasks[0].outcome != outcomeNone || m.used.GPUs != 1 || b.teams[0].Used.GPUs != 1 {
+			t.Fatalf("fact %v, %v GPUs of the machine and %v of the team in use", j.tasks[0].outcome, m.used.GPUs, b.teams[0].Used.GPUs)
 		}
-		b.report(9, 1, protocol.TaskReport{Task: "job-1/0", Attempt: 1, State: protocol.TaskRunning})
-		b.unpark(b.machines["host-1"])
-		if j.tasks[0].fact != noFact {
+		b.sendReport(9, 1, protocol.TaskReport{Task: "job-1/0", Attempt: 1, State: protocol.TaskRunning})
+		b.rejectDeferred(b.machines["host-1"])
+		if j.tasks[0].outcome != outcomeNone {
 			t.Fatal("a running task counts as over")
 		}
 	}
@@ -628,13 +628,13 @@
 // What an earlier holder recorded may be more than the team's limit: the place of
 // a task that was over was given on, and its end not stored. Not all is started.
 func TestNoStartAboveTheLimit(t *testing.T) {
-	b := newBench(t)
-	b.teams[0].Limit = Amounts{GPUs: 2}
+	b := newTestNode(t)
+	b.teams[0].Limit = Resources{GPUs: 2}
 	for _, id := range []string{"job-1", "job-2", "job-3"} {
-		b.job(id, false, onHost1)
+		b.addJob(id, false, placedOnHost1)
 	}
-	b.put(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 8, Lease: 3})
-	a := b.report(8, 1)
+	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 8, Lease: 3})
+	a := b.sendReport(8, 1)
 	if a == nil {
 		t.Fatal("no answer")
 	}
@@ -646,14 +646,14 @@
 // A node stands in for a holder beyond a cut, and not for one whose host refuses
 // connections between controllers: there the workers themselves can go.
 func TestNoStandInBehindAFilter(t *testing.T) {
-	b := newBench(t)
-	b.put(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
-	if a := b.report(8, 1); a == nil || a.status != 200 {
+	b := newTestNode(t)
+	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
+	if a := b.sendReport(8, 1); a == nil || a.status != 200 {
 		t.Fatalf("beyond a cut: %+v", a)
 	}
-	b.Noticed("n-1", transport.ConnRefused)
-	(<-b.inbox)()
-	if a := b.report(8, 2); a == nil || a.status != 421 || a.body.(protocol.Redirect).ReportTo != "n-1" {
+	b.OnConnEvent("n-1", transport.ConnRefused)
+	(<-b.mailbox)()
+	if a := b.sendReport(8, 2); a == nil || a.status != 421 || a.body.(protocol.Redirect).ReportTo != "n-1" {
 		t.Fatalf("behind a filter: %+v", a)
 	}
 }
@@ -662,9 +662,9 @@
 // their leases by the others, as long as no cancellation could be missed, and get no
 // starts. (Seen on a simulated day: 179 workers of a stalled controller lost them.)
 func TestLeasesOfAStalledHolderLiveThroughAnOutage(t *testing.T) {
-	b := newBench(t)
-	b.put(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
-	b.job("job-1", false, onHost1)
+	b := newTestNode(t)
+	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
+	b.addJob("job-1", false, placedOnHost1)
 	reply := make(chan answer, 1)
 	ask := func(after time.Duration, token uint64) answer {
 		b.onReport(&protocol.Report{Machine: "host-1", Type: "g4", Zone: "a", Session: 1, Seq: 1, Token: token}, time.Now().Add(after), reply)
@@ -681,52 +681,52 @@
 	if a := ask(long, 8); a.status != 200 {
 		t.Fatalf("a lease ends though no cancellation can be missed: %+v", a)
 	}
-	b.put(protocol.NodeKey("n-2"), map[string]uint64{"lease": 9}) // of an earlier version
+	b.watchPut(protocol.NodeKey("n-2"), map[string]uint64{"lease": 9}) // of an earlier version
 	if a := ask(long, 8); a.status != 503 {
 		t.Fatalf("a cancellation could be missed: %+v", a)
 	}
 }
 
 // roomFor decides whom to stop for a job, and stops them.
-func (b *bench) roomFor(j *job, r int, now time.Time) bool {
-	room := b.view(b.shares[0], now).MakeRoom(b.boundFacts(j, now), r, decide.Anywhere)
-	b.makeRoom(j, room, false, now)
-	return room.Made()
+func (b *testNode) roomFor(j *job, r int, now time.Time) bool {
+	room := b.view(b.partitions[0], now).Preempt(b.jobFactsWithZones(j, now), r, decide.AnyMachine)
+	b.applyPreemption(j, room, false, now)
+	return room.HasEvictions()
 }
 
-// mayTry is how many of so many waiting tasks of a job may be started.
-func (b *bench) mayTry(j *job, waiting int, now time.Time) int {
+// eligibleTasks is how many of so many waiting tasks of a job may be started.
+func (b *testNode) eligibleTasks(j *job, waiting int, now time.Time) int {
 	f := *b.jobFacts(j, now)
 	f.Waiting = waiting
-	return f.MayTry(now)
+	return f.EligibleTasks(now)
 }
 
 // A sibling's word that a job is cancelled stops its tasks, and proves nothing: nobody is told
 // anything for it, nothing is stored, and it ends when all is known that was stored by then.
 func TestHintOfACancellationStopsAndProvesNothing(t *testing.T) {
-	b := newBench(t)
-	j := b.job("job-1", false, onHost1)
+	b := newTestNode(t)
+	j := b.addJob("job-1", false, placedOnHost1)
 	running := protocol.TaskReport{Task: "job-1/0", Attempt: 1, State: protocol.TaskRunning}
-	b.report(7, 1, running)
+	b.sendReport(7, 1, running)
 	stops := func(seq uint64) int {
-		a := b.report(7, seq, running)
+		a := b.sendReport(7, seq, running)
 		if a == nil {
 			return 0
 		}
 		return len(a.body.(protocol.Orders).Commands)
 	}
-	b.learnCancelled("n-1", []protocol.CancelledJob{{Job: "job-1", Revision: b.caught}, {Job: "job-9", Revision: 99}})
+	b.applyCancelHints("n-1", []protocol.CancelledJob{{Job: "job-1", Revision: b.completeRevision}, {Job: "job-9", Revision: 99}})
 	if stops(2) != 0 {
 		t.Fatal("stopped by a hint of what this node has read")
 	}
-	b.learnCancelled("n-1", []protocol.CancelledJob{{Job: "job-1", Revision: 50}})
+	b.applyCancelHints("n-1", []protocol.CancelledJob{{Job: "job-1", Revision: 50}})
 	if stops(3) != 1 {
 		t.Fatal("not stopped")
 	}
 	if j.cancelled || j.status().Status != protocol.JobRunning || b.dirty[j] {
 		t.Fatalf("a hint counts as a cancellation: %+v", j.status())
 	}
-	b.follow(nil, 50)
+	b.applyWatch(nil, 50)
 	if stops(4) != 0 {
 		t.Fatal("stopped though the record does not say so")
 	}
@@ -738,17 +738,17 @@
 // lived on.)
 func TestHaltsInDoubt(t *testing.T) {
 	for _, unfenced := range []bool{false, true} {
-		b := newBench(t)
-		j := b.job("job-1", true, onHost1)
+		b := newTestNode(t)
+		j := b.addJob("job-1", true, placedOnHost1)
 		token := uint64(7)
-		if b.machines["host-1"].doubt = []started{{"job-2/0", 1}}; unfenced {
+		if b.machines["host-1"].unconfirmedStarts = []directStart{{"job-2/0", 1}}; unfenced {
 			token = 6
 		}
-		a := b.report(token, 1, protocol.TaskReport{Task: "job-1/0", Attempt: 1, State: protocol.TaskRunning}, protocol.TaskReport{Task: "job-3/0", Attempt: 1, State: protocol.TaskRunning})
+		a := b.sendReport(token, 1, protocol.TaskReport{Task: "job-1/0", Attempt: 1, State: protocol.TaskRunning}, protocol.TaskReport{Task: "job-3/0", Attempt: 1, State: protocol.TaskRunning})
 		if a == nil || len(a.body.(protocol.Orders).Commands) != 1 || a.body.(protocol.Orders).Commands[0].Op != protocol.OpStop || a.body.(protocol.Orders).Commands[0].Task != "job-1/0" {
 			t.Errorf("unfenced %v: %+v", unfenced, a)
 		}
-		if j.tasks[0].fact != noFact {
+		if j.tasks[0].outcome != outcomeNone {
 			t.Error("a report in doubt proved something")
 		}
 	}
@@ -761,33 +761,33 @@
 func TestLateRentalRecordDoesNotTakeAMovedMachineBack(t *testing.T) {
 	rental, moved := protocol.BatchKey("r-0-7-1-0"), protocol.BatchKey("m-1-9")
 	rec := protocol.MachineRecord{Name: "host-1", Type: "g4", Zone: "a"}
-	b := newBench(t)
-	b.put(moved, protocol.BatchRecord{Share: 1, Token: 9, Machines: []protocol.MachineRecord{rec}})
-	b.rev++
-	b.apply(storage.Item{Key: rental, Stamp: b.rev})
-	b.put(rental, protocol.BatchRecord{Machines: []protocol.MachineRecord{rec}})
+	b := newTestNode(t)
+	b.watchPut(moved, protocol.BatchRecord{Share: 1, Token: 9, Machines: []protocol.MachineRecord{rec}})
+	b.revision++
+	b.applyItem(storage.Item{Key: rental, Stamp: b.revision})
+	b.watchPut(rental, protocol.BatchRecord{Machines: []protocol.MachineRecord{rec}})
 	where := func(n *Node, how string) {
-		if m := n.machines["host-1"]; m == nil || !m.known || m.rec.Share != 1 || n.token(m) != 9 {
+		if m := n.machines["host-1"]; m == nil || !m.recorded || m.rec.Share != 1 || n.fencingToken(m) != 9 {
 			t.Errorf("%s: %+v", how, m)
 		}
 	}
 	where(b.Node, "executed late")
-	if b.batches[rental].since.IsZero() {
+	if b.batches[rental].dirtySince.IsZero() {
 		t.Error("the record is not mended")
 	}
-	w := b.batches[rental].write(func(r *protocol.MachineRecord) bool { return b.machines[r.Name].batch == b.batches[rental] })
+	w := b.batches[rental].writeKeeping(func(r *protocol.MachineRecord) bool { return b.machines[r.Name].batch == b.batches[rental] })
 	if w.Delete != rental {
 		t.Errorf("mended by %+v", w)
 	}
 	for _, order := range [][]string{{rental, moved}, {moved, rental}} {
-		fresh := newBench(t)
-		fresh.rev = 20
+		fresh := newTestNode(t)
+		fresh.revision = 20
 		for _, key := range order {
 			r := protocol.BatchRecord{Machines: []protocol.MachineRecord{rec}}
 			if key == moved {
 				r.Share, r.Token = 1, 9
 			}
-			fresh.put(key, r)
+			fresh.watchPut(key, r)
 		}
 		where(fresh.Node, "read in the order "+order[0])
 	}
--- a/internal/coordination/node/jobs_test.go
+++ b/internal/coordination/node/jobs_test.go
@@ -24,39 +24,39 @@
 // are doing, and no value outgrows the smallest limit.
 func TestRecordRoundTrip(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		b := newBench(t)
+		b := newTestNode(t)
 		count := rapid.IntRange(1, 300).Draw(rt, "tasks")
 		spec := &protocol.JobSpec{ID: "job-1", Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: count, CPUs: 1, GPUs: 0.01, Image: "i"}
-		b.put(protocol.JobKey("job-1"), protocol.JobRecord{Spec: spec, Next: 1})
+		b.watchPut(protocol.JobKey("job-1"), protocol.JobRecord{Spec: spec, Next: 1})
 		j := b.jobs["job-1"]
 		now := time.Now()
 		for i := range count {
 			switch rapid.IntRange(0, 3).Draw(rt, "phase") {
 			case 0:
-				b.setPhase(j, i, done, nil, 0, now)
+				b.setPhase(j, i, phaseDone, nil, 0, now)
 			case 1:
-				b.setPhase(j, i, placed, b.machine(fmt.Sprintf("host-%06d", i%50)), uint64(i+1), now)
+				b.setPhase(j, i, phasePlaced, b.findOrAddMachine(fmt.Sprintf("host-%06d", i%50)), uint64(i+1), now)
 			case 2:
-				b.setPhase(j, i, placed, b.machine(fmt.Sprintf("host-%06d", i%50)), uint64(i+1), now)
-				j.tasks[i].fact = gone
+				b.setPhase(j, i, phasePlaced, b.findOrAddMachine(fmt.Sprintf("host-%06d", i%50)), uint64(i+1), now)
+				j.tasks[i].outcome = outcomeGone
 			}
 		}
 		want := slices.Clone(j.tasks)
-		c := newBench(t)
+		c := newTestNode(t)
 		for k := 0; k*protocol.ChunkTasks < count; k++ {
-			var v any = b.record(j, k)
+			var v any = b.chunkRecord(j, k)
 			if k == 0 {
-				v = b.head(j)
+				v = b.headRecord(j)
 			}
 			if size := len(mustJSON(v)); size > 8<<10 {
 				rt.Fatalf("chunk %d takes %d bytes", k, size)
 			}
-			c.put(protocol.ChunkKey("job-1", k), v)
+			c.watchPut(protocol.ChunkKey("job-1", k), v)
 		}
 		got := c.jobs["job-1"]
 		for i := range want {
 			w, g := want[i], got.tasks[i]
-			if w.fact == gone {
+			if w.outcome == outcomeGone {
 				w = task{}
 			}
 			same := w.phase == g.phase && w.attempt == g.attempt && (w.machine == nil) == (g.machine == nil)
@@ -78,7 +78,7 @@
 func TestManyTasks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, 3, asTheyAre)
+		w := newWorld(t, ctx, 3, defaultSettings)
 		time.Sleep(5 * time.Second)
 		big := &protocol.JobSpec{ID: "job-000001", Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 400, CPUs: 0.2, GPUs: 0.02, MemoryGB: 0.5, Image: "i", EstimateS: 3}
 		huge := &protocol.JobSpec{ID: "job-000002", Team: "blue", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: protocol.MaxTasks, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "i", EstimateS: 30}
@@ -89,8 +89,8 @@
 		}
 		time.Sleep(4 * time.Minute)
 		synctest.Wait()
-		if us[0].ended() != protocol.JobDone || us[1].ended() != protocol.JobCancelled {
-			t.Errorf("became %q and %q", us[0].ended(), us[1].ended())
+		if us[0].knownFinalStatus() != protocol.JobDone || us[1].knownFinalStatus() != protocol.JobCancelled {
+			t.Errorf("became %q and %q", us[0].knownFinalStatus(), us[1].knownFinalStatus())
 		}
 		for _, b := range w.fleet.Broken {
 			t.Errorf("rule broken: %s", b)
@@ -106,21 +106,21 @@
 // after a start of all the jobs present are counted, in their order, so that the
 // threshold has means to go by.
 func TestWindowAfterTakeOver(t *testing.T) {
-	b := newBench(t)
+	b := newTestNode(t)
 	for i, gb := range []float64{8, 8, 8, 1} {
 		spec := &protocol.JobSpec{ID: fmt.Sprintf("job-%d", i), Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 1, CPUs: 4, GPUs: 1, Image: fmt.Sprint(i), ImageGB: gb}
-		b.put(protocol.JobKey(spec.ID), protocol.JobRecord{Spec: spec, SubmittedMS: int64(i), Next: 1})
+		b.watchPut(protocol.JobKey(spec.ID), protocol.JobRecord{Spec: spec, SubmittedMS: int64(i), Next: 1})
 	}
-	b.put(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
-	b.put(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
-	s := b.shares[0]
+	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
+	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
+	s := b.partitions[0]
 	b.countArrivals(s)
 	if s.window.Len() != 4 || b.jobs["job-3"].heavy || !b.jobs["job-0"].heavy {
 		t.Fatalf("window %+v; the 1 GB job among 8 GB ones should be light", s.window)
 	}
 	b.dropJob("job-2")
-	b.put(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 10, Lease: 9})
-	b.put(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 11, Lease: 3})
+	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 10, Lease: 9})
+	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 11, Lease: 3})
 	if b.countArrivals(s); s.window.Len() != 4 {
 		t.Errorf("%d arrivals after another take-over: what ended counts too", s.window.Len())
 	}
@@ -149,10 +149,10 @@
 // A change decided on an old revision is refused, so that two operators do not
 // undo each other's.
 func TestStaleSettingIsRefused(t *testing.T) {
-	b := newBench(t)
-	b.put(protocol.PolicyKey, DefaultPolicy())
+	b := newTestNode(t)
+	b.watchPut(protocol.PolicyKey, DefaultPolicy())
 	reply := make(chan answer, 1)
-	old := b.rev - 1
+	old := b.revision - 1
 	b.onSetting("idle_s", SettingChange{Value: json.RawMessage("9"), Stamp: &old}, "test", reply)
 	if a := <-reply; a.status != 409 {
 		t.Fatalf("answered %d", a.status)
--- a/internal/coordination/node/lives_test.go
+++ b/internal/coordination/node/lives_test.go
@@ -13,18 +13,18 @@
 )
 
 // restart ends a process and begins the next one after a while, perhaps none.
-func (w *world) restart(name string, after time.Duration) {
-	w.end(name)
+func (w *simCluster) restart(name string, after time.Duration) {
+	w.stopNode(name)
 	time.Sleep(after)
-	w.back(name)
+	w.startIfStopped(name)
 }
 
 // fastRestarts are processes that end at any time and are back after none to a second:
 // twice within one lease, all at once, one after the other, amid hand-overs, and while the
 // state service is away, loses answers, or executes late what it did not answer.
-func fastRestarts(w *world) {
-	w.set(func() { w.late = 0.5 })
-	back := func() time.Duration { return time.Duration(w.plan.IntN(3)) * w.between(0, 500*time.Millisecond) }
+func fastRestarts(w *simCluster) {
+	w.withLock(func() { w.lateTxnRate = 0.5 })
+	back := func() time.Duration { return time.Duration(w.plan.IntN(3)) * w.randDuration(0, 500*time.Millisecond) }
 	for range 10 {
 		name := w.names[w.plan.IntN(3)]
 		switch w.plan.IntN(7) {
@@ -32,79 +32,79 @@
 			w.restart(name, back())
 		case 1: // twice within one lease
 			w.restart(name, back())
-			time.Sleep(w.between(time.Millisecond, 1200*time.Millisecond))
+			time.Sleep(w.randDuration(time.Millisecond, 1200*time.Millisecond))
 			w.restart(name, back())
 		case 2: // all at once
 			for _, x := range w.names {
 				w.stop[x]()
-				w.set(func() { w.nodes[x] = nil })
+				w.withLock(func() { w.nodes[x] = nil })
 			}
 			time.Sleep(back())
 			for _, x := range w.names {
-				w.boot(x)
-				time.Sleep(w.between(0, 300*time.Millisecond))
+				w.startNode(x)
+				time.Sleep(w.randDuration(0, 300*time.Millisecond))
 			}
 		case 3: // one after the other, each before the one before is done
 			for _, x := range w.names {
 				w.restart(x, back())
-				time.Sleep(w.between(0, 1500*time.Millisecond))
+				time.Sleep(w.randDuration(0, 1500*time.Millisecond))
 			}
 		case 4: // in the middle of its hand-over
 			if n := w.node(name); n != nil {
 				go n.Leave()
-				time.Sleep(w.between(0, 500*time.Millisecond))
+				time.Sleep(w.randDuration(0, 500*time.Millisecond))
 			}
 			w.restart(name, back())
 		case 5:
-			w.set(func() { w.outage = true })
+			w.withLock(func() { w.outage = true })
 			w.restart(name, back())
-			time.Sleep(w.between(0, 4*time.Second))
-			w.set(func() { w.outage = false })
+			time.Sleep(w.randDuration(0, 4*time.Second))
+			w.withLock(func() { w.outage = false })
 		case 6:
-			w.set(func() { w.lossy = 0.2 })
+			w.withLock(func() { w.lossRate = 0.2 })
 			w.restart(name, back())
-			time.Sleep(w.between(0, 3*time.Second))
+			time.Sleep(w.randDuration(0, 3*time.Second))
 			w.restart(name, back())
-			w.set(func() { w.lossy = 0 })
+			w.withLock(func() { w.lossRate = 0 })
 		}
-		time.Sleep(w.between(time.Millisecond, 5*time.Second))
+		time.Sleep(w.randDuration(time.Millisecond, 5*time.Second))
 	}
 }
 
 // Processes that are back before anyone has missed them: no rule breaks, and every job ends.
 func TestFastRestarts(t *testing.T) {
-	for seed := range seeds(8) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { simulate(t, 900+seed, 16, asTheyAre, fastRestarts) })
+	for seed := range seedCount(8) {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { simulate(t, 900+seed, 16, defaultSettings, fastRestarts) })
 	}
 }
 
 // The same while all that is new of jobs is stored in entries of few slots.
 func TestFastRestartsWithEntries(t *testing.T) {
-	packedOnly(t, 4)
-	for seed := range seeds(8) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { simulate(t, 950+seed, 16, asTheyAre, fastRestarts) })
+	storeOnlyEntries(t, 4)
+	for seed := range seedCount(8) {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { simulate(t, 950+seed, 16, defaultSettings, fastRestarts) })
 	}
 }
 
 // A process that ends again and again, every fraction of a second, leaves nothing behind that
 // grows, costs no share of another, and its own shares are served soon after the last time.
 func TestEndingAgainAndAgain(t *testing.T) {
-	idleWorld(t, 31, func(w *world) {
+	idleWorld(t, 31, func(w *simCluster) {
 		count := func() int {
 			items, _, _ := w.state.List(t.Context(), "")
 			return len(items)
 		}
 		name := w.names[1]
 		others := func() []protocol.HolderRecord {
-			return slices.DeleteFunc(append([]protocol.HolderRecord{}, sliceOf(w.holders())...), func(h protocol.HolderRecord) bool { return h.Node == name || h.Token == 0 })
+			return slices.DeleteFunc(append([]protocol.HolderRecord{}, sliceOf(w.partitionOwners())...), func(h protocol.HolderRecord) bool { return h.Node == name || h.Token == 0 })
 		}
 		before, was := count(), others()
 		for range 40 {
-			w.restart(name, w.between(0, 400*time.Millisecond))
-			time.Sleep(w.between(0, 400*time.Millisecond))
+			w.restart(name, w.randDuration(0, 400*time.Millisecond))
+			time.Sleep(w.randDuration(0, 400*time.Millisecond))
 		}
 		began := time.Now()
-		for time.Since(began) < 10*time.Second && slices.ContainsFunc(sliceOf(w.holders()), func(h protocol.HolderRecord) bool { return h.Token == 0 }) {
+		for time.Since(began) < 10*time.Second && slices.ContainsFunc(sliceOf(w.partitionOwners()), func(h protocol.HolderRecord) bool { return h.Token == 0 }) {
 			time.Sleep(10 * time.Millisecond)
 		}
 		if took := time.Since(began); took > 2*time.Second {
@@ -128,15 +128,15 @@
 // one is believed, by all and by the earlier one, which holds nothing while the later one
 // lives, and serves again once it has ended.
 func TestTwoLivesOfOneNode(t *testing.T) {
-	for seed := range seeds(4) {
+	for seed := range seedCount(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			simulate(t, 990+seed, 12, asTheyAre, func(w *world) {
-				time.Sleep(w.between(5*time.Second, 9*time.Second))
+			simulate(t, 990+seed, 12, defaultSettings, func(w *simCluster) {
+				time.Sleep(w.randDuration(5*time.Second, 9*time.Second))
 				name := w.names[w.plan.IntN(3)]
 				first, end := w.node(name), w.stop[name]
-				w.boot(name)
+				w.startNode(name)
 				second := w.node(name)
-				time.Sleep(w.between(4*time.Second, 6*time.Second))
+				time.Sleep(w.randDuration(4*time.Second, 6*time.Second))
 				lease := func(n *Node) uint64 { return onActor(n, func() uint64 { return n.lease }) }
 				if a, b := lease(first), lease(second); a != 0 || b == 0 {
 					t.Errorf("the earlier process has lease %d, the later one %d", a, b)
@@ -144,14 +144,14 @@
 				if onActor(first, func() bool { return first.ready(time.Now()) }) {
 					t.Error("the earlier process says that it is ready")
 				}
-				for i, h := range w.holders() {
+				for i, h := range w.partitionOwners() {
 					if h.Node == name && h.Lease != lease(second) {
 						t.Errorf("share %d is held with lease %d", i, h.Lease)
 					}
 				}
 				w.stop[name]()
-				w.set(func() { w.nodes[name], w.stop[name] = first, end })
-				time.Sleep(leaseLife + 1500*time.Millisecond)
+				w.withLock(func() { w.nodes[name], w.stop[name] = first, end })
+				time.Sleep(leaseTTL + 1500*time.Millisecond)
 				if lease(first) == 0 || !onActor(first, func() bool { return first.ready(time.Now()) }) {
 					t.Error("the earlier process does not come back when the later one has ended")
 				}
@@ -167,7 +167,7 @@
 	for _, sabotaged := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
-			w := newWorld(t, ctx, 5, asTheyAre)
+			w := newWorld(t, ctx, 5, defaultSettings)
 			time.Sleep(5 * time.Second)
 			key := protocol.NodeKey("n-1")
 			was, _ := w.state.Get(ctx, key)
@@ -186,7 +186,7 @@
 			}
 			lease := former
 			if sabotaged {
-				lease, _ = w.state.Grant(ctx, leaseLife) // one that nobody could end
+				lease, _ = w.state.Grant(ctx, leaseTTL) // one that nobody could end
 			}
 			ok, _, _, err := w.state.Txn(ctx, cond, []storage.Write{{Put: key, Value: mustJSON(protocol.NodeRecord{Lease: lease, Version: protocol.RecordVersion}), Lease: lease}})
 			time.Sleep(500 * time.Millisecond)
--- a/internal/coordination/node/machines.go
+++ b/internal/coordination/node/machines.go
@@ -17,63 +17,63 @@
 
 func byName(a, b *machine) int { return compareNames(a.name, b.name) }
 
-// join puts a recorded machine into its share's list.
-func (n *Node) join(m *machine) {
-	s := n.shares[m.rec.Share]
+// addToPartition puts a recorded machine into its share's list.
+func (n *Node) addToPartition(m *machine) {
+	s := n.partitions[m.rec.Share]
 	if i, found := slices.BinarySearchFunc(s.machines, m, byName); !found {
 		s.machines = slices.Insert(s.machines, i, m)
-		n.joinSquare(s, m)
+		n.addToReconciliation(s, m)
 	}
 }
 
-// leave takes a machine out of its share's list.
-func (n *Node) leave(m *machine) {
-	s := n.shares[m.rec.Share]
+// removeFromPartition takes a machine out of its share's list.
+func (n *Node) removeFromPartition(m *machine) {
+	s := n.partitions[m.rec.Share]
 	if i, found := slices.BinarySearchFunc(s.machines, m, byName); found {
 		s.machines = slices.Delete(s.machines, i, i+1)
-		s.square.Drop(m.name)
+		s.reconciliation.Drop(m.name)
 	}
 }
 
-// ask rents machines and records them for the share. The request's name holds
+// rentMachines rents machines and records them for the share. The request's name holds
 // the token, which no other node and no other life ever has.
-func (n *Node) ask(s *share, r rental, count int) {
-	n.cloudside.rentSeq++
-	req := protocol.RentRequest{Request: fmt.Sprintf("r-%d-%d-%d", s.index, s.holder.Token, n.cloudside.rentSeq),
+func (n *Node) rentMachines(s *partition, r rentalKey, count int) {
+	n.cloudState.rentalSeq++
+	req := protocol.RentRequest{Request: fmt.Sprintf("r-%d-%d-%d", s.index, s.owner.Token, n.cloudState.rentalSeq),
 		Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: count}
-	n.cloudside.renting[r] = count
-	fence := n.cond(protocol.FenceKey)
+	n.cloudState.requested[r] = count
+	fence := n.unchanged(protocol.FenceKey)
 	n.spawn(func(ctx context.Context) {
 		names, err := n.cloud.Rent(ctx, req)
 		n.post(func() {
 			now := time.Now()
-			n.metrics.cloud.WithLabelValues("rent", outcome(err)).Inc()
+			n.metrics.cloudCalls.WithLabelValues("rent", callOutcome(err)).Inc()
 			n.log.Info("rental", "request", req.Request, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "asked", count, "got", len(names), "why", err)
 			if len(names) > 0 {
-				delete(n.cloudside.refusals, r.offer)
+				delete(n.cloudState.refusalsInRow, r.offer)
 			}
 			if err != nil || len(names) < count {
 				wait := 3 * time.Second
 				if errors.Is(err, ErrNoCapacity) || err == nil {
-					n.cloudside.refusals[r.offer]++
-					wait = decide.RefusedFor(n.cloudside.refusals[r.offer], n.offers(), n.rentPeriod())
+					n.cloudState.refusalsInRow[r.offer]++
+					wait = decide.RefusalBackoff(n.cloudState.refusalsInRow[r.offer], n.offerCount(), n.rentPeriod())
 				}
-				n.cloudside.refusedTill[r.offer] = now.Add(wait)
+				n.cloudState.refusedUntil[r.offer] = now.Add(wait)
 			}
 			// Until they are recorded they count as asked for, or the share would
 			// rent them once more.
-			n.adopt(s, req, names, fence, func() {
-				delete(n.cloudside.renting, r)
+			n.recordRental(s, req, names, fence, func() {
+				delete(n.cloudState.requested, r)
 				n.replan = true
 			})
 		})
 	})
 }
 
-// offers is how many kinds of machine the catalogue has.
-func (n *Node) offers() int {
+// offerCount is how many kinds of machine the catalogue has.
+func (n *Node) offerCount() int {
 	c := 0
-	for _, t := range n.types {
+	for _, t := range n.machineTypes {
 		c += 2 * len(t.Zones)
 	}
 	return c
@@ -82,7 +82,7 @@
 // rentPeriod is how long one request for machines after the other takes: the cloud's
 // rate, parted among the nodes, and the answer.
 func (n *Node) rentPeriod() time.Duration {
-	return n.seconds(float64(n.cfg.Params.Nodes)/n.cfg.Params.Cloud.RPS) + rentPause + time.Second/4
+	return n.seconds(float64(n.cfg.Params.Nodes)/n.cfg.Params.Cloud.RPS) + rentInterval + time.Second/4
 }
 
 // ErrNoCapacity is the cloud's refusal for want of machines.
@@ -92,12 +92,12 @@
 // or its rental's answer was lost, or is still being stored, or it was rented late. The
 // leader takes it up (adopt.go).
 func (n *Node) onStray(r *protocol.Report, now time.Time, reply chan<- answer) {
-	lead := n.shares[0].holder
-	if _, over := n.cloudside.returned[r.Machine]; !over {
+	lead := n.partitions[0].owner
+	if _, over := n.cloudState.returned[r.Machine]; !over {
 		n.adoption.Heard(protocol.MachineRecord{Name: r.Machine, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Addr: r.Addr}, now)
 	}
 	switch {
-	case n.leads():
+	case n.isLeader():
 		n.noteStray(r.Machine, now)
 		reply <- answer{status: 503}
 	case lead.Token != 0 && lead.Node != n.cfg.Node:
@@ -108,8 +108,8 @@
 }
 
 func (n *Node) noteStray(name string, now time.Time) {
-	if _, ok := n.cloudside.strays[name]; !ok {
-		n.cloudside.strays[name] = now
+	if _, ok := n.cloudState.unrecorded[name]; !ok {
+		n.cloudState.unrecorded[name] = now
 	}
 }
 
@@ -120,126 +120,126 @@
 
 // returnStrays gives back what nobody has recorded.
 func (n *Node) returnStrays(now time.Time, back *[]*machine) {
-	for name, first := range n.cloudside.strays {
+	for name, first := range n.cloudState.unrecorded {
 		m := n.machines[name]
-		_, over := n.cloudside.returned[name]
+		_, over := n.cloudState.returned[name]
 		switch {
-		case over || m != nil && m.known:
-			delete(n.cloudside.strays, name)
-		case m == nil && n.leads() && n.sinceContact(now) < 2*time.Second && now.Sub(first) > strayLimit:
+		case over || m != nil && m.recorded:
+			delete(n.cloudState.unrecorded, name)
+		case m == nil && n.isLeader() && n.sinceContact(now) < 2*time.Second && now.Sub(first) > strayLimit:
 			n.log.Info("stray machine returned", "machine", name)
-			*back = append(*back, &machine{name: name, on: map[taskKey]struct{}{}})
-			delete(n.cloudside.strays, name)
+			*back = append(*back, &machine{name: name, tasks: map[taskKey]struct{}{}})
+			delete(n.cloudState.unrecorded, name)
 		case now.Sub(first) > 4*strayLimit:
-			delete(n.cloudside.strays, name)
+			delete(n.cloudState.unrecorded, name)
 		}
 	}
 }
 
-// silentLimit is how long a machine may be silent before it is given back.
-func (n *Node) silentLimit() time.Duration {
+// silenceTimeout is how long a machine may be silent before it is given back.
+func (n *Node) silenceTimeout() time.Duration {
 	return time.Duration((3*n.cfg.Params.Workers.ReportS + 4) * float64(time.Second))
 }
 
 // tickMachines looks after the machines of the shares held.
 func (n *Node) tickMachines(now time.Time) {
-	if now.Sub(n.lastTend) < 500*time.Millisecond {
+	if now.Sub(n.lastMachineTick) < 500*time.Millisecond {
 		return
 	}
-	n.lastTend = now
+	n.lastMachineTick = now
 	n.replan = true // what is expected changes with time
-	n.keepTypes()
-	n.noteShut(now)
-	n.watchWorkers(now)
-	n.checkSight(now)
-	n.noteCuts(now)
+	n.storeCatalog()
+	n.noteRefusedConnections(now)
+	n.probeWorkers(now)
+	n.releaseIfCutOff(now)
+	n.detectZoneOutages(now)
 	var back, spare []*machine
 	idle := map[int]bool{}
-	for i, s := range n.shares {
-		idle[i] = n.mine(s) && !n.shareWaits(i, now)
+	for i, s := range n.partitions {
+		idle[i] = n.owns(s) && !n.hasWaitingTasks(i, now)
 	}
 	for _, m := range n.machines {
-		if !m.known {
+		if !m.recorded {
 			n.tendUnrecorded(m, now, &back)
 		}
 	}
 	var ours []*machine
-	for _, s := range n.shares {
-		if n.mine(s) {
+	for _, s := range n.partitions {
+		if n.owns(s) {
 			ours = append(ours, s.machines...)
 		}
 	}
 	n.pollSilent(ours, now)
 	for _, m := range ours {
 		switch {
-		case m.gone:
+		case m.returned:
 			n.settleGone(m)
 		case m.returning:
-			if !now.Before(m.returnTry) {
+			if !now.Before(m.returnRetryAt) {
 				back = append(back, m)
 			}
-		case n.dead(m, now):
-			n.log.Info("machine given up", "machine", m.name, "heard", !m.heard.IsZero(), "tasks", len(m.on))
+		case n.presumedDead(m, now):
+			n.log.Info("machine given up", "machine", m.name, "heard", !m.lastFencedReport.IsZero(), "tasks", len(m.tasks))
 			back = append(back, m)
-		case len(m.on) > 0 || !m.fenced || m.moving:
-		case m.notice || n.faulty(m):
-			n.log.Info("machine returned", "machine", m.name, "notice", m.notice, "blamed_by", len(m.suspicion.jobs), "failures", m.suspicion.failures)
+		case len(m.tasks) > 0 || !m.fenced || m.moving:
+		case m.spotNotice || n.faulty(m):
+			n.log.Info("machine returned", "machine", m.name, "notice", m.spotNotice, "blamed_by", len(m.faults.jobs), "failures", m.faults.failures)
 			back = append(back, m)
-		case idle[m.rec.Share] && !m.needed && !m.idleSince.IsZero() && now.Sub(m.idleSince) > start.IdleFor(n.seconds(n.policy.IdleS), !m.idleUnseen):
+		case idle[m.rec.Share] && !m.needed && !m.idleSince.IsZero() && now.Sub(m.idleSince) > start.IdleFor(n.seconds(n.policy.IdleS), !m.idleSinceUnknown):
 			spare = append(spare, m)
 		}
 	}
-	back = append(back, n.idleOnes(spare, now)...)
-	for _, s := range n.shares {
-		if n.mine(s) {
-			n.endDoubts(s)
+	back = append(back, n.returnableIdle(spare, now)...)
+	for _, s := range n.partitions {
+		if n.owns(s) {
+			n.fenceUnconfirmedStarts(s)
 		}
 	}
-	n.adoptStrays(now)
+	n.adoptUnrecorded(now)
 	n.returnStrays(now, &back)
 	n.saveBatches(now)
 	n.giveBack(back, now)
 	n.list(now)
 	n.sayHow(now)
-	n.tellCaches(now)
-	n.keepAccount(now)
-	n.sweepChunks(now)
+	n.prepareHints(now)
+	n.tickAccount(now)
+	n.removeOrphanChunks(now)
 }
 
 // sayHow logs now and then how the shares held are doing.
 func (n *Node) sayHow(now time.Time) {
-	if now.Sub(n.lastSaid) < 20*time.Second {
+	if now.Sub(n.lastStatusLog) < 20*time.Second {
 		return
 	}
-	n.saySpending(now.Sub(later(n.lastSaid, n.started)))
-	n.lastSaid = now
-	n.countWaiting(now)
-	for _, s := range n.shares {
-		if !n.mine(s) {
+	n.logChangeCounts(now.Sub(latest(n.lastStatusLog, n.startedAt)))
+	n.lastStatusLog = now
+	n.updateWaitingMetric(now)
+	for _, s := range n.partitions {
+		if !n.owns(s) {
 			continue
 		}
 		up, booting, empty, waits := 0, 0, 0, 0
-		var used, free Amounts
+		var used, free Resources
 		types := map[string]*typeUse{}
 		for _, m := range s.machines {
-			if m.heard.IsZero() {
+			if m.lastFencedReport.IsZero() {
 				booting++
 				continue
 			}
 			up++
-			if len(m.on) == 0 {
+			if len(m.tasks) == 0 {
 				empty++
 			}
-			used, free = used.Add(m.used, 1), free.Add(n.free(m), 1)
+			used, free = used.Add(m.used, 1), free.Add(n.available(m), 1)
 			u := types[m.rec.Type]
 			if u == nil {
 				u = &typeUse{}
 				types[m.rec.Type] = u
 			}
-			u.add(m, n.types[m.rec.Type])
+			u.add(m, n.machineTypes[m.rec.Type])
 		}
 		for _, j := range s.jobs {
-			waits += n.wants(j, now)
+			waits += n.preemptionDemand(j, now)
 		}
 		n.log.Info("share", "share", s.index, "up", up, "booting", booting, "empty", empty,
 			"gpus_used", used.GPUs, "gpus_free", free.GPUs, "cpus_used", used.CPUs, "cpus_free", free.CPUs, "tasks_waiting", waits, "types", sayTypes(types))
@@ -255,13 +255,13 @@
 
 func (u *typeUse) add(m *machine, t *protocol.MachineType) {
 	u.up++
-	if len(m.on) == 0 {
+	if len(m.tasks) == 0 {
 		u.empty++
 	}
 	if t == nil {
 		return
 	}
-	if t.GPUs > 0 && len(m.on) > 0 && m.used.GPUs < slack {
+	if t.GPUs > 0 && len(m.tasks) > 0 && m.used.GPUs < tolerance {
 		u.lent++
 	}
 	u.cpus += t.CPUs
@@ -282,64 +282,64 @@
 	return strings.Join(out, "; ")
 }
 
-// dead says whether a machine is to be given up: it does not boot, or it is
+// presumedDead says whether a machine is to be given up: it does not boot, or it is
 // silent while others are heard.
-func (n *Node) dead(m *machine, now time.Time) bool {
-	if n.sinceContact(now) > 2*time.Second || n.worksOn(m, now) {
+func (n *Node) presumedDead(m *machine, now time.Time) bool {
+	if n.sinceContact(now) > 2*time.Second || n.worksUntilLeaseEnd(m, now) {
 		return false
 	}
-	if m.heard.IsZero() {
+	if m.lastFencedReport.IsZero() {
 		boot := 60 * time.Second
-		if t := n.types[m.rec.Type]; t != nil {
+		if t := n.machineTypes[m.rec.Type]; t != nil {
 			boot = max(boot, time.Duration(3*t.BootS*float64(time.Second)))
 		}
-		if len(m.on) == 0 && m.rec.Addr == "" {
-			return now.Sub(m.added) > boot && now.Sub(n.eyes.awake) > n.silentLimit()
+		if len(m.tasks) == 0 && m.rec.Addr == "" {
+			return now.Sub(m.trackedSince) > boot && now.Sub(n.reachability.stallEnded) > n.silenceTimeout()
 		}
 		// It was up under an earlier holder, and needs a moment to find this one.
 	}
 	// While its zone cannot be reached the machine is most likely working, and
 	// when the cut ends it needs a moment to come back.
-	last := n.lastHeard(m)
-	if m.heard.IsZero() {
+	last := n.silentSince(m)
+	if m.lastFencedReport.IsZero() {
 		last = last.Add(3 * time.Second)
 	}
-	since := later(last, n.eyes.cutAt[m.rec.Zone])
-	return now.Sub(since) > n.silentLimit() || now.Sub(last) > maxCut ||
-		m.unlisted && n.suspect(m, now) && now.Sub(since) > n.suspectLimit()
+	since := latest(last, n.reachability.zoneUnreachableAt[m.rec.Zone])
+	return now.Sub(since) > n.silenceTimeout() || now.Sub(last) > maxZoneOutage ||
+		m.unlisted && n.reportsOverdue(m, now) && now.Sub(since) > n.overdueTimeout()
 }
 
-// suspectLimit is how long a machine that was up may be silent before the cloud
+// overdueTimeout is how long a machine that was up may be silent before the cloud
 // is asked whether it still has it.
-func (n *Node) suspectLimit() time.Duration {
+func (n *Node) overdueTimeout() time.Duration {
 	return time.Duration((1.4*n.cfg.Params.Workers.ReportS + 1) * float64(time.Second))
 }
 
-// suspect says whether a machine that was up, and that the cloud must have
+// reportsOverdue says whether a machine that was up, and that the cloud must have
 // listed by now, is silent.
-func (n *Node) suspect(m *machine, now time.Time) bool {
-	if len(m.on) == 0 && !m.wasUp() {
+func (n *Node) reportsOverdue(m *machine, now time.Time) bool {
+	if len(m.tasks) == 0 && !m.hasBooted() {
 		return false
 	}
-	return !m.returning && !m.gone && now.Sub(n.lastHeard(m)) > n.suspectLimit()
+	return !m.returning && !m.returned && now.Sub(n.silentSince(m)) > n.overdueTimeout()
 }
 
-// maxCut is how long the machines of an unreachable zone are kept.
-const maxCut = 90 * time.Second
+// maxZoneOutage is how long the machines of an unreachable zone are kept.
+const maxZoneOutage = 90 * time.Second
 
-// noteCuts notes which zones cannot be reached at present.
-func (n *Node) noteCuts(now time.Time) {
+// detectZoneOutages notes which zones cannot be reached at present.
+func (n *Node) detectZoneOutages(now time.Time) {
 	for _, z := range n.cfg.Params.Zones {
 		// If most of a zone is silent it is the network, and the machines keep working.
-		if n.quietPart(now, z) >= 0.7 || n.zoneCut(z, now) {
-			n.eyes.cutAt[z] = now
+		if n.silentFraction(now, z) >= 0.7 || n.zoneUnreachable(z, now) {
+			n.reachability.zoneUnreachableAt[z] = now
 		}
 	}
 }
 
 // silent says whether a machine that was up is not heard now.
 func (n *Node) silent(m *machine, now time.Time) bool {
-	return now.Sub(n.lastHeard(m)).Seconds() > n.silentAfterS()
+	return now.Sub(n.silentSince(m)).Seconds() > n.silentAfterS()
 }
 
 // silentAfterS is after how many seconds without a report a machine counts as silent.
@@ -348,22 +348,22 @@
 // tendUnrecorded sees to machines that tasks are recorded on but that have no
 // record: they are returned, which proves the tasks gone.
 func (n *Node) tendUnrecorded(m *machine, now time.Time, back *[]*machine) {
-	if len(m.on) == 0 {
-		if !m.returning || m.gone {
+	if len(m.tasks) == 0 {
+		if !m.returning || m.returned {
 			delete(n.machines, m.name)
-			n.touch(m)
+			n.markStale(m)
 		}
 		return
 	}
-	for k := range m.on {
-		if !n.mine(n.shares[k.job.share]) {
+	for k := range m.tasks {
+		if !n.owns(n.partitions[k.job.partition]) {
 			return
 		}
 	}
 	switch {
-	case m.gone:
+	case m.returned:
 		n.settleGone(m)
-	case now.Sub(m.added) > 5*time.Second && !now.Before(m.returnTry):
+	case now.Sub(m.trackedSince) > 5*time.Second && !now.Before(m.returnRetryAt):
 		*back = append(*back, m)
 	}
 }
@@ -372,20 +372,20 @@
 // record goes with the batch's next change.
 func (n *Node) settleGone(m *machine) {
 	now := time.Now()
-	for k := range m.on {
+	for k := range m.tasks {
 		t := &k.job.tasks[k.task]
-		if t.seen == unseen && t.sent.IsZero() {
+		if t.reportedState == reportedNone && t.startSentAt.IsZero() {
 			// An earlier holder recorded it there, and this one never heard of it: as far
 			// as anybody can tell it ran. (Found with a fleet lost at once: each node took
 			// itself for blind, and who took the shares over counted nothing as lost.)
-			t.seen = seenRunning
+			t.reportedState = reportedRunning
 		}
 		n.runLost(k.job, t, now)
-		n.note(k.job, k.task, gone)
+		n.recordOutcome(k.job, k.task, outcomeGone)
 	}
-	if m.known {
+	if m.recorded {
 		// Soon: a new holder would wait for it.
-		m.batch.changed(time.Now().Add(time.Second - batchPause))
+		m.batch.markDirty(time.Now().Add(time.Second - batchSaveDelay))
 	}
 }
 
@@ -398,27 +398,27 @@
 	var names []string
 	for _, m := range ms {
 		m.returning = true
-		n.touch(m)
-		m.returnTry = now.Add(8 * time.Second)
+		n.markStale(m)
+		m.returnRetryAt = now.Add(8 * time.Second)
 		names = append(names, m.name)
 	}
 	n.spawn(func(ctx context.Context) {
 		err := n.cloud.Return(ctx, names)
 		n.post(func() {
 			now := time.Now()
-			n.metrics.cloud.WithLabelValues("return", outcome(err)).Inc()
+			n.metrics.cloudCalls.WithLabelValues("return", callOutcome(err)).Inc()
 			if err != nil {
 				n.log.Info("return not confirmed", "machines", len(names), "why", err)
 				for _, m := range ms {
-					m.returnTry = now.Add(2 * time.Second)
+					m.returnRetryAt = now.Add(2 * time.Second)
 				}
 				return
 			}
 			for _, m := range ms {
-				m.gone = true
-				n.touch(m)
-				n.cloudside.returned[m.name] = now
-				if m.known && n.mine(n.shares[m.rec.Share]) || !m.known {
+				m.returned = true
+				n.markStale(m)
+				n.cloudState.returned[m.name] = now
+				if m.recorded && n.owns(n.partitions[m.rec.Share]) || !m.recorded {
 					n.settleGone(m)
 				}
 			}
@@ -431,34 +431,34 @@
 // spot machines taken back is noticed so in half the time that silence takes.
 func (n *Node) list(now time.Time) {
 	pause := 15 * time.Second
-	if slices.ContainsFunc(n.shares, func(s *share) bool {
-		return n.mine(s) && slices.ContainsFunc(s.machines, func(m *machine) bool { return !m.unlisted && n.suspect(m, now) })
+	if slices.ContainsFunc(n.partitions, func(s *partition) bool {
+		return n.owns(s) && slices.ContainsFunc(s.machines, func(m *machine) bool { return !m.unlisted && n.reportsOverdue(m, now) })
 	}) {
 		pause = 5 * time.Second
-	} else if !n.leads() {
+	} else if !n.isLeader() {
 		return
 	}
-	if n.cloudside.listing || now.Sub(n.cloudside.lastList) < pause {
+	if n.cloudState.listing || now.Sub(n.cloudState.lastList) < pause {
 		return
 	}
-	n.cloudside.lastList = now
-	n.cloudside.listing = true
+	n.cloudState.lastList = now
+	n.cloudState.listing = true
 	n.spawn(func(ctx context.Context) {
 		ms, err := n.cloud.List(ctx)
 		n.post(func() {
-			n.cloudside.listing = false
+			n.cloudState.listing = false
 			if err == nil {
-				n.onList(ms, now, time.Now())
+				n.onMachineList(ms, now, time.Now())
 			}
 		})
 	})
 }
 
-// onList takes in a list asked for at a time.
-func (n *Node) onList(ms []protocol.ListedMachine, asked, now time.Time) {
-	for name, t := range n.cloudside.returned {
+// onMachineList takes in a list asked for at a time.
+func (n *Node) onMachineList(ms []protocol.ListedMachine, asked, now time.Time) {
+	for name, t := range n.cloudState.returned {
 		if now.Sub(t) > 5*time.Minute {
-			delete(n.cloudside.returned, name)
+			delete(n.cloudState.returned, name)
 		}
 	}
 	var back []*machine
@@ -466,8 +466,8 @@
 	for _, l := range ms {
 		listed[l.ID] = true
 		m := n.machines[l.ID]
-		if m == nil || !m.known {
-			if n.leads() {
+		if m == nil || !m.recorded {
+			if n.isLeader() {
 				n.noteStray(l.ID, now)
 			}
 			continue
@@ -475,7 +475,7 @@
 		if m.addr == "" {
 			m.addr = l.Addr
 		}
-		if l.State == "failed" && !m.gone && !m.returning && n.mine(n.shares[m.rec.Share]) {
+		if l.State == "failed" && !m.returned && !m.returning && n.owns(n.partitions[m.rec.Share]) {
 			n.log.Info("machine failed", "machine", l.ID)
 			back = append(back, m)
 		}
@@ -484,12 +484,12 @@
 	// rented long before that and is not on it is most likely gone; the answer to
 	// its return is the proof.
 	old := time.Duration((4*n.cfg.Params.Cloud.ListLagS + 5) * float64(time.Second))
-	for _, s := range n.shares {
-		if !n.mine(s) {
+	for _, s := range n.partitions {
+		if !n.owns(s) {
 			continue
 		}
 		for _, m := range s.machines {
-			m.unlisted = !listed[m.name] && asked.Sub(m.born) > old
+			m.unlisted = !listed[m.name] && asked.Sub(m.firstSeen) > old
 		}
 	}
 	n.giveBack(back, now)
@@ -497,13 +497,13 @@
 
 // drain empties a machine that the cloud takes back in so many seconds.
 func (n *Node) drain(m *machine, seconds float64) {
-	for k := range m.on {
+	for k := range m.tasks {
 		j := k.job
 		t := &j.tasks[k.task]
-		if t.phase != placed {
+		if t.phase != phasePlaced {
 			continue
 		}
-		left := j.spec.EstimateS - time.Since(t.since).Seconds()
+		left := j.spec.EstimateS - time.Since(t.phaseSince).Seconds()
 		if j.spec.Shape == protocol.Array && left < seconds-1 {
 			continue // it should be done before
 		}
@@ -518,12 +518,12 @@
 		grace = j.spec.SaveS + n.cfg.Params.Workers.GangPeerS
 	}
 	if j.spec.Shape == protocol.Gang {
-		j.abandon = true
+		j.abortAttempt = true
 		for k := range j.tasks {
-			j.tasks[k].graceS = grace
+			j.tasks[k].stopGraceS = grace
 		}
 	}
 	t := &j.tasks[i]
-	t.stop, t.graceS = true, grace
+	t.stopRequested, t.stopGraceS = true, grace
 	n.wakeMachines(j)
 }
--- a/internal/coordination/node/metrics.go
+++ b/internal/coordination/node/metrics.go
@@ -9,24 +9,24 @@
 // Metrics are the node's figures for Prometheus. Labels are bounded: classes
 // are those of the objectives, and "other".
 type Metrics struct {
-	Registry *prometheus.Registry
-	accept   prometheus.Histogram
-	start    *prometheus.HistogramVec
-	finish   *prometheus.HistogramVec
-	state    *prometheus.CounterVec
-	cloud    *prometheus.CounterVec
-	refused  *prometheus.CounterVec
-	placed   prometheus.Counter
-	lag      prometheus.Histogram
-	backlog  prometheus.Gauge
-	waiting  *prometheus.GaugeVec
-	orders   *prometheus.CounterVec
-	unheard  *prometheus.GaugeVec
-	rate     prometheus.Gauge
-	takeover *prometheus.HistogramVec
-	changes  *prometheus.CounterVec
-	entries  *prometheus.HistogramVec
-	classes  map[string]bool
+	Registry        *prometheus.Registry
+	accept          prometheus.Histogram
+	start           *prometheus.HistogramVec
+	finish          *prometheus.HistogramVec
+	stateCalls      *prometheus.CounterVec
+	cloudCalls      *prometheus.CounterVec
+	guardRefusals   *prometheus.CounterVec
+	placed          prometheus.Counter
+	actorLag        prometheus.Histogram
+	backlog         prometheus.Gauge
+	waiting         *prometheus.GaugeVec
+	orders          *prometheus.CounterVec
+	unheardMachines *prometheus.GaugeVec
+	orderRate       prometheus.Gauge
+	takeover        *prometheus.HistogramVec
+	changes         *prometheus.CounterVec
+	entries         *prometheus.HistogramVec
+	classes         map[string]bool
 }
 
 func newMetrics(classes map[string]bool) *Metrics {
@@ -38,14 +38,14 @@
 		Help: "Time from submission until a task of the job was seen running.", Buckets: long}, []string{"class"})
 	m.finish = prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "dapplestage_done_seconds",
 		Help: "Time from submission until the job was stored as done.", Buckets: long}, []string{"class"})
-	m.state = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "dapplestage_state_calls_total",
+	m.stateCalls = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "dapplestage_state_calls_total",
 		Help: "Changes of the state service by outcome."}, []string{"outcome"})
-	m.cloud = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "dapplestage_cloud_calls_total",
+	m.cloudCalls = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "dapplestage_cloud_calls_total",
 		Help: "Calls of the cloud by kind and outcome."}, []string{"call", "outcome"})
-	m.refused = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "dapplestage_guard_refusals_total",
+	m.guardRefusals = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "dapplestage_guard_refusals_total",
 		Help: "What was refused to keep a rule, by guard."}, []string{"guard"})
 	m.placed = prometheus.NewCounter(prometheus.CounterOpts{Name: "dapplestage_placed_tasks_total", Help: "Tasks given a machine."})
-	m.lag = prometheus.NewHistogram(prometheus.HistogramOpts{Name: "dapplestage_lag_seconds",
+	m.actorLag = prometheus.NewHistogram(prometheus.HistogramOpts{Name: "dapplestage_lag_seconds",
 		Help: "How late the node comes to what is due; late in most cases: too little processor time.", Buckets: []float64{.005, .02, .05, .1, .25, .5, 1, 2}})
 	m.backlog = prometheus.NewGauge(prometheus.GaugeOpts{Name: "dapplestage_backlog",
 		Help: "Changes and reads that wait for the state service."})
@@ -53,9 +53,9 @@
 		Help: "Tasks that wait for a machine, of the shares held, by the cause that binds."}, []string{"cause"})
 	m.orders = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "dapplestage_orders_total",
 		Help: "Orders under the budget of a start, by kind, given or held back; one that is asked for again counts again."}, []string{"order", "outcome"})
-	m.unheard = prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "dapplestage_unheard_machines",
+	m.unheardMachines = prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "dapplestage_unheard_machines",
 		Help: "Machines of a share held that have not spoken since it was taken."}, []string{"share"})
-	m.rate = prometheus.NewGauge(prometheus.GaugeOpts{Name: "dapplestage_order_rate",
+	m.orderRate = prometheus.NewGauge(prometheus.GaugeOpts{Name: "dapplestage_order_rate",
 		Help: "Orders a second that the budget of a start allows now."})
 	m.takeover = prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "dapplestage_takeover_seconds",
 		Help: "Time from when a share's holder was last heard of until this node had taken it, by cause.", Buckets: []float64{.1, .25, .5, 1, 2, 3, 4, 5, 10}}, []string{"cause"})
@@ -63,26 +63,26 @@
 		Help: "Changes of the state service that this node made, by what they were for; brought up to date every 20 s."}, []string{"for"})
 	m.entries = prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "dapplestage_entry_jobs",
 		Help: "Jobs of which one stored entry told: of a share's log, or of this node's inbox.", Buckets: []float64{1, 2, 4, 8, 16, 32}}, []string{"ring"})
-	m.Registry.MustRegister(m.entries, m.changes, m.takeover, m.orders, m.unheard, m.rate, m.waiting, m.lag, m.backlog, m.accept, m.start, m.finish, m.state, m.cloud, m.refused, m.placed)
+	m.Registry.MustRegister(m.entries, m.changes, m.takeover, m.orders, m.unheardMachines, m.orderRate, m.waiting, m.actorLag, m.backlog, m.accept, m.start, m.finish, m.stateCalls, m.cloudCalls, m.guardRefusals, m.placed)
 	return m
 }
 
-func (m *Metrics) class(c string) string {
+func (m *Metrics) classLabel(c string) string {
 	if m.classes[c] {
 		return c
 	}
 	return "other"
 }
 
-func outcome(err error) string {
+func callOutcome(err error) string {
 	if err != nil {
 		return "failed"
 	}
 	return "ok"
 }
 
-// since observes a time from t until now, if t is known.
-func since(h prometheus.Observer, t, now time.Time) {
+// observeSince observes a time from t until now, if t is known.
+func observeSince(h prometheus.Observer, t, now time.Time) {
 	if !t.IsZero() {
 		h.Observe(max(0, now.Sub(t).Seconds()))
 	}
--- a/internal/coordination/node/mistakes_test.go
+++ b/internal/coordination/node/mistakes_test.go
@@ -8,21 +8,21 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// array stores an array of the share's team with a task on each of some machines.
-func (b *bench) array(id string, tasks int, on ...string) *job {
+// storeArray stores an array of the share's team with a task on each of some machines.
+func (b *testNode) storeArray(id string, tasks int, on ...string) *job {
 	spec := &protocol.JobSpec{ID: id, Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: tasks, CPUs: 4, GPUs: 1, Image: "i", ImageGB: 1}
 	var placed []protocol.Placement
 	for i, m := range on {
 		placed = append(placed, protocol.Placement{Task: i, Attempt: 1, Machine: m})
 	}
-	b.put(protocol.JobKey(id), protocol.JobRecord{Spec: spec, Next: 2, Chunk: protocol.Chunk{Placed: placed}})
+	b.watchPut(protocol.JobKey(id), protocol.JobRecord{Spec: spec, Next: 2, Chunk: protocol.Chunk{Placed: placed}})
 	return b.jobs[id]
 }
 
-// fails makes a job's task end with an error where it is placed.
-func (b *bench) fails(j *job, i int, now time.Time) {
+// failTask makes a job's task end with an error where it is placed.
+func (b *testNode) failTask(j *job, i int, now time.Time) {
 	t := &j.tasks[i]
-	b.observe(t.machine, j, i, &protocol.TaskReport{Task: protocol.TaskID(j.id, i), Attempt: t.attempt, State: protocol.TaskExited, Cause: protocol.CauseError}, now)
+	b.observeTask(t.machine, j, i, &protocol.TaskReport{Task: protocol.TaskID(j.id, i), Attempt: t.attempt, State: protocol.TaskExited, Cause: protocol.CauseError}, now)
 }
 
 // A job that was submitted with a mistake had all of its tasks tried again and
@@ -30,77 +30,77 @@
 // good machines into disrepute. (Seen on simulated days: 1,117 tasks of 17 jobs; half
 // of 1,550 machines stood empty.)
 func TestMistakenJobIsTriedSeldom(t *testing.T) {
-	b := newBench(t)
-	b.fleet(4)
+	b := newTestNode(t)
+	b.addRunningMachines(4)
 	now := time.Now()
-	j := b.array("job-1", 8, "host-100", "host-101", "host-102")
-	b.fails(j, 0, now)
-	if j.trouble.mistake || b.mayTry(j, 5, now) != 5 || len(b.machines["host-100"].suspicion.jobs) != 1 || b.shareWaits(0, now) != true {
-		t.Fatalf("one machine's error: %+v", j.trouble)
-	}
-	b.fails(j, 1, now)
-	b.fails(j, 2, now)
-	if !j.trouble.mistake {
+	j := b.storeArray("job-1", 8, "host-100", "host-101", "host-102")
+	b.failTask(j, 0, now)
+	if j.failures.failsEverywhere || b.eligibleTasks(j, 5, now) != 5 || len(b.machines["host-100"].faults.jobs) != 1 || b.hasWaitingTasks(0, now) != true {
+		t.Fatalf("one machine's error: %+v", j.failures)
+	}
+	b.failTask(j, 1, now)
+	b.failTask(j, 2, now)
+	if !j.failures.failsEverywhere {
 		t.Fatal("a job that failed on three machines is still taken for well")
 	}
-	for _, m := range b.shares[0].machines {
-		if !m.suspicion.since.IsZero() || now.Before(m.avoidTill) {
+	for _, m := range b.partitions[0].machines {
+		if !m.faults.since.IsZero() || now.Before(m.avoidUntil) {
 			t.Fatalf("%s is blamed for the job's mistake", m.name)
 		}
 	}
-	if b.shareWaits(0, now) || b.wants(j, now) != 0 {
+	if b.hasWaitingTasks(0, now) || b.preemptionDemand(j, now) != 0 {
 		t.Fatal("the share waits for a job that fails everywhere")
 	}
-	if b.mayTry(j, 5, now) != 0 {
+	if b.eligibleTasks(j, 5, now) != 0 {
 		t.Fatal("it is tried again at once")
 	}
 	// Ever more seldom, one task at a time.
 	pause := time.Duration(0)
 	for k := range 8 {
 		next := j.notBefore.Sub(now)
-		if next < pause || next > mostPause {
+		if next < pause || next > maxRetryPause {
 			t.Fatalf("try %d after %v, the one before after %v", k, next, pause)
 		}
 		pause, now = next, j.notBefore
-		b.put(protocol.JobKey("job-1"), protocol.JobRecord{Spec: j.spec, Next: j.next})
-		if got := b.mayTry(j, 8, now); got != 1 {
+		b.watchPut(protocol.JobKey("job-1"), protocol.JobRecord{Spec: j.spec, Next: j.nextAttempt})
+		if got := b.eligibleTasks(j, 8, now); got != 1 {
 			t.Fatalf("%d tasks tried at once", got)
 		}
-		b.propose(j, []int{0}, []*machine{b.machines["host-103"]}, now)
-		if got := b.mayTry(j, 7, now); got != 0 {
+		b.proposePlacements(j, []int{0}, []*machine{b.machines["host-103"]}, now)
+		if got := b.eligibleTasks(j, 7, now); got != 0 {
 			t.Fatalf("%d more tasks are tried beside one", got)
 		}
-		b.put(protocol.JobKey("job-1"), protocol.JobRecord{Spec: j.spec, Next: j.next, Chunk: protocol.Chunk{Placed: []protocol.Placement{{Task: 0, Attempt: j.next - 1, Machine: "host-103"}}}})
-		b.fails(j, 0, now)
+		b.watchPut(protocol.JobKey("job-1"), protocol.JobRecord{Spec: j.spec, Next: j.nextAttempt, Chunk: protocol.Chunk{Placed: []protocol.Placement{{Task: 0, Attempt: j.nextAttempt - 1, Machine: "host-103"}}}})
+		b.failTask(j, 0, now)
 	}
-	if pause != mostPause {
+	if pause != maxRetryPause {
 		t.Fatalf("after eight tries the pause is %v", pause)
 	}
-	if got := b.head(j).Tries; got != 9 {
+	if got := b.headRecord(j).Tries; got != 9 {
 		t.Fatalf("%d tries are recorded", got)
 	}
 	// One task does well: it was bad luck.
-	b.put(protocol.JobKey("job-1"), protocol.JobRecord{Spec: j.spec, Next: 30, Chunk: protocol.Chunk{Placed: []protocol.Placement{{Task: 0, Attempt: 29, Machine: "host-103"}}}})
+	b.watchPut(protocol.JobKey("job-1"), protocol.JobRecord{Spec: j.spec, Next: 30, Chunk: protocol.Chunk{Placed: []protocol.Placement{{Task: 0, Attempt: 29, Machine: "host-103"}}}})
 	run := &protocol.TaskReport{Task: "job-1/0", Attempt: 29, State: protocol.TaskRunning}
-	b.observe(b.machines["host-103"], j, 0, run, now)
-	b.observe(b.machines["host-103"], j, 0, run, now.Add(shortRun))
-	if j.trouble.mistake || b.mayTry(j, 7, now) != 7 {
-		t.Fatalf("a job whose task runs well: %+v", j.trouble)
+	b.observeTask(b.machines["host-103"], j, 0, run, now)
+	b.observeTask(b.machines["host-103"], j, 0, run, now.Add(minGoodRun))
+	if j.failures.failsEverywhere || b.eligibleTasks(j, 7, now) != 7 {
+		t.Fatalf("a job whose task runs well: %+v", j.failures)
 	}
 }
 
 // A machine on which one job after the other fails is faulty, and the jobs are not.
 func TestFaultyMachineIsToldFromMistakenJobs(t *testing.T) {
-	b := newBench(t)
+	b := newTestNode(t)
 	now := time.Now()
 	m := b.machines["host-1"]
 	for i := range 3 {
 		if b.faulty(m) {
 			t.Fatalf("faulty after %d jobs", i)
 		}
-		j := b.job(fmt.Sprint("job-", i), false, onHost1)
-		b.fails(j, 0, now)
-		if j.trouble.mistake || b.mayTry(j, 1, now) != 1 {
+		j := b.addJob(fmt.Sprint("job-", i), false, placedOnHost1)
+		b.failTask(j, 0, now)
+		if j.failures.failsEverywhere || b.eligibleTasks(j, 1, now) != 1 {
 			t.Fatalf("%s is taken for mistaken after one machine's error", j.id)
 		}
 	}
@@ -115,63 +115,63 @@
 // spared while it was counts again. (On simulated days such machines failed up to 167 tasks
 // and five jobs were taken for mistaken.)
 func TestMachineThatFailsWhatItStarts(t *testing.T) {
-	b := newBench(t)
-	b.fleet(4)
+	b := newTestNode(t)
+	b.addRunningMachines(4)
 	now := time.Now().Add(time.Minute) // what is placed was placed before
 	runs := func(j *job, i int, at time.Time) {
 		tk := &j.tasks[i]
-		b.observe(tk.machine, j, i, &protocol.TaskReport{Task: protocol.TaskID(j.id, i), Attempt: tk.attempt, State: protocol.TaskRunning}, at)
+		b.observeTask(tk.machine, j, i, &protocol.TaskReport{Task: protocol.TaskID(j.id, i), Attempt: tk.attempt, State: protocol.TaskRunning}, at)
 	}
-	old := b.array("job-1", 4, "host-100")
-	well := b.array("job-2", 8, "host-101", "host-100", "host-100", "host-100", "host-102")
-	b.observe(b.machines["host-101"], well, 0, &protocol.TaskReport{Task: "job-2/0", Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseDone}, now)
+	old := b.storeArray("job-1", 4, "host-100")
+	well := b.storeArray("job-2", 8, "host-101", "host-100", "host-100", "host-100", "host-102")
+	b.observeTask(b.machines["host-101"], well, 0, &protocol.TaskReport{Task: "job-2/0", Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseDone}, now)
 	sick := b.machines["host-100"]
 	for i := 1; i <= 3; i++ {
 		if b.faulty(sick) {
 			t.Fatalf("faulty after %d tasks", i-1)
 		}
-		b.fails(well, i, now)
+		b.failTask(well, i, now)
 		runs(old, 0, now)
 	}
-	if !b.faulty(sick) || well.trouble.mistake {
-		t.Fatalf("after three tasks: %+v, the job %+v", sick.suspicion, well.trouble)
+	if !b.faulty(sick) || well.failures.failsEverywhere {
+		t.Fatalf("after three tasks: %+v, the job %+v", sick.faults, well.failures)
 	}
-	fresh := b.array("job-3", 4, "host-100", "host-102", "host-103")
-	b.fails(fresh, 0, now)
-	b.fails(fresh, 1, now)
-	if fresh.trouble.mistake {
+	fresh := b.storeArray("job-3", 4, "host-100", "host-102", "host-103")
+	b.failTask(fresh, 0, now)
+	b.failTask(fresh, 1, now)
+	if fresh.failures.failsEverywhere {
 		t.Fatal("a job is taken for mistaken by a faulty machine and one more")
 	}
-	b.fails(fresh, 2, now)
-	if !fresh.trouble.mistake || !b.machines["host-102"].suspicion.since.IsZero() {
-		t.Fatalf("a job that failed on two others: %+v", fresh.trouble)
+	b.failTask(fresh, 2, now)
+	if !fresh.failures.failsEverywhere || !b.machines["host-102"].faults.since.IsZero() {
+		t.Fatalf("a job that failed on two others: %+v", fresh.failures)
 	}
-	b.put(protocol.JobKey("job-3"), protocol.JobRecord{Spec: fresh.spec, Next: 30, Chunk: protocol.Chunk{Placed: []protocol.Placement{{Task: 3, Attempt: 29, Machine: "host-101"}}}})
+	b.watchPut(protocol.JobKey("job-3"), protocol.JobRecord{Spec: fresh.spec, Next: 30, Chunk: protocol.Chunk{Placed: []protocol.Placement{{Task: 3, Attempt: 29, Machine: "host-101"}}}})
 	runs(fresh, 3, now)
-	runs(fresh, 3, now.Add(shortRun))
-	if got := b.machines["host-102"].suspicion.failures; got != 1 {
+	runs(fresh, 3, now.Add(minGoodRun))
+	if got := b.machines["host-102"].faults.failures; got != 1 {
 		t.Errorf("%d failures are counted where it was spared", got)
 	}
-	late := b.array("job-4", 1, "host-102")
-	late.tasks[0].since = now.Add(2 * shortRun)
-	runs(late, 0, now.Add(3*shortRun))
-	if !b.machines["host-102"].suspicion.since.IsZero() {
+	late := b.storeArray("job-4", 1, "host-102")
+	late.tasks[0].phaseSince = now.Add(2 * minGoodRun)
+	runs(late, 0, now.Add(3*minGoodRun))
+	if !b.machines["host-102"].faults.since.IsZero() {
 		t.Error("a machine on which a later task runs is still suspected")
 	}
 }
 
 // Who takes a share over knows which of its jobs fail everywhere.
 func TestMistakeIsKnownAfterATakeOver(t *testing.T) {
-	b := newBench(t)
-	b.put(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 4})
+	b := newTestNode(t)
+	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 4})
 	spec := &protocol.JobSpec{ID: "job-1", Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 90, CPUs: 4, GPUs: 1}
-	b.put(protocol.JobKey("job-1"), protocol.JobRecord{Spec: spec, Next: 4, Tries: 3})
-	b.put(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
+	b.watchPut(protocol.JobKey("job-1"), protocol.JobRecord{Spec: spec, Next: 4, Tries: 3})
+	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
 	j := b.jobs["job-1"]
-	if got := b.mayTry(j, 90, time.Now()); got != 0 {
+	if got := b.eligibleTasks(j, 90, time.Now()); got != 0 {
 		t.Fatalf("%d tasks are tried at once", got)
 	}
-	if got := b.mayTry(j, 90, time.Now().Add(mostPause)); got != 1 {
+	if got := b.eligibleTasks(j, 90, time.Now().Add(maxRetryPause)); got != 1 {
 		t.Fatalf("%d tasks are tried after a while", got)
 	}
 }
--- a/internal/coordination/node/moves.go
+++ b/internal/coordination/node/moves.go
@@ -22,31 +22,31 @@
 // is free where it waits. Work of guest teams is no reason to keep a machine from
 // work with a guarantee, and gets only machines that nobody needs.
 func (n *Node) planMoves(now time.Time) {
-	mv := n.moves(now)
+	mv := n.computeMoves(now)
 	if len(mv.Moves) == 0 {
 		return
 	}
 	n.log.Info("moves planned", "machines", len(mv.Moves))
 	// On the condition of the plan before: an earlier plan that is executed late would hand
 	// over machines by what was wanted then.
-	n.submit(&storage.Op{For: uint8(forMoves), Conds: []storage.Cond{n.cond(protocol.HolderKey(0)), n.cond(protocol.MovesKey)},
+	n.submit(&storage.Op{For: uint8(forMoves), Conds: []storage.Cond{n.unchanged(protocol.HolderKey(0)), n.unchanged(protocol.MovesKey)},
 		Writes: []storage.Write{{Put: protocol.MovesKey, Value: mustJSON(mv)}}}, func(storage.Result) {})
 }
 
-// moves is the leader's plan for now.
-func (n *Node) moves(now time.Time) (mv protocol.Moves) {
-	claims := make([][]*decide.Job, len(n.shares)) // jobs that wait in each share
-	guests := make([][]*decide.Job, len(n.shares))
+// computeMoves is the leader's plan for now.
+func (n *Node) computeMoves(now time.Time) (mv protocol.Moves) {
+	claims := make([][]*decide.Job, len(n.partitions)) // jobs that wait in each share
+	guests := make([][]*decide.Job, len(n.partitions))
 	any := false
-	for i := range n.shares {
-		for _, j := range n.shares[i].jobs {
+	for i := range n.partitions {
+		for _, j := range n.partitions[i].jobs {
 			switch {
-			case n.wants(j, now) == 0:
+			case n.preemptionDemand(j, now) == 0:
 				continue
-			case n.guest(j):
-				guests[i] = append(guests[i], n.boundFacts(j, now))
+			case n.unguaranteed(j):
+				guests[i] = append(guests[i], n.jobFactsWithZones(j, now))
 			default:
-				claims[i] = append(claims[i], n.boundFacts(j, now))
+				claims[i] = append(claims[i], n.jobFactsWithZones(j, now))
 			}
 			any = true
 		}
@@ -54,30 +54,30 @@
 	if !any {
 		return mv
 	}
-	for _, m := range n.view(n.shares[0], now).Moves(claims, guests, mostMoves) {
-		mv.Moves = append(mv.Moves, protocol.Move{Machine: m.Machine.Name, Share: m.Share, Spare: m.Spare, Rank: m.Rank, Drain: m.Drain})
+	for _, m := range n.view(n.partitions[0], now).PlanMoves(claims, guests, mostMoves) {
+		mv.Moves = append(mv.Moves, protocol.Move{Machine: m.Machine.Name, Share: m.Partition, Spare: m.OnlyIfUnneeded, Rank: m.Rank, Drain: m.Drain})
 	}
 	return mv
 }
 
-// claimed says whether work with a guarantee waits for machines in a share.
-func (n *Node) claimed(share int, now time.Time) bool {
-	return slices.ContainsFunc(n.shares[share].jobs, func(j *job) bool { return !n.guest(j) && n.wants(j, now) > 0 })
+// guaranteedWorkWaits says whether work with a guarantee waits for machines in a share.
+func (n *Node) guaranteedWorkWaits(share int, now time.Time) bool {
+	return slices.ContainsFunc(n.partitions[share].jobs, func(j *job) bool { return !n.unguaranteed(j) && n.preemptionDemand(j, now) > 0 })
 }
 
-// anyClaimed says whether work with a guarantee waits in any share.
-func (n *Node) anyClaimed(now time.Time) bool {
-	return slices.ContainsFunc(n.shares, func(s *share) bool { return n.claimed(s.index, now) })
+// anyGuaranteedWorkWaits says whether work with a guarantee waits in any share.
+func (n *Node) anyGuaranteedWorkWaits(now time.Time) bool {
+	return slices.ContainsFunc(n.partitions, func(s *partition) bool { return n.guaranteedWorkWaits(s.index, now) })
 }
 
 // keeps says whether a job of a machine's own share that is as urgent waits for it.
 func (n *Node) keeps(m *machine, rank int, now time.Time) bool {
-	t := n.types[m.rec.Type]
+	t := n.machineTypes[m.rec.Type]
 	if t == nil {
 		return true
 	}
-	return slices.ContainsFunc(n.shares[m.rec.Share].jobs, func(j *job) bool {
-		return !n.guest(j) && j.rank <= rank && n.wants(j, now) > 0 && decide.SizeOf(t).Times(j.need) > 0 &&
+	return slices.ContainsFunc(n.partitions[m.rec.Share].jobs, func(j *job) bool {
+		return !n.unguaranteed(j) && j.rank <= rank && n.preemptionDemand(j, now) > 0 && decide.SizeOf(t).TaskCount(j.need) > 0 &&
 			decide.Allowed(j.spec, offer{Type: m.rec.Type, Zone: m.rec.Zone, Spot: m.rec.Spot})
 	})
 }
@@ -85,9 +85,9 @@
 // outranked says whether all that is on a machine is less urgent than a rank, and may be
 // stopped.
 func (n *Node) outranked(m *machine, rank int) bool {
-	for k := range m.on {
+	for k := range m.tasks {
 		t := &k.job.tasks[k.task]
-		if k.job.rank <= rank || k.job.spec.Shape == protocol.Gang && len(k.job.tasks) > 1 || t.phase != placed {
+		if k.job.rank <= rank || k.job.spec.Shape == protocol.Gang && len(k.job.tasks) > 1 || t.phase != phasePlaced {
 			return false
 		}
 	}
@@ -97,7 +97,7 @@
 // shifts says whether what is as urgent on a machine needs none of its GPUs and could run
 // elsewhere in its share, and the rest may be stopped.
 func (n *Node) shifts(m *machine, rank int, now time.Time) bool {
-	return n.view(n.shares[m.rec.Share], now).Shifts(n.factsOf(m), rank)
+	return n.view(n.partitions[m.rec.Share], now).CanRelocate(n.currentFacts(m), rank)
 }
 
 // reserveTime is how long nothing is placed on a machine that guests' work is being
@@ -113,27 +113,27 @@
 	now := time.Now()
 	for _, x := range mv.Moves {
 		m := n.machines[x.Machine]
-		if m == nil || !m.known || m.moving || m.returning || m.gone ||
-			x.Share < 0 || x.Share >= len(n.shares) || x.Share == m.rec.Share || !n.mine(n.shares[m.rec.Share]) ||
-			n.keeps(m, x.Rank, now) || x.Spare && (m.needed || n.shareWaits(m.rec.Share, now)) ||
-			!m.fenced && n.shares[m.rec.Share].square.Unheard(m.name) {
+		if m == nil || !m.recorded || m.moving || m.returning || m.returned ||
+			x.Share < 0 || x.Share >= len(n.partitions) || x.Share == m.rec.Share || !n.owns(n.partitions[m.rec.Share]) ||
+			n.keeps(m, x.Rank, now) || x.Spare && (m.needed || n.hasWaitingTasks(m.rec.Share, now)) ||
+			!m.fenced && n.partitions[m.rec.Share].reconciliation.Unheard(m.name) {
 			continue
 		}
-		if len(m.on) > 0 {
+		if len(m.tasks) > 0 {
 			if !x.Spare {
 				n.emptyForMove(m, x, now)
 			}
 			continue
 		}
-		if m.batch.busy {
+		if m.batch.storing {
 			continue
 		}
 		p := path{m.rec.Share, x.Share}
 		going[p] = append(going[p], m)
 	}
 	for p, ms := range going {
-		if k := n.allowed(start.Move, len(ms)); k > 0 {
-			n.move(ms[:k], p.from, p.to)
+		if k := n.takeBudget(start.Move, len(ms)); k > 0 {
+			n.moveMachines(ms[:k], p.from, p.to)
 		}
 	}
 }
@@ -143,23 +143,23 @@
 // stopped, unless it is to end by itself.
 func (n *Node) emptyForMove(m *machine, x protocol.Move, now time.Time) {
 	if x.Drain {
-		if n.view(n.shares[m.rec.Share], now).DrainsSoon(n.factsOf(m)) {
-			m.avoidTill = later(m.avoidTill, now.Add(drainPause))
-			n.touch(m)
+		if n.view(n.partitions[m.rec.Share], now).DrainsSoon(n.currentFacts(m)) {
+			m.avoidUntil = latest(m.avoidUntil, now.Add(drainPause))
+			n.markStale(m)
 		}
 		return
 	}
-	guests := n.onlyGuests(m) && !n.claimed(m.rec.Share, now)
-	if !guests && !n.outranked(m, x.Rank) && !n.shifts(m, x.Rank, now) || n.stopping(m) {
+	guests := n.onlyUnguaranteed(m) && !n.guaranteedWorkWaits(m.rec.Share, now)
+	if !guests && !n.outranked(m, x.Rank) && !n.shifts(m, x.Rank, now) || n.hasStoppingTask(m) {
 		return
 	}
-	n.log.Info("work stopped for another share", "machine", m.name, "tasks", len(m.on), "share", x.Share, "guests", guests)
-	m.avoidTill = now.Add(reserveTime)
-	n.touch(m)
-	for k := range m.on {
+	n.log.Info("work stopped for another share", "machine", m.name, "tasks", len(m.tasks), "share", x.Share, "guests", guests)
+	m.avoidUntil = now.Add(reserveTime)
+	n.markStale(m)
+	for k := range m.tasks {
 		n.stopTask(k.job, k.task)
 	}
-	n.stopNow(m)
+	n.sendStops(m)
 }
 
 // drainPause is for how long a plan keeps new tasks off a machine whose own end by themselves:
@@ -173,20 +173,20 @@
 	batches  []*batch // that hold their records
 }
 
-// move hands machines over to a share. They get a token above all earlier ones, which is
+// moveMachines hands machines over to a share. They get a token above all earlier ones, which is
 // raised in a change of its own: all controllers raise the same counter, and the change that
 // moves many machines waits for so many writes that with the counter in it, it lost against
 // the others' small ones again and again. (On a simulated day 30 empty machines were to be
 // moved every 3 s for a minute and a half, in vain, while 4,000 tasks waited for them.)
-func (n *Node) move(ms []*machine, from, to int) {
+func (n *Node) moveMachines(ms []*machine, from, to int) {
 	h := n.handOver(ms, from, to)
 	if len(h.machines) == 0 {
 		return
 	}
-	token := n.counter + 1
+	token := n.tokenCounter + 1
 	n.submit(&storage.Op{
 		For:    uint8(forMoves),
-		Conds:  []storage.Cond{n.cond(protocol.HolderKey(from)), n.cond(protocol.CounterKey)},
+		Conds:  []storage.Cond{n.unchanged(protocol.HolderKey(from)), n.unchanged(protocol.CounterKey)},
 		Writes: []storage.Write{{Put: protocol.CounterKey, Value: mustJSON(protocol.CounterRecord{Token: token})}},
 	}, func(r storage.Result) {
 		if r.OK {
@@ -201,21 +201,21 @@
 // handOver picks those of some machines that one change can move, and stops placing on them.
 func (n *Node) handOver(ms []*machine, from, to int) *handOver {
 	h := &handOver{from: from, to: to}
-	room := n.batchSize(ms[0].rec)
+	room := n.batchCapacity(ms[0].rec)
 	for _, m := range ms {
 		if len(h.machines) == room {
 			break
 		}
 		if !slices.Contains(h.batches, m.batch) {
 			// The new batch and each batch that shrinks are a write each.
-			if m.batch.busy || len(h.batches)+2 > n.cfg.Params.State.TxnOps {
+			if m.batch.storing || len(h.batches)+2 > n.cfg.Params.State.TxnOps {
 				continue
 			}
-			m.batch.busy = true
+			m.batch.storing = true
 			h.batches = append(h.batches, m.batch)
 		}
 		m.moving = true
-		n.touch(m)
+		n.markStale(m)
 		h.machines = append(h.machines, m)
 	}
 	return h
@@ -249,12 +249,12 @@
 	key := protocol.BatchKey(fmt.Sprintf("m-%d-%d", h.to, token))
 	op := &storage.Op{
 		For:    uint8(forMoves),
-		Conds:  []storage.Cond{n.cond(protocol.HolderKey(h.from)), {Key: key}},
+		Conds:  []storage.Cond{n.unchanged(protocol.HolderKey(h.from)), {Key: key}},
 		Writes: []storage.Write{{Put: key, Value: mustJSON(moved)}},
 	}
 	for _, b := range shrinks {
-		op.Conds = append(op.Conds, n.cond(b.key))
-		op.Writes = append(op.Writes, b.write(func(r *protocol.MachineRecord) bool { return !goes[r.Name] }))
+		op.Conds = append(op.Conds, n.unchanged(b.key))
+		op.Writes = append(op.Writes, b.writeKeeping(func(r *protocol.MachineRecord) bool { return !goes[r.Name] }))
 	}
 	n.submit(op, func(r storage.Result) {
 		n.endHandOver(h)
@@ -265,24 +265,24 @@
 // mayHandOver says whether a machine still is as it was picked, and its share still is held
 // under a lower token than the one that it is to get.
 func (n *Node) mayHandOver(h *handOver, m *machine, token uint64) bool {
-	return n.machines[m.name] == m && m.known && m.moving && !m.gone && !m.returning &&
-		m.rec.Share == h.from && slices.Contains(h.batches, m.batch) && n.mine(n.shares[h.from]) && n.token(m) < token
+	return n.machines[m.name] == m && m.recorded && m.moving && !m.returned && !m.returning &&
+		m.rec.Share == h.from && slices.Contains(h.batches, m.batch) && n.owns(n.partitions[h.from]) && n.fencingToken(m) < token
 }
 
 // endHandOver lets what was picked be used again; what has moved is in another share by now.
 func (n *Node) endHandOver(h *handOver) {
 	for _, b := range h.batches {
-		b.busy = false
+		b.storing = false
 	}
 	for _, m := range h.machines {
 		if n.machines[m.name] == m {
 			m.moving = false
-			n.touch(m)
+			n.markStale(m)
 		}
 	}
 }
 
-// shareWaits says whether a share has tasks that wait for a machine.
-func (n *Node) shareWaits(share int, now time.Time) bool {
-	return slices.ContainsFunc(n.shares[share].jobs, func(j *job) bool { return n.wants(j, now) > 0 })
+// hasWaitingTasks says whether a share has tasks that wait for a machine.
+func (n *Node) hasWaitingTasks(share int, now time.Time) bool {
+	return slices.ContainsFunc(n.partitions[share].jobs, func(j *job) bool { return n.preemptionDemand(j, now) > 0 })
 }
--- a/internal/coordination/node/moves_test.go
+++ b/internal/coordination/node/moves_test.go
@@ -28,31 +28,31 @@
 }
 
 // handingOver is a node that hands two machines, of a record each, from share 0 to share 1.
-func handingOver(t *testing.T, service *meanwhile) (*bench, []*machine) {
-	b := newBench(t)
-	for range b.rev + 1 {
+func handingOver(t *testing.T, service *meanwhile) (*testNode, []*machine) {
+	b := newTestNode(t)
+	for range b.revision + 1 {
 		b.state.Put("revision", 0)
 	}
-	b.store(protocol.CounterKey, protocol.CounterRecord{Token: 7})
-	b.store(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 7, Lease: 3})
+	b.storePut(protocol.CounterKey, protocol.CounterRecord{Token: 7})
+	b.storePut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 7, Lease: 3})
 	var ms []*machine
 	for _, name := range []string{"host-2", "host-3"} {
-		b.store(protocol.BatchKey(name), protocol.BatchRecord{Token: 7, Machines: []protocol.MachineRecord{{Name: name, Type: "g4", Zone: "a", Addr: "x:1"}}})
+		b.storePut(protocol.BatchKey(name), protocol.BatchRecord{Token: 7, Machines: []protocol.MachineRecord{{Name: name, Type: "g4", Zone: "a", Addr: "x:1"}}})
 		ms = append(ms, b.machines[name])
 	}
 	service.State = b.state
-	b.press = storage.NewCommitter(service, b.cfg.Params.State.TxnOps, b.pace, storage.UrgentLevel)
-	go b.press.Run(t.Context())
-	b.move(ms, 0, 1)
+	b.urgentCommitter = storage.NewCommitter(service, b.cfg.Params.State.TxnOps, b.rateLimiter, storage.UrgentLevel)
+	go b.urgentCommitter.Run(t.Context())
+	b.moveMachines(ms, 0, 1)
 	return b, ms
 }
 
 // ended runs what the actor is told until none of some machines is being moved.
-func (b *bench) ended(ms []*machine) {
+func (b *testNode) ended(ms []*machine) {
 	b.t.Helper()
 	for ms[0].moving || ms[1].moving {
 		select {
-		case f := <-b.inbox:
+		case f := <-b.mailbox:
 			f()
 		case <-time.After(5 * time.Second):
 			b.t.Fatal("the hand-over does not end")
@@ -81,13 +81,13 @@
 	}
 	b, ms := handingOver(t, service)
 	b.ended(ms)
-	read := reread(t, b.cfg, b.state)
+	read := newNodeFromStore(t, b.cfg, b.state)
 	for _, m := range ms {
 		if is := read.machines[m.name]; is == nil || is.rec.Share != 1 || is.rec.Token != 8 || m.rec.Share != 1 {
 			t.Errorf("%s is read as %+v", m.name, is.rec)
 		}
 	}
-	if b.batches[protocol.BatchKey("host-2")] != nil || ms[0].batch.busy {
+	if b.batches[protocol.BatchKey("host-2")] != nil || ms[0].batch.storing {
 		t.Error("the records that they left are still there, or busy")
 	}
 }
@@ -107,17 +107,17 @@
 		}
 		b, ms := handingOver(t, service)
 		if told {
-			raised := <-b.inbox // not run yet
-			b.store(protocol.HolderKey(0), again)
+			raised := <-b.mailbox // not run yet
+			b.storePut(protocol.HolderKey(0), again)
 			raised()
 		}
 		b.ended(ms)
 		if tried == told {
 			t.Errorf("told %v: tried to move them %v", told, tried)
 		}
-		read := reread(t, b.cfg, b.state)
+		read := newNodeFromStore(t, b.cfg, b.state)
 		for _, m := range ms {
-			if is := read.machines[m.name]; is.rec.Share != 0 || m.rec.Share != 0 || m.batch.busy {
+			if is := read.machines[m.name]; is.rec.Share != 0 || m.rec.Share != 0 || m.batch.storing {
 				t.Errorf("told %v: %s moved: %+v", told, m.name, is.rec)
 			}
 		}
@@ -128,18 +128,18 @@
 // service, which does not end, stays in use.
 func TestDrainedMachineKeepsItsTasks(t *testing.T) {
 	for _, shape := range []string{protocol.Array, protocol.Service} {
-		b := newBench(t)
+		b := newTestNode(t)
 		now := time.Now()
 		spec := &protocol.JobSpec{ID: "job-1", Team: "red", Class: "c", Shape: shape, Priority: "standard", Tasks: 1, CPUs: 4, GPUs: 1, EstimateS: 30}
-		b.put(protocol.JobKey(spec.ID), protocol.JobRecord{Spec: spec, Next: 2, Chunk: protocol.Chunk{Placed: []protocol.Placement{{Task: 0, Attempt: 1, Machine: "host-1"}}}})
+		b.watchPut(protocol.JobKey(spec.ID), protocol.JobRecord{Spec: spec, Next: 2, Chunk: protocol.Chunk{Placed: []protocol.Placement{{Task: 0, Attempt: 1, Machine: "host-1"}}}})
 		m, j := b.machines["host-1"], b.jobs[spec.ID]
-		m.fenced, m.heard, j.tasks[0].since = true, now, now
+		m.fenced, m.lastFencedReport, j.tasks[0].phaseSince = true, now, now
 		if !b.usable(m, now) {
 			t.Fatal("the machine is not in use")
 		}
 		b.onMoves(protocol.Moves{Moves: []protocol.Move{{Machine: "host-1", Share: 1, Rank: protocol.Low, Drain: true}}})
-		if j.tasks[0].stop || m.moving {
-			t.Errorf("%s: stopped %v, moved %v", shape, j.tasks[0].stop, m.moving)
+		if j.tasks[0].stopRequested || m.moving {
+			t.Errorf("%s: stopped %v, moved %v", shape, j.tasks[0].stopRequested, m.moving)
 		}
 		if b.usable(m, time.Now()) != (shape == protocol.Service) {
 			t.Errorf("%s: usable is %v", shape, b.usable(m, time.Now()))
--- a/internal/coordination/node/node.go
+++ b/internal/coordination/node/node.go
@@ -44,155 +44,155 @@
 	store   storage.Service
 	cloud   CloudService
 	workers Workers
-	// SiteFrom is the host of the site's daemon, which alone may hand this node jobs of
+	// SiteDaemonHost is the host of the site's daemon, which alone may hand this node jobs of
 	// the gateway; empty: nobody may.
-	SiteFrom string
+	SiteDaemonHost string
 	// Known, if set, asks the site's daemon whether a job is the gateway's, and how it is.
-	Known func(ctx context.Context, id string) (s protocol.JobStatus, known bool, err error)
+	LookUpGatewayJob func(ctx context.Context, id string) (s protocol.JobStatus, known bool, err error)
 	// SetLevel, if set, is told the log level that operators chose, if any.
-	SetLevel func(l slog.Level, chosen bool)
+	SetLogLevel func(l slog.Level, chosen bool)
 	// Closed, if set, is how many workers' connections were closed at once so far, since
 	// others were being served.
-	Closed func() int64
+	ClosedConnections func() int64
 	// OnLoaded, if set, is told when the replica has been read once: from then on the
 	// node can answer.
 	OnLoaded func()
 	// AskPeer, if set, asks another controller a question and returns its answer.
-	AskPeer func(ctx context.Context, node string, question []byte) ([]byte, error)
-	users   *storage.Committer         // changes that a user waits for
-	press   *storage.Committer         // others that somebody waits for
-	books   *storage.Committer         // everything else
-	pace    *storage.Pace              // of all
-	storing map[*storage.Committer]int // writes of jobs under way
-	rng     *rand.Rand
-
-	started   time.Time
-	contact   atomic.Int64  // when the last answered store call was sent, since started
-	holdWatch atomic.Int64  // how long a watch waits for changes
-	catchUp   chan struct{} // ends the pause of the watch; see hastenWatch
-	followed  uint64        // revision of the replica; read atomically by others
-	inbox     chan func()
-	wg        sync.WaitGroup
-	ctx       context.Context
-
-	siblings map[string]*sibling
-	loaded   bool // the replica has been read once
-	ver      map[string]uint64
-	orphans  map[string]protocol.Chunk // chunks whose head is not there (yet)
-	swept    sweep                     // of those whose job is over
-	jobs     map[string]*job
-	finals   *finalCache
-	machines map[string]*machine
-	batches  map[string]*batch // of machines, by key
-	shares   []*share
-	teams    []*team
-	teamOf   map[string]int
-	counter  uint64
-	nodes    map[string]time.Time // live nodes and since when
-	older    map[string]bool      // of those: of an earlier version of the records
-	early    map[string]bool      // and of one that knows no entries
-	lease    uint64
-	types    map[string]*protocol.MachineType
-	catalog  catalog
-
-	dirty       map[*job]bool       // jobs with facts or placements to store
-	tombs       map[string]struct{} // keys known to be deleted, until the watch has passed them
-	due         dueHeap             // when parked reports are to be answered
-	replan      bool
-	nextPlan    time.Time            // planning takes only a part of the node's time
-	asked       int                  // users' changes under way
-	userChanges []*userChange        // userchanges.go: those that a user still waits for
-	changeTimes statusread.Estimator // how long users' changes take to be stored
-	starts      map[*machine]bool    // machines with starts just stored
-	direct      int                  // direct starts under way
-	nextTurn    time.Time            // when the next user turned away should come back
-	lastMove    time.Time
-	lastTend    time.Time
-	lastSaid    time.Time
-	lastRelease time.Time
-	gate        *gate     // of jobs of the gateway; nil: none may run
-	tickets     desk      // render-farm tickets; see tickets.go
-	caught      uint64    // revision up to which the replica is complete
-	complete    time.Time // when it last was, at least
-	policy      Policy
-	metrics     *Metrics
-	endedJobs   []EndedJob
-
-	polls     statusread.Queue[*statusRead] // users.go: questions about jobs that wait to be compared with the store
-	rate      rateParts                     // shares.go: this node's part of the rate of changes
-	seen      seen                          // facts.go: what decisions see
-	cloudside cloudside                     // machines.go: what is under way with the cloud
-	eyes      eyes                          // sight.go, peers.go: whom this node hears
-	account   account                       // account.go: what ended, and how it went
-	told      told                          // peers.go: what it tells of machines' caches
-	ordering  budgeted                      // square.go: what is ordered under a budget
-	standing  standing                      // standby.go: who stands by for whom
-	corrupt   map[string]uint64             // corrupt.go: stored values that are not understood, and their stamps
-	ending    map[*job]bool                 // cancels.go: jobs that are being cancelled
-	askers    []asker                       // cancels.go: users who wait for the end of what they cancel
-	spent     spends                        // spending.go: where changes went
-	adoption  *duty.Adoption                // adopt.go: of machines without a record
-	rentals   protocol.FenceRecord          // under which rentals are recorded
-	founded   bool                          // nobody had held anything when this node first read the store
-	packing   packing                       // packed.go: many jobs in one change
-	lives     lives                         // lives.go: this process and others of the same name
+	AskPeer             func(ctx context.Context, node string, question []byte) ([]byte, error)
+	userCommitter       *storage.Committer         // changes that a user waits for
+	urgentCommitter     *storage.Committer         // others that somebody waits for
+	backgroundCommitter *storage.Committer         // everything else
+	rateLimiter         *storage.Pace              // of all
+	pendingWrites       map[*storage.Committer]int // writes of jobs under way
+	rng                 *rand.Rand
+
+	startedAt       time.Time
+	lastContact     atomic.Int64  // when the last answered store call was sent, since started
+	watchTimeout    atomic.Int64  // how long a watch waits for changes
+	watchWake       chan struct{} // ends the pause of the watch; see hastenWatch
+	replicaRevision uint64        // revision of the replica; read atomically by others
+	mailbox         chan func()
+	wg              sync.WaitGroup
+	ctx             context.Context
+
+	peers               map[string]*peer
+	loaded              bool // the replica has been read once
+	revisions           map[string]uint64
+	orphanChunks        map[string]protocol.Chunk // chunks whose head is not there (yet)
+	orphanSweep         orphanSweep               // of those whose job is over
+	jobs                map[string]*job
+	finalJobs           *finalCache
+	machines            map[string]*machine
+	batches             map[string]*batch // of machines, by key
+	partitions          []*partition
+	teams               []*team
+	teamIndex           map[string]int
+	tokenCounter        uint64
+	liveNodes           map[string]time.Time // live nodes and since when
+	olderNodes          map[string]bool      // of those: of an earlier version of the records
+	nodesWithoutEntries map[string]bool      // and of one that knows no entries
+	lease               uint64
+	machineTypes        map[string]*protocol.MachineType
+	catalog             catalog
+
+	dirty              map[*job]bool       // jobs with facts or placements to store
+	tombstones         map[string]struct{} // keys known to be deleted, until the watch has passed them
+	dueAnswers         dueHeap             // when parked reports are to be answered
+	replan             bool
+	nextPlan           time.Time            // planning takes only a part of the node's time
+	pendingUserChanges int                  // users' changes under way
+	userChanges        []*userChange        // userchanges.go: those that a user still waits for
+	userChangeLatency  statusread.Estimator // how long users' changes take to be stored
+	pendingStarts      map[*machine]bool    // machines with starts just stored
+	directStarts       int                  // direct starts under way
+	nextRetrySlot      time.Time            // when the next user turned away should come back
+	lastMove           time.Time
+	lastMachineTick    time.Time
+	lastStatusLog      time.Time
+	lastRelease        time.Time
+	siteLease          *siteLease  // of jobs of the gateway; nil: none may run
+	tickets            ticketState // render-farm tickets; see tickets.go
+	completeRevision   uint64      // revision up to which the replica is complete
+	completeAt         time.Time   // when it last was, at least
+	policy             Policy
+	metrics            *Metrics
+	endedJobs          []EndedJob
+
+	statusReads   statusread.Queue[*statusRead] // users.go: questions about jobs that wait to be compared with the store
+	changeDemand  changeDemand                  // shares.go: this node's part of the rate of changes
+	planningFacts planningFacts                 // facts.go: what decisions see
+	cloudState    cloudState                    // machines.go: what is under way with the cloud
+	reachability  reachability                  // sight.go, peers.go: whom this node hears
+	account       account                       // account.go: what ended, and how it went
+	cacheHints    cacheHints                    // peers.go: what it tells of machines' caches
+	loadControl   loadControl                   // square.go: what is ordered under a budget
+	standby       standbyState                  // standby.go: who stands by for whom
+	corruptKeys   map[string]uint64             // corrupt.go: stored values that are not understood, and their stamps
+	cancelling    map[*job]bool                 // cancels.go: jobs that are being cancelled
+	cancelWaiters []cancelWaiter                // cancels.go: users who wait for the end of what they cancel
+	changeCounts  changeCounts                  // spending.go: where changes went
+	adoption      *duty.Adoption                // adopt.go: of machines without a record
+	rentalFence   protocol.FenceRecord          // under which rentals are recorded
+	freshCluster  bool                          // nobody had held anything when this node first read the store
+	packed        packedState                   // packed.go: many jobs in one change
+	incarnations  incarnations                  // lives.go: this process and others of the same name
 }
 
 // catalog is where the types are known from.
 type catalog struct {
-	told   []protocol.MachineType // by the cloud; nil: not yet
-	stored []protocol.MachineType
-	busy   bool // it is being stored
+	fromCloud []protocol.MachineType // by the cloud; nil: not yet
+	stored    []protocol.MachineType
+	storing   bool // it is being stored
 }
 
-// rateParts is what this node's part of the rate of changes is made of.
-type rateParts struct {
-	changes   atomicFloat // changes a second that this node would make
-	last      time.Time
-	lastAsked int64
+// changeDemand is what this node's part of the rate of changes is made of.
+type changeDemand struct {
+	perSecond     atomicFloat // changes a second that this node would make
+	lastUpdate    time.Time
+	lastRequested int64
 }
 
-// seen is what decisions see of the machines; see facts.go.
-type seen struct {
-	index    *decide.Index
-	stale    []*machine      // those whose facts are to be made anew
-	wasShut  bool            // as the facts have it
-	wanted   map[string]bool // types that work with GPUs could use
-	wantedAt time.Time       // when that was last made
+// planningFacts is what decisions see of the machines; see facts.go.
+type planningFacts struct {
+	index            *decide.Index
+	staleMachines    []*machine      // those whose facts are to be made anew
+	gatewayClosed    bool            // as the facts have it
+	gpuTypesInDemand map[string]bool // types that work with GPUs could use
+	gpuTypesAt       time.Time       // when that was last made
 }
 
-// cloudside is what is under way with the cloud.
-type cloudside struct {
-	rentSeq     uint64
-	nextRent    time.Time // when the cloud's rate allows another request
-	wanted      time.Time // since when machines are wanted that were not asked for
-	refusedTill map[offer]time.Time
-	refusals    map[offer]int  // in a row
-	renting     map[rental]int // machines asked for
-	listing     bool
-	lastList    time.Time
-	strays      map[string]time.Time // unrecorded machines that were listed or heard, first seen
-	returned    map[string]time.Time // machines that are gone for good
+// cloudState is what is under way with the cloud.
+type cloudState struct {
+	rentalSeq     uint64
+	nextRequest   time.Time // when the cloud's rate allows another request
+	wantedSince   time.Time // since when machines are wanted that were not asked for
+	refusedUntil  map[offer]time.Time
+	refusalsInRow map[offer]int     // in a row
+	requested     map[rentalKey]int // machines asked for
+	listing       bool
+	lastList      time.Time
+	unrecorded    map[string]time.Time // unrecorded machines that were listed or heard, first seen
+	returned      map[string]time.Time // machines that are gone for good
 }
 
-// eyes are whom this node hears.
-type eyes struct {
-	lastTurn  time.Time   // when the actor last did something
-	awake     time.Time   // when it last had stood still
-	shut      time.Time   // when it last turned connections away
-	closed    int64       // how many, by then
-	heard     time.Time   // when a worker was last heard
-	blind     atomic.Bool // no worker is heard
-	probing   int         // workers being asked how they are
-	lastProbe time.Time
-	cutAt     map[string]time.Time // zones: when last found unreachable
+// reachability are whom this node hears.
+type reachability struct {
+	lastActive          time.Time   // when the actor last did something
+	stallEnded          time.Time   // when it last had stood still
+	lastRejection       time.Time   // when it last turned connections away
+	rejectedConnections int64       // how many, by then
+	lastWorkerContact   time.Time   // when a worker was last heard
+	workersUnreachable  atomic.Bool // no worker is heard
+	pendingProbes       int         // workers being asked how they are
+	lastProbe           time.Time
+	zoneUnreachableAt   map[string]time.Time // zones: when last found unreachable
 }
 
-// told is what the next hints tell of machines' caches.
-type told struct {
-	caches atomic.Pointer[[]protocol.Cache] // read by other routines
-	last   time.Time
-	next   int
+// cacheHints is what the next hints tell of machines' caches.
+type cacheHints struct {
+	caches      atomic.Pointer[[]protocol.Cache] // read by other routines
+	lastUpdate  time.Time
+	nextMachine int
 }
 
 // atomicFloat is a number that other routines read.
@@ -203,29 +203,29 @@
 
 type team struct {
 	decide.Team
-	share int
+	partition int
 }
 
-type share struct {
-	index    int
-	holder   protocol.HolderRecord // Token 0: nobody
-	vacant   time.Time
-	taken    time.Time              // when this node took it
-	pending  bool                   // a change of the holder is being stored
-	acquired *protocol.HolderRecord // names this node, which does not know yet all that was stored before
-	jobs     []*job                 // unfinished, by priority and arrival
-	machines []*machine             // recorded, by name
-	nextRent time.Time              // when to look again at what to rent
-	window   *decide.Window
-	recent   []arrival     // seen by this node, whoever held the share
-	square   *start.Square // while held: how far its machines have spoken; see square.go
-	before   string        // who held it before
-	taking   taking        // while held: how it came here; see standby.go
-	fresh    []*job        // that its window has not counted
-	log      *packed.Ring  // what its log tells
-	append   *appending    // an entry of it that is being stored
-	appended time.Time     // when that last began
-	saving   int           // records of single jobs that are being stored
+type partition struct {
+	index              int
+	owner              protocol.HolderRecord // Token 0: nobody
+	vacantSince        time.Time
+	acquiredAt         time.Time              // when this node took it
+	ownerChangePending bool                   // a change of the holder is being stored
+	unconfirmedOwner   *protocol.HolderRecord // names this node, which does not know yet all that was stored before
+	jobs               []*job                 // unfinished, by priority and arrival
+	machines           []*machine             // recorded, by name
+	nextRent           time.Time              // when to look again at what to rent
+	window             *decide.Window
+	recentArrivals     []arrival     // seen by this node, whoever held the share
+	reconciliation     *start.Square // while held: how far its machines have spoken; see square.go
+	previousOwner      string        // who held it before
+	takeover           takeover      // while held: how it came here; see standby.go
+	newJobs            []*job        // that its window has not counted
+	log                *packed.Ring  // what its log tells
+	pendingAppend      *logAppend    // an entry of it that is being stored
+	lastAppend         time.Time     // when that last began
+	pendingRecords     int           // records of single jobs that are being stored
 }
 
 // New makes a node that lives until ctx ends. The caller runs it with Run.
@@ -233,67 +233,67 @@
 	pace := storage.NewPace(cfg.Params.State, cfg.Params.Nodes)
 	n := &Node{
 		ctx: ctx, cfg: cfg, log: log, store: store, cloud: cloud, workers: workers,
-		pace:    pace,
-		users:   storage.NewCommitter(store, cfg.Params.State.TxnOps, pace, storage.UserLevel),
-		press:   storage.NewCommitter(store, cfg.Params.State.TxnOps, pace, storage.UrgentLevel),
-		books:   storage.NewCommitter(store, cfg.Params.State.TxnOps, pace, storage.BackgroundLevel),
-		storing: map[*storage.Committer]int{},
-		rng:     rand.New(rand.NewPCG(seed, 1)),
-		started: time.Now(), inbox: make(chan func(), 1024), catchUp: make(chan struct{}, 1),
-		ver: map[string]uint64{}, orphans: map[string]protocol.Chunk{}, jobs: map[string]*job{}, finals: newFinalCache(50000),
-		machines: map[string]*machine{}, batches: map[string]*batch{}, teamOf: map[string]int{}, nodes: map[string]time.Time{},
-		types: map[string]*protocol.MachineType{}, dirty: map[*job]bool{}, starts: map[*machine]bool{}, tombs: map[string]struct{}{},
-		policy:    DefaultPolicy(),
-		cloudside: cloudside{refusedTill: map[offer]time.Time{}, refusals: map[offer]int{}, renting: map[rental]int{}, strays: map[string]time.Time{}, returned: map[string]time.Time{}},
+		rateLimiter:         pace,
+		userCommitter:       storage.NewCommitter(store, cfg.Params.State.TxnOps, pace, storage.UserLevel),
+		urgentCommitter:     storage.NewCommitter(store, cfg.Params.State.TxnOps, pace, storage.UrgentLevel),
+		backgroundCommitter: storage.NewCommitter(store, cfg.Params.State.TxnOps, pace, storage.BackgroundLevel),
+		pendingWrites:       map[*storage.Committer]int{},
+		rng:                 rand.New(rand.NewPCG(seed, 1)),
+		startedAt:           time.Now(), mailbox: make(chan func(), 1024), watchWake: make(chan struct{}, 1),
+		revisions: map[string]uint64{}, orphanChunks: map[string]protocol.Chunk{}, jobs: map[string]*job{}, finalJobs: newFinalCache(50000),
+		machines: map[string]*machine{}, batches: map[string]*batch{}, teamIndex: map[string]int{}, liveNodes: map[string]time.Time{},
+		machineTypes: map[string]*protocol.MachineType{}, dirty: map[*job]bool{}, pendingStarts: map[*machine]bool{}, tombstones: map[string]struct{}{},
+		policy:     DefaultPolicy(),
+		cloudState: cloudState{refusedUntil: map[offer]time.Time{}, refusalsInRow: map[offer]int{}, requested: map[rentalKey]int{}, unrecorded: map[string]time.Time{}, returned: map[string]time.Time{}},
 	}
-	n.corrupt = map[string]uint64{}
-	n.ending = map[*job]bool{}
-	n.adoption, n.early = duty.NewAdoption(), map[string]bool{}
-	n.older = map[string]bool{}
-	n.holdWatch.Store(int64(watchHold))
-	n.packing = newPacking()
-	n.users.Spent, n.press.Spent, n.books.Spent = n.spent.add, n.spent.add, n.spent.add
-	n.eyes.cutAt = map[string]time.Time{}
-	n.standing.pairs, n.standing.doubts, n.standing.ended = map[int]standby.Pair{}, standby.NewDoubts(), map[string]time.Time{}
-	n.lives.own, n.lives.of = map[uint64]bool{}, map[string]uint64{}
+	n.corruptKeys = map[string]uint64{}
+	n.cancelling = map[*job]bool{}
+	n.adoption, n.nodesWithoutEntries = duty.NewAdoption(), map[string]bool{}
+	n.olderNodes = map[string]bool{}
+	n.watchTimeout.Store(int64(longWatchTimeout))
+	n.packed = newPacking()
+	n.userCommitter.Spent, n.urgentCommitter.Spent, n.backgroundCommitter.Spent = n.changeCounts.add, n.changeCounts.add, n.changeCounts.add
+	n.reachability.zoneUnreachableAt = map[string]time.Time{}
+	n.standby.standbys, n.standby.suspicions, n.standby.presumedEnded = map[int]standby.Pair{}, standby.NewDoubts(), map[string]time.Time{}
+	n.incarnations.ownLeases, n.incarnations.leaseOf = map[uint64]bool{}, map[string]uint64{}
 	n.account = newAccount(AccountSettings{}, time.Now())
-	n.siblings = map[string]*sibling{}
+	n.peers = map[string]*peer{}
 	for _, s := range cfg.Siblings {
-		n.siblings[s.Node] = &sibling{zone: s.Zone}
+		n.peers[s.Node] = &peer{zone: s.Zone}
 	}
 	classes := map[string]bool{}
 	for _, o := range cfg.Params.Aims {
 		classes[o.Class] = true
 	}
 	n.metrics = newMetrics(classes)
-	n.tickets = newDesk(cfg.Params.State.TxnOps)
-	n.contact.Store(-int64(time.Hour))
-	n.told.caches.Store(&[]protocol.Cache{})
+	n.tickets = newTicketState(cfg.Params.State.TxnOps)
+	n.lastContact.Store(-int64(time.Hour))
+	n.cacheHints.caches.Store(&[]protocol.Cache{})
 	var guarantees []float64
 	for _, t := range cfg.Params.Teams {
 		guarantees = append(guarantees, max(t.GPUs, t.CPUs/8))
 	}
 	count := max(1, min(cfg.Params.Nodes, len(guarantees)))
-	for i, s := range decide.AssignShares(guarantees, count) {
+	for i, s := range decide.AssignPartitions(guarantees, count) {
 		t := cfg.Params.Teams[i]
-		n.teamOf[t.Name] = i
-		n.teams = append(n.teams, &team{share: s, Team: decide.Team{Name: t.Name,
-			Guarantee: Amounts{CPUs: t.CPUs, GPUs: t.GPUs}, Limit: Amounts{CPUs: t.CPUsMax, GPUs: t.GPUsMax}}})
+		n.teamIndex[t.Name] = i
+		n.teams = append(n.teams, &team{partition: s, Team: decide.Team{Name: t.Name,
+			Guarantee: Resources{CPUs: t.CPUs, GPUs: t.GPUs}, Limit: Resources{CPUs: t.CPUsMax, GPUs: t.GPUsMax}}})
 	}
 	for i := range count {
-		n.shares = append(n.shares, &share{index: i, window: decide.NewWindow(n.policy.Window), log: packed.NewRing(ringSlots)})
+		n.partitions = append(n.partitions, &partition{index: i, window: decide.NewWindow(n.policy.Window), log: packed.NewRing(ringSlots)})
 	}
-	n.seen.index, n.seen.wasShut = decide.NewIndex(count, len(n.teams)), true
-	n.ordering.budget = start.NewBudget(start.Limits{Cores: cfg.Params.Quota.Cores, Sockets: cfg.Params.Quota.FDLimit}, n.started)
+	n.planningFacts.index, n.planningFacts.gatewayClosed = decide.NewIndex(count, len(n.teams)), true
+	n.loadControl.budget = start.NewBudget(start.Limits{Cores: cfg.Params.Quota.Cores, Sockets: cfg.Params.Quota.FDLimit}, n.startedAt)
 	return n
 }
 
-// Contact notes that the state service answered a call sent at t.
-func (n *Node) Contact(t time.Time) {
-	at := int64(t.Sub(n.started))
+// RecordContact notes that the state service answered a call sent at t.
+func (n *Node) RecordContact(t time.Time) {
+	at := int64(t.Sub(n.startedAt))
 	for {
-		old := n.contact.Load()
-		if at <= old || n.contact.CompareAndSwap(old, at) {
+		old := n.lastContact.Load()
+		if at <= old || n.lastContact.CompareAndSwap(old, at) {
 			return
 		}
 	}
@@ -301,13 +301,13 @@
 
 // sinceContact is how long ago the last answered call was sent.
 func (n *Node) sinceContact(now time.Time) time.Duration {
-	return now.Sub(n.started) - time.Duration(n.contact.Load())
+	return now.Sub(n.startedAt) - time.Duration(n.lastContact.Load())
 }
 
 // post hands f to the actor.
 func (n *Node) post(f func()) {
 	select {
-	case n.inbox <- f:
+	case n.mailbox <- f:
 	case <-n.ctx.Done():
 	}
 }
@@ -324,46 +324,46 @@
 // Run serves until the node's context ends.
 func (n *Node) Run() {
 	ctx := n.ctx
-	n.spawn(n.users.Run)
-	n.spawn(n.press.Run)
-	n.spawn(n.books.Run)
-	n.spawn(n.keepLease)
-	n.spawn(n.keepReplica)
+	n.spawn(n.userCommitter.Run)
+	n.spawn(n.urgentCommitter.Run)
+	n.spawn(n.backgroundCommitter.Run)
+	n.spawn(n.maintainLease)
+	n.spawn(n.maintainReplica)
 	n.spawn(n.keepCatalog)
 	tick := time.NewTicker(100 * time.Millisecond)
 	defer tick.Stop()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
-		case f := <-n.inbox:
-			n.turn(time.Now())
+		case f := <-n.mailbox:
+			n.detectStall(time.Now())
 			f()
 			// Drain what has queued up before deciding anything.
 			for more := true; more; {
 				select {
-				case f := <-n.inbox:
+				case f := <-n.mailbox:
 					f()
 				default:
 					more = false
 				}
 			}
-			n.settle(time.Now())
-			n.eyes.lastTurn = time.Now()
+			n.processPendingWork(time.Now())
+			n.reachability.lastActive = time.Now()
 		case due := <-tick.C:
 			now := time.Now()
-			n.turn(now)
-			n.metrics.lag.Observe(now.Sub(due).Seconds())
-			n.ordering.budget.Turn(now, now.Sub(due))
-			n.metrics.backlog.Set(float64(n.storingAll() + n.asked + n.polls.Len()))
+			n.detectStall(now)
+			n.metrics.actorLag.Observe(now.Sub(due).Seconds())
+			n.loadControl.budget.Turn(now, now.Sub(due))
+			n.metrics.backlog.Set(float64(n.totalPendingWrites() + n.pendingUserChanges + n.statusReads.Len()))
 			n.tick(now)
-			n.settle(now)
+			n.processPendingWork(now)
 		}
 	}
 	n.wg.Wait()
 }
 
-// settle turns new facts into placements and stored changes.
-func (n *Node) settle(now time.Time) {
+// processPendingWork turns new facts into placements and stored changes.
+func (n *Node) processPendingWork(now time.Time) {
 	if !n.loaded {
 		return
 	}
@@ -375,18 +375,18 @@
 		end := time.Now()
 		n.nextPlan = end.Add(max(40*time.Millisecond, 3*end.Sub(now)))
 	}
-	n.tendTickets(now)
+	n.reconcileTickets(now)
 	n.flush(now)
 	n.flushInbox(now)
 	n.confirmAccepted(now)
-	n.releaseParked(now)
-	for m := range n.starts {
-		if n.startNow(m, now) {
-			delete(n.starts, m)
+	n.answerDueReports(now)
+	for m := range n.pendingStarts {
+		if n.tryDirectStart(m, now) {
+			delete(n.pendingStarts, m)
 		}
 	}
-	n.tickUserChanges(now)
-	n.startRead(now)
+	n.checkUserChanges(now)
+	n.sendReadBarrier(now)
 }
 
 // tick does what is due by time alone.
@@ -394,15 +394,15 @@
 	if !n.loaded {
 		return
 	}
-	n.tickAskers(now)
-	n.holdWatch.Store(int64(watchHold))
-	if !n.tellsLate() {
-		n.holdWatch.Store(int64(watchOften))
+	n.expireCancelWaiters(now)
+	n.watchTimeout.Store(int64(longWatchTimeout))
+	if !n.confirmsCancelAfterStop() {
+		n.watchTimeout.Store(int64(shortWatchTimeout))
 	}
 	n.tickFormat(now)
-	n.tidy(now)
-	n.tickShares(now)
-	n.tickSquares(now)
+	n.removeLeftovers(now)
+	n.tickPartitions(now)
+	n.tickReconciliations(now)
 	n.tickMachines(now)
 }
 
@@ -414,7 +414,7 @@
 			n.log.Info("catalogue not read", "why", err)
 			wait = 2 * time.Second
 		} else {
-			n.post(func() { n.setTypes(types) })
+			n.post(func() { n.applyCatalog(types) })
 		}
 		select {
 		case <-ctx.Done():
@@ -423,28 +423,28 @@
 	}
 }
 
-// setTypes takes in the catalogue as the cloud tells it.
-func (n *Node) setTypes(types []protocol.MachineType) {
-	n.catalog.told = types
+// applyCatalog takes in the catalogue as the cloud tells it.
+func (n *Node) applyCatalog(types []protocol.MachineType) {
+	n.catalog.fromCloud = types
 	n.learnTypes(types)
 }
 
-// recallTypes takes in the catalogue as it was stored, until the cloud tells it: a node
+// applyStoredCatalog takes in the catalogue as it was stored, until the cloud tells it: a node
 // that started while the cloud was down knew no type, and so could neither accept nor
 // place anything. (On a simulated day all controllers ended within an outage of the cloud,
 // and for 11 s longer than needed every submission was answered 503.)
-func (n *Node) recallTypes(types []protocol.MachineType) {
+func (n *Node) applyStoredCatalog(types []protocol.MachineType) {
 	n.catalog.stored = types
-	if n.catalog.told == nil && len(types) > 0 {
+	if n.catalog.fromCloud == nil && len(types) > 0 {
 		n.log.Info("catalogue as it was stored is used", "types", len(types))
 		n.learnTypes(types)
 	}
 }
 
-// keepTypes lets the leader store the catalogue when it is another one; prices alone, which
+// storeCatalog lets the leader store the catalogue when it is another one; prices alone, which
 // change all the time, do not make it one.
-func (n *Node) keepTypes() {
-	if !n.leads() || n.catalog.told == nil || n.catalog.busy || n.sinceContact(time.Now()) > 2*time.Second {
+func (n *Node) storeCatalog() {
+	if !n.isLeader() || n.catalog.fromCloud == nil || n.catalog.storing || n.sinceContact(time.Now()) > 2*time.Second {
 		return
 	}
 	timeless := func(types []protocol.MachineType) string {
@@ -455,24 +455,24 @@
 		slices.SortFunc(out, func(a, b protocol.MachineType) int { return compareNames(a.Name, b.Name) })
 		return string(mustJSON(out))
 	}
-	w := storage.Write{Put: protocol.CatalogKey, Value: mustJSON(protocol.CatalogRecord{Types: n.catalog.told})}
-	if timeless(n.catalog.told) == timeless(n.catalog.stored) || float64(len(w.Value)) > n.cfg.Params.State.ValueKB*1024 {
+	w := storage.Write{Put: protocol.CatalogKey, Value: mustJSON(protocol.CatalogRecord{Types: n.catalog.fromCloud})}
+	if timeless(n.catalog.fromCloud) == timeless(n.catalog.stored) || float64(len(w.Value)) > n.cfg.Params.State.ValueKB*1024 {
 		return
 	}
-	n.catalog.busy = true
-	n.submitTo(n.books, &storage.Op{Conds: []storage.Cond{n.cond(protocol.HolderKey(0)), n.cond(protocol.CatalogKey)}, Writes: []storage.Write{w}},
-		func(storage.Result) { n.catalog.busy = false })
+	n.catalog.storing = true
+	n.submitTo(n.backgroundCommitter, &storage.Op{Conds: []storage.Cond{n.unchanged(protocol.HolderKey(0)), n.unchanged(protocol.CatalogKey)}, Writes: []storage.Write{w}},
+		func(storage.Result) { n.catalog.storing = false })
 }
 
 func (n *Node) learnTypes(types []protocol.MachineType) {
-	if len(n.types) == 0 {
+	if len(n.machineTypes) == 0 {
 		for _, s := range Shortages(n.cfg, types) {
 			n.log.Warn("settings can hardly be met", "why", s)
 		}
 	}
 	for i := range types {
-		n.types[types[i].Name] = &types[i]
+		n.machineTypes[types[i].Name] = &types[i]
 	}
-	n.touchAll()
+	n.markAllStale()
 	n.replan = true
 }
--- a/internal/coordination/node/odd_requests_test.go
+++ b/internal/coordination/node/odd_requests_test.go
@@ -63,7 +63,7 @@
 }
 
 // postAt sends a submission as it is to a node's HTTP interface; no status: it has no process.
-func (w *world) postAt(node, body string) (status int, why string) {
+func (w *simCluster) postAt(node, body string) (status int, why string) {
 	n := w.node(node)
 	if n == nil {
 		return 0, ""
@@ -77,14 +77,14 @@
 	}
 	var e errorBody
 	if err := json.Unmarshal(response.Body.Bytes(), &e); err != nil {
-		w.complain("%s answers %q with %q", node, body, response.Body)
+		w.violation("%s answers %q with %q", node, body, response.Body)
 	}
 	return response.Code, e.Error
 }
 
 // refuses sends an odd job to a node until it is refused, and complains unless the refusal is
 // the right one and says why. No node then knows the job.
-func (w *world) refuses(node string, number int, odd oddJob) {
+func (w *simCluster) refuses(node string, number int, odd oddJob) {
 	id := fmt.Sprintf("job-96%05d", number)
 	body := submissionBody(id, odd.change)
 	for w.ctx.Err() == nil {
@@ -93,16 +93,16 @@
 			time.Sleep(retryPause)
 			continue
 		}
-		w.took(fmt.Sprintf("refused with %d", status))
+		w.recordEvent(fmt.Sprintf("refused with %d", status))
 		if status != odd.status || !strings.Contains(why, odd.reason) {
-			w.complain("%s (%s) is answered %d %q at %s, want %d %q", id, odd.name, status, why, node, odd.status, odd.reason)
+			w.violation("%s (%s) is answered %d %q at %s, want %d %q", id, odd.name, status, why, node, odd.status, odd.reason)
 		}
 		break
 	}
 	for _, name := range w.names {
 		ctx, cancel := context.WithTimeout(w.ctx, pollTimeout)
 		if a, err := w.pollAt(ctx, name, id); err == nil && a.status != 404 && a.status != 503 {
-			w.complain("%s (%s) was refused and is answered %d at %s", id, odd.name, a.status, name)
+			w.violation("%s (%s) was refused and is answered %d at %s", id, odd.name, a.status, name)
 		}
 		cancel()
 	}
@@ -110,22 +110,22 @@
 
 // oddRequests: users repeat submissions of unfinished jobs, cancel jobs that are done, and send
 // jobs that can never run or lack a field.
-func oddRequests(w *world) {
+func edgeCaseRequests(w *simCluster) {
 	w.mu.Lock()
-	first := w.met["odd jobs"]
-	w.met["odd jobs"] += len(oddJobs)
+	first := w.eventCounts["odd jobs"]
+	w.eventCounts["odd jobs"] += len(oddJobs)
 	w.mu.Unlock()
 	var users sync.WaitGroup
 	for i, odd := range oddJobs {
-		u := w.enroll(mixedShape(i))
-		users.Go(func() { w.refuses(w.some(), first+i, odd) })
+		u := w.addTrackedUser(mixedShape(i))
+		users.Go(func() { w.refuses(w.randomNode(), first+i, odd) })
 		users.Go(func() {
-			u.repeat(u.submitOnce)
+			u.retryUntilSuccess(u.submitOnce)
 			u.repeatUnfinished()
-			u.ends()
+			u.awaitEnd()
 			u.cancelDone()
 		})
-		time.Sleep(w.between(0, 500*time.Millisecond))
+		time.Sleep(w.randDuration(0, 500*time.Millisecond))
 	}
 	w.awaitAll(&users)
 }
@@ -134,11 +134,11 @@
 func (u *user) repeatUnfinished() {
 	for range 4 {
 		for _, node := range u.w.names {
-			if a, err := u.submitOnce(node); err == nil && a.status == 200 && u.ended() == "" {
-				u.w.took("submission of an unfinished job repeated")
+			if a, err := u.submitOnce(node); err == nil && a.status == 200 && u.knownFinalStatus() == "" {
+				u.w.recordEvent("submission of an unfinished job repeated")
 			}
 		}
-		time.Sleep(u.w.between(0, 500*time.Millisecond))
+		time.Sleep(u.w.randDuration(0, 500*time.Millisecond))
 	}
 }
 
@@ -146,23 +146,23 @@
 func (u *user) cancelDone() {
 	for _, node := range u.w.names {
 		if a, err := u.cancelOnce(node); err == nil && a.status == 200 {
-			u.w.took("a job that was done cancelled")
+			u.w.recordEvent("a job that was done cancelled")
 		}
 	}
 }
 
 // forgetCatalog begins all processes anew, with the cloud out of reach and no types stored.
-func (w *world) forgetCatalog() {
-	w.set(func() { w.noCloud = true })
+func (w *simCluster) forgetCatalog() {
+	w.withLock(func() { w.cloudDown = true })
 	for _, name := range w.names {
-		w.end(name)
+		w.stopNode(name)
 	}
 	time.Sleep(5 * time.Second)
 	if _, _, _, err := w.state.Txn(w.ctx, nil, []storage.Write{{Delete: protocol.CatalogKey}}); err != nil {
 		w.t.Fatal(err)
 	}
 	for _, name := range w.names {
-		w.back(name)
+		w.startIfStopped(name)
 	}
 	time.Sleep(10 * time.Second)
 }
@@ -172,7 +172,7 @@
 func TestOddJobsBeforeTheCatalogue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, 1, asTheyAre)
+		w := newWorld(t, ctx, 1, defaultSettings)
 		w.forgetCatalog()
 		for i, odd := range oddJobs {
 			status, why := w.postAt(w.names[i%3], submissionBody(fmt.Sprintf("job-97%05d", i), odd.change))
@@ -184,11 +184,11 @@
 				t.Errorf("%s: answered %d %q before the types are known, want %d", odd.name, status, why, want)
 			}
 		}
-		u := w.enroll(func(*protocol.JobSpec) {})
+		u := w.addTrackedUser(func(*protocol.JobSpec) {})
 		if a, err := u.submitOnce("n-0"); err != nil || a.status != 503 {
 			t.Errorf("a good job is answered %d, %v before the types are known", a.status, err)
 		}
-		w.set(func() { w.noCloud = false })
+		w.withLock(func() { w.cloudDown = false })
 		time.Sleep(10 * time.Second)
 		for i, odd := range oddJobs {
 			w.refuses(w.names[i%3], i, odd)
