--- a/internal/coordination/node/packed.go
+++ b/internal/coordination/node/packed.go
@@ -24,7 +24,7 @@
 // tests make the slots few and store all in entries.
 var (
 	ringSlots  = packed.Slots
-	packAlways bool
+	alwaysPack bool
 )
 
 // entryPart is how much of a value an entry may fill, and carryPart how much of that, and of
@@ -35,57 +35,57 @@
 	carryPart = 0.6
 )
 
-// packing is what a node knows and does of entries.
-type packing struct {
-	format  protocol.FormatRecord
-	known   bool                    // there is a format in the store
-	plain   map[string]bool         // live nodes that need records of their own
-	inboxes map[string]*packed.Ring // by node
-	broken  map[string]string       // keys of entries that are not understood
-	heads   map[string]int          // records of jobs that have ended, with their share
-	waiting []*submission           // accepted, to be stored in the next entry
-	stored  []storedBatch           // those whose users are told once all that was stored before is known
-	busy    bool                    // an entry of the own inbox is being stored
-	write   *inboxWrite             // the last such entry
-	folding int                     // records of accepted jobs being written
-	changed time.Time               // when the format was last to be changed
-	swept   time.Time
+// packedState is what a node knows and does of entries.
+type packedState struct {
+	format       protocol.FormatRecord
+	formatStored bool                    // there is a format in the store
+	plainNodes   map[string]bool         // live nodes that need records of their own
+	inboxes      map[string]*packed.Ring // by node
+	broken       map[string]string       // keys of entries that are not understood
+	endedRecords map[string]int          // records of jobs that have ended, with their share
+	submissions  []*submission           // accepted, to be stored in the next entry
+	stored       []storedBatch           // those whose users are told once all that was stored before is known
+	busy         bool                    // an entry of the own inbox is being stored
+	write        *inboxWrite             // the last such entry
+	folding      int                     // records of accepted jobs being written
+	changed      time.Time               // when the format was last to be changed
+	swept        time.Time
 }
 
-func newPacking() packing {
-	return packing{plain: map[string]bool{}, inboxes: map[string]*packed.Ring{}, broken: map[string]string{}, heads: map[string]int{}}
+func newPacking() packedState {
+	return packedState{plainNodes: map[string]bool{}, inboxes: map[string]*packed.Ring{}, broken: map[string]string{}, endedRecords: map[string]int{}}
 }
 
 // mustBePlain says whether every job has to be in a record of its own: operators want it, an
 // earlier version lives, or somebody tells users of cancellations at once.
 func (n *Node) mustBePlain() bool {
-	return n.policy.Plain || len(n.early)+len(n.packing.plain) > 0 || n.plain()
+	return n.policy.PlainRecords || len(n.nodesWithoutEntries)+len(n.packed.plainNodes) > 0 || n.requiresRecords()
 }
 
-// plain says so of this node alone.
-func (n *Node) plain() bool { return n.SiteFrom != "" || n.takesTickets() }
+// requiresRecords says so of this node alone.
+func (n *Node) requiresRecords() bool { return n.SiteDaemonHost != "" || n.handlesTickets() }
 
-// packs says whether entries may be written.
-func (n *Node) packs() bool { return n.packing.format.Packed && !n.mustBePlain() }
+// mayWriteEntries says whether entries may be written.
+func (n *Node) mayWriteEntries() bool { return n.packed.format.Packed && !n.mustBePlain() }
 
-// packedEver says whether jobs may be in entries: then a job's own record alone does not
+// mayHaveEntries says whether jobs may be in entries: then a job's own record alone does not
 // tell whether there is one, and how it is.
-func (n *Node) packedEver() bool {
-	return n.packing.known
+func (n *Node) mayHaveEntries() bool {
+	return n.packed.formatStored
 }
 
 // tickFormat lets the leader say that entries may be written, once all nodes of the settings
 // have been seen to understand them, or that they may not any more. A node that is down
 // later does not change that.
 func (n *Node) tickFormat(now time.Time) {
-	p := &n.packing
-	if !n.leads() || now.Sub(p.changed) < time.Second {
+	p := &n.packed
+	if !n.isLeader() || now.Sub(p.changed) < time.Second {
 		return
 	}
 	on := !n.mustBePlain()
 	if on && !p.format.Packed {
-		for name := range n.siblings {
-			if _, lives := n.nodes[name]; !lives {
+		for name := range n.peers {
+			if _, lives := n.liveNodes[name]; !lives {
 				return
 			}
 		}
@@ -95,16 +95,16 @@
 	}
 	p.changed = now
 	n.log.Info("many jobs in one change", "on", on)
-	n.submit(&storage.Op{Conds: []storage.Cond{n.cond(protocol.HolderKey(0)), n.cond(protocol.FormatKey)},
+	n.submit(&storage.Op{Conds: []storage.Cond{n.unchanged(protocol.HolderKey(0)), n.unchanged(protocol.FormatKey)},
 		Writes: []storage.Write{{Put: protocol.FormatKey, Value: mustJSON(protocol.FormatRecord{Packed: on})}}}, func(storage.Result) {})
 }
 
 // inboxOf is the ring of what a node accepted.
 func (n *Node) inboxOf(node string) *packed.Ring {
-	r := n.packing.inboxes[node]
+	r := n.packed.inboxes[node]
 	if r == nil {
 		r = packed.NewRing(ringSlots)
-		n.packing.inboxes[node] = r
+		n.packed.inboxes[node] = r
 	}
 	return r
 }
@@ -113,7 +113,7 @@
 // its share decides nothing, and of jobs that nobody knows it is not said that they are
 // unknown.
 func (n *Node) entry(it storage.Item) (e *protocol.Entry, ok bool) {
-	delete(n.packing.broken, it.Key)
+	delete(n.packed.broken, it.Key)
 	if it.Value == nil {
 		return nil, true
 	}
@@ -126,13 +126,13 @@
 }
 
 func (n *Node) notUnderstood(key string, err error) {
-	n.packing.broken[key] = err.Error()
+	n.packed.broken[key] = err.Error()
 	n.log.Error("stored entry not understood: what depends on it stops", "key", key, "why", err)
 }
 
-// logBroken says whether something in a share's log is not understood.
-func (n *Node) logBroken(share int) bool {
-	for key := range n.packing.broken {
+// logUnreadable says whether something in a share's log is not understood.
+func (n *Node) logUnreadable(share int) bool {
+	for key := range n.packed.broken {
 		if s, _, ok := packed.LogSlot(key); ok && s == share {
 			return true
 		}
@@ -140,15 +140,15 @@
 	return false
 }
 
-// entriesReadable says whether all entries of a share's log are known. If not, more may be stored
+// logReadable says whether all entries of a share's log are known. If not, more may be stored
 // than is known: that a task has left, or that a job has ended.
-func (n *Node) entriesReadable(s *share) bool {
-	return !n.packedEver() || s.log.Whole() && !n.logBroken(s.index)
+func (n *Node) logReadable(s *partition) bool {
+	return !n.mayHaveEntries() || s.log.Whole() && !n.logUnreadable(s.index)
 }
 
-// inboxBroken says so of any inbox.
-func (n *Node) inboxBroken() bool {
-	for key := range n.packing.broken {
+// anyInboxUnreadable says so of any inbox.
+func (n *Node) anyInboxUnreadable() bool {
+	for key := range n.packed.broken {
 		if strings.HasPrefix(key, protocol.InboxRoot) {
 			return true
 		}
@@ -156,10 +156,10 @@
 	return false
 }
 
-// setLog takes in a slot of a share's log.
-func (n *Node) setLog(it storage.Item) {
+// applyLogEntry takes in a slot of a share's log.
+func (n *Node) applyLogEntry(it storage.Item) {
 	i, slot, ok := packed.LogSlot(it.Key)
-	if !ok || i >= len(n.shares) {
+	if !ok || i >= len(n.partitions) {
 		n.log.Error("stored value not understood", "key", it.Key)
 		return
 	}
@@ -167,7 +167,7 @@
 	if !ok {
 		return
 	}
-	s := n.shares[i]
+	s := n.partitions[i]
 	if _, err := s.log.Put(slot, e); err != nil {
 		n.notUnderstood(it.Key, err)
 		return
@@ -178,76 +178,76 @@
 	for k := range e.Parts {
 		p := &e.Parts[k]
 		if p.End != "" {
-			n.endedInLog(i, p)
-		} else if j := n.jobs[p.Job]; j != nil && j.share == i {
+			n.applyEndFromLog(i, p)
+		} else if j := n.jobs[p.Job]; j != nil && j.partition == i {
 			n.overlay(j, e, p, time.Now())
 		}
 	}
 }
 
-// endedInLog takes in that a job has ended.
-func (n *Node) endedInLog(share int, p *protocol.Part) {
-	if _, known := n.finals.byID[p.Job]; !known {
-		n.finals.add(p.Job, protocol.FinalRecord{Status: p.End, Tasks: p.Tasks})
+// applyEndFromLog takes in that a job has ended.
+func (n *Node) applyEndFromLog(share int, p *protocol.Part) {
+	if _, known := n.finalJobs.byID[p.Job]; !known {
+		n.finalJobs.add(p.Job, protocol.FinalRecord{Status: p.End, Tasks: p.Tasks})
 	}
 	if j := n.jobs[p.Job]; j != nil {
-		if j.based {
-			n.packing.heads[p.Job] = share
+		if j.hasRecord {
+			n.packed.endedRecords[p.Job] = share
 		}
 		n.dropJob(p.Job)
 	}
 }
 
 // takes says whether an entry tells something of a task that is later than what is known.
-func (t *task) takes(seq uint64) bool { return seq > t.logged || seq == t.logged && t.overlaid }
+func (t *task) takes(seq uint64) bool { return seq > t.logSeq || seq == t.logSeq && t.fromLog }
 
 // overlay takes in what an entry says of a job.
 func (n *Node) overlay(j *job, e *protocol.Entry, p *protocol.Part, now time.Time) {
-	j.next = max(j.next, p.Next)
-	n.learnTries(j, p.Tries, now)
-	j.story.learn(p.Lost, p.LostMS)
+	j.nextAttempt = max(j.nextAttempt, p.Next)
+	n.applyTries(j, p.Tries, now)
+	j.history.mergeStored(p.Lost, p.LostMS)
 	for _, r := range p.Placed {
 		for i := int(r[0]); i <= int(r[1]) && i < len(j.tasks); i++ {
 			if j.tasks[i].takes(e.Seq) {
-				j.next = max(j.next, r[2]+1)
-				n.assign(j, i, placed, e.Machines[r[3]], r[2], now)
-				j.tasks[i].logged, j.tasks[i].overlaid = e.Seq, true
+				j.nextAttempt = max(j.nextAttempt, r[2]+1)
+				n.applyTask(j, i, phasePlaced, e.Machines[r[3]], r[2], now)
+				j.tasks[i].logSeq, j.tasks[i].fromLog = e.Seq, true
 			}
 		}
 	}
-	for phase, ranges := range map[phase][][2]int{waiting: p.Gone, done: p.Done} {
+	for phase, ranges := range map[phase][][2]int{phaseWaiting: p.Gone, phaseDone: p.Done} {
 		for _, r := range ranges {
 			for i := r[0]; i <= r[1] && i < len(j.tasks); i++ {
 				if j.tasks[i].takes(e.Seq) {
-					n.assign(j, i, phase, "", 0, now)
-					j.tasks[i].logged, j.tasks[i].overlaid = e.Seq, true
+					n.applyTask(j, i, phase, "", 0, now)
+					j.tasks[i].logSeq, j.tasks[i].fromLog = e.Seq, true
 				}
 			}
 		}
 	}
-	n.assigned(j)
+	n.afterTasksApplied(j)
 }
 
-// overlayAll takes in what all entries say of a job that was just made.
-func (n *Node) overlayAll(j *job) {
+// applyLogParts takes in what all entries say of a job that was just made.
+func (n *Node) applyLogParts(j *job) {
 	now := time.Now()
-	n.shares[j.share].log.Each(j.id, func(e *protocol.Entry, p *protocol.Part) { n.overlay(j, e, p, now) })
+	n.partitions[j.partition].log.Each(j.id, func(e *protocol.Entry, p *protocol.Part) { n.overlay(j, e, p, now) })
 }
 
 // ended says whether a share's log tells that a job has ended.
-func (n *Node) endedByLog(s *protocol.JobSpec) bool {
-	ti, ok := n.teamOf[s.Team]
+func (n *Node) endedInLog(s *protocol.JobSpec) bool {
+	ti, ok := n.teamIndex[s.Team]
 	if !ok {
 		return false
 	}
-	_, _, over := n.shares[n.teams[ti].share].log.Ended(s.ID)
+	_, _, over := n.partitions[n.teams[ti].partition].log.Ended(s.ID)
 	return over
 }
 
-// setInbox takes in a slot of a node's inbox. A job that no inbox mentions any more and that
+// applyInboxEntry takes in a slot of a node's inbox. A job that no inbox mentions any more and that
 // has no record of its own has ended: as long as it has not, whoever writes the slot anew
 // says it again.
-func (n *Node) setInbox(it storage.Item) {
+func (n *Node) applyInboxEntry(it storage.Item) {
 	node, slot, ok := packed.InboxSlot(it.Key)
 	if !ok {
 		n.log.Error("stored value not understood", "key", it.Key)
@@ -269,7 +269,7 @@
 	}
 	if before != nil {
 		for _, a := range before.Jobs {
-			if j := n.jobs[a.Spec.ID]; j != nil && !j.based && !n.inAnyInbox(a.Spec.ID) {
+			if j := n.jobs[a.Spec.ID]; j != nil && !j.hasRecord && !n.inAnyInbox(a.Spec.ID) {
 				n.dropJob(a.Spec.ID)
 			}
 		}
@@ -277,7 +277,7 @@
 }
 
 func (n *Node) inAnyInbox(id string) bool {
-	for _, r := range n.packing.inboxes {
+	for _, r := range n.packed.inboxes {
 		if r.Mentions(id) {
 			return true
 		}
@@ -287,89 +287,89 @@
 
 // mayBeInInbox says whether an inbox tells that a job was accepted, or may tell so in an entry
 // that is not understood.
-func (n *Node) mayBeInInbox(id string) bool { return n.inboxBroken() || n.inAnyInbox(id) }
+func (n *Node) mayBeInInbox(id string) bool { return n.anyInboxUnreadable() || n.inAnyInbox(id) }
 
 // setAccepted takes in a job from an inbox. Two nodes may have accepted it at once.
 func (n *Node) setAccepted(a protocol.Accepted) {
-	if n.endedByLog(a.Spec) {
+	if n.endedInLog(a.Spec) {
 		return
 	}
 	if j := n.jobs[a.Spec.ID]; j != nil {
 		return
 	}
-	n.setJob(a.Spec.ID, &protocol.JobRecord{Spec: a.Spec, SubmittedMS: a.SubmittedMS, Next: 1}, false)
+	n.applyJob(a.Spec.ID, &protocol.JobRecord{Spec: a.Spec, SubmittedMS: a.SubmittedMS, Next: 1}, false)
 }
 
-// storedHead is a job's record as it is stored now, by all that this node knows.
-func (n *Node) storedHead(j *job) protocol.JobRecord {
-	r := j.stored()
-	r.Log = n.shares[j.share].log.Known()
+// storedRecordAtLog is a job's record as it is stored now, by all that this node knows.
+func (n *Node) storedRecordAtLog(j *job) protocol.JobRecord {
+	r := j.storedRecord()
+	r.Log = n.partitions[j.partition].log.Known()
 	return r
 }
 
-// nextEntry is the condition that nothing is in a share's log that this node does not know.
-func (n *Node) nextEntry(share int) storage.Cond {
-	slot, _ := n.shares[share].log.Next()
-	return n.cond(protocol.LogKey(share, slot))
+// logUnchanged is the condition that nothing is in a share's log that this node does not know.
+func (n *Node) logUnchanged(share int) storage.Cond {
+	slot, _ := n.partitions[share].log.Next()
+	return n.unchanged(protocol.LogKey(share, slot))
 }
 
-// unended are the conditions that a job is where this node thinks it is, and has not ended.
-func (n *Node) unended(id string) []storage.Cond {
-	return []storage.Cond{n.cond(protocol.JobKey(id)), {Key: protocol.FinalKey(id)}}
+// stillOpen are the conditions that a job is where this node thinks it is, and has not ended.
+func (n *Node) stillOpen(id string) []storage.Cond {
+	return []storage.Cond{n.unchanged(protocol.JobKey(id)), {Key: protocol.FinalKey(id)}}
 }
 
-// appending is an entry of a share's log that is being stored.
-type appending struct {
+// logAppend is an entry of a share's log that is being stored.
+type logAppend struct {
 	jobs     []*job
 	pressing bool
 }
 
-// turn is a job whose turn to be stored has come.
-type turn struct {
+// storeRequest is a job whose turn to be stored has come.
+type storeRequest struct {
 	job     *job
 	urgency int
-	of      spending
+	of      changePurpose
 }
 
 // mostEnds is how many jobs may end with one entry: each is a change of its own beside it,
 // and users are not to wait for what a dozen of them take of the rate.
 func (n *Node) mostEnds() int {
-	return max(1, min(n.cfg.Params.State.TxnOps-1, int(n.pace.PerSecond()/3)))
+	return max(1, min(n.cfg.Params.State.TxnOps-1, int(n.rateLimiter.PerSecond()/3)))
 }
 
 // mustLog says whether what is new of a job has to be told in its share's log: that it has
 // ended, while an inbox tells that it was accepted.
 func (n *Node) mustLog(j *job) bool {
-	if j.based && !n.mayBeInInbox(j.id) {
+	if j.hasRecord && !n.mayBeInInbox(j.id) {
 		return false
 	}
-	return j.left() == 0 && j.step == nil
+	return j.remainingTasks() == 0 && j.step == nil
 }
 
-// storeShare stores what is new of jobs of a share whose turn has come: one alone in its own
+// storePartition stores what is new of jobs of a share whose turn has come: one alone in its own
 // record, as long as changes are ample, and several in an entry of the log, with whatever
 // else is new.
-func (n *Node) storeShare(s *share, turns []turn, most int, now time.Time) {
-	if !n.entriesReadable(s) {
+func (n *Node) storePartition(s *partition, turns []storeRequest, most int, now time.Time) {
+	if !n.logReadable(s) {
 		return
 	}
-	level := func(c turn) *storage.Committer {
-		if c.urgency <= urgentStart {
-			return n.press
+	level := func(c storeRequest) *storage.Committer {
+		if c.urgency <= storeUrgentStart {
+			return n.urgentCommitter
 		}
-		return n.books
+		return n.backgroundCommitter
 	}
-	alone := func(turns []turn) {
+	alone := func(turns []storeRequest) {
 		for _, c := range turns {
-			if n.storing[level(c)] < most {
+			if n.pendingWrites[level(c)] < most {
 				delete(n.dirty, c.job)
-				c.job.dirtyAt = time.Time{}
-				n.save(c.job, level(c), c.of)
+				c.job.dirtySince = time.Time{}
+				n.storeJob(c.job, level(c), c.of)
 			}
 		}
 	}
-	if !n.packs() {
-		var must, may []turn
+	if !n.mayWriteEntries() {
+		var must, may []storeRequest
 		for _, c := range turns {
 			if n.mustLog(c.job) {
 				must = append(must, c)
@@ -377,22 +377,22 @@
 				may = append(may, c)
 			}
 		}
-		if len(must) > 0 && s.append == nil {
+		if len(must) > 0 && s.pendingAppend == nil {
 			n.appendLog(s, must, now)
 		}
 		alone(may)
 		return
 	}
 	switch {
-	case s.append != nil && !s.append.pressing:
+	case s.pendingAppend != nil && !s.pendingAppend.pressing:
 		// What is pressing need not wait for what is not.
-		alone(slices.DeleteFunc(turns, func(c turn) bool { return c.urgency > urgentStart || n.mustLog(c.job) }))
-	case s.append != nil || s.saving > 0:
-	case turns[0].urgency > urgentStart && !n.pace.Ample() && now.Sub(s.appended) < gatherTime:
+		alone(slices.DeleteFunc(turns, func(c storeRequest) bool { return c.urgency > storeUrgentStart || n.mustLog(c.job) }))
+	case s.pendingAppend != nil || s.pendingRecords > 0:
+	case turns[0].urgency > storeUrgentStart && !n.rateLimiter.Ample() && now.Sub(s.lastAppend) < gatherTime:
 		// Every change that is left is one that a user, or a start, need not wait for.
-	case len(turns) == 1 && n.pace.Ample() && !n.mustLog(turns[0].job) && !packAlways:
+	case len(turns) == 1 && n.rateLimiter.Ample() && !n.mustLog(turns[0].job) && !alwaysPack:
 		alone(turns)
-	case n.storing[level(turns[0])] < most:
+	case n.pendingWrites[level(turns[0])] < most:
 		n.appendLog(s, append(turns, n.riders(s, turns)...), now)
 	}
 }
@@ -404,50 +404,50 @@
 
 // riders are jobs of a share whose turn has not come and of which something is new: it costs
 // nothing to store that with others.
-func (n *Node) riders(s *share, turns []turn) (out []turn) {
+func (n *Node) riders(s *partition, turns []storeRequest) (out []storeRequest) {
 	in := map[*job]bool{}
 	for _, c := range turns {
 		in[c.job] = true
 	}
 	for j := range n.dirty {
-		if j.share == s.index && !in[j] && !j.busy && !n.quieted(j) && j.step == nil {
-			out = append(out, turn{j, onlyFacts, forFacts})
+		if j.partition == s.index && !in[j] && !j.writePending && !n.jobChangesPaused(j) && j.step == nil {
+			out = append(out, storeRequest{j, storeOutcomes, forTaskEnds})
 		}
 	}
-	slices.SortFunc(out, func(a, b turn) int {
-		return cmp.Or(a.job.dirtyAt.Compare(b.job.dirtyAt), strings.Compare(a.job.id, b.job.id))
+	slices.SortFunc(out, func(a, b storeRequest) int {
+		return cmp.Or(a.job.dirtySince.Compare(b.job.dirtySince), strings.Compare(a.job.id, b.job.id))
 	})
 	return out
 }
 
 // appendLog stores what is new of some jobs of a share in one entry of its log, the first
 // ones first, as far as there is room. It returns false if nothing is on its way.
-func (n *Node) appendLog(s *share, turns []turn, now time.Time) bool {
+func (n *Node) appendLog(s *partition, turns []storeRequest, now time.Time) bool {
 	w := packed.NewWriter(s.log, int(entryPart*1024*n.cfg.Params.State.ValueKB))
 	carried, fits := n.carry(s, w)
 	if !fits {
 		return false
 	}
-	a := &appending{pressing: turns[0].urgency <= urgentStart}
+	a := &logAppend{pressing: turns[0].urgency <= storeUrgentStart}
 	slot, _ := s.log.Next()
-	op := &storage.Op{For: uint8(turns[0].of), Conds: []storage.Cond{n.cond(protocol.HolderKey(s.index)), n.cond(protocol.LogKey(s.index, slot)), n.cond(protocol.FormatKey)}}
+	op := &storage.Op{For: uint8(turns[0].of), Conds: []storage.Cond{n.unchanged(protocol.HolderKey(s.index)), n.unchanged(protocol.LogKey(s.index, slot)), n.unchanged(protocol.FormatKey)}}
 	op.Conds = append(op.Conds, n.unchangedRecords(carried)...)
 	most := n.mostEnds()
 	var finals []storage.Write
 	for _, c := range turns {
 		j := c.job
-		if len(op.Conds)+2 > n.mostConditions() {
+		if len(op.Conds)+2 > n.maxConditions() {
 			break
 		}
 		if j.cancelled {
-			n.revert(j) // nothing of it may start any more
+			n.revertProposals(j) // nothing of it may start any more
 		}
 		d := packed.Draft{Part: protocol.Part{Job: j.id}}
-		if j.left() == 0 {
+		if j.remainingTasks() == 0 {
 			if len(finals) == most {
 				continue
 			}
-			d.End, d.Tasks = j.endsAs(), len(j.tasks)
+			d.End, d.Tasks = j.finalStatus(), len(j.tasks)
 			finals = append(finals, finalWrites(j.id, d.End, d.Tasks, 0)[0])
 		} else if d = n.news(j); d.Empty() {
 			delete(n.dirty, j)
@@ -461,12 +461,12 @@
 			}
 			break
 		}
-		op.Conds = append(op.Conds, n.unended(j.id)...)
+		op.Conds = append(op.Conds, n.stillOpen(j.id)...)
 		delete(n.dirty, j)
-		j.dirtyAt, j.busy = time.Time{}, true
-		j.taskChunk = map[int]bool{}
+		j.dirtySince, j.writePending = time.Time{}, true
+		j.dirtyChunks = map[int]bool{}
 		for i := range j.tasks {
-			j.tasks[i].storing = j.tasks[i].fact != noFact
+			j.tasks[i].storing = j.tasks[i].outcome != outcomeNone
 		}
 		a.jobs = append(a.jobs, j)
 	}
@@ -475,20 +475,20 @@
 	}
 	// What the jobs became before what their share's log says of it.
 	op.Writes = append(finals, storage.Write{Put: protocol.LogKey(s.index, slot), Value: mustJSON(w.Entry())})
-	to := n.books
+	to := n.backgroundCommitter
 	if a.pressing {
-		to = n.press
+		to = n.urgentCommitter
 	}
-	s.append, s.appended = a, now
-	n.storing[to] += len(op.Writes)
+	s.pendingAppend, s.lastAppend = a, now
+	n.pendingWrites[to] += len(op.Writes)
 	op.Done = func(r storage.Result) {
 		n.post(func() {
-			n.storing[to] -= len(op.Writes)
+			n.pendingWrites[to] -= len(op.Writes)
 			n.appended(s, a, op, r)
 		})
 	}
 	if !to.Submit(op) {
-		n.storing[to] -= len(op.Writes)
+		n.pendingWrites[to] -= len(op.Writes)
 		n.notAppended(s, a)
 	}
 	n.metrics.entries.WithLabelValues("log").Observe(float64(len(a.jobs)))
@@ -497,10 +497,10 @@
 
 // saveWhatFitsNoEntry stores a job in its own record: what is new of it does not fit beside what
 // an entry has to say again, and that does not become less with time.
-func (n *Node) saveWhatFitsNoEntry(c turn) {
+func (n *Node) saveWhatFitsNoEntry(c storeRequest) {
 	delete(n.dirty, c.job)
-	c.job.dirtyAt = time.Time{}
-	n.save(c.job, n.press, c.of)
+	c.job.dirtySince = time.Time{}
+	n.storeJob(c.job, n.urgentCommitter, c.of)
 }
 
 // news is what of a job is not stored yet.
@@ -508,11 +508,11 @@
 	d := n.draft(j)
 	for i := range j.tasks {
 		switch t := &j.tasks[i]; {
-		case t.phase == proposed:
+		case t.phase == phaseProposed:
 			d.Place(i, t.attempt, t.machine.name)
-		case t.phase == placed && t.fact == finished:
+		case t.phase == phasePlaced && t.outcome == outcomeFinished:
 			d.Finish(i)
-		case t.phase == placed && t.fact == gone:
+		case t.phase == phasePlaced && t.outcome == outcomeGone:
 			d.Leave(i)
 		}
 	}
@@ -520,7 +520,7 @@
 }
 
 func (n *Node) draft(j *job) packed.Draft {
-	return packed.Draft{Part: protocol.Part{Job: j.id, Next: j.next, Tries: j.trouble.tries, Lost: j.story.lost, LostMS: j.story.lostMS()}}
+	return packed.Draft{Part: protocol.Part{Job: j.id, Next: j.nextAttempt, Tries: j.failures.tries, Lost: j.history.lostRuns, LostMS: j.history.lastLostMS()}}
 }
 
 // said is what an entry says of a job that nothing later does, as it is stored now.
@@ -528,13 +528,13 @@
 	d := n.draft(j)
 	for i := range j.tasks {
 		t := &j.tasks[i]
-		if t.logged != seq || !t.overlaid {
+		if t.logSeq != seq || !t.fromLog {
 			continue
 		}
 		switch t.phase {
-		case placed:
+		case phasePlaced:
 			d.Place(i, t.attempt, t.machine.name)
-		case done:
+		case phaseDone:
 			d.Finish(i)
 		default:
 			d.Leave(i)
@@ -543,8 +543,8 @@
 	return d
 }
 
-// mostConditions is how many conditions a transaction may have.
-func (n *Node) mostConditions() int { return 4 * n.cfg.Params.State.TxnOps }
+// maxConditions is how many conditions a transaction may have.
+func (n *Node) maxConditions() int { return 4 * n.cfg.Params.State.TxnOps }
 
 // unchangedRecords are the conditions that the own records of jobs that an entry says something
 // of again are as this node knows them. A record may be stored while the entry is under way,
@@ -553,8 +553,8 @@
 func (n *Node) unchangedRecords(carried []packed.Carried) []storage.Cond {
 	conds := make([]storage.Cond, 0, len(carried))
 	for _, c := range carried {
-		if n.jobs[c.Job].left() > 0 {
-			conds = append(conds, n.cond(protocol.JobKey(c.Job)))
+		if n.jobs[c.Job].remainingTasks() > 0 {
+			conds = append(conds, n.unchanged(protocol.JobKey(c.Job)))
 		}
 	}
 	return conds
@@ -563,19 +563,19 @@
 // carry says again what is still needed of the entry that the next one takes the place of, and
 // of which open jobs. If that is too much, or takes too many conditions, some jobs are folded
 // into records of their own first, and it returns false.
-func (n *Node) carry(s *share, w *packed.Writer) ([]packed.Carried, bool) {
+func (n *Node) carry(s *partition, w *packed.Writer) ([]packed.Carried, bool) {
 	old := s.log.Old()
 	if old == nil {
 		return nil, true
 	}
 	carried, fits := s.log.Carry(w, n.toldOf(s, old), func(id string, seq uint64) packed.Draft {
-		if j := n.jobs[id]; j != nil && j.share == s.index {
+		if j := n.jobs[id]; j != nil && j.partition == s.index {
 			return n.said(j, seq)
 		}
 		return packed.Draft{}
 	})
 	room := int(carryPart * entryPart * 1024 * n.cfg.Params.State.ValueKB)
-	mostJobs := int(carryPart * float64(n.mostConditions()))
+	mostJobs := int(carryPart * float64(n.maxConditions()))
 	if fits && w.Size() <= room && len(carried) <= mostJobs {
 		return carried, true
 	}
@@ -587,7 +587,7 @@
 			break
 		}
 		// One that is over is not worth a record of its own.
-		if j := n.jobs[c.Job]; !j.busy && j.left() > 0 {
+		if j := n.jobs[c.Job]; !j.writePending && j.remainingTasks() > 0 {
 			n.fold(j, old.Seq)
 			left -= c.Size
 			jobs--
@@ -606,7 +606,7 @@
 // could be written any more, and so no job of the share could end. It says whether it stores any.
 func (n *Node) foldEnded(carried []packed.Carried, seq uint64) (any bool) {
 	for _, c := range carried {
-		if j := n.jobs[c.Job]; !j.busy && j.step == nil {
+		if j := n.jobs[c.Job]; !j.writePending && j.step == nil {
 			n.fold(j, seq)
 			any = true
 		}
@@ -617,11 +617,11 @@
 // toldOf says whether a record of its own, or an inbox, tells of a job that has ended by an
 // entry. If what is stored is not known up to that entry, or can't be read, something may that
 // this node has not heard of.
-func (n *Node) toldOf(s *share, e *protocol.Entry) func(id string) bool {
-	unknown := n.ver[protocol.LogKey(s.index, int(e.Seq%uint64(ringSlots)))] > n.caught
+func (n *Node) toldOf(s *partition, e *protocol.Entry) func(id string) bool {
+	unknown := n.revisions[protocol.LogKey(s.index, int(e.Seq%uint64(ringSlots)))] > n.completeRevision
 	return func(id string) bool {
-		_, head := n.packing.heads[id]
-		_, unreadable := n.corrupt[protocol.JobKey(id)]
+		_, head := n.packed.endedRecords[id]
+		_, unreadable := n.corruptKeys[protocol.JobKey(id)]
 		return unknown || head || unreadable || n.mayBeInInbox(id)
 	}
 }
@@ -629,43 +629,43 @@
 // fold stores a job in a record of its own, with all that an entry says of it (0: any).
 func (n *Node) fold(j *job, seq uint64) {
 	for i := range j.tasks {
-		if j.tasks[i].logged == seq || seq == 0 && j.tasks[i].overlaid {
-			j.taskChunk[i/protocol.ChunkTasks] = true
+		if j.tasks[i].logSeq == seq || seq == 0 && j.tasks[i].fromLog {
+			j.dirtyChunks[i/protocol.ChunkTasks] = true
 		}
 	}
 	delete(n.dirty, j)
-	j.dirtyAt = time.Time{}
-	n.saveAs(j, false, n.press, forFolds)
+	j.dirtySince = time.Time{}
+	n.storeJobAs(j, false, n.urgentCommitter, forCompaction)
 }
 
 // appended learns how an entry of a share's log ended.
-func (n *Node) appended(s *share, a *appending, op *storage.Op, r storage.Result) {
+func (n *Node) appended(s *partition, a *logAppend, op *storage.Op, r storage.Result) {
 	if !r.OK {
-		n.metrics.state.WithLabelValues("refused").Inc()
+		n.metrics.stateCalls.WithLabelValues("refused").Inc()
 		n.log.Info("entry of a share's log refused", "share", s.index, "jobs", len(a.jobs), "failed", strings.Join(r.Failed, " "), "why", r.Err)
 		n.resync(r.Failed, func([]storage.Item, error) { n.notAppended(s, a) })
 		return
 	}
-	n.metrics.state.WithLabelValues("stored").Inc()
-	s.append = nil
+	n.metrics.stateCalls.WithLabelValues("stored").Inc()
+	s.pendingAppend = nil
 	for _, w := range op.Writes {
-		n.learn(w, r.Epoch)
+		n.applyOwnWrite(w, r.Epoch)
 	}
 	for _, j := range a.jobs {
-		j.busy = false
+		j.writePending = false
 		if n.jobs[j.id] != j {
-			n.ended(j)
-		} else if j.nWaiting() == 0 && j.allPlaced.IsZero() {
-			j.allPlaced = time.Now()
+			n.onJobEnded(j)
+		} else if j.nWaiting() == 0 && j.allPlacedAt.IsZero() {
+			j.allPlacedAt = time.Now()
 		}
 	}
 }
 
-func (n *Node) notAppended(s *share, a *appending) {
-	s.append = nil
+func (n *Node) notAppended(s *partition, a *logAppend) {
+	s.pendingAppend = nil
 	for _, j := range a.jobs {
-		j.busy = false
-		n.revert(j)
+		j.writePending = false
+		n.revertProposals(j)
 		if n.jobs[j.id] == j {
 			n.dirty[j] = true
 		}
@@ -674,11 +674,11 @@
 
 // submission is a job that is to be accepted with others.
 type submission struct {
-	spec   *protocol.JobSpec
-	at     time.Time
-	reply  chan<- answer
-	repeat func(ifNew func())
-	tries  int
+	spec           *protocol.JobSpec
+	receivedAt     time.Time
+	reply          chan<- answer
+	answerAsRepeat func(ifNew func())
+	tries          int
 }
 
 // mostAlone is how many changes that users wait for may be under way when one more is stored
@@ -686,17 +686,17 @@
 // few more submissions of a quiet day took over 200 ms: what is in entries costs changes later.
 const mostAlone = 14
 
-// together says whether a submission is stored with others: changes are under way already, or
+// shouldBatch says whether a submission is stored with others: changes are under way already, or
 // are short. That they are short shows only once the changes before have been sent: of a
 // wave that came within one turn of the actor the first 16 were stored alone and all others
 // turned away, every second anew (162 of 271 alone, 187 changes for 241 jobs).
-func (n *Node) together() bool {
-	return n.packs() && n.inboxOf(n.cfg.Node).Whole() && !n.inboxBroken() &&
-		(n.packing.busy || len(n.packing.waiting) > 0 || n.asked >= mostAlone || !n.pace.Ample() || packAlways)
+func (n *Node) shouldBatch() bool {
+	return n.mayWriteEntries() && n.inboxOf(n.cfg.Node).Whole() && !n.anyInboxUnreadable() &&
+		(n.packed.busy || len(n.packed.submissions) > 0 || n.pendingUserChanges >= mostAlone || !n.rateLimiter.Ample() || alwaysPack)
 }
 
-// perEntry is about how many submissions fit one entry.
-func (n *Node) perEntry() int {
+// submissionsPerEntry is about how many submissions fit one entry.
+func (n *Node) submissionsPerEntry() int {
 	return max(1, min(int(n.cfg.Params.State.ValueKB*1024*entryPart/500), 2*n.cfg.Params.State.TxnOps-2))
 }
 
@@ -711,19 +711,19 @@
 
 // flushInbox stores the submissions that wait in one entry.
 func (n *Node) flushInbox(now time.Time) {
-	p := &n.packing
+	p := &n.packed
 	n.giveUpSubmissions(now)
-	if w := p.write; p.busy && !w.settled && now.Sub(w.sent) >= n.resendTime() {
+	if w := p.write; p.busy && !w.settled && now.Sub(w.sent) >= n.resendDelay() {
 		n.lookForEntry(w, storage.Result{Err: storage.ErrUnknown})
 	}
-	if p.busy || len(p.waiting) == 0 {
+	if p.busy || len(p.submissions) == 0 {
 		return
 	}
-	if !n.packs() || n.inboxBroken() {
-		for _, x := range p.waiting {
-			x.reply <- busy
+	if !n.mayWriteEntries() || n.anyInboxUnreadable() {
+		for _, x := range p.submissions {
+			x.reply <- busyAnswer
 		}
-		p.waiting = nil
+		p.submissions = nil
 		return
 	}
 	own := n.inboxOf(n.cfg.Node)
@@ -732,11 +732,11 @@
 		return
 	}
 	slot, _ := own.Next()
-	op := &storage.Op{For: uint8(forAccepts), Once: true, Conds: []storage.Cond{n.cond(protocol.InboxKey(n.cfg.Node, slot)), n.cond(protocol.FormatKey)}}
+	op := &storage.Op{For: uint8(forSubmissions), Once: true, Conds: []storage.Cond{n.unchanged(protocol.InboxKey(n.cfg.Node, slot)), n.unchanged(protocol.FormatKey)}}
 	n.repeatKnown()
 	var batch []*submission
-	for _, x := range p.waiting {
-		if len(op.Conds)+2 > 4*n.cfg.Params.State.TxnOps || !w.Accept(protocol.Accepted{Spec: x.spec, SubmittedMS: x.at.UnixMilli()}) {
+	for _, x := range p.submissions {
+		if len(op.Conds)+2 > 4*n.cfg.Params.State.TxnOps || !w.Accept(protocol.Accepted{Spec: x.spec, SubmittedMS: x.receivedAt.UnixMilli()}) {
 			break
 		}
 		op.Conds = append(op.Conds, storage.Cond{Key: protocol.JobKey(x.spec.ID)}, storage.Cond{Key: protocol.FinalKey(x.spec.ID)})
@@ -745,24 +745,24 @@
 	if len(batch) == 0 {
 		return
 	}
-	p.waiting = p.waiting[len(batch):]
+	p.submissions = p.submissions[len(batch):]
 	op.Writes = []storage.Write{{Put: protocol.InboxKey(n.cfg.Node, slot), Value: mustJSON(w.Entry())}}
 	p.busy = true
 	write := &inboxWrite{op: op, batch: batch, sent: now}
 	p.write = write
 	n.compareInboxes(write)
-	n.asked++
+	n.pendingUserChanges++
 	op.Done = func(r storage.Result) {
 		n.post(func() {
-			n.asked--
+			n.pendingUserChanges--
 			n.accepted(write, r)
 		})
 	}
-	if !n.users.Submit(op) {
-		n.asked--
+	if !n.userCommitter.Submit(op) {
+		n.pendingUserChanges--
 		p.busy = false
 		for _, x := range batch {
-			x.reply <- busy
+			x.reply <- busyAnswer
 		}
 	}
 	n.metrics.entries.WithLabelValues("inbox").Observe(float64(len(batch)))
@@ -770,13 +770,13 @@
 
 // giveUpSubmissions answers users whose submissions have waited for an entry for too long.
 func (n *Node) giveUpSubmissions(now time.Time) {
-	p := &n.packing
-	p.waiting = slices.DeleteFunc(p.waiting, func(x *submission) bool {
-		if now.Sub(x.at) < submitPatience {
+	p := &n.packed
+	p.submissions = slices.DeleteFunc(p.submissions, func(x *submission) bool {
+		if now.Sub(x.receivedAt) < submissionTimeout {
 			return false
 		}
-		n.metrics.refused.WithLabelValues("change_unanswered").Inc()
-		x.reply <- busy
+		n.metrics.guardRefusals.WithLabelValues("change_unanswered").Inc()
+		x.reply <- busyAnswer
 		return true
 	})
 }
@@ -784,29 +784,29 @@
 // repeatKnown answers submissions of jobs that are stored by now, as repeated ones: an earlier
 // entry with them was executed after all.
 func (n *Node) repeatKnown() {
-	p := &n.packing
-	p.waiting = slices.DeleteFunc(p.waiting, func(x *submission) bool {
+	p := &n.packed
+	p.submissions = slices.DeleteFunc(p.submissions, func(x *submission) bool {
 		if !n.knows(x.spec.ID) {
 			return false
 		}
-		x.repeat(func() { x.reply <- busy })
+		x.answerAsRepeat(func() { x.reply <- busyAnswer })
 		return true
 	})
 }
 
 // knows says whether the replica has a job of this id, open or ended.
 func (n *Node) knows(id string) bool {
-	_, final := n.finals.byID[id]
+	_, final := n.finalJobs.byID[id]
 	return final || n.jobs[id] != nil || n.tickets.byID[id] != nil
 }
 
 // accepted learns how an entry with submissions ended.
 func (n *Node) accepted(w *inboxWrite, r storage.Result) {
 	if r.Err == nil {
-		n.changeTimes.Observe(time.Since(w.sent))
+		n.userChangeLatency.Observe(time.Since(w.sent))
 	}
 	if r.OK {
-		n.learn(w.op.Writes[0], r.Epoch)
+		n.applyOwnWrite(w.op.Writes[0], r.Epoch)
 	}
 	if w.settled {
 		return
@@ -816,8 +816,8 @@
 		return
 	}
 	w.settled = true
-	n.packing.busy = false
-	n.packing.stored = append(n.packing.stored, storedBatch{write: w, revision: r.Epoch, until: time.Now().Add(mostWait)})
+	n.packed.busy = false
+	n.packed.stored = append(n.packed.stored, storedBatch{write: w, revision: r.Epoch, until: time.Now().Add(maxQueueWait)})
 }
 
 // lookForEntry reads what kept an entry from being stored. Without an answer that is the slot
@@ -830,14 +830,14 @@
 	}
 	n.log.Info("entry of the inbox not stored, or not known to be", "jobs", len(w.batch), "failed", strings.Join(r.Failed, " "), "why", r.Err)
 	if errors.Is(r.Err, storage.ErrRefused) {
-		n.packing.busy = false
+		n.packed.busy = false
 		for _, x := range w.batch {
-			x.reply <- busy
+			x.reply <- busyAnswer
 		}
 		return
 	}
 	n.resync(r.Failed, func([]storage.Item, error) {
-		n.packing.busy = false
+		n.packed.busy = false
 		n.acceptAgain(w.batch, r.Failed)
 	})
 }
@@ -851,21 +851,21 @@
 		x.tries++
 		switch {
 		case n.knows(id) || slices.Contains(failed, protocol.JobKey(id)) || slices.Contains(failed, protocol.FinalKey(id)):
-			x.repeat(func() { x.reply <- busy })
-		case x.tries > 3 || !n.packs():
-			x.reply <- busy
+			x.answerAsRepeat(func() { x.reply <- busyAnswer })
+		case x.tries > 3 || !n.mayWriteEntries():
+			x.reply <- busyAnswer
 		default:
 			again = append(again, x)
 		}
 	}
-	n.packing.waiting = append(again, n.packing.waiting...)
+	n.packed.submissions = append(again, n.packed.submissions...)
 }
 
 // compareInboxes finds out, while an entry is being stored, whether the replica has all that
 // other nodes have accepted; if not, the watch is to tell.
 func (n *Node) compareInboxes(w *inboxWrite) {
 	own, _ := n.inboxOf(n.cfg.Node).Next()
-	conds := slices.DeleteFunc(n.nextAccepted(), func(c storage.Cond) bool { return c.Key == protocol.InboxKey(n.cfg.Node, own) })
+	conds := slices.DeleteFunc(n.inboxUnchangedConds(), func(c storage.Cond) bool { return c.Key == protocol.InboxKey(n.cfg.Node, own) })
 	n.spawn(func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, statusread.Patience)
 		defer cancel()
@@ -873,7 +873,7 @@
 		n.post(func() {
 			w.current = ok && err == nil
 			if !w.current {
-				n.hastenWatch()
+				n.wakeWatch()
 			}
 		})
 	})
@@ -893,7 +893,7 @@
 // the revision of their own entry, or if a watch that was sent after they came was answered.
 func (b *storedBatch) knownBefore(complete time.Time, caught uint64) bool {
 	return b.write.current || caught >= b.revision ||
-		!slices.ContainsFunc(b.write.batch, func(x *submission) bool { return complete.Before(x.at) })
+		!slices.ContainsFunc(b.write.batch, func(x *submission) bool { return complete.Before(x.receivedAt) })
 }
 
 // confirmAccepted tells users that their jobs are accepted, once all that was stored before they
@@ -901,10 +901,10 @@
 // instead; in a wave, when all nodes write entries all the time, most would fail on it, and
 // failed ones count against the rate of changes.
 func (n *Node) confirmAccepted(now time.Time) {
-	p := &n.packing
+	p := &n.packed
 	kept := p.stored[:0]
 	for _, b := range p.stored {
-		known := b.knownBefore(n.complete, n.caught)
+		known := b.knownBefore(n.completeAt, n.completeRevision)
 		if !known && now.Before(b.until) {
 			kept = append(kept, b)
 			continue
@@ -922,21 +922,21 @@
 func (n *Node) confirm(x *submission, known bool) {
 	switch {
 	case !known:
-		x.reply <- busy
+		x.reply <- busyAnswer
 	case n.acceptedHereAlone(x.spec.ID):
-		n.log.Debug("job accepted", "job", x.spec.ID, "class", x.spec.Class, "tasks", x.spec.Tasks, "took_s", time.Since(x.at).Seconds())
+		n.log.Debug("job accepted", "job", x.spec.ID, "class", x.spec.Class, "tasks", x.spec.Tasks, "took_s", time.Since(x.receivedAt).Seconds())
 		x.reply <- answer{status: 201, body: protocol.JobStatus{ID: x.spec.ID, Status: protocol.JobQueued}}
 	default:
-		x.repeat(func() { x.reply <- busy })
+		x.answerAsRepeat(func() { x.reply <- busyAnswer })
 	}
 }
 
 // acceptedHereAlone says whether a job is in the inbox of this node and nowhere else.
 func (n *Node) acceptedHereAlone(id string) bool {
-	if j := n.jobs[id]; j == nil || j.based {
+	if j := n.jobs[id]; j == nil || j.hasRecord {
 		return false
 	}
-	for node, r := range n.packing.inboxes {
+	for node, r := range n.packed.inboxes {
 		if node != n.cfg.Node && r.Mentions(id) {
 			return false
 		}
@@ -950,13 +950,13 @@
 func (n *Node) carryAccepted(own *packed.Ring, w *packed.Writer) bool {
 	carried, fits := own.CarryAccepted(w, func(a protocol.Accepted) bool {
 		j := n.jobs[a.Spec.ID]
-		_, known := n.teamOf[a.Spec.Team]
-		return !known || j != nil && !j.based
+		_, known := n.teamIndex[a.Spec.Team]
+		return !known || j != nil && !j.hasRecord
 	})
 	if fits && w.Size() <= int(carryPart*entryPart*1024*n.cfg.Params.State.ValueKB) {
 		return true
 	}
-	if n.packing.folding == 0 {
+	if n.packed.folding == 0 {
 		for _, id := range carried[:(len(carried)+1)/2] {
 			if j := n.jobs[id]; j != nil {
 				n.foldAccepted(j)
@@ -969,63 +969,63 @@
 // foldAccepted gives a job that is in an inbox a record of its own. Any node may: it says
 // up to which entry of the share's log it is true.
 func (n *Node) foldAccepted(j *job) {
-	n.packing.folding++
-	n.submit(&storage.Op{For: uint8(forFolds), Conds: n.unended(j.id),
-		Writes: []storage.Write{{Put: protocol.JobKey(j.id), Value: mustJSON(n.storedHead(j))}}}, func(storage.Result) { n.packing.folding-- })
+	n.packed.folding++
+	n.submit(&storage.Op{For: uint8(forCompaction), Conds: n.stillOpen(j.id),
+		Writes: []storage.Write{{Put: protocol.JobKey(j.id), Value: mustJSON(n.storedRecordAtLog(j))}}}, func(storage.Result) { n.packed.folding-- })
 }
 
 // mostTidied is how many records of jobs that have ended, or jobs in entries that are not to be
 // there, are seen to in one go.
 const mostTidied = 4
 
-// tidy removes what is left of jobs that have ended, when changes are ample or too much is
+// removeLeftovers removes what is left of jobs that have ended, when changes are ample or too much is
 // left; and, where entries may not be written any more, gives the jobs in them records of
 // their own and empties the slots.
-func (n *Node) tidy(now time.Time) {
-	p := &n.packing
+func (n *Node) removeLeftovers(now time.Time) {
+	p := &n.packed
 	if !n.loaded || n.sinceContact(now) > 2*time.Second || now.Sub(p.swept) < 200*time.Millisecond {
 		return
 	}
 	p.swept = now
-	if ample := n.pace.Ample() && n.asked == 0; ample || len(p.heads) > 3*ringSlots {
+	if ample := n.rateLimiter.Ample() && n.pendingUserChanges == 0; ample || len(p.endedRecords) > 3*ringSlots {
 		n.removeHeads()
 	}
-	if !p.format.Packed && n.packedEver() && n.asked == 0 {
+	if !p.format.Packed && n.mayHaveEntries() && n.pendingUserChanges == 0 {
 		n.unpack(now)
 	}
 }
 
 func (n *Node) removeHeads() {
 	c := 0
-	for id, share := range n.packing.heads {
-		if !n.mine(n.shares[share]) || n.stamp(protocol.JobKey(id)) == 0 {
+	for id, share := range n.packed.endedRecords {
+		if !n.owns(n.partitions[share]) || n.revisionOf(protocol.JobKey(id)) == 0 {
 			continue
 		}
 		if c++; c > mostTidied {
 			return
 		}
-		n.submitTo(n.books, &storage.Op{For: uint8(forFolds), Conds: []storage.Cond{n.cond(protocol.HolderKey(share)), n.cond(protocol.JobKey(id))},
+		n.submitTo(n.backgroundCommitter, &storage.Op{For: uint8(forCompaction), Conds: []storage.Cond{n.unchanged(protocol.HolderKey(share)), n.unchanged(protocol.JobKey(id))},
 			Writes: []storage.Write{{Delete: protocol.JobKey(id)}}}, func(storage.Result) {})
 	}
 }
 
 // unpack is done where entries were written and may not be any more.
 func (n *Node) unpack(now time.Time) {
-	p := &n.packing
+	p := &n.packed
 	c := 0
-	for _, s := range n.shares {
-		if !n.mine(s) || s.append != nil || !s.log.Whole() {
+	for _, s := range n.partitions {
+		if !n.owns(s) || s.pendingAppend != nil || !s.log.Whole() {
 			continue
 		}
 		left := false
 		for _, j := range s.jobs {
-			if !n.inEntries(j) {
+			if !n.dependsOnEntries(j) {
 				continue
 			}
 			left = true
-			if c < mostTidied && !j.busy && j.left() > 0 {
+			if c < mostTidied && !j.writePending && j.remainingTasks() > 0 {
 				c++
-				j.taskChunk[0] = true
+				j.dirtyChunks[0] = true
 				n.fold(j, 0)
 			}
 		}
@@ -1037,17 +1037,17 @@
 		n.emptySlots(s.log, func(slot int) string { return protocol.LogKey(s.index, slot) }, func(e *protocol.Entry) bool {
 			told := n.toldOf(s, e)
 			return slices.ContainsFunc(e.Parts, func(x protocol.Part) bool { return x.End != "" && told(x.Job) })
-		}, n.cond(protocol.HolderKey(s.index)))
+		}, n.unchanged(protocol.HolderKey(s.index)))
 	}
 	for node, r := range p.inboxes {
-		_, lives := n.nodes[node]
-		if node != n.cfg.Node && (lives || !n.leads()) || r.Empty() {
+		_, lives := n.liveNodes[node]
+		if node != n.cfg.Node && (lives || !n.isLeader()) || r.Empty() {
 			continue
 		}
 		n.emptySlots(r, func(slot int) string { return protocol.InboxKey(node, slot) }, func(e *protocol.Entry) bool {
 			return slices.ContainsFunc(e.Jobs, func(a protocol.Accepted) bool {
 				j := n.jobs[a.Spec.ID]
-				return j != nil && !j.based
+				return j != nil && !j.hasRecord
 			})
 		})
 	}
@@ -1064,12 +1064,12 @@
 		}
 		c++
 		k := key(int(e.Seq % uint64(ringSlots)))
-		n.submitTo(n.books, &storage.Op{For: uint8(forFolds), Conds: append([]storage.Cond{n.cond(k)}, also...),
+		n.submitTo(n.backgroundCommitter, &storage.Op{For: uint8(forCompaction), Conds: append([]storage.Cond{n.unchanged(k)}, also...),
 			Writes: []storage.Write{{Put: k, Value: mustJSON(protocol.Entry{Version: protocol.EntryVersion, Seq: e.Seq})}}}, func(storage.Result) {})
 	})
 }
 
-// inEntries says whether entries tell of a job what its own record does not.
-func (n *Node) inEntries(j *job) bool {
-	return !j.based || slices.ContainsFunc(j.tasks, func(t task) bool { return t.overlaid })
+// dependsOnEntries says whether entries tell of a job what its own record does not.
+func (n *Node) dependsOnEntries(j *job) bool {
+	return !j.hasRecord || slices.ContainsFunc(j.tasks, func(t task) bool { return t.fromLog })
 }
--- a/internal/coordination/node/packed_test.go
+++ b/internal/coordination/node/packed_test.go
@@ -17,25 +17,25 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-// packedOnly stores everything in entries, with few slots, until the test ends.
-func packedOnly(t *testing.T, slots int) {
+// storeOnlyEntries stores everything in entries, with few slots, until the test ends.
+func storeOnlyEntries(t *testing.T, slots int) {
 	slotsWere := ringSlots
-	ringSlots, packAlways = slots, true
-	t.Cleanup(func() { ringSlots, packAlways = slotsWere, false })
+	ringSlots, alwaysPack = slots, true
+	t.Cleanup(func() { ringSlots, alwaysPack = slotsWere, false })
 }
 
 // facts are what is known of stored jobs: each task's phase, attempt and machine.
-func (n *Node) storedJobs() map[string]string {
+func (n *Node) jobSummaries() map[string]string {
 	out := map[string]string{}
 	for id, j := range n.jobs {
 		var b strings.Builder
-		fmt.Fprint(&b, j.spec.Tasks, j.cancelled, j.asked, " ")
+		fmt.Fprint(&b, j.spec.Tasks, j.cancelled, j.cancelPending, " ")
 		for i := range j.tasks {
 			t := &j.tasks[i]
 			switch t.phase {
-			case placed:
+			case phasePlaced:
 				fmt.Fprint(&b, t.attempt, "@", t.machine.name, " ")
-			case done:
+			case phaseDone:
 				b.WriteString("done ")
 			default:
 				b.WriteString("- ")
@@ -63,11 +63,11 @@
 	return b.String() + strings.Join(out, " ") + " "
 }
 
-// reread is what a node that starts now knows of the jobs.
-func reread(t *testing.T, cfg *protocol.Settings, st *standin.State) *Node {
+// newNodeFromStore is what a node that starts now knows of the jobs.
+func newNodeFromStore(t *testing.T, cfg *protocol.Settings, st *standin.State) *Node {
 	n := New(t.Context(), cfg, slog.New(slog.NewTextHandler(io.Discard, nil)), st, standin.NewFleet(t.Context()), nil, 1)
 	items, rev, _ := st.List(t.Context(), protocol.Root)
-	n.reload(items, rev)
+	n.applyListing(items, rev)
 	return n
 }
 
@@ -80,15 +80,15 @@
 
 // sameAsStored holds what a living node knows of jobs to what one that starts now reads. What
 // differs must be the same again within seconds: changes are under way.
-func (w *world) sameAsStored(name string) {
+func (w *simCluster) sameAsStored(name string) {
 	var wrong []string
 	for range 40 {
 		n := w.node(name)
 		if n == nil {
 			return
 		}
-		live := onActor(n, n.storedJobs)
-		read := reread(w.t, w.cfg[name], w.state).storedJobs()
+		live := onActor(n, n.jobSummaries)
+		read := newNodeFromStore(w.t, w.cfg[name], w.state).jobSummaries()
 		items, _, _ := w.state.List(w.t.Context(), protocol.Root)
 		for id, j := range packed.Read(items, ringSlots).Jobs {
 			if told := readByTool(j); told != read[id] && !j.Ticket {
@@ -119,15 +119,15 @@
 // transactions come: the rules hold, every job ends, and what a node knows is what one that
 // starts reads.
 func TestTroublesWithEntries(t *testing.T) {
-	packedOnly(t, 4)
-	for seed := range seeds(10) {
+	storeOnlyEntries(t, 4)
+	for seed := range seedCount(10) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(context.Background())
-				w := newWorld(t, ctx, 500+seed, asTheyAre)
-				w.run(16, func(w *world) {
-					troubles(w)
-					w.set(func() { w.lossy, w.late = 0, 0 })
+				w := newWorld(t, ctx, 500+seed, defaultSettings)
+				w.runWorkload(16, func(w *simCluster) {
+					randomFaults(w)
+					w.withLock(func() { w.lossRate, w.lateTxnRate = 0, 0 })
 					time.Sleep(5 * time.Second)
 					for _, name := range w.names {
 						w.sameAsStored(name)
@@ -150,10 +150,10 @@
 }
 
 // withEntries plays with three nodes.
-func withEntries(t *testing.T, seed uint64, day func(w *world)) {
+func withEntries(t *testing.T, seed uint64, day func(w *simCluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, seed, asTheyAre)
+		w := newWorld(t, ctx, seed, defaultSettings)
 		time.Sleep(10 * time.Second) // until entries may be written
 		day(w)
 		for _, b := range w.fleet.Broken {
@@ -169,7 +169,7 @@
 }
 
 // submitAll submits jobs all at once, by turns at each of the nodes.
-func (w *world) submitAll(jobs []*protocol.JobSpec) (out []answer) {
+func (w *simCluster) submitAll(jobs []*protocol.JobSpec) (out []answer) {
 	out = make([]answer, len(jobs))
 	done := make(chan struct{}, len(jobs))
 	for i, s := range jobs {
@@ -188,7 +188,7 @@
 // seconds at 40 changes a second, in fewer changes than jobs, each value and transaction within
 // its limits; two nodes that accept one id at once accept one job.
 func TestAWaveIsAcceptedTogether(t *testing.T) {
-	withEntries(t, 1, func(w *world) {
+	withEntries(t, 1, func(w *simCluster) {
 		before := w.state.Changes()
 		var wave []answer
 		open := map[int]bool{}
@@ -247,9 +247,9 @@
 // version lives, every job gets a record of its own and the entries become empty: who does
 // not know them reads the same.
 func TestEntriesAreGivenUp(t *testing.T) {
-	packedOnly(t, 8)
+	storeOnlyEntries(t, 8)
 	for _, early := range []bool{false, true} {
-		withEntries(t, 2, func(w *world) {
+		withEntries(t, 2, func(w *simCluster) {
 			for i := range 30 {
 				w.submit(tiny(i, 1+i%7*40))
 			}
@@ -262,10 +262,10 @@
 			if early {
 				w.state.Put(protocol.NodeKey("n-9"), map[string]any{"lease": 1, "v": 1})
 			} else {
-				w.state.Put(protocol.PolicyKey, func() Policy { p := DefaultPolicy(); p.Plain = true; return p }())
+				w.state.Put(protocol.PolicyKey, func() Policy { p := DefaultPolicy(); p.PlainRecords = true; return p }())
 			}
 			time.Sleep(60 * time.Second)
-			live := onActor(w.node("n-0"), w.node("n-0").storedJobs)
+			live := onActor(w.node("n-0"), w.node("n-0").jobSummaries)
 			items, _, _ = w.state.List(w.ctx, protocol.Root)
 			for _, it := range items {
 				if strings.HasPrefix(it.Key, protocol.LogRoot) || strings.HasPrefix(it.Key, protocol.InboxRoot) {
@@ -276,10 +276,10 @@
 			}
 			// An earlier version reads records alone.
 			n := New(t.Context(), w.cfg["n-0"], slog.New(slog.NewTextHandler(io.Discard, nil)), w.state, standin.NewFleet(t.Context()), nil, 1)
-			n.reload(slices.DeleteFunc(items, func(it storage.Item) bool {
+			n.applyListing(slices.DeleteFunc(items, func(it storage.Item) bool {
 				return strings.HasPrefix(it.Key, protocol.LogRoot) || strings.HasPrefix(it.Key, protocol.InboxRoot)
 			}), 1)
-			read := n.storedJobs()
+			read := n.jobSummaries()
 			if len(live) != 29 || len(read) != 29 {
 				t.Errorf("%d jobs are known and %d read of 29", len(live), len(read))
 			}
@@ -295,21 +295,21 @@
 // An entry that is not understood is not skipped: its share decides nothing more, the others
 // do, and of a job that nobody knows it is not said that there is none.
 func TestEntryThatIsNotUnderstood(t *testing.T) {
-	packedOnly(t, 8)
-	withEntries(t, 3, func(w *world) {
+	storeOnlyEntries(t, 8)
+	withEntries(t, 3, func(w *simCluster) {
 		for i := range 9 {
 			w.submit(tiny(i, 1))
 		}
 		time.Sleep(10 * time.Second)
 		n := w.node("n-0")
-		slot := onActor(n, func() int { k, _ := n.shares[0].log.Next(); return k })
+		slot := onActor(n, func() int { k, _ := n.partitions[0].log.Next(); return k })
 		w.state.Put(protocol.LogKey(0, slot), map[string]any{"v": 99, "s": 1})
 		time.Sleep(2 * time.Second)
 		w.submit(tiny(30, 1)) // of share 0
 		w.submit(tiny(31, 1)) // of another
 		time.Sleep(20 * time.Second)
-		if w.ran("job-000030") || !w.ran("job-000031") {
-			t.Errorf("the share whose log is not understood started %v, another one %v", w.ran("job-000030"), w.ran("job-000031"))
+		if w.isRunning("job-000030") || !w.isRunning("job-000031") {
+			t.Errorf("the share whose log is not understood started %v, another one %v", w.isRunning("job-000030"), w.isRunning("job-000031"))
 		}
 		w.state.Put(protocol.InboxKey("n-1", 0), "what is this")
 		time.Sleep(2 * time.Second)
--- a/internal/coordination/node/place_test.go
+++ b/internal/coordination/node/place_test.go
@@ -34,7 +34,7 @@
 }
 
 // atPlace plays a day there.
-func atPlace(t *testing.T, seed uint64, day func(w *world)) {
+func atPlace(t *testing.T, seed uint64, day func(w *simCluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		w := newWorldAt(t, ctx, seed, nil, place)
@@ -62,7 +62,7 @@
 // days all 405 of them were returned after 30 s, and what was rented instead was not there
 // for two minutes: every day had less than half of the gangs served.)
 func TestFoundMachinesAreTakenUp(t *testing.T) {
-	atPlace(t, 3, func(w *world) {
+	atPlace(t, 3, func(w *simCluster) {
 		there := w.fleet.FoundAtPlace()
 		for i := range 12 {
 			go w.submit(service(i, 5))
@@ -86,7 +86,7 @@
 // A rental whose answer was lost with whoever asked for it is taken up too, instead of
 // being returned after 30 s; and not before its answer has had time to come.
 func TestLostRentalsAreTakenUp(t *testing.T) {
-	atPlace(t, 4, func(w *world) {
+	atPlace(t, 4, func(w *simCluster) {
 		time.Sleep(20 * time.Second)
 		lost, err := w.fleet.Rent(w.ctx, protocol.RentRequest{Request: "of a node that ended", Type: "middle", Zone: "c", Count: 3})
 		if err != nil {
@@ -104,13 +104,13 @@
 }
 
 // recorded is how many of some machines have a record, as a node knows it.
-func (w *world) recorded(names ...string) int {
+func (w *simCluster) recorded(names ...string) int {
 	c := make(chan int)
 	n := w.node("n-1")
 	n.post(func() {
 		k := 0
 		for _, name := range names {
-			if m := n.machines[name]; m != nil && m.known {
+			if m := n.machines[name]; m != nil && m.recorded {
 				k++
 			}
 		}
@@ -124,38 +124,38 @@
 // are not stored. (On simulated days with 20 changes a second arrays held places for
 // seconds like that.)
 func TestUnstoredPlacementsAreTakenBack(t *testing.T) {
-	b := newBench(t)
+	b := newTestNode(t)
 	now := time.Now()
-	b.report(7, 1)
+	b.sendReport(7, 1)
 	m := b.machines["host-1"]
 	spec := func(id, priority string) *protocol.JobSpec {
 		return &protocol.JobSpec{ID: id, Team: "red", Class: "c", Shape: protocol.Array, Priority: priority, Tasks: 2, CPUs: 12, Image: "i"}
 	}
 	put := func(id, priority string, placed ...protocol.Placement) *job {
-		b.put(protocol.JobKey(id), protocol.JobRecord{Spec: spec(id, priority), Next: 2, Chunk: protocol.Chunk{Placed: placed}})
+		b.watchPut(protocol.JobKey(id), protocol.JobRecord{Spec: spec(id, priority), Next: 2, Chunk: protocol.Chunk{Placed: placed}})
 		return b.jobs[id]
 	}
 	low := put("job-1", "standard")
-	b.propose(low, []int{0, 1}, []*machine{m, m}, now)
+	b.proposePlacements(low, []int{0, 1}, []*machine{m, m}, now)
 	urgent := put("job-2", "high")
-	low.busy = true
-	b.place(b.view(b.shares[0], now), urgent, now)
+	low.writePending = true
+	b.place(b.view(b.partitions[0], now), urgent, now)
 	if urgent.nPlaced != 0 || low.nPlaced != 2 {
 		t.Fatalf("what is being stored was taken back: %d and %d placed", urgent.nPlaced, low.nPlaced)
 	}
-	low.busy = false
-	b.place(b.view(b.shares[0], now), urgent, now)
+	low.writePending = false
+	b.place(b.view(b.partitions[0], now), urgent, now)
 	if urgent.nPlaced != 2 || low.nPlaced != 0 || b.dirty[low] {
 		t.Fatalf("%d placed of the urgent job, %d of the other one", urgent.nPlaced, low.nPlaced)
 	}
 	// Of a job with an end to be stored only the placements go.
-	b.revert(urgent)
+	b.revertProposals(urgent)
 	ended := put("job-3", "standard", protocol.Placement{Task: 0, Attempt: 1, Machine: "host-1"})
-	b.note(ended, 0, finished)
-	b.propose(ended, []int{1}, []*machine{m}, now)
-	b.place(b.view(b.shares[0], now), urgent, now)
-	if urgent.nPlaced != 2 || ended.tasks[0].fact != finished || !b.dirty[ended] {
-		t.Fatalf("%d placed of the urgent job, fact %v, to be stored %v", urgent.nPlaced, ended.tasks[0].fact, b.dirty[ended])
+	b.recordOutcome(ended, 0, outcomeFinished)
+	b.proposePlacements(ended, []int{1}, []*machine{m}, now)
+	b.place(b.view(b.partitions[0], now), urgent, now)
+	if urgent.nPlaced != 2 || ended.tasks[0].outcome != outcomeFinished || !b.dirty[ended] {
+		t.Fatalf("%d placed of the urgent job, fact %v, to be stored %v", urgent.nPlaced, ended.tasks[0].outcome, b.dirty[ended])
 	}
 }
 
@@ -164,17 +164,17 @@
 // all controllers ended within an outage of the cloud, and until that was over every
 // submission was answered 503 and nothing was placed.)
 func TestTypesAreKnownWithoutTheCloud(t *testing.T) {
-	atPlace(t, 5, func(w *world) {
+	atPlace(t, 5, func(w *simCluster) {
 		w.fleet.FoundAtPlace()
 		time.Sleep(20 * time.Second)
-		w.set(func() { w.noCloud = true })
+		w.withLock(func() { w.cloudDown = true })
 		for _, name := range w.names {
 			w.stop[name]()
-			w.set(func() { w.nodes[name] = nil })
+			w.withLock(func() { w.nodes[name] = nil })
 		}
 		time.Sleep(time.Second)
 		for _, name := range w.names {
-			w.boot(name)
+			w.startNode(name)
 		}
 		time.Sleep(12 * time.Second)
 		s := service(1, 4)
@@ -195,7 +195,7 @@
 		if r := w.fleet.Running(); r != 4 {
 			t.Errorf("%d of 4 tasks run", r)
 		}
-		w.set(func() { w.noCloud = false })
+		w.withLock(func() { w.cloudDown = false })
 		time.Sleep(5 * time.Second)
 		if got := ask(large); got != 422 {
 			t.Errorf("when the cloud is back it is answered %d", got)
--- a/internal/coordination/node/policyset.go
+++ b/internal/coordination/node/policyset.go
@@ -17,15 +17,15 @@
 // Policy holds the values that operators may change while the service runs.
 // They are stored in the state service and seen by every node.
 type Policy struct {
-	Window   int      `json:"window"`        // arrivals remembered for the threshold
-	MoveS    float64  `json:"move_s"`        // period of the leader's moves
-	IdleS    float64  `json:"idle_s"`        // how long a machine that nothing needs is kept
-	Headroom float64  `json:"headroom"`      // boot times of expected arrivals to keep room for
-	Greedy   bool     `json:"greedy"`        // every job takes the cheapest slots
-	NoRents  bool     `json:"stop_rentals"`  // rent nothing
-	HeldBack []string `json:"held_back"`     // machines on which nothing new is placed
-	LogLevel string   `json:"log_level"`     // empty: what LOG_LEVEL says
-	Plain    bool     `json:"plain_records"` // every job in a record of its own: for going back to an earlier version
+	Window       int      `json:"window"`        // arrivals remembered for the threshold
+	MoveS        float64  `json:"move_s"`        // period of the leader's moves
+	IdleS        float64  `json:"idle_s"`        // how long a machine that nothing needs is kept
+	Headroom     float64  `json:"headroom"`      // boot times of expected arrivals to keep room for
+	Greedy       bool     `json:"greedy"`        // every job takes the cheapest slots
+	StopRentals  bool     `json:"stop_rentals"`  // rent nothing
+	HeldBack     []string `json:"held_back"`     // machines on which nothing new is placed
+	LogLevel     string   `json:"log_level"`     // empty: what LOG_LEVEL says
+	PlainRecords bool     `json:"plain_records"` // every job in a record of its own: for going back to an earlier version
 }
 
 // DefaultPolicy is what holds until operators change it.
@@ -37,7 +37,7 @@
 type setting struct {
 	name, bounds string
 	field        func(p *Policy) any
-	ok           func(p *Policy) bool
+	valid        func(p *Policy) bool
 }
 
 var settingsList = []setting{
@@ -49,8 +49,8 @@
 	{"idle_s", "5 to 3600 seconds", func(p *Policy) any { return &p.IdleS }, func(p *Policy) bool { return p.IdleS >= 5 && p.IdleS <= 3600 }},
 	{"log_level", "error, info, debug, or empty for LOG_LEVEL", func(p *Policy) any { return &p.LogLevel }, func(p *Policy) bool { _, ok := levels[p.LogLevel]; return ok || p.LogLevel == "" }},
 	{"move_s", "0.5 to 600 seconds", func(p *Policy) any { return &p.MoveS }, func(p *Policy) bool { return p.MoveS >= 0.5 && p.MoveS <= 600 }},
-	{"plain_records", "true or false", func(p *Policy) any { return &p.Plain }, func(*Policy) bool { return true }},
-	{"stop_rentals", "true or false", func(p *Policy) any { return &p.NoRents }, func(*Policy) bool { return true }},
+	{"plain_records", "true or false", func(p *Policy) any { return &p.PlainRecords }, func(*Policy) bool { return true }},
+	{"stop_rentals", "true or false", func(p *Policy) any { return &p.StopRentals }, func(*Policy) bool { return true }},
 	{"window", "1 to 1000 arrivals", func(p *Policy) any { return &p.Window }, func(p *Policy) bool { return p.Window >= 1 && p.Window <= 1000 }},
 }
 
@@ -63,7 +63,7 @@
 	}
 	s := settingsList[i]
 	p.HeldBack = slices.Clone(p.HeldBack)
-	if len(value) == 0 || string(value) == "null" || json.Unmarshal(value, s.field(&p)) != nil || !s.ok(&p) {
+	if len(value) == 0 || string(value) == "null" || json.Unmarshal(value, s.field(&p)) != nil || !s.valid(&p) {
 		return p, true, fmt.Errorf("%s: must be %s", name, s.bounds)
 	}
 	return p, true, nil
@@ -81,7 +81,7 @@
 // valid says whether a stored policy is within bounds; one that is not (from
 // another version, say) is not used.
 func (p Policy) valid() bool {
-	return !slices.ContainsFunc(settingsList, func(s setting) bool { return !s.ok(&p) })
+	return !slices.ContainsFunc(settingsList, func(s setting) bool { return !s.valid(&p) })
 }
 
 // setPolicy takes in what operators have set.
@@ -91,15 +91,15 @@
 		return
 	}
 	n.policy = p
-	for _, s := range n.shares {
+	for _, s := range n.partitions {
 		s.window.Resize(p.Window)
 	}
 	for _, m := range n.machines {
 		m.heldBack = slices.Contains(p.HeldBack, m.name)
-		n.touch(m)
+		n.markStale(m)
 	}
-	if n.SetLevel != nil {
-		n.SetLevel(levels[p.LogLevel], p.LogLevel != "")
+	if n.SetLogLevel != nil {
+		n.SetLogLevel(levels[p.LogLevel], p.LogLevel != "")
 	}
 	n.log.Info("operators' settings", "settings", string(mustJSON(p)))
 	n.replan = true
--- a/internal/coordination/node/reads_test.go
+++ b/internal/coordination/node/reads_test.go
@@ -27,11 +27,11 @@
 }
 
 // measure makes one request of a node that its user waits for within limit.
-func (m *answerTimes) measure(w *world, node string, limit time.Duration, f func(n *Node, reply chan<- answer)) answer {
+func (m *answerTimes) measure(w *simCluster, node string, limit time.Duration, f func(n *Node, reply chan<- answer)) answer {
 	ctx, cancel := context.WithTimeout(w.ctx, limit)
 	defer cancel()
 	began := time.Now()
-	a, err := w.ask(ctx, node, f)
+	a, err := w.userRequest(ctx, node, f)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err != nil {
@@ -71,7 +71,7 @@
 
 // load is what users do at all nodes for a while, and how they fare.
 type load struct {
-	w                       *world
+	w                       *simCluster
 	polls, submits, cancels answerTimes
 	until                   time.Time
 	mu                      sync.Mutex
@@ -99,7 +99,7 @@
 		id := l.jobToAsk(turn)
 		a := l.polls.measure(l.w, node, pollWait, func(n *Node, reply chan<- answer) { n.onPoll(id, reply) })
 		if a.status == 404 && id != "job-unknown" {
-			l.w.complain("%s forgotten at %s", id, node)
+			l.w.violation("%s forgotten at %s", id, node)
 		}
 		time.Sleep(time.Until(began.Add(time.Second)))
 	}
@@ -171,11 +171,11 @@
 			s, known := a.body.(protocol.JobStatus)
 			switch {
 			case a.status == 404:
-				l.w.complain("%s forgotten at %s", id, node)
+				l.w.violation("%s forgotten at %s", id, node)
 			case known && cancelled != (s.Status == protocol.JobCancelled):
-				l.w.complain("%s is %s at %s, cancelled: %v", id, s.Status, node, cancelled)
+				l.w.violation("%s is %s at %s, cancelled: %v", id, s.Status, node, cancelled)
 			case known:
-				l.w.took("close look answered")
+				l.w.recordEvent("close look answered")
 			}
 		})
 	}
@@ -185,19 +185,19 @@
 // usersAmid plays a load amid a fault of the state service and checks that no request goes
 // without an answer, that no question waits for longer than a second, and that the state
 // service gets no more requests than its limit.
-func usersAmid(t *testing.T, seed uint64, lasts time.Duration, fault func(w *world), check func(t *testing.T, l *load)) {
+func usersAmid(t *testing.T, seed uint64, lasts time.Duration, fault func(w *simCluster), check func(t *testing.T, l *load)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, seed, asTheyAre)
+		w := newWorld(t, ctx, seed, defaultSettings)
 		l := &load{w: w}
-		w.run(10, func(w *world) {
-			w.set(func() { clear(w.requests); fault(w) })
+		w.runWorkload(10, func(w *simCluster) {
+			w.withLock(func() { clear(w.stateCalls); fault(w) })
 			l.play(lasts)
 		})
 		t.Logf("questions: %v", &l.polls)
 		t.Logf("submissions: %v", &l.submits)
 		t.Logf("cancellations: %v", &l.cancels)
-		t.Logf("state service: %d requests in the busiest second", most(w.requests))
+		t.Logf("state service: %d requests in the busiest second", maxPerSecond(w.stateCalls))
 		for _, m := range []*answerTimes{&l.polls, &l.submits, &l.cancels} {
 			if m.unanswered > 0 {
 				t.Errorf("unanswered: %v", m)
@@ -206,8 +206,8 @@
 		if len(l.polls.times) == 0 || len(l.submits.times) == 0 || l.polls.longest() > time.Second {
 			t.Errorf("a question waited for %v", l.polls.longest())
 		}
-		if limit := int(w.cfg["n-0"].Params.State.RPS); most(w.requests) > limit {
-			t.Errorf("%d requests to the state service in a second, limit %d", most(w.requests), limit)
+		if limit := int(w.cfg["n-0"].Params.State.RPS); maxPerSecond(w.stateCalls) > limit {
+			t.Errorf("%d requests to the state service in a second, limit %d", maxPerSecond(w.stateCalls), limit)
 		}
 		check(t, l)
 		cancel()
@@ -221,14 +221,14 @@
 // 26,047 questions were in vain and 965 requests went unanswered: one read barrier was under
 // way at a time, and all questions waited for it.)
 func TestUsersAreAnsweredWhereAnswersAreLost(t *testing.T) {
-	for seed := range seeds(3) {
+	for seed := range seedCount(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			usersAmid(t, 20+seed, 100*time.Second, func(w *world) { w.lostAnswers = 0.35 }, func(t *testing.T, l *load) {
-				if lost, barriers := l.w.times("executed without an answer"), l.w.times("read barrier without an answer"); lost < 20 || barriers < 100 || len(l.cancels.times) == 0 {
+			usersAmid(t, 20+seed, 100*time.Second, func(w *simCluster) { w.lostAnswerRate = 0.35 }, func(t *testing.T, l *load) {
+				if lost, barriers := l.w.eventCount("executed without an answer"), l.w.eventCount("read barrier without an answer"); lost < 20 || barriers < 100 || len(l.cancels.times) == 0 {
 					t.Errorf("answers of only %d changes and %d read barriers were lost, %d cancellations", lost, barriers, len(l.cancels.times))
 				}
-				if l.w.times("close look answered") < 100 {
-					t.Errorf("only %d questions right after an answer were answered", l.w.times("close look answered"))
+				if l.w.eventCount("close look answered") < 100 {
+					t.Errorf("only %d questions right after an answer were answered", l.w.eventCount("close look answered"))
 				}
 				if part := l.polls.decidedPart(); part < 0.99 {
 					t.Errorf("only %.3f of the questions were decided", part)
@@ -244,9 +244,9 @@
 // Where the state service does not answer at all, users are told soon that nothing can be
 // decided, and it is asked rarely.
 func TestUsersAreAnsweredInSilence(t *testing.T) {
-	usersAmid(t, 30, 30*time.Second, func(w *world) {
+	usersAmid(t, 30, 30*time.Second, func(w *simCluster) {
 		for _, name := range w.names {
-			w.mute[name] = true
+			w.stateSilent[name] = true
 		}
 	}, func(t *testing.T, l *load) {
 		if l.polls.undecided < len(l.polls.times)/2 {
--- a/internal/coordination/node/replica.go
+++ b/internal/coordination/node/replica.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	// watchHold is how long a watch waits for changes, and watchOften the same where it
+	// longWatchTimeout is how long a watch waits for changes, and watchOften the same where it
 	// matters when this node last knew all that was stored (mayAnswer).
-	watchHold  = 10 * time.Second
-	watchOften = time.Second
+	longWatchTimeout  = 10 * time.Second
+	shortWatchTimeout = time.Second
 )
 
 const (
@@ -31,8 +31,8 @@
 	watchRetry = 300 * time.Millisecond
 )
 
-// keepReplica reads everything once and then follows the watch.
-func (n *Node) keepReplica(ctx context.Context) {
+// maintainReplica reads everything once and then follows the watch.
+func (n *Node) maintainReplica(ctx context.Context) {
 	var since uint64
 	fresh := true
 	for ctx.Err() == nil {
@@ -43,19 +43,19 @@
 			if items, since, err = n.store.List(ctx, protocol.Root); err == nil {
 				fresh = false
 				first := since
-				n.post(func() { n.reload(items, first); n.complete = later(n.complete, sent) })
+				n.post(func() { n.applyListing(items, first); n.completeAt = latest(n.completeAt, sent) })
 			}
 		} else {
 			var items []storage.Item
 			var epoch uint64
 			n.forgetCatchUp() // this watch tells all that was stored before it was sent
-			items, epoch, err = n.store.Watch(ctx, protocol.Root, since, time.Duration(n.holdWatch.Load()))
+			items, epoch, err = n.store.Watch(ctx, protocol.Root, since, time.Duration(n.watchTimeout.Load()))
 			switch {
 			case errors.Is(err, storage.ErrCompacted):
 				fresh, err = true, nil
 			case err == nil:
 				since = epoch
-				n.post(func() { n.follow(items, epoch); n.complete = later(n.complete, sent) })
+				n.post(func() { n.applyWatch(items, epoch); n.completeAt = latest(n.completeAt, sent) })
 			}
 		}
 		n.awaitNextWatch(ctx, err)
@@ -74,16 +74,16 @@
 	}
 	select {
 	case <-ctx.Done():
-	case <-n.catchUp:
+	case <-n.watchWake:
 	case <-time.After(watchPause):
 	}
 }
 
-// hastenWatch ends the pause of the watch: a user, or a share that this node has just acquired,
+// wakeWatch ends the pause of the watch: a user, or a share that this node has just acquired,
 // waits for all that was stored up to a revision.
-func (n *Node) hastenWatch() {
+func (n *Node) wakeWatch() {
 	select {
-	case n.catchUp <- struct{}{}:
+	case n.watchWake <- struct{}{}:
 	default:
 	}
 }
@@ -91,38 +91,38 @@
 // forgetCatchUp drops a wish to end the pause of the watch.
 func (n *Node) forgetCatchUp() {
 	select {
-	case <-n.catchUp:
+	case <-n.watchWake:
 	default:
 	}
 }
 
-// reload takes in a full listing whose first page is of revision first.
-func (n *Node) reload(items []storage.Item, first uint64) {
+// applyListing takes in a full listing whose first page is of revision first.
+func (n *Node) applyListing(items []storage.Item, first uint64) {
 	present := make(map[string]bool, len(items))
 	for _, it := range items {
 		present[it.Key] = true
 	}
 	for _, it := range logsLast(items) {
-		n.apply(it)
+		n.applyItem(it)
 	}
-	for key, st := range n.ver {
+	for key, st := range n.revisions {
 		if !present[key] && st <= first {
-			n.apply(storage.Item{Key: key, Stamp: first})
+			n.applyItem(storage.Item{Key: key, Stamp: first})
 		}
 	}
-	n.completeTo(first)
+	n.advanceReplica(first)
 	if !n.loaded {
 		n.loaded = true
-		n.founded = n.counter == 0
+		n.freshCluster = n.tokenCounter == 0
 		now := time.Now()
-		n.ordering.follows = now
-		n.noteWorkers(now)
-		n.enter()
+		n.loadControl.followingSince = now
+		n.updateWorkerAddrs(now)
+		n.register()
 		if n.OnLoaded != nil {
 			n.OnLoaded()
 		}
-		for _, s := range n.shares {
-			s.vacant = now
+		for _, s := range n.partitions {
+			s.vacantSince = now
 		}
 		n.log.Info("replica loaded", "jobs", len(n.jobs), "machines", len(n.machines), "revision", first)
 	}
@@ -148,55 +148,55 @@
 	return out
 }
 
-// follow takes in changes up to a revision.
-func (n *Node) follow(items []storage.Item, epoch uint64) {
+// applyWatch takes in changes up to a revision.
+func (n *Node) applyWatch(items []storage.Item, epoch uint64) {
 	for _, it := range items {
-		n.apply(it)
+		n.applyItem(it)
 	}
-	atomic.StoreUint64(&n.followed, epoch)
-	n.completeTo(epoch)
+	atomic.StoreUint64(&n.replicaRevision, epoch)
+	n.advanceReplica(epoch)
 	// Deletions older than what the watch has delivered cannot be contradicted
 	// by a late event any more.
-	for key := range n.tombs {
-		if n.exists(key) {
-			delete(n.tombs, key)
-		} else if n.ver[key] <= epoch {
-			delete(n.tombs, key)
-			delete(n.ver, key)
+	for key := range n.tombstones {
+		if n.keyExists(key) {
+			delete(n.tombstones, key)
+		} else if n.revisions[key] <= epoch {
+			delete(n.tombstones, key)
+			delete(n.revisions, key)
 		}
 	}
 }
 
-func (n *Node) exists(key string) bool {
+func (n *Node) keyExists(key string) bool {
 	switch {
 	case strings.HasPrefix(key, protocol.JobPrefix):
 		id, chunk := splitJobKey(key)
 		j := n.jobs[id]
 		if chunk == 0 {
-			_, left := n.packing.heads[id]
-			return j != nil && j.based || left || n.tickets.byID[id] != nil
+			_, left := n.packed.endedRecords[id]
+			return j != nil && j.hasRecord || left || n.tickets.byID[id] != nil
 		}
 		if j != nil {
-			return j.chunks[chunk]
+			return j.storedChunks[chunk]
 		}
-		_, ok := n.orphans[key]
+		_, ok := n.orphanChunks[key]
 		return ok
 	case strings.HasPrefix(key, protocol.MachineRoot):
 		return n.batches[key] != nil
 	case strings.HasPrefix(key, protocol.NodeRoot):
-		_, ok := n.nodes[strings.TrimPrefix(key, protocol.NodeRoot)]
+		_, ok := n.liveNodes[strings.TrimPrefix(key, protocol.NodeRoot)]
 		return ok
 	case strings.HasPrefix(key, protocol.HolderRoot):
 		s := n.shareOfKey(key)
-		return s != nil && (s.holder.Token != 0 || s.acquired != nil)
+		return s != nil && (s.owner.Token != 0 || s.unconfirmedOwner != nil)
 	case strings.HasPrefix(key, protocol.LogRoot):
 		i, slot, ok := packed.LogSlot(key)
-		return ok && i < len(n.shares) && n.shares[i].log.Has(slot)
+		return ok && i < len(n.partitions) && n.partitions[i].log.Has(slot)
 	case strings.HasPrefix(key, protocol.InboxRoot):
 		node, slot, ok := packed.InboxSlot(key)
 		return ok && n.inboxOf(node).Has(slot)
 	case key == protocol.FormatKey:
-		return n.packing.known
+		return n.packed.formatStored
 	}
 	return true
 }
@@ -209,26 +209,26 @@
 	return id, chunk
 }
 
-func (n *Node) shareOfKey(key string) *share {
+func (n *Node) shareOfKey(key string) *partition {
 	num, _, _ := strings.Cut(strings.TrimPrefix(key, protocol.HolderRoot), "/")
 	i, err := strconv.Atoi(num)
-	if err != nil || i < 0 || i >= len(n.shares) {
+	if err != nil || i < 0 || i >= len(n.partitions) {
 		return nil
 	}
-	return n.shares[i]
+	return n.partitions[i]
 }
 
-// apply takes one stored value, or its absence, into the replica. An older
+// applyItem takes one stored value, or its absence, into the replica. An older
 // version than the one known is ignored, whatever way it came.
-func (n *Node) apply(it storage.Item) {
-	if it.Stamp <= n.ver[it.Key] {
+func (n *Node) applyItem(it storage.Item) {
+	if it.Stamp <= n.revisions[it.Key] {
 		return
 	}
-	was, had := n.ver[it.Key]
-	n.ver[it.Key] = it.Stamp
-	delete(n.corrupt, it.Key)
+	was, had := n.revisions[it.Key]
+	n.revisions[it.Key] = it.Stamp
+	delete(n.corruptKeys, it.Key)
 	if it.Value == nil {
-		n.tombs[it.Key] = struct{}{}
+		n.tombstones[it.Key] = struct{}{}
 	}
 	n.replan = true
 	corrupt := false
@@ -237,14 +237,14 @@
 			return false
 		}
 		err := json.Unmarshal(it.Value, v)
-		if c, ok := v.(checked); ok && err == nil {
+		if c, ok := v.(checkedRecord); ok && err == nil {
 			err = c.Check()
 		}
 		if err != nil {
-			if n.ver[it.Key] = was; !had {
-				delete(n.ver, it.Key)
+			if n.revisions[it.Key] = was; !had {
+				delete(n.revisions, it.Key)
 			}
-			n.corrupted(it, err)
+			n.markCorrupt(it, err)
 			corrupt = true
 			return false
 		}
@@ -254,7 +254,7 @@
 	case it.Key == protocol.CounterKey:
 		var c protocol.CounterRecord
 		if read(&c) {
-			n.counter = c.Token
+			n.tokenCounter = c.Token
 		}
 	case it.Key == protocol.MovesKey:
 		var mv protocol.Moves
@@ -264,7 +264,7 @@
 	case it.Key == protocol.ClassesKey:
 		var t ticket.Table
 		if it.Value == nil || read(&t) {
-			n.tickets.stored = t
+			n.tickets.storedClasses = t
 		}
 	case it.Key == protocol.PolicyKey:
 		p := DefaultPolicy()
@@ -279,12 +279,12 @@
 			case corrupt:
 			case ok && r.Ticket != nil && r.Ticket.Base != nil:
 				n.setTicket(id, &r)
-			case ok && r.Spec != nil && n.endedByLog(r.Spec):
-				n.packing.heads[id] = n.teams[n.teamOf[r.Spec.Team]].share
+			case ok && r.Spec != nil && n.endedInLog(r.Spec):
+				n.packed.endedRecords[id] = n.teams[n.teamIndex[r.Spec.Team]].partition
 			case ok && r.Spec != nil:
-				n.setJob(id, &r, true)
+				n.applyJob(id, &r, true)
 			default:
-				delete(n.packing.heads, id)
+				delete(n.packed.endedRecords, id)
 				n.dropJob(id)
 				n.dropTicket(id)
 			}
@@ -295,70 +295,70 @@
 		if corrupt {
 			return
 		}
-		n.setChunk(id, chunk, it.Key, c, ok)
+		n.applyChunk(id, chunk, it.Key, c, ok)
 	case strings.HasPrefix(it.Key, protocol.MachineRoot):
 		var r protocol.BatchRecord
-		if read(&r) && r.Share >= 0 && r.Share < len(n.shares) {
+		if read(&r) && r.Share >= 0 && r.Share < len(n.partitions) {
 			n.setBatch(it.Key, r)
 		} else if !corrupt {
 			n.dropBatch(it.Key)
 		}
 	case strings.HasPrefix(it.Key, protocol.NodeRoot):
 		name := strings.TrimPrefix(it.Key, protocol.NodeRoot)
-		delete(n.early, name)
-		delete(n.older, name)
-		delete(n.packing.plain, name)
+		delete(n.nodesWithoutEntries, name)
+		delete(n.olderNodes, name)
+		delete(n.packed.plainNodes, name)
 		if it.Value == nil {
-			delete(n.nodes, name)
-			n.recorded(name, 0)
+			delete(n.liveNodes, name)
+			n.applyNodeRecord(name, 0)
 			return
 		}
-		if _, ok := n.nodes[name]; !ok {
-			n.nodes[name] = time.Now()
+		if _, ok := n.liveNodes[name]; !ok {
+			n.liveNodes[name] = time.Now()
 		}
 		var r protocol.NodeRecord
 		if read(&r); corrupt {
 			r = protocol.NodeRecord{} // it lives, and what it understands is not known
 		}
 		if r.Version < protocol.RecordVersion {
-			n.older[name] = true
+			n.olderNodes[name] = true
 		}
 		if r.Version < protocol.PackedVersion {
-			n.early[name] = true
+			n.nodesWithoutEntries[name] = true
 		}
 		if r.Plain {
-			n.packing.plain[name] = true
+			n.packed.plainNodes[name] = true
 		}
-		n.recorded(name, r.Lease)
+		n.applyNodeRecord(name, r.Lease)
 	case strings.HasPrefix(it.Key, protocol.LogRoot):
-		n.setLog(it)
+		n.applyLogEntry(it)
 	case strings.HasPrefix(it.Key, protocol.InboxRoot):
-		n.setInbox(it)
+		n.applyInboxEntry(it)
 	case it.Key == protocol.FormatKey:
 		var f protocol.FormatRecord
 		if read(&f); !corrupt {
-			n.packing.format, n.packing.known = f, it.Value != nil
+			n.packed.format, n.packed.formatStored = f, it.Value != nil
 		}
 	case it.Key == protocol.FenceKey:
 		var f protocol.FenceRecord
 		if read(&f) || !corrupt {
-			n.rentals = f
+			n.rentalFence = f
 		}
 	case it.Key == protocol.CatalogKey:
 		var r protocol.CatalogRecord
 		if read(&r); !corrupt {
-			n.recallTypes(r.Types)
+			n.applyStoredCatalog(r.Types)
 		}
 	case it.Key == protocol.DoubtKey(n.cfg.Node):
 		var d protocol.DoubtRecord
 		if read(&d) {
-			n.doubted(d.By)
+			n.answerLivenessCheck(d.By)
 		}
 	case strings.HasPrefix(it.Key, protocol.HolderRoot):
 		if s := n.shareOfKey(it.Key); s != nil {
 			var h protocol.HolderRecord
 			if read(&h); !corrupt {
-				n.readHolder(s, h)
+				n.applyOwnerRecord(s, h)
 			}
 		}
 	}
@@ -381,7 +381,7 @@
 		n.post(func() {
 			for _, it := range items {
 				if strings.HasPrefix(it.Key, protocol.Root) {
-					n.apply(it)
+					n.applyItem(it)
 				} else {
 					n.applyFinal(it)
 				}
--- a/internal/coordination/node/scaled_test.go
+++ b/internal/coordination/node/scaled_test.go
@@ -32,8 +32,8 @@
 // aside is what users, the state service and the others take of each controller's core.
 const aside = 0.015
 
-// fleetSize is a simulated fleet at which costs matter. Its methods do nothing on nil.
-type fleetSize struct {
+// scaledFleet is a simulated fleet at which costs matter. Its methods do nothing on nil.
+type scaledFleet struct {
 	machines int
 	cores    float64 // of each controller; 0: what machines need twice over
 	sockets  int
@@ -47,29 +47,29 @@
 	returned map[int64]int // machines returned in a second
 	sabotage func(n *Node) // a deliberate fault, done on the actor over and over
 	quiet    bool          // no more arrays come
-	wrong    []string      // what the day showed to be wrong, by its end
+	problems []string      // what the day showed to be wrong, by its end
 }
 
-func (z *fleetSize) found(format string, a ...any) {
+func (z *scaledFleet) reportProblem(format string, a ...any) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	z.wrong = append(z.wrong, fmt.Sprintf(format, a...))
+	z.problems = append(z.problems, fmt.Sprintf(format, a...))
 }
 
-// still lets no more arrays come.
-func (z *fleetSize) still() {
+// stopArrays lets no more arrays come.
+func (z *scaledFleet) stopArrays() {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	z.quiet = true
 }
 
-func (z *fleetSize) isStill() bool {
+func (z *scaledFleet) isStill() bool {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	return z.quiet
 }
 
-func (z *fleetSize) grow(cfg *protocol.Settings, f *standin.Fleet) {
+func (z *scaledFleet) configure(cfg *protocol.Settings, f *standin.Fleet) {
 	if z == nil {
 		return
 	}
@@ -96,55 +96,55 @@
 	z.conns[cfg.Node] = &standin.Gauge{Most: z.sockets}
 }
 
-func (z *fleetSize) boots(w *world, n *Node, name string) {
+func (z *scaledFleet) startSabotage(w *simCluster, n *Node, name string) {
 	if z == nil || z.sabotage == nil {
 		return
 	}
 	go func() {
 		for n.ctx.Err() == nil {
-			w.thaw(name)
+			w.waitUntilThawed(name)
 			n.post(func() { z.sabotage(n) })
 			time.Sleep(100 * time.Millisecond)
 		}
 	}()
 }
 
-// pollPause is as the protocol has it where many ask.
-func (z *fleetSize) pollPause(d time.Duration) time.Duration {
+// pollInterval is as the protocol has it where many ask.
+func (z *scaledFleet) pollInterval(d time.Duration) time.Duration {
 	if z != nil {
 		return d * 5 / 2
 	}
 	return d
 }
 
-func (z *fleetSize) spend(name string, d time.Duration) {
+func (z *scaledFleet) spendCPU(name string, d time.Duration) {
 	if z != nil {
 		z.cpu[name].Spend(d)
 	}
 }
 
-func (z *fleetSize) asks(name string) bool {
+func (z *scaledFleet) beginRequest(name string) bool {
 	if z == nil {
 		return true
 	}
 	if !z.conns[name].Begin() {
 		return false
 	}
-	z.spend(name, reportCost-turnCost)
+	z.spendCPU(name, reportCost-turnCost)
 	return true
 }
 
-func (z *fleetSize) answered(name string) {
+func (z *scaledFleet) endRequest(name string) {
 	if z != nil {
 		z.conns[name].End()
 	}
 }
 
-func (z *fleetSize) calls(name string, o protocol.Orders) {
+func (z *scaledFleet) noteDirectCall(name string, o protocol.Orders) {
 	if z == nil {
 		return
 	}
-	z.spend(name, callCost)
+	z.spendCPU(name, callCost)
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	if z.orders[name] == nil {
@@ -158,11 +158,11 @@
 	}
 }
 
-func (z *fleetSize) requests(name string) bool {
+func (z *scaledFleet) noteStateCall(name string) bool {
 	if z == nil {
 		return true
 	}
-	z.spend(name, storeCost)
+	z.spendCPU(name, storeCost)
 	if !z.state.Begin() {
 		return false
 	}
@@ -170,11 +170,11 @@
 	return true
 }
 
-func (z *fleetSize) reads(name string, values int) {
-	z.spend(name, time.Duration(values)*valueCost)
+func (z *scaledFleet) spendReads(name string, values int) {
+	z.spendCPU(name, time.Duration(values)*valueCost)
 }
 
-func (z *fleetSize) returns(machines int) {
+func (z *scaledFleet) noteReturns(machines int) {
 	if z == nil {
 		return
 	}
@@ -183,8 +183,8 @@
 	z.returned[time.Now().Unix()] += machines
 }
 
-// most is the greatest number in a second, and when.
-func most(perSecond map[int64]int) int {
+// maxPerSecond is the greatest number in a second, and when.
+func maxPerSecond(perSecond map[int64]int) int {
 	m := 0
 	for _, c := range perSecond {
 		m = max(m, c)
@@ -192,13 +192,13 @@
 	return m
 }
 
-// scaled plays a day with a fleet at which costs matter: services that run throughout
+// runScaled plays a day with a fleet at which costs matter: services that run throughout
 // and arrays one after the other, until faults is over and all arrays are done.
 // What it found to be wrong is in z.wrong.
-func scaled(t *testing.T, seed uint64, z *fleetSize, faults func(w *world)) (w *world) {
+func runScaled(t *testing.T, seed uint64, z *scaledFleet, faults func(w *simCluster)) (w *simCluster) {
 	// Each placing would be held to a walk over the fleet: other tests do that.
-	defer func(f func(*Node, *decide.View, *decide.Job, decide.Placing)) { checkPlacing = f }(checkPlacing)
-	checkPlacing = nil
+	defer func(f func(*Node, *decide.View, *decide.Job, decide.Placement)) { checkPlacement = f }(checkPlacement)
+	checkPlacement = nil
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		w = newWorldOf(t, ctx, seed, func(p *protocol.WorkerSettings) { p.ReportS, p.LeaseS, p.CancelS, p.GangWaitS = 6, 36, 56, 50 }, z)
@@ -232,19 +232,19 @@
 		}()
 		time.Sleep(75 * time.Second)
 		faults(w)
-		w.set(func() {
-			w.outage, w.lossy, w.late = false, 0, 0
-			clear(w.noState)
-			clear(w.noNet)
-			clear(w.deaf)
+		w.withLock(func() {
+			w.outage, w.lossRate, w.lateTxnRate = false, 0, 0
+			clear(w.stateRefused)
+			clear(w.isolated)
+			clear(w.workersUnreachable)
 		})
-		z.still()
+		z.stopArrays()
 		<-done
 		deadline := time.Now().Add(5 * time.Minute)
 		open := func() int {
 			c := 0
 			for _, u := range arrays {
-				if u.ended() == "" {
+				if u.knownFinalStatus() == "" {
 					c++
 				}
 			}
@@ -254,13 +254,13 @@
 			time.Sleep(time.Second)
 		}
 		if c := open(); c > 0 {
-			z.found("%d of %d arrays and gangs never ended", c, len(arrays))
+			z.reportProblem("%d of %d arrays and gangs never ended", c, len(arrays))
 		}
 		for _, b := range w.fleet.Broken {
-			z.found("rule broken: %s", b)
+			z.reportProblem("rule broken: %s", b)
 		}
 		if running := w.fleet.Running(); running < 7*len(services) {
-			z.found("%d tasks of %d services run", running, len(services))
+			z.reportProblem("%d tasks of %d services run", running, len(services))
 		}
 		if len(w.fleet.Names()) < z.machines*6/10 {
 			t.Errorf("only %d machines: the day is too small to show anything", len(w.fleet.Names()))
@@ -275,11 +275,11 @@
 	return w
 }
 
-// allEnd ends all controllers, and each comes back after a while of its own.
-func allEnd(w *world, back ...time.Duration) {
+// restartAll ends all controllers, and each comes back after a while of its own.
+func restartAll(w *simCluster, back ...time.Duration) {
 	for _, name := range w.names {
 		w.stop[name]()
-		w.set(func() { w.nodes[name] = nil })
+		w.withLock(func() { w.nodes[name] = nil })
 	}
 	var wg sync.WaitGroup
 	for i, name := range w.names {
@@ -287,14 +287,14 @@
 		go func() {
 			defer wg.Done()
 			time.Sleep(back[i%len(back)])
-			w.boot(name)
+			w.startNode(name)
 		}()
 	}
 	wg.Wait()
 }
 
 // serving waits until all shares are served, and returns how long that took.
-func serving(w *world, within time.Duration) (time.Duration, bool) {
+func serving(w *simCluster, within time.Duration) (time.Duration, bool) {
 	from := time.Now()
 	for time.Since(from) < within {
 		served := 0
@@ -306,8 +306,8 @@
 			c := make(chan int, 1)
 			n.post(func() {
 				k := 0
-				for _, s := range n.shares {
-					if s.square.Phase() == start.Serving {
+				for _, s := range n.partitions {
+					if s.reconciliation.Phase() == start.Serving {
 						k++
 					}
 				}
@@ -333,36 +333,36 @@
 	minute := time.Minute
 	for _, c := range []struct {
 		name   string
-		faults func(w *world)
+		faults func(w *simCluster)
 	}{
-		{"all at once", func(w *world) {
-			allEnd(w, 6*time.Second)
+		{"all at once", func(w *simCluster) {
+			restartAll(w, 6*time.Second)
 			if took, ok := serving(w, 30*time.Second); !ok {
-				w.size.found("not served after %v", took)
+				w.size.reportProblem("not served after %v", took)
 			}
 			time.Sleep(minute)
 		}},
-		{"within seconds, one long before the others", func(w *world) {
-			allEnd(w, 4*time.Second, 7*time.Second, 16*time.Second)
+		{"within seconds, one long before the others", func(w *simCluster) {
+			restartAll(w, 4*time.Second, 7*time.Second, 16*time.Second)
 			time.Sleep(minute)
 		}},
-		{"three times in a row", func(w *world) {
+		{"three times in a row", func(w *simCluster) {
 			for range 3 {
-				allEnd(w, 5*time.Second, 6*time.Second, 7*time.Second)
-				time.Sleep(w.between(2*time.Second, 8*time.Second))
+				restartAll(w, 5*time.Second, 6*time.Second, 7*time.Second)
+				time.Sleep(w.randDuration(2*time.Second, 8*time.Second))
 			}
 			time.Sleep(minute)
 		}},
-		{"while the state service is down and comes back", func(w *world) {
-			w.set(func() { w.outage = true })
+		{"while the state service is down and comes back", func(w *simCluster) {
+			w.withLock(func() { w.outage = true })
 			time.Sleep(4 * time.Second)
-			allEnd(w, 5*time.Second, 6*time.Second, 7*time.Second)
+			restartAll(w, 5*time.Second, 6*time.Second, 7*time.Second)
 			time.Sleep(5 * time.Second)
-			w.set(func() { w.outage = false })
+			w.withLock(func() { w.outage = false })
 			w.state.Refill()
 			time.Sleep(minute)
 		}},
-		{"with a tenth of the machines lost meanwhile, and others cut off", func(w *world) {
+		{"with a tenth of the machines lost meanwhile, and others cut off", func(w *simCluster) {
 			names := w.fleet.Names()
 			allEndWith(w, func() {
 				for i, name := range names {
@@ -371,54 +371,54 @@
 					}
 				}
 			})
-			w.set(func() { w.lossy = 0.1 })
+			w.withLock(func() { w.lossRate = 0.1 })
 			time.Sleep(20 * time.Second)
-			w.set(func() { w.lossy = 0 })
+			w.withLock(func() { w.lossRate = 0 })
 			time.Sleep(minute)
 		}},
-		{"an earlier holder stood still and wakes into the squaring", func(w *world) {
+		{"an earlier holder stood still and wakes into the squaring", func(w *simCluster) {
 			go w.freeze(w.names[0], 9*time.Second)
 			w.stop[w.names[1]]()
 			w.stop[w.names[2]]()
-			w.set(func() { w.nodes[w.names[1]], w.nodes[w.names[2]] = nil, nil })
+			w.withLock(func() { w.nodes[w.names[1]], w.nodes[w.names[2]] = nil, nil })
 			time.Sleep(6 * time.Second)
-			w.boot(w.names[1])
-			w.boot(w.names[2])
+			w.startNode(w.names[1])
+			w.startNode(w.names[2])
 			time.Sleep(minute)
 		}},
-		{"half of the tasks end while nobody listens", func(w *world) {
-			allEnd(w, 22*time.Second, 23*time.Second, 24*time.Second)
+		{"half of the tasks end while nobody listens", func(w *simCluster) {
+			restartAll(w, 22*time.Second, 23*time.Second, 24*time.Second)
 			time.Sleep(minute)
 		}},
-		{"while a part of the fleet boots", func(w *world) {
+		{"while a part of the fleet boots", func(w *simCluster) {
 			for i := range 6 {
 				s := &protocol.JobSpec{ID: fmt.Sprintf("job-9%05d", i), Team: []string{"red", "blue", "green"}[i%3], Class: "c", Shape: protocol.Service, Priority: "critical",
 					Tasks: w.size.machines / 25, CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img-1", ImageGB: 2}
 				go (&user{w: w, spec: s}).run(func() {})
 			}
 			time.Sleep(4 * time.Second)
-			allEnd(w, 5*time.Second, 6*time.Second, 7*time.Second)
+			restartAll(w, 5*time.Second, 6*time.Second, 7*time.Second)
 			time.Sleep(minute)
 		}},
-		{"with answers and changes that come minutes late", func(w *world) {
-			w.set(func() { w.late, w.lossy = 0.5, 0.1 })
+		{"with answers and changes that come minutes late", func(w *simCluster) {
+			w.withLock(func() { w.lateTxnRate, w.lossRate = 0.5, 0.1 })
 			time.Sleep(5 * time.Second)
-			allEnd(w, 5*time.Second, 6*time.Second, 7*time.Second)
+			restartAll(w, 5*time.Second, 6*time.Second, 7*time.Second)
 			time.Sleep(15 * time.Second)
-			w.set(func() { w.late, w.lossy = 0, 0 })
+			w.withLock(func() { w.lateTxnRate, w.lossRate = 0, 0 })
 			time.Sleep(minute)
 		}},
-		{"a holder ends amid the squaring", func(w *world) {
-			allEnd(w, 6*time.Second)
+		{"a holder ends amid the squaring", func(w *simCluster) {
+			restartAll(w, 6*time.Second)
 			time.Sleep(1500 * time.Millisecond)
 			w.crash(w.names[1])
 			time.Sleep(minute)
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			z := &fleetSize{machines: *scaledMachines, sockets: *scaledMachines}
-			scaled(t, 5, z, c.faults)
-			for _, x := range z.wrong {
+			z := &scaledFleet{machines: *scaledMachines, sockets: *scaledMachines}
+			runScaled(t, 5, z, c.faults)
+			for _, x := range z.problems {
 				t.Error(x)
 			}
 		})
@@ -426,9 +426,9 @@
 }
 
 // allEndWith ends all controllers and does something while they are down.
-func allEndWith(w *world, meanwhile func()) {
+func allEndWith(w *simCluster, meanwhile func()) {
 	done := make(chan struct{})
 	go func() { defer close(done); time.Sleep(time.Second); meanwhile() }()
-	allEnd(w, 5*time.Second, 6*time.Second, 7*time.Second)
+	restartAll(w, 5*time.Second, 6*time.Second, 7*time.Second)
 	<-done
 }
--- a/internal/coordination/node/sim_test.go
+++ b/internal/coordination/node/sim_test.go
@@ -23,8 +23,8 @@
 	"dapplestage.example/dapplestage/internal/transport"
 )
 
-// world is three controllers amid stand-ins, in simulated time.
-type world struct {
+// simCluster is three controllers amid stand-ins, in simulated time.
+type simCluster struct {
 	t     *testing.T
 	rng   *rand.Rand // of everything that happens by itself; guarded by mu
 	plan  *rand.Rand // of the test's routine alone
@@ -37,57 +37,57 @@
 	stop  map[string]context.CancelFunc
 	ctx   context.Context
 
-	outage  bool
-	gone    bool                 // reports that are lost never arrive late
-	noCloud bool                 // the cloud's interface is down
-	noState map[string]bool      // nodes that the state service refuses
-	noNet   map[string]bool      // nodes cut off from everything
-	deaf    map[string]bool      // nodes that hear no workers
-	lossy   float64              // part of store answers, reports and answers lost
-	late    float64              // part of unanswered transactions applied much later
-	frozen  map[string]time.Time // until when a node stands still
-	filter  bool                 // connections between controllers are refused
+	outage             bool
+	noLateReports      bool                 // reports that are lost never arrive late
+	cloudDown          bool                 // the cloud's interface is down
+	stateRefused       map[string]bool      // nodes that the state service refuses
+	isolated           map[string]bool      // nodes cut off from everything
+	workersUnreachable map[string]bool      // nodes that hear no workers
+	lossRate           float64              // part of store answers, reports and answers lost
+	lateTxnRate        float64              // part of unanswered transactions applied much later
+	frozenUntil        map[string]time.Time // until when a node stands still
+	refusePeerConns    bool                 // connections between controllers are refused
 
 	// Troubles that meet others; see meetings_test.go.
-	lateWrites  float64              // part of transactions without an answer, executed 2 to 12 s later
-	lateReports float64              // part of reports of which a copy arrives again, 2 s to two leases later
-	held        float64              // part of direct commands held up for 2 to 12 s
-	mute        map[string]bool      // nodes that the state service does not answer at all
-	noPeers     map[string]bool      // nodes cut off from the other controllers
-	noWatch     map[string]bool      // nodes that the watch tells nothing
-	deafHosts   map[string]bool      // machines that hear nothing: their reports arrive
-	slow        time.Duration        // what the state service takes beyond what it usually does
-	unheard     map[string]bool      // "node host": of that machine the node hears nothing, nor it of the node
-	hung        map[string]time.Time // until when a machine stands still
-	lostAnswers float64              // part of transactions that are executed at once and whose answer is lost
-	muteHosts   map[string]bool      // machines whose reports reach no node: direct commands reach them
-	keptReports float64              // part of reports of which a copy is kept, for releaseReports
-	kept        []protocol.Report    // those copies
-	heldReports float64              // part of reports that reach nobody before releaseReports
-	atNextOwner bool                 // kept reports arrive just as a share's owner changes, or soon after
-	cutZone     string               // the zone that is cut off from everything outside; see zone_cut_test.go
-	users       []*user              // of the day under way
-	userOf      map[string]*user     // users by the ids of their jobs
-	answers     *answerChecker       // of all that users are told
-	submitted   []*protocol.JobSpec  // what was submitted by no user of the day, see submit
-	underWay    int                  // meetings that are being played
-	lastJob     int                  // number of the last job of those who joined within the day
-	quietly     bool                 // what is broken is only listed
-	complaints  []string
-	leftOut     string         // a guard that is left out: the tests of meetings find it
-	met         map[string]int // how often something took place
-	writes      map[string]int // transactions that a node has had answered
-	requests    map[int64]int  // calls of the state service in a second of simulated time
+	delayedTxnRate       float64              // part of transactions without an answer, executed 2 to 12 s later
+	duplicateReportRate  float64              // part of reports of which a copy arrives again, 2 s to two leases later
+	delayedCommandRate   float64              // part of direct commands held up for 2 to 12 s
+	stateSilent          map[string]bool      // nodes that the state service does not answer at all
+	peersUnreachable     map[string]bool      // nodes cut off from the other controllers
+	watchStalled         map[string]bool      // nodes that the watch tells nothing
+	noInbound            map[string]bool      // machines that hear nothing: their reports arrive
+	stateDelay           time.Duration        // what the state service takes beyond what it usually does
+	cutPairs             map[string]bool      // "node host": of that machine the node hears nothing, nor it of the node
+	hungUntil            map[string]time.Time // until when a machine stands still
+	lostAnswerRate       float64              // part of transactions that are executed at once and whose answer is lost
+	noOutbound           map[string]bool      // machines whose reports reach no node: direct commands reach them
+	keptReportRate       float64              // part of reports of which a copy is kept, for releaseReports
+	kept                 []protocol.Report    // those copies
+	heldReportRate       float64              // part of reports that reach nobody before releaseReports
+	releaseOnOwnerChange bool                 // kept reports arrive just as a share's owner changes, or soon after
+	isolatedZone         string               // the zone that is cut off from everything outside; see zone_cut_test.go
+	users                []*user              // of the day under way
+	userOf               map[string]*user     // users by the ids of their jobs
+	answers              *answerChecker       // of all that users are told
+	submitted            []*protocol.JobSpec  // what was submitted by no user of the day, see submit
+	activeScenarios      int                  // meetings that are being played
+	lastJob              int                  // number of the last job of those who joined within the day
+	collectOnly          bool                 // what is broken is only listed
+	violations           []string
+	disabledGuard        string         // a guard that is left out: the tests of meetings find it
+	eventCounts          map[string]int // how often something took place
+	answeredTxns         map[string]int // transactions that a node has had answered
+	stateCalls           map[int64]int  // calls of the state service in a second of simulated time
 
 	// size, if set, makes a fleet of many machines, controllers of little processor time,
 	// and counts their sockets and requests; see scaled_test.go.
-	size *fleetSize
+	size *scaledFleet
 
 	// classes, if set, are those of tickets that the nodes take.
 	classes ticket.Table
 
 	// lease, if set, is the site's daemon as the nodes ask it.
-	lease func(ctx context.Context, node string) ([]byte, error)
+	daemonLease func(ctx context.Context, node string) ([]byte, error)
 }
 
 func settingsFor(names []string, i int) *protocol.Settings {
@@ -108,25 +108,25 @@
 	return s
 }
 
-func newWorld(t *testing.T, ctx context.Context, seed uint64, change func(p *protocol.WorkerSettings)) *world {
+func newWorld(t *testing.T, ctx context.Context, seed uint64, change func(p *protocol.WorkerSettings)) *simCluster {
 	return newWorldOf(t, ctx, seed, change, nil)
 }
 
-func newWorldOf(t *testing.T, ctx context.Context, seed uint64, change func(p *protocol.WorkerSettings), size *fleetSize) *world {
+func newWorldOf(t *testing.T, ctx context.Context, seed uint64, change func(p *protocol.WorkerSettings), size *scaledFleet) *simCluster {
 	return newWorldAt(t, ctx, seed, size, func(cfg *protocol.Settings, f *standin.Fleet) {
 		change(&cfg.Params.Workers)
-		size.grow(cfg, f)
+		size.configure(cfg, f)
 	})
 }
 
 // newWorldAt is a world whose settings and fleet shape may change, for each node.
-func newWorldAt(t *testing.T, ctx context.Context, seed uint64, size *fleetSize, shape func(cfg *protocol.Settings, f *standin.Fleet)) *world {
-	w := &world{size: size, t: t, rng: rand.New(rand.NewPCG(seed, 7)), plan: rand.New(rand.NewPCG(seed, 8)), cfg: map[string]*protocol.Settings{}, names: []string{"n-0", "n-1", "n-2"},
+func newWorldAt(t *testing.T, ctx context.Context, seed uint64, size *scaledFleet, shape func(cfg *protocol.Settings, f *standin.Fleet)) *simCluster {
+	w := &simCluster{size: size, t: t, rng: rand.New(rand.NewPCG(seed, 7)), plan: rand.New(rand.NewPCG(seed, 8)), cfg: map[string]*protocol.Settings{}, names: []string{"n-0", "n-1", "n-2"},
 		state: standin.NewState(), nodes: map[string]*Node{}, stop: map[string]context.CancelFunc{},
-		noState: map[string]bool{}, noNet: map[string]bool{}, deaf: map[string]bool{}, frozen: map[string]time.Time{},
-		mute: map[string]bool{}, noPeers: map[string]bool{}, noWatch: map[string]bool{}, deafHosts: map[string]bool{}, unheard: map[string]bool{}, hung: map[string]time.Time{}, muteHosts: map[string]bool{},
-		met: map[string]int{}, writes: map[string]int{}, requests: map[int64]int{}, userOf: map[string]*user{}, answers: newAnswerChecker()}
-	w.ctx, w.classes = ctx, takenClasses
+		stateRefused: map[string]bool{}, isolated: map[string]bool{}, workersUnreachable: map[string]bool{}, frozenUntil: map[string]time.Time{},
+		stateSilent: map[string]bool{}, peersUnreachable: map[string]bool{}, watchStalled: map[string]bool{}, noInbound: map[string]bool{}, cutPairs: map[string]bool{}, hungUntil: map[string]time.Time{}, noOutbound: map[string]bool{},
+		eventCounts: map[string]int{}, answeredTxns: map[string]int{}, stateCalls: map[int64]int{}, userOf: map[string]*user{}, answers: newAnswerChecker()}
+	w.ctx, w.classes = ctx, nodeTicketClasses
 	f := standin.NewFleet(ctx)
 	f.Types = []protocol.MachineType{{Name: "g4", CPUs: 24, GPUs: 4, MemoryGB: 192, CacheGB: 100, FetchGBPerS: 1, Price: 10, SpotPrice: 4, BootS: 5, Zones: []string{"a", "b"}}}
 	f.Most, f.Boot, f.Nodes, f.ToldLate = 10, 5*time.Second, w.names, true
@@ -139,40 +139,40 @@
 	for _, tm := range w.cfg["n-0"].Params.Teams {
 		f.Teams[tm.Name] = tm
 	}
-	f.Link = w.report
+	f.Link = w.deliverReport
 	w.fleet = f
 	for _, name := range w.names {
-		w.boot(name)
+		w.startNode(name)
 	}
 	return w
 }
 
 // chance is true with the probability that p holds now.
-func (w *world) chance(p *float64) bool {
+func (w *simCluster) chance(p *float64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.rng.Float64() < *p
 }
 
-func (w *world) between(a, b time.Duration) time.Duration {
+func (w *simCluster) randDuration(a, b time.Duration) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return a + time.Duration(w.rng.Int64N(int64(b-a)))
 }
 
-func (w *world) is(m map[string]bool, name string) bool {
+func (w *simCluster) isSet(m map[string]bool, name string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return m[name]
 }
 
-func (w *world) set(f func()) {
+func (w *simCluster) withLock(f func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	f()
 }
 
-func (w *world) boot(name string) {
+func (w *simCluster) startNode(name string) {
 	ctx, cancel := context.WithCancel(w.ctx)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	if os.Getenv("SIM_LOG") != "" {
@@ -180,91 +180,91 @@
 	}
 	fs := &faultyState{w: w, node: name}
 	n := New(ctx, w.cfg[name], log, fs, &faultyCloud{w.fleet, w, name}, &faultyWorkers{w, name}, 1)
-	w.size.boots(w, n, name)
-	n.TakeTickets(w.classes)
-	fs.contact = n.Contact
-	if setAccount != nil {
-		setAccount(n)
+	w.size.startSabotage(w, n, name)
+	n.AcceptTickets(w.classes)
+	fs.contact = n.RecordContact
+	if configureAccount != nil {
+		configureAccount(n)
 	}
-	if w.lease != nil {
-		n.SiteFrom = "the daemon"
+	if w.daemonLease != nil {
+		n.SiteDaemonHost = "the daemon"
 	}
-	w.set(func() { w.nodes[name], w.stop[name] = n, cancel })
+	w.withLock(func() { w.nodes[name], w.stop[name] = n, cancel })
 	go n.Run()
-	go w.hint(ctx, n)
-	go n.KeepGate(func(ctx context.Context) ([]byte, error) {
+	go w.sendHints(ctx, n)
+	go n.KeepSiteLease(func(ctx context.Context) ([]byte, error) {
 		w.mu.Lock()
-		ask := w.lease
+		ask := w.daemonLease
 		w.mu.Unlock()
 		if ask == nil {
 			return nil, errNoAnswer
 		}
-		w.thaw(name)
-		defer w.thaw(name)
+		w.waitUntilThawed(name)
+		defer w.waitUntilThawed(name)
 		return ask(ctx, name)
 	})
 }
 
-// hint tells the other nodes every second how a node is, if both are reached.
-func (w *world) hint(ctx context.Context, n *Node) {
+// sendHints tells the other nodes every second how a node is, if both are reached.
+func (w *simCluster) sendHints(ctx context.Context, n *Node) {
 	was := map[string]*Node{} // whom it is connected to
 	var told time.Time
 	for ctx.Err() == nil {
-		w.thaw(n.cfg.Node)
-		say := time.Since(told) >= HintPeriod
+		w.waitUntilThawed(n.cfg.Node)
+		say := time.Since(told) >= HintInterval
 		if say {
 			told = time.Now()
 		}
 		for _, name := range w.names {
 			other := w.node(name)
 			w.mu.Lock()
-			filter := w.filter
+			filter := w.refusePeerConns
 			w.mu.Unlock()
 			switch {
-			case other == n || w.is(w.noNet, name) || w.is(w.noNet, n.cfg.Node) || w.is(w.noPeers, name) || w.is(w.noPeers, n.cfg.Node) || w.inCutZone(name) != w.inCutZone(n.cfg.Node):
+			case other == n || w.isSet(w.isolated, name) || w.isSet(w.isolated, n.cfg.Node) || w.isSet(w.peersUnreachable, name) || w.isSet(w.peersUnreachable, n.cfg.Node) || w.inCutZone(name) != w.inCutZone(n.cfg.Node):
 			case other == nil || filter:
 				// Its host ends what was open, and refuses what is new.
 				if was[name] != nil {
-					n.Noticed(name, transport.ConnEnded)
-					n.Noticed(name, transport.ConnRefused)
+					n.OnConnEvent(name, transport.ConnEnded)
+					n.OnConnEvent(name, transport.ConnRefused)
 				} else if say {
-					n.Noticed(name, transport.ConnRefused)
+					n.OnConnEvent(name, transport.ConnRefused)
 				}
 				was[name] = nil
 			default:
 				if was[name] != nil && was[name] != other {
-					n.Noticed(name, transport.ConnEnded) // it is a new process
+					n.OnConnEvent(name, transport.ConnEnded) // it is a new process
 				}
 				was[name] = other
 				if say {
-					other.TakeHint(n.Hint())
+					other.ReceiveHint(n.Hint())
 				}
 			}
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(HintPeriod / 10):
+		case <-time.After(HintInterval / 10):
 		}
 	}
 }
 
 // freeze makes a node stand still while its clocks run on: nothing that it does
 // begins, and nothing that comes reaches it, before it goes on.
-func (w *world) freeze(name string, lasts time.Duration) {
-	w.set(func() { w.frozen[name] = time.Now().Add(lasts) })
+func (w *simCluster) freeze(name string, lasts time.Duration) {
+	w.withLock(func() { w.frozenUntil[name] = time.Now().Add(lasts) })
 	if n := w.node(name); n != nil {
-		n.post(func() { w.thaw(name) })
+		n.post(func() { w.waitUntilThawed(name) })
 	}
 	time.Sleep(lasts)
 }
 
-// thaw waits until a node goes on.
-func (w *world) thaw(name string) { w.goesOn(w.frozen, name) }
+// waitUntilThawed waits until a node goes on.
+func (w *simCluster) waitUntilThawed(name string) { w.waitUntil(w.frozenUntil, name) }
 
-// standsStill waits until a machine goes on.
-func (w *world) standsStill(machine string) { w.goesOn(w.hung, machine) }
+// waitWhileHung waits until a machine goes on.
+func (w *simCluster) waitWhileHung(machine string) { w.waitUntil(w.hungUntil, machine) }
 
-func (w *world) goesOn(till map[string]time.Time, name string) {
+func (w *simCluster) waitUntil(till map[string]time.Time, name string) {
 	w.mu.Lock()
 	until := till[name]
 	w.mu.Unlock()
@@ -273,24 +273,24 @@
 	}
 }
 
-func (w *world) crash(name string) { w.restart(name, 3*time.Second) }
+func (w *simCluster) crash(name string) { w.restart(name, 3*time.Second) }
 
-// end ends a process, if there is one.
-func (w *world) end(name string) {
-	w.set(func() {
+// stopNode ends a process, if there is one.
+func (w *simCluster) stopNode(name string) {
+	w.withLock(func() {
 		w.stop[name]()
 		w.nodes[name] = nil
 	})
 }
 
-// back starts a process that has ended, unless somebody has.
-func (w *world) back(name string) {
+// startIfStopped starts a process that has ended, unless somebody has.
+func (w *simCluster) startIfStopped(name string) {
 	if w.node(name) == nil {
-		w.boot(name)
+		w.startNode(name)
 	}
 }
 
-func (w *world) node(name string) *Node {
+func (w *simCluster) node(name string) *Node {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.nodes[name]
@@ -301,13 +301,13 @@
 var errNoAnswer = errors.New("no answer")
 
 // takenClasses, if a test sets them, are the classes of tickets that new worlds' nodes take.
-var takenClasses ticket.Table
+var nodeTicketClasses ticket.Table
 
 // setAccount, if a test sets it, gives each node that starts its settings.
-var setAccount func(n *Node)
+var configureAccount func(n *Node)
 
-// ran says whether a task of a job has started.
-func (w *world) ran(job string) bool {
+// isRunning says whether a task of a job has started.
+func (w *simCluster) isRunning(job string) bool {
 	for _, m := range w.fleet.Names() {
 		if w.fleet.Runs(m, job) {
 			return true
@@ -316,26 +316,26 @@
 	return false
 }
 
-// ask runs one request of a user on a node's actor.
-func (w *world) ask(ctx context.Context, name string, f func(n *Node, reply chan<- answer)) (answer, error) {
+// userRequest runs one request of a user on a node's actor.
+func (w *simCluster) userRequest(ctx context.Context, name string, f func(n *Node, reply chan<- answer)) (answer, error) {
 	if w.inCutZone(name) {
 		return answer{}, errNoAnswer
 	}
-	return w.request(ctx, name, f)
+	return w.nodeRequest(ctx, name, f)
 }
 
-// request runs one request, of whomever, on a node's actor.
-func (w *world) request(ctx context.Context, name string, f func(n *Node, reply chan<- answer)) (answer, error) {
+// nodeRequest runs one request, of whomever, on a node's actor.
+func (w *simCluster) nodeRequest(ctx context.Context, name string, f func(n *Node, reply chan<- answer)) (answer, error) {
 	n := w.node(name)
-	if n == nil || w.is(w.noNet, name) {
+	if n == nil || w.isSet(w.isolated, name) {
 		return answer{}, errNoAnswer
 	}
 	reply := make(chan answer, 1)
-	if !w.size.asks(name) {
+	if !w.size.beginRequest(name) {
 		return answer{}, errNoAnswer
 	}
-	defer w.size.answered(name)
-	n.post(func() { w.size.spend(name, turnCost); f(n, reply) })
+	defer w.size.endRequest(name)
+	n.post(func() { w.size.spendCPU(name, turnCost); f(n, reply) })
 	select {
 	case a := <-reply:
 		return a, nil
@@ -346,52 +346,52 @@
 	}
 }
 
-// report is the workers' link to the nodes, with everything a network may do.
-func (w *world) report(ctx context.Context, node string, r protocol.Report) (int, protocol.Orders, string, error) {
-	if w.is(w.deaf, node) || w.chance(&w.lossy) {
+// deliverReport is the workers' link to the nodes, with everything a network may do.
+func (w *simCluster) deliverReport(ctx context.Context, node string, r protocol.Report) (int, protocol.Orders, string, error) {
+	if w.isSet(w.workersUnreachable, node) || w.chance(&w.lossRate) {
 		w.mu.Lock()
-		gone := w.gone
+		gone := w.noLateReports
 		w.mu.Unlock()
 		if !gone && w.chance(&half) {
 			go func() { // the report arrives late, after the worker has given up
-				time.Sleep(w.between(5*time.Second, 40*time.Second))
-				w.request(w.ctx, node, func(n *Node, reply chan<- answer) { n.onReport(&r, time.Now(), reply) })
+				time.Sleep(w.randDuration(5*time.Second, 40*time.Second))
+				w.nodeRequest(w.ctx, node, func(n *Node, reply chan<- answer) { n.onReport(&r, time.Now(), reply) })
 			}()
 		}
 		<-ctx.Done()
 		return 0, protocol.Orders{}, "", errNoAnswer
 	}
-	w.standsStill(r.Machine)
-	if w.is(w.unheard, node+" "+r.Machine) || w.is(w.muteHosts, r.Machine) || w.cutBetween(node, r.Zone) {
+	w.waitWhileHung(r.Machine)
+	if w.isSet(w.cutPairs, node+" "+r.Machine) || w.isSet(w.noOutbound, r.Machine) || w.cutBetween(node, r.Zone) {
 		<-ctx.Done()
 		return 0, protocol.Orders{}, "", errNoAnswer
 	}
-	if w.holdsReport() {
-		w.keep(r)
+	if w.holdsBackReport() {
+		w.keepReport(r)
 		<-ctx.Done()
 		return 0, protocol.Orders{}, "", errNoAnswer
 	}
-	time.Sleep(w.between(time.Millisecond, 5*time.Millisecond))
-	if w.chance(&w.lateReports) {
-		go w.again(node, r)
+	time.Sleep(w.randDuration(time.Millisecond, 5*time.Millisecond))
+	if w.chance(&w.duplicateReportRate) {
+		go w.redeliverLater(node, r)
 	}
-	if w.chance(&w.keptReports) {
-		w.keep(r)
+	if w.chance(&w.keptReportRate) {
+		w.keepReport(r)
 	}
-	a, err := w.request(ctx, node, func(n *Node, reply chan<- answer) {
-		if m := n.machines[r.Machine]; m != nil && m.known && w.leftOut == "tokens" {
-			r.Token = n.token(m)
+	a, err := w.nodeRequest(ctx, node, func(n *Node, reply chan<- answer) {
+		if m := n.machines[r.Machine]; m != nil && m.recorded && w.disabledGuard == "tokens" {
+			r.Token = n.fencingToken(m)
 		}
 		n.onReport(&r, time.Now(), reply)
 	})
 	if err == nil {
-		w.took("reported to " + node)
+		w.recordEvent("reported to " + node)
 	}
 	if err == nil && a.status == 200 {
-		w.took("answered by " + node)
+		w.recordEvent("answered by " + node)
 	}
-	w.standsStill(r.Machine)
-	if err == nil && (w.chance(&w.lossy) || w.is(w.deafHosts, r.Machine) || w.cutBetween(node, r.Zone)) {
+	w.waitWhileHung(r.Machine)
+	if err == nil && (w.chance(&w.lossRate) || w.isSet(w.noInbound, r.Machine) || w.cutBetween(node, r.Zone)) {
 		<-ctx.Done()
 		return 0, protocol.Orders{}, "", errNoAnswer
 	}
@@ -408,73 +408,73 @@
 	return a.status, protocol.Orders{}, "", nil
 }
 
-// again delivers a copy of a report, long after.
-func (w *world) again(node string, r protocol.Report) {
+// redeliverLater delivers a copy of a report, long after.
+func (w *simCluster) redeliverLater(node string, r protocol.Report) {
 	lease := time.Duration(w.cfg[node].Params.Workers.LeaseS * float64(time.Second))
-	time.Sleep(w.between(2*time.Second, 2*lease))
-	w.deliver(node, r)
+	time.Sleep(w.randDuration(2*time.Second, 2*lease))
+	w.redeliver(node, r)
 }
 
-// deliver delivers a copy of a report that was sent before.
-func (w *world) deliver(node string, r protocol.Report) {
-	w.request(w.ctx, node, func(n *Node, reply chan<- answer) {
+// redeliver delivers a copy of a report that was sent before.
+func (w *simCluster) redeliver(node string, r protocol.Report) {
+	w.nodeRequest(w.ctx, node, func(n *Node, reply chan<- answer) {
 		switch m := n.machines[r.Machine]; {
 		case m == nil:
-		case w.leftOut == "newest": // as if it were the newest
+		case w.disabledGuard == "newest": // as if it were the newest
 			r.Session, r.Seq = m.session, m.seq+1
-		case w.leftOut == "old token": // as if it were also made under the present token
-			r.Session, r.Seq, r.Token = m.session, m.seq+1, n.token(m)
-		case m.session == 0 && m.known && n.mine(n.shares[m.rec.Share]):
-			w.took("old report comes first")
+		case w.disabledGuard == "old token": // as if it were also made under the present token
+			r.Session, r.Seq, r.Token = m.session, m.seq+1, n.fencingToken(m)
+		case m.session == 0 && m.recorded && n.owns(n.partitions[m.rec.Share]):
+			w.recordEvent("old report comes first")
 		case r.Session < m.session:
-			w.took("report of an earlier session")
+			w.recordEvent("report of an earlier session")
 		case r.Session == m.session && r.Seq < m.seq:
-			w.took("old report")
+			w.recordEvent("old report")
 		}
 		n.onReport(&r, time.Now(), reply)
 	})
 }
 
-// complain tells that something is broken.
-func (w *world) complain(format string, a ...any) {
+// violation tells that something is broken.
+func (w *simCluster) violation(format string, a ...any) {
 	w.mu.Lock()
-	w.complaints = append(w.complaints, fmt.Sprintf(format, a...))
+	w.violations = append(w.violations, fmt.Sprintf(format, a...))
 	w.mu.Unlock()
-	if !w.quietly {
+	if !w.collectOnly {
 		w.t.Errorf(format, a...)
 	}
 }
 
-// took notes that something took place: a test of a meeting asserts that it did.
-func (w *world) took(what string) {
+// recordEvent notes that something took place: a test of a meeting asserts that it did.
+func (w *simCluster) recordEvent(what string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.met[what]++
+	w.eventCounts[what]++
 }
 
-// times is how often something took place.
-func (w *world) times(what string) int {
+// eventCount is how often something took place.
+func (w *simCluster) eventCount(what string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.met[what]
+	return w.eventCounts[what]
 }
 
 // faultyWorkers are direct calls to workers as one node makes them: some are held
 // on their way and executed much later, some answers are lost.
 type faultyWorkers struct {
-	w    *world
+	w    *simCluster
 	node string
 }
 
 func (f *faultyWorkers) Command(ctx context.Context, addr string, o protocol.Orders) (r *protocol.Report, ok bool, err error) {
-	f.w.thaw(f.node)
-	defer f.w.thaw(f.node)
-	f.w.size.calls(f.node, o)
-	time.Sleep(f.w.between(time.Millisecond, 5*time.Millisecond))
-	if f.w.is(f.w.noNet, f.node) || f.w.is(f.w.deaf, f.node) || f.w.chance(&f.w.lossy) {
+	f.w.waitUntilThawed(f.node)
+	defer f.w.waitUntilThawed(f.node)
+	f.w.size.noteDirectCall(f.node, o)
+	time.Sleep(f.w.randDuration(time.Millisecond, 5*time.Millisecond))
+	if f.w.isSet(f.w.isolated, f.node) || f.w.isSet(f.w.workersUnreachable, f.node) || f.w.chance(&f.w.lossRate) {
 		if f.w.chance(&half) {
 			go func() {
-				time.Sleep(f.w.between(2*time.Second, 70*time.Second))
+				time.Sleep(f.w.randDuration(2*time.Second, 70*time.Second))
 				f.w.fleet.Command(f.w.ctx, addr, o)
 			}()
 		}
@@ -483,31 +483,31 @@
 	}
 	host, _, _ := strings.Cut(addr, ":")
 	f.w.mu.Lock()
-	still := time.Until(f.w.hung[host])
+	still := time.Until(f.w.hungUntil[host])
 	f.w.mu.Unlock()
-	switch held := f.w.chance(&f.w.held); {
-	case f.w.is(f.w.deafHosts, host), f.w.is(f.w.unheard, f.node+" "+host), f.w.cutFrom(f.node, host):
+	switch held := f.w.chance(&f.w.delayedCommandRate); {
+	case f.w.isSet(f.w.noInbound, host), f.w.isSet(f.w.cutPairs, f.node+" "+host), f.w.cutFrom(f.node, host):
 		time.Sleep(2 * time.Second)
 		return nil, false, errNoAnswer
 	case held, still > 0:
 		before, _ := f.w.fleet.Inspect(ctx, addr)
 		if held {
-			still = max(still, f.w.between(2*time.Second, 12*time.Second))
+			still = max(still, f.w.randDuration(2*time.Second, 12*time.Second))
 		}
-		if f.w.leftOut == "doubt" { // as if what is not answered were refused
+		if f.w.disabledGuard == "doubt" { // as if what is not answered were refused
 			defer func() { r, ok, err = before, false, nil }()
 		}
 		go func() { // the machine, or the command, goes on
 			time.Sleep(still)
 			if r, ok, _ := f.w.fleet.Command(f.w.ctx, addr, o); ok && r != nil && len(o.Commands) > 0 {
-				f.w.took("held command executed")
+				f.w.recordEvent("held command executed")
 			}
 		}()
 		time.Sleep(2 * time.Second)
 		return nil, false, errNoAnswer
 	}
 	r, ok, err = f.w.fleet.Command(ctx, addr, o)
-	if f.w.chance(&f.w.lossy) {
+	if f.w.chance(&f.w.lossRate) {
 		time.Sleep(2 * time.Second)
 		return nil, false, errNoAnswer // executed, but the answer is lost
 	}
@@ -515,11 +515,11 @@
 }
 
 func (f *faultyWorkers) Inspect(ctx context.Context, addr string) (*protocol.Report, error) {
-	f.w.thaw(f.node)
-	defer f.w.thaw(f.node)
-	time.Sleep(f.w.between(time.Millisecond, 5*time.Millisecond))
+	f.w.waitUntilThawed(f.node)
+	defer f.w.waitUntilThawed(f.node)
+	time.Sleep(f.w.randDuration(time.Millisecond, 5*time.Millisecond))
 	host, _, _ := strings.Cut(addr, ":")
-	if f.w.is(f.w.noNet, f.node) || f.w.is(f.w.deaf, f.node) || f.w.is(f.w.deafHosts, host) || f.w.is(f.w.unheard, f.node+" "+host) || f.w.cutFrom(f.node, host) || f.w.chance(&f.w.lossy) {
+	if f.w.isSet(f.w.isolated, f.node) || f.w.isSet(f.w.workersUnreachable, f.node) || f.w.isSet(f.w.noInbound, host) || f.w.isSet(f.w.cutPairs, f.node+" "+host) || f.w.cutFrom(f.node, host) || f.w.chance(&f.w.lossRate) {
 		time.Sleep(2 * time.Second)
 		return nil, errNoAnswer
 	}
@@ -529,18 +529,18 @@
 // faultyCloud is the cloud as one node meets it.
 type faultyCloud struct {
 	CloudService
-	w    *world
+	w    *simCluster
 	node string
 }
 
 func (f *faultyCloud) down() bool {
-	f.w.thaw(f.node)
+	f.w.waitUntilThawed(f.node)
 	if f.w.inCutZone(f.node) {
 		return true
 	}
 	f.w.mu.Lock()
 	defer f.w.mu.Unlock()
-	return f.w.noCloud
+	return f.w.cloudDown
 }
 
 func (f *faultyCloud) Catalog(ctx context.Context) ([]protocol.MachineType, error) {
@@ -561,7 +561,7 @@
 	if f.down() {
 		return nil, errNoAnswer
 	}
-	defer f.w.thaw(f.node)
+	defer f.w.waitUntilThawed(f.node)
 	return f.CloudService.Rent(ctx, r)
 }
 
@@ -569,9 +569,9 @@
 	if f.down() {
 		return errNoAnswer
 	}
-	defer f.w.thaw(f.node)
-	f.w.size.returns(len(names))
-	if f.w.leftOut == "return" { // as if silence proved that a machine is gone
+	defer f.w.waitUntilThawed(f.node)
+	f.w.size.noteReturns(len(names))
+	if f.w.disabledGuard == "return" { // as if silence proved that a machine is gone
 		return nil
 	}
 	return f.CloudService.Return(ctx, names)
@@ -579,24 +579,24 @@
 
 // faultyState is the state service as one node meets it.
 type faultyState struct {
-	w       *world
+	w       *simCluster
 	node    string
 	contact func(time.Time)
 }
 
-func (f *faultyState) meet(ctx context.Context) error {
-	f.w.thaw(f.node)
-	f.w.set(func() { f.w.requests[time.Now().Unix()]++ })
-	if !f.w.size.requests(f.node) {
+func (f *faultyState) injectFaults(ctx context.Context) error {
+	f.w.waitUntilThawed(f.node)
+	f.w.withLock(func() { f.w.stateCalls[time.Now().Unix()]++ })
+	if !f.w.size.noteStateCall(f.node) {
 		return storage.ErrRefused
 	}
 	f.w.mu.Lock()
-	slow := f.w.slow
+	slow := f.w.stateDelay
 	f.w.mu.Unlock()
-	time.Sleep(f.w.between(time.Millisecond, 8*time.Millisecond+slow))
+	time.Sleep(f.w.randDuration(time.Millisecond, 8*time.Millisecond+slow))
 	cutOff := f.w.inCutZone(f.node)
 	f.w.mu.Lock()
-	outage, refused, cut := f.w.outage, f.w.noState[f.node], f.w.noNet[f.node] || f.w.mute[f.node] || cutOff
+	outage, refused, cut := f.w.outage, f.w.stateRefused[f.node], f.w.isolated[f.node] || f.w.stateSilent[f.node] || cutOff
 	f.w.mu.Unlock()
 	switch {
 	case ctx.Err() != nil:
@@ -612,54 +612,54 @@
 }
 
 func (f *faultyState) Get(ctx context.Context, key string) (storage.Item, error) {
-	defer f.w.thaw(f.node)
-	if err := f.meet(ctx); err != nil {
+	defer f.w.waitUntilThawed(f.node)
+	if err := f.injectFaults(ctx); err != nil {
 		return storage.Item{}, err
 	}
 	return f.w.state.Get(ctx, key)
 }
 
 func (f *faultyState) List(ctx context.Context, prefix string) ([]storage.Item, uint64, error) {
-	defer f.w.thaw(f.node)
-	if err := f.meet(ctx); err != nil {
+	defer f.w.waitUntilThawed(f.node)
+	if err := f.injectFaults(ctx); err != nil {
 		return nil, 0, err
 	}
 	items, rev, err := f.w.state.List(ctx, prefix)
-	f.w.size.reads(f.node, len(items))
-	return f.w.readable(items, false), rev, err
+	f.w.size.spendReads(f.node, len(items))
+	return f.w.readableItems(items, false), rev, err
 }
 
 func (f *faultyState) Txn(ctx context.Context, conds []storage.Cond, writes []storage.Write) (bool, uint64, []string, error) {
-	defer f.w.thaw(f.node)
-	if err := f.meet(ctx); err != nil {
-		if f.w.leftOut == "read barrier" && len(writes) == 0 { // as if memory were up to date
+	defer f.w.waitUntilThawed(f.node)
+	if err := f.injectFaults(ctx); err != nil {
+		if f.w.disabledGuard == "read barrier" && len(writes) == 0 { // as if memory were up to date
 			return true, 0, nil, nil
 		}
-		if errors.Is(err, storage.ErrUnknown) && f.w.chance(&f.w.late) {
+		if errors.Is(err, storage.ErrUnknown) && f.w.chance(&f.w.lateTxnRate) {
 			go func() { // held on its way, and applied long after
-				time.Sleep(f.w.between(2*time.Second, 30*time.Second))
+				time.Sleep(f.w.randDuration(2*time.Second, 30*time.Second))
 				f.w.state.Txn(f.w.ctx, conds, writes)
 			}()
 		}
 		return false, 0, nil, err
 	}
-	conds = f.w.without(conds, writes)
-	if f.w.leftOut == "lease" {
-		writes = endOwnershipLate(writes)
+	conds = f.w.withoutOmittedConds(conds, writes)
+	if f.w.disabledGuard == "lease" {
+		writes = detachOwnerLeases(writes)
 	}
-	if f.w.chance(&f.w.lateWrites) {
-		sent := f.w.answered(f.node, 0)
+	if f.w.chance(&f.w.delayedTxnRate) {
+		sent := f.w.countAnsweredTxns(f.node, 0)
 		go func() {
-			time.Sleep(f.w.between(2*time.Second, 12*time.Second))
-			newer := f.w.answered(f.node, 0) > sent
-			if f.w.leftOut == "conditions" {
+			time.Sleep(f.w.randDuration(2*time.Second, 12*time.Second))
+			newer := f.w.countAnsweredTxns(f.node, 0) > sent
+			if f.w.disabledGuard == "conditions" {
 				conds = nil
 			}
 			ok, _, _, _ := f.w.state.Txn(f.w.ctx, conds, writes)
 			if newer && len(writes) > 0 {
-				f.w.took("write late")
+				f.w.recordEvent("write late")
 				if ok {
-					f.w.took("write late executed")
+					f.w.recordEvent("write late executed")
 				}
 			}
 		}()
@@ -667,98 +667,98 @@
 		return false, 0, nil, storage.ErrUnknown
 	}
 	ok, rev, failed, err := f.w.state.Txn(ctx, conds, writes)
-	if f.w.chance(&f.w.lossy) || f.w.chance(&f.w.lostAnswers) {
+	if f.w.chance(&f.w.lossRate) || f.w.chance(&f.w.lostAnswerRate) {
 		if ok && len(writes) > 0 {
 			f.w.noteLostAnswer(writes)
 		}
 		if len(writes) == 0 {
-			f.w.took("read barrier without an answer")
+			f.w.recordEvent("read barrier without an answer")
 		}
 		time.Sleep(1500 * time.Millisecond)
 		return false, 0, nil, storage.ErrUnknown // executed, but the answer is lost
 	}
 	if len(writes) > 0 {
-		f.w.answered(f.node, 1)
+		f.w.countAnsweredTxns(f.node, 1)
 	}
 	return ok, rev, failed, err
 }
 
-// answered counts the transactions that a node has had answered.
-func (w *world) answered(node string, more int) int {
+// countAnsweredTxns counts the transactions that a node has had answered.
+func (w *simCluster) countAnsweredTxns(node string, more int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.writes[node] += more
-	return w.writes[node]
+	w.answeredTxns[node] += more
+	return w.answeredTxns[node]
 }
 
 func (f *faultyState) Grant(ctx context.Context, life time.Duration) (uint64, error) {
-	defer f.w.thaw(f.node)
-	if err := f.meet(ctx); err != nil {
+	defer f.w.waitUntilThawed(f.node)
+	if err := f.injectFaults(ctx); err != nil {
 		return 0, err
 	}
 	return f.w.state.Grant(ctx, life)
 }
 
 func (f *faultyState) Renew(ctx context.Context, id uint64) error {
-	defer f.w.thaw(f.node)
-	if err := f.meet(ctx); err != nil {
+	defer f.w.waitUntilThawed(f.node)
+	if err := f.injectFaults(ctx); err != nil {
 		return err
 	}
 	return f.w.state.Renew(ctx, id)
 }
 
 func (f *faultyState) Release(ctx context.Context, id uint64) error {
-	defer f.w.thaw(f.node)
-	if err := f.meet(ctx); err != nil {
+	defer f.w.waitUntilThawed(f.node)
+	if err := f.injectFaults(ctx); err != nil {
 		return err
 	}
 	return f.w.state.Release(ctx, id)
 }
 
 func (f *faultyState) Watch(ctx context.Context, prefix string, since uint64, hold time.Duration) ([]storage.Item, uint64, error) {
-	defer f.w.thaw(f.node)
-	if err := f.meet(ctx); err != nil {
+	defer f.w.waitUntilThawed(f.node)
+	if err := f.injectFaults(ctx); err != nil {
 		return nil, 0, err
 	}
 	items, rev, err := f.w.state.Watch(ctx, prefix, since, hold)
-	f.w.size.reads(f.node, len(items))
+	f.w.size.spendReads(f.node, len(items))
 	for err == nil { // an open watch waits during an outage
 		cutOff := f.w.inCutZone(f.node)
 		f.w.mu.Lock()
-		dark := cutOff || f.w.outage || f.w.noState[f.node] || f.w.noNet[f.node] || f.w.mute[f.node] || f.w.noWatch[f.node]
+		dark := cutOff || f.w.outage || f.w.stateRefused[f.node] || f.w.isolated[f.node] || f.w.stateSilent[f.node] || f.w.watchStalled[f.node]
 		f.w.mu.Unlock()
 		if !dark || ctx.Err() != nil {
 			break
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	return f.w.readable(items, true), rev, err
+	return f.w.readableItems(items, true), rev, err
 }
 
 // user submits a job, polls it and perhaps cancels it.
 type user struct {
-	w        *world
-	spec     *protocol.JobSpec
-	accepted bool   // guarded by the world's mu
-	final    string // guarded by the world's mu
-	cancelAt time.Duration
+	w           *simCluster
+	spec        *protocol.JobSpec
+	accepted    bool   // guarded by the world's mu
+	finalStatus string // guarded by the world's mu
+	cancelAt    time.Duration
 }
 
-func (u *user) any() string { return u.w.names[u.w.between(0, 3*time.Second)/time.Second] }
+func (u *user) randomNode() string { return u.w.names[u.w.randDuration(0, 3*time.Second)/time.Second] }
 
 func (u *user) run(done func()) {
 	defer done()
 	w := u.w
 	start := time.Now()
 	w.fleet.Submitted(u.spec)
-	w.set(func() { w.userOf[u.spec.ID] = u })
+	w.withLock(func() { w.userOf[u.spec.ID] = u })
 	for !u.accepted {
 		ctx, cancel := context.WithTimeout(w.ctx, 5*time.Second)
-		a, err := w.submitAt(ctx, u.any(), u.spec)
+		a, err := w.submitAt(ctx, u.randomNode(), u.spec)
 		cancel()
-		w.set(func() { u.accepted = err == nil && (a.status == 200 || a.status == 201) })
+		w.withLock(func() { u.accepted = err == nil && (a.status == 200 || a.status == 201) })
 		if err == nil && (a.status == 400 || a.status == 422) {
-			w.complain("%s refused with %d", u.spec.ID, a.status)
+			w.violation("%s refused with %d", u.spec.ID, a.status)
 			return
 		}
 		if w.ctx.Err() != nil {
@@ -768,51 +768,51 @@
 	}
 	for w.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(w.ctx, 2*time.Second)
-		if u.cancelAt > 0 && time.Since(start) > u.cancelAt && u.ended() == "" {
-			w.cancelAt(ctx, u.any(), u.spec.ID)
+		if u.cancelAt > 0 && time.Since(start) > u.cancelAt && u.knownFinalStatus() == "" {
+			w.cancelAt(ctx, u.randomNode(), u.spec.ID)
 		}
-		w.pollAt(ctx, u.any(), u.spec.ID)
+		w.pollAt(ctx, u.randomNode(), u.spec.ID)
 		cancel()
-		time.Sleep(w.size.pollPause(w.between(time.Second, 3*time.Second)))
+		time.Sleep(w.size.pollInterval(w.randDuration(time.Second, 3*time.Second)))
 	}
 }
 
-// ended is what the user was told in the end, if anything.
-func (u *user) ended() string {
+// knownFinalStatus is what the user was told in the end, if anything.
+func (u *user) knownFinalStatus() string {
 	u.w.mu.Lock()
 	defer u.w.mu.Unlock()
-	return u.final
+	return u.finalStatus
 }
 
-// told compares what somebody was told of the user's job with the machines; whether it is
+// checkAnswer compares what somebody was told of the user's job with the machines; whether it is
 // older than an earlier answer is the answerChecker's.
-func (u *user) told(status string) {
+func (u *user) checkAnswer(status string) {
 	var wrong []string
 	defer func() {
 		for _, x := range wrong {
-			u.w.complain("%s", x)
+			u.w.violation("%s", x)
 		}
 	}()
 	u.w.mu.Lock()
 	defer u.w.mu.Unlock()
-	u.w.met["asked"]++
+	u.w.eventCounts["asked"]++
 	switch status {
 	case protocol.JobDone:
-		if n, of := u.w.fleet.Finished(u.spec.ID), u.spec.Tasks; u.final == "" && n < of && (u.spec.Shape != protocol.Gang || n == 0) {
+		if n, of := u.w.fleet.Finished(u.spec.ID), u.spec.Tasks; u.finalStatus == "" && n < of && (u.spec.Shape != protocol.Gang || n == 0) {
 			wrong = append(wrong, fmt.Sprintf("%s is called done with %d of %d tasks completed", u.spec.ID, n, of))
 		}
-		u.final = status
+		u.finalStatus = status
 	case protocol.JobCancelled:
-		if left := u.w.fleet.Left(u.spec.ID); u.final == "" && left > 0 {
+		if left := u.w.fleet.Left(u.spec.ID); u.finalStatus == "" && left > 0 {
 			wrong = append(wrong, fmt.Sprintf("%s is called cancelled with %d tasks left", u.spec.ID, left))
 		}
-		u.final = status
+		u.finalStatus = status
 	}
 }
 
-// about is all that is known of a job that should have ended: what is stored, what each node
+// describeJob is all that is known of a job that should have ended: what is stored, what each node
 // says, who holds what.
-func (w *world) about(id string) string {
+func (w *simCluster) describeJob(id string) string {
 	var b strings.Builder
 	items, _, _ := w.state.List(w.t.Context(), protocol.Root)
 	if j := packed.Read(items, ringSlots).Jobs[id]; j != nil {
@@ -825,10 +825,10 @@
 	}
 	for _, name := range w.names {
 		if n := w.node(name); n != nil {
-			fmt.Fprintf(&b, "\n%s: %s; %s", name, mustJSON(w.asked(name, id)), onActor(n, func() string {
+			fmt.Fprintf(&b, "\n%s: %s; %s", name, mustJSON(w.explanation(name, id)), onActor(n, func() string {
 				held := fmt.Sprintf("lease %d", n.lease)
-				for _, s := range n.shares {
-					held += fmt.Sprintf(", share %d %+v pending %v taking %+v mine %v", s.index, s.holder, s.pending, s.taking, n.mine(s))
+				for _, s := range n.partitions {
+					held += fmt.Sprintf(", share %d %+v pending %v taking %+v mine %v", s.index, s.owner, s.ownerChangePending, s.takeover, n.owns(s))
 				}
 				return held
 			}))
@@ -838,7 +838,7 @@
 	return b.String()
 }
 
-func (w *world) jobs(count int) []*user {
+func (w *simCluster) randomUsers(count int) []*user {
 	var us []*user
 	teams := []string{"red", "blue", "green"}
 	for i := range count {
@@ -868,42 +868,42 @@
 	return us
 }
 
-// run lets the users come one after the other while faults happens, then heals
+// runWorkload lets the users come one after the other while faults happens, then heals
 // everything and waits for the end of all jobs.
-func (w *world) run(count int, faults func(w *world)) {
-	us := w.jobs(count)
-	w.set(func() { w.users = us })
+func (w *simCluster) runWorkload(count int, faults func(w *simCluster)) {
+	us := w.randomUsers(count)
+	w.withLock(func() { w.users = us })
 	var wg sync.WaitGroup
 	for _, u := range us {
 		wg.Add(1)
 		go u.run(wg.Done)
-		time.Sleep(w.between(time.Millisecond, 2*time.Second))
+		time.Sleep(w.randDuration(time.Millisecond, 2*time.Second))
 	}
 	faults(w)
-	w.set(func() {
-		w.outage, w.lossy, w.late, w.lateWrites, w.lateReports, w.held, w.slow = false, 0, 0, 0, 0, 0, 0
-		w.lostAnswers, w.keptReports, w.heldReports, w.atNextOwner, w.cutZone = 0, 0, 0, false, ""
-		for _, m := range []map[string]bool{w.noState, w.noNet, w.deaf, w.mute, w.noPeers, w.noWatch, w.deafHosts, w.unheard, w.muteHosts} {
+	w.withLock(func() {
+		w.outage, w.lossRate, w.lateTxnRate, w.delayedTxnRate, w.duplicateReportRate, w.delayedCommandRate, w.stateDelay = false, 0, 0, 0, 0, 0, 0
+		w.lostAnswerRate, w.keptReportRate, w.heldReportRate, w.releaseOnOwnerChange, w.isolatedZone = 0, 0, 0, false, ""
+		for _, m := range []map[string]bool{w.stateRefused, w.isolated, w.workersUnreachable, w.stateSilent, w.peersUnreachable, w.watchStalled, w.noInbound, w.cutPairs, w.noOutbound} {
 			clear(m)
 		}
 	})
 	w.closingCheck(6 * time.Minute)
 	for _, b := range w.fleet.Broken {
-		w.complain("rule broken: %s", b)
+		w.violation("rule broken: %s", b)
 	}
-	if w.fleet.Started == 0 || checkedPlacings.Load() == 0 {
-		w.complain("%d tasks started, %d decisions checked", w.fleet.Started, checkedPlacings.Load())
+	if w.fleet.Started == 0 || checkedPlacements.Load() == 0 {
+		w.violation("%d tasks started, %d decisions checked", w.fleet.Started, checkedPlacements.Load())
 	}
 	for _, stop := range w.stop {
 		stop()
 	}
 }
 
-func simulate(t *testing.T, seed uint64, count int, change func(p *protocol.WorkerSettings), faults func(w *world)) {
+func simulate(t *testing.T, seed uint64, count int, change func(p *protocol.WorkerSettings), faults func(w *simCluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		w := newWorld(t, ctx, seed, change)
-		w.run(count, faults)
+		w.runWorkload(count, faults)
 		cancel()
 		time.Sleep(2 * time.Minute) // until all that was held has come
 		synctest.Wait()
@@ -911,14 +911,14 @@
 }
 
 func TestQuietDay(t *testing.T) {
-	simulate(t, 1, 20, asTheyAre, func(*world) { time.Sleep(30 * time.Second) })
+	simulate(t, 1, 20, defaultSettings, func(*simCluster) { time.Sleep(30 * time.Second) })
 }
 
 // moreSeeds is for long runs by hand: go test -run Troubles -seeds 500 -timeout 3h.
 var moreSeeds = flag.Uint64("seeds", 0, "seeds of the simulated troubles, instead of a few")
 
-// seeds are so many, or as many as were asked for by hand.
-func seeds(few uint64) uint64 {
+// seedCount are so many, or as many as were asked for by hand.
+func seedCount(few uint64) uint64 {
 	if *moreSeeds > 0 {
 		return *moreSeeds
 	}
@@ -927,29 +927,29 @@
 
 // Random troubles, one after the other and overlapping.
 func TestTroubles(t *testing.T) {
-	for seed := range seeds(12) {
+	for seed := range seedCount(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			simulate(t, seed, 16, asTheyAre, troubles)
+			simulate(t, seed, 16, defaultSettings, randomFaults)
 		})
 	}
 }
 
 // The same where workers report rarely, so that starts go out directly.
 func TestTroublesWithDirectStarts(t *testing.T) {
-	for seed := range seeds(8) {
+	for seed := range seedCount(8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			simulate(t, 100+seed, 16, func(p *protocol.WorkerSettings) { p.ReportS, p.LeaseS, p.CancelS = 6, 36, 56 }, troubles)
+			simulate(t, 100+seed, 16, func(p *protocol.WorkerSettings) { p.ReportS, p.LeaseS, p.CancelS = 6, 36, 56 }, randomFaults)
 		})
 	}
 }
 
-func asTheyAre(*protocol.WorkerSettings) {}
+func defaultSettings(*protocol.WorkerSettings) {}
 
-func troubles(w *world) {
-	w.set(func() { w.late = 0.5 })
+func randomFaults(w *simCluster) {
+	w.withLock(func() { w.lateTxnRate = 0.5 })
 	for range 8 {
 		name := w.names[w.plan.IntN(3)]
-		lasts := w.between(2*time.Second, 35*time.Second)
+		lasts := w.randDuration(2*time.Second, 35*time.Second)
 		switch w.plan.IntN(9) {
 		case 7:
 			w.freeze(name, lasts)
@@ -958,39 +958,39 @@
 		case 0:
 			w.crash(name)
 		case 1:
-			w.set(func() { w.outage = true })
+			w.withLock(func() { w.outage = true })
 			time.Sleep(lasts)
-			w.set(func() { w.outage = false })
+			w.withLock(func() { w.outage = false })
 			w.state.Refill()
 		case 2:
-			w.set(func() { w.noState[name] = true })
+			w.withLock(func() { w.stateRefused[name] = true })
 			time.Sleep(lasts)
-			w.set(func() { w.noState[name] = false })
+			w.withLock(func() { w.stateRefused[name] = false })
 		case 3:
-			w.set(func() { w.noNet[name] = true })
+			w.withLock(func() { w.isolated[name] = true })
 			time.Sleep(lasts)
-			w.set(func() { w.noNet[name] = false })
+			w.withLock(func() { w.isolated[name] = false })
 		case 4:
-			w.set(func() { w.deaf[name] = true })
+			w.withLock(func() { w.workersUnreachable[name] = true })
 			time.Sleep(lasts)
-			w.set(func() { w.deaf[name] = false })
+			w.withLock(func() { w.workersUnreachable[name] = false })
 		case 5:
 			if ms := w.fleet.Names(); len(ms) > 0 {
 				w.fleet.Kill(ms[w.plan.IntN(len(ms))])
 			}
 		case 6:
-			w.set(func() { w.lossy = 0.2 })
+			w.withLock(func() { w.lossRate = 0.2 })
 			time.Sleep(lasts)
-			w.set(func() { w.lossy = 0 })
+			w.withLock(func() { w.lossRate = 0 })
 		}
-		time.Sleep(w.between(time.Millisecond, 8*time.Second))
+		time.Sleep(w.randDuration(time.Millisecond, 8*time.Second))
 	}
 }
 
 // submit submits a job until it is accepted.
-func (w *world) submit(s *protocol.JobSpec) {
+func (w *simCluster) submit(s *protocol.JobSpec) {
 	w.fleet.Submitted(s)
-	w.set(func() { w.submitted = append(w.submitted, s) })
+	w.withLock(func() { w.submitted = append(w.submitted, s) })
 	for k := range 60 {
 		a, err := w.submitAt(w.ctx, w.names[k%3], s)
 		if err == nil && a.status < 300 {
@@ -1002,7 +1002,7 @@
 }
 
 // cancel cancels a job.
-func (w *world) cancel(id string) {
+func (w *simCluster) cancel(id string) {
 	for range 60 {
 		a, err := w.cancelAt(w.ctx, w.names[0], id)
 		if err == nil && a.status == 200 {
--- a/internal/coordination/node/sitejobs.go
+++ b/internal/coordination/node/sitejobs.go
@@ -24,25 +24,25 @@
 //     that was held on its way for minutes meets.
 // docs/gateway.md has the times and the proof.
 
-// gate is what this node knows of the site's lease.
-type gate struct {
-	until time.Time // by this node's steady clock
-	floor uint64    // a replica older than this revision knows too little
-	dead  map[string]bool
+// siteLease is what this node knows of the site's lease.
+type siteLease struct {
+	expiresAt   time.Time // by this node's steady clock
+	minRevision uint64    // a replica older than this revision knows too little
+	lostJobs    map[string]bool
 }
 
-// GatePeriod is how often a controller asks for the lease.
-const GatePeriod = 500 * time.Millisecond
+// SiteLeasePeriod is how often a controller asks for the lease.
+const SiteLeasePeriod = 500 * time.Millisecond
 
-// maxDrift bounds the difference of two steady clocks.
-const maxDrift = 0.001
+// maxClockDrift bounds the difference of two steady clocks.
+const maxClockDrift = 0.001
 
 // maxLease bounds what a controller believes of a lease.
 const maxLease = time.Minute
 
-// KeepGate asks the site's daemon for the lease until the node ends. ask returns
+// KeepSiteLease asks the site's daemon for the lease until the node ends. ask returns
 // its answer.
-func (n *Node) KeepGate(ask func(ctx context.Context) ([]byte, error)) {
+func (n *Node) KeepSiteLease(ask func(ctx context.Context) ([]byte, error)) {
 	for n.ctx.Err() == nil {
 		// What the answer says counts from before it was asked for, however long it
 		// took on its way.
@@ -55,81 +55,81 @@
 		n.post(func() { n.onLease(l, err, asked) })
 		select {
 		case <-n.ctx.Done():
-		case <-time.After(GatePeriod):
+		case <-time.After(SiteLeasePeriod):
 		}
 	}
 }
 
 func (n *Node) onLease(l *wire.Lease, err error, asked time.Time) {
 	now := time.Now()
-	was := !n.shut(now)
+	was := !n.gatewayJobsBlocked(now)
 	if err != nil {
 		n.log.Debug("lease not learned", "why", err)
 	} else {
 		left := min(time.Duration(l.LeftMS)*time.Millisecond, maxLease)
-		g := &gate{until: asked.Add(time.Duration(float64(left) * (1 - maxDrift))), floor: l.Floor, dead: map[string]bool{}}
-		if n.gate != nil {
-			g.floor = max(g.floor, n.gate.floor)
+		g := &siteLease{expiresAt: asked.Add(time.Duration(float64(left) * (1 - maxClockDrift))), minRevision: l.Floor, lostJobs: map[string]bool{}}
+		if n.siteLease != nil {
+			g.minRevision = max(g.minRevision, n.siteLease.minRevision)
 			if left > 0 {
-				g.until = later(g.until, n.gate.until)
+				g.expiresAt = latest(g.expiresAt, n.siteLease.expiresAt)
 			}
 		}
 		for _, id := range l.Dead {
-			g.dead[id] = true
+			g.lostJobs[id] = true
 		}
-		n.gate = g
-		n.touchAll() // which jobs may run
+		n.siteLease = g
+		n.markAllStale() // which jobs may run
 	}
-	if open := !n.shut(now); open != was {
+	if open := !n.gatewayJobsBlocked(now); open != was {
 		n.log.Info("jobs of the gateway", "may_run", open, "why", err)
 		n.replan = true
 	}
 }
 
-// shut says whether no job of the gateway may run here.
-func (n *Node) shut(now time.Time) bool {
-	return n.gate == nil || !now.Before(n.gate.until) || n.caught < n.gate.floor
+// gatewayJobsBlocked says whether no job of the gateway may run here.
+func (n *Node) gatewayJobsBlocked(now time.Time) bool {
+	return n.siteLease == nil || !now.Before(n.siteLease.expiresAt) || n.completeRevision < n.siteLease.minRevision
 }
 
-// closed says whether a job may not run because it is the gateway's and the site
+// blockedBySiteLease says whether a job may not run because it is the gateway's and the site
 // has no lease, or has lost it.
-func (n *Node) closed(j *job, now time.Time) bool {
-	return j.claim > 0 && (n.shut(now) || n.gate.dead[j.id])
+func (n *Node) blockedBySiteLease(j *job, now time.Time) bool {
+	return j.claim > 0 && (n.gatewayJobsBlocked(now) || n.siteLease.lostJobs[j.id])
 }
 
 // reclaimed: the site holds a job again that it had lost. What became of the
 // earlier claim says nothing any more.
-func (n *Node) reclaimed(id string, claim uint32) {
-	if f, ok := n.finals.byID[id]; ok && f.Claim > 0 && f.Claim < claim {
-		delete(n.finals.byID, id)
+func (n *Node) forgetEarlierClaim(id string, claim uint32) {
+	if f, ok := n.finalJobs.byID[id]; ok && f.Claim > 0 && f.Claim < claim {
+		delete(n.finalJobs.byID, id)
 	}
 }
 
-// gateways says whether a job is the gateway's: then only its members tell users how
+// isGatewayJob says whether a job is the gateway's: then only its members tell users how
 // it is. Here it may be stopped because it goes to another site, or run on for a
 // moment after its user was told that it is cancelled.
-func (n *Node) gateways(id string) bool {
+func (n *Node) isGatewayJob(id string) bool {
 	j := n.jobs[id]
-	return j != nil && j.claim > 0 || n.finals.byID[id].Claim > 0
+	return j != nil && j.claim > 0 || n.finalJobs.byID[id].Claim > 0
 }
 
-// askGateway answers users who ask a site about such a job.
-var askGateway = answer{status: 503, retryS: 5, body: errorBody{"this job came through the gateway: ask there"}}
+// askGatewayAnswer answers users who ask a site about such a job.
+var askGatewayAnswer = answer{status: 503, retryAfterS: 5, body: errorBody{"this job came through the gateway: ask there"}}
 
-// unlessGateways goes on with a submission unless the job came through the gateway:
+// unlessGatewayJob goes on with a submission unless the job came through the gateway:
 // a user who repeats a submission straight at another site must not get a second job.
 // If the daemon does not answer, the job is the site's own, as without a gateway.
-func (n *Node) unlessGateways(id string, reply chan<- answer, goOn func()) {
-	if n.Known == nil {
+func (n *Node) unlessGatewayJob(id string, reply chan<- answer, goOn func()) {
+	if n.LookUpGatewayJob == nil {
 		goOn()
 		return
 	}
 	n.spawn(func(ctx context.Context) {
-		s, known, err := n.Known(ctx, id)
+		s, known, err := n.LookUpGatewayJob(ctx, id)
 		n.post(func() {
 			switch {
 			case known && err != nil:
-				reply <- busy
+				reply <- busyAnswer
 			case known:
 				reply <- answer{status: 200, body: s}
 			default:
@@ -156,11 +156,11 @@
 
 // fromDaemon refuses whoever is not the site's daemon: users reach the same address.
 func (n *Node) fromDaemon(w http.ResponseWriter, r *http.Request) bool {
-	if host, _, err := net.SplitHostPort(r.RemoteAddr); err == nil && n.SiteFrom != "" && host == n.SiteFrom {
+	if host, _, err := net.SplitHostPort(r.RemoteAddr); err == nil && n.SiteDaemonHost != "" && host == n.SiteDaemonHost {
 		return true
 	}
-	n.metrics.refused.WithLabelValues("not_the_daemon").Inc()
-	write(w, answer{status: 403, body: errorBody{"for the site's daemon only (--site-daemon)"}})
+	n.metrics.guardRefusals.WithLabelValues("not_the_daemon").Inc()
+	writeAnswer(w, answer{status: 403, body: errorBody{"for the site's daemon only (--site-daemon)"}})
 	return false
 }
 
@@ -177,14 +177,14 @@
 		err = errTooLong
 	}
 	if err != nil {
-		n.metrics.refused.WithLabelValues("malformed_calls").Inc()
-		write(w, answer{status: 400, body: errorBody{err.Error()}})
+		n.metrics.guardRefusals.WithLabelValues("malformed_calls").Inc()
+		writeAnswer(w, answer{status: 400, body: errorBody{err.Error()}})
 		return
 	}
 	replies := make(chan wire.Item, len(e.Items))
 	n.post(func() {
 		for i := range e.Items {
-			n.onCall(&e.Items[i], func(res wire.Item) { replies <- res })
+			n.onSiteCall(&e.Items[i], func(res wire.Item) { replies <- res })
 		}
 	})
 	out := &wire.Envelope{}
@@ -209,8 +209,8 @@
 // callPatience is how long calls of one request wait for one another.
 const callPatience = 2 * time.Second
 
-// onCall does what the site's daemon asks. Every change is one conditional write.
-func (n *Node) onCall(it *wire.Item, reply func(wire.Item)) {
+// onSiteCall does what the site's daemon asks. Every change is one conditional write.
+func (n *Node) onSiteCall(it *wire.Item, reply func(wire.Item)) {
 	c := &siteCall{n: n, it: it, reply: reply, tries: 3}
 	if !n.loaded || !protocol.ValidJobID(it.ID) || it.Record.Epoch == 0 {
 		c.answer(wire.Busy, "not ready, or malformed")
@@ -244,7 +244,7 @@
 func (c *siteCall) decide() {
 	n, id, epoch := c.n, c.it.ID, c.it.Record.Epoch
 	j := n.jobs[id]
-	f, ended := n.finals.byID[id]
+	f, ended := n.finalJobs.byID[id]
 	switch {
 	case j != nil && j.claim == 0, j == nil && ended && f.Claim == 0, n.tickets.byID[id] != nil:
 		c.answer(wire.Conflict, "the site has a job of its own under this id")
@@ -304,11 +304,11 @@
 func (c *siteCall) change(op *storage.Op, then func(storage.Result)) {
 	n := c.n
 	refuse := make(chan answer, 1)
-	n.forUser(op, refuse, func(r storage.Result) {
+	n.submitForUser(op, refuse, func(r storage.Result) {
 		switch {
 		case r.OK:
 			for _, w := range op.Writes {
-				n.learn(w, r.Epoch)
+				n.applyOwnWrite(w, r.Epoch)
 			}
 			then(r)
 		case r.Err != nil:
@@ -340,7 +340,7 @@
 		c.answer(wire.Refused, "malformed submission")
 		return
 	}
-	why, decided := n.runnable(s)
+	why, decided := n.checkRunnable(s)
 	switch {
 	case !decided:
 		c.answer(wire.Busy, "the machine types are not known yet")
@@ -360,7 +360,7 @@
 		op.Writes = append(op.Writes, storage.Write{Delete: protocol.FinalKey(s.ID)})
 	}
 	c.change(op, func(r storage.Result) {
-		n.reclaimed(s.ID, epoch)
+		n.forgetEarlierClaim(s.ID, epoch)
 		n.log.Debug("job of the gateway taken", "job", s.ID, "claim", epoch)
 		c.answerAt(wire.Held, r.Epoch, n.jobs[s.ID], "")
 	})
@@ -374,9 +374,9 @@
 		c.answer(wire.Busy, "an earlier claim is being ended")
 		return
 	}
-	rec := n.storedHead(j)
+	rec := n.storedRecordAtLog(j)
 	rec.Claim = epoch
-	op := &storage.Op{Conds: []storage.Cond{n.cond(protocol.JobKey(j.id))},
+	op := &storage.Op{Conds: []storage.Cond{n.unchanged(protocol.JobKey(j.id))},
 		Writes: []storage.Write{{Put: protocol.JobKey(j.id), Value: mustJSON(rec)}}}
 	c.change(op, func(r storage.Result) { c.answerAt(wire.Held, r.Epoch, n.jobs[j.id], "") })
 }
@@ -405,14 +405,14 @@
 	case j.claim > epoch:
 		c.answer(wire.Over, "")
 	case j.cancelled && j.claim >= epoch:
-		c.answerAt(wire.Held, n.stamp(protocol.JobKey(id)), j, "")
+		c.answerAt(wire.Held, n.revisionOf(protocol.JobKey(id)), j, "")
 	default:
-		rec := n.storedHead(j)
+		rec := n.storedRecordAtLog(j)
 		rec.Cancelled, rec.Claim = true, epoch
-		op := &storage.Op{Conds: []storage.Cond{n.cond(protocol.JobKey(id))},
+		op := &storage.Op{Conds: []storage.Cond{n.unchanged(protocol.JobKey(id))},
 			Writes: []storage.Write{{Put: protocol.JobKey(id), Value: mustJSON(rec)}}}
 		code := wire.Held
-		if len(rec.Placed) == 0 && len(j.chunks) == 0 {
+		if len(rec.Placed) == 0 && len(j.storedChunks) == 0 {
 			op.Conds = append(op.Conds, storage.Cond{Key: protocol.FinalKey(id)})
 			op.Writes = finalWrites(id, protocol.JobCancelled, len(j.tasks), epoch)
 			code = wire.Over
@@ -434,7 +434,7 @@
 	select {
 	case h := <-reply:
 		if h == nil {
-			write(w, busy)
+			writeAnswer(w, busyAnswer)
 			return
 		}
 		w.Header().Set("Content-Type", "application/octet-stream")
@@ -448,23 +448,23 @@
 // it knows nothing. Free amounts are known of the shares that it holds; the daemon
 // adds up what the controllers say.
 func (n *Node) siteHint(now time.Time) *wire.Hint {
-	if !n.loaded || len(n.types) == 0 || n.sinceContact(now) > stateLost {
+	if !n.loaded || len(n.machineTypes) == 0 || n.sinceContact(now) > stateServiceTimeout {
 		return nil
 	}
 	h := &wire.Hint{}
-	for _, t := range n.types {
+	for _, t := range n.machineTypes {
 		if len(h.Types) < wire.MaxTypes {
 			h.Types = append(h.Types, wire.TypeHint{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB, Zones: t.Zones})
 		}
 	}
 	images := map[string]bool{}
 	for _, m := range n.machines {
-		if !m.known || !n.mine(n.shares[m.rec.Share]) || !n.usable(m, now) {
+		if !m.recorded || !n.owns(n.partitions[m.rec.Share]) || !n.usable(m, now) {
 			continue
 		}
-		if t := n.types[m.rec.Type]; t != nil {
+		if t := n.machineTypes[m.rec.Type]; t != nil {
 			h.GPUs += t.GPUs
-			h.FreeGPUs += n.free(m).GPUs
+			h.FreeGPUs += n.available(m).GPUs
 		}
 		for _, im := range m.images {
 			if len(images) < wire.MaxImages && !images[im.Name] {
@@ -474,12 +474,12 @@
 		}
 	}
 	waiting := make([]int, len(n.teams))
-	for _, s := range n.shares {
-		if !n.mine(s) {
+	for _, s := range n.partitions {
+		if !n.owns(s) {
 			continue
 		}
 		for _, j := range s.jobs {
-			if !j.cancelled && !n.closed(j, now) {
+			if !j.cancelled && !n.blockedBySiteLease(j, now) {
 				h.Waiting += j.nWaiting()
 				waiting[j.team] += j.nWaiting()
 			}
@@ -487,7 +487,7 @@
 	}
 	for i, t := range n.teams[:min(len(n.teams), wire.MaxTeams)] {
 		th := wire.TeamHint{Name: t.Name, CPUsMax: t.Limit.CPUs, GPUsMax: t.Limit.GPUs, GPUs: t.Guarantee.GPUs}
-		if n.mine(n.shares[t.share]) {
+		if n.owns(n.partitions[t.partition]) {
 			th.UsedGPU, th.Waiting = t.Used.GPUs, waiting[i]
 		}
 		h.Teams = append(h.Teams, th)
--- a/internal/coordination/node/sitejobs_test.go
+++ b/internal/coordination/node/sitejobs_test.go
@@ -14,14 +14,14 @@
 )
 
 // open lets jobs of the gateway run on a bench.
-func (b *bench) open() {
+func (b *testNode) open() {
 	b.onLease(&wire.Lease{LeftMS: 3000}, nil, time.Now())
 }
 
 // claimed stores a job of the gateway, placed on host-1.
-func (b *bench) claimed(id string, placed ...protocol.Placement) *job {
+func (b *testNode) claimed(id string, placed ...protocol.Placement) *job {
 	spec := &protocol.JobSpec{ID: id, Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 1, CPUs: 4, GPUs: 1, Image: "i", ImageGB: 1}
-	b.put(protocol.JobKey(id), protocol.JobRecord{Spec: spec, Next: 2, Claim: 1, Chunk: protocol.Chunk{Placed: placed}})
+	b.watchPut(protocol.JobKey(id), protocol.JobRecord{Spec: spec, Next: 2, Claim: 1, Chunk: protocol.Chunk{Placed: placed}})
 	return b.jobs[id]
 }
 
@@ -52,27 +52,27 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for _, running := range []bool{false, true} {
-				b := newBench(t)
-				b.claimed("job-1", onHost1)
+				b := newTestNode(t)
+				b.claimed("job-1", placedOnHost1)
 				if c.lease != nil {
 					b.onLease(c.lease, nil, time.Now())
 				}
 				if !running {
-					if got := verbs(b.report(7, 1)); got != c.started && !(c.started == "" && got == "parked") {
+					if got := verbs(b.sendReport(7, 1)); got != c.started && !(c.started == "" && got == "parked") {
 						t.Errorf("not started: orders %q, want %q", got, c.started)
 					}
 					continue
 				}
-				got := verbs(b.report(7, 1, protocol.TaskReport{Task: "job-1/0", Attempt: 1, State: protocol.TaskRunning}))
+				got := verbs(b.sendReport(7, 1, protocol.TaskReport{Task: "job-1/0", Attempt: 1, State: protocol.TaskRunning}))
 				if got != c.runs && !(c.runs == "parked" && got == "") {
 					t.Errorf("running: orders %q, want %q", got, c.runs)
 				}
 			}
 		})
 	}
-	b := newBench(t)
-	b.job("job-2", false, onHost1)
-	if got := verbs(b.report(7, 1, protocol.TaskReport{Task: "job-2/0", Attempt: 1, State: protocol.TaskRunning})); got != "" && got != "parked" {
+	b := newTestNode(t)
+	b.addJob("job-2", false, placedOnHost1)
+	if got := verbs(b.sendReport(7, 1, protocol.TaskReport{Task: "job-2/0", Attempt: 1, State: protocol.TaskRunning})); got != "" && got != "parked" {
 		t.Errorf("the site's own job got %q", got)
 	}
 }
@@ -80,17 +80,17 @@
 // A lease counts from when it was asked for: an answer that was held on its way for
 // minutes opens nothing.
 func TestLateLeaseOpensNothing(t *testing.T) {
-	b := newBench(t)
+	b := newTestNode(t)
 	j := b.claimed("job-1")
 	b.onLease(&wire.Lease{LeftMS: 3000}, nil, time.Now().Add(-3*time.Second))
-	if !b.closed(j, time.Now()) {
+	if !b.blockedBySiteLease(j, time.Now()) {
 		t.Error("a lease of 3 s asked for 3 s ago is taken for valid")
 	}
 	b.open()
-	if b.closed(j, time.Now()) {
+	if b.blockedBySiteLease(j, time.Now()) {
 		t.Error("a fresh lease opens nothing")
 	}
-	if !b.closed(j, time.Now().Add(3*time.Second)) {
+	if !b.blockedBySiteLease(j, time.Now().Add(3*time.Second)) {
 		t.Error("the lease does not end by itself")
 	}
 }
@@ -98,15 +98,15 @@
 // A direct command may be executed minutes late, when the site has lost the job.
 func TestGatewaysJobsAreNotStartedDirectly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newTestNode(t)
 		b.open()
-		b.claimed("job-1", onHost1)
+		b.claimed("job-1", placedOnHost1)
 		m := b.machines["host-1"]
-		m.addr, m.fenced, m.heard, m.session = "host-1:9000", true, time.Now(), 1
-		m.reported = time.Now()
+		m.addr, m.fenced, m.lastFencedReport, m.session = "host-1:9000", true, time.Now(), 1
+		m.lastReport = time.Now()
 		b.cfg.Params.Workers.ReportS = 6
-		b.startNow(m, time.Now())
-		if b.direct != 0 {
+		b.tryDirectStart(m, time.Now())
+		if b.directStarts != 0 {
 			t.Error("a job of the gateway was started directly")
 		}
 	})
@@ -116,10 +116,10 @@
 // what may not run any more, and, with no lease, also what it does not know. (A
 // replica that is behind does not know the newest jobs.)
 func TestStandInStopsTheGatewaysJobs(t *testing.T) {
-	b := newBench(t)
-	b.put(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
-	b.claimed("job-1", onHost1)
-	b.job("job-2", false)
+	b := newTestNode(t)
+	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
+	b.claimed("job-1", placedOnHost1)
+	b.addJob("job-2", false)
 	ask := func() string {
 		reply := make(chan answer, 1)
 		b.onReport(&protocol.Report{Machine: "host-1", Type: "g4", Zone: "a", Session: 1, Seq: 1, Token: 8, Tasks: []protocol.TaskReport{
@@ -137,7 +137,7 @@
 	if got := ask(); got != "halt job-1/0 " {
 		t.Errorf("without a gateway: %q", got)
 	}
-	b.SiteFrom = "127.0.0.1"
+	b.SiteDaemonHost = "127.0.0.1"
 	if got := ask(); got != "halt job-1/0 halt job-3/0 " {
 		t.Errorf("without a lease: %q", got)
 	}
@@ -158,7 +158,7 @@
 	spec := mustJSON(&protocol.JobSpec{ID: id, Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 1, CPUs: 4, GPUs: 1, Image: "i", ImageGB: 1})
 	reply := make(chan wire.Item, 1)
 	c.n.post(func() {
-		c.n.onCall(&wire.Item{Kind: kind, ID: id, Record: wire.Record{Epoch: epoch, Spec: spec}}, func(r wire.Item) { reply <- r })
+		c.n.onSiteCall(&wire.Item{Kind: kind, ID: id, Record: wire.Record{Epoch: epoch, Spec: spec}}, func(r wire.Item) { reply <- r })
 	})
 	select {
 	case r := <-reply:
@@ -175,9 +175,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		w := newWorld(t, ctx, 1, asTheyAre)
-		w.set(func() {
-			w.lease = func(context.Context, string) ([]byte, error) {
+		w := newWorld(t, ctx, 1, defaultSettings)
+		w.withLock(func() {
+			w.daemonLease = func(context.Context, string) ([]byte, error) {
 				return wire.EncodeLease(&wire.Lease{LeftMS: 3000}), nil
 			}
 		})
@@ -254,13 +254,13 @@
 				})
 				for _, name := range w.names {
 					n := w.node(name)
-					n.post(func() { n.SiteFrom = "the daemon" })
+					n.post(func() { n.SiteDaemonHost = "the daemon" })
 				}
 				lease := time.Duration(w.fleet.Workers.LeaseS * float64(time.Second))
-				bound := time.Duration(float64(controllers+lease)*(1+maxDrift)) + 4*time.Second
+				bound := time.Duration(float64(controllers+lease)*(1+maxClockDrift)) + 4*time.Second
 				on := map[string]int{}
 				end := time.Now().Add(time.Hour) // of the daemon's lease
-				w.set(func() {
+				w.withLock(func() {
 					w.fleet.Log = func(event, task, machine string, at time.Time) {
 						id, _, _ := protocol.ParseTaskID(task)
 						w.mu.Lock()
@@ -274,14 +274,14 @@
 							t.Errorf("%s started %v after the lease", task, time.Since(end))
 						}
 					}
-					w.lease = func(ctx context.Context, node string) ([]byte, error) {
-						time.Sleep(w.between(time.Millisecond, 300*time.Millisecond))
+					w.daemonLease = func(ctx context.Context, node string) ([]byte, error) {
+						time.Sleep(w.randDuration(time.Millisecond, 300*time.Millisecond))
 						w.mu.Lock()
 						left := max(0, min(controllers, time.Until(end)))
 						w.mu.Unlock()
 						data := wire.EncodeLease(&wire.Lease{LeftMS: uint32(left.Milliseconds())})
-						time.Sleep(w.between(time.Millisecond, 300*time.Millisecond))
-						if w.chance(&w.lossy) {
+						time.Sleep(w.randDuration(time.Millisecond, 300*time.Millisecond))
+						if w.chance(&w.lossRate) {
 							return nil, errNoAnswer
 						}
 						return data, nil
@@ -300,7 +300,7 @@
 							got := make(chan wire.Item, 1)
 							if n := w.node(w.names[i%3]); n != nil {
 								n.post(func() {
-									n.onCall(&wire.Item{Kind: wire.Submit, ID: id, Record: wire.Record{Epoch: 1, Spec: data}}, func(r wire.Item) { got <- r })
+									n.onSiteCall(&wire.Item{Kind: wire.Submit, ID: id, Record: wire.Record{Epoch: 1, Spec: data}}, func(r wire.Item) { got <- r })
 								})
 								select {
 								case r := <-got:
@@ -314,15 +314,15 @@
 						}
 					}()
 				}
-				time.Sleep(w.between(10*time.Second, 30*time.Second))
-				go troubles(w)
-				time.Sleep(w.between(0, 60*time.Second))
-				w.set(func() { end = time.Now().Add(controllers) })
+				time.Sleep(w.randDuration(10*time.Second, 30*time.Second))
+				go randomFaults(w)
+				time.Sleep(w.randDuration(0, 60*time.Second))
+				w.withLock(func() { end = time.Now().Add(controllers) })
 				time.Sleep(controllers + bound + time.Second)
 				ran := false
 				for range 60 {
 					for _, id := range ids {
-						w.set(func() {
+						w.withLock(func() {
 							if on[id] > 0 {
 								t.Errorf("%d tasks of %s run %v after the lease, bound %v", on[id], id, time.Since(end), bound)
 							}
@@ -332,11 +332,11 @@
 					time.Sleep(500 * time.Millisecond)
 				}
 				time.Sleep(3 * time.Minute) // the troubles are over
-				w.set(func() {
-					w.outage, w.lossy, w.late = false, 0, 0
-					clear(w.noState)
-					clear(w.noNet)
-					clear(w.deaf)
+				w.withLock(func() {
+					w.outage, w.lossRate, w.lateTxnRate = false, 0, 0
+					clear(w.stateRefused)
+					clear(w.isolated)
+					clear(w.workersUnreachable)
 					end = time.Now().Add(time.Hour)
 				})
 				time.Sleep(6 * time.Minute)
@@ -389,10 +389,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(context.Background())
-				w := newWorld(t, ctx, 1, asTheyAre)
+				w := newWorld(t, ctx, 1, defaultSettings)
 				time.Sleep(5 * time.Second)
 				n := w.node("n-0")
-				n.post(func() { n.Known = c.known })
+				n.post(func() { n.LookUpGatewayJob = c.known })
 				s := &protocol.JobSpec{ID: "job-1", Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 1, CPUs: 4, GPUs: 1, Image: "i", ImageGB: 1}
 				a, err := w.submitAt(ctx, "n-0", s)
 				if err != nil || a.status != c.status {
@@ -415,8 +415,8 @@
 		daemon, from string
 		status       int
 	}{{"", "127.0.0.1:5", 403}, {"10.0.0.9", "127.0.0.1:5", 403}, {"127.0.0.1", "127.0.0.1:5", 400}} {
-		b := newBench(t)
-		b.SiteFrom = c.daemon
+		b := newTestNode(t)
+		b.SiteDaemonHost = c.daemon
 		r := httptest.NewRequest("POST", "/site/calls", strings.NewReader("x"))
 		r.RemoteAddr = c.from
 		w := httptest.NewRecorder()
--- a/internal/coordination/node/square_test.go
+++ b/internal/coordination/node/square_test.go
@@ -15,35 +15,35 @@
 // only the share's machines are looked at anew. (With all jobs waiting for their time,
 // each turn looked at all of them, and a start at four times the fleet never ended.)
 func TestTakeOverCostsItsShare(t *testing.T) {
-	b := newBench(t)
-	b.fleetOf(40, 6)
-	b.put(protocol.BatchKey("other"), protocol.BatchRecord{Share: 1, Machines: []protocol.MachineRecord{{Name: "host-900000", Type: "g4", Zone: "a", Addr: "y:1"}}})
-	b.job("job-700001", true) // cancelled, and its end not stored
-	b.syncIndex(time.Now())
+	b := newTestNode(t)
+	b.addFleet(40, 6)
+	b.watchPut(protocol.BatchKey("other"), protocol.BatchRecord{Share: 1, Machines: []protocol.MachineRecord{{Name: "host-900000", Type: "g4", Zone: "a", Addr: "y:1"}}})
+	b.addJob("job-700001", true) // cancelled, and its end not stored
+	b.refreshIndex(time.Now())
 	clear(b.dirty)
-	b.put(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
-	b.put(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
+	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
+	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
 	if len(b.dirty) != 1 || !b.dirty[b.jobs["job-700001"]] {
 		t.Errorf("%d jobs to be stored after a take-over", len(b.dirty))
 	}
-	for _, m := range b.seen.stale {
+	for _, m := range b.planningFacts.staleMachines {
 		if m.rec.Share != 0 {
 			t.Errorf("%s of another share is looked at anew", m.name)
 		}
 	}
-	if all, heard, _ := b.shares[0].square.Counts(); all != 40 || heard != 0 {
+	if all, heard, _ := b.partitions[0].reconciliation.Counts(); all != 40 || heard != 0 {
 		t.Errorf("%d machines to be squared, %d heard", all, heard)
 	}
 	// The report of a machine under the new token squares it; until then its job's state
 	// is not known.
 	j := b.jobs["job-000000"]
-	if n := b.unheardTasks(j); n != 2 {
+	if n := b.tasksAwaitingReport(j); n != 2 {
 		t.Errorf("%d of 2 tasks on machines that have not spoken", n)
 	}
-	if r := b.row(j, time.Now()); r.State != "unknown" {
+	if r := b.jobRow(j, time.Now()); r.State != "unknown" {
 		t.Errorf("state %q, %q", r.State, r.Why)
 	}
-	if m := b.machines["host-001000"]; !b.hear(m, &protocol.Report{Machine: m.name, Session: 1, Seq: 1, Token: 9}, 9, time.Now()) || b.unheardTasks(j) != 0 {
+	if m := b.machines["host-001000"]; !b.acceptWorkerReport(m, &protocol.Report{Machine: m.name, Session: 1, Seq: 1, Token: 9}, 9, time.Now()) || b.tasksAwaitingReport(j) != 0 {
 		t.Error("heard, and not squared")
 	}
 }
@@ -51,43 +51,43 @@
 // Idleness that nobody saw is not "idle since the take-over", and what this node saw
 // itself is kept through one.
 func TestIdlenessSurvivesOrIsUnknown(t *testing.T) {
-	b := newBench(t)
+	b := newTestNode(t)
 	b.loaded = false // the machines of a start
-	b.put(protocol.BatchKey("old"), protocol.BatchRecord{Machines: []protocol.MachineRecord{{Name: "host-5", Type: "g4", Zone: "a", Addr: "x:5"}}})
+	b.watchPut(protocol.BatchKey("old"), protocol.BatchRecord{Machines: []protocol.MachineRecord{{Name: "host-5", Type: "g4", Zone: "a", Addr: "x:5"}}})
 	b.loaded = true
 	unseen := b.machines["host-5"]
-	b.job("job-000001", false, protocol.Placement{Task: 0, Attempt: 1, Machine: "host-1"})
-	b.setPhase(b.jobs["job-000001"], 0, waiting, nil, 0, time.Now())
+	b.addJob("job-000001", false, protocol.Placement{Task: 0, Attempt: 1, Machine: "host-1"})
+	b.setPhase(b.jobs["job-000001"], 0, phaseWaiting, nil, 0, time.Now())
 	seen := b.machines["host-1"]
 	since := seen.idleSince
-	b.put(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
-	b.put(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
+	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
+	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
 	now := time.Now().Add(time.Hour)
-	b.hear(unseen, &protocol.Report{Machine: "host-5", Session: 1, Seq: 1, Token: 9}, 9, now)
-	if !unseen.idleUnseen || !unseen.idleSince.Equal(now) {
-		t.Errorf("unseen %v, idle since %v", unseen.idleUnseen, unseen.idleSince)
+	b.acceptWorkerReport(unseen, &protocol.Report{Machine: "host-5", Session: 1, Seq: 1, Token: 9}, 9, now)
+	if !unseen.idleSinceUnknown || !unseen.idleSince.Equal(now) {
+		t.Errorf("unseen %v, idle since %v", unseen.idleSinceUnknown, unseen.idleSince)
 	}
-	if seen.idleUnseen || !seen.idleSince.Equal(since) || since.IsZero() {
-		t.Errorf("unseen %v, idle since %v, was %v", seen.idleUnseen, seen.idleSince, since)
+	if seen.idleSinceUnknown || !seen.idleSince.Equal(since) || since.IsZero() {
+		t.Errorf("unseen %v, idle since %v, was %v", seen.idleSinceUnknown, seen.idleSince, since)
 	}
 	// Of many such machines only some go at a time, and none before the share is settled.
 	var spare []*machine
 	for i := range 100 {
-		m := b.machine(fmt.Sprintf("host-8%05d", i))
-		m.idleUnseen = true
+		m := b.findOrAddMachine(fmt.Sprintf("host-8%05d", i))
+		m.idleSinceUnknown = true
 		spare = append(spare, m)
 	}
-	b.types["g4"].BootS = 25
-	s := b.shares[0]
-	if back := b.idleOnes(spare, now); len(back) > 0 {
+	b.machineTypes["g4"].BootS = 25
+	s := b.partitions[0]
+	if back := b.returnableIdle(spare, now); len(back) > 0 {
 		t.Errorf("%d returned while the share is squared", len(back))
 	}
-	s.square.Step(now)
+	s.reconciliation.Step(now)
 	now = now.Add(2 * time.Second)
-	if back := b.idleOnes(spare, now); len(back) != 4 {
+	if back := b.returnableIdle(spare, now); len(back) != 4 {
 		t.Errorf("%d of 100 returned at once with a boot time of 25 s", len(back))
 	}
-	if back := b.idleOnes(spare, now.Add(100*time.Millisecond)); len(back) != 0 {
+	if back := b.returnableIdle(spare, now.Add(100*time.Millisecond)); len(back) != 0 {
 		t.Errorf("%d more a moment later", len(back))
 	}
 }
@@ -95,11 +95,11 @@
 // A late node that squares a share answers polls and listings at once with when to come
 // back, except what is final; one that is in time, or serves, answers all.
 func TestLateStartShedsPolls(t *testing.T) {
-	b := newBench(t)
-	b.fleetOf(20, 0)
-	b.finals.add("job-800000", protocol.FinalRecord{Status: protocol.JobDone, Tasks: 1})
-	b.put(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
-	b.put(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
+	b := newTestNode(t)
+	b.addFleet(20, 0)
+	b.finalJobs.add("job-800000", protocol.FinalRecord{Status: protocol.JobDone, Tasks: 1})
+	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
+	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
 	poll := func(id string) int {
 		c := make(chan answer, 1)
 		b.onPoll(id, c)
@@ -113,7 +113,7 @@
 	if s := poll("job-000000"); s != 0 {
 		t.Errorf("a poll in time is answered %d", s)
 	}
-	b.ordering.budget.Turn(time.Now(), time.Second)
+	b.loadControl.budget.Turn(time.Now(), time.Second)
 	if s := poll("job-000000"); s != 503 {
 		t.Errorf("a poll of a late node is answered %d", s)
 	}
@@ -121,11 +121,11 @@
 		t.Errorf("a poll of what is final is answered %d", s)
 	}
 	c := make(chan answer, 1)
-	b.listing(func(reply chan<- answer) { reply <- answer{status: 200} })(c)
-	if a := <-c; a.status != 503 || a.retryS == 0 {
-		t.Errorf("a listing is answered %d, come back in %d s", a.status, a.retryS)
+	b.withLoadShedding(func(reply chan<- answer) { reply <- answer{status: 200} })(c)
+	if a := <-c; a.status != 503 || a.retryAfterS == 0 {
+		t.Errorf("a listing is answered %d, come back in %d s", a.status, a.retryAfterS)
 	}
-	b.shares[0].square.Step(time.Now().Add(time.Minute))
+	b.partitions[0].reconciliation.Step(time.Now().Add(time.Minute))
 	if s := poll("job-000000"); s != 0 {
 		t.Errorf("a poll of a node that serves is answered %d", s)
 	}
@@ -134,26 +134,26 @@
 // A node whose own load cost it its lease takes fewer shares, later; one that stood
 // still, or was cut off, does not.
 func TestOwnLoadTakesFewerShares(t *testing.T) {
-	b := newBench(t)
+	b := newTestNode(t)
 	now := time.Now()
-	b.nodes = map[string]time.Time{"n-0": now, "n-1": now}
-	b.shares[1].vacant = now
-	b.overloaded(2, now)
-	if !b.mayTake(b.shares[1], 2, now) || b.squareDelay(0, now) != 0 {
+	b.liveNodes = map[string]time.Time{"n-0": now, "n-1": now}
+	b.partitions[1].vacantSince = now
+	b.noteOverload(2, now)
+	if !b.mayTake(b.partitions[1], 2, now) || b.extraTakeDelay(0, now) != 0 {
 		t.Error("a lease that ended for another cause counts as load")
 	}
-	b.ordering.budget.Turn(now, time.Second)
-	b.overloaded(2, now)
-	if b.mayTake(b.shares[1], 1, now) || !b.mayTake(b.shares[1], 0, now) || b.squareDelay(0, now) != time.Second {
-		t.Errorf("after its own load: a second share %v, the first one %v, %v later", b.mayTake(b.shares[1], 1, now), b.mayTake(b.shares[1], 0, now), b.squareDelay(0, now))
+	b.loadControl.budget.Turn(now, time.Second)
+	b.noteOverload(2, now)
+	if b.mayTake(b.partitions[1], 1, now) || !b.mayTake(b.partitions[1], 0, now) || b.extraTakeDelay(0, now) != time.Second {
+		t.Errorf("after its own load: a second share %v, the first one %v, %v later", b.mayTake(b.partitions[1], 1, now), b.mayTake(b.partitions[1], 0, now), b.extraTakeDelay(0, now))
 	}
-	if !b.mayTake(b.shares[1], 1, now.Add(abandoned+time.Second)) {
+	if !b.mayTake(b.partitions[1], 1, now.Add(maxVacancy+time.Second)) {
 		t.Error("nobody takes a share that all others leave")
 	}
-	b.eyes.awake = now
-	b.ordering.lapses = 0
-	b.overloaded(2, now)
-	if b.ordering.lapses != 0 {
+	b.reachability.stallEnded = now
+	b.loadControl.overloadLapses = 0
+	b.noteOverload(2, now)
+	if b.loadControl.overloadLapses != 0 {
 		t.Error("standing still counts as load")
 	}
 }
@@ -162,7 +162,7 @@
 // at once, for itself too.
 func TestFormerLeaseEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, t.Context(), 3, asTheyAre)
+		w := newWorld(t, t.Context(), 3, defaultSettings)
 		time.Sleep(5 * time.Second)
 		held := func() string { // by n-0, as the store has it
 			for i := range 3 {
@@ -177,7 +177,7 @@
 		}
 		before := held()
 		w.stop["n-0"]()
-		w.boot("n-0")
+		w.startNode("n-0")
 		time.Sleep(1500 * time.Millisecond)
 		if after := held(); before == "" || after == "" || after == before {
 			t.Errorf("held %q before, %q 1.5 s after", before, after)
@@ -192,8 +192,8 @@
 // that has not spoken. A fault done on purpose, a share taken for served at once, is found.
 func TestNobodyIsStoppedBeforeTheShareServes(t *testing.T) {
 	for _, sabotaged := range []bool{false, true} {
-		b := newBench(t)
-		b.put(protocol.BatchKey("r-0-7-2-0"), protocol.BatchRecord{Machines: []protocol.MachineRecord{{Name: "host-2", Type: "g4", Zone: "a", Addr: "x:2"}, {Name: "host-3", Type: "g4", Zone: "a", Addr: "x:3"}}})
+		b := newTestNode(t)
+		b.watchPut(protocol.BatchKey("r-0-7-2-0"), protocol.BatchRecord{Machines: []protocol.MachineRecord{{Name: "host-2", Type: "g4", Zone: "a", Addr: "x:2"}, {Name: "host-3", Type: "g4", Zone: "a", Addr: "x:3"}}})
 		low := &protocol.JobSpec{ID: "job-000001", Team: "red", Class: "c", Shape: protocol.Array, Priority: "best_effort", Tasks: 4, CPUs: 4, GPUs: 1, MemoryGB: 8, Image: "i", ImageGB: 1, EstimateS: 900}
 		rec := protocol.JobRecord{Spec: low, Next: 2}
 		var tasks []protocol.TaskReport
@@ -201,22 +201,22 @@
 			rec.Placed = append(rec.Placed, protocol.Placement{Task: i, Attempt: 1, Machine: "host-1"})
 			tasks = append(tasks, protocol.TaskReport{Task: protocol.TaskID(low.ID, i), Attempt: 1, State: protocol.TaskRunning})
 		}
-		b.put(protocol.JobKey(low.ID), rec)
-		b.put(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
-		b.put(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
-		b.report(9, 1, tasks...)
+		b.watchPut(protocol.JobKey(low.ID), rec)
+		b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
+		b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
+		b.sendReport(9, 1, tasks...)
 		urgent := *low
 		urgent.ID, urgent.Priority, urgent.Tasks, urgent.Shape = "job-000002", "critical", 1, protocol.Service
-		b.put(protocol.JobKey(urgent.ID), protocol.JobRecord{Spec: &urgent, Next: 1})
-		s, now := b.shares[0], time.Now()
-		b.Contact(now)
-		b.policy.NoRents = true
+		b.watchPut(protocol.JobKey(urgent.ID), protocol.JobRecord{Spec: &urgent, Next: 1})
+		s, now := b.partitions[0], time.Now()
+		b.RecordContact(now)
+		b.policy.StopRentals = true
 		if sabotaged {
-			s.square = start.Begin(start.Times{}, now, nil)
+			s.reconciliation = start.Begin(start.Times{}, now, nil)
 		}
 		stopped := func() (n int) {
 			for i := range b.jobs[low.ID].tasks {
-				if b.jobs[low.ID].tasks[i].stop {
+				if b.jobs[low.ID].tasks[i].stopRequested {
 					n++
 				}
 			}
@@ -226,7 +226,7 @@
 		if got := stopped() > 0; got != sabotaged {
 			t.Fatalf("sabotaged %v: %d tasks stopped while two of three machines have not spoken", sabotaged, stopped())
 		}
-		s.square.Step(now.Add(time.Minute))
+		s.reconciliation.Step(now.Add(time.Minute))
 		if b.plan(now); stopped() == 0 {
 			t.Error("nobody is stopped once the share serves: the test shows nothing")
 		}
@@ -236,24 +236,24 @@
 // A node that stood still counts what came meanwhile by its own time, in order; and the
 // time in which nobody decided makes no machine idle.
 func TestArrivalsAndIdlenessThroughAStall(t *testing.T) {
-	b := newBench(t)
+	b := newTestNode(t)
 	now := time.Now()
-	b.ordering.follows = now.Add(-time.Hour)
+	b.loadControl.followingSince = now.Add(-time.Hour)
 	for i, ago := range []time.Duration{10 * time.Second, 50 * time.Second, 30 * time.Second, 10 * time.Minute} {
 		spec := &protocol.JobSpec{ID: fmt.Sprintf("job-60000%d", i), Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 1, CPUs: 4, GPUs: 1, Image: "i", ImageGB: 1}
-		b.put(protocol.JobKey(spec.ID), protocol.JobRecord{Spec: spec, SubmittedMS: now.Add(-ago).UnixMilli(), Next: 1})
+		b.watchPut(protocol.JobKey(spec.ID), protocol.JobRecord{Spec: spec, SubmittedMS: now.Add(-ago).UnixMilli(), Next: 1})
 	}
 	var ids string
-	for _, a := range b.shares[0].recent {
+	for _, a := range b.partitions[0].recentArrivals {
 		ids += a.Spec.ID[9:] + " "
 	}
 	if ids != "1 2 0 " {
 		t.Errorf("arrivals %q, want the three of the last two minutes in order", ids)
 	}
-	s, m := b.shares[0], b.machines["host-1"]
-	m.idleSince, m.idleUnseen = now.Add(-40*time.Second), false
-	s.taken, s.taking.gap = now.Add(-8*time.Second), 4*time.Second
-	b.resumeIdle(s, now)
+	s, m := b.partitions[0], b.machines["host-1"]
+	m.idleSince, m.idleSinceUnknown = now.Add(-40*time.Second), false
+	s.acquiredAt, s.takeover.gap = now.Add(-8*time.Second), 4*time.Second
+	b.excludeGapFromIdle(s, now)
 	if idle := now.Sub(m.idleSince); idle != 28*time.Second {
 		t.Errorf("idle for %v, of 40 s in which nobody decided for 12", idle)
 	}
@@ -261,41 +261,41 @@
 
 // A node that turns workers' connections away does not take their silence for theirs.
 func TestTurnedAwayIsNotSilent(t *testing.T) {
-	b := newBench(t)
-	b.fleetOf(5, 0)
+	b := newTestNode(t)
+	b.addFleet(5, 0)
 	now := time.Now().Add(time.Hour)
-	b.Contact(now)
-	m := b.shares[0].machines[1]
-	m.added = now.Add(-time.Minute)
+	b.RecordContact(now)
+	m := b.partitions[0].machines[1]
+	m.trackedSince = now.Add(-time.Minute)
 	b.cfg.Params.Workers.LeaseS = 3600
-	if !b.dead(m, now) {
+	if !b.presumedDead(m, now) {
 		t.Fatal("a minute's silence is not noticed")
 	}
 	closed := int64(0)
-	b.Closed = func() int64 { return closed }
-	b.noteShut(now)
-	if !b.dead(m, now) {
+	b.ClosedConnections = func() int64 { return closed }
+	b.noteRefusedConnections(now)
+	if !b.presumedDead(m, now) {
 		t.Error("nothing was turned away, and silence does not count")
 	}
 	closed = 3
-	b.noteShut(now)
-	if b.dead(m, now) || b.silent(m, now) {
+	b.noteRefusedConnections(now)
+	if b.presumedDead(m, now) || b.silent(m, now) {
 		t.Error("given up for a silence of this node's own making")
 	}
-	b.Contact(now.Add(time.Minute))
-	m.heard = now.Add(-time.Second)
+	b.RecordContact(now.Add(time.Minute))
+	m.lastFencedReport = now.Add(-time.Second)
 	b.cfg.Params.Workers.LeaseS = 36
-	b.noteShut(now)
+	b.noteRefusedConnections(now)
 	for i := range 120 { // a node that turns workers away all the time still notices the dead
 		closed++
-		b.noteShut(now.Add(time.Duration(i) * time.Second))
+		b.noteRefusedConnections(now.Add(time.Duration(i) * time.Second))
 	}
-	if b.Contact(now.Add(2 * time.Minute)); !b.dead(m, now.Add(2*time.Minute)) {
+	if b.RecordContact(now.Add(2 * time.Minute)); !b.presumedDead(m, now.Add(2*time.Minute)) {
 		t.Error("never given up, since others are turned away")
 	}
-	m.heard = time.Time{}
-	b.noteShut(now.Add(time.Minute))
-	if !b.dead(m, now.Add(time.Minute)) {
+	m.lastFencedReport = time.Time{}
+	b.noteRefusedConnections(now.Add(time.Minute))
+	if !b.presumedDead(m, now.Add(time.Minute)) {
 		t.Error("silence does not count long after")
 	}
 }
