--- a/internal/coordination/node/standby.go
+++ b/internal/coordination/node/standby.go
@@ -16,159 +16,159 @@
 // standby keeps of it, when a share is taken, and what must hold before the first
 // decision. See docs/standby.md.
 
-// standing is what this node knows of who stands by for whom.
-type standing struct {
-	pairs   map[int]standby.Pair // by share
-	doubts  *standby.Doubts
-	ended   map[string]time.Time // siblings whose process has ended, by all evidence, since when
-	told    atomic.Pointer[news] // what the next hints tell; read by other routines
-	next    int                  // of the machines of the shares held, whom to tell of next
-	seq     uint64
-	leaving bool // it hands over and ends
+// standbyState is what this node knows of who stands by for whom.
+type standbyState struct {
+	standbys      map[int]standby.Pair // by share
+	suspicions    *standby.Doubts
+	presumedEnded map[string]time.Time        // siblings whose process has ended, by all evidence, since when
+	outgoing      atomic.Pointer[hintPayload] // what the next hints tell; read by other routines
+	nextMachine   int                         // of the machines of the shares held, whom to tell of next
+	seq           uint64
+	leaving       bool // it hands over and ends
 }
 
-// news is what a hint tells a standby.
-type news struct {
-	seq     uint64
-	known   []protocol.Known
-	refused []protocol.RefusedOffer
+// hintPayload is what a hint tells a standby.
+type hintPayload struct {
+	seq      uint64
+	machines []protocol.Known
+	refused  []protocol.RefusedOffer
 	// Jobs that are being cancelled: a holder that can't read that in the state service
 	// stops their tasks.
 	cancelled []protocol.CancelledJob
 }
 
-// taking is how the present holder came to a share, and when it first decided.
-type taking struct {
-	cause   standby.Cause
-	gap     time.Duration // since the holder before was last heard of
-	waits   standby.Check // what its first decision waits for
-	decided bool
+// takeover is how the present holder came to a share, and when it first decided.
+type takeover struct {
+	cause     standby.Cause
+	gap       time.Duration // since the holder before was last heard of
+	blockedBy standby.Check // what its first decision waits for
+	decided   bool
 }
 
-// knownPerHint is how many machines one hint tells of: 1,372 of three holders go round
+// machinesPerHint is how many machines one hint tells of: 1,372 of three holders go round
 // in four seconds, in 4 KB a second and sibling.
-const knownPerHint = 120
+const machinesPerHint = 120
 
-// tellKnown readies what the next hints tell of machines of the shares held.
-func (n *Node) tellKnown(now time.Time) {
-	s := &n.standing
+// prepareMachineHints readies what the next hints tell of machines of the shares held.
+func (n *Node) prepareMachineHints(now time.Time) {
+	s := &n.standby
 	s.seq++
-	w := &news{seq: s.seq}
+	w := &hintPayload{seq: s.seq}
 	var ours []*machine
-	for _, sh := range n.shares {
-		if n.mine(sh) {
+	for _, sh := range n.partitions {
+		if n.owns(sh) {
 			ours = append(ours, sh.machines...)
 		}
 	}
-	for range min(knownPerHint, len(ours)) {
-		s.next = (s.next + 1) % len(ours)
-		if m := ours[s.next]; !m.reported.IsZero() {
-			w.known = append(w.known, protocol.Known{Machine: m.name, SecPerGB: m.secPerGB, AgeS: now.Sub(m.reported).Seconds()})
+	for range min(machinesPerHint, len(ours)) {
+		s.nextMachine = (s.nextMachine + 1) % len(ours)
+		if m := ours[s.nextMachine]; !m.lastReport.IsZero() {
+			w.machines = append(w.machines, protocol.Known{Machine: m.name, SecPerGB: m.secPerGB, AgeS: now.Sub(m.lastReport).Seconds()})
 		}
 	}
-	w.cancelled = n.tellCancelled()
-	for o, till := range n.cloudside.refusedTill {
+	w.cancelled = n.cancelledJobsForHint()
+	for o, till := range n.cloudState.refusedUntil {
 		if d := till.Sub(now); d > 0 {
 			w.refused = append(w.refused, protocol.RefusedOffer{Type: o.Type, Zone: o.Zone, Spot: o.Spot, ForS: d.Seconds()})
 		}
 	}
-	s.told.Store(w)
+	s.outgoing.Store(w)
 }
 
 const (
-	mostSecPerGB = 1000.0 // beyond that a hint is nonsense
-	mostRefusedS = 30.0
+	maxSecPerGB = 1000.0 // beyond that a hint is nonsense
+	maxRefusalS = 30.0
 )
 
-// learnKnown takes in what a sibling tells of machines that it commands. All of it may be
+// applyMachineHints takes in what a sibling tells of machines that it commands. All of it may be
 // old or wrong: it makes costs and the order of questions better, and proves nothing.
-func (n *Node) learnKnown(name string, s *sibling, h *protocol.Hint, now time.Time) {
-	if h.Life == 0 || h.Life != n.lives.of[name] {
+func (n *Node) applyMachineHints(name string, s *peer, h *protocol.Hint, now time.Time) {
+	if h.Life == 0 || h.Life != n.incarnations.leaseOf[name] {
 		return // of a former life, or of one that is not recorded yet
 	}
-	if h.Life == s.life && h.Seq <= s.seq {
+	if h.Life == s.incarnation && h.Seq <= s.seq {
 		return // an older one, or the same again
 	}
-	if h.Life == s.life && h.Seq > s.seq+1 {
-		s.gaps++
+	if h.Life == s.incarnation && h.Seq > s.seq+1 {
+		s.sequenceGaps++
 	}
-	s.life, s.seq, s.news = h.Life, h.Seq, now
+	s.incarnation, s.seq, s.lastNewHint = h.Life, h.Seq, now
 	for _, k := range h.Known {
 		m := n.machines[k.Machine]
-		if m == nil || !m.known || n.mine(n.shares[m.rec.Share]) || n.shares[m.rec.Share].holder.Node != name {
+		if m == nil || !m.recorded || n.owns(n.partitions[m.rec.Share]) || n.partitions[m.rec.Share].owner.Node != name {
 			continue
 		}
-		if k.SecPerGB > 0 && k.SecPerGB <= mostSecPerGB {
+		if k.SecPerGB > 0 && k.SecPerGB <= maxSecPerGB {
 			m.secPerGB = k.SecPerGB
-			n.touch(m)
+			n.markStale(m)
 		}
 		if k.AgeS >= 0 && k.AgeS <= n.cfg.Params.Workers.LeaseS {
-			m.reported = now.Add(-n.seconds(k.AgeS))
+			m.lastReport = now.Add(-n.seconds(k.AgeS))
 		}
-		m.toldAt = now
+		m.lastHint = now
 	}
-	n.learnCancelled(name, h.Cancelled)
-	s.offers = s.offers[:0]
+	n.applyCancelHints(name, h.Cancelled)
+	s.refusedOffers = s.refusedOffers[:0]
 	for _, r := range h.Refused {
-		if r.ForS > 0 && r.ForS <= mostRefusedS {
-			s.offers = append(s.offers, refusal{offer{Type: r.Type, Zone: r.Zone, Spot: r.Spot}, now.Add(n.seconds(r.ForS))})
+		if r.ForS > 0 && r.ForS <= maxRefusalS {
+			s.refusedOffers = append(s.refusedOffers, refusedOffer{offer{Type: r.Type, Zone: r.Zone, Spot: r.Spot}, now.Add(n.seconds(r.ForS))})
 		}
 	}
 }
 
-// refusal is an offer that the cloud refused a sibling, and until when it is not asked
+// refusedOffer is an offer that the cloud refused a sibling, and until when it is not asked
 // for. It counts for this node when it takes that sibling's share.
-type refusal struct {
+type refusedOffer struct {
 	offer
-	till time.Time
+	until time.Time
 }
 
-// Warmth is how much a standby knows of a share beyond the records.
-type Warmth struct {
-	AgeS  float64 `json:"age_s"` // of the holder's last news; -1: none
-	Gaps  int     `json:"gaps"`  // in the numbers of its hints, in its life
-	Known float64 `json:"known"` // part of the machines up that it told of lately
+// StandbyFreshness is how much a standby knows of a share beyond the records.
+type StandbyFreshness struct {
+	AgeS          float64 `json:"age_s"` // of the holder's last news; -1: none
+	SequenceGaps  int     `json:"gaps"`  // in the numbers of its hints, in its life
+	KnownFraction float64 `json:"known"` // part of the machines up that it told of lately
 }
 
-// warmFor is within which a machine must have been told of to count as known.
-const warmFor = 20 * time.Second
+// machineHintMaxAge is within which a machine must have been told of to count as known.
+const machineHintMaxAge = 20 * time.Second
 
-func (n *Node) warmth(sh *share, now time.Time) Warmth {
-	w := Warmth{AgeS: -1}
-	s := n.siblings[sh.holder.Node]
-	if s == nil || s.news.IsZero() {
+func (n *Node) standbyFreshness(sh *partition, now time.Time) StandbyFreshness {
+	w := StandbyFreshness{AgeS: -1}
+	s := n.peers[sh.owner.Node]
+	if s == nil || s.lastNewHint.IsZero() {
 		return w
 	}
 	up, known := 0, 0
 	for _, m := range sh.machines {
 		if m.rec.Addr != "" {
 			up++
-			if now.Sub(m.toldAt) < warmFor {
+			if now.Sub(m.lastHint) < machineHintMaxAge {
 				known++
 			}
 		}
 	}
-	w.AgeS, w.Gaps = round(now.Sub(s.news).Seconds()), s.gaps
-	if w.Known = 1; up > 0 {
-		w.Known = float64(known) / float64(up)
+	w.AgeS, w.SequenceGaps = roundToTenth(now.Sub(s.lastNewHint).Seconds()), s.sequenceGaps
+	if w.KnownFraction = 1; up > 0 {
+		w.KnownFraction = float64(known) / float64(up)
 	}
 	return w
 }
 
-// Noticed takes in what a sender of hints notices of a sibling. Its host refusing a
+// OnConnEvent takes in what a sender of hints notices of a sibling. Its host refusing a
 // connection says that it can be reached, and so can, most likely, the workers on its
 // side.
-func (n *Node) Noticed(node string, e transport.Event) {
+func (n *Node) OnConnEvent(node string, e transport.Event) {
 	n.post(func() {
-		s := n.siblings[node]
+		s := n.peers[node]
 		if s == nil {
 			return
 		}
 		switch now := time.Now(); e {
 		case transport.ConnEnded:
-			s.broke = now
+			s.connLostAt = now
 		case transport.ConnRefused:
-			s.refused = now
+			s.connRefusedAt = now
 		}
 	})
 }
@@ -177,129 +177,129 @@
 func (n *Node) assignStandbys(now time.Time) {
 	var shares []standby.Share
 	held := map[string]int{}
-	for _, s := range n.shares {
-		shares = append(shares, standby.Share{Index: s.index, Holder: s.holder.Node})
-		if s.holder.Token != 0 {
-			held[s.holder.Node]++
+	for _, s := range n.partitions {
+		shares = append(shares, standby.Share{Index: s.index, Holder: s.owner.Node})
+		if s.owner.Token != 0 {
+			held[s.owner.Node]++
 		}
 	}
 	var nodes []standby.Node
-	for name := range n.nodes {
+	for name := range n.liveNodes {
 		x := standby.Node{Name: name, Zone: n.cfg.Zone, Held: held[name]}
-		if s := n.siblings[name]; s != nil {
-			x.Zone, x.Poor = s.zone, n.hears(name, now) && (s.blind || !s.stateOK)
+		if s := n.peers[name]; s != nil {
+			x.Zone, x.Poor = s.zone, n.receivesHints(name, now) && (s.workersUnreachable || !s.stateOK)
 		} else if name == n.cfg.Node {
-			x.Poor = n.eyes.blind.Load()
+			x.Poor = n.reachability.workersUnreachable.Load()
 		}
 		nodes = append(nodes, x)
 	}
-	for i, p := range standby.Assign(shares, nodes, n.standing.pairs) {
-		if was := n.standing.pairs[i]; p != was && (p.First == n.cfg.Node || was.First == n.cfg.Node) {
+	for i, p := range standby.Assign(shares, nodes, n.standby.standbys) {
+		if was := n.standby.standbys[i]; p != was && (p.First == n.cfg.Node || was.First == n.cfg.Node) {
 			n.log.Info("standby", "share", i, "first", p.First, "second", p.Second)
 		}
-		n.standing.pairs[i] = p
+		n.standby.standbys[i] = p
 	}
 }
 
-// askIfEnded asks siblings that seem to have ended, through the store, whether they
+// checkSuspectedPeers asks siblings that seem to have ended, through the store, whether they
 // live, and takes the shares of those that do not answer.
-func (n *Node) askIfEnded(now time.Time) {
-	mayAsk := n.lease != 0 && !n.standing.leaving && n.sinceContact(now) < time.Second && now.Sub(n.eyes.awake) > stallGap
-	for name, s := range n.siblings {
-		seen := standby.Seen{Heard: s.heard, Broke: s.broke, Refused: s.refused, Stamp: n.stamp(protocol.NodeKey(name))}
+func (n *Node) checkSuspectedPeers(now time.Time) {
+	mayAsk := n.lease != 0 && !n.standby.leaving && n.sinceContact(now) < time.Second && now.Sub(n.reachability.stallEnded) > stallThreshold
+	for name, s := range n.peers {
+		seen := standby.Seen{Heard: s.lastHint, Broke: s.connLostAt, Refused: s.connRefusedAt, Stamp: n.revisionOf(protocol.NodeKey(name))}
 		stands := false
-		for _, sh := range n.shares {
-			if sh.holder.Token != 0 && sh.holder.Node == name {
+		for _, sh := range n.partitions {
+			if sh.owner.Token != 0 && sh.owner.Node == name {
 				seen.Holds = true
-				p := n.standing.pairs[sh.index]
+				p := n.standby.standbys[sh.index]
 				stands = stands || p.First == n.cfg.Node || p.Second == n.cfg.Node
 			}
 		}
 		seen.Holds = seen.Holds && stands
-		ask, ended := n.standing.doubts.Look(name, seen, mayAsk, now)
+		ask, ended := n.standby.suspicions.Look(name, seen, mayAsk, now)
 		if ask {
 			n.log.Info("asked whether it lives", "sibling", name)
 			key := protocol.DoubtKey(name)
 			n.submit(&storage.Op{Writes: []storage.Write{{Put: key, Value: mustJSON(protocol.DoubtRecord{By: n.cfg.Node}), Lease: n.lease}}},
-				func(r storage.Result) { n.standing.doubts.Asked(name, r.OK, time.Now()) })
+				func(r storage.Result) { n.standby.suspicions.Asked(name, r.OK, time.Now()) })
 		}
 		if !ended {
-			delete(n.standing.ended, name)
+			delete(n.standby.presumedEnded, name)
 			continue
 		}
-		if _, known := n.standing.ended[name]; !known {
-			n.standing.ended[name] = now
-			n.log.Info("has ended, by all evidence", "sibling", name, "silent_s", round(now.Sub(s.heard).Seconds()))
+		if _, known := n.standby.presumedEnded[name]; !known {
+			n.standby.presumedEnded[name] = now
+			n.log.Info("has ended, by all evidence", "sibling", name, "silent_s", roundToTenth(now.Sub(s.lastHint).Seconds()))
 		}
-		for _, sh := range n.shares {
-			if sh.holder.Token != 0 && sh.holder.Node == name && !sh.changesHands() && now.Sub(n.standing.ended[name]) >= n.standing.pairs[sh.index].After(n.cfg.Node) {
+		for _, sh := range n.partitions {
+			if sh.owner.Token != 0 && sh.owner.Node == name && !sh.ownerChanging() && now.Sub(n.standby.presumedEnded[name]) >= n.standby.standbys[sh.index].After(n.cfg.Node) {
 				// If the holder answers after all before this is stored, it is not stored.
-				n.take(sh, n.cond(protocol.NodeKey(name)))
+				n.takePartition(sh, n.unchanged(protocol.NodeKey(name)))
 			}
 		}
 	}
 }
 
-// doubted answers a sibling that doubts whether this node lives.
-func (n *Node) doubted(by string) {
-	if by == n.cfg.Node || n.lease == 0 || n.standing.leaving {
+// answerLivenessCheck answers a sibling that doubts whether this node lives.
+func (n *Node) answerLivenessCheck(by string) {
+	if by == n.cfg.Node || n.lease == 0 || n.standby.leaving {
 		return
 	}
 	n.log.Info("answered that it lives", "asked_by", by)
-	n.sayAlive()
+	n.storeNodeRecord()
 }
 
-// takenOver notes how a share came to this node.
-func (n *Node) takenOver(s *share, was protocol.HolderRecord, now time.Time) {
-	s.taking = taking{cause: standby.AtStart, waits: standby.Check(math.MaxUint8)}
-	before := n.siblings[s.before]
+// recordTakeover notes how a share came to this node.
+func (n *Node) recordTakeover(s *partition, was protocol.HolderRecord, now time.Time) {
+	s.takeover = takeover{cause: standby.AtStart, blockedBy: standby.Check(math.MaxUint8)}
+	before := n.peers[s.previousOwner]
 	switch {
 	case was.Token != 0:
-		s.taking.cause = standby.Ended
-	case before == nil || s.vacant.Sub(n.ordering.follows) < leaseLife:
+		s.takeover.cause = standby.Ended
+	case before == nil || s.vacantSince.Sub(n.loadControl.followingSince) < leaseTTL:
 		return // what it found when it began: others begin too, and end their former lives
-	case s.vacant.Sub(before.heard) < leaseLife*3/4:
-		s.taking.cause = standby.HandedOn
+	case s.vacantSince.Sub(before.lastHint) < leaseTTL*3/4:
+		s.takeover.cause = standby.HandedOn
 	default:
-		s.taking.cause = standby.LeaseOver
+		s.takeover.cause = standby.LeaseOver
 	}
 	if before != nil {
-		for _, r := range before.offers {
-			n.cloudside.refusedTill[r.offer] = later(n.cloudside.refusedTill[r.offer], r.till)
+		for _, r := range before.refusedOffers {
+			n.cloudState.refusedUntil[r.offer] = latest(n.cloudState.refusedUntil[r.offer], r.until)
 		}
 	}
-	if before != nil && !before.heard.IsZero() {
-		s.taking.gap = now.Sub(before.heard)
-		if s.taking.cause == standby.HandedOn {
-			s.taking.gap = now.Sub(s.vacant)
+	if before != nil && !before.lastHint.IsZero() {
+		s.takeover.gap = now.Sub(before.lastHint)
+		if s.takeover.cause == standby.HandedOn {
+			s.takeover.gap = now.Sub(s.vacantSince)
 		}
 	}
-	n.metrics.takeover.WithLabelValues(s.taking.cause.String()).Observe(s.taking.gap.Seconds())
+	n.metrics.takeover.WithLabelValues(s.takeover.cause.String()).Observe(s.takeover.gap.Seconds())
 }
 
 // mayDecide holds a share's first decision up until all that must hold does.
-func (n *Node) mayDecide(s *share, now time.Time) bool {
-	if !n.entriesReadable(s) {
+func (n *Node) mayDecide(s *partition, now time.Time) bool {
+	if !n.logReadable(s) {
 		return false
 	}
-	if s.taking.decided {
+	if s.takeover.decided {
 		return true
 	}
-	f := standby.Facts{Held: n.mine(s), Contact: n.sinceContact(now), Awake: now.Sub(n.eyes.awake), Types: len(n.types), Squared: s.square != nil}
-	if s.square != nil {
-		f.Machines, f.Heard, _ = s.square.Counts()
-		if s.square.MayDisplace() {
+	f := standby.Facts{Held: n.owns(s), Contact: n.sinceContact(now), Awake: now.Sub(n.reachability.stallEnded), Types: len(n.machineTypes), Squared: s.reconciliation != nil}
+	if s.reconciliation != nil {
+		f.Machines, f.Heard, _ = s.reconciliation.Counts()
+		if s.reconciliation.MayDisplace() {
 			f.Machines = 0 // the rest had time enough
 		}
 	}
 	c, ok := standby.First(f)
 	if ok {
-		s.taking.decided = true
-		n.log.Info("first decision", "share", s.index, "cause", s.taking.cause, "gap_s", s.taking.gap.Seconds(), "after_s", now.Sub(s.taken).Seconds())
+		s.takeover.decided = true
+		n.log.Info("first decision", "share", s.index, "cause", s.takeover.cause, "gap_s", s.takeover.gap.Seconds(), "after_s", now.Sub(s.acquiredAt).Seconds())
 		return true
 	}
-	if c != s.taking.waits {
-		s.taking.waits = c
+	if c != s.takeover.blockedBy {
+		s.takeover.blockedBy = c
 		n.log.Info("first decision waits", "share", s.index, "for", c, "guards_against", c.Guards())
 	}
 	return false
@@ -328,12 +328,12 @@
 	}
 	var lease uint64
 	ask(func() {
-		n.standing.leaving = true
-		n.log.Info("leaving", "shares", n.heldShares())
+		n.standby.leaving = true
+		n.log.Info("leaving", "shares", n.ownedPartitionCount())
 	})
 	for end := time.Now().Add(settleTime); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(10 * time.Millisecond) {
 		busy := false
-		ask(func() { busy, lease = n.storingAll() > 0, n.lease })
+		ask(func() { busy, lease = n.totalPendingWrites() > 0, n.lease })
 		if !busy {
 			break
 		}
--- a/internal/coordination/node/starts.go
+++ b/internal/coordination/node/starts.go
@@ -21,107 +21,107 @@
 // Jobs of the gateway are never started directly: when the site loses them there is
 // no time to wait for any of this (see sitejobs.go).
 
-// mostDirect is how many direct starts a node has under way at a time.
-const mostDirect = 16
+// maxDirectStarts is how many direct starts a node has under way at a time.
+const maxDirectStarts = 16
 
 // worthwhile is how much sooner than with the next report a direct start must be.
 const worthwhile = 700 * time.Millisecond
 
-// startNow starts directly what is stored for a machine, if its next report is
+// tryDirectStart starts directly what is stored for a machine, if its next report is
 // some time off. It returns false if this should be tried again, since after a take-over
 // starts are under a budget.
-func (n *Node) startNow(m *machine, now time.Time) bool {
+func (n *Node) tryDirectStart(m *machine, now time.Time) bool {
 	next := time.Duration(0.75 * n.cfg.Params.Workers.ReportS * float64(time.Second))
-	if !n.usable(m, now) || m.parked != nil || m.calling || m.addr == "" || n.direct >= mostDirect ||
-		m.reported.Add(next).Sub(now) < worthwhile || !n.mine(n.shares[m.rec.Share]) || !n.mayAnswer(now) || n.zoneCut(m.rec.Zone, now) {
+	if !n.usable(m, now) || m.deferred != nil || m.startInFlight || m.addr == "" || n.directStarts >= maxDirectStarts ||
+		m.lastReport.Add(next).Sub(now) < worthwhile || !n.owns(n.partitions[m.rec.Share]) || !n.mayExtendLeases(now) || n.zoneUnreachable(m.rec.Zone, now) {
 		return true
 	}
-	if !n.entriesReadable(n.shares[m.rec.Share]) || n.allowed(start.Start, 1) == 0 {
+	if !n.logReadable(n.partitions[m.rec.Share]) || n.takeBudget(start.Start, 1) == 0 {
 		return false
 	}
-	n.startDirectly(m, now)
+	n.sendDirectStarts(m, now)
 	return true
 }
 
-// startDirectly starts directly what is stored for a machine and was not sent to it yet.
-func (n *Node) startDirectly(m *machine, now time.Time) {
-	o := protocol.Orders{Token: n.token(m), Session: m.session}
-	var tasks []started
-	for k := range m.on {
+// sendDirectStarts starts directly what is stored for a machine and was not sent to it yet.
+func (n *Node) sendDirectStarts(m *machine, now time.Time) {
+	o := protocol.Orders{Token: n.fencingToken(m), Session: m.session}
+	var tasks []directStart
+	for k := range m.tasks {
 		j, t := k.job, &k.job.tasks[k.task]
-		if t.phase != placed || t.fact != noFact || t.seen != unseen || !t.sent.IsZero() || n.unwanted(j, t) || n.overLimit(j.team) || j.claim > 0 ||
-			j.spec.Shape == protocol.Gang && j.nPlacedStored() < len(j.tasks) {
+		if t.phase != phasePlaced || t.outcome != outcomeNone || t.reportedState != reportedNone || !t.startSentAt.IsZero() || n.shouldStop(j, t) || n.overLimit(j.team) || j.claim > 0 ||
+			j.spec.Shape == protocol.Gang && j.storedPlacements() < len(j.tasks) {
 			continue
 		}
-		t.sent = now
+		t.startSentAt = now
 		o.Commands = append(o.Commands, protocol.Command{Op: protocol.OpStart, Task: protocol.TaskID(j.id, k.task), Attempt: t.attempt})
-		tasks = append(tasks, started{protocol.TaskID(j.id, k.task), t.attempt})
+		tasks = append(tasks, directStart{protocol.TaskID(j.id, k.task), t.attempt})
 	}
 	if len(tasks) == 0 {
 		return
 	}
-	m.calling = true
-	n.direct++
+	m.startInFlight = true
+	n.directStarts++
 	addr := m.addr
 	n.spawn(func(ctx context.Context) {
 		r, executed, err := n.workers.Command(ctx, addr, o)
 		n.post(func() {
-			n.direct--
-			m.calling = false
-			if n.machines[m.name] != m || !m.known || !n.mine(n.shares[m.rec.Share]) || n.token(m) != o.Token {
+			n.directStarts--
+			m.startInFlight = false
+			if n.machines[m.name] != m || !m.recorded || !n.owns(n.partitions[m.rec.Share]) || n.fencingToken(m) != o.Token {
 				return // the token was raised meanwhile: a late command does nothing
 			}
 			if err != nil || r == nil || r.Machine != m.name {
 				n.log.Info("direct start not answered", "machine", m.name, "tasks", len(tasks), "why", err)
-				m.doubt = tasks
-				n.touch(m)
+				m.unconfirmedStarts = tasks
+				n.markStale(m)
 				return
 			}
 			now := time.Now()
-			if executed && r.Token == o.Token && n.hearDirectly(m, r, o.Token, now) {
-				n.observeAll(m, r, now)
+			if executed && r.Token == o.Token && n.acceptDirectAnswer(m, r, o.Token, now) {
+				n.observeTasks(m, r, now)
 			}
 		})
 	})
 }
 
-// started is a task that was started directly.
-type started struct {
+// directStart is a task that was started directly.
+type directStart struct {
 	task    string
 	attempt uint64
 }
 
-// inDoubt says whether a direct start may still be executed that a machine does
+// hasUnconfirmedStart says whether a direct start may still be executed that a machine does
 // not show. A report that lists all of them ends the doubt.
-func (m *machine) inDoubt(r *protocol.Report) bool {
-	if m.calling {
+func (m *machine) hasUnconfirmedStart(r *protocol.Report) bool {
+	if m.startInFlight {
 		return true
 	}
-	if len(m.doubt) == 0 {
+	if len(m.unconfirmedStarts) == 0 {
 		return false
 	}
-	listed := map[started]bool{}
+	listed := map[directStart]bool{}
 	for i := range r.Tasks {
-		listed[started{r.Tasks[i].Task, r.Tasks[i].Attempt}] = true
+		listed[directStart{r.Tasks[i].Task, r.Tasks[i].Attempt}] = true
 	}
-	for _, s := range m.doubt {
+	for _, s := range m.unconfirmedStarts {
 		if !listed[s] {
 			return true
 		}
 	}
-	m.doubt = nil
+	m.unconfirmedStarts = nil
 	return false
 }
 
-// endDoubts raises the tokens of machines of a share that are in doubt.
-func (n *Node) endDoubts(s *share) {
+// fenceUnconfirmedStarts raises the tokens of machines of a share that are in doubt.
+func (n *Node) fenceUnconfirmedStarts(s *partition) {
 	var ms []*machine
 	for _, m := range s.machines {
-		if len(m.doubt) > 0 && !m.moving && !m.gone && !m.returning && !m.batch.busy {
+		if len(m.unconfirmedStarts) > 0 && !m.moving && !m.returned && !m.returning && !m.batch.storing {
 			ms = append(ms, m)
 		}
 	}
 	if len(ms) > 0 {
-		n.move(ms, s.index, s.index)
+		n.moveMachines(ms, s.index, s.index)
 	}
 }
--- a/internal/coordination/node/status.go
+++ b/internal/coordination/node/status.go
@@ -11,20 +11,20 @@
 // Status answers what ran and what did not, and whose work is stuck. It is
 // bounded, made from memory alone, and says how old what it tells is.
 type Status struct {
-	Node      string        `json:"node"`
-	Version   string        `json:"version"`
-	StateAgeS float64       `json:"state_age_s"` // since the state service last answered
-	Loaded    bool          `json:"loaded"`
-	Jobs      int           `json:"jobs"`
-	Shares    []ShareStatus `json:"shares"`
-	Teams     []TeamStatus  `json:"teams"`
-	Stuck     []StuckJob    `json:"stuck"`      // longest waiting first
-	StuckMore int           `json:"stuck_more"` // not shown
-	Ended     []EndedJob    `json:"ended"`      // that this node finished, latest first
+	Node      string            `json:"node"`
+	Version   string            `json:"version"`
+	StateAgeS float64           `json:"state_age_s"` // since the state service last answered
+	Loaded    bool              `json:"loaded"`
+	Jobs      int               `json:"jobs"`
+	Shares    []PartitionStatus `json:"shares"`
+	Teams     []TeamStatus      `json:"teams"`
+	Stuck     []StuckJob        `json:"stuck"`      // longest waiting first
+	StuckMore int               `json:"stuck_more"` // not shown
+	Ended     []EndedJob        `json:"ended"`      // that this node finished, latest first
 }
 
-// ShareStatus is one share.
-type ShareStatus struct {
+// PartitionStatus is one share.
+type PartitionStatus struct {
 	Share    int    `json:"share"`
 	Holder   string `json:"holder"`
 	Machines int    `json:"machines"`
@@ -37,14 +37,14 @@
 	// many machines have not spoken since, and how many it had to ask. Known to it only.
 	Phase   string `json:"phase,omitempty"`
 	Unheard int    `json:"unheard,omitempty"`
-	Asked   int    `json:"asked,omitempty"`
+	Polled  int    `json:"asked,omitempty"`
 	// How it came to this holder, and the seconds for which nobody served it.
 	Cause string  `json:"cause,omitempty"`
 	GapS  float64 `json:"gap_s,omitempty"`
 	// Who stands by, and, if this node does, how warm it is.
-	First  string  `json:"first_standby,omitempty"`
-	Second string  `json:"second_standby,omitempty"`
-	Warmth *Warmth `json:"warmth,omitempty"`
+	FirstStandby  string            `json:"first_standby,omitempty"`
+	SecondStandby string            `json:"second_standby,omitempty"`
+	Freshness     *StandbyFreshness `json:"warmth,omitempty"`
 }
 
 // TeamStatus is one team.
@@ -92,40 +92,40 @@
 var Version = "dev"
 
 func (n *Node) status(now time.Time) Status {
-	s := Status{Node: n.cfg.Node, Version: Version, StateAgeS: round(min(n.sinceContact(now), now.Sub(n.started)).Seconds()), Loaded: n.loaded, Jobs: len(n.jobs),
-		Shares: []ShareStatus{}, Teams: []TeamStatus{}, Stuck: []StuckJob{}, Ended: []EndedJob{}}
-	for _, sh := range n.shares {
-		v := ShareStatus{Share: sh.index, Holder: sh.holder.Node}
-		if sh.square != nil {
-			all, heard, asked := sh.square.Counts()
-			v.Phase, v.Unheard, v.Asked = sh.square.Phase().String(), all-heard, asked
-			v.Cause, v.GapS = sh.taking.cause.String(), round(sh.taking.gap.Seconds())
+	s := Status{Node: n.cfg.Node, Version: Version, StateAgeS: roundToTenth(min(n.sinceContact(now), now.Sub(n.startedAt)).Seconds()), Loaded: n.loaded, Jobs: len(n.jobs),
+		Shares: []PartitionStatus{}, Teams: []TeamStatus{}, Stuck: []StuckJob{}, Ended: []EndedJob{}}
+	for _, sh := range n.partitions {
+		v := PartitionStatus{Share: sh.index, Holder: sh.owner.Node}
+		if sh.reconciliation != nil {
+			all, heard, asked := sh.reconciliation.Counts()
+			v.Phase, v.Unheard, v.Polled = sh.reconciliation.Phase().String(), all-heard, asked
+			v.Cause, v.GapS = sh.takeover.cause.String(), roundToTenth(sh.takeover.gap.Seconds())
 		}
-		p := n.standing.pairs[sh.index]
-		v.First, v.Second = p.First, p.Second
+		p := n.standby.standbys[sh.index]
+		v.FirstStandby, v.SecondStandby = p.First, p.Second
 		if p.First == n.cfg.Node || p.Second == n.cfg.Node {
-			w := n.warmth(sh, now)
-			v.Warmth = &w
+			w := n.standbyFreshness(sh, now)
+			v.Freshness = &w
 		}
 		for _, m := range n.machines {
-			if !m.known || m.rec.Share != sh.index {
+			if !m.recorded || m.rec.Share != sh.index {
 				continue
 			}
 			v.Machines++
-			if len(m.on) == 0 {
+			if len(m.tasks) == 0 {
 				v.Empty++
 			}
 			if n.usable(m, now) {
-				f := n.free(m)
+				f := n.available(m)
 				v.FreeGPUs, v.FreeCPUs = v.FreeGPUs+f.GPUs, v.FreeCPUs+f.CPUs
-			} else if !m.heard.IsZero() && n.silent(m, now) {
+			} else if !m.lastFencedReport.IsZero() && n.silent(m, now) {
 				v.Silent++
 			}
 		}
 		s.Shares = append(s.Shares, v)
 	}
 	for _, t := range n.teams[:min(len(n.teams), mostTeams)] {
-		s.Teams = append(s.Teams, TeamStatus{Team: t.Name, Share: t.share, GPUs: t.Used.GPUs, MaxGPUs: t.Limit.GPUs})
+		s.Teams = append(s.Teams, TeamStatus{Team: t.Name, Share: t.partition, GPUs: t.Used.GPUs, MaxGPUs: t.Limit.GPUs})
 	}
 	for _, j := range n.jobs {
 		if j.team < len(s.Teams) {
@@ -136,7 +136,7 @@
 				t.Waiting += j.nWaiting()
 			}
 		}
-		if k, stuck := n.stuck(j, now); stuck {
+		if k, stuck := n.stuckJob(j, now); stuck {
 			s.Stuck = append(s.Stuck, k)
 		}
 	}
@@ -151,16 +151,16 @@
 	}
 	for i := len(n.endedJobs) - 1; i >= 0; i-- {
 		e := n.endedJobs[i]
-		e.AgoS = round(now.Sub(e.at).Seconds())
+		e.AgoS = roundToTenth(now.Sub(e.at).Seconds())
 		s.Ended = append(s.Ended, e)
 	}
 	return s
 }
 
-func round(x float64) float64 { return float64(int(x*10)) / 10 }
+func roundToTenth(x float64) float64 { return float64(int(x*10)) / 10 }
 
-// stuck says whether a job has tasks that do not run, and why not.
-func (n *Node) stuck(j *job, now time.Time) (StuckJob, bool) {
+// stuckJob says whether a job has tasks that do not run, and why not.
+func (n *Node) stuckJob(j *job, now time.Time) (StuckJob, bool) {
 	k := StuckJob{Job: j.id, Class: j.spec.Class, Team: j.spec.Team, Shape: j.spec.Shape}
 	if j.step != nil {
 		k.Ticket = j.step.Ticket
@@ -170,9 +170,9 @@
 	for i := range j.tasks {
 		t := &j.tasks[i]
 		switch {
-		case t.phase == done || t.phase == spent || t.phase == placed && t.seen >= seenRunning:
+		case t.phase == phaseDone || t.phase == phaseExhausted || t.phase == phasePlaced && t.reportedState >= reportedRunning:
 			continue
-		case t.phase == waiting:
+		case t.phase == phaseWaiting:
 			if j.cancelled {
 				continue
 			}
@@ -180,43 +180,43 @@
 		default:
 			k.Starting++
 			switch {
-			case t.machine.known && !t.machine.heard.IsZero() && n.silent(t.machine, now):
+			case t.machine.recorded && !t.machine.lastFencedReport.IsZero() && n.silent(t.machine, now):
 				quiet++
-			case t.seen == seenFetching:
+			case t.reportedState == reportedFetching:
 				fetching++
-			case t.seen == seenWaiting:
+			case t.reportedState == reportedWaiting:
 				gangWait++
 			}
 		}
-		if t.since.Before(since) {
-			since = t.since
+		if t.phaseSince.Before(since) {
+			since = t.phaseSince
 		}
 	}
 	if k.Waiting+k.Starting == 0 {
 		return k, false
 	}
-	k.SinceS = round(now.Sub(since).Seconds())
-	sh := n.shares[j.share]
+	k.SinceS = roundToTenth(now.Sub(since).Seconds())
+	sh := n.partitions[j.partition]
 	switch {
-	case n.sinceContact(now) > stateLost:
+	case n.sinceContact(now) > stateServiceTimeout:
 		k.Why = "state service down"
-	case sh.holder.Token == 0:
+	case sh.owner.Token == 0:
 		k.Why = "its share has no holder"
-	case !n.mine(sh):
-		k.Why = "see " + sh.holder.Node
+	case !n.owns(sh):
+		k.Why = "see " + sh.owner.Node
 	case j.failed:
 		k.Why = "its ticket failed, being stopped"
 	case j.cancelled:
 		k.Why = "cancelled, being stopped"
 	case quiet > 0:
 		k.Why = "machine unreachable"
-	case k.Waiting > 0 && j.abandon:
+	case k.Waiting > 0 && j.abortAttempt:
 		k.Why = "gang being stopped"
-	case k.Waiting > 0 && j.trouble.mistake:
-		k.Why = j.whyItFails(now)
-	case k.Waiting > 0 && j.waits != decide.None:
-		if k.Why = j.waits.Text(); j.step != nil {
-			k.Why += n.draining(sh, j)
+	case k.Waiting > 0 && j.failures.failsEverywhere:
+		k.Why = j.describeFailures(now)
+	case k.Waiting > 0 && j.waitCause != decide.NoReason:
+		if k.Why = j.waitCause.Text(); j.step != nil {
+			k.Why += n.drainNote(sh, j)
 		}
 	case fetching > 0:
 		k.Why = "image being fetched"
@@ -228,14 +228,14 @@
 	return k, true
 }
 
-// remember keeps the last jobs that ended here.
-func (n *Node) remember(j *job, now time.Time) {
+// recordEndedJob keeps the last jobs that ended here.
+func (n *Node) recordEndedJob(j *job, now time.Time) {
 	status := protocol.JobDone
 	if j.cancelled {
 		status = protocol.JobCancelled
 	}
 	n.endedJobs = append(n.endedJobs, EndedJob{Job: j.id, Class: j.spec.Class, Team: j.spec.Team, Status: status,
-		TookS: round(now.Sub(j.submitted).Seconds()), at: now})
+		TookS: roundToTenth(now.Sub(j.submitted).Seconds()), at: now})
 	if len(n.endedJobs) > mostEnded {
 		n.endedJobs = n.endedJobs[1:]
 	}
--- a/internal/coordination/node/ticketapi.go
+++ b/internal/coordination/node/ticketapi.go
@@ -33,60 +33,60 @@
 }
 
 func (n *Node) postTicket(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	data, err := body(r)
+	data, err := readBody(r)
 	if err != nil {
-		write(w, answer{status: 400, body: errorBody{err.Error()}})
+		writeAnswer(w, answer{status: 400, body: errorBody{err.Error()}})
 		return
 	}
 	n.takeTicket(w, r, data, format.ParseTicket)
 }
 
-// postCarried takes an ordinary submission that carries a ticket.
-func (n *Node) postCarried(w http.ResponseWriter, r *http.Request, data []byte) {
+// postEmbeddedTicket takes an ordinary submission that carries a ticket.
+func (n *Node) postEmbeddedTicket(w http.ResponseWriter, r *http.Request, data []byte) {
 	n.takeTicket(w, r, data, format.ParseCarried)
 }
 
 func (n *Node) takeTicket(w http.ResponseWriter, r *http.Request, data []byte, parse func([]byte) (*format.Submission, error)) {
-	if n.tickets.classes == nil { // set before the node runs, and never again
-		write(w, answer{status: 400, body: errorBody{protocol.ErrTicket.Error() + " (--tickets)"}})
+	if n.tickets.fileClasses == nil { // set before the node runs, and never again
+		writeAnswer(w, answer{status: 400, body: errorBody{protocol.ErrTicket.Error() + " (--tickets)"}})
 		return
 	}
 	s, err := parse(data)
 	if err != nil {
-		write(w, answer{status: 400, body: errorBody{err.Error()}})
+		writeAnswer(w, answer{status: 400, body: errorBody{err.Error()}})
 		return
 	}
 	table := make(chan ticket.Table, 1)
-	n.post(func() { table <- n.tickets.table() })
+	n.post(func() { table <- n.tickets.effectiveClasses() })
 	var classes ticket.Table
 	select {
 	case classes = <-table:
 	case <-r.Context().Done():
 		return
 	case <-n.ctx.Done():
-		write(w, busy)
+		writeAnswer(w, busyAnswer)
 		return
 	}
 	a, err := ticket.Admit(s, classes, ticket.Limits{ValueBytes: int(n.cfg.Params.State.ValueKB*1024) - 256})
 	came := time.Now()
-	n.serve(w, r, func(reply chan<- answer) { n.onTicket(s.ID, a, err, time.Now(), reply) })
-	since(n.metrics.accept, came, time.Now())
+	n.serve(w, r, func(reply chan<- answer) { n.onSubmitTicket(s.ID, a, err, time.Now(), reply) })
+	observeSince(n.metrics.accept, came, time.Now())
 }
 
-// onTicket accepts a ticket, or says why not. A repeat is judged by what is stored,
+// onSubmitTicket accepts a ticket, or says why not. A repeat is judged by what is stored,
 // whatever its class would say of it now.
-func (n *Node) onTicket(id string, a *ticket.Admitted, refused error, now time.Time, reply chan<- answer) {
+func (n *Node) onSubmitTicket(id string, a *ticket.Admitted, refused error, now time.Time, reply chan<- answer) {
 	if !n.loaded {
-		reply <- busy
+		reply <- busyAnswer
 		return
 	}
 	repeat := func(ifNew func()) {
-		n.readJob(id, func(known bool, _ protocol.JobStatus, err error) {
+		n.readJobStatus(id, func(known bool, _ protocol.JobStatus, err error) {
 			switch s, ok := n.ticketStatus(id, time.Now()); {
 			case err != nil:
-				reply <- busy
-			case known && n.gateways(id):
-				reply <- askGateway
+				reply <- busyAnswer
+			case known && n.isGatewayJob(id):
+				reply <- askGatewayAnswer
 			case known && !ok:
 				reply <- answer{status: 422, body: errorBody{"field id: an ordinary job has it"}}
 			case known:
@@ -97,13 +97,13 @@
 		})
 	}
 	refuse := func(status int, why string) { repeat(func() { reply <- answer{status: status, body: errorBody{why}} }) }
-	_, final := n.finals.byID[id]
+	_, final := n.finalJobs.byID[id]
 	switch j := n.jobs[id]; {
 	case j != nil && j.step != nil:
 		reply <- answer{status: 422, body: errorBody{"field id: it is that of a ticket's step"}}
 		return
 	case final || j != nil || n.tickets.byID[id] != nil:
-		repeat(func() { reply <- busy })
+		repeat(func() { reply <- busyAnswer })
 		return
 	}
 	var r *ticket.Refusal
@@ -111,9 +111,9 @@
 	case refused == nil && n.openTasks()+a.Record.Base.Tasks > n.mostTasks():
 		// A few bytes may bring 100,000 tasks: what would not fit this node's memory is
 		// turned away, and can be asked for again when others have ended.
-		n.metrics.refused.WithLabelValues("ticket_memory").Inc()
+		n.metrics.guardRefusals.WithLabelValues("ticket_memory").Inc()
 		repeat(func() {
-			reply <- answer{status: 503, retryS: 30, body: errorBody{fmt.Sprintf("%d tasks are open, at most %d with this ticket's", n.openTasks(), n.mostTasks())}}
+			reply <- answer{status: 503, retryAfterS: 30, body: errorBody{fmt.Sprintf("%d tasks are open, at most %d with this ticket's", n.openTasks(), n.mostTasks())}}
 		})
 		return
 	case errors.As(refused, &r) && !r.Malformed:
@@ -124,16 +124,16 @@
 		return
 	}
 	for i := range a.Record.Steps {
-		switch why, decided := n.runnable(ticket.StepSpec(a.Record, i)); {
+		switch why, decided := n.checkRunnable(ticket.StepSpec(a.Record, i)); {
 		case !decided:
-			repeat(func() { reply <- busy })
+			repeat(func() { reply <- busyAnswer })
 			return
 		case why != "":
 			refuse(422, fmt.Sprintf("step %s: %s", a.Record.Steps[i].Name, why))
 			return
 		}
 	}
-	n.unlessGateways(id, reply, func() { n.acceptTicket(a, now, reply, repeat) })
+	n.unlessGatewayJob(id, reply, func() { n.acceptTicket(a, now, reply, repeat) })
 }
 
 // taskBytes is what an open task takes of a node's memory.
@@ -162,24 +162,24 @@
 		Conds: []storage.Cond{{Key: protocol.JobKey(a.ID)}, {Key: protocol.FinalKey(a.ID)}},
 		Writes: []storage.Write{
 			{Put: protocol.TicketKey(a.ID), Value: mustJSON(packedTicket{a.Packed})},
-			{Put: protocol.JobKey(a.ID), Value: mustJSON(t.head(rec))}}}
-	d := ticket.Decide(rec, false, make([]ticket.StepNow, len(rec.Steps)), n.tickets.most)
-	n.openSteps(rec, t.steps, d.Open, now, op)
-	n.forUser(op, reply, func(r storage.Result) {
+			{Put: protocol.JobKey(a.ID), Value: mustJSON(t.jobRecord(rec))}}}
+	d := ticket.Decide(rec, false, make([]ticket.StepNow, len(rec.Steps)), n.tickets.maxOpenSteps)
+	n.addOpenSteps(rec, t.steps, d.Open, now, op)
+	n.submitForUser(op, reply, func(r storage.Result) {
 		switch {
 		case r.OK:
 			for _, w := range op.Writes[1:] {
-				n.learn(w, r.Epoch)
+				n.applyOwnWrite(w, r.Epoch)
 			}
 			n.log.Info("ticket accepted", "ticket", a.ID, "name", rec.Name, "class", rec.Base.Class, "team", rec.Base.Team, "tasks", rec.Base.Tasks, "steps", len(rec.Steps),
 				"urgency", rec.Terms.Urgency, "retries", rec.Terms.Retries.Granted)
 			s, _ := n.ticketStatus(a.ID, time.Now())
 			reply <- answer{status: 201, body: s}
 		case r.Err != nil:
-			reply <- busy
+			reply <- busyAnswer
 		default:
 			// Somebody has the id, or that of a step. What holds is read once more.
-			n.resync(r.Failed, func([]storage.Item, error) { repeat(func() { reply <- busy }) })
+			n.resync(r.Failed, func([]storage.Item, error) { repeat(func() { reply <- busyAnswer }) })
 		}
 	})
 }
@@ -196,43 +196,43 @@
 		reply <- answer{status: 200, body: protocol.JobStatus{ID: t.id, Status: protocol.JobFailed}}
 		return
 	}
-	if t.asked {
-		n.awaitEnd(t.id, n.openJobs(t), tries, reply)
+	if t.cancelPending {
+		n.awaitCancelled(t.id, n.openStepJobs(t), tries, reply)
 		return
 	}
 	head := protocol.JobKey(t.id)
-	late := n.tellsLate()
-	rec := t.head(t.rec)
+	late := n.confirmsCancelAfterStop()
+	rec := t.jobRecord(t.rec)
 	rec.Cancelled, rec.Asked = !late, late
-	op := &storage.Op{Conds: []storage.Cond{n.cond(head)}, Writes: []storage.Write{{Put: head, Value: mustJSON(rec)}}}
-	for _, j := range n.openJobs(t) {
-		n.stopStep(j, op, func(r *protocol.JobRecord) { r.Cancelled = true })
+	op := &storage.Op{Conds: []storage.Cond{n.unchanged(head)}, Writes: []storage.Write{{Put: head, Value: mustJSON(rec)}}}
+	for _, j := range n.openStepJobs(t) {
+		n.addStepStop(j, op, func(r *protocol.JobRecord) { r.Cancelled = true })
 	}
-	for _, i := range ticket.MayOpen(t.rec, n.stepsNow(t, nil), n.tickets.most) {
+	for _, i := range ticket.MayOpen(t.rec, n.stepStates(t, nil), n.tickets.maxOpenSteps) {
 		op.Conds = append(op.Conds, storage.Cond{Key: protocol.JobKey(t.steps[i])})
 	}
 	id := t.id
-	n.forUser(op, reply, func(r storage.Result) {
+	n.submitForUser(op, reply, func(r storage.Result) {
 		switch {
 		case r.OK:
 			for _, w := range op.Writes {
-				n.learn(w, r.Epoch)
+				n.applyOwnWrite(w, r.Epoch)
 			}
 			if late && n.tickets.byID[id] == t {
-				n.awaitEnd(id, n.openJobs(t), tries, reply)
+				n.awaitCancelled(id, n.openStepJobs(t), tries, reply)
 				return
 			}
 			reply <- answer{status: 200, body: protocol.JobStatus{ID: id, Status: protocol.JobCancelled}}
 		case r.Err == nil && tries > 0:
 			n.resync(append(r.Failed, protocol.FinalKey(id)), func(_ []storage.Item, err error) {
 				if err != nil {
-					reply <- busy
+					reply <- busyAnswer
 					return
 				}
 				n.onCancel(id, tries-1, reply)
 			})
 		default:
-			reply <- busy
+			reply <- busyAnswer
 		}
 	})
 }
@@ -243,13 +243,13 @@
 	for _, st := range t.rec.Steps {
 		s.Done, s.Failed = s.Done+st.Done, s.Failed+st.Failed
 	}
-	for _, j := range n.openJobs(t) {
-		s.Done, s.Failed, s.Running = s.Done+j.nDone, s.Failed+j.nSpent, s.Running+j.nPlaced
+	for _, j := range n.openStepJobs(t) {
+		s.Done, s.Failed, s.Running = s.Done+j.nDone, s.Failed+j.nExhausted, s.Running+j.nPlaced
 	}
 	switch {
 	case t.rec.Failing != "":
 		s.Status = protocol.JobFailed
-	case t.cancelled && !t.asked:
+	case t.cancelled && !t.cancelPending:
 		s.Status = protocol.JobCancelled
 	case s.Running > 0:
 		s.Status = protocol.JobRunning
@@ -276,16 +276,16 @@
 
 // StepStatus is one step of a ticket.
 type StepStatus struct {
-	Step      string   `json:"step"`
-	Job       string   `json:"job"` // under which its description is uploaded
-	Status    string   `json:"status"`
-	Tasks     int      `json:"tasks"`
-	Done      int      `json:"done"`
-	Running   int      `json:"running"`
-	Failed    int      `json:"failed"`
-	FailedAre [][2]int `json:"failed_tasks,omitempty"` // the first ranges of them
-	After     []string `json:"after,omitempty"`        // steps that must be done before
-	Why       string   `json:"why,omitempty"`          // its tasks wait
+	Step         string   `json:"step"`
+	Job          string   `json:"job"` // under which its description is uploaded
+	Status       string   `json:"status"`
+	Tasks        int      `json:"tasks"`
+	Done         int      `json:"done"`
+	Running      int      `json:"running"`
+	Failed       int      `json:"failed"`
+	FailedRanges [][2]int `json:"failed_tasks,omitempty"` // the first ranges of them
+	After        []string `json:"after,omitempty"`        // steps that must be done before
+	Why          string   `json:"why,omitempty"`          // its tasks wait
 }
 
 // ticketStatus is how a ticket is; false if there is none of that id.
@@ -294,7 +294,7 @@
 	s := &TicketStatus{}
 	t := n.tickets.byID[id]
 	over := false
-	if f, ok := n.finals.byID[id]; ok {
+	if f, ok := n.finalJobs.byID[id]; ok {
 		if rec, over = f.Ticket, true; rec == nil {
 			return nil, false
 		}
@@ -308,7 +308,7 @@
 	}
 	s.Name, s.Class, s.Team, s.Tasks, s.Why = rec.Name, rec.Base.Class, rec.Base.Team, rec.Base.Tasks, rec.Failing
 	for i, st := range rec.Steps {
-		v := StepStatus{Step: st.Name, Job: ticket.StepSpec(rec, i).ID, Status: st.State, Tasks: st.Tasks, Done: st.Done, Failed: st.Failed, FailedAre: st.Which}
+		v := StepStatus{Step: st.Name, Job: ticket.StepSpec(rec, i).ID, Status: st.State, Tasks: st.Tasks, Done: st.Done, Failed: st.Failed, FailedRanges: st.Which}
 		for _, d := range st.Deps {
 			v.After = append(v.After, rec.Steps[d].Name)
 		}
@@ -317,11 +317,11 @@
 		case st.State != "":
 		case t != nil && j != nil && j.step != nil:
 			js := j.status()
-			v.Status, v.Done, v.Running, v.Failed = js.Status, js.Done, js.Running, j.nSpent
+			v.Status, v.Done, v.Running, v.Failed = js.Status, js.Done, js.Running, j.nExhausted
 			if j.failed {
 				v.Status = protocol.JobFailed
 			}
-			if k, stuck := n.stuck(j, now); stuck {
+			if k, stuck := n.stuckJob(j, now); stuck {
 				v.Why = k.Why
 			}
 		case over:
@@ -338,14 +338,14 @@
 // any poll.
 func (n *Node) onTicketPoll(id string, reply chan<- answer) {
 	if !n.loaded {
-		reply <- busy
+		reply <- busyAnswer
 		return
 	}
-	n.readJob(id, func(known bool, _ protocol.JobStatus, err error) {
+	n.readJobStatus(id, func(known bool, _ protocol.JobStatus, err error) {
 		s, ok := n.ticketStatus(id, time.Now())
 		switch {
 		case err != nil:
-			reply <- busy
+			reply <- busyAnswer
 		case !known || !ok:
 			reply <- answer{status: 404, body: errorBody{"no such ticket"}}
 		default:
@@ -357,7 +357,7 @@
 func (n *Node) getTicket(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 	id := p.ByName("id")
 	if !protocol.ValidJobID(id) {
-		write(w, answer{status: 404, body: errorBody{"no such ticket"}})
+		writeAnswer(w, answer{status: 404, body: errorBody{"no such ticket"}})
 		return
 	}
 	n.serve(w, r, func(reply chan<- answer) { n.onTicketPoll(id, reply) })
@@ -400,21 +400,21 @@
 	from, err := number("since", 0, 0, protocol.MaxTasks)
 	limit, lerr := number("limit", 100, 1, mostPage)
 	if err = errors.Join(err, lerr); err != nil {
-		write(w, answer{status: 400, body: errorBody{err.Error()}})
+		writeAnswer(w, answer{status: 400, body: errorBody{err.Error()}})
 		return
 	}
 	id := p.ByName("id")
 	if !protocol.ValidJobID(id) {
-		write(w, answer{status: 404, body: errorBody{"no such ticket"}})
+		writeAnswer(w, answer{status: 404, body: errorBody{"no such ticket"}})
 		return
 	}
 	page := make(chan answer, 1)
 	step := -1
 	n.post(func() {
 		// After a restart the ticket may be known only once it was read.
-		n.readJob(id, func(_ bool, _ protocol.JobStatus, err error) {
+		n.readJobStatus(id, func(_ bool, _ protocol.JobStatus, err error) {
 			if err != nil {
-				page <- busy
+				page <- busyAnswer
 				return
 			}
 			step = n.ticketTasks(id, q.Get("step"), from, limit, page)
@@ -426,7 +426,7 @@
 	case <-r.Context().Done():
 		return
 	case <-n.ctx.Done():
-		a = busy
+		a = busyAnswer
 	}
 	if out, ok := a.body.(*TicketTasks); ok {
 		it, err := n.store.Get(r.Context(), protocol.TicketKey(id))
@@ -440,19 +440,19 @@
 		}
 		if err != nil || step >= len(plan.Steps) {
 			n.log.Info("ticket's template not read", "ticket", id, "why", err)
-			write(w, busy)
+			writeAnswer(w, busyAnswer)
 			return
 		}
 		for i := range out.Tasks {
 			out.Tasks[i].Parameters = plan.Steps[step].Space.At(out.Tasks[i].Task)
 		}
 	}
-	write(w, a)
+	writeAnswer(w, a)
 }
 
 // ticketTasks answers with a page without parameters, and returns the step's number.
 func (n *Node) ticketTasks(id, name string, from, limit int, reply chan<- answer) int {
-	rec := n.finals.byID[id].Ticket
+	rec := n.finalJobs.byID[id].Ticket
 	if t := n.tickets.byID[id]; t != nil {
 		rec = t.rec
 	}
@@ -490,15 +490,15 @@
 		}
 	case j != nil && j.step != nil && k < len(j.tasks):
 		t := &j.tasks[k]
-		v.Errors = t.errors()
+		v.Errors = t.countedErrors()
 		switch {
-		case t.phase == spent:
+		case t.phase == phaseExhausted:
 			v.Status = "failed"
-		case t.phase == done:
+		case t.phase == phaseDone:
 			v.Status = "done"
-		case t.phase == placed:
+		case t.phase == phasePlaced:
 			v.Status, v.Machine = "placed", t.machine.name
-			if t.seen == seenRunning {
+			if t.reportedState == reportedRunning {
 				v.Status = "running"
 			}
 		}
@@ -508,30 +508,30 @@
 
 // ClassesView shows the classes of tickets with the revision that a change must name.
 type ClassesView struct {
-	Stamp   uint64       `json:"stamp"`
-	Taken   bool         `json:"taken"` // whether this node takes tickets
-	Classes ticket.Table `json:"classes"`
-	Stored  []string     `json:"stored"` // those that operators set
+	Stamp          uint64       `json:"stamp"`
+	AcceptsTickets bool         `json:"taken"` // whether this node takes tickets
+	Classes        ticket.Table `json:"classes"`
+	Stored         []string     `json:"stored"` // those that operators set
 }
 
 func (n *Node) classesView() ClassesView {
-	return ClassesView{Stamp: n.stamp(protocol.ClassesKey), Taken: n.tickets.classes != nil, Classes: n.tickets.table(), Stored: n.tickets.stored.Lots()}
+	return ClassesView{Stamp: n.revisionOf(protocol.ClassesKey), AcceptsTickets: n.tickets.fileClasses != nil, Classes: n.tickets.effectiveClasses(), Stored: n.tickets.storedClasses.Lots()}
 }
 
 func (n *Node) putClass(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
-	data, err := body(r)
+	data, err := readBody(r)
 	var c SettingChange
 	if err == nil {
 		err = json.Unmarshal(data, &c)
 	}
 	if err != nil || c.Stamp == nil {
-		write(w, answer{status: 400, body: errorBody{`need {"value":{...},"stamp":N} with the stamp that /admin/classes shows`}})
+		writeAnswer(w, answer{status: 400, body: errorBody{`need {"value":{...},"stamp":N} with the stamp that /admin/classes shows`}})
 		return
 	}
 	lot := p.ByName("lot")
 	class, err := ticket.ParseClass(lot, c.Value)
 	if err != nil {
-		write(w, answer{status: 400, body: errorBody{err.Error()}})
+		writeAnswer(w, answer{status: 400, body: errorBody{err.Error()}})
 		return
 	}
 	from := r.RemoteAddr
@@ -543,12 +543,12 @@
 func (n *Node) deleteClass(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 	stamp, err := strconv.ParseUint(r.URL.Query().Get("stamp"), 10, 64)
 	if err != nil {
-		write(w, answer{status: 400, body: errorBody{"need ?stamp=N with the stamp that /admin/classes shows"}})
+		writeAnswer(w, answer{status: 400, body: errorBody{"need ?stamp=N with the stamp that /admin/classes shows"}})
 		return
 	}
 	lot, from := p.ByName("lot"), r.RemoteAddr
 	n.serve(w, r, func(reply chan<- answer) {
-		if _, ok := n.tickets.stored[lot]; !ok {
+		if _, ok := n.tickets.storedClasses[lot]; !ok {
 			reply <- answer{status: 404, body: errorBody{"operators set no class of that lot"}}
 			return
 		}
@@ -559,15 +559,15 @@
 // setClasses stores what operators set of the classes.
 func (n *Node) setClasses(stamp uint64, from string, reply chan<- answer, change func(ticket.Table)) {
 	changed := ticket.Table{}
-	maps.Copy(changed, n.tickets.stored)
+	maps.Copy(changed, n.tickets.storedClasses)
 	change(changed)
 	conflict := answer{status: 409, body: errorBody{"changed meanwhile: read the classes again"}}
 	value := mustJSON(changed)
 	switch most := int(n.cfg.Params.State.ValueKB * 1024); {
 	case !n.loaded:
-		reply <- busy
+		reply <- busyAnswer
 		return
-	case stamp != n.stamp(protocol.ClassesKey):
+	case stamp != n.revisionOf(protocol.ClassesKey):
 		reply <- conflict
 		return
 	case len(changed) > ticket.MaxClasses || len(value) > most:
@@ -575,14 +575,14 @@
 		return
 	}
 	op := &storage.Op{Conds: []storage.Cond{{Key: protocol.ClassesKey, Stamp: stamp}}, Writes: []storage.Write{{Put: protocol.ClassesKey, Value: value}}}
-	n.forUser(op, reply, func(r storage.Result) {
+	n.submitForUser(op, reply, func(r storage.Result) {
 		switch {
 		case r.OK:
-			n.learn(op.Writes[0], r.Epoch)
-			n.log.Info("classes of tickets changed", "lots", n.tickets.stored.Lots(), "by", from)
+			n.applyOwnWrite(op.Writes[0], r.Epoch)
+			n.log.Info("classes of tickets changed", "lots", n.tickets.storedClasses.Lots(), "by", from)
 			reply <- answer{status: 200, body: n.classesView()}
 		case r.Err != nil:
-			reply <- busy
+			reply <- busyAnswer
 		default:
 			reply <- conflict
 		}
--- a/internal/coordination/node/tickets.go
+++ b/internal/coordination/node/tickets.go
@@ -24,45 +24,45 @@
 // removes the job. So whoever decided on an older record, stalled for any time,
 // changes nothing.
 
-// desk is what a node knows of tickets.
-type desk struct {
-	classes ticket.Table // of the file; nil: this node takes no tickets
-	stored  ticket.Table // that operators set
-	byID    map[string]*openTicket
-	dirty   map[string]bool // to be looked at by the holder of their share
-	most    int             // steps of a ticket open at a time
+// ticketState is what a node knows of tickets.
+type ticketState struct {
+	fileClasses   ticket.Table // of the file; nil: this node takes no tickets
+	storedClasses ticket.Table // that operators set
+	byID          map[string]*openTicket
+	dirty         map[string]bool // to be looked at by the holder of their share
+	maxOpenSteps  int             // steps of a ticket open at a time
 }
 
 // openTicket is an accepted ticket that is not over.
 type openTicket struct {
-	id        string
-	rec       *protocol.TicketRecord
-	team      int
-	share     int
-	submitted time.Time
-	cancelled bool
-	asked     bool      // cancelled, and nobody was told: something of it may be left
-	steps     []string  // the ids of its steps' jobs
-	busy      bool      // a change of it is being stored
-	quiet     bool      // no change of its jobs begins: they are about to be stopped
-	notBefore time.Time // when to try again what could not be stored
+	id            string
+	rec           *protocol.TicketRecord
+	team          int
+	share         int
+	submitted     time.Time
+	cancelled     bool
+	cancelPending bool      // cancelled, and nobody was told: something of it may be left
+	steps         []string  // the ids of its steps' jobs
+	busy          bool      // a change of it is being stored
+	changesPaused bool      // no change of its jobs begins: they are about to be stopped
+	retryAfter    time.Time // when to try again what could not be stored
 }
 
 // mostOpen bounds the steps of a ticket that are open at a time: all of them and the
 // ticket are cancelled in one write.
 const mostOpen = 8
 
-func newDesk(txnOps int) desk {
-	return desk{byID: map[string]*openTicket{}, dirty: map[string]bool{}, most: max(1, min(mostOpen, txnOps-3))}
+func newTicketState(txnOps int) ticketState {
+	return ticketState{byID: map[string]*openTicket{}, dirty: map[string]bool{}, maxOpenSteps: max(1, min(mostOpen, txnOps-3))}
 }
 
-// TakeTickets lets this node take tickets of these classes. It is called before Run.
-func (n *Node) TakeTickets(classes ticket.Table) { n.tickets.classes = classes }
+// AcceptTickets lets this node take tickets of these classes. It is called before Run.
+func (n *Node) AcceptTickets(classes ticket.Table) { n.tickets.fileClasses = classes }
 
-// table is the classes as they hold now.
-func (d *desk) table() ticket.Table { return d.classes.With(d.stored) }
+// effectiveClasses is the classes as they hold now.
+func (d *ticketState) effectiveClasses() ticket.Table { return d.fileClasses.With(d.storedClasses) }
 
-func (d *desk) takenOver(share int) {
+func (d *ticketState) ownershipAcquired(share int) {
 	for id, t := range d.byID {
 		if t.share == share {
 			d.dirty[id] = true
@@ -70,18 +70,18 @@
 	}
 }
 
-func (n *Node) ticketChanged(id string) { n.tickets.dirty[id] = true }
+func (n *Node) markTicketDirty(id string) { n.tickets.dirty[id] = true }
 
 // setTicket takes in a ticket's record.
 func (n *Node) setTicket(id string, r *protocol.JobRecord) {
-	team, ok := n.teamOf[r.Ticket.Base.Team]
+	team, ok := n.teamIndex[r.Ticket.Base.Team]
 	if !ok {
 		n.log.Error("ticket of an unknown team", "ticket", id, "team", r.Ticket.Base.Team)
 		return
 	}
 	t := n.tickets.byID[id]
 	if t == nil {
-		t = &openTicket{id: id, team: team, share: n.teams[team].share, submitted: time.UnixMilli(r.SubmittedMS)}
+		t = &openTicket{id: id, team: team, share: n.teams[team].partition, submitted: time.UnixMilli(r.SubmittedMS)}
 		for i := range r.Ticket.Steps {
 			t.steps = append(t.steps, ticket.StepSpec(r.Ticket, i).ID)
 		}
@@ -90,28 +90,28 @@
 	if r.Ticket.Failing != "" && t.rec != nil && t.rec.Failing == "" {
 		n.log.Info("ticket fails", "ticket", id, "name", r.Ticket.Name, "why", r.Ticket.Failing)
 	}
-	t.rec, t.cancelled, t.asked = r.Ticket, r.Cancelled || r.Asked, r.Asked && !r.Cancelled
-	n.ticketChanged(id)
+	t.rec, t.cancelled, t.cancelPending = r.Ticket, r.Cancelled || r.Asked, r.Asked && !r.Cancelled
+	n.markTicketDirty(id)
 }
 
 // dropTicket forgets a ticket whose record is gone: it is over.
 func (n *Node) dropTicket(id string) {
 	if t := n.tickets.byID[id]; t != nil {
-		n.noteTicketEnd(t)
-		defer n.tellAskers(id)
+		n.recordTicketEnd(t)
+		defer n.notifyCancelWaiters(id)
 	}
 	delete(n.tickets.byID, id)
 	delete(n.tickets.dirty, id)
 }
 
-// head is a ticket's record as it is stored.
-func (t *openTicket) head(rec *protocol.TicketRecord) protocol.JobRecord {
-	return protocol.JobRecord{Ticket: rec, SubmittedMS: t.submitted.UnixMilli(), Cancelled: t.cancelled && !t.asked, Asked: t.asked, Next: 1}
+// jobRecord is a ticket's record as it is stored.
+func (t *openTicket) jobRecord(rec *protocol.TicketRecord) protocol.JobRecord {
+	return protocol.JobRecord{Ticket: rec, SubmittedMS: t.submitted.UnixMilli(), Cancelled: t.cancelled && !t.cancelPending, Asked: t.cancelPending, Next: 1}
 }
 
 // now is how the steps of a ticket are. without, if not nil, is a job whose end is
 // about to be stored.
-func (n *Node) stepsNow(t *openTicket, without *job) []ticket.StepNow {
+func (n *Node) stepStates(t *openTicket, without *job) []ticket.StepNow {
 	out := make([]ticket.StepNow, len(t.steps))
 	for i, id := range t.steps {
 		switch j := n.jobs[id]; {
@@ -119,14 +119,14 @@
 		case j.step == nil || j.step.Ticket != t.id:
 			out[i].Foreign = true
 		default:
-			out[i] = ticket.StepNow{Open: true, Failed: j.nSpent, Stopped: j.cancelled}
+			out[i] = ticket.StepNow{Open: true, Failed: j.nExhausted, Stopped: j.cancelled}
 		}
 	}
 	return out
 }
 
 // open is a ticket's open jobs.
-func (n *Node) openJobs(t *openTicket) (out []*job) {
+func (n *Node) openStepJobs(t *openTicket) (out []*job) {
 	for _, id := range t.steps {
 		if j := n.jobs[id]; j != nil && j.step != nil && j.step.Ticket == t.id {
 			out = append(out, j)
@@ -135,24 +135,24 @@
 	return out
 }
 
-// tendTickets does what is to be done about tickets of the shares held.
-func (n *Node) tendTickets(now time.Time) {
+// reconcileTickets does what is to be done about tickets of the shares held.
+func (n *Node) reconcileTickets(now time.Time) {
 	if len(n.tickets.dirty) == 0 || n.sinceContact(now) > 2*time.Second {
 		return
 	}
 	for _, id := range slices.Sorted(maps.Keys(n.tickets.dirty)) {
 		t := n.tickets.byID[id]
-		if t == nil || !n.mine(n.shares[t.share]) {
+		if t == nil || !n.owns(n.partitions[t.share]) {
 			delete(n.tickets.dirty, id)
 			continue
 		}
-		if t.busy || now.Before(t.notBefore) {
+		if t.busy || now.Before(t.retryAfter) {
 			continue // looked at again when that is stored
 		}
-		d := ticket.Decide(t.rec, t.cancelled, n.stepsNow(t, nil), n.tickets.most)
+		d := ticket.Decide(t.rec, t.cancelled, n.stepStates(t, nil), n.tickets.maxOpenSteps)
 		// To stop jobs their records must stand still: no more changes of them begin until
 		// those under way are stored.
-		if t.quiet = d.Fail != "" || d.Stop != nil; t.quiet && slices.ContainsFunc(n.openJobs(t), func(j *job) bool { return j.busy }) {
+		if t.changesPaused = d.Fail != "" || d.Stop != nil; t.changesPaused && slices.ContainsFunc(n.openStepJobs(t), func(j *job) bool { return j.writePending }) {
 			continue
 		}
 		delete(n.tickets.dirty, id)
@@ -162,11 +162,11 @@
 		}
 		t.busy = true
 		n.submit(op, func(r storage.Result) {
-			t.busy, t.quiet = false, false
+			t.busy, t.changesPaused = false, false
 			if !r.OK {
-				t.notBefore = time.Now().Add(200 * time.Millisecond)
+				t.retryAfter = time.Now().Add(200 * time.Millisecond)
 			}
-			n.ticketChanged(id)
+			n.markTicketDirty(id)
 		})
 	}
 }
@@ -174,19 +174,19 @@
 // ticketOp turns a decision into a change; nil: nothing is to be done.
 func (n *Node) ticketOp(t *openTicket, d ticket.Next, now time.Time) *storage.Op {
 	head := protocol.JobKey(t.id)
-	op := &storage.Op{Conds: []storage.Cond{n.cond(protocol.HolderKey(t.share)), n.cond(head)}}
+	op := &storage.Op{Conds: []storage.Cond{n.unchanged(protocol.HolderKey(t.share)), n.unchanged(head)}}
 	put := func(key string, v any) {
 		op.Writes = append(op.Writes, storage.Write{Put: key, Value: mustJSON(v)})
 	}
 	switch {
 	case d.Fail != "":
-		put(head, t.head(ticket.Failing(t.rec, d.Fail)))
-		for _, j := range n.openJobs(t) {
-			n.stopStep(j, op, func(r *protocol.JobRecord) { r.Failed = true })
+		put(head, t.jobRecord(ticket.Failing(t.rec, d.Fail)))
+		for _, j := range n.openStepJobs(t) {
+			n.addStepStop(j, op, func(r *protocol.JobRecord) { r.Failed = true })
 		}
 	case d.Stop != nil:
 		for _, i := range d.Stop {
-			n.stopStep(n.jobs[t.steps[i]], op, func(r *protocol.JobRecord) {
+			n.addStepStop(n.jobs[t.steps[i]], op, func(r *protocol.JobRecord) {
 				r.Failed = !t.cancelled || t.rec.Failing != ""
 				r.Cancelled = !r.Failed
 			})
@@ -194,15 +194,15 @@
 	case d.Over != "":
 		op.Writes = n.ticketEnds(t, t.rec, d.Over)
 	case d.Open != nil:
-		n.openSteps(t.rec, t.steps, d.Open, now, op)
+		n.addOpenSteps(t.rec, t.steps, d.Open, now, op)
 	default:
 		return nil
 	}
 	return op
 }
 
-// openSteps adds the jobs of steps to a change.
-func (n *Node) openSteps(rec *protocol.TicketRecord, ids []string, steps []int, now time.Time, op *storage.Op) {
+// addOpenSteps adds the jobs of steps to a change.
+func (n *Node) addOpenSteps(rec *protocol.TicketRecord, ids []string, steps []int, now time.Time, op *storage.Op) {
 	for _, i := range steps {
 		key := protocol.JobKey(ids[i])
 		op.Conds = append(op.Conds, storage.Cond{Key: key})
@@ -210,28 +210,28 @@
 	}
 }
 
-// stopStep adds to a change that a step's job is to end.
-func (n *Node) stopStep(j *job, op *storage.Op, how func(r *protocol.JobRecord)) {
+// addStepStop adds to a change that a step's job is to end.
+func (n *Node) addStepStop(j *job, op *storage.Op, how func(r *protocol.JobRecord)) {
 	key := protocol.JobKey(j.id)
-	rec := n.storedHead(j)
+	rec := n.storedRecordAtLog(j)
 	how(&rec)
-	op.Conds = append(op.Conds, n.cond(key))
+	op.Conds = append(op.Conds, n.unchanged(key))
 	op.Writes = append(op.Writes, storage.Write{Put: key, Value: mustJSON(rec)})
 }
 
 // ticketEnds is the write that makes a ticket final.
 func (n *Node) ticketEnds(t *openTicket, rec *protocol.TicketRecord, status string) []storage.Write {
-	n.log.Info("ticket over", "ticket", t.id, "name", rec.Name, "status", status, "why", rec.Failing, "took_s", round(time.Since(t.submitted).Seconds()))
+	n.log.Info("ticket over", "ticket", t.id, "name", rec.Name, "status", status, "why", rec.Failing, "took_s", roundToTenth(time.Since(t.submitted).Seconds()))
 	return []storage.Write{
 		{Put: protocol.FinalKey(t.id), Value: mustJSON(protocol.FinalRecord{Status: status, Tasks: rec.Base.Tasks, Ticket: rec})},
 		{Delete: protocol.JobKey(t.id)},
 	}
 }
 
-// endStep adds to a change what the end of a step's job is for its ticket: the job
+// addStepEnd adds to a change what the end of a step's job is for its ticket: the job
 // goes, the ticket's record says what became of it, and the steps that waited for it
 // alone start. False: not now, since another change of the ticket is being stored.
-func (n *Node) endStep(j *job, op *storage.Op) bool {
+func (n *Node) addStepEnd(j *job, op *storage.Op) bool {
 	gone := storage.Write{Delete: protocol.JobKey(j.id)}
 	t := n.tickets.byID[j.step.Ticket]
 	if t == nil {
@@ -245,14 +245,14 @@
 	var which [][2]int
 	for i := range j.tasks {
 		switch tk := &j.tasks[i]; {
-		case j.willBeSpent(tk):
+		case j.taskExhausted(tk):
 			failed++
 			if l := len(which); l > 0 && which[l-1][1] == i-1 {
 				which[l-1][1] = i
 			} else {
 				which = append(which, [2]int{i, i})
 			}
-		case tk.phase == done || tk.fact == finished:
+		case tk.phase == phaseDone || tk.outcome == outcomeFinished:
 			nDone++
 		}
 	}
@@ -260,105 +260,105 @@
 		nDone = len(j.tasks) // they complete together
 	}
 	rec := ticket.Ended(t.rec, j.step.Step, ticket.Outcome(j.cancelled, j.failed, failed), nDone, failed, which)
-	op.Conds = append(op.Conds, n.cond(protocol.JobKey(t.id)))
+	op.Conds = append(op.Conds, n.unchanged(protocol.JobKey(t.id)))
 	op.Writes = []storage.Write{gone}
-	switch d := ticket.Decide(rec, t.cancelled, n.stepsNow(t, j), n.tickets.most); {
+	switch d := ticket.Decide(rec, t.cancelled, n.stepStates(t, j), n.tickets.maxOpenSteps); {
 	case d.Over != "":
 		op.Writes = append(op.Writes, n.ticketEnds(t, rec, d.Over)...)
 	default:
-		op.Writes = append(op.Writes, storage.Write{Put: protocol.JobKey(t.id), Value: mustJSON(t.head(rec))})
-		n.openSteps(rec, t.steps, d.Open, time.Now(), op)
+		op.Writes = append(op.Writes, storage.Write{Put: protocol.JobKey(t.id), Value: mustJSON(t.jobRecord(rec))})
+		n.addOpenSteps(rec, t.steps, d.Open, time.Now(), op)
 	}
-	t.busy, j.ending = true, true
+	t.busy, j.storingEnd = true, true
 	return true
 }
 
-// quieted says whether no change of a job may begin now.
-func (n *Node) quieted(j *job) bool {
-	if n.corruptJob(j) {
+// jobChangesPaused says whether no change of a job may begin now.
+func (n *Node) jobChangesPaused(j *job) bool {
+	if n.hasCorruptRecord(j) {
 		return true
 	}
 	if j.step == nil {
 		return false
 	}
 	t := n.tickets.byID[j.step.Ticket]
-	return t != nil && t.quiet
+	return t != nil && t.changesPaused
 }
 
 // stepEnded: a change of a job is stored, or refused. If it was its end, the ticket
 // may change again.
-func (n *Node) stepEnded(j *job) {
-	if !j.ending {
+func (n *Node) stepChangeFinished(j *job) {
+	if !j.storingEnd {
 		return
 	}
-	j.ending = false
+	j.storingEnd = false
 	if t := n.tickets.byID[j.step.Ticket]; t != nil {
 		t.busy = false
-		n.ticketChanged(t.id)
+		n.markTicketDirty(t.id)
 	}
 }
 
-// errors is how often a task has failed so that it counts.
-func (t *task) errors() int {
-	if t.erred {
-		return int(t.errs) + 1
+// countedErrors is how often a task has failed so that it counts.
+func (t *task) countedErrors() int {
+	if t.unstoredError {
+		return int(t.storedErrors) + 1
 	}
-	return int(t.errs)
+	return int(t.storedErrors)
 }
 
-// spentAll says whether so many errors are all that a task may have.
-func (j *job) spentAll(errors int) bool {
+// retriesExhausted says whether so many errors are all that a task may have.
+func (j *job) retriesExhausted(errors int) bool {
 	return j.step != nil && ticket.Spent(errors, j.step.Retries)
 }
 
-// willBeSpent says whether a task has used up its tries, stored or not.
-func (j *job) willBeSpent(t *task) bool {
-	return t.phase == spent || t.fact == gone && j.spentAll(t.errors())
+// taskExhausted says whether a task has used up its tries, stored or not.
+func (j *job) taskExhausted(t *task) bool {
+	return t.phase == phaseExhausted || t.outcome == outcomeGone && j.retriesExhausted(t.countedErrors())
 }
 
-// pausing says whether a task that failed waits before it is tried again.
-func (j *job) pausing(i int, now time.Time) bool {
+// inBackoff says whether a task that failed waits before it is tried again.
+func (j *job) inBackoff(i int, now time.Time) bool {
 	t := &j.tasks[i]
-	return j.errored && t.errs > 0 && now.Sub(t.since) < ticket.Pause(int(t.errs))
+	return j.hasErrors && t.storedErrors > 0 && now.Sub(t.phaseSince) < ticket.Pause(int(t.storedErrors))
 }
 
-// tryable is how many waiting tasks of a job that had errors may be started.
-func (j *job) tryable(now time.Time) int {
+// startableTasks is how many waiting tasks of a job that had errors may be started.
+func (j *job) startableTasks(now time.Time) int {
 	c := 0
 	for i := range j.tasks {
-		if j.tasks[i].phase == waiting && !j.pausing(i, now) {
+		if j.tasks[i].phase == phaseWaiting && !j.inBackoff(i, now) {
 			c++
 		}
 	}
 	return c
 }
 
-// stepFailed notes that a task of a ticket's step ended with an error on a machine.
+// onStepTaskFailed notes that a task of a ticket's step ended with an error on a machine.
 // Its tries are limited, so the job is not tried in smaller and smaller numbers as
 // others are. The machine is avoided for a moment, and blamed unless the job has
 // failed elsewhere too: then it is most likely the ticket.
-func (n *Node) stepFailed(j *job, m *machine, now time.Time) {
-	m.avoidTill = now.Add(5 * time.Second)
-	n.touch(m)
-	f := &j.trouble
+func (n *Node) onStepTaskFailed(j *job, m *machine, now time.Time) {
+	m.avoidUntil = now.Add(5 * time.Second)
+	n.markStale(m)
+	f := &j.failures
 	if !slices.Contains(f.machines, m) {
 		f.machines = append(f.machines, m)
 	}
 	if len(f.machines) == 1 {
-		m.suspicion.suspect(j.id, false, time.Now())
+		m.faults.addFailure(j.id, false, time.Now())
 		return
 	}
 	for _, o := range f.machines {
-		o.suspicion.spare(j.id)
-		n.touch(o)
+		o.faults.removeFailuresOf(j.id)
+		n.markStale(o)
 	}
 }
 
-// draining tells how many of the machines that a job may use take nothing new.
-func (n *Node) draining(s *share, j *job) string {
+// drainNote tells how many of the machines that a job may use take nothing new.
+func (n *Node) drainNote(s *partition, j *job) string {
 	c := 0
 	for _, m := range s.machines {
-		if (m.heldBack || m.notice || m.returning) && decide.Allowed(j.spec, offer{Type: m.rec.Type, Zone: m.rec.Zone, Spot: m.rec.Spot}) {
+		if (m.heldBack || m.spotNotice || m.returning) && decide.Allowed(j.spec, offer{Type: m.rec.Type, Zone: m.rec.Zone, Spot: m.rec.Spot}) {
 			c++
 		}
 	}
--- a/internal/coordination/node/tickets_test.go
+++ b/internal/coordination/node/tickets_test.go
@@ -70,7 +70,7 @@
 // ticketUser submits a ticket by both ways and at any node, polls it by both, and
 // complains about every answer that may not be.
 type ticketUser struct {
-	w        *world
+	w        *simCluster
 	body     string
 	id       string
 	sub      *format.Submission
@@ -81,7 +81,7 @@
 	polls    int
 }
 
-func newTicketUser(w *world, body string) *ticketUser {
+func newTicketUser(w *simCluster, body string) *ticketUser {
 	s, a, err := admit(w.t, body)
 	if err != nil {
 		w.t.Fatal(err)
@@ -93,7 +93,7 @@
 	return u
 }
 
-func (u *ticketUser) any() string { return u.w.names[u.w.between(0, 3*time.Second)/time.Second] }
+func (u *ticketUser) any() string { return u.w.names[u.w.randDuration(0, 3*time.Second)/time.Second] }
 
 // submit asks one node once.
 func (u *ticketUser) submit(name string) (answer, error) {
@@ -109,7 +109,7 @@
 	a, refused := ticket.Admit(s, ticketClasses, ticket.Limits{ValueBytes: 8000})
 	ctx, cancel := context.WithTimeout(u.w.ctx, 5*time.Second)
 	defer cancel()
-	return u.w.askAs(ctx, submitRequest, name, s.ID, func(n *Node, reply chan<- answer) { n.onTicket(s.ID, a, refused, time.Now(), reply) })
+	return u.w.sendChecked(ctx, submitRequest, name, s.ID, func(n *Node, reply chan<- answer) { n.onSubmitTicket(s.ID, a, refused, time.Now(), reply) })
 }
 
 func (u *ticketUser) run(done func()) {
@@ -143,10 +143,10 @@
 		if u.polls%2 == 0 {
 			ask = (*Node).onTicketPoll
 		}
-		a, err := w.askAs(ctx, statusRequest, u.any(), u.id, func(n *Node, reply chan<- answer) { ask(n, u.id, reply) })
+		a, err := w.sendChecked(ctx, statusRequest, u.any(), u.id, func(n *Node, reply chan<- answer) { ask(n, u.id, reply) })
 		cancel()
 		u.told(a, err, asked)
-		time.Sleep(w.between(time.Second, 3*time.Second))
+		time.Sleep(w.randDuration(time.Second, 3*time.Second))
 	}
 }
 
@@ -200,7 +200,7 @@
 	errs   map[string]int
 }
 
-func keepDiary(w *world) *diary {
+func keepDiary(w *simCluster) *diary {
 	d := &diary{first: map[string]time.Time{}, done: map[string]time.Time{}, starts: map[string]int{}, errs: map[string]int{}}
 	w.fleet.Log = func(event, task, _ string, at time.Time) {
 		d.mu.Lock()
@@ -257,7 +257,7 @@
 }
 
 // tickets draws tickets with errors, chains and cancellations.
-func (w *world) tickets(count int) []*ticketUser {
+func (w *simCluster) tickets(count int) []*ticketUser {
 	hopeless := map[string]bool{}
 	var us []*ticketUser
 	for i := range count {
@@ -306,12 +306,12 @@
 }
 
 // simulateTickets runs tickets amid ordinary jobs and troubles.
-func simulateTickets(t *testing.T, seed uint64, faults func(w *world)) {
-	takenClasses = ticketClasses
-	defer func() { takenClasses = nil }()
+func simulateTickets(t *testing.T, seed uint64, faults func(w *simCluster)) {
+	nodeTicketClasses = ticketClasses
+	defer func() { nodeTicketClasses = nil }()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, seed, asTheyAre)
+		w := newWorld(t, ctx, seed, defaultSettings)
 		d := keepDiary(w)
 		us := w.tickets(8)
 		var wg sync.WaitGroup
@@ -319,9 +319,14 @@
 			wg.Add(1)
 			go u.run(wg.Done)
 		}
-		w.run(6, func(w *world) {
+		w.runWorkload(6, func(w *simCluster) {
 			faults(w)
-			w.set(func() { w.outage, w.lossy, w.late = false, 0, 0; clear(w.noState); clear(w.noNet); clear(w.deaf) })
+			w.withLock(func() {
+				w.outage, w.lossRate, w.lateTxnRate = false, 0, 0
+				clear(w.stateRefused)
+				clear(w.isolated)
+				clear(w.workersUnreachable)
+			})
 			for deadline := time.Now().Add(8 * time.Minute); time.Now().Before(deadline); time.Sleep(time.Second) {
 				open := false
 				for _, u := range us {
@@ -342,7 +347,7 @@
 }
 
 func TestTicketsOnAQuietDay(t *testing.T) {
-	simulateTickets(t, 1, func(*world) { time.Sleep(20 * time.Second) })
+	simulateTickets(t, 1, func(*simCluster) { time.Sleep(20 * time.Second) })
 }
 
 // Holders end between the end of a step and the start of the next, users cancel
@@ -354,21 +359,21 @@
 		seeds = s
 	}
 	for seed := range seeds {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { simulateTickets(t, 500+seed, troubles) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { simulateTickets(t, 500+seed, randomFaults) })
 	}
 	// A node cancelled a ticket and had not heard of a step that was open: that one
 	// went on, and the ticket was called done after it had been called withdrawn.
-	t.Run("cancelled without a step", func(t *testing.T) { simulateTickets(t, 500+327, troubles) })
+	t.Run("cancelled without a step", func(t *testing.T) { simulateTickets(t, 500+327, randomFaults) })
 }
 
 // alone lets a test have one ticket in a quiet world. between is called now and then
 // until the ticket is over.
-func alone(t *testing.T, body string, prepare func(w *world, u *ticketUser), between func(w *world, u *ticketUser, d *diary)) {
-	takenClasses = ticketClasses
-	defer func() { takenClasses = nil }()
+func alone(t *testing.T, body string, prepare func(w *simCluster, u *ticketUser), between func(w *simCluster, u *ticketUser, d *diary)) {
+	nodeTicketClasses = ticketClasses
+	defer func() { nodeTicketClasses = nil }()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, 3, asTheyAre)
+		w := newWorld(t, ctx, 3, defaultSettings)
 		d := keepDiary(w)
 		u := newTicketUser(w, body)
 		prepare(w, u)
@@ -388,16 +393,16 @@
 	})
 }
 
-func nothing(*world, *ticketUser, *diary) {}
+func nothing(*simCluster, *ticketUser, *diary) {}
 
 // More retries than the class allows are not given, and that is told.
 func TestRetriesAreTheClasses(t *testing.T) {
 	var terms *protocol.TicketTerms
-	alone(t, ticketBody("job-90", "render", "red", `"maxRetriesPerTask":50,`, "a 3", "b 1 a"), func(w *world, u *ticketUser) {
+	alone(t, ticketBody("job-90", "render", "red", `"maxRetriesPerTask":50,`, "a 3", "b 1 a"), func(w *simCluster, u *ticketUser) {
 		u.want = protocol.JobFailed
 		w.fleet.Fails = func(_ *protocol.JobSpec, task, _ int) bool { return task == 1 }
-	}, func(w *world, u *ticketUser, _ *diary) {
-		if a, err := w.askAs(w.ctx, statusRequest, "n-0", "job-90", func(n *Node, reply chan<- answer) { n.onTicketPoll("job-90", reply) }); err == nil && a.status == 200 {
+	}, func(w *simCluster, u *ticketUser, _ *diary) {
+		if a, err := w.sendChecked(w.ctx, statusRequest, "n-0", "job-90", func(n *Node, reply chan<- answer) { n.onTicketPoll("job-90", reply) }); err == nil && a.status == 200 {
 			terms = a.body.(*TicketStatus).Terms
 		}
 	})
@@ -417,11 +422,11 @@
 		var d2 *diary
 		var task string
 		crashed := false
-		alone(t, ticketBody("job-92", "render", "red", "", "a 1"), func(w *world, u *ticketUser) {
+		alone(t, ticketBody("job-92", "render", "red", "", "a 1"), func(w *simCluster, u *ticketUser) {
 			u.want = protocol.JobFailed
 			task = protocol.TaskID(ticket.StepSpec(u.adm.Record, 0).ID, 0)
 			w.fleet.Fails = func(*protocol.JobSpec, int, int) bool { return true }
-		}, func(w *world, u *ticketUser, d *diary) {
+		}, func(w *simCluster, u *ticketUser, d *diary) {
 			d2 = d
 			if ends && !crashed && w.fleet.Errors(task) == 3 {
 				crashed = true
@@ -439,12 +444,12 @@
 // A ticket survives as many failed tasks as it was granted; what depends on them
 // does not run, and the rest does.
 func TestFailedTasksThatATicketSurvives(t *testing.T) {
-	alone(t, ticketBody("job-93", "render", "red", `"maxFailedTasksCount":2,"maxRetriesPerTask":0,`, "a 4", "b 2 a", "c 2"), func(w *world, u *ticketUser) {
+	alone(t, ticketBody("job-93", "render", "red", `"maxFailedTasksCount":2,"maxRetriesPerTask":0,`, "a 4", "b 2 a", "c 2"), func(w *simCluster, u *ticketUser) {
 		u.want = protocol.JobFailed
 		a := ticket.StepSpec(u.adm.Record, 0).ID
 		w.fleet.Fails = func(j *protocol.JobSpec, task, _ int) bool { return j.ID == a && task < 2 }
 	}, nothing)
-	alone(t, ticketBody("job-94", "render", "red", `"maxFailedTasksCount":2,"maxRetriesPerTask":0,`, "a 4", "c 2"), func(w *world, u *ticketUser) {
+	alone(t, ticketBody("job-94", "render", "red", `"maxFailedTasksCount":2,"maxRetriesPerTask":0,`, "a 4", "c 2"), func(w *simCluster, u *ticketUser) {
 		u.want = protocol.JobFailed
 		a := ticket.StepSpec(u.adm.Record, 0).ID
 		w.fleet.Fails = func(j *protocol.JobSpec, task, _ int) bool { return j.ID == a && task == 0 }
@@ -462,9 +467,9 @@
 func TestCancelBetweenSteps(t *testing.T) {
 	var second string
 	var seen *diary
-	alone(t, ticketBody("job-95", "render", "red", "", "a 2", "b 2 a"), func(w *world, u *ticketUser) {
+	alone(t, ticketBody("job-95", "render", "red", "", "a 2", "b 2 a"), func(w *simCluster, u *ticketUser) {
 		second = protocol.TaskID(ticket.StepSpec(u.adm.Record, 1).ID, 0)
-	}, func(w *world, u *ticketUser, d *diary) {
+	}, func(w *simCluster, u *ticketUser, d *diary) {
 		seen = d
 		first := protocol.TaskID(ticket.StepSpec(u.adm.Record, 0).ID, 0)
 		d.mu.Lock()
@@ -487,7 +492,7 @@
 func TestOneTicketByBothWaysAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, 5, asTheyAre)
+		w := newWorld(t, ctx, 5, defaultSettings)
 		time.Sleep(5 * time.Second)
 		u := newTicketUser(w, ticketBody("job-96", "render", "red", "", "a 2", "b 1"))
 		var wg sync.WaitGroup
@@ -530,7 +535,7 @@
 func TestStepsAreNoUsersJobs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, 6, asTheyAre)
+		w := newWorld(t, ctx, 6, defaultSettings)
 		time.Sleep(5 * time.Second)
 		u := newTicketUser(w, ticketBody("job-97", "render", "red", "", "a 2"))
 		u.submit("n-0")
@@ -561,7 +566,7 @@
 func waitsForADrain(t *testing.T, afterwards bool) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, 8, asTheyAre)
+		w := newWorld(t, ctx, 8, defaultSettings)
 		d := keepDiary(w)
 		time.Sleep(5 * time.Second)
 		warm := newTicketUser(w, ticketBody("job-98", "render", "red", "", "a 4"))
@@ -569,7 +574,7 @@
 		time.Sleep(40 * time.Second) // there are machines now
 		hold := func(names []string) {
 			p := DefaultPolicy()
-			p.HeldBack, p.NoRents = append([]string{}, names...), len(names) > 0
+			p.HeldBack, p.StopRentals = append([]string{}, names...), len(names) > 0
 			w.state.Put(protocol.PolicyKey, p)
 			time.Sleep(time.Second)
 		}
@@ -589,7 +594,7 @@
 		time.Sleep(8 * time.Second)
 		why := ""
 		for _, name := range w.names {
-			a, err := w.askAs(ctx, statusRequest, name, "job-99", func(n *Node, reply chan<- answer) { n.onTicketPoll("job-99", reply) })
+			a, err := w.sendChecked(ctx, statusRequest, name, "job-99", func(n *Node, reply chan<- answer) { n.onTicketPoll("job-99", reply) })
 			if s, ok := a.body.(*TicketStatus); err == nil && ok {
 				why += s.Steps[0].Why + "; "
 			}
@@ -629,7 +634,7 @@
 				t.Fatal(err)
 			}
 			codes = append(codes, a.status)
-			if a.status == 503 && a.retryS == 0 {
+			if a.status == 503 && a.retryAfterS == 0 {
 				t.Error("turned away without a time to come again")
 			}
 			time.Sleep(time.Second)
--- a/internal/coordination/node/unreachable_controllers_test.go
+++ b/internal/coordination/node/unreachable_controllers_test.go
@@ -40,8 +40,8 @@
 	l.events = append(l.events, runEvent{event, task, machine, at})
 }
 
-// of are the events of a job's tasks since a time, in their order.
-func (l *runLog) of(job string, since time.Time) (out []runEvent) {
+// eventsOf are the events of a job's tasks since a time, in their order.
+func (l *runLog) eventsOf(job string, since time.Time) (out []runEvent) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, e := range l.events {
@@ -52,8 +52,8 @@
 	return out
 }
 
-// on are the machines on which a job runs.
-func (w *world) on(job string) (machines []string) {
+// machinesRunning are the machines on which a job runs.
+func (w *simCluster) machinesRunning(job string) (machines []string) {
 	for _, m := range w.fleet.Names() {
 		if w.fleet.Runs(m, job) {
 			machines = append(machines, m)
@@ -65,7 +65,7 @@
 // unreportedWorld is a world with workers that report every 6 s under leases of 36 s, in which
 // the jobs given run, and enough else on other machines for the silence of a few to mean
 // something.
-func unreportedWorld(t *testing.T, ctx context.Context, specs ...*protocol.JobSpec) (*world, *runLog) {
+func unreportedWorld(t *testing.T, ctx context.Context, specs ...*protocol.JobSpec) (*simCluster, *runLog) {
 	log := &runLog{}
 	w := newWorldAt(t, ctx, 5, nil, func(cfg *protocol.Settings, f *standin.Fleet) {
 		p := &cfg.Params
@@ -88,22 +88,22 @@
 }
 
 // submitRed submits a job of team red.
-func (w *world) submitRed(s *protocol.JobSpec) {
+func (w *simCluster) submitRed(s *protocol.JobSpec) {
 	s.Team, s.Class, s.Image, s.ImageGB, s.MemoryGB, s.CPUs = "red", "c", "i", 2, 20, 4
 	w.submit(s)
 }
 
-// silence makes machines reach no controller, or reach them again.
-func (w *world) silence(is bool, machines ...string) {
-	w.set(func() {
+// setNoOutbound makes machines reach no controller, or reach them again.
+func (w *simCluster) setNoOutbound(is bool, machines ...string) {
+	w.withLock(func() {
 		for _, m := range machines {
-			w.muteHosts[m] = is
+			w.noOutbound[m] = is
 		}
 	})
 }
 
-// finish checks the rules and ends the world.
-func (w *world) finish(cancel context.CancelFunc) {
+// checkAndStop checks the rules and ends the world.
+func (w *simCluster) checkAndStop(cancel context.CancelFunc) {
 	for _, b := range w.fleet.Broken {
 		w.t.Errorf("rule broken: %s", b)
 	}
@@ -121,18 +121,18 @@
 	t.Helper()
 	ended := map[string]bool{}
 	started := 0
-	for _, e := range l.of(job, since) {
+	for _, e := range l.eventsOf(job, since) {
 		switch {
 		case e.event != "start":
 			ended[e.task] = true
 		case !ended[e.task] || slices.Contains(silent, e.machine):
-			t.Errorf("%s started on %s, silent are %v: %v", e.task, e.machine, silent, l.of(job, since))
+			t.Errorf("%s started on %s, silent are %v: %v", e.task, e.machine, silent, l.eventsOf(job, since))
 		default:
 			started++
 		}
 	}
 	if started != tasks {
-		t.Errorf("%s: %d of %d tasks were started elsewhere: %v", job, started, tasks, l.of(job, since))
+		t.Errorf("%s: %d of %d tasks were started elsewhere: %v", job, started, tasks, l.eventsOf(job, since))
 	}
 }
 
@@ -148,33 +148,33 @@
 					&protocol.JobSpec{ID: savingJob, Priority: "high", Shape: protocol.Array, Tasks: 1, GPUs: 1, EstimateS: 300, CheckpointS: 100, SaveS: 3},
 					&protocol.JobSpec{ID: gangJob, Priority: "high", Shape: protocol.Gang, Tasks: 2, GPUs: 4, EstimateS: 300, CheckpointS: 100, SaveS: 3},
 					&protocol.JobSpec{ID: replicaJob, Priority: "critical", Shape: protocol.Service, Tasks: 1, GPUs: 1})
-				if len(w.on(savingJob)) != 1 || len(w.on(gangJob)) != 2 || len(w.on(replicaJob)) != 1 {
-					t.Fatalf("the jobs run on %v, %v and %v", w.on(savingJob), w.on(gangJob), w.on(replicaJob))
+				if len(w.machinesRunning(savingJob)) != 1 || len(w.machinesRunning(gangJob)) != 2 || len(w.machinesRunning(replicaJob)) != 1 {
+					t.Fatalf("the jobs run on %v, %v and %v", w.machinesRunning(savingJob), w.machinesRunning(gangJob), w.machinesRunning(replicaJob))
 				}
-				silent := slices.Concat(w.on(savingJob), w.on(gangJob)[:1], w.on(replicaJob))
+				silent := slices.Concat(w.machinesRunning(savingJob), w.machinesRunning(gangJob)[:1], w.machinesRunning(replicaJob))
 				before := w.fleet.Running()
 				began := time.Now()
-				w.silence(true, silent...)
-				w.set(func() { w.outage = outage })
+				w.setNoOutbound(true, silent...)
+				w.withLock(func() { w.outage = outage })
 				time.Sleep(43 * time.Second)
 				if stopped, expired := w.fleet.Ended(); stopped != 3 || expired != 1 {
 					t.Errorf("%d tasks were stopped, %d ended with a lease; expected 3 and 1", stopped, expired)
 				}
 				log.replicaRestarted(t, began, silent, 1)
-				w.set(func() { w.outage = false })
+				w.withLock(func() { w.outage = false })
 				time.Sleep(70 * time.Second)
 				log.movedFrom(t, savingJob, 1, began, silent)
 				log.movedFrom(t, gangJob, 2, began, silent)
 				if !outage { // after one, shares may change hands, and the silence counts anew
 					log.replicaRestarted(t, began, silent, 2)
 				}
-				if on := w.on(replicaJob); !outage && slices.Equal(on, silent[2:]) {
+				if on := w.machinesRunning(replicaJob); !outage && slices.Equal(on, silent[2:]) {
 					t.Errorf("the replica still runs on %v", on)
 				}
 				if now := w.fleet.Running(); now != before {
 					t.Errorf("%d tasks run, %d did before", now, before)
 				}
-				w.finish(cancel)
+				w.checkAndStop(cancel)
 			})
 		})
 	}
@@ -184,7 +184,7 @@
 // many ends of leases, and nowhere else before that.
 func (l *runLog) replicaRestarted(t *testing.T, since time.Time, silent []string, times int) {
 	t.Helper()
-	events := l.of(replicaJob, since)
+	events := l.eventsOf(replicaJob, since)
 	if len(events) < 2*times {
 		t.Errorf("the replica did not start again %d times: %v", times, events)
 		return
@@ -207,36 +207,36 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		const waits = "job-000204"
 		w, log := unreportedWorld(t, ctx, &protocol.JobSpec{ID: gangJob, Priority: "high", Shape: protocol.Gang, Tasks: 2, GPUs: 4, EstimateS: 38})
-		silent := w.on(gangJob)
+		silent := w.machinesRunning(gangJob)
 		if len(silent) != 2 {
 			t.Fatalf("the gang runs on %v", silent)
 		}
 		w.fleet.Limit(len(w.fleet.Names())) // no others can be rented
-		w.silence(true, silent...)
+		w.setNoOutbound(true, silent...)
 		time.Sleep(6 * time.Second)
 		if n := w.fleet.Finished(gangJob); n != 2 {
 			t.Fatalf("%d tasks of the gang have completed", n)
 		}
-		if status := w.poll(w.names[0], gangJob); status != protocol.JobDone {
+		if status := w.pollStatus(w.names[0], gangJob); status != protocol.JobDone {
 			t.Errorf("the gang has completed and is called %q", status)
 		}
 		w.submitRed(&protocol.JobSpec{ID: waits, Priority: "high", Shape: protocol.Array, Tasks: 2, GPUs: 4, EstimateS: 300})
 		time.Sleep(2 * time.Second)
 		for _, name := range w.names {
-			if n := onActor(w.node(name), func() int { return w.node(name).jobs[waits].nPlacedStored() }); n != 0 {
+			if n := onActor(w.node(name), func() int { return w.node(name).jobs[waits].storedPlacements() }); n != 0 {
 				t.Errorf("%s placed %d tasks where nobody reports", name, n)
 			}
 		}
 		time.Sleep(5 * time.Second)
-		w.silence(false, silent...)
+		w.setNoOutbound(false, silent...)
 		time.Sleep(8 * time.Second)
-		if on := w.on(waits); !slices.Equal(on, silent) {
-			t.Errorf("%v report again; the job that waits runs on %v: %v", silent, on, log.of(waits, time.Time{}))
+		if on := w.machinesRunning(waits); !slices.Equal(on, silent) {
+			t.Errorf("%v report again; the job that waits runs on %v: %v", silent, on, log.eventsOf(waits, time.Time{}))
 		}
 		if stopped, expired := w.fleet.Ended(); stopped != 0 || expired != 0 {
 			t.Errorf("%d tasks were stopped and %d ended with a lease", stopped, expired)
 		}
-		w.finish(cancel)
+		w.checkAndStop(cancel)
 	})
 }
 
@@ -247,13 +247,13 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		w, _ := unreportedWorld(t, ctx, &protocol.JobSpec{ID: savingJob, Priority: "high", Shape: protocol.Array, Tasks: 4, GPUs: 1, EstimateS: 300, CheckpointS: 100, SaveS: 3})
 		all := w.fleet.Names()
-		w.silence(true, all...)
+		w.setNoOutbound(true, all...)
 		time.Sleep(30 * time.Second)
 		polled := 0
 		for _, name := range w.names {
 			polled += onActor(w.node(name), func() (count int) {
 				for _, m := range w.node(name).machines {
-					if m.unreported() {
+					if m.reachableOnlyDirectly() {
 						count++
 					}
 				}
@@ -266,9 +266,9 @@
 		if stopped, _ := w.fleet.Ended(); stopped != 0 || len(w.fleet.Names()) != len(all) {
 			t.Errorf("%d tasks were stopped, %d of %d machines are left", stopped, len(w.fleet.Names()), len(all))
 		}
-		w.silence(false, all...)
+		w.setNoOutbound(false, all...)
 		time.Sleep(20 * time.Second)
-		w.finish(cancel)
+		w.checkAndStop(cancel)
 	})
 }
 
@@ -276,15 +276,15 @@
 // copies of reports come late.
 func TestTroublesWithUnreportedMachines(t *testing.T) {
 	answered := 0
-	for seed := range seeds(4) {
+	for seed := range seedCount(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			simulate(t, 300+seed, 16, func(p *protocol.WorkerSettings) { p.ReportS, p.LeaseS, p.CancelS = 4, 20, 56 }, func(w *world) {
-				w.set(func() { w.held, w.lateReports = 0.2, 0.2 })
+			simulate(t, 300+seed, 16, func(p *protocol.WorkerSettings) { p.ReportS, p.LeaseS, p.CancelS = 4, 20, 56 }, func(w *simCluster) {
+				w.withLock(func() { w.delayedCommandRate, w.duplicateReportRate = 0.2, 0.2 })
 				ctx, cancel := context.WithCancel(w.ctx)
 				go w.silenceAtRandom(ctx)
-				troubles(w)
+				randomFaults(w)
 				cancel()
-				answered += w.times("silent machine answers")
+				answered += w.eventCount("silent machine answers")
 			})
 		})
 	}
@@ -294,18 +294,18 @@
 }
 
 // silenceAtRandom makes some machines reach no controller, others every 5 to 40 s.
-func (w *world) silenceAtRandom(ctx context.Context) {
+func (w *simCluster) silenceAtRandom(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, m := range w.fleet.Names() {
-			w.silence(w.pick(5) < 2, m)
+			w.setNoOutbound(w.randInt(5) < 2, m)
 		}
-		time.Sleep(w.between(5*time.Second, 40*time.Second))
+		time.Sleep(w.randDuration(5*time.Second, 40*time.Second))
 		for _, name := range w.names {
 			if n := w.node(name); n != nil {
 				n.post(func() {
 					for _, m := range n.machines {
-						if m.unreported() {
-							w.took("silent machine answers")
+						if m.reachableOnlyDirectly() {
+							w.recordEvent("silent machine answers")
 						}
 					}
 				})
@@ -323,46 +323,46 @@
 		name   string
 		sent   bool
 		report protocol.Report
-		want   fact
+		want   taskOutcome
 	}{
-		{"not listed, never sent", false, protocol.Report{Session: 1, Seq: 9, Token: 7}, gone},
-		{"not listed, sent", true, protocol.Report{Session: 1, Seq: 9, Token: 7}, noFact},
-		{"session expired", true, protocol.Report{Session: 2, Seq: 1, Token: 7}, gone},
-		{"session expired, listed", true, protocol.Report{Session: 2, Seq: 1, Token: 7, Tasks: []protocol.TaskReport{listed}}, noFact},
-		{"old", false, protocol.Report{Session: 1, Seq: 1, Token: 7}, noFact},
-		{"under an earlier token", false, protocol.Report{Session: 2, Seq: 9, Token: 6}, noFact},
-		{"under a later token", false, protocol.Report{Session: 2, Seq: 9, Token: 8}, noFact},
-		{"of another machine", false, protocol.Report{Machine: "host-2", Session: 2, Seq: 9, Token: 7}, noFact},
-		{"completed", true, protocol.Report{Session: 1, Seq: 9, Token: 7, Tasks: []protocol.TaskReport{{Task: "job-1/0", Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseDone}}}, finished},
+		{"not listed, never sent", false, protocol.Report{Session: 1, Seq: 9, Token: 7}, outcomeGone},
+		{"not listed, sent", true, protocol.Report{Session: 1, Seq: 9, Token: 7}, outcomeNone},
+		{"session expired", true, protocol.Report{Session: 2, Seq: 1, Token: 7}, outcomeGone},
+		{"session expired, listed", true, protocol.Report{Session: 2, Seq: 1, Token: 7, Tasks: []protocol.TaskReport{listed}}, outcomeNone},
+		{"old", false, protocol.Report{Session: 1, Seq: 1, Token: 7}, outcomeNone},
+		{"under an earlier token", false, protocol.Report{Session: 2, Seq: 9, Token: 6}, outcomeNone},
+		{"under a later token", false, protocol.Report{Session: 2, Seq: 9, Token: 8}, outcomeNone},
+		{"of another machine", false, protocol.Report{Machine: "host-2", Session: 2, Seq: 9, Token: 7}, outcomeNone},
+		{"completed", true, protocol.Report{Session: 1, Seq: 9, Token: 7, Tasks: []protocol.TaskReport{{Task: "job-1/0", Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseDone}}}, outcomeFinished},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBench(t)
-			w := &mute{make(chan protocol.Orders, 1), make(chan *protocol.Report, 1)}
+			b := newTestNode(t)
+			w := &scriptedWorkers{make(chan protocol.Orders, 1), make(chan *protocol.Report, 1)}
 			b.workers = w
-			b.report(7, 2)
+			b.sendReport(7, 2)
 			m := b.machines["host-1"]
-			b.unpark(m)
+			b.rejectDeferred(m)
 			m.addr = "x:1"
-			j := b.job("job-1", false, onHost1)
+			j := b.addJob("job-1", false, placedOnHost1)
 			if c.sent {
-				j.tasks[0].sent = time.Now()
+				j.tasks[0].startSentAt = time.Now()
 			}
-			heard := m.heard
-			now := time.Now().Add(b.suspectLimit() + time.Second)
+			heard := m.lastFencedReport
+			now := time.Now().Add(b.overdueTimeout() + time.Second)
 			b.pollSilent([]*machine{m}, now)
-			if o := <-w.asked; o.Token != 7 || o.Session != 1 || len(o.Commands) != 0 {
+			if o := <-w.orders; o.Token != 7 || o.Session != 1 || len(o.Commands) != 0 {
 				t.Fatalf("the worker was sent %+v", o)
 			}
 			if c.report.Machine == "" {
 				c.report.Machine = "host-1"
 			}
-			w.answer <- &c.report
-			(<-b.inbox)()
-			if f := j.tasks[0].fact; f != c.want {
+			w.answers <- &c.report
+			(<-b.mailbox)()
+			if f := j.tasks[0].outcome; f != c.want {
 				t.Errorf("the task's fact is %v, not %v", f, c.want)
 			}
-			if !m.heard.Equal(heard) || m.polling {
-				t.Errorf("heard at %v, before the poll at %v; polling %v", m.heard, heard, m.polling)
+			if !m.lastFencedReport.Equal(heard) || m.pollInFlight {
+				t.Errorf("heard at %v, before the poll at %v; polling %v", m.lastFencedReport, heard, m.pollInFlight)
 			}
 		})
 	}
--- a/internal/coordination/node/unreported.go
+++ b/internal/coordination/node/unreported.go
@@ -23,10 +23,10 @@
 			continue
 		}
 		leaving := n.leavingTasks(m, now)
-		if len(leaving) == 0 && now.Before(m.pollAt) {
+		if len(leaving) == 0 && now.Before(m.nextPoll) {
 			continue
 		}
-		if n.ordering.budget.Call(start.Ask, 1) == 0 {
+		if n.loadControl.budget.Call(start.Ask, 1) == 0 {
 			return
 		}
 		n.evacuate(m, leaving, now)
@@ -36,22 +36,22 @@
 
 // mayPoll says whether a machine is silent, has tasks and may be called directly.
 func (n *Node) mayPoll(m *machine, now time.Time) bool {
-	return len(m.on) > 0 && m.fenced && !m.heard.IsZero() && m.addr != "" && m.parked == nil &&
-		!m.polling && !m.calling && !m.moving && !m.returning && !m.gone &&
-		now.Sub(n.lastHeard(m)) > n.suspectLimit()
+	return len(m.tasks) > 0 && m.fenced && !m.lastFencedReport.IsZero() && m.addr != "" && m.deferred == nil &&
+		!m.pollInFlight && !m.startInFlight && !m.moving && !m.returning && !m.returned &&
+		now.Sub(n.silentSince(m)) > n.overdueTimeout()
 }
 
 // poll asks a machine directly for a report, and repeats the stops that it may have missed.
 func (n *Node) poll(m *machine, now time.Time) {
-	m.polling, m.pollAt = true, now.Add(2*n.pollInterval(m))
-	orders := protocol.Orders{Token: n.token(m), Session: m.session, Commands: n.stopsFor(m)}
+	m.pollInFlight, m.nextPoll = true, now.Add(2*n.pollInterval(m))
+	orders := protocol.Orders{Token: n.fencingToken(m), Session: m.session, Commands: n.pendingStops(m)}
 	addr := m.addr
 	n.spawn(func(ctx context.Context) {
 		// The body of a refusal is a report, too.
 		r, _, err := n.workers.Command(ctx, addr, orders)
 		n.post(func() {
-			m.polling = false
-			n.ordering.budget.Ended()
+			m.pollInFlight = false
+			n.loadControl.budget.Ended()
 			if err == nil && r != nil {
 				n.onPolled(m, r, orders.Token, time.Now())
 			}
@@ -62,18 +62,18 @@
 // pollInterval is how often a silent machine is polled: more often while tasks are stopping.
 func (n *Node) pollInterval(m *machine) time.Duration {
 	interval := n.seconds(n.cfg.Params.Workers.ReportS)
-	if n.stopping(m) {
+	if n.hasStoppingTask(m) {
 		return interval / 3
 	}
 	return interval
 }
 
-// stopsFor are commands that stop the tasks that are to leave a machine.
-func (n *Node) stopsFor(m *machine) []protocol.Command {
+// pendingStops are commands that stop the tasks that are to leave a machine.
+func (n *Node) pendingStops(m *machine) []protocol.Command {
 	commands := []protocol.Command{}
-	for k := range m.on {
-		if t := &k.job.tasks[k.task]; t.phase == placed && t.fact == noFact && n.unwanted(k.job, t) {
-			commands = append(commands, protocol.Command{Op: protocol.OpStop, Task: protocol.TaskID(k.job.id, k.task), Attempt: t.attempt, GraceS: t.graceS})
+	for k := range m.tasks {
+		if t := &k.job.tasks[k.task]; t.phase == phasePlaced && t.outcome == outcomeNone && n.shouldStop(k.job, t) {
+			commands = append(commands, protocol.Command{Op: protocol.OpStop, Task: protocol.TaskID(k.job.id, k.task), Attempt: t.attempt, GraceS: t.stopGraceS})
 		}
 	}
 	return commands
@@ -81,44 +81,44 @@
 
 // onPolled takes in the answer to a poll that was sent under a token.
 func (n *Node) onPolled(m *machine, r *protocol.Report, token uint64, now time.Time) {
-	n.saw(now)
-	if r.Machine != m.name || n.machines[m.name] != m || !m.known || !n.mine(n.shares[m.rec.Share]) || n.token(m) != token || r.Token != token {
+	n.noteWorkerContact(now)
+	if r.Machine != m.name || n.machines[m.name] != m || !m.recorded || !n.owns(n.partitions[m.rec.Share]) || n.fencingToken(m) != token || r.Token != token {
 		return
 	}
-	expired, first := r.Session > m.session, !m.unreported()
-	if !n.hearDirectly(m, r, token, now) {
+	expired, first := r.Session > m.session, !m.reachableOnlyDirectly()
+	if !n.acceptDirectAnswer(m, r, token, now) {
 		return // a report of the worker's own has come meanwhile
 	}
-	if first && m.unreported() {
-		n.log.Info("worker answers but does not report", "machine", m.name, "tasks", len(m.on), "silent_s", round(now.Sub(n.lastHeard(m)).Seconds()))
+	if first && m.reachableOnlyDirectly() {
+		n.log.Info("worker answers but does not report", "machine", m.name, "tasks", len(m.tasks), "silent_s", roundToTenth(now.Sub(n.silentSince(m)).Seconds()))
 	}
-	n.observeAll(m, r, now)
+	n.observeTasks(m, r, now)
 	if expired {
-		m.doubt, m.expired = nil, now
+		m.unconfirmedStarts, m.leaseExpirySeen = nil, now
 	}
 	n.noteAbsent(m, r, expired, now)
-	m.pollAt = now.Add(n.pollInterval(m))
-	if end := n.leaseEnds(m).Add(expiryMargin); end.After(now) && end.Before(m.pollAt) {
-		m.pollAt = end
+	m.nextPoll = now.Add(n.pollInterval(m))
+	if end := n.leaseEnds(m).Add(expiryMargin); end.After(now) && end.Before(m.nextPoll) {
+		m.nextPoll = end
 	}
 }
 
 // expiryMargin is how long after the estimated end of a lease a machine is polled.
 const expiryMargin = 200 * time.Millisecond
 
-// hearDirectly takes in the frame of the answer to a direct call; false if a newer report was
+// acceptDirectAnswer takes in the frame of the answer to a direct call; false if a newer report was
 // taken in already. It does not show that the worker reaches this node.
-func (n *Node) hearDirectly(m *machine, r *protocol.Report, token uint64, now time.Time) bool {
-	if !n.acceptReport(m, r, token, now) {
+func (n *Node) acceptDirectAnswer(m *machine, r *protocol.Report, token uint64, now time.Time) bool {
+	if !n.acceptReportHeader(m, r, token, now) {
 		return false
 	}
-	n.touch(m)
+	n.markStale(m)
 	switch {
 	case r.Token != token:
-	case m.heard.IsZero():
-		m.heard = now // it is up; its reports have as long to come as after one
-	case now.Sub(n.lastHeard(m)) > n.suspectLimit():
-		m.answered = now
+	case m.lastFencedReport.IsZero():
+		m.lastFencedReport = now // it is up; its reports have as long to come as after one
+	case now.Sub(n.silentSince(m)) > n.overdueTimeout():
+		m.lastDirectAnswer = now
 	}
 	return true
 }
@@ -127,26 +127,26 @@
 // token that it carries fences off the starts of earlier owners. A start of this owner was
 // never sent, or belongs to a session that has expired, in which case the worker drops it.
 func (n *Node) noteAbsent(m *machine, r *protocol.Report, expired bool, now time.Time) {
-	listed := make(map[started]bool, len(r.Tasks))
+	listed := make(map[directStart]bool, len(r.Tasks))
 	for i := range r.Tasks {
-		listed[started{r.Tasks[i].Task, r.Tasks[i].Attempt}] = true
+		listed[directStart{r.Tasks[i].Task, r.Tasks[i].Attempt}] = true
 	}
 	restart := false
-	for k := range m.on {
+	for k := range m.tasks {
 		t := &k.job.tasks[k.task]
-		if t.phase != placed || t.fact != noFact || listed[started{protocol.TaskID(k.job.id, k.task), t.attempt}] {
+		if t.phase != phasePlaced || t.outcome != outcomeNone || listed[directStart{protocol.TaskID(k.job.id, k.task), t.attempt}] {
 			continue
 		}
-		neverSent := t.sent.IsZero() && t.seen == unseen
+		neverSent := t.startSentAt.IsZero() && t.reportedState == reportedNone
 		if !expired && !neverSent {
 			continue
 		}
 		n.runLost(k.job, t, now)
 		if n.restartable(m, k.job, t, now) {
-			t.sent, t.seen = time.Time{}, unseen
+			t.startSentAt, t.reportedState = time.Time{}, reportedNone
 			restart = true
 		} else {
-			n.note(k.job, k.task, gone)
+			n.recordOutcome(k.job, k.task, outcomeGone)
 		}
 	}
 	if restart {
@@ -158,39 +158,41 @@
 // there, for another lease: a replica, since elsewhere it would wait for its image, and any
 // task but a gang's while none can be placed elsewhere.
 func (n *Node) restartable(m *machine, j *job, t *task, now time.Time) bool {
-	return !t.began.IsZero() && (j.spec.Shape == protocol.Service || j.spec.Shape == protocol.Array && !n.canPlace(now)) &&
-		j.claim == 0 && !n.unwanted(j, t) && !n.overLimit(j.team) && !m.notice &&
-		n.mayAnswer(now) && now.Sub(n.lastHeard(m)) <= maxCut
+	return !t.runningSince.IsZero() && (j.spec.Shape == protocol.Service || j.spec.Shape == protocol.Array && !n.canPlace(now)) &&
+		j.claim == 0 && !n.shouldStop(j, t) && !n.overLimit(j.team) && !m.spotNotice &&
+		n.mayExtendLeases(now) && now.Sub(n.silentSince(m)) <= maxZoneOutage
 }
 
 // restartDirectly starts the tasks of a silent machine that were not sent in its session.
 func (n *Node) restartDirectly(m *machine, now time.Time) {
-	if m.calling || m.parked != nil || len(m.doubt) > 0 || n.direct >= mostDirect || n.zoneCut(m.rec.Zone, now) || n.allowed(start.Start, 1) == 0 {
+	if m.startInFlight || m.deferred != nil || len(m.unconfirmedStarts) > 0 || n.directStarts >= maxDirectStarts || n.zoneUnreachable(m.rec.Zone, now) || n.takeBudget(start.Start, 1) == 0 {
 		return // its next poll finds them again
 	}
-	n.startDirectly(m, now)
+	n.sendDirectStarts(m, now)
 }
 
 // canPlace says whether placements can be stored now.
 func (n *Node) canPlace(now time.Time) bool { return n.sinceContact(now) <= 2*time.Second }
 
-// unreported says whether a machine has answered a direct call when its reports had stopped:
+// reachableOnlyDirectly says whether a machine has answered a direct call when its reports had stopped:
 // its worker lives, but reaches no controller.
-func (m *machine) unreported() bool { return !m.heard.IsZero() && m.answered.After(m.heard) }
+func (m *machine) reachableOnlyDirectly() bool {
+	return !m.lastFencedReport.IsZero() && m.lastDirectAnswer.After(m.lastFencedReport)
+}
 
-// worksOn says whether a silent machine is known to go on with its tasks until its lease ends.
-func (n *Node) worksOn(m *machine, now time.Time) bool {
-	return len(m.on) > 0 && m.unreported() && now.Before(n.leaseEnds(m).Add(n.seconds(n.cfg.Params.Workers.ReportS)/2)) &&
-		now.Sub(m.answered).Seconds() < 2.5*n.cfg.Params.Workers.ReportS
+// worksUntilLeaseEnd says whether a silent machine is known to go on with its tasks until its lease ends.
+func (n *Node) worksUntilLeaseEnd(m *machine, now time.Time) bool {
+	return len(m.tasks) > 0 && m.reachableOnlyDirectly() && now.Before(n.leaseEnds(m).Add(n.seconds(n.cfg.Params.Workers.ReportS)/2)) &&
+		now.Sub(m.lastDirectAnswer).Seconds() < 2.5*n.cfg.Params.Workers.ReportS
 }
 
 // leaseEnds is when a machine's lease ends if no other report of it is answered. It serves to
 // plan and proves nothing: after a take-over it may be known only that it had not ended.
 func (n *Node) leaseEnds(m *machine) time.Time {
 	lease := n.seconds(n.cfg.Params.Workers.LeaseS)
-	end := later(m.reported, m.expired).Add(lease)
-	if end.Before(m.heard) {
-		end = m.heard.Add(lease)
+	end := latest(m.lastReport, m.leaseExpirySeen).Add(lease)
+	if end.Before(m.lastFencedReport) {
+		end = m.lastFencedReport.Add(lease)
 	}
 	return end
 }
@@ -200,20 +202,20 @@
 // be placed elsewhere, and those that save while there is time to save. With most of a zone
 // silent the cause is most likely the network or this node itself, and nothing is stopped.
 func (n *Node) leavingTasks(m *machine, now time.Time) []taskKey {
-	silence := now.Sub(later(n.lastHeard(m), n.eyes.cutAt[m.rec.Zone]))
-	if !m.unreported() || silence.Seconds() <= n.silentAfterS() {
+	silence := now.Sub(latest(n.silentSince(m), n.reachability.zoneUnreachableAt[m.rec.Zone]))
+	if !m.reachableOnlyDirectly() || silence.Seconds() <= n.silentAfterS() {
 		return nil
 	}
 	left := n.leaseEnds(m).Sub(now)
 	var leaving []taskKey
-	for k := range m.on {
+	for k := range m.tasks {
 		j, t := k.job, &k.job.tasks[k.task]
-		if t.phase != placed || t.fact != noFact || n.unwanted(j, t) || !endsWithLease(j, t, left, now) {
+		if t.phase != phasePlaced || t.outcome != outcomeNone || n.shouldStop(j, t) || !endsWithLease(j, t, left, now) {
 			continue
 		}
-		limit := n.silentLimit()
+		limit := n.silenceTimeout()
 		if j.spec.Shape == protocol.Service {
-			limit = maxCut // it is started again there when the lease has ended
+			limit = maxZoneOutage // it is started again there when the lease has ended
 		}
 		movable := silence > limit && n.canPlace(now)
 		if mustSave := j.spec.CheckpointS > 0 && left < n.saveTime(j); movable || mustSave {
@@ -226,7 +228,7 @@
 // endsWithLease says whether a task is not expected to complete while its machine's lease
 // runs for so long.
 func endsWithLease(j *job, t *task, left time.Duration, now time.Time) bool {
-	needs := time.Duration(j.spec.EstimateS*float64(time.Second)) - now.Sub(later(t.since, t.began))
+	needs := time.Duration(j.spec.EstimateS*float64(time.Second)) - now.Sub(latest(t.phaseSince, t.runningSince))
 	return j.spec.Shape == protocol.Service || needs > left
 }
 
@@ -248,14 +250,14 @@
 	if len(leaving) == 0 {
 		return
 	}
-	n.log.Info("silent machine evacuated", "machine", m.name, "tasks", len(leaving), "of", len(m.on), "lease_left_s", round(n.leaseEnds(m).Sub(now).Seconds()))
+	n.log.Info("silent machine evacuated", "machine", m.name, "tasks", len(leaving), "of", len(m.tasks), "lease_left_s", roundToTenth(n.leaseEnds(m).Sub(now).Seconds()))
 	for _, k := range leaving {
-		if n.unwanted(k.job, &k.job.tasks[k.task]) {
+		if n.shouldStop(k.job, &k.job.tasks[k.task]) {
 			continue // with another task of its gang
 		}
 		n.stopTask(k.job, k.task)
 		if k.job.spec.Shape == protocol.Gang {
-			n.stopDirectly(k.job)
+			n.stopTasksDirectly(k.job)
 		}
 	}
 }
--- a/internal/coordination/node/warm_test.go
+++ b/internal/coordination/node/warm_test.go
@@ -26,13 +26,13 @@
 		return &protocol.JobSpec{ID: a.id, Team: "red", Class: "a", Shape: protocol.Array, Priority: "standard", Tasks: 6, CPUs: 5, GPUs: 1, MemoryGB: 36, Image: a.id, ImageGB: a.gb, EstimateS: 40}
 	}
 	// make gives a node with the fleet; one that follows sees the arrivals come and go.
-	make := func(follows bool) *bench {
-		b := newBench(t)
-		b.fleetOf(60, 0)
+	make := func(follows bool) *testNode {
+		b := newTestNode(t)
+		b.addFleet(60, 0)
 		for _, a := range arrivals[:40] {
 			if follows {
-				b.put(protocol.JobKey(a.id), protocol.JobRecord{Spec: spec(a), SubmittedMS: time.Now().UnixMilli(), Next: 1})
-				b.countArrivals(b.shares[0])
+				b.watchPut(protocol.JobKey(a.id), protocol.JobRecord{Spec: spec(a), SubmittedMS: time.Now().UnixMilli(), Next: 1})
+				b.countArrivals(b.partitions[0])
 				b.dropJob(a.id) // it is over by the time of the take-over
 			}
 		}
@@ -40,50 +40,50 @@
 	}
 	holder, warm, cold := make(true), make(true), make(false)
 	now := time.Now()
-	for _, m := range holder.shares[0].machines {
-		m.secPerGB, m.reported = 0.5+3.5*rng.Float64(), now
+	for _, m := range holder.partitions[0].machines {
+		m.secPerGB, m.lastReport = 0.5+3.5*rng.Float64(), now
 		costs[m.name] = m.secPerGB
-		holder.touch(m)
+		holder.markStale(m)
 	}
 	// The holder's hints reach the standby in turn, some lost, some twice.
-	warm.put(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
-	warm.put(protocol.NodeKey("n-1"), protocol.NodeRecord{Lease: 9})
+	warm.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
+	warm.watchPut(protocol.NodeKey("n-1"), protocol.NodeRecord{Lease: 9})
 	holder.cfg.Node = "n-1"
-	holder.lives.hinted.Store(9)
-	holder.put(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 3})
+	holder.incarnations.hintLease.Store(9)
+	holder.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 3})
 	for i := range 8 {
-		holder.tellKnown(now)
+		holder.prepareMachineHints(now)
 		for range i % 3 {
-			if warm.TakeHint(holder.Hint()) != nil {
+			if warm.ReceiveHint(holder.Hint()) != nil {
 				t.Fatal("a hint not understood")
 			}
-			(<-warm.inbox)()
+			(<-warm.mailbox)()
 		}
 	}
-	if w := warm.warmth(warm.shares[0], time.Now()); w.Known < 0.95 || w.AgeS < 0 || w.Gaps == 0 {
+	if w := warm.standbyFreshness(warm.partitions[0], time.Now()); w.KnownFraction < 0.95 || w.AgeS < 0 || w.SequenceGaps == 0 {
 		t.Errorf("warmth %+v, with hints lost", w)
 	}
-	warm.put(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
-	placings := func(b *bench) (out []string) {
-		for _, m := range b.shares[0].machines {
-			m.fenced, m.heard = true, now
-			b.touch(m)
+	warm.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
+	placings := func(b *testNode) (out []string) {
+		for _, m := range b.partitions[0].machines {
+			m.fenced, m.lastFencedReport = true, now
+			b.markStale(m)
 		}
 		for _, a := range arrivals[40:] {
-			b.put(protocol.JobKey(a.id), protocol.JobRecord{Spec: spec(a), SubmittedMS: now.UnixMilli(), Next: 1})
+			b.watchPut(protocol.JobKey(a.id), protocol.JobRecord{Spec: spec(a), SubmittedMS: now.UnixMilli(), Next: 1})
 		}
-		s := b.shares[0]
+		s := b.partitions[0]
 		b.countArrivals(s)
 		for _, a := range arrivals[40:] {
-			p := b.view(s, now).Place(b.boundFacts(b.jobs[a.id], now))
-			for _, m := range p.On {
+			p := b.view(s, now).Place(b.jobFactsWithZones(b.jobs[a.id], now))
+			for _, m := range p.Machines {
 				out = append(out, a.id+" on "+m.Name)
 			}
 		}
 		return out
 	}
 	want := placings(holder)
-	equal := func(b *bench) float64 {
+	equal := func(b *testNode) float64 {
 		got := map[string]bool{}
 		for _, p := range placings(b) {
 			got[p] = true
--- a/internal/coordination/node/why.go
+++ b/internal/coordination/node/why.go
@@ -21,44 +21,44 @@
 // and says "unknown" rather than guess. Nothing here changes anything, and it costs
 // nothing when nobody asks. This file reads the actor's state and writes none.
 
-// AskPatience is how long a node waits for the holder of a share to answer.
-const AskPatience = time.Second
+// AskTimeout is how long a node waits for the holder of a share to answer.
+const AskTimeout = time.Second
 
-// WhyCause is one cause with its words.
-type WhyCause struct {
+// ExplainedCause is one cause with its words.
+type ExplainedCause struct {
 	decide.Cause
 	Text string `json:"text"`
 }
 
-// Why explains one job.
-type Why struct {
-	Job      string     `json:"job"`
-	Ticket   string     `json:"ticket,omitempty"`
-	Team     string     `json:"team"`
-	Class    string     `json:"class"`
-	Waiting  int        `json:"waiting_tasks"`
-	Starting int        `json:"starting_tasks"`
-	Running  int        `json:"running_tasks"`
-	SinceS   float64    `json:"since_s"`
-	Causes   []WhyCause `json:"causes"`            // all that hold it; the one that binds first first
-	Release  []string   `json:"release,omitempty"` // what would let it start
-	Enough   bool       `json:"enough"`            // whether that alone is known to
-	Holder   string     `json:"holder"`
-	Unknown  string     `json:"unknown,omitempty"` // why it is not known
-	StateAge float64    `json:"state_age_s"`       // since the state service last answered the holder
+// Explanation explains one job.
+type Explanation struct {
+	Job        string           `json:"job"`
+	Ticket     string           `json:"ticket,omitempty"`
+	Team       string           `json:"team"`
+	Class      string           `json:"class"`
+	Waiting    int              `json:"waiting_tasks"`
+	Starting   int              `json:"starting_tasks"`
+	Running    int              `json:"running_tasks"`
+	SinceS     float64          `json:"since_s"`
+	Causes     []ExplainedCause `json:"causes"`            // all that hold it; the one that binds first first
+	Release    []string         `json:"release,omitempty"` // what would let it start
+	Sufficient bool             `json:"enough"`            // whether that alone is known to
+	Owner      string           `json:"holder"`
+	Unknown    string           `json:"unknown,omitempty"` // why it is not known
+	StateAge   float64          `json:"state_age_s"`       // since the state service last answered the holder
 }
 
-// WhyPage is many waiting jobs with the cause that binds each.
-type WhyPage struct {
-	Node    string         `json:"node"`
-	Sums    map[string]int `json:"waiting_tasks_by_cause"` // all that wait, on the page or not
-	Jobs    []WhyLine      `json:"jobs"`
-	After   string         `json:"after,omitempty"`   // ask with it for more
-	Unknown []string       `json:"unknown,omitempty"` // shares of which nothing is known, and why
+// ExplanationPage is many waiting jobs with the cause that binds each.
+type ExplanationPage struct {
+	Node         string            `json:"node"`
+	TasksByCause map[string]int    `json:"waiting_tasks_by_cause"` // all that wait, on the page or not
+	Jobs         []ExplanationLine `json:"jobs"`
+	After        string            `json:"after,omitempty"`   // ask with it for more
+	Unknown      []string          `json:"unknown,omitempty"` // shares of which nothing is known, and why
 }
 
-// WhyLine is one job of a page.
-type WhyLine struct {
+// ExplanationLine is one job of a page.
+type ExplanationLine struct {
 	Job     string  `json:"job"`
 	Team    string  `json:"team"`
 	Class   string  `json:"class"`
@@ -71,52 +71,52 @@
 // mostLines bounds a page.
 const mostLines = 200
 
-func (n *Node) routeWhy(r *httprouter.Router) {
-	r.GET("/admin/why", n.getWhyPage)
+func (n *Node) routeExplanations(r *httprouter.Router) {
+	r.GET("/admin/why", n.getExplanationPage)
 	r.GET("/admin/why/:id", func(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 		id := p.ByName("id")
 		if !protocol.ValidJobID(id) {
-			write(w, answer{status: 404, body: errorBody{"no such job"}})
+			writeAnswer(w, answer{status: 404, body: errorBody{"no such job"}})
 			return
 		}
-		n.serve(w, r, n.listing(func(reply chan<- answer) { n.onWhy(id, time.Now(), reply) }))
+		n.serve(w, r, n.withLoadShedding(func(reply chan<- answer) { n.onExplain(id, time.Now(), reply) }))
 	})
 }
 
-// onWhy explains a job, or has its holder do so.
-func (n *Node) onWhy(id string, now time.Time, reply chan<- answer) {
+// onExplain explains a job, or has its holder do so.
+func (n *Node) onExplain(id string, now time.Time, reply chan<- answer) {
 	j := n.jobs[id]
 	switch {
 	case !n.loaded:
-		reply <- busy
+		reply <- busyAnswer
 	case j == nil && n.tickets.byID[id] != nil:
 		reply <- answer{status: 404, body: errorBody{"a ticket: ask for its steps' jobs, which /tickets/" + id + " names"}}
 	case j == nil:
 		// What this node has not heard of may be new: only the store can say that there
 		// is none. (Found by the lab: a node told of no such job in an outage.)
-		n.readJob(id, func(known bool, _ protocol.JobStatus, err error) {
-			_, over := n.finals.byID[id]
+		n.readJobStatus(id, func(known bool, _ protocol.JobStatus, err error) {
+			_, over := n.finalJobs.byID[id]
 			switch {
 			case err != nil:
-				reply <- answer{status: 503, retryS: 1, body: errorBody{fmt.Sprintf("not known here, and the state service last answered %.1f s ago", n.sinceContact(time.Now()).Seconds())}}
+				reply <- answer{status: 503, retryAfterS: 1, body: errorBody{fmt.Sprintf("not known here, and the state service last answered %.1f s ago", n.sinceContact(time.Now()).Seconds())}}
 			case known && over:
 				reply <- answer{status: 404, body: errorBody{"it is over"}}
 			case known && n.jobs[id] != nil:
-				n.onWhy(id, time.Now(), reply)
+				n.onExplain(id, time.Now(), reply)
 			case known:
-				reply <- busy
+				reply <- busyAnswer
 			default:
 				reply <- answer{status: 404, body: errorBody{"no such job"}}
 			}
 		})
-	case n.mine(n.shares[j.share]):
-		reply <- answer{status: 200, body: n.why(j, now)}
+	case n.owns(n.partitions[j.partition]):
+		reply <- answer{status: 200, body: n.explain(j, now)}
 	default:
-		n.askHolder(n.shares[j.share], protocol.Ask{Job: id}, func(t protocol.Told, unknown string) {
+		n.askOwner(n.partitions[j.partition], protocol.Ask{Job: id}, func(t protocol.Told, unknown string) {
 			if unknown != "" {
-				w := n.whyBase(j, time.Now())
+				w := n.baseExplanation(j, time.Now())
 				w.Unknown = unknown
-				w.Causes = []WhyCause{unknownCause(n.shares[j.share])}
+				w.Causes = []ExplainedCause{unknownCause(n.partitions[j.partition])}
 				reply <- answer{status: 200, body: w}
 				return
 			}
@@ -125,22 +125,22 @@
 	}
 }
 
-func unknownCause(s *share) WhyCause {
-	k := decide.HolderSilent
-	if s.holder.Token == 0 {
-		k = decide.NoHolder
+func unknownCause(s *partition) ExplainedCause {
+	k := decide.OwnerUnresponsive
+	if s.owner.Token == 0 {
+		k = decide.NoOwner
 	}
-	return WhyCause{decide.Cause{Kind: k}, k.Text()}
+	return ExplainedCause{decide.Cause{Reason: k}, k.Text()}
 }
 
-// askHolder asks the holder of a share; then is told its answer, or why there is none.
-func (n *Node) askHolder(s *share, q protocol.Ask, then func(t protocol.Told, unknown string)) {
-	holder := s.holder.Node
+// askOwner asks the holder of a share; then is told its answer, or why there is none.
+func (n *Node) askOwner(s *partition, q protocol.Ask, then func(t protocol.Told, unknown string)) {
+	holder := s.owner.Node
 	switch {
-	case s.holder.Token == 0:
+	case s.owner.Token == 0:
 		then(protocol.Told{}, "its share has no holder")
 		return
-	case holder == n.cfg.Node || n.AskPeer == nil || n.siblings[holder] == nil:
+	case holder == n.cfg.Node || n.AskPeer == nil || n.peers[holder] == nil:
 		then(protocol.Told{}, "unknown: its share is held by "+holder+", which can't be asked")
 		return
 	}
@@ -155,8 +155,8 @@
 			unknown := ""
 			if err != nil {
 				unknown = fmt.Sprintf("unknown: %s, which holds its share, did not answer for %.1f s", holder, time.Since(asked).Seconds())
-				if sib := n.siblings[holder]; !sib.heard.IsZero() {
-					unknown += fmt.Sprintf("; last heard %.1f s ago", time.Since(sib.heard).Seconds())
+				if sib := n.peers[holder]; !sib.lastHint.IsZero() {
+					unknown += fmt.Sprintf("; last heard %.1f s ago", time.Since(sib.lastHint).Seconds())
 				}
 			}
 			then(t, unknown)
@@ -164,35 +164,35 @@
 	})
 }
 
-// othersShares is the shares that other controllers hold, by holder, and those without
+// peerPartitions is the shares that other controllers hold, by holder, and those without
 // one.
-func (n *Node) othersShares() (held map[string][]*share, vacant []*share) {
-	held = map[string][]*share{}
-	for _, s := range n.shares {
+func (n *Node) peerPartitions() (held map[string][]*partition, vacant []*partition) {
+	held = map[string][]*partition{}
+	for _, s := range n.partitions {
 		switch {
-		case n.mine(s):
-		case s.holder.Token == 0:
+		case n.owns(s):
+		case s.owner.Token == 0:
 			vacant = append(vacant, s)
 		default:
-			held[s.holder.Node] = append(held[s.holder.Node], s)
+			held[s.owner.Node] = append(held[s.owner.Node], s)
 		}
 	}
 	return held, vacant
 }
 
-// askHolders asks each holder the same, hands over each one's part or why it is unknown,
+// askOwners asks each holder the same, hands over each one's part or why it is unknown,
 // and calls done after the last; at once where there is none.
-func askHolders[T any](n *Node, held map[string][]*share, q protocol.Ask, add func(holder string, part T, unknown string), done func()) {
+func askOwners[T any](n *Node, held map[string][]*partition, q protocol.Ask, add func(holder string, part T, unknown string), done func()) {
 	open := len(held)
 	if open == 0 {
 		done()
 		return
 	}
 	for _, holder := range slices.Sorted(maps.Keys(held)) {
-		n.askHolder(held[holder][0], q, func(t protocol.Told, unknown string) {
+		n.askOwner(held[holder][0], q, func(t protocol.Told, unknown string) {
 			var part T
 			if unknown == "" && (t.Status != http.StatusOK || json.Unmarshal(t.Body, &part) != nil) {
-				unknown = answeredBadly(holder, t.Status)
+				unknown = unexpectedAnswer(holder, t.Status)
 			}
 			add(holder, part, unknown)
 			if open--; open == 0 {
@@ -202,12 +202,12 @@
 	}
 }
 
-func answeredBadly(holder string, status int) string {
+func unexpectedAnswer(holder string, status int) string {
 	return fmt.Sprintf("unknown: %s answered %d", holder, status)
 }
 
-// Answer answers another controller's question. Any routine may call it.
-func (n *Node) Answer(data []byte) ([]byte, bool) {
+// AnswerPeer answers another controller's question. Any routine may call it.
+func (n *Node) AnswerPeer(data []byte) ([]byte, bool) {
 	if !protocol.IsAsk(data) {
 		return nil, false
 	}
@@ -220,7 +220,7 @@
 	select {
 	case t := <-out:
 		return t.Encode(), true
-	case <-time.After(AskPatience):
+	case <-time.After(AskTimeout):
 	case <-n.ctx.Done():
 	}
 	return protocol.Told{Node: n.cfg.Node, Status: 503, Body: []byte("{}")}.Encode(), true
@@ -229,21 +229,21 @@
 func (n *Node) answerAsk(q protocol.Ask, now time.Time) protocol.Told {
 	t := protocol.Told{Node: n.cfg.Node, Status: 200}
 	if q.Kind == protocol.AskAccount {
-		query := queryOf(q)
-		for t.Body = mustJSON(n.accountPart(&query, now)); len(t.Body) > protocol.MaxAnswer && query.Most > 1; {
+		query := accountQuery(q)
+		for t.Body = mustJSON(n.accountOfOwned(&query, now)); len(t.Body) > protocol.MaxAnswer && query.Most > 1; {
 			query.Most /= 2 // long names: fewer rows, and the cursor says so
-			t.Body = mustJSON(n.accountPart(&query, now))
+			t.Body = mustJSON(n.accountOfOwned(&query, now))
 		}
 	} else if q.Kind == protocol.AskSamples {
 		t.Body = mustJSON(n.account.samples)
 	} else if q.Job == "" {
-		t.Body = mustJSON(n.whyPage(q, now))
+		t.Body = mustJSON(n.explanationPage(q, now))
 	} else if j := n.jobs[q.Job]; j == nil {
 		t.Status, t.Body = 404, mustJSON(errorBody{"no such job, or it is over"})
-	} else if !n.mine(n.shares[j.share]) {
+	} else if !n.owns(n.partitions[j.partition]) {
 		t.Status, t.Body = 503, mustJSON(errorBody{"its share has just gone to another node"})
 	} else {
-		t.Body = mustJSON(n.why(j, now))
+		t.Body = mustJSON(n.explain(j, now))
 	}
 	if len(t.Body) > protocol.MaxAnswer {
 		t.Status, t.Body = 503, mustJSON(errorBody{"the answer is too long: ask for less"})
@@ -251,9 +251,9 @@
 	return t
 }
 
-func (n *Node) whyBase(j *job, now time.Time) *Why {
-	w := &Why{Job: j.id, Team: j.spec.Team, Class: j.spec.Class, Waiting: j.nWaiting(), Holder: n.shares[j.share].holder.Node, Causes: []WhyCause{},
-		StateAge: round(min(n.sinceContact(now), now.Sub(n.started)).Seconds())}
+func (n *Node) baseExplanation(j *job, now time.Time) *Explanation {
+	w := &Explanation{Job: j.id, Team: j.spec.Team, Class: j.spec.Class, Waiting: j.nWaiting(), Owner: n.partitions[j.partition].owner.Node, Causes: []ExplainedCause{},
+		StateAge: roundToTenth(min(n.sinceContact(now), now.Sub(n.startedAt)).Seconds())}
 	if j.step != nil {
 		w.Ticket = j.step.Ticket
 	}
@@ -261,69 +261,69 @@
 	for i := range j.tasks {
 		t := &j.tasks[i]
 		switch {
-		case t.phase == done || t.phase == spent:
+		case t.phase == phaseDone || t.phase == phaseExhausted:
 			continue
-		case t.phase == placed && t.seen >= seenRunning:
+		case t.phase == phasePlaced && t.reportedState >= reportedRunning:
 			w.Running++
 			continue
-		case t.phase != waiting:
+		case t.phase != phaseWaiting:
 			w.Starting++
 		}
-		if t.since.Before(since) {
-			since = t.since
+		if t.phaseSince.Before(since) {
+			since = t.phaseSince
 		}
 	}
-	w.SinceS = round(now.Sub(since).Seconds())
+	w.SinceS = roundToTenth(now.Sub(since).Seconds())
 	return w
 }
 
-// why explains a job of a share held by this node.
-func (n *Node) why(j *job, now time.Time) *Why {
-	w := n.whyBase(j, now)
-	s := n.shares[j.share]
-	a := n.around(s, j, now)
+// explain explains a job of a share held by this node.
+func (n *Node) explain(j *job, now time.Time) *Explanation {
+	w := n.baseExplanation(j, now)
+	s := n.partitions[j.partition]
+	a := n.decisionContext(s, j, now)
 	v := n.view(s, now)
-	f := n.boundFacts(j, now)
-	add := func(c decide.Cause) { w.Causes = append(w.Causes, WhyCause{c, c.String()}) }
+	f := n.jobFactsWithZones(j, now)
+	add := func(c decide.Cause) { w.Causes = append(w.Causes, ExplainedCause{c, c.String()}) }
 	for _, c := range v.Explain(f, a) {
 		add(c)
 	}
 	if len(w.Causes) == 0 && w.Waiting > 0 {
 		// A decision would start it at this moment: the next look does.
-		add(decide.Cause{Kind: decide.Starting, Count: w.Waiting})
+		add(decide.Cause{Reason: decide.Starting, Count: w.Waiting})
 	}
 	if len(w.Causes) > 0 && w.Waiting > 0 {
-		changes, ok := v.Release(f, a)
+		changes, ok := v.ChangesToStart(f, a)
 		for _, c := range changes {
 			w.Release = append(w.Release, c.String())
 		}
-		w.Enough = ok
+		w.Sufficient = ok
 	}
 	starting := n.startingCauses(j, now)
 	for _, k := range slices.Sorted(maps.Keys(starting)) {
 		c := starting[k]
-		c.Kind = k
+		c.Reason = k
 		add(c)
 	}
 	return w
 }
 
 // startingCauses are what tasks wait for that have a machine.
-func (n *Node) startingCauses(j *job, now time.Time) map[decide.Kind]decide.Cause {
-	out := map[decide.Kind]decide.Cause{}
+func (n *Node) startingCauses(j *job, now time.Time) map[decide.Reason]decide.Cause {
+	out := map[decide.Reason]decide.Cause{}
 	for i := range j.tasks {
 		t := &j.tasks[i]
-		if t.phase != placed && t.phase != proposed || t.seen >= seenRunning && t.phase == placed {
+		if t.phase != phasePlaced && t.phase != phaseProposed || t.reportedState >= reportedRunning && t.phase == phasePlaced {
 			continue
 		}
 		k := decide.Starting
 		switch {
-		case t.machine.known && !t.machine.heard.IsZero() && n.silent(t.machine, now):
+		case t.machine.recorded && !t.machine.lastFencedReport.IsZero() && n.silent(t.machine, now):
 			k = decide.Unreachable
-		case t.seen == seenFetching:
+		case t.reportedState == reportedFetching:
 			k = decide.Fetching
-		case t.seen == seenWaiting:
-			k = decide.GangGathering
+		case t.reportedState == reportedWaiting:
+			k = decide.WaitingForGang
 		}
 		c := out[k]
 		c.Count++
@@ -335,59 +335,59 @@
 	return out
 }
 
-// around is what holds a job beside its share's machines and its team.
-func (n *Node) around(s *share, j *job, now time.Time) *decide.Around {
-	a := &decide.Around{StateAge: min(n.sinceContact(now), now.Sub(n.started)), NoRents: n.policy.NoRents, Claimed: n.anyClaimed(now), Market: &decide.Market{Refused: n.cloudside.refusedTill}}
+// decisionContext is what holds a job beside its share's machines and its team.
+func (n *Node) decisionContext(s *partition, j *job, now time.Time) *decide.ExplainContext {
+	a := &decide.ExplainContext{SinceStateAnswer: min(n.sinceContact(now), now.Sub(n.startedAt)), RentalsStopped: n.policy.StopRentals, GuaranteedWaiting: n.anyGuaranteedWorkWaits(now), Market: &decide.Market{RefusedUntil: n.cloudState.refusedUntil}}
 	for _, o := range s.jobs {
 		if o == j {
 			break
 		}
-		if n.wants(o, now) > 0 {
-			a.Ahead = append(a.Ahead, &o.facts)
+		if n.preemptionDemand(o, now) > 0 {
+			a.JobsAhead = append(a.JobsAhead, &o.facts)
 		}
 	}
 	return a
 }
 
-// binding is the cause that binds a waiting job, as the last look found it.
-func (n *Node) binding(j *job, now time.Time) decide.Kind {
+// bindingCause is the cause that binds a waiting job, as the last look found it.
+func (n *Node) bindingCause(j *job, now time.Time) decide.Reason {
 	switch {
-	case n.sinceContact(now) > stateLost:
-		return decide.StateLost
+	case n.sinceContact(now) > stateServiceTimeout:
+		return decide.StateServiceDown
 	case j.cancelled:
 		return decide.Stopping
-	case j.abandon:
+	case j.abortAttempt:
 		return decide.GangLeaving
-	case j.trouble.mistake:
+	case j.failures.failsEverywhere:
 		return decide.FailsEverywhere
-	case j.waits == decide.None:
+	case j.waitCause == decide.NoReason:
 		return decide.Starting
 	}
-	return j.waits
+	return j.waitCause
 }
 
-// whyPage lists waiting jobs of the shares held, by id, and adds up all of them.
-func (n *Node) whyPage(q protocol.Ask, now time.Time) *WhyPage {
-	p := &WhyPage{Node: n.cfg.Node, Sums: map[string]int{}, Jobs: []WhyLine{}}
-	var all []WhyLine
-	for _, s := range n.shares {
-		if !n.mine(s) {
+// explanationPage lists waiting jobs of the shares held, by id, and adds up all of them.
+func (n *Node) explanationPage(q protocol.Ask, now time.Time) *ExplanationPage {
+	p := &ExplanationPage{Node: n.cfg.Node, TasksByCause: map[string]int{}, Jobs: []ExplanationLine{}}
+	var all []ExplanationLine
+	for _, s := range n.partitions {
+		if !n.owns(s) {
 			continue
 		}
 		for _, j := range s.jobs {
 			if j.nWaiting() == 0 || j.cancelled {
 				continue
 			}
-			k := n.binding(j, now)
-			p.Sums[k.String()] += j.nWaiting()
+			k := n.bindingCause(j, now)
+			p.TasksByCause[k.String()] += j.nWaiting()
 			since := now.Sub(j.submitted).Seconds()
 			if q.Team != "" && q.Team != j.spec.Team || q.Cause != "" && q.Cause != k.String() || since < q.SinceS || j.id <= q.After {
 				continue
 			}
-			all = append(all, WhyLine{Job: j.id, Team: j.spec.Team, Class: j.spec.Class, Waiting: j.nWaiting(), SinceS: round(since), Cause: k.String(), Text: k.Text()})
+			all = append(all, ExplanationLine{Job: j.id, Team: j.spec.Team, Class: j.spec.Class, Waiting: j.nWaiting(), SinceS: roundToTenth(since), Cause: k.String(), Text: k.Text()})
 		}
 	}
-	slices.SortFunc(all, func(a, b WhyLine) int { return compareNames(a.Job, b.Job) })
+	slices.SortFunc(all, func(a, b ExplanationLine) int { return compareNames(a.Job, b.Job) })
 	p.Jobs = append(p.Jobs, all[:min(len(all), q.Most)]...)
 	if len(all) > q.Most {
 		p.After = p.Jobs[q.Most-1].Job
@@ -395,14 +395,14 @@
 	return p
 }
 
-// getWhyPage adds up what all holders tell.
-func (n *Node) getWhyPage(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+// getExplanationPage adds up what all holders tell.
+func (n *Node) getExplanationPage(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	q := r.URL.Query()
 	ask := protocol.Ask{Team: q.Get("team"), Cause: q.Get("cause"), After: q.Get("after"), Most: 50}
 	if v := q.Get("limit"); v != "" {
 		most, err := strconv.Atoi(v)
 		if err != nil || most < 1 || most > mostLines {
-			write(w, answer{status: 400, body: errorBody{fmt.Sprintf("limit: must be 1 to %d", mostLines)}})
+			writeAnswer(w, answer{status: 400, body: errorBody{fmt.Sprintf("limit: must be 1 to %d", mostLines)}})
 			return
 		}
 		ask.Most = most
@@ -410,42 +410,42 @@
 	if v := q.Get("since"); v != "" {
 		s, err := strconv.ParseFloat(v, 64)
 		if err != nil || !(s >= 0 && s <= 1e9) {
-			write(w, answer{status: 400, body: errorBody{"since: must be seconds, 0 to 1000000000"}})
+			writeAnswer(w, answer{status: 400, body: errorBody{"since: must be seconds, 0 to 1000000000"}})
 			return
 		}
 		ask.SinceS = s
 	}
-	if ask.Cause != "" && !slices.Contains(decide.Kinds(), ask.Cause) {
-		write(w, answer{status: 400, body: errorBody{fmt.Sprintf("cause: must be one of %v", decide.Kinds())}})
+	if ask.Cause != "" && !slices.Contains(decide.ReasonNames(), ask.Cause) {
+		writeAnswer(w, answer{status: 400, body: errorBody{fmt.Sprintf("cause: must be one of %v", decide.ReasonNames())}})
 		return
 	}
-	n.serve(w, r, n.listing(func(reply chan<- answer) { n.onWhyPage(ask, time.Now(), reply) }))
+	n.serve(w, r, n.withLoadShedding(func(reply chan<- answer) { n.onExplanationPage(ask, time.Now(), reply) }))
 }
 
-func (n *Node) onWhyPage(ask protocol.Ask, now time.Time, reply chan<- answer) {
+func (n *Node) onExplanationPage(ask protocol.Ask, now time.Time, reply chan<- answer) {
 	if !n.loaded {
-		reply <- busy
+		reply <- busyAnswer
 		return
 	}
-	sum := n.whyPage(ask, now)
-	held, vacant := n.othersShares()
+	sum := n.explanationPage(ask, now)
+	held, vacant := n.peerPartitions()
 	for _, s := range vacant {
 		sum.Unknown = append(sum.Unknown, fmt.Sprintf("share %d has no holder", s.index))
 	}
-	askHolders(n, held, ask, func(_ string, part WhyPage, unknown string) {
+	askOwners(n, held, ask, func(_ string, part ExplanationPage, unknown string) {
 		if unknown != "" {
 			sum.Unknown = append(sum.Unknown, unknown)
 			return
 		}
-		for k, c := range part.Sums {
-			sum.Sums[k] += c
+		for k, c := range part.TasksByCause {
+			sum.TasksByCause[k] += c
 		}
 		sum.Jobs = append(sum.Jobs, part.Jobs...)
 		if part.After != "" && (sum.After == "" || part.After < sum.After) {
 			sum.After = part.After
 		}
 	}, func() {
-		slices.SortFunc(sum.Jobs, func(a, b WhyLine) int { return compareNames(a.Job, b.Job) })
+		slices.SortFunc(sum.Jobs, func(a, b ExplanationLine) int { return compareNames(a.Job, b.Job) })
 		if len(sum.Jobs) > ask.Most {
 			sum.Jobs = sum.Jobs[:ask.Most]
 			sum.After = sum.Jobs[ask.Most-1].Job
@@ -454,14 +454,14 @@
 	})
 }
 
-// countWaiting keeps the metric of waiting tasks by cause.
-func (n *Node) countWaiting(now time.Time) {
-	sums := map[decide.Kind]int{}
-	for _, s := range n.shares {
-		if n.mine(s) {
+// updateWaitingMetric keeps the metric of waiting tasks by cause.
+func (n *Node) updateWaitingMetric(now time.Time) {
+	sums := map[decide.Reason]int{}
+	for _, s := range n.partitions {
+		if n.owns(s) {
 			for _, j := range s.jobs {
 				if !j.cancelled && j.nWaiting() > 0 {
-					sums[n.binding(j, now)] += j.nWaiting()
+					sums[n.bindingCause(j, now)] += j.nWaiting()
 				}
 			}
 		}
--- a/internal/coordination/node/why_test.go
+++ b/internal/coordination/node/why_test.go
@@ -14,23 +14,23 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// peers lets the nodes of a world ask one another, unless one is cut off or stands
+// connectPeers lets the nodes of a world ask one another, unless one is cut off or stands
 // still.
-func (w *world) peers() {
+func (w *simCluster) connectPeers() {
 	for _, name := range w.names {
 		n := w.node(name)
 		n.post(func() {
 			n.AskPeer = func(ctx context.Context, to string, q []byte) ([]byte, error) {
-				ctx, cancel := context.WithTimeout(ctx, AskPatience)
+				ctx, cancel := context.WithTimeout(ctx, AskTimeout)
 				defer cancel()
 				out := make(chan []byte, 1)
 				go func() {
 					other := w.node(to)
-					if other == nil || w.is(w.noNet, to) || w.is(w.noNet, n.cfg.Node) {
+					if other == nil || w.isSet(w.isolated, to) || w.isSet(w.isolated, n.cfg.Node) {
 						return
 					}
-					w.thaw(to)
-					if a, ok := other.Answer(q); ok {
+					w.waitUntilThawed(to)
+					if a, ok := other.AnswerPeer(q); ok {
 						out <- a
 					}
 				}()
@@ -45,18 +45,18 @@
 	}
 }
 
-// asked is what a node says of a job.
-func (w *world) asked(name, id string) *Why {
+// explanation is what a node says of a job.
+func (w *simCluster) explanation(name, id string) *Explanation {
 	ctx, cancel := context.WithTimeout(w.ctx, 5*time.Second)
 	defer cancel()
-	a, err := w.ask(ctx, name, func(n *Node, reply chan<- answer) { n.onWhy(id, time.Now(), reply) })
+	a, err := w.userRequest(ctx, name, func(n *Node, reply chan<- answer) { n.onExplain(id, time.Now(), reply) })
 	if err != nil || a.status != 200 {
 		return nil
 	}
-	if why, ok := a.body.(*Why); ok {
+	if why, ok := a.body.(*Explanation); ok {
 		return why
 	}
-	var why Why
+	var why Explanation
 	if err := json.Unmarshal(mustJSON(a.body), &why); err != nil {
 		w.t.Fatal(err)
 	}
@@ -64,20 +64,20 @@
 }
 
 // causesOf are the names of causes.
-func causesOf(w *Why) string {
+func causesOf(w *Explanation) string {
 	var out []string
 	for _, c := range w.Causes {
-		out = append(out, c.Kind.String())
+		out = append(out, c.Reason.String())
 	}
 	return strings.Join(out, " ")
 }
 
-// begins waits until a task of a job runs, and says how long that took.
-func (w *world) begins(id string, most time.Duration) (time.Duration, bool) {
+// waitUntilRunning waits until a task of a job runs, and says how long that took.
+func (w *simCluster) waitUntilRunning(id string, most time.Duration) (time.Duration, bool) {
 	from := time.Now()
 	for time.Since(from) < most {
 		for _, name := range w.names {
-			if why := w.asked(name, id); why != nil && (why.Running > 0 || why.Waiting+why.Starting == 0) {
+			if why := w.explanation(name, id); why != nil && (why.Running > 0 || why.Waiting+why.Starting == 0) {
 				return time.Since(from), true
 			}
 		}
@@ -92,54 +92,54 @@
 	spec := func(id, team string, tasks int) *protocol.JobSpec {
 		return &protocol.JobSpec{ID: id, Team: team, Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: tasks, CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img", ImageGB: 1, EstimateS: 10000, Spot: true}
 	}
-	policy := func(change func(p *Policy)) func(w *world) {
-		return func(w *world) {
+	policy := func(change func(p *Policy)) func(w *simCluster) {
+		return func(w *simCluster) {
 			p := DefaultPolicy()
 			change(&p)
 			w.state.Put(protocol.PolicyKey, p)
 		}
 	}
 	for _, c := range []struct {
-		cause   decide.Kind
-		before  func(w *world) // the condition
+		cause   decide.Reason
+		before  func(w *simCluster) // the condition
 		spec    func(s *protocol.JobSpec)
-		release func(w *world)
+		release func(w *simCluster)
 		within  time.Duration
 	}{
-		{decide.TeamLimit, func(w *world) { w.submit(spec("job-5", "red", 8)); time.Sleep(40 * time.Second) }, nil, func(w *world) { w.cancel("job-5") }, 15 * time.Second},
-		{decide.Drained, func(w *world) {
+		{decide.TeamLimit, func(w *simCluster) { w.submit(spec("job-5", "red", 8)); time.Sleep(40 * time.Second) }, nil, func(w *simCluster) { w.cancel("job-5") }, 15 * time.Second},
+		{decide.Drained, func(w *simCluster) {
 			w.submit(spec("job-5", "red", 2))
 			time.Sleep(40 * time.Second)
-			policy(func(p *Policy) { p.HeldBack, p.NoRents = w.fleet.Names(), true })(w)
+			policy(func(p *Policy) { p.HeldBack, p.StopRentals = w.fleet.Names(), true })(w)
 			time.Sleep(time.Second)
 		}, nil, policy(func(p *Policy) {}), 15 * time.Second},
-		{decide.RentalsStopped, policy(func(p *Policy) { p.NoRents = true }), nil, policy(func(p *Policy) {}), 30 * time.Second},
-		{decide.CloudRefused, func(w *world) { w.fleet.Most = 0 }, nil, func(w *world) { w.fleet.Most = 10 }, 40 * time.Second},
-		{decide.NoFreeMachine, func(w *world) {
+		{decide.RentalsStopped, policy(func(p *Policy) { p.StopRentals = true }), nil, policy(func(p *Policy) {}), 30 * time.Second},
+		{decide.CloudRefused, func(w *simCluster) { w.fleet.Most = 0 }, nil, func(w *simCluster) { w.fleet.Most = 10 }, 40 * time.Second},
+		{decide.NoFreeMachine, func(w *simCluster) {
 			w.fleet.Most = 1
 			w.submit(spec("job-5", "red", 4))
 			time.Sleep(40 * time.Second)
-		}, nil, func(w *world) { w.cancel("job-5") }, 20 * time.Second},
-		{decide.GangIncomplete, func(w *world) {
+		}, nil, func(w *simCluster) { w.cancel("job-5") }, 20 * time.Second},
+		{decide.GangIncomplete, func(w *simCluster) {
 			w.fleet.Most = 1
 			w.submit(spec("job-5", "red", 2))
 			time.Sleep(40 * time.Second)
-		}, func(s *protocol.JobSpec) { s.Shape, s.Tasks = protocol.Gang, 4 }, func(w *world) { w.cancel("job-5") }, 20 * time.Second},
-		{decide.Booting, func(w *world) { w.fleet.Boot = 40 * time.Second }, nil, func(w *world) {}, 60 * time.Second},
-		{decide.FailsEverywhere, func(w *world) { w.fleet.Mistaken("job-6") }, nil, func(w *world) { w.fleet.Fixed("job-6") }, 90 * time.Second},
-		{decide.StateLost, func(w *world) {
+		}, func(s *protocol.JobSpec) { s.Shape, s.Tasks = protocol.Gang, 4 }, func(w *simCluster) { w.cancel("job-5") }, 20 * time.Second},
+		{decide.Booting, func(w *simCluster) { w.fleet.Boot = 40 * time.Second }, nil, func(w *simCluster) {}, 60 * time.Second},
+		{decide.FailsEverywhere, func(w *simCluster) { w.fleet.Mistaken("job-6") }, nil, func(w *simCluster) { w.fleet.Fixed("job-6") }, 90 * time.Second},
+		{decide.StateServiceDown, func(w *simCluster) {
 			w.submit(spec("job-5", "red", 2))
 			time.Sleep(40 * time.Second)
-			policy(func(p *Policy) { p.NoRents, p.HeldBack = true, w.fleet.Names() })(w)
+			policy(func(p *Policy) { p.StopRentals, p.HeldBack = true, w.fleet.Names() })(w)
 		}, nil, policy(func(p *Policy) {}), 15 * time.Second},
 	} {
 		t.Run(c.cause.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(context.Background())
-				w := newWorld(t, ctx, 4, asTheyAre)
+				w := newWorld(t, ctx, 4, defaultSettings)
 				defer func() { cancel(); time.Sleep(2 * time.Minute); synctest.Wait() }()
 				time.Sleep(6 * time.Second)
-				w.peers()
+				w.connectPeers()
 				c.before(w)
 				s := spec("job-6", "red", 2)
 				if c.spec != nil {
@@ -147,32 +147,32 @@
 				}
 				w.submit(s)
 				time.Sleep(map[bool]time.Duration{true: 30 * time.Second, false: 4 * time.Second}[c.cause == decide.FailsEverywhere || c.cause == decide.CloudRefused])
-				if c.cause == decide.StateLost {
-					w.set(func() { w.outage = true })
+				if c.cause == decide.StateServiceDown {
+					w.withLock(func() { w.outage = true })
 					time.Sleep(4 * time.Second)
 				}
 				for _, name := range w.names {
-					why := w.asked(name, s.ID)
+					why := w.explanation(name, s.ID)
 					for try := 0; why != nil && why.Unknown == "" && c.cause == decide.FailsEverywhere && !strings.Contains(causesOf(why), c.cause.String()) && try < 40; try++ {
 						time.Sleep(500 * time.Millisecond) // a try is under way
-						why = w.asked(name, s.ID)
+						why = w.explanation(name, s.ID)
 					}
 					if why == nil || !strings.Contains(causesOf(why), c.cause.String()) {
 						t.Errorf("%s says %+v, want %s", name, why, c.cause)
-					} else if len(why.Release) == 0 || why.Holder == "" {
+					} else if len(why.Release) == 0 || why.Owner == "" {
 						t.Errorf("%s names no release: %+v", name, why)
-					} else if c.cause == decide.StateLost && why.StateAge < 3 {
+					} else if c.cause == decide.StateServiceDown && why.StateAge < 3 {
 						t.Errorf("%s does not tell how old what it says is: %v s", name, why.StateAge)
 					}
 				}
-				if c.cause == decide.StateLost {
-					w.set(func() { w.outage = false })
+				if c.cause == decide.StateServiceDown {
+					w.withLock(func() { w.outage = false })
 					w.state.Refill()
 					time.Sleep(time.Second)
 				}
 				c.release(w)
-				if took, ok := w.begins(s.ID, 3*time.Minute); !ok || took > c.within {
-					why := w.asked("n-0", s.ID)
+				if took, ok := w.waitUntilRunning(s.ID, 3*time.Minute); !ok || took > c.within {
+					why := w.explanation("n-0", s.ID)
 					t.Errorf("started %v, %v after its release, want %v; %+v", ok, took, c.within, why)
 				}
 			})
@@ -185,14 +185,14 @@
 func TestWhyOfASilentHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, 4, asTheyAre)
+		w := newWorld(t, ctx, 4, defaultSettings)
 		defer func() { cancel(); time.Sleep(2 * time.Minute); synctest.Wait() }()
 		time.Sleep(6 * time.Second)
-		w.peers()
+		w.connectPeers()
 		w.fleet.Most = 0
 		w.submit(&protocol.JobSpec{ID: "job-1", Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 2, CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img", ImageGB: 1, EstimateS: 10})
 		time.Sleep(2 * time.Second)
-		holder := w.asked("n-0", "job-1").Holder
+		holder := w.explanation("n-0", "job-1").Owner
 		go w.freeze(holder, 30*time.Second)
 		time.Sleep(100 * time.Millisecond)
 		var wg sync.WaitGroup // both at once: after three seconds one of them has the share
@@ -202,19 +202,19 @@
 			}
 			wg.Go(func() {
 				from := time.Now()
-				why := w.asked(name, "job-1")
-				if why == nil || !strings.Contains(why.Unknown, holder) || causesOf(why) != "holder_silent" && causesOf(why) != "no_holder" || time.Since(from) > 2*AskPatience {
+				why := w.explanation(name, "job-1")
+				if why == nil || !strings.Contains(why.Unknown, holder) || causesOf(why) != "holder_silent" && causesOf(why) != "no_holder" || time.Since(from) > 2*AskTimeout {
 					t.Errorf("%s says %+v after %v", name, why, time.Since(from))
 				}
-				a, err := w.ask(ctx, name, func(n *Node, reply chan<- answer) { n.onWhyPage(protocol.Ask{Most: 50}, time.Now(), reply) })
-				if page, ok := a.body.(*WhyPage); err != nil || !ok || len(page.Unknown) == 0 {
+				a, err := w.userRequest(ctx, name, func(n *Node, reply chan<- answer) { n.onExplanationPage(protocol.Ask{Most: 50}, time.Now(), reply) })
+				if page, ok := a.body.(*ExplanationPage); err != nil || !ok || len(page.Unknown) == 0 {
 					t.Errorf("%s: a page without what is unknown: %+v", name, a.body)
 				}
 			})
 		}
 		wg.Wait()
 		time.Sleep(20 * time.Second) // others have taken its share meanwhile
-		if why := w.asked("n-0", "job-1"); why == nil && holder != "n-0" {
+		if why := w.explanation("n-0", "job-1"); why == nil && holder != "n-0" {
 			t.Error("nothing is said after the take-over")
 		}
 	})
@@ -222,19 +222,19 @@
 
 // Thousands of jobs with one cause: pages with a cursor, sums over all.
 func TestWhyOfThousands(t *testing.T) {
-	b := newBench(t)
+	b := newTestNode(t)
 	for i := range 3000 {
 		spec := &protocol.JobSpec{ID: fmt.Sprintf("job-%06d", i), Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 2, CPUs: 4, GPUs: 1, Image: "i", Types: []string{"none"}}
-		b.put(protocol.JobKey(spec.ID), protocol.JobRecord{Spec: spec, SubmittedMS: int64(i), Next: 1})
+		b.watchPut(protocol.JobKey(spec.ID), protocol.JobRecord{Spec: spec, SubmittedMS: int64(i), Next: 1})
 	}
 	now := time.Now()
-	b.Contact(now)
+	b.RecordContact(now)
 	b.plan(now)
 	seen, after := 0, ""
 	for {
-		p := b.whyPage(protocol.Ask{Team: "red", After: after, Most: 200}, now)
-		if p.Sums["no_capacity"]+p.Sums["team_limit"] != 6000 {
-			t.Fatalf("%v", p.Sums)
+		p := b.explanationPage(protocol.Ask{Team: "red", After: after, Most: 200}, now)
+		if p.TasksByCause["no_capacity"]+p.TasksByCause["team_limit"] != 6000 {
+			t.Fatalf("%v", p.TasksByCause)
 		}
 		if data := mustJSON(p); len(data) > protocol.MaxAnswer {
 			t.Fatalf("a page of %d bytes", len(data))
@@ -248,7 +248,7 @@
 	if seen != 3000 {
 		t.Errorf("%d jobs on all pages", seen)
 	}
-	if p := b.whyPage(protocol.Ask{Cause: "drained", Most: 50}, now); len(p.Jobs) != 0 {
+	if p := b.explanationPage(protocol.Ask{Cause: "drained", Most: 50}, now); len(p.Jobs) != 0 {
 		t.Error("another cause's jobs")
 	}
 }
@@ -258,22 +258,22 @@
 func TestNoSuchJobIsNotGuessed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, 4, asTheyAre)
+		w := newWorld(t, ctx, 4, defaultSettings)
 		defer func() { cancel(); time.Sleep(2 * time.Minute); synctest.Wait() }()
 		time.Sleep(6 * time.Second)
-		w.peers()
+		w.connectPeers()
 		status := func() int {
-			a, _ := w.ask(ctx, "n-1", func(n *Node, reply chan<- answer) { n.onWhy("job-77", time.Now(), reply) })
+			a, _ := w.userRequest(ctx, "n-1", func(n *Node, reply chan<- answer) { n.onExplain("job-77", time.Now(), reply) })
 			return a.status
 		}
 		if got := status(); got != 404 {
 			t.Errorf("%d for a job that there is not", got)
 		}
-		w.set(func() { w.outage = true })
+		w.withLock(func() { w.outage = true })
 		time.Sleep(time.Second)
 		if got := status(); got != 503 {
 			t.Errorf("%d in an outage", got)
 		}
-		w.set(func() { w.outage = false })
+		w.withLock(func() { w.outage = false })
 	})
 }
--- a/internal/coordination/node/workers.go
+++ b/internal/coordination/node/workers.go
@@ -20,55 +20,55 @@
 // machine is a rented machine: its record, what its team of tasks takes, and
 // what its worker last said.
 type machine struct {
-	name  string
-	known bool // it has a record
-	rec   protocol.MachineRecord
-	batch *batch // what it is recorded in
-	on    map[taskKey]struct{}
-	used  Amounts
-
-	addr       string
-	added      time.Time // when this node first saw the record, or took the share over
-	heard      time.Time // last fenced report
-	session    uint64
-	seq        uint64
-	fenced     bool // a report of the present token has come
-	notice     bool // to be taken by the cloud
-	returning  bool
-	returnTry  time.Time
-	idleSince  time.Time // zero: something is recorded on it
-	idleUnseen bool      // this node did not see it become idle
-	moving     bool
-	suspicion  suspicion // of being faulty
-	gone       bool      // returned: the cloud said so
-	calling    bool      // a direct start is under way
-	doubt      []started // direct starts that were not answered
-	polling    bool      // a poll is under way; see unreported.go
-	pollAt     time.Time // not to be polled before
-	answered   time.Time // when a poll was last answered
-	expired    time.Time // when a poll last showed that its lease had ended
-	reported   time.Time // when its last report came, here or, by its hints, at its holder
-	toldAt     time.Time // when its holder last told of it
-	unlisted   bool      // the cloud's last list lacks it
-	born       time.Time // when this node first saw its record
-	avoidTill  time.Time // place nothing new before
-	wakeAt     time.Time // when to answer a parked report; zero: when its time is up
-	parked     *parked
-	images     []protocol.CachedImage // most recently used last
-	secPerGB   float64                // learned seconds per GB fetched; 0: unknown
-	fetchSince map[string]time.Time
-	heldBack   bool
-	earmark    *job // a gang that room is being gathered for
-	earmarkTo  time.Time
-	reserved   bool           // the earmark is a reservation
-	needed     bool           // by what waits or is expected
-	facts      decide.Machine // what decisions see of it; see facts.go
-	stale      bool           // the facts are older than the rest
-}
-
-// parked is a report whose answer waits a moment, so that a start can go out
+	name     string
+	recorded bool // it has a record
+	rec      protocol.MachineRecord
+	batch    *batch // what it is recorded in
+	tasks    map[taskKey]struct{}
+	used     Resources
+
+	addr              string
+	trackedSince      time.Time // when this node first saw the record, or took the share over
+	lastFencedReport  time.Time // last fenced report
+	session           uint64
+	seq               uint64
+	fenced            bool // a report of the present token has come
+	spotNotice        bool // to be taken by the cloud
+	returning         bool
+	returnRetryAt     time.Time
+	idleSince         time.Time // zero: something is recorded on it
+	idleSinceUnknown  bool      // this node did not see it become idle
+	moving            bool
+	faults            machineFaults // of being faulty
+	returned          bool          // returned: the cloud said so
+	startInFlight     bool          // a direct start is under way
+	unconfirmedStarts []directStart // direct starts that were not answered
+	pollInFlight      bool          // a poll is under way; see unreported.go
+	nextPoll          time.Time     // not to be polled before
+	lastDirectAnswer  time.Time     // when a poll was last answered
+	leaseExpirySeen   time.Time     // when a poll last showed that its lease had ended
+	lastReport        time.Time     // when its last report came, here or, by its hints, at its holder
+	lastHint          time.Time     // when its holder last told of it
+	unlisted          bool          // the cloud's last list lacks it
+	firstSeen         time.Time     // when this node first saw its record
+	avoidUntil        time.Time     // place nothing new before
+	wakeAt            time.Time     // when to answer a parked report; zero: when its time is up
+	deferred          *deferredReport
+	images            []protocol.CachedImage // most recently used last
+	secPerGB          float64                // learned seconds per GB fetched; 0: unknown
+	fetchSince        map[string]time.Time
+	heldBack          bool
+	earmarkedFor      *job // a gang that room is being gathered for
+	earmarkedUntil    time.Time
+	gangReservation   bool           // the earmark is a reservation
+	needed            bool           // by what waits or is expected
+	facts             decide.Machine // what decisions see of it; see facts.go
+	factsStale        bool           // the facts are older than the rest
+}
+
+// deferredReport is a report whose answer waits a moment, so that a start can go out
 // as soon as it is stored.
-type parked struct {
+type deferredReport struct {
 	report *protocol.Report
 	until  time.Time
 	reply  chan<- answer
@@ -76,61 +76,61 @@
 
 // answer is what a request gets.
 type answer struct {
-	status int
-	body   any
-	retryS int
+	status      int
+	body        any
+	retryAfterS int
 }
 
-// machine finds a machine by name, or makes a place for one whose record has
+// findOrAddMachine finds a machine by name, or makes a place for one whose record has
 // not come (yet).
-func (n *Node) machine(name string) *machine {
+func (n *Node) findOrAddMachine(name string) *machine {
 	m := n.machines[name]
 	if m == nil {
 		now := time.Now()
-		m = &machine{name: name, heldBack: slices.Contains(n.policy.HeldBack, name), on: map[taskKey]struct{}{}, added: now, idleSince: now, idleUnseen: !n.loaded, fetchSince: map[string]time.Time{}}
+		m = &machine{name: name, heldBack: slices.Contains(n.policy.HeldBack, name), tasks: map[taskKey]struct{}{}, trackedSince: now, idleSince: now, idleSinceUnknown: !n.loaded, fetchSince: map[string]time.Time{}}
 		n.machines[name] = m
-		n.touch(m)
+		n.markStale(m)
 	}
 	return m
 }
 
 func (n *Node) setMachine(b *batch, r protocol.MachineRecord) {
-	m := n.machine(r.Name)
-	if m.known && m.batch != b && r.Token < m.rec.Token {
+	m := n.findOrAddMachine(r.Name)
+	if m.recorded && m.batch != b && r.Token < m.rec.Token {
 		// A rental's change that was executed long after it was sent, when its answer was
 		// lost, the change tried again and the machine moved meanwhile. It was moved: the
 		// higher token tells, in whatever order the two are read. The batch is mended by
 		// its holder.
 		n.log.Warn("a record of a machine is older than its move, and is dropped", "machine", r.Name, "batch", b.key, "moved_in", m.batch.key)
-		n.metrics.refused.WithLabelValues("old_record").Inc()
-		b.changed(time.Now())
+		n.metrics.guardRefusals.WithLabelValues("old_record").Inc()
+		b.markDirty(time.Now())
 		return
 	}
 	m.batch = b
-	n.touch(m)
-	if m.known && (m.rec.Share != r.Share || m.rec.Token != r.Token) {
-		n.leave(m)
+	n.markStale(m)
+	if m.recorded && (m.rec.Share != r.Share || m.rec.Token != r.Token) {
+		n.removeFromPartition(m)
 		m.unfence()
 		m.moving = false
-		n.unpark(m)
+		n.rejectDeferred(m)
 		// A holder gives a machine it has never heard time from now on: without
 		// this every moved machine was at once given up as one that never booted.
-		m.added, m.heard = time.Now(), time.Time{}
-		m.avoidTill = time.Time{} // it was kept free for this
+		m.trackedSince, m.lastFencedReport = time.Now(), time.Time{}
+		m.avoidUntil = time.Time{} // it was kept free for this
 	}
-	if !m.known {
+	if !m.recorded {
 		m.unfence()
-		m.moving, m.returning, m.gone = false, false, false
-		m.added, m.heard = time.Now(), time.Time{}
-		m.born = m.added
+		m.moving, m.returning, m.returned = false, false, false
+		m.trackedSince, m.lastFencedReport = time.Now(), time.Time{}
+		m.firstSeen = m.trackedSince
 	}
-	m.known = true
+	m.recorded = true
 	m.rec = r
 	n.adoption.Drop(m.name)
 	if r.Addr != "" {
 		m.addr = r.Addr
 	}
-	n.join(m)
+	n.addToPartition(m)
 }
 
 func (n *Node) dropMachine(name string) {
@@ -138,95 +138,95 @@
 	if m == nil {
 		return
 	}
-	if m.known {
-		n.leave(m)
+	if m.recorded {
+		n.removeFromPartition(m)
 	}
 	// It is forgotten with the next look at the machines, not at once: a move's
 	// two halves may be seen in either order, and its images are still there.
-	m.known = false
-	n.touch(m)
-	n.unpark(m)
+	m.recorded = false
+	n.markStale(m)
+	n.rejectDeferred(m)
 }
 
 // unfence forgets what the worker said under an earlier token.
 func (m *machine) unfence() {
 	m.fenced = false
-	m.doubt = nil // the token is a higher one: what is late does nothing
+	m.unconfirmedStarts = nil // the token is a higher one: what is late does nothing
 }
 
-// token is what entitles this node to command a machine.
-func (n *Node) token(m *machine) uint64 {
-	return max(n.shares[m.rec.Share].holder.Token, m.rec.Token)
+// fencingToken is what entitles this node to command a machine.
+func (n *Node) fencingToken(m *machine) uint64 {
+	return max(n.partitions[m.rec.Share].owner.Token, m.rec.Token)
 }
 
-// mayAnswer says whether leases may still be extended. Without the store a cancellation
+// mayExtendLeases says whether leases may still be extended. Without the store a cancellation
 // may be missed. If users are told of one only when nothing of the job is left, that is
 // no harm; else the last answer must be early enough for the lease to end within cancel_s
 // of it. That counts from when this node last knew all that was stored, not from its last
 // answered call: with the watch silent for seconds before an outage, and other calls
 // answered, it missed what had been told meanwhile (TestGap).
-func (n *Node) mayAnswer(now time.Time) bool {
-	if n.tellsLate() {
+func (n *Node) mayExtendLeases(now time.Time) bool {
+	if n.confirmsCancelAfterStop() {
 		return true
 	}
 	w := n.cfg.Params.Workers
 	limit := (w.CancelS-w.LeaseS)*0.99 - 2
-	return now.Sub(n.complete).Seconds() < limit
+	return now.Sub(n.completeAt).Seconds() < limit
 }
 
 // onReport answers a worker's report. It calls reply exactly once, perhaps later.
 func (n *Node) onReport(r *protocol.Report, now time.Time, reply chan<- answer) {
-	n.saw(now)
+	n.noteWorkerContact(now)
 	if !n.loaded {
 		reply <- answer{status: 503}
 		return
 	}
 	m := n.machines[r.Machine]
-	if m == nil || !m.known {
+	if m == nil || !m.recorded {
 		n.onStray(r, now, reply)
 		return
 	}
-	s := n.shares[m.rec.Share]
-	if !n.mine(s) {
+	s := n.partitions[m.rec.Share]
+	if !n.owns(s) {
 		n.redirect(r, s, m, now, reply)
 		return
 	}
-	if !n.mayAnswer(now) {
-		n.metrics.refused.WithLabelValues("store_lost").Inc()
+	if !n.mayExtendLeases(now) {
+		n.metrics.guardRefusals.WithLabelValues("store_lost").Inc()
 		reply <- answer{status: 503}
 		return
 	}
-	token := n.token(m)
+	token := n.fencingToken(m)
 	if r.Token > token {
 		// Somebody is entitled after us, and our replica does not show it yet.
-		n.metrics.refused.WithLabelValues("token").Inc()
+		n.metrics.guardRefusals.WithLabelValues("token").Inc()
 		reply <- answer{status: 503}
 		return
 	}
-	if !n.hear(m, r, token, now) {
+	if !n.acceptWorkerReport(m, r, token, now) {
 		// An old report, held on its way or overtaken by the answer to a direct
 		// call: what it lists may be long gone. Its answer gives no orders.
-		n.metrics.refused.WithLabelValues("old_report").Inc()
+		n.metrics.guardRefusals.WithLabelValues("old_report").Inc()
 		reply <- answer{status: 200, body: protocol.Orders{Token: token, Commands: []protocol.Command{}}}
 		return
 	}
-	m.reported = now
-	if !m.fenced || m.inDoubt(r) || !n.entriesReadable(n.shares[m.rec.Share]) {
-		reply <- answer{status: 200, body: protocol.Orders{Token: token, Commands: n.halts(r, now)}}
+	m.lastReport = now
+	if !m.fenced || m.hasUnconfirmedStart(r) || !n.logReadable(n.partitions[m.rec.Share]) {
+		reply <- answer{status: 200, body: protocol.Orders{Token: token, Commands: n.stopsForReport(r, now)}}
 		return
 	}
 	cmds := n.orders(m, r, now)
-	if len(cmds) == 0 && n.park(m, r, now, reply) {
+	if len(cmds) == 0 && n.deferAnswer(m, r, now, reply) {
 		return
 	}
 	reply <- answer{status: 200, body: protocol.Orders{Token: token, Commands: cmds}}
 }
 
-// halts stop what a report lists and nobody wants any more. They are safe in every answer,
+// stopsForReport stop what a report lists and nobody wants any more. They are safe in every answer,
 // also where nothing else may be ordered or concluded: a halt names an attempt of a job that
 // is over, or that may not run here, whoever holds the share. (With a machine in doubt for
 // as long as the state service was down, what was cancelled ran on all that time.)
-func (n *Node) halts(r *protocol.Report, now time.Time) []protocol.Command {
+func (n *Node) stopsForReport(r *protocol.Report, now time.Time) []protocol.Command {
 	cmds := []protocol.Command{}
 	for i := range r.Tasks {
 		tr := &r.Tasks[i]
@@ -234,56 +234,56 @@
 		// With a gateway and no lease also what this node does not know: a replica that
 		// is behind does not know the newest jobs of the gateway.
 		j := n.jobs[id]
-		if (j != nil && (j.cancelled || n.hinted(j) || n.closed(j, now)) || j == nil && n.SiteFrom != "" && n.shut(now)) && tr.State != protocol.TaskExited {
+		if (j != nil && (j.cancelled || n.cancelledByHint(j) || n.blockedBySiteLease(j, now)) || j == nil && n.SiteDaemonHost != "" && n.gatewayJobsBlocked(now)) && tr.State != protocol.TaskExited {
 			cmds = append(cmds, protocol.Command{Op: protocol.OpStop, Task: tr.Task, Attempt: tr.Attempt})
 		}
 	}
 	return cmds
 }
 
-// hear takes in the frame of a report that shows that the worker reaches this node, or that
+// acceptWorkerReport takes in the frame of a report that shows that the worker reaches this node, or that
 // this node has just reached it for the first time; false if a newer one was heard already.
-func (n *Node) hear(m *machine, r *protocol.Report, token uint64, now time.Time) bool {
-	if !n.acceptReport(m, r, token, now) {
+func (n *Node) acceptWorkerReport(m *machine, r *protocol.Report, token uint64, now time.Time) bool {
+	if !n.acceptReportHeader(m, r, token, now) {
 		return false
 	}
 	if r.Token == token {
-		m.heard = now
+		m.lastFencedReport = now
 	}
 	return true
 }
 
-// acceptReport takes in a report's frame; false if a newer one was accepted already.
-func (n *Node) acceptReport(m *machine, r *protocol.Report, token uint64, now time.Time) bool {
+// acceptReportHeader takes in a report's frame; false if a newer one was accepted already.
+func (n *Node) acceptReportHeader(m *machine, r *protocol.Report, token uint64, now time.Time) bool {
 	if r.Session < m.session || r.Session == m.session && r.Seq <= m.seq {
 		return false
 	}
 	n.answerParked(m, now) // an earlier report's answer is not waited for any more
 	if m.session != 0 && r.Session > m.session {
-		n.log.Info("worker's lease ran out", "machine", m.name, "tasks", len(m.on), "silent_s", round(now.Sub(n.lastHeard(m)).Seconds()))
+		n.log.Info("worker's lease ran out", "machine", m.name, "tasks", len(m.tasks), "silent_s", roundToTenth(now.Sub(n.silentSince(m)).Seconds()))
 	}
 	m.session, m.seq = r.Session, r.Seq
-	n.touch(m)
+	n.markStale(m)
 	if r.Addr != "" && r.Addr != m.rec.Addr {
 		m.addr = r.Addr
-		m.batch.changed(now)
+		m.batch.markDirty(now)
 	}
 	if r.Token == token {
 		if !m.fenced {
 			n.log.Debug("machine is fenced", "machine", m.name, "token", token)
 			n.replan = true
-			n.squared(m, now)
+			n.machineReconciled(m, now)
 		}
 		m.fenced = true
 	} else {
-		n.shares[m.rec.Share].square.Seen(m.name, now)
+		n.partitions[m.rec.Share].reconciliation.Seen(m.name, now)
 	}
 	notice := r.NoticeS != nil
-	if notice && !m.notice {
+	if notice && !m.spotNotice {
 		n.log.Info("spot notice", "machine", m.name, "seconds", *r.NoticeS)
 		n.drain(m, *r.NoticeS)
 	}
-	m.notice = notice
+	m.spotNotice = notice
 	return true
 }
 
@@ -300,10 +300,10 @@
 		if j != nil && num < len(j.tasks) {
 			t = &j.tasks[num]
 		}
-		if t == nil && n.mayBeStored(id, num) {
+		if t == nil && n.mayBeInCorruptValue(id, num) {
 			continue
 		}
-		if t == nil || t.phase != placed || t.machine != m || t.attempt != tr.Attempt {
+		if t == nil || t.phase != phasePlaced || t.machine != m || t.attempt != tr.Attempt {
 			// Not recorded here: over, or left behind by an earlier holder.
 			if tr.State == protocol.TaskExited {
 				cmds = append(cmds, protocol.Command{Op: protocol.OpForget, Task: tr.Task, Attempt: tr.Attempt})
@@ -313,115 +313,115 @@
 			continue
 		}
 		listed[taskKey{j, num}] = true
-		n.observe(m, j, num, tr, now)
-		if tr.State != protocol.TaskExited && n.unwanted(j, t) && (tr.State != protocol.TaskSaving || j.cancelled || n.hinted(j) || n.closed(j, now)) {
-			grace := t.graceS
-			if j.cancelled || n.hinted(j) || n.closed(j, now) {
+		n.observeTask(m, j, num, tr, now)
+		if tr.State != protocol.TaskExited && n.shouldStop(j, t) && (tr.State != protocol.TaskSaving || j.cancelled || n.cancelledByHint(j) || n.blockedBySiteLease(j, now)) {
+			grace := t.stopGraceS
+			if j.cancelled || n.cancelledByHint(j) || n.blockedBySiteLease(j, now) {
 				grace = 0
 			}
 			cmds = append(cmds, protocol.Command{Op: protocol.OpStop, Task: tr.Task, Attempt: tr.Attempt, GraceS: grace})
 		}
 	}
-	for k := range m.on {
+	for k := range m.tasks {
 		j, t := k.job, &k.job.tasks[k.task]
-		if t.phase != placed || listed[k] || t.fact != noFact {
+		if t.phase != phasePlaced || listed[k] || t.outcome != outcomeNone {
 			continue
 		}
 		switch {
-		case n.unwanted(j, t) || m.returning:
+		case n.shouldStop(j, t) || m.returning:
 			// Any start of ours went out in an answer to an earlier report, and
 			// earlier holders' starts are fenced off: it is not there and never will be.
-			n.note(j, k.task, gone)
+			n.recordOutcome(j, k.task, outcomeGone)
 		case n.overLimit(j.team):
 			// An earlier holder gave the place of a task that was over to another one
 			// and did not store its end; if the lease ended since, neither is listed.
 			// Both are not to be started; this one is proven not to be there.
-			n.note(j, k.task, gone)
-		case j.spec.Shape == protocol.Gang && j.nPlacedStored() < len(j.tasks):
+			n.recordOutcome(j, k.task, outcomeGone)
+		case j.spec.Shape == protocol.Gang && j.storedPlacements() < len(j.tasks):
 			// A gang starts only once all of it is stored.
-		case j.spec.Shape == protocol.Gang && t.seen >= seenRunning:
+		case j.spec.Shape == protocol.Gang && t.reportedState >= reportedRunning:
 			// It ran and was lost with its lease: the gang must start anew.
 			n.runLost(j, t, now)
-			n.note(j, k.task, gone)
+			n.recordOutcome(j, k.task, outcomeGone)
 		default:
 			n.runLost(j, t, now)
-			t.sent = now
-			t.seen = unseen
+			t.startSentAt = now
+			t.reportedState = reportedNone
 			cmds = append(cmds, protocol.Command{Op: protocol.OpStart, Task: protocol.TaskID(j.id, k.task), Attempt: t.attempt})
 		}
 	}
 	return cmds
 }
 
-// nPlacedStored counts the tasks with a stored machine.
-func (j *job) nPlacedStored() int {
+// storedPlacements counts the tasks with a stored machine.
+func (j *job) storedPlacements() int {
 	c := 0
 	for i := range j.tasks {
-		if j.tasks[i].phase == placed {
+		if j.tasks[i].phase == phasePlaced {
 			c++
 		}
 	}
 	return c
 }
 
-// unwanted says whether a placed task is to leave its machine.
-func (n *Node) unwanted(j *job, t *task) bool {
-	return j.cancelled || n.hinted(j) || j.abandon || t.stop || j.claim > 0 && n.closed(j, time.Now())
+// shouldStop says whether a placed task is to leave its machine.
+func (n *Node) shouldStop(j *job, t *task) bool {
+	return j.cancelled || n.cancelledByHint(j) || j.abortAttempt || t.stopRequested || j.claim > 0 && n.blockedBySiteLease(j, time.Now())
 }
 
-// observe learns from one listed task of ours.
-func (n *Node) observe(m *machine, j *job, i int, tr *protocol.TaskReport, now time.Time) {
+// observeTask learns from one listed task of ours.
+func (n *Node) observeTask(m *machine, j *job, i int, tr *protocol.TaskReport, now time.Time) {
 	t := &j.tasks[i]
-	n.touch(m)
-	was := t.seen
-	t.seen = seenStates[tr.State]
+	n.markStale(m)
+	was := t.reportedState
+	t.reportedState = reportedStates[tr.State]
 	switch tr.State {
 	case protocol.TaskFetching:
 		if _, ok := m.fetchSince[j.spec.Image]; !ok {
 			m.fetchSince[j.spec.Image] = now
 		}
 	case protocol.TaskWaiting, protocol.TaskRunning:
-		if was != seenRunning && t.seen == seenRunning {
-			n.runBegan(j, i, now)
+		if was != reportedRunning && t.reportedState == reportedRunning {
+			n.runStarted(j, i, now)
 		}
-		if j.started.IsZero() && tr.State == protocol.TaskRunning {
-			j.started = now
-			if !t.sent.IsZero() { // else it ran before this node took the share over
-				since(n.metrics.start.WithLabelValues(n.metrics.class(j.spec.Class)), j.submitted, now)
+		if j.firstRunningAt.IsZero() && tr.State == protocol.TaskRunning {
+			j.firstRunningAt = now
+			if !t.startSentAt.IsZero() { // else it ran before this node took the share over
+				observeSince(n.metrics.start.WithLabelValues(n.metrics.classLabel(j.spec.Class)), j.submitted, now)
 				n.log.Info("job started", "job", j.id, "class", j.spec.Class, "wait_s", now.Sub(j.submitted).Seconds(), "image_gb", j.spec.ImageGB)
 			}
 		}
-		if was != t.seen {
-			m.fetched(j.spec.Image, j.spec.ImageGB, n.types[m.rec.Type], now)
+		if was != t.reportedState {
+			m.fetched(j.spec.Image, j.spec.ImageGB, n.machineTypes[m.rec.Type], now)
 		}
 		if tr.State == protocol.TaskRunning {
-			n.doesWell(j, t, m, false, now)
+			n.noteTaskSuccess(j, t, m, false, now)
 		}
 	case protocol.TaskExited:
 		if tr.Cause == protocol.CauseDone {
 			n.runEnded(j, t, now)
-			n.note(j, i, finished)
-			m.fetched(j.spec.Image, j.spec.ImageGB, n.types[m.rec.Type], now)
-			n.doesWell(j, t, m, true, now)
+			n.recordOutcome(j, i, outcomeFinished)
+			m.fetched(j.spec.Image, j.spec.ImageGB, n.machineTypes[m.rec.Type], now)
+			n.noteTaskSuccess(j, t, m, true, now)
 			return
 		}
-		if t.fact == noFact {
-			j.story.inVain(tr.Cause)
-			j.story.tell(now, "a task ended on "+m.name+": "+tr.Cause)
+		if t.outcome == outcomeNone {
+			j.history.countFailedStart(tr.Cause)
+			j.history.addEvent(now, "a task ended on "+m.name+": "+tr.Cause)
 			n.log.Info("task exited", "task", tr.Task, "machine", m.name, "cause", tr.Cause, "saved", tr.Saved)
 			if j.step != nil && ticket.Counts(tr.Cause) {
 				// Counted with the end itself: both are in one change, and a repeated
 				// report, or another holder, finds the end noted or stored.
-				t.erred, j.errored = true, true
+				t.unstoredError, j.hasErrors = true, true
 			}
 			switch tr.Cause {
 			case protocol.CauseError:
-				n.failed(j, tr.Attempt, m, now)
+				n.noteTaskFailure(j, tr.Attempt, m, now)
 			case protocol.CauseNoRoom, protocol.CauseBusy, protocol.CauseUnknown:
-				m.avoidTill = now.Add(3 * time.Second)
+				m.avoidUntil = now.Add(3 * time.Second)
 			}
 		}
-		n.note(j, i, gone)
+		n.recordOutcome(j, i, outcomeGone)
 	}
 }
 
@@ -453,8 +453,8 @@
 	}
 }
 
-// has says whether a machine holds an image or is fetching it.
-func (m *machine) has(image string) bool {
+// hasImage says whether a machine holds an image or is fetching it.
+func (m *machine) hasImage(image string) bool {
 	if _, ok := m.fetchSince[image]; ok {
 		return true
 	}
@@ -476,7 +476,7 @@
 func (n *Node) parkTime(m *machine) time.Duration {
 	p := n.cfg.Params.Workers
 	w := min(n.seconds(p.ReportS), max(0, n.seconds(p.LeaseS-1.25*p.ReportS)-findTime))
-	for k := range m.on {
+	for k := range m.tasks {
 		if k.job.spec.Shape != protocol.Service {
 			// The end of a task is not reported before this report is answered.
 			return min(w*55/100, 3300*time.Millisecond)
@@ -485,23 +485,23 @@
 	return min(w, 3300*time.Millisecond)
 }
 
-// park lets an answer wait. A worker drops answers after 4 s, so it never waits
+// deferAnswer lets an answer wait. A worker drops answers after 4 s, so it never waits
 // longer than 3.3.
-func (n *Node) park(m *machine, r *protocol.Report, now time.Time, reply chan<- answer) bool {
-	if m.notice || m.returning || len(m.on) > 0 && !n.hasRoom(m) && !m.pendingFacts() {
+func (n *Node) deferAnswer(m *machine, r *protocol.Report, now time.Time, reply chan<- answer) bool {
+	if m.spotNotice || m.returning || len(m.tasks) > 0 && !n.hasCapacity(m) && !m.pendingFacts() {
 		return false
 	}
 	m.wakeAt = time.Time{}
-	m.parked = &parked{report: r, until: now.Add(n.parkTime(m)), reply: reply}
-	heap.Push(&n.due, dueReport{m.parked.until, m})
+	m.deferred = &deferredReport{report: r, until: now.Add(n.parkTime(m)), reply: reply}
+	heap.Push(&n.dueAnswers, dueReport{m.deferred.until, m})
 	return true
 }
 
 // pendingFacts says whether something of a machine's tasks is about to be
 // stored, after which there will be orders.
 func (m *machine) pendingFacts() bool {
-	for k := range m.on {
-		if k.job.tasks[k.task].fact != noFact {
+	for k := range m.tasks {
+		if k.job.tasks[k.task].outcome != outcomeNone {
 			return true
 		}
 	}
@@ -530,57 +530,57 @@
 	return x
 }
 
-// wake makes a machine's parked report be answered in a while.
-func (n *Node) wake(m *machine, at time.Time) {
-	if m.parked != nil && (m.wakeAt.IsZero() || at.Before(m.wakeAt)) {
+// scheduleAnswer makes a machine's parked report be answered in a while.
+func (n *Node) scheduleAnswer(m *machine, at time.Time) {
+	if m.deferred != nil && (m.wakeAt.IsZero() || at.Before(m.wakeAt)) {
 		m.wakeAt = at
-		heap.Push(&n.due, dueReport{at, m})
+		heap.Push(&n.dueAnswers, dueReport{at, m})
 	}
 }
 
 // answerParked answers a waiting report with what is to be done by now.
 func (n *Node) answerParked(m *machine, now time.Time) {
-	p := m.parked
+	p := m.deferred
 	if p == nil {
 		return
 	}
-	m.parked, m.wakeAt = nil, time.Time{}
-	if !n.mayAnswer(now) {
+	m.deferred, m.wakeAt = nil, time.Time{}
+	if !n.mayExtendLeases(now) {
 		p.reply <- answer{status: 503}
 		return
 	}
-	cmds := n.halts(p.report, now)
-	if n.entriesReadable(n.shares[m.rec.Share]) {
+	cmds := n.stopsForReport(p.report, now)
+	if n.logReadable(n.partitions[m.rec.Share]) {
 		cmds = n.orders(m, p.report, now)
 	}
-	p.reply <- answer{status: 200, body: protocol.Orders{Token: n.token(m), Commands: cmds}}
+	p.reply <- answer{status: 200, body: protocol.Orders{Token: n.fencingToken(m), Commands: cmds}}
 }
 
-// unpark turns a waiting report away: this node may not act for it any more.
-func (n *Node) unpark(m *machine) {
-	if p := m.parked; p != nil {
-		m.parked = nil
+// rejectDeferred turns a waiting report away: this node may not act for it any more.
+func (n *Node) rejectDeferred(m *machine) {
+	if p := m.deferred; p != nil {
+		m.deferred = nil
 		p.reply <- answer{status: 503}
 	}
 }
 
-func (n *Node) releaseParked(now time.Time) {
-	for len(n.due) > 0 && !now.Before(n.due[0].at) {
-		m := heap.Pop(&n.due).(dueReport).m
-		if m.parked != nil && (!m.wakeAt.IsZero() && !now.Before(m.wakeAt) || !now.Before(m.parked.until)) {
+func (n *Node) answerDueReports(now time.Time) {
+	for len(n.dueAnswers) > 0 && !now.Before(n.dueAnswers[0].at) {
+		m := heap.Pop(&n.dueAnswers).(dueReport).m
+		if m.deferred != nil && (!m.wakeAt.IsZero() && !now.Before(m.wakeAt) || !now.Before(m.deferred.until)) {
 			n.answerParked(m, now)
 		}
 	}
 }
 
 // redirect answers for a machine of a share that another node holds.
-func (n *Node) redirect(r *protocol.Report, s *share, m *machine, now time.Time, reply chan<- answer) {
-	h := s.holder.Node
-	if o, ok := n.standIn(m, r, now); ok && h != n.cfg.Node {
+func (n *Node) redirect(r *protocol.Report, s *partition, m *machine, now time.Time, reply chan<- answer) {
+	h := s.owner.Node
+	if o, ok := n.answerForOwner(m, r, now); ok && h != n.cfg.Node {
 		reply <- answer{status: 200, body: o}
 		return
 	}
-	if s.holder.Token == 0 || h == n.cfg.Node || n.sinceContact(now) > leaseLife && !n.hears(h, now) {
+	if s.owner.Token == 0 || h == n.cfg.Node || n.sinceContact(now) > leaseTTL && !n.receivesHints(h, now) {
 		reply <- answer{status: 503}
 		return
 	}
@@ -590,20 +590,20 @@
 // fence shows a machine this node's token directly, without orders, so that an
 // earlier holder who still answers it is cut off, and takes its report.
 func (n *Node) fence(m *machine, now time.Time) {
-	n.command(m, protocol.Orders{Token: n.token(m), Session: max(1, m.session), Commands: []protocol.Command{}}, func(ok bool) {
-		n.ordering.budget.Ended()
-		n.shares[m.rec.Share].square.Answered(m.name, ok, time.Now())
+	n.command(m, protocol.Orders{Token: n.fencingToken(m), Session: max(1, m.session), Commands: []protocol.Command{}}, func(ok bool) {
+		n.loadControl.budget.Ended()
+		n.partitions[m.rec.Share].reconciliation.Answered(m.name, ok, time.Now())
 	})
 }
 
-// stopNow tells a worker directly to stop tasks that make room for others. A
+// sendStops tells a worker directly to stop tasks that make room for others. A
 // stop names an attempt that nobody wants any more, so it may arrive late.
-func (n *Node) stopNow(m *machine) {
+func (n *Node) sendStops(m *machine) {
 	if m.addr == "" || !m.fenced {
 		return
 	}
-	o := protocol.Orders{Token: n.token(m), Session: m.session, Commands: n.stopsFor(m)}
-	if len(o.Commands) == 0 || n.allowed(start.Stop, 1) == 0 {
+	o := protocol.Orders{Token: n.fencingToken(m), Session: m.session, Commands: n.pendingStops(m)}
+	if len(o.Commands) == 0 || n.takeBudget(start.Stop, 1) == 0 {
 		return // its next report is answered with them
 	}
 	n.command(m, o, func(bool) {})
@@ -623,26 +623,26 @@
 			ended(err == nil && r != nil)
 			now := time.Now()
 			if err == nil {
-				n.saw(now)
+				n.noteWorkerContact(now)
 			}
-			if err != nil || !ok || r == nil || r.Machine != m.name || n.machines[m.name] != m || !n.mine(n.shares[m.rec.Share]) || n.token(m) != o.Token {
+			if err != nil || !ok || r == nil || r.Machine != m.name || n.machines[m.name] != m || !n.owns(n.partitions[m.rec.Share]) || n.fencingToken(m) != o.Token {
 				return
 			}
-			if r.Token == o.Token && n.hearDirectly(m, r, o.Token, now) {
-				n.observeAll(m, r, now)
+			if r.Token == o.Token && n.acceptDirectAnswer(m, r, o.Token, now) {
+				n.observeTasks(m, r, now)
 			}
 		})
 	})
 }
 
-// observeAll takes a directly asked report's facts and gives no orders.
-func (n *Node) observeAll(m *machine, r *protocol.Report, now time.Time) {
+// observeTasks takes a directly asked report's facts and gives no orders.
+func (n *Node) observeTasks(m *machine, r *protocol.Report, now time.Time) {
 	for i := range r.Tasks {
 		tr := &r.Tasks[i]
 		id, num, _ := protocol.ParseTaskID(tr.Task)
 		if j := n.jobs[id]; j != nil && num < len(j.tasks) {
-			if t := &j.tasks[num]; t.phase == placed && t.machine == m && t.attempt == tr.Attempt {
-				n.observe(m, j, num, tr, now)
+			if t := &j.tasks[num]; t.phase == phasePlaced && t.machine == m && t.attempt == tr.Attempt {
+				n.observeTask(m, j, num, tr, now)
 			}
 		}
 	}
--- a/internal/coordination/node/zone_cut_test.go
+++ b/internal/coordination/node/zone_cut_test.go
@@ -12,29 +12,29 @@
 // outside reaches its workers.
 
 // inCutZone says whether a controller is in the zone that is cut off.
-func (w *world) inCutZone(node string) bool {
+func (w *simCluster) inCutZone(node string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.cutZone != "" && w.cfg[node].Zone == w.cutZone
+	return w.isolatedZone != "" && w.cfg[node].Zone == w.isolatedZone
 }
 
 // cutBetween says whether the cut is between a controller and the machines of a zone.
-func (w *world) cutBetween(node, zone string) bool {
+func (w *simCluster) cutBetween(node, zone string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.cutZone != "" && (w.cfg[node].Zone == w.cutZone) != (zone == w.cutZone)
+	return w.isolatedZone != "" && (w.cfg[node].Zone == w.isolatedZone) != (zone == w.isolatedZone)
 }
 
 // cutFrom says whether the cut is between a controller and a machine.
-func (w *world) cutFrom(node, host string) bool {
+func (w *simCluster) cutFrom(node, host string) bool {
 	w.mu.Lock()
-	cut := w.cutZone != ""
+	cut := w.isolatedZone != ""
 	w.mu.Unlock()
 	return cut && w.cutBetween(node, w.zoneOf(host))
 }
 
 // zoneOf is the zone of a machine; "" if it is gone.
-func (w *world) zoneOf(host string) string {
+func (w *simCluster) zoneOf(host string) string {
 	listed, _ := w.fleet.List(w.ctx)
 	for _, m := range listed {
 		if m.ID == host {
@@ -45,7 +45,7 @@
 }
 
 // runsInZone is how many machines of a zone run a task of a job.
-func (w *world) runsInZone(zone, job string) int {
+func (w *simCluster) runsInZone(zone, job string) int {
 	running := 0
 	listed, _ := w.fleet.List(w.ctx)
 	for _, m := range listed {
@@ -56,8 +56,8 @@
 	return running
 }
 
-// putIntoZones gives a node's settings the zones of the controllers.
-func putIntoZones(cfg *protocol.Settings, zones map[string]string) {
+// assignZones gives a node's settings the zones of the controllers.
+func assignZones(cfg *protocol.Settings, zones map[string]string) {
 	cfg.Zone = zones[cfg.Node]
 	for i := range cfg.Siblings {
 		cfg.Siblings[i].Zone = zones[cfg.Siblings[i].Node]
@@ -69,10 +69,10 @@
 	return &protocol.JobSpec{ID: fmt.Sprintf("job-94%04d", id), Team: team, Class: "c", Shape: protocol.Service, Priority: "critical", Tasks: 1, CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "i", ImageGB: 1, Zone: zone}
 }
 
-var zoneMeetings = []meeting{
+var zoneScenarios = []faultScenario{
 	{name: "a zone cut off", zones: map[string]string{"n-0": "a", "n-1": "a", "n-2": "b"},
-		took: []string{"works on beyond the cut", "answered beyond the cut", "cancelled beyond the cut", "told outside the cut"},
-		faults: func(w *world) {
+		mustOccur: []string{"works on beyond the cut", "answered beyond the cut", "cancelled beyond the cut", "told outside the cut"},
+		inject: func(w *simCluster) {
 			for range 2 {
 				cutZoneOff(w, "n-2", "b")
 			}
@@ -81,11 +81,11 @@
 
 // cutZoneOff cuts a zone off for longer than a lease, sometimes for so long that its machines
 // are given up, while users cancel what runs within and outside.
-func cutZoneOff(w *world, inside, zone string) {
+func cutZoneOff(w *simCluster, inside, zone string) {
 	var within, outside []*user
 	for _, team := range []string{"red", "blue", "green"} {
-		within = append(within, w.join(zonedService(w.number(), team, zone)), w.join(zonedService(w.number(), team, zone)))
-		outside = append(outside, w.join(zonedService(w.number(), team, "a")))
+		within = append(within, w.addUser(zonedService(w.nextJobNumber(), team, zone)), w.addUser(zonedService(w.nextJobNumber(), team, zone)))
+		outside = append(outside, w.addUser(zonedService(w.nextJobNumber(), team, "a")))
 	}
 	time.Sleep(25 * time.Second)
 	var running []*user
@@ -95,37 +95,37 @@
 		}
 	}
 	lease := w.workerLease()
-	before := w.times("answered by " + inside)
-	w.set(func() { w.cutZone = zone })
-	time.Sleep(w.between(0, 3*time.Second))
+	before := w.eventCount("answered by " + inside)
+	w.withLock(func() { w.isolatedZone = zone })
+	time.Sleep(w.randDuration(0, 3*time.Second))
 	for i, u := range running {
 		if i%2 == 0 { // the others show that the zone works on
-			go u.cancelUntilTold(0)
-			w.took("cancelled beyond the cut")
+			go u.cancelUntilConfirmed(0)
+			w.recordEvent("cancelled beyond the cut")
 		}
 	}
 	for _, u := range outside {
-		go u.cancelUntilTold(0)
+		go u.cancelUntilConfirmed(0)
 	}
-	time.Sleep(lease + w.between(3*time.Second, 10*time.Second))
+	time.Sleep(lease + w.randDuration(3*time.Second, 10*time.Second))
 	for i, u := range running {
 		if i%2 == 1 && w.runsInZone(zone, u.spec.ID) > 0 {
-			w.took("works on beyond the cut")
+			w.recordEvent("works on beyond the cut")
 		}
 	}
-	if w.times("answered by "+inside) > before {
-		w.took("answered beyond the cut")
+	if w.eventCount("answered by "+inside) > before {
+		w.recordEvent("answered beyond the cut")
 	}
 	for _, u := range outside {
-		if u.ended() != "" {
-			w.took("told outside the cut")
+		if u.knownFinalStatus() != "" {
+			w.recordEvent("told outside the cut")
 		}
 	}
-	time.Sleep(w.between(0, 100*time.Second))
-	w.set(func() { w.cutZone = "" })
-	time.Sleep(w.between(time.Second, 15*time.Second))
+	time.Sleep(w.randDuration(0, 100*time.Second))
+	w.withLock(func() { w.isolatedZone = "" })
+	time.Sleep(w.randDuration(time.Second, 15*time.Second))
 	for _, u := range within {
-		go u.cancelUntilTold(w.between(0, 20*time.Second))
+		go u.cancelUntilConfirmed(w.randDuration(0, 20*time.Second))
 	}
 	time.Sleep(15 * time.Second)
 }
