--- a/internal/coordination/decide/apportion.go
+++ b/internal/coordination/decide/apportion.go
@@ -2,32 +2,34 @@
 
 import "slices"
 
-// Apportion parts machines that belong to nobody among shares: those of each kind in
-// proportion to what the shares' teams are guaranteed of what the kind is for, GPUs if it
-// has any, or of the other where none of that is guaranteed. What a share is short of by
-// rounding it gets of the next ones. It returns a share for each machine.
+// Apportion distributes unowned machines among partitions. It takes the machines' sizes
+// and the sum of the guarantees of each partition's teams, and returns a partition for
+// each machine. Machines with GPUs are distributed in proportion to the guaranteed GPUs,
+// machines without in proportion to the guaranteed CPUs; if no team is guaranteed the one
+// resource, the other decides, and if no team has a guarantee, all partitions get the same
+// number. What rounding takes from a partition carries over to the next machines.
 func Apportion(sizes []Resources, guarantees []Resources) []int {
-	var sum Resources
-	for _, g := range guarantees {
-		sum = sum.Add(g, 1)
+	var total Resources
+	for _, guarantee := range guarantees {
+		total = total.Add(guarantee, 1)
 	}
-	part := func(g Resources, gpus bool) float64 {
+	fraction := func(guarantee Resources, hasGPUs bool) float64 {
 		switch {
-		case gpus && sum.GPUs > 0 || !gpus && sum.CPUs == 0 && sum.GPUs > 0:
-			return g.GPUs / sum.GPUs
-		case sum.CPUs > 0:
-			return g.CPUs / sum.CPUs
+		case hasGPUs && total.GPUs > 0 || !hasGPUs && total.CPUs == 0 && total.GPUs > 0:
+			return guarantee.GPUs / total.GPUs
+		case total.CPUs > 0:
+			return guarantee.CPUs / total.CPUs
 		}
 		return 1 / float64(len(guarantees))
 	}
-	out := make([]int, len(sizes))
+	assigned := make([]int, len(sizes))
 	owed := make([]float64, len(guarantees))
 	for i, size := range sizes {
-		for s, g := range guarantees {
-			owed[s] += part(g, size.GPUs > 0)
+		for partition, guarantee := range guarantees {
+			owed[partition] += fraction(guarantee, size.GPUs > 0)
 		}
-		out[i] = slices.Index(owed, slices.Max(owed))
-		owed[out[i]]--
+		assigned[i] = slices.Index(owed, slices.Max(owed))
+		owed[assigned[i]]--
 	}
-	return out
+	return assigned
 }
--- a/internal/coordination/decide/explain.go
+++ b/internal/coordination/decide/explain.go
@@ -11,46 +11,47 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// Why a job waits. Explain names all causes that hold it at the moment of a view, the
-// one that binds first first, and Release the smallest change found that would let it
-// start, confirmed by the decision itself on a view with that change.
+// Explanations of why a job waits. Explain lists all causes that apply at the time of a
+// view, in the order in which they take effect. ChangesToStart finds the smallest change that
+// would let the job start, and confirms it by running Place on a view with that change.
 
-// Cause is one reason why a job waits, with its facts.
+// Cause is one reason why a job waits, with its details.
 type Cause struct {
 	Reason   Reason    `json:"cause"`
-	Used     float64   `json:"used,omitempty"`  // GPUs, or vCPUs where the limit is theirs
-	Limit    float64   `json:"limit,omitempty"` // of the same
-	Lacks    string    `json:"lacks,omitempty"` // what is short: vcpus, cards, memGb
-	Count    int       `json:"count,omitempty"` // machines, tasks or jobs, as the cause has it
+	Used     float64   `json:"used,omitempty"`  // GPUs, or vCPUs if the limit is on vCPUs
+	Limit    float64   `json:"limit,omitempty"` // in the same unit
+	Lacks    string    `json:"lacks,omitempty"` // resources that are short: vcpus, cards, memGb
+	Count    int       `json:"count,omitempty"` // number of machines, tasks or jobs, depending on the reason
 	Need     int       `json:"need,omitempty"`
-	Machines []string  `json:"machines,omitempty"` // the first of them
+	Machines []string  `json:"machines,omitempty"` // at most maxListed
 	Zones    []string  `json:"zones,omitempty"`
 	Jobs     []string  `json:"jobs,omitempty"`
 	Offers   []Offer   `json:"offers,omitempty"`
-	Until    time.Time `json:"until,omitzero"` // when it is looked at again
+	Until    time.Time `json:"until,omitzero"` // when the cause ends or is checked again
 }
 
-// MarshalJSON writes a reason by its name.
-func (k Reason) MarshalJSON() ([]byte, error) { return json.Marshal(k.String()) }
+// MarshalJSON encodes a reason as its name.
+func (r Reason) MarshalJSON() ([]byte, error) { return json.Marshal(r.String()) }
 
-// UnmarshalJSON reads a reason's name.
-func (k *Reason) UnmarshalJSON(data []byte) error {
+// UnmarshalJSON decodes a reason from its name.
+func (r *Reason) UnmarshalJSON(data []byte) error {
 	var name string
 	if err := json.Unmarshal(data, &name); err != nil {
 		return err
 	}
 	for i, t := range reasonTexts {
 		if t.name == name {
-			*k = Reason(i)
+			*r = Reason(i)
 			return nil
 		}
 	}
 	return fmt.Errorf("no such cause: %q", name)
 }
 
-// maxListed bounds the names in a cause.
+// maxListed limits the number of names listed in a cause.
 const maxListed = 5
 
+// joinNames lists at most maxListed names and the number of the others.
 func joinNames(names []string) string {
 	out := strings.Join(names[:min(len(names), maxListed)], ", ")
 	if len(names) > maxListed {
@@ -59,9 +60,9 @@
 	return out
 }
 
-// String is a cause in words, its facts included.
+// String describes a cause and its details for users.
 func (c Cause) String() string {
-	of := func(what string) string {
+	machinesCause := func(what string) string {
 		return fmt.Sprintf("%s: %d (%s)", what, c.Count, joinNames(c.Machines))
 	}
 	switch c.Reason {
@@ -74,24 +75,24 @@
 	case NoFreeMachine:
 		return fmt.Sprintf("no free machine: %d that it may use lack %s", c.Count, c.Lacks)
 	case Drained, NotReady, ReportOverdue, EarmarkedForGang, Booting, AwaitingFirstReport:
-		return of(c.Reason.Text())
+		return machinesCause(c.Reason.Text())
 	case ZoneBound:
 		return "where its other tasks are leaves no room in " + strings.Join(c.Zones, ", ")
 	case JobsAhead:
 		return fmt.Sprintf("%d jobs come first: %s", c.Count, joinNames(c.Jobs))
 	case CloudRefused:
-		var kinds []string
+		var offers []string
 		for _, o := range c.Offers {
-			kinds = append(kinds, o.String())
+			offers = append(offers, o.String())
 		}
-		return "the cloud refused " + joinNames(kinds)
+		return "the cloud refused " + joinNames(offers)
 	case FailsEverywhere:
 		return fmt.Sprintf("its tasks fail on every machine: %d tries, the last on %s", c.Count, joinNames(c.Machines))
 	}
 	return c.Reason.Text()
 }
 
-// String is an offer in words.
+// String describes an offer for users.
 func (o Offer) String() string {
 	s := o.Type + " in " + o.Zone
 	if o.Spot {
@@ -100,27 +101,28 @@
 	return s
 }
 
-// ExplainContext is what holds a job beside its share's machines and its team.
+// ExplainContext is the state outside of a View that can keep a job waiting.
 type ExplainContext struct {
-	SinceStateAnswer  time.Duration // since the state service last answered
-	RentalsStopped    bool          // operators stopped rentals
-	GuaranteedWaiting bool          // work with a guarantee waits somewhere
-	JobsAhead         []*Job        // jobs of the share that wait and come before it
+	SinceStateAnswer  time.Duration // time since the state service last answered
+	RentalsStopped    bool          // operators have stopped rentals
+	GuaranteedWaiting bool          // a job of a team with a guarantee waits in some partition
+	JobsAhead         []*Job        // waiting jobs of the partition that are scheduled before this one
 	Market            *Market
 }
 
-// stateServiceTimeout is after how long without an answer nothing is decided.
+// stateServiceTimeout is how long the state service may be silent before no decisions are made,
+// since they could not be stored.
 const stateServiceTimeout = 2 * time.Second
 
-// Explain names what keeps a job's tasks waiting: nothing if a decision would start
-// one of them now.
-func (v *View) Explain(j *Job, a *ExplainContext) []Cause {
+// Explain returns the causes that keep a job's tasks waiting. It returns none if Place would
+// start one of them now or preempt others for it.
+func (v *View) Explain(j *Job, context *ExplainContext) []Cause {
 	var out []Cause
 	add := func(c Cause) { out = append(out, c) }
 	if j.Waiting == 0 {
 		return nil
 	}
-	if a.SinceStateAnswer > stateServiceTimeout {
+	if context.SinceStateAnswer > stateServiceTimeout {
 		add(Cause{Reason: StateServiceDown})
 	}
 	t := v.team(j).effectiveFor(j, v.Now)
@@ -151,20 +153,20 @@
 		return nil
 	}
 	out = append(out, v.machineCauses(j)...)
-	if t.Unguaranteed() && a.GuaranteedWaiting {
+	if t.Unguaranteed() && context.GuaranteedWaiting {
 		add(Cause{Reason: GuaranteesFirst})
 	}
-	if a.RentalsStopped {
+	if context.RentalsStopped {
 		add(Cause{Reason: RentalsStopped})
 	}
-	if a.Market != nil {
+	if context.Market != nil {
 		var refused []Offer
 		last := time.Time{}
-		for o, till := range a.Market.RefusedUntil {
-			if v.Now.Before(till) && Allowed(j.Spec, o) {
+		for o, until := range context.Market.RefusedUntil {
+			if v.Now.Before(until) && Allowed(j.Spec, o) {
 				refused = append(refused, o)
-				if till.After(last) {
-					last = till
+				if until.After(last) {
+					last = until
 				}
 			}
 		}
@@ -173,20 +175,20 @@
 			add(Cause{Reason: CloudRefused, Offers: refused[:min(len(refused), maxListed)], Count: len(refused), Until: last})
 		}
 	}
-	if len(a.JobsAhead) > 0 {
-		c := Cause{Reason: JobsAhead, Count: len(a.JobsAhead)}
-		for _, o := range a.JobsAhead[:min(len(a.JobsAhead), maxListed)] {
-			c.Jobs = append(c.Jobs, o.ID)
+	if len(context.JobsAhead) > 0 {
+		ahead := Cause{Reason: JobsAhead, Count: len(context.JobsAhead)}
+		for _, other := range context.JobsAhead[:min(len(context.JobsAhead), maxListed)] {
+			ahead.Jobs = append(ahead.Jobs, other.ID)
 		}
-		add(c)
+		add(ahead)
 	}
 	if len(out) == 0 {
-		add(Cause{Reason: NoCapacity}) // nothing is known to stand in its way but that there is no machine yet
+		add(Cause{Reason: NoCapacity}) // no obstacle is known except that no machine is available yet
 	}
 	return out
 }
 
-// wouldStart says whether a decision would start some of a job's tasks, or make room.
+// wouldStart reports whether Place would start some of a job's tasks or preempt others for it.
 func (v *View) wouldStart(j *Job) bool {
 	if j.WritePending || j.SiteLeaseMissing || j.Cancelled || j.AbortAttempt || v.Now.Before(j.NotBefore) {
 		return false
@@ -195,7 +197,8 @@
 	return len(p.Machines) > 0 || p.Preemption.HasEvictions()
 }
 
-// minTasksToStart is how many of a job's tasks must fit for it to start.
+// minTasksToStart returns how many of a job's tasks must fit at once for it to start: all of a
+// gang, one of any other job.
 func (j *Job) minTasksToStart() int {
 	if j.Spec.Shape == protocol.Gang {
 		return j.Tasks
@@ -203,7 +206,7 @@
 	return 1
 }
 
-// exceededLimit says whether the team's limit keeps a job from starting.
+// exceededLimit reports whether the team's limit keeps a job from starting, and which limit.
 func (t *Team) exceededLimit(j *Job) (Cause, bool) {
 	n := j.minTasksToStart()
 	if t.TasksWithinLimit(j.Need) >= n {
@@ -218,11 +221,11 @@
 	return c, true
 }
 
-// neverFits says whether no type of the catalogue can take a job's tasks, or, of a gang,
-// not in as many zones as it needs. Nothing is rented, moved or stopped for such a job.
+// neverFits reports whether no machine type of the catalogue fits a job's tasks, or whether a
+// gang that must be spread over two zones fits in one zone only.
 func (v *View) neverFits(j *Job) (Cause, bool) {
 	if len(v.Types) == 0 {
-		return Cause{}, false // not known yet
+		return Cause{}, false // the catalogue is not known yet
 	}
 	split := j.Spec.Shape == protocol.Gang && j.Spec.Spread && j.Tasks > 1
 	zone, zones := "", 0
@@ -243,7 +246,8 @@
 	return Cause{Reason: GangNeverFits}, true
 }
 
-// neverRuns says whether a gang can't run whatever becomes free: it is asked for nothing else.
+// neverRuns reports whether a gang that must be spread over zones cannot run whatever becomes
+// free. Nothing is rented, moved or preempted for such a gang.
 func (v *View) neverRuns(j *Job) bool {
 	if j.Spec.Shape != protocol.Gang || !j.Spec.Spread {
 		return false
@@ -252,7 +256,7 @@
 	return never
 }
 
-// obstacle is what stands between a machine and a job.
+// obstacle returns the reason why a job cannot use a machine, or NoReason if it can.
 func (v *View) obstacle(m *Machine, j *Job) Reason {
 	switch {
 	case m.Block&(Cordoned|InterruptionNotice) != 0:
@@ -275,72 +279,72 @@
 	return NoReason
 }
 
-// machineCauses are what the share's machines have to do with a job's waiting.
+// machineCauses returns the causes that lie in the machines of the partition.
 func (v *View) machineCauses(j *Job) []Cause {
-	count := map[Reason]*Cause{}
-	fit := map[string]int{} // tasks that fit, by zone
-	lacks := map[string]int{}
+	causes := map[Reason]*Cause{}
+	fitByZone := map[string]int{} // tasks that fit, by zone
+	lacking := map[string]int{}
 	for _, m := range v.Index.Machines(v.Partition) {
 		if !Allowed(j.Spec, m.offer()) {
 			continue
 		}
-		k := v.obstacle(m, j)
-		if k == NoReason {
-			fit[m.Zone] += m.Free().TaskCount(j.Need)
+		obstacle := v.obstacle(m, j)
+		if obstacle == NoReason {
+			fitByZone[m.Zone] += m.Free().TaskCount(j.Need)
 			continue
 		}
-		c := count[k]
-		if c == nil {
-			c = &Cause{Reason: k}
-			count[k] = c
+		cause := causes[obstacle]
+		if cause == nil {
+			cause = &Cause{Reason: obstacle}
+			causes[obstacle] = cause
 		}
-		c.Count++
-		if len(c.Machines) < maxListed {
-			c.Machines = append(c.Machines, m.Name)
+		cause.Count++
+		if len(cause.Machines) < maxListed {
+			cause.Machines = append(cause.Machines, m.Name)
 		}
-		if !slices.Contains(c.Zones, m.Zone) {
-			c.Zones = append(c.Zones, m.Zone)
+		if !slices.Contains(cause.Zones, m.Zone) {
+			cause.Zones = append(cause.Zones, m.Zone)
 		}
-		if k == NoFreeMachine {
+		if obstacle == NoFreeMachine {
 			f := m.Free()
-			for _, l := range []struct {
+			for _, resource := range []struct {
 				name       string
 				free, need float64
 			}{{"vcpus", f.CPUs, j.Need.CPUs}, {"cards", f.GPUs, j.Need.GPUs}, {"memGb", f.MemoryGB, j.Need.MemoryGB}} {
-				if l.free+Tolerance < l.need {
-					lacks[l.name]++
+				if resource.free+Tolerance < resource.need {
+					lacking[resource.name]++
 				}
 			}
 		}
 	}
 	var out []Cause
 	if j.Spec.Shape == protocol.Gang {
-		have := 0
-		for _, n := range fit {
+		fitting := 0
+		for _, n := range fitByZone {
 			if j.Spec.OneZone {
-				have = max(have, n)
+				fitting = max(fitting, n)
 			} else {
-				have += n
+				fitting += n
 			}
 		}
-		if have < j.Tasks {
-			out = append(out, Cause{Reason: GangIncomplete, Count: min(have, j.Tasks), Need: j.Tasks})
+		if fitting < j.Tasks {
+			out = append(out, Cause{Reason: GangIncomplete, Count: min(fitting, j.Tasks), Need: j.Tasks})
 		}
 	}
 	if c, reserved := v.reservedCause(j); reserved {
 		out = append(out, c)
 	}
-	for _, k := range []Reason{Drained, ReportOverdue, EarmarkedForGang, ZoneBound, NoFreeMachine, NotReady, Booting, AwaitingFirstReport} {
-		c := count[k]
+	for _, reason := range []Reason{Drained, ReportOverdue, EarmarkedForGang, ZoneBound, NoFreeMachine, NotReady, Booting, AwaitingFirstReport} {
+		c := causes[reason]
 		if c == nil {
 			continue
 		}
-		if k == NoFreeMachine {
+		if reason == NoFreeMachine {
 			var names []string
-			for name := range lacks {
+			for name := range lacking {
 				names = append(names, name)
 			}
-			slices.SortFunc(names, func(a, b string) int { return cmp.Or(lacks[b]-lacks[a], cmp.Compare(a, b)) })
+			slices.SortFunc(names, func(a, b string) int { return cmp.Or(lacking[b]-lacking[a], cmp.Compare(a, b)) })
 			c.Lacks = strings.Join(names, ", ")
 		}
 		slices.Sort(c.Zones)
@@ -349,42 +353,42 @@
 	return out
 }
 
-// reservedCause is how much of the room that a gang needs is reserved for it.
+// reservedCause returns how many of the machines that a gang needs are reserved for it.
 func (v *View) reservedCause(j *Job) (c Cause, reserved bool) {
 	c = Cause{Reason: ReservingForGang}
-	size := 1 // tasks on the machine that takes most of them
+	tasksPerMachine := 1 // on the machine that fits the most tasks
 	for _, m := range v.Index.Machines(v.Partition) {
 		if !m.IsReservedFor(j, v.Now) {
 			continue
 		}
 		c.Count++
 		c.Until = m.EarmarkedUntil
-		size = max(size, m.Size.TaskCount(j.Need))
+		tasksPerMachine = max(tasksPerMachine, m.Size.TaskCount(j.Need))
 		if len(c.Machines) < maxListed {
 			c.Machines = append(c.Machines, m.Name)
 		}
 	}
-	c.Need = max(c.Count, (j.Tasks+size-1)/size)
+	c.Need = max(c.Count, (j.Tasks+tasksPerMachine-1)/tasksPerMachine)
 	return c, c.Count > 0
 }
 
-// Change is something that would have to happen for a job to start.
+// Change is an event that would let a waiting job start.
 type Change struct {
-	Reason   Reason   `json:"releases"`
-	GPUs     float64  `json:"cards,omitempty"` // of the team's limit
-	CPUs     float64  `json:"vcpus,omitempty"`
-	Tasks    int      `json:"tasks,omitempty"`    // that end on each of the machines
-	Machines []string `json:"machines,omitempty"` // any Need of them
-	Need     int      `json:"need,omitempty"`
-	Offer    Offer    `json:"offer,omitzero"`
-	freed    map[string]Resources
+	Reason   Reason               `json:"releases"`
+	GPUs     float64              `json:"cards,omitempty"` // by how much the team's limit would have to rise
+	CPUs     float64              `json:"vcpus,omitempty"`
+	Tasks    int                  `json:"tasks,omitempty"`    // tasks that would have to end on each of the machines
+	Machines []string             `json:"machines,omitempty"` // any Need of these
+	Need     int                  `json:"need,omitempty"`
+	Offer    Offer                `json:"offer,omitzero"`
+	freed    map[string]Resources // what the ended tasks free, by machine
 }
 
-// String is a change in words.
+// String describes a change for users.
 func (c Change) String() string {
-	any := joinNames(c.Machines)
+	machines := joinNames(c.Machines)
 	if c.Need < len(c.Machines) {
-		any = fmt.Sprintf("any %d of %s", c.Need, any)
+		machines = fmt.Sprintf("any %d of %s", c.Need, machines)
 	}
 	switch c.Reason {
 	case TeamLimit:
@@ -393,15 +397,15 @@
 		}
 		return fmt.Sprintf("%g more vcpus of the team's limit", c.CPUs)
 	case NoFreeMachine:
-		return fmt.Sprintf("%d tasks end on %s", c.Tasks, any)
+		return fmt.Sprintf("%d tasks end on %s", c.Tasks, machines)
 	case Drained:
-		return "the drain ends of " + any
+		return "the drain ends of " + machines
 	case ReportOverdue:
-		return "heard again: " + any
+		return "heard again: " + machines
 	case EarmarkedForGang:
-		return "no longer kept for a gang: " + any
+		return "no longer kept for a gang: " + machines
 	case NotReady, Booting, AwaitingFirstReport:
-		return "ready: " + any
+		return "ready: " + machines
 	case NoCapacity:
 		return fmt.Sprintf("%d machines more of %s", c.Need, c.Offer)
 	case RetryBackoff, FailsEverywhere:
@@ -418,21 +422,21 @@
 	return "not: " + c.Reason.Text()
 }
 
-// ChangesToStart is the smallest change found that lets a job start: the causes that stand in
-// the way by themselves, and of the machines' the one that asks least. ok says that
-// the decision, asked on a view with the change, starts it.
-func (v *View) ChangesToStart(j *Job, a *ExplainContext) (changes []Change, ok bool) {
-	w, after := v.withoutOwnCauses(j)
-	if a.SinceStateAnswer > stateServiceTimeout {
+// ChangesToStart returns the smallest set of changes found that lets a job start: the end of
+// every cause that applies regardless of machines, and at most one change of machines, the
+// smallest that suffices. ok reports whether Place starts the job on a view with the changes.
+func (v *View) ChangesToStart(j *Job, context *ExplainContext) (changes []Change, ok bool) {
+	unblocked, unblockedJob := v.withoutOwnCauses(j)
+	if context.SinceStateAnswer > stateServiceTimeout {
 		changes = append(changes, Change{Reason: StateServiceDown})
 	}
 	for _, c := range []struct {
-		is bool
-		k  Reason
+		applies bool
+		reason  Reason
 	}{{j.SiteLeaseMissing, SiteWithoutLease}, {j.WritePending, WritePending}, {j.AbortAttempt, GangLeaving}, {j.FailsEverywhere && (v.Now.Before(j.NotBefore) || j.Placed > 0), FailsEverywhere},
 		{!j.FailsEverywhere && (j.InBackoff > 0 && j.InBackoff == j.Waiting || v.Now.Before(j.NotBefore)), RetryBackoff}} {
-		if c.is {
-			changes = append(changes, Change{Reason: c.k})
+		if c.applies {
+			changes = append(changes, Change{Reason: c.reason})
 		}
 	}
 	if t := v.team(j).effectiveFor(j, v.Now); t.TasksWithinLimit(j.Need) < j.minTasksToStart() {
@@ -446,145 +450,147 @@
 		}
 		raised := *t
 		raised.Limit, raised.LimitReservations = raised.Limit.Add(Resources{CPUs: c.CPUs, GPUs: c.GPUs}, 1), nil
-		w.Teams = slices.Clone(v.Teams)
-		w.Teams[j.Team] = &raised
+		unblocked.Teams = slices.Clone(v.Teams)
+		unblocked.Teams[j.Team] = &raised
 		changes = append(changes, c)
 	}
 	if _, never := v.neverFits(j); never || j.Cancelled {
 		return changes, false
 	}
-	// With that out of the way, do the machines that have room do?
+	// With these causes removed, are the machines that have capacity now enough?
 	base := v.usableMachines(j, nil)
-	w.Index = v.indexOf(base)
-	if w.wouldStart(after) {
+	unblocked.Index = v.indexOf(base)
+	if unblocked.wouldStart(unblockedJob) {
 		return changes, true
 	}
 	for _, c := range v.possibleChanges(j) {
-		w.Index = v.indexOf(append(slices.Clone(base), v.machinesAfter(j, c)...))
-		if w.wouldStart(after) {
+		unblocked.Index = v.indexOf(append(slices.Clone(base), v.machinesAfter(j, c)...))
+		if unblocked.wouldStart(unblockedJob) {
 			return append(changes, c), true
 		}
 	}
 	return changes, false
 }
 
-// withoutOwnCauses is a view and a job without the causes that are the job's own.
+// withoutOwnCauses returns copies of the view and the job without the causes that concern the
+// job itself.
 func (v *View) withoutOwnCauses(j *Job) (*View, *Job) {
-	w := *v
-	w.noCapacityAt, w.noVictimsAt, w.relocatableByRank = nil, nil, nil
-	after := *j
-	after.SiteLeaseMissing, after.WritePending, after.AbortAttempt, after.InBackoff, after.NotBefore = false, false, false, 0, time.Time{}
+	unblocked := *v
+	unblocked.noCapacityAt, unblocked.noVictimsAt, unblocked.relocatableByRank = nil, nil, nil
+	unblockedJob := *j
+	unblockedJob.SiteLeaseMissing, unblockedJob.WritePending, unblockedJob.AbortAttempt, unblockedJob.InBackoff, unblockedJob.NotBefore = false, false, false, 0, time.Time{}
 	if j.AbortAttempt {
-		after.Waiting, after.Placed, after.Zones = j.Tasks, 0, nil
+		unblockedJob.Waiting, unblockedJob.Placed, unblockedJob.Zones = j.Tasks, 0, nil
 	}
 	if j.FailsEverywhere {
-		after.Placed = 0
+		unblockedJob.Placed = 0
 	}
-	after.PreemptionWaitUntil = v.Now // nobody is stopped for it here
-	after.PreemptAfter = v.Now.Add(time.Hour)
-	return &w, &after
+	unblockedJob.PreemptionWaitUntil = v.Now // Place must not preempt other tasks here
+	unblockedJob.PreemptAfter = v.Now.Add(time.Hour)
+	return &unblocked, &unblockedJob
 }
 
-// usableMachines are copies of the machines that a job could take now.
+// usableMachines returns copies of the machines that a job could use now.
 func (v *View) usableMachines(j *Job, except map[string]bool) (out []*Machine) {
-	n := 0
+	fitting := 0
 	for _, m := range v.Index.Machines(v.Partition) {
 		if Allowed(j.Spec, m.offer()) && v.obstacle(m, j) == NoReason && !except[m.Name] {
-			c := *m
-			out = append(out, &c)
-			if n += m.Free().TaskCount(j.Need); n > 4*j.Tasks+64 {
-				break // more do not matter
+			copied := *m
+			out = append(out, &copied)
+			if fitting += m.Free().TaskCount(j.Need); fitting > 4*j.Tasks+64 {
+				break // more would not change the result
 			}
 		}
 	}
 	return out
 }
 
-// indexOf makes an index of copies of machines.
+// indexOf returns an index of copies of machines.
 func (v *View) indexOf(ms []*Machine) *Index {
-	x := NewIndex(len(v.Index.partitions), len(v.Teams))
+	index := NewIndex(len(v.Index.partitions), len(v.Teams))
 	for _, m := range ms {
 		f := *m
 		f.id, f.listed, f.group = 0, false, nil
-		x.Set(&Machine{}, &f)
+		index.Set(&Machine{}, &f)
 	}
-	return x
+	return index
 }
 
-// possibleChanges are what could happen to machines so that a job starts, the smallest first.
+// possibleChanges returns the changes of machines that could let a job start, the smallest
+// first.
 func (v *View) possibleChanges(j *Job) []Change {
-	byKind := map[Reason]*Change{}
-	ending := map[int]*Change{} // by how many tasks must end
-	n := j.minTasksToStart()
-	have := 0
+	byReason := map[Reason]*Change{}
+	byEnds := map[int]*Change{} // by the number of tasks that must end on a machine
+	minTasks := j.minTasksToStart()
+	fitting := 0
 	for _, m := range v.Index.Machines(v.Partition) {
 		if !Allowed(j.Spec, m.offer()) {
 			continue
 		}
-		switch k := v.obstacle(m, j); k {
+		switch reason := v.obstacle(m, j); reason {
 		case NoReason:
-			have += m.Free().TaskCount(j.Need)
+			fitting += m.Free().TaskCount(j.Need)
 		case Drained, ReportOverdue, EarmarkedForGang, NotReady, Booting, AwaitingFirstReport:
 			if m.Free().TaskCount(j.Need) == 0 || m.Block&(Returned|Returning) != 0 {
 				continue
 			}
-			if byKind[k] == nil {
-				byKind[k] = &Change{Reason: k}
+			if byReason[reason] == nil {
+				byReason[reason] = &Change{Reason: reason}
 			}
-			byKind[k].Machines = append(byKind[k].Machines, m.Name)
+			byReason[reason].Machines = append(byReason[reason].Machines, m.Name)
 		case NoFreeMachine:
 			ends, freed := m.endsNeeded(j.Need)
 			if ends == 0 {
 				continue
 			}
-			if ending[ends] == nil {
-				ending[ends] = &Change{Reason: NoFreeMachine, Tasks: ends, freed: map[string]Resources{}}
+			if byEnds[ends] == nil {
+				byEnds[ends] = &Change{Reason: NoFreeMachine, Tasks: ends, freed: map[string]Resources{}}
 			}
-			ending[ends].Machines = append(ending[ends].Machines, m.Name)
-			ending[ends].freed[m.Name] = freed
+			byEnds[ends].Machines = append(byEnds[ends].Machines, m.Name)
+			byEnds[ends].freed[m.Name] = freed
 		}
 	}
 	var out []Change
-	need := max(1, n-have)
-	for _, k := range []Reason{EarmarkedForGang, Drained, Booting, AwaitingFirstReport, NotReady, ReportOverdue} {
-		if c := byKind[k]; c != nil {
-			c.Need = min(need, len(c.Machines))
+	missing := max(1, minTasks-fitting)
+	for _, reason := range []Reason{EarmarkedForGang, Drained, Booting, AwaitingFirstReport, NotReady, ReportOverdue} {
+		if c := byReason[reason]; c != nil {
+			c.Need = min(missing, len(c.Machines))
 			out = append(out, *c)
 		}
 	}
 	var ends []int
-	for e := range ending {
+	for e := range byEnds {
 		ends = append(ends, e)
 	}
 	slices.Sort(ends)
 	for _, e := range ends {
-		ending[e].Need = min(need, len(ending[e].Machines))
-		out = append(out, *ending[e])
+		byEnds[e].Need = min(missing, len(byEnds[e].Machines))
+		out = append(out, *byEnds[e])
 	}
-	// A machine more of the cheapest kind that may be rented, at worst one for each task.
+	// Further machines of the cheapest offer, at worst one for each task.
 	f := &forecast{view: v, inZone: map[string]int{}, market: &Market{}}
 	if o, ok := f.bestOffer(j, func(o Offer) bool {
 		return Allowed(j.Spec, o) && j.zoneCapacity(o.Zone) > 0
 	}); ok {
-		per := max(1, SizeOf(v.Types[o.Type]).TaskCount(j.Need))
-		out = append(out, Change{Reason: NoCapacity, Need: (need + per - 1) / per, Offer: o})
+		tasksPerMachine := max(1, SizeOf(v.Types[o.Type]).TaskCount(j.Need))
+		out = append(out, Change{Reason: NoCapacity, Need: (missing + tasksPerMachine - 1) / tasksPerMachine, Offer: o})
 		if j.Spec.OneZone {
-			out = append(out, Change{Reason: NoCapacity, Need: (n + per - 1) / per, Offer: o})
+			out = append(out, Change{Reason: NoCapacity, Need: (minTasks + tasksPerMachine - 1) / tasksPerMachine, Offer: o})
 		}
 	}
 	return out
 }
 
-// endsNeeded is how many of a machine's tasks must end, the largest first, so that one
-// more of a size fits, and what that frees; 0 if none would do.
+// endsNeeded returns how many of a machine's tasks must end, the largest first, before one more
+// task fits, and the resources that they free. It returns 0 if the task would not fit even then.
 func (m *Machine) endsNeeded(need Resources) (int, Resources) {
-	held := slices.Clone(m.Assignments)
-	slices.SortFunc(held, func(a, b Assignment) int {
+	tasks := slices.Clone(m.Assignments)
+	slices.SortFunc(tasks, func(a, b Assignment) int {
 		return cmp.Or(cmp.Compare(b.Job.Need.GPUs, a.Job.Need.GPUs), cmp.Compare(b.Job.Need.CPUs, a.Job.Need.CPUs), cmp.Compare(b.Job.Need.MemoryGB, a.Job.Need.MemoryGB),
 			cmp.Compare(a.Job.ID, b.Job.ID), cmp.Compare(a.Task, b.Task))
 	})
 	var freed Resources
-	for i, h := range held {
+	for i, h := range tasks {
 		if freed = freed.Add(h.Job.Need, 1); m.Free().Add(freed, 1).TaskCount(need) > 0 {
 			return i + 1, freed
 		}
@@ -592,7 +598,7 @@
 	return 0, freed
 }
 
-// machinesAfter are copies of machines as a change leaves them.
+// machinesAfter returns copies of the machines of a change as they are after it.
 func (v *View) machinesAfter(j *Job, c Change) (out []*Machine) {
 	if c.Reason == NoCapacity {
 		t := v.Types[c.Offer.Type]
@@ -609,10 +615,10 @@
 		if !slices.Contains(c.Machines, m.Name) {
 			continue
 		}
-		f := *m
-		f.Block, f.AvoidUntil, f.LastReport, f.EarmarkedFor = 0, time.Time{}, v.Now, nil
-		f.Used = f.Used.Add(c.freed[m.Name], -1)
-		out = append(out, &f)
+		copied := *m
+		copied.Block, copied.AvoidUntil, copied.LastReport, copied.EarmarkedFor = 0, time.Time{}, v.Now, nil
+		copied.Used = copied.Used.Add(c.freed[m.Name], -1)
+		out = append(out, &copied)
 	}
 	return out
 }
--- a/internal/coordination/decide/model.go
+++ b/internal/coordination/decide/model.go
@@ -8,34 +8,34 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// Block is a set of reasons why nothing new may be placed on a machine.
+// Block is a set of conditions, each of which keeps new tasks off a machine.
 type Block uint16
 
 const (
-	NotRecorded        Block = 1 << iota // it is not recorded (any more)
-	Unfenced                             // no report of the present token has come
-	InterruptionNotice                   // the cloud takes it back
-	Returning                            // it is being given back
-	Returned                             // it was
-	Moving                               // it goes to another share
-	Cordoned                             // by operators
-	StartUnconfirmed                     // a direct start was not answered
-	Faulty                               // jobs failed there one after the other
+	NotRecorded        Block = 1 << iota // it has no record in the state service
+	Unfenced                             // no report with the current fencing token has arrived
+	InterruptionNotice                   // the cloud has announced that it will take the machine back
+	Returning                            // it is being returned to the cloud
+	Returned                             // the cloud has confirmed the return
+	Moving                               // it is being moved to another partition
+	Cordoned                             // operators have cordoned it: it gets no new tasks
+	StartUnconfirmed                     // a direct start command was not answered
+	Faulty                               // several jobs in a row failed on it
 )
 
-// Assignment is a task that a machine holds.
+// Assignment is a task that is assigned to a machine.
 type Assignment struct {
 	Job      *Job
 	Task     int
-	Since    time.Time // when its machine was recorded
-	Active   bool      // recorded, and not known to be over
-	Stopping bool      // it is to leave
+	Since    time.Time // when the assignment was recorded
+	Active   bool      // the assignment is recorded, and the task is not known to have ended
+	Stopping bool      // the task is being stopped or is to be stopped
 }
 
-// coscheduled says whether a task runs only with others, on other machines.
+// coscheduled reports whether a task runs only together with tasks on other machines.
 func (h Assignment) coscheduled() bool { return h.Job.coscheduled() }
 
-// Machine is what decisions know of a machine.
+// Machine is the state of a machine as far as decisions depend on it.
 type Machine struct {
 	Name, Type, Zone string
 	Spot             bool
@@ -44,27 +44,27 @@
 	HasType          bool // its type is in the catalogue
 	Size             Resources
 	Used             Resources
-	SecPerGB         float64 // what fetching costs there, as counted
+	SecPerGB         float64 // fetch cost, rounded by SecondsPerGB
 	Images           []string
 	AvoidUntil       time.Time
-	LastReport       time.Time // last fenced report; zero: never
-	HasAddress       bool      // its address is recorded: it was up
+	LastReport       time.Time // last report with the current fencing token; zero: none
+	HasAddress       bool      // its address is recorded, which means that it has been up
 	Assignments      []Assignment
-	EarmarkedFor     *Job // a gang that room is kept for
+	EarmarkedFor     *Job // the gang that its capacity is held for
 	EarmarkedUntil   time.Time
-	Reserved         bool // the earmark is a reservation: what does not delay the gang may go there
-	Needed           bool // by what waits or is expected
-
-	// Kept up by Index.
-	stoppingTasks  int  // held tasks that are to leave
-	lowestPriority int  // priority of the least urgent task that could be stopped; -1: none
-	cpuOnlyTasks   int  // held tasks that need no GPU where there are some
-	listed         bool // in its share's list
-	group          *machineGroup
+	Reserved         bool // the earmark is a reservation: jobs that do not delay the gang may be backfilled
+	Needed           bool // by waiting or expected jobs
+
+	// Maintained by Index.
+	stoppingTasks  int           // number of assigned tasks with Stopping
+	lowestPriority int           // highest rank, which is the lowest priority, of a task that can be preempted; -1: none
+	cpuOnlyTasks   int           // on a machine with GPUs: number of assigned tasks that need none
+	listed         bool          // in its partition's list
+	group          *machineGroup // nil: no free capacity, or blocked
 	id             uint32
 }
 
-// Free is what a machine has left.
+// Free returns a machine's unused resources.
 func (m *Machine) Free() Resources {
 	if !m.HasType {
 		return Resources{}
@@ -72,7 +72,8 @@
 	return m.Size.Add(m.Used, -1)
 }
 
-// HasCapacity says whether another task could be on a machine at all.
+// HasCapacity reports whether a machine has the resources for any further task. A machine with
+// GPUs has none if all GPUs are in use.
 func (m *Machine) HasCapacity() bool {
 	f := m.Free()
 	if m.HasType && m.Size.GPUs > 0 && f.GPUs < Tolerance {
@@ -81,20 +82,22 @@
 	return f.CPUs > Tolerance && f.MemoryGB > Tolerance
 }
 
-// Usable says whether new tasks may be placed on a machine.
+// Usable reports whether new tasks may be placed on a machine.
 func (m *Machine) Usable(now time.Time, reportS float64) bool {
 	return m.Block == 0 && !now.Before(m.AvoidUntil) && !m.reportOverdue(now, reportS)
 }
 
-// reportOverdue says whether a machine has not been heard for longer than its reports take.
+// reportOverdue reports whether the last report of a machine is older than two and a half
+// report intervals and a second.
 func (m *Machine) reportOverdue(now time.Time, reportS float64) bool {
 	return now.Sub(m.LastReport).Seconds() >= 2.5*reportS+1
 }
 
-// HasImage says whether a machine holds an image or is fetching it.
+// HasImage reports whether a machine has an image cached or is fetching it.
 func (m *Machine) HasImage(image string) bool { return slices.Contains(m.Images, image) }
 
-// FetchSeconds is the time to get a job's image onto a machine: nothing if cached.
+// FetchSeconds returns how long a machine takes to fetch a job's image: 0 if it has the image or is
+// fetching it already.
 func (m *Machine) FetchSeconds(s *protocol.JobSpec) float64 {
 	if m.HasImage(s.Image) {
 		return 0
@@ -102,9 +105,9 @@
 	return m.SecPerGB * s.ImageGB
 }
 
-// SecondsPerGB is what counts of a learned fetch cost: steps of half of what the type
-// should take. Finer differences are those of the report interval, and would only keep
-// machines that are as good from counting as equal.
+// SecondsPerGB rounds a measured fetch cost to multiples of half the nominal cost of the
+// machine type; it is at least the nominal cost. Smaller differences are caused by the report
+// interval and would make equally good machines differ in cost.
 func SecondsPerGB(t *protocol.MachineType, learned float64) float64 {
 	nominal := 1.0
 	if t != nil && t.FetchGBPerS > 0 {
@@ -116,24 +119,24 @@
 	return max(nominal, math.Round(2*learned/nominal)/2*nominal)
 }
 
-// packingOrder breaks ties of cost: the fullest first, so that machines become empty and
-// can go. Lower comes first.
+// packingOrder orders machines of equal cost; the lowest value comes first. The fullest
+// machines come first, so that others become empty and can be returned or moved.
 func (m *Machine) packingOrder() float64 {
-	f := 0.0
+	fullness := 0.0
 	if m.HasType && m.Size.GPUs > 0 {
-		f = m.Used.GPUs / m.Size.GPUs
+		fullness = m.Used.GPUs / m.Size.GPUs
 	}
 	if m.HasType && m.Size.CPUs > 0 {
-		f = max(f, m.Used.CPUs/m.Size.CPUs)
+		fullness = max(fullness, m.Used.CPUs/m.Size.CPUs)
 	}
-	return -f
+	return -fullness
 }
 
-// idledGPUs is how many GPUs of a machine of a type a job's tasks would keep from others
-// without using any. Machines on which there are some come after all others, the fewest
-// first, whatever the fetch costs: work that needs GPUs fits nowhere else. (On simulated
-// days tasks of one CPU sat on 19 of 48 machines that gangs alone need, and most of the
-// gangs never ran.) GPUs that nobody could use are kept from nobody.
+// idledGPUs returns how many GPUs of a machine type a job's tasks would leave unused and
+// unavailable to other jobs. Placement orders machines by this number before the fetch cost,
+// because work that needs GPUs fits nowhere else. Without that, tasks of one CPU occupied 19 of
+// 48 machines that only gangs need on simulated days, and most of the gangs never ran. GPUs of
+// types that no job could use do not count.
 func (v *View) idledGPUs(j *Job, typ string) float64 {
 	if j.Need.GPUs > 0 || v.GPUTypesInDemand != nil && !v.GPUTypesInDemand[typ] {
 		return 0
@@ -141,7 +144,8 @@
 	return v.sizeOf(typ).GPUs
 }
 
-// MarkGPUTypesInDemand notes the types on which a job that needs GPUs could run.
+// MarkGPUTypesInDemand sets wanted for the machine types on which a job that needs GPUs could
+// run. A job that needs none changes nothing.
 func MarkGPUTypesInDemand(wanted map[string]bool, types map[string]*protocol.MachineType, s *protocol.JobSpec) {
 	if s.GPUs <= 0 {
 		return
@@ -151,10 +155,13 @@
 	}
 }
 
-// EarmarkExcludes says whether a machine is kept for a gang from a job. While work without GPUs
-// leaves it for a gang that needs them, such work is kept off whatever its priority: it has
-// room elsewhere, and being looked at first it would come back before the gang is there. (On
-// simulated days replicas left a machine for one gang every 9 s, and it never began.)
+// EarmarkExcludes reports whether a machine's earmark for a gang keeps a job off it. An earmark
+// keeps off jobs of the same or a lower priority, but a reservation lets through those that do not
+// delay the gang. If the earmark is no reservation and the gang needs GPUs, it also keeps off jobs
+// of higher priority that need none: such tasks are being relocated from the machine, and since
+// jobs of higher priority are placed first, they would return to it before the gang starts.
+// Without that, replicas left a machine for one gang every 9 s on simulated days, and the gang
+// never started.
 func (m *Machine) EarmarkExcludes(j *Job, now time.Time) bool {
 	gang := m.EarmarkedFor
 	switch {
@@ -166,82 +173,84 @@
 	return !m.Reserved || m.reservationExcludes(j, now)
 }
 
-// Job is what decisions know of a job.
+// Job is the state of a job as far as decisions depend on it.
 type Job struct {
 	ID        string
 	Spec      *protocol.JobSpec
 	Team      int
 	Partition int
-	Rank      int
+	Rank      int // 0 is the highest priority
 	Need      Resources
 	Tasks     int
 	Submitted time.Time
-	FirstSeen time.Time // when this node learned of it
+	FirstSeen time.Time // when this node first read the job
 
-	// As of the look.
-	Waiting             int // tasks that wait for a machine
-	Placed              int // tasks with a machine, or about to have one
-	InBackoff           int // of those that wait: after an error, for their next try
+	// State at the time of the scheduling pass.
+	Waiting             int // tasks without a machine
+	Placed              int // tasks with a machine, or whose assignment is being stored
+	InBackoff           int // waiting tasks that failed and whose next try is not due yet
 	Cancelled           bool
-	AbortAttempt        bool // gang: the attempt is to end first
-	SiteLeaseMissing    bool // the gateway's, and the site has no lease
-	WritePending        bool // a change of it is being stored
-	FailsEverywhere     bool // it fails on every machine
+	AbortAttempt        bool // the tasks of a gang's earlier attempt must end before the next one
+	SiteLeaseMissing    bool // the job came from the gateway, and this site has no lease for such jobs
+	WritePending        bool // a change of the job is being stored
+	FailsEverywhere     bool // its tasks have failed on every machine tried, most likely for a mistake in the job
 	Heavy               bool
-	TicketStep          bool // of a ticket
-	Tries               int  // of a job with a mistake
+	TicketStep          bool // the job is a step of a ticket
+	Tries               int  // number of tries if FailsEverywhere is set
 	LastError           string
-	NotBefore           time.Time // after errors
-	PreemptionWaitUntil time.Time // how long room made where its image is is waited for
-	PreemptAfter        time.Time // when others may be stopped for it again
-	VictimSearchAfter   time.Time // when to look again for others to stop
+	NotBefore           time.Time // no task is tried before this time, after errors
+	PreemptionWaitUntil time.Time // until when it waits for tasks preempted on the machines that suit it best; zero: none were
+	PreemptAfter        time.Time // when tasks may be preempted for it again
+	VictimSearchAfter   time.Time // when to search for victims again after a search found none
 
-	// Of a gang.
-	ReservedSince time.Time // since when machines are reserved for it; zero: none are
-	ReserveAfter  time.Time // when machines may be reserved for it again
-	ExpectedStart time.Time // when the last of the reserved places should be free
+	// Reservations of a gang.
+	ReservedSince time.Time // start of its reservation; zero: it has none
+	ReserveAfter  time.Time // when it may have a reservation again
+	ExpectedStart time.Time // when the last of its tasks is expected to have a place
 
-	ReservationBlockedSince time.Time // since when it would fit but for what is reserved for gangs; zero: it does not
+	ReservationBlockedSince time.Time // since when only reservations for gangs have kept it from starting; zero: they do not
 
-	Zones map[string]int // of a job bound to zones: its tasks by zone
+	Zones map[string]int // of a zone-constrained job: placed tasks by zone
 }
 
-// Unguaranteed says whether a team has no guarantee: its work runs on what nobody else needs.
+// Unguaranteed reports whether a team has no guaranteed resources. Its jobs run only on
+// resources that teams with a guarantee do not need.
 func (t *Team) Unguaranteed() bool { return t.Guarantee == Resources{} }
 
-// EligibleTasks is how many of a job's waiting tasks may be started: all of them, or, if it
-// fails on every machine, one now and then. A gang goes whole.
+// EligibleTasks returns how many of a job's waiting tasks may be tried: those that are not in
+// backoff. If the job fails everywhere, one task is tried at a time, except of a gang.
 func (j *Job) EligibleTasks(now time.Time) int {
-	r := j.Waiting - j.InBackoff
+	eligible := j.Waiting - j.InBackoff
 	switch {
 	case now.Before(j.NotBefore):
 		return 0
 	case !j.FailsEverywhere || j.Spec.Shape == protocol.Gang:
-		return r
+		return eligible
 	case j.Placed > 0:
 		return 0
 	}
-	return min(r, 1)
+	return min(eligible, 1)
 }
 
-// zoneCapacity says how many more tasks of a job a zone may take, given those that are
-// placed or not known to be gone.
+// zoneCapacity returns how many more tasks of a job may be placed in a zone, given the zones of
+// its tasks that are placed or not known to have ended.
 func (j *Job) zoneCapacity(zone string) int {
-	room := j.Tasks
+	capacity := j.Tasks
 	if j.Spec.Spread {
-		room = (j.Tasks+1)/2 - j.Zones[zone]
+		capacity = (j.Tasks+1)/2 - j.Zones[zone]
 	}
 	if j.Spec.OneZone && len(j.Zones) > 0 && j.Zones[zone] == 0 {
-		room = 0
+		capacity = 0
 	}
-	return room
+	return capacity
 }
 
-// zoneConstrained says whether a job's places depend on where its other tasks are.
+// zoneConstrained reports whether the placement of a task depends on the zones of the job's
+// other tasks.
 func (j *Job) zoneConstrained() bool { return j.Spec.OneZone || j.Spec.Spread }
 
-// preemptionLoss is how many seconds of work are lost when a task is stopped: all since its
-// start, or, if it saves, what saving takes.
+// preemptionLoss returns how many seconds of work are lost when a task is stopped: all since its
+// start, or, if the job writes checkpoints, the time to save plus 2 s.
 func (j *Job) preemptionLoss(since, now time.Time) float64 {
 	ran := now.Sub(since).Seconds()
 	if j.Spec.CheckpointS > 0 {
@@ -250,12 +259,13 @@
 	return ran
 }
 
-// Allowed says whether a job's tasks may be on machines of a kind at all.
+// Allowed reports whether a job's constraints on type, zone and spot machines admit an offer.
 func Allowed(s *protocol.JobSpec, o Offer) bool {
 	return (len(s.Types) == 0 || slices.Contains(s.Types, o.Type)) && (s.Zone == "" || s.Zone == o.Zone) && (!o.Spot || s.Spot)
 }
 
-// Offer is a kind of machine that can be rented.
+// Offer is a kind of machine that can be rented: a machine type in a zone, as a spot or an
+// ordinary machine.
 type Offer struct {
 	Type, Zone string
 	Spot       bool
@@ -263,44 +273,46 @@
 
 func (m *Machine) offer() Offer { return Offer{m.Type, m.Zone, m.Spot} }
 
-// Team is a team's guarantee, limit and use.
+// Team is the guarantee, the limit and the current use of a team.
 type Team struct {
 	Name              string
 	Guarantee         Resources
 	Limit             Resources // 0: none
 	Used              Resources
-	LimitReservations []LimitReservation // of the limit, for jobs that less urgent work of the team was stopped for
+	LimitReservations []LimitReservation // for jobs that other tasks of the team were preempted for
 }
 
-// LimitReservation is what of a team's limit is kept for a job's waiting tasks.
+// LimitReservation reserves a part of a team's limit for a job's waiting tasks.
 type LimitReservation struct {
 	Job   *Job
 	Until time.Time
 }
 
-// reservedLimit is what of a team's limit is kept from a job: for those that are more urgent, or,
-// with others as well, for all that are no less so.
-func (t *Team) reservedLimit(from *Job, others bool, now time.Time) (out Resources) {
-	for _, k := range t.LimitReservations {
-		if k.Job != from && !k.Job.Cancelled && now.Before(k.Until) && (k.Job.Rank < from.Rank || others && k.Job.Rank == from.Rank) {
-			out = out.Add(k.Job.Need, float64(k.Job.Waiting))
+// reservedLimit returns the part of the team's limit that is reserved for other jobs than j and
+// not available to it: for jobs of higher priority, and with includeEqualRank also for jobs of the
+// same rank.
+func (t *Team) reservedLimit(j *Job, includeEqualRank bool, now time.Time) (reserved Resources) {
+	for _, reservation := range t.LimitReservations {
+		if reservation.Job != j && !reservation.Job.Cancelled && now.Before(reservation.Until) && (reservation.Job.Rank < j.Rank || includeEqualRank && reservation.Job.Rank == j.Rank) {
+			reserved = reserved.Add(reservation.Job.Need, float64(reservation.Job.Waiting))
 		}
 	}
-	return out
+	return reserved
 }
 
-// effectiveFor is the team as one of its jobs finds it: what is kept for more urgent ones counts
-// as used.
+// effectiveFor returns the team as it applies to one of its jobs: the part of the limit that is
+// reserved for jobs of higher priority counts as used.
 func (t *Team) effectiveFor(j *Job, now time.Time) *Team {
 	if len(t.LimitReservations) == 0 {
 		return t
 	}
-	left := *t
-	left.Used = left.Used.Add(t.reservedLimit(j, false, now), 1)
-	return &left
+	effective := *t
+	effective.Used = effective.Used.Add(t.reservedLimit(j, false, now), 1)
+	return &effective
 }
 
-// TasksWithinLimit is how many more tasks of a size the team's limit allows.
+// TasksWithinLimit returns how many more tasks with a need the team's limit allows. Memory is not
+// limited.
 func (t *Team) TasksWithinLimit(need Resources) int {
 	free := t.Limit.Add(t.Used, -1)
 	if t.Limit.CPUs == 0 {
@@ -313,27 +325,27 @@
 	return free.TaskCount(need)
 }
 
-// OverLimit says whether what is counted for a team is more than it may use.
+// OverLimit reports whether a team uses more than its limit.
 func (t *Team) OverLimit() bool {
 	return t.Limit.CPUs > 0 && t.Used.CPUs > t.Limit.CPUs+Tolerance || t.Limit.GPUs > 0 && t.Used.GPUs > t.Limit.GPUs+Tolerance
 }
 
-// Startable is how many of a job's tasks wait, are within its team's limit and may be
-// tried.
+// Startable returns how many of a job's waiting tasks may be tried and are within its team's
+// limit: all or none of a gang.
 func Startable(j *Job, t *Team, now time.Time) int {
 	if j.Cancelled || j.AbortAttempt {
 		return 0
 	}
-	w := min(j.EligibleTasks(now), t.effectiveFor(j, now).TasksWithinLimit(j.Need))
-	if j.Spec.Shape == protocol.Gang && w < j.Tasks {
+	startable := min(j.EligibleTasks(now), t.effectiveFor(j, now).TasksWithinLimit(j.Need))
+	if j.Spec.Shape == protocol.Gang && startable < j.Tasks {
 		return 0
 	}
-	return w
+	return startable
 }
 
-// Demand is how many tasks of a job room should be made for. A job that fails on every
-// machine takes only what lies unused: without that its waiting tasks kept every empty
-// machine of their share from being returned.
+// Demand returns for how many tasks of a job machines may be moved or others preempted. It is 0
+// for a job that fails everywhere, which is placed on unused capacity only: without that, its
+// waiting tasks kept every empty machine of their partition from being returned.
 func Demand(j *Job, t *Team, now time.Time) int {
 	if j.FailsEverywhere {
 		return 0
@@ -341,68 +353,70 @@
 	return Startable(j, t, now)
 }
 
-// Config is what of the settings decisions need.
+// Config holds the settings that decisions depend on.
 type Config struct {
-	ReportS    float64
+	ReportS    float64 // interval of the machines' reports
 	Objectives []protocol.Objective
-	MoveS      float64 // the operators' period of moves
+	MoveS      float64 // the operators' interval between plans of moves
 }
 
-// eachFinishDeadline calls f with each time within which jobs of a class should be done.
-func (c *Config) eachFinishDeadline(class string, f func(within float64)) {
-	for _, o := range c.Objectives {
-		if o.Kind == "finished" && o.Class == class {
-			f(o.WithinS)
+// eachFinishDeadline calls visit with the time limit in seconds of each objective on finishing
+// jobs of a class.
+func (c *Config) eachFinishDeadline(class string, visit func(within float64)) {
+	for _, objective := range c.Objectives {
+		if objective.Kind == "finished" && objective.Class == class {
+			visit(objective.WithinS)
 		}
 	}
 }
 
-// RestartMissesObjective says whether a job would miss an aim on finishing that it can still meet
-// if one of its tasks, started now, were lost near its end: what was lost is noticed
-// after two reports and fetched and run again. Such a job had better not run on
-// machines that may be taken. (On simulated days of large arrays on spot machines
-// three of four late arrays had lost one machine.)
+// RestartMissesObjective reports whether a job can still meet an objective on finishing, but
+// would miss it if one of its tasks, started now, were lost near its end: the loss is noticed
+// after two report intervals, and the task then runs again from its start. Such a job should
+// avoid spot machines. On simulated days with large arrays on spot machines, three of four late
+// arrays had lost one machine.
 func (c *Config) RestartMissesObjective(j *Job, now time.Time) bool {
 	if j.Spec.CheckpointS > 0 || !j.Spec.Spot {
 		return false
 	}
-	once := now.Sub(j.Submitted).Seconds() + j.Spec.EstimateS
-	again := once + j.Spec.EstimateS + 2*c.ReportS
-	out := false
-	c.eachFinishDeadline(j.Spec.Class, func(within float64) { out = out || once <= within && again > within })
-	return out
+	firstFinish := now.Sub(j.Submitted).Seconds() + j.Spec.EstimateS
+	restartedFinish := firstFinish + j.Spec.EstimateS + 2*c.ReportS
+	misses := false
+	c.eachFinishDeadline(j.Spec.Class, func(within float64) { misses = misses || firstFinish <= within && restartedFinish > within })
+	return misses
 }
 
-// preemptionMissesObjective says whether stopping a task makes its job miss an aim on finishing that it
-// would meet otherwise.
+// preemptionMissesObjective reports whether preempting a task makes its job miss an objective on
+// finishing that it would meet otherwise.
 func (c *Config) preemptionMissesObjective(j *Job, since, now time.Time) bool {
 	if j.Spec.CheckpointS > 0 {
 		return false
 	}
 	age := now.Sub(j.Submitted).Seconds()
 	left := max(0, j.Spec.EstimateS-now.Sub(since).Seconds())
-	out := false
-	c.eachFinishDeadline(j.Spec.Class, func(within float64) { out = out || age+left <= within && age+j.Spec.EstimateS > within })
-	return out
+	misses := false
+	c.eachFinishDeadline(j.Spec.Class, func(within float64) { misses = misses || age+left <= within && age+j.Spec.EstimateS > within })
+	return misses
 }
 
-// maxFetchSeconds is how long a fetch a class's aim on starting leaves time for. Only the
-// highest priority gets others stopped for its fetch.
+// maxFetchSeconds returns the longest image fetch with which a job meets its class's objective on
+// waiting: 0.7 of the objective's time. It is infinite for all but the highest priority, since
+// only that priority preempts others for a shorter fetch.
 func (c *Config) maxFetchSeconds(s *protocol.JobSpec) float64 {
-	p := math.Inf(1)
+	limit := math.Inf(1)
 	if s.Rank() != protocol.Production {
-		return p
+		return limit
 	}
-	for _, o := range c.Objectives {
-		if o.Kind == "wait" && o.Class == s.Class {
-			p = min(p, 0.7*o.WithinS)
+	for _, objective := range c.Objectives {
+		if objective.Kind == "wait" && objective.Class == s.Class {
+			limit = min(limit, 0.7*objective.WithinS)
 		}
 	}
-	return p
+	return limit
 }
 
-// View is one look at a share: the machines as Index has them, and the rest as it is
-// now. It is read-only.
+// View is the state of a partition in one scheduling pass: the machines as the Index holds them,
+// and the rest at the time Now. Decisions do not change the state in it, they only cache results.
 type View struct {
 	Now              time.Time
 	Partition        int
@@ -410,20 +424,20 @@
 	Types            map[string]*protocol.MachineType
 	Teams            []*Team
 	Index            *Index
-	GPUTypesInDemand map[string]bool // types on which work that needs GPUs could run; nil: not known
-	NoPreemption     bool            // nothing is stopped for others: the room may be on machines that have not spoken
+	GPUTypesInDemand map[string]bool // machine types on which jobs that need GPUs could run; nil: not known
+	NoPreemption     bool            // Place preempts nothing, because machines that have not reported yet may have capacity
 
-	// What one look found out and need not find out again for jobs of equal needs.
+	// Index versions at which a search found nothing, for jobs with the same key.
 	noCapacityAt     map[placementKey]uint64
 	noVictimsAt      map[preemptionKey]uint64
-	skippedEarmarked bool // a machine was passed over since it is kept for a gang
+	skippedEarmarked bool // the last search skipped a machine because of its earmark
 
-	reservedSlots int // that a job was kept from by reservations, in the last look for candidates
+	reservedSlots int // slots that the last search for candidates skipped because of reservations
 
-	relocatableByRank map[int]map[*Machine]bool // by rank, see shiftable
+	relocatableByRank map[int]map[*Machine]bool // results of relocatableMachines, by rank
 }
 
-// placementKey is what makes two jobs equal for the machines that they fit on.
+// placementKey identifies jobs whose tasks fit on the same machines.
 type placementKey struct {
 	need  Resources
 	types string
@@ -441,8 +455,10 @@
 
 func (v *View) team(j *Job) *Team { return v.Teams[j.Team] }
 
-// Startable and Wants for this look.
+// Startable returns the job's Startable tasks at the time of the view.
 func (v *View) Startable(j *Job) int { return Startable(j, v.team(j), v.Now) }
-func (v *View) Demand(j *Job) int    { return Demand(j, v.team(j), v.Now) }
+
+// Demand returns the job's Demand at the time of the view.
+func (v *View) Demand(j *Job) int { return Demand(j, v.team(j), v.Now) }
 
 func (v *View) usable(m *Machine) bool { return m.Usable(v.Now, v.Config.ReportS) }
--- a/internal/coordination/decide/policy.go
+++ b/internal/coordination/decide/policy.go
@@ -8,29 +8,30 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// Window is the receding-horizon rule's memory of recent arrivals (paper,
-// section IV): each entry holds the jobs present and the image size.
+// Window holds the recent arrivals that the receding-horizon rule needs (paper,
+// section IV): the number of jobs present and the image size of each.
 type Window struct {
 	size    int
 	present []float64
 	images  []float64
 }
 
-// DefaultWindow is the number of arrivals remembered at the start.
+// DefaultWindow is the default number of arrivals in a window.
 const DefaultWindow = 20
 
-// NewWindow makes a window of size arrivals.
+// NewWindow returns an empty window for a number of arrivals.
 func NewWindow(size int) *Window { return &Window{size: size} }
 
-// Resize changes the number of arrivals remembered.
+// Resize changes the number of arrivals that the window holds.
 func (w *Window) Resize(size int) {
 	w.size = size
 	w.trim()
 }
 
-// Len is the number of arrivals remembered.
+// Len returns the number of arrivals in the window.
 func (w *Window) Len() int { return len(w.images) }
 
+// trim drops the oldest arrivals beyond the size.
 func (w *Window) trim() {
 	if d := len(w.images) - w.size; d > 0 {
 		w.present = slices.Delete(w.present, 0, d)
@@ -38,8 +39,8 @@
 	}
 }
 
-// RecordArrival records an arrival with n jobs present and an image of x GB, and says
-// whether Theorem 4 counts it as heavy: x >= p*mean(x), p = N/(2N+1).
+// RecordArrival records an arrival with n jobs present and an image of x GB, and reports
+// whether the job is heavy by Theorem 4: x >= p*mean(x), p = N/(2N+1).
 func (w *Window) RecordArrival(n int, x float64) (heavy bool) {
 	w.present = append(w.present, float64(n))
 	w.images = append(w.images, x)
@@ -57,15 +58,15 @@
 	return s / float64(len(v))
 }
 
-// Slot is a place for one task on a machine.
+// Slot is capacity for one task on a machine.
 type Slot struct {
-	Machine int // dense index chosen by the caller
-	Zone    int
+	Machine int     // index chosen by the caller
+	Zone    int     // zone number chosen by the caller
 	Cost    float64 // seconds to fetch the image; 0 if cached
-	Order   float64 // ties of cost: lower first
+	Order   float64 // orders slots of equal cost, the lowest first
 }
 
-// SortSlots orders slots from the cheapest.
+// SortSlots sorts slots by cost and order.
 func SortSlots(s []Slot) {
 	slices.SortStableFunc(s, func(a, b Slot) int {
 		return cmp.Or(cmp.Compare(a.Cost, b.Cost), cmp.Compare(a.Order, b.Order))
@@ -74,33 +75,34 @@
 
 // Pick chooses up to r of the sorted slots: the cheapest for a heavy job;
 // ranks r+1 to 2r, or the last r when fewer than 2r are free, for a light one.
-// room says how many more tasks a zone may take (nil: any number); slots in a
-// full zone are passed over.
-func Pick(slots []Slot, r int, heavy bool, room map[int]int) []Slot {
+// zoneCapacity limits the number of tasks in each zone (nil: no limit); slots in
+// a full zone are skipped.
+func Pick(slots []Slot, r int, heavy bool, zoneCapacity map[int]int) []Slot {
 	if !heavy {
-		// What a zone may not take is not a slot for this job; dropping it first
-		// keeps the ranks meaningful.
-		slots = limitZones(slots, room, 2*r)
+		// Slots beyond a zone's capacity are not available to this job. They are
+		// dropped first so that ranks count available slots only.
+		slots = limitZones(slots, zoneCapacity, 2*r)
 		if len(slots) >= 2*r {
 			slots = slots[r : 2*r]
 		} else if len(slots) > r {
 			slots = slots[len(slots)-r:]
 		}
 	}
-	return limitZones(slots, room, r)
+	return limitZones(slots, zoneCapacity, r)
 }
 
-func limitZones(slots []Slot, room map[int]int, most int) []Slot {
-	if room == nil {
-		return slots[:min(most, len(slots))]
+// limitZones returns the first limit slots that their zones have capacity for.
+func limitZones(slots []Slot, zoneCapacity map[int]int, limit int) []Slot {
+	if zoneCapacity == nil {
+		return slots[:min(limit, len(slots))]
 	}
 	used := map[int]int{}
 	var out []Slot
 	for _, s := range slots {
-		if len(out) == most {
+		if len(out) == limit {
 			break
 		}
-		if used[s.Zone] < room[s.Zone] {
+		if used[s.Zone] < zoneCapacity[s.Zone] {
 			used[s.Zone]++
 			out = append(out, s)
 		}
@@ -108,21 +110,21 @@
 	return out
 }
 
-// Resources is a vector of resources.
+// Resources is an amount of each resource.
 type Resources struct{ CPUs, GPUs, MemoryGB float64 }
 
-// Tolerance is what sums of amounts may differ by.
+// Tolerance is the rounding error allowed in sums of resources.
 const Tolerance = 1e-6
 
-// Add returns a + k*b.
-func (a Resources) Add(b Resources, k float64) Resources {
-	return Resources{a.CPUs + k*b.CPUs, a.GPUs + k*b.GPUs, a.MemoryGB + k*b.MemoryGB}
+// Add returns a + factor*b.
+func (a Resources) Add(b Resources, factor float64) Resources {
+	return Resources{a.CPUs + factor*b.CPUs, a.GPUs + factor*b.GPUs, a.MemoryGB + factor*b.MemoryGB}
 }
 
-// TaskCount says how many tasks of size t fit into a.
-func (a Resources) TaskCount(t Resources) int {
+// TaskCount returns how many tasks that each need the resources in task fit into a.
+func (a Resources) TaskCount(task Resources) int {
 	n := math.MaxInt32
-	for _, p := range [3][2]float64{{a.CPUs, t.CPUs}, {a.GPUs, t.GPUs}, {a.MemoryGB, t.MemoryGB}} {
+	for _, p := range [3][2]float64{{a.CPUs, task.CPUs}, {a.GPUs, task.GPUs}, {a.MemoryGB, task.MemoryGB}} {
 		if p[1] > 0 {
 			n = min(n, int(math.Floor((p[0]+Tolerance)/p[1])))
 		}
@@ -130,32 +132,33 @@
 	return max(n, 0)
 }
 
-// AssignPartitions gives each team a share, in settings order, each to the share
-// with the least guarantee so far.
-func AssignPartitions(guarantees []float64, shares int) []int {
-	load := make([]float64, shares)
-	count := make([]int, shares)
-	out := make([]int, len(guarantees))
+// AssignPartitions assigns each team to a partition. Teams are assigned in the order of the
+// settings, each to the partition with the least total guarantee so far.
+func AssignPartitions(guarantees []float64, partitions int) []int {
+	load := make([]float64, partitions)
+	count := make([]int, partitions)
+	assigned := make([]int, len(guarantees))
 	for i, g := range guarantees {
 		best := 0
-		for s := 1; s < shares; s++ {
-			if load[s] < load[best] || load[s] == load[best] && count[s] < count[best] {
-				best = s
+		for candidate := 1; candidate < partitions; candidate++ {
+			if load[candidate] < load[best] || load[candidate] == load[best] && count[candidate] < count[best] {
+				best = candidate
 			}
 		}
-		out[i] = best
+		assigned[i] = best
 		load[best] += g
 		count[best]++
 	}
-	return out
+	return assigned
 }
 
-// Within says whether a fits into a guarantee (0: none of that kind given).
+// Within reports whether a is covered by a guarantee. A resource with a guarantee of 0 is not
+// checked, but at least one of CPUs and GPUs must be guaranteed.
 func (a Resources) Within(g Resources) bool {
 	return (g.GPUs > 0 || g.CPUs > 0) && (g.GPUs == 0 || a.GPUs <= g.GPUs+Tolerance) && (g.CPUs == 0 || a.CPUs <= g.CPUs+Tolerance)
 }
 
-// Need is what each task of a job takes.
+// Need returns the resources that each task of a job needs.
 func Need(s *protocol.JobSpec) Resources {
 	return Resources{CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB}
 }
--- a/internal/coordination/decide/why.go
+++ b/internal/coordination/decide/why.go
@@ -1,45 +1,47 @@
 package decide
 
-// Reason is a reason why a job waits.
+// Reason is a reason why a job or one of its tasks waits. Its name and text in reasonTexts are
+// part of the API.
 type Reason uint8
 
 const (
 	NoReason             Reason = iota
-	StateServiceDown            // the state service does not answer: nothing can be stored
-	NoOwner                     // nobody holds its share
-	OwnerUnresponsive           // the share's holder does not answer
-	Stopping                    // it is cancelled, or its ticket failed: what runs is leaving
-	GangLeaving                 // tasks of its earlier attempt must be gone first
-	SiteWithoutLease            // a job of the gateway, and the site has no lease
-	FailsEverywhere             // most likely submitted with a mistake: tried now and then
-	RetryBackoff                // a task failed and waits before its next try
-	WritePending                // a change of it is on its way to the state service
-	TeamLimit                   // its team uses all that it may
-	GuaranteesFirst             // a guest waits until nobody with a guarantee does
-	PreemptionInProgress        // others are being stopped for it
-	NoFreeMachine               // no allowed machine has room
+	StateServiceDown            // the state service does not answer, so that nothing can be stored
+	NoOwner                     // the job's partition has no owner
+	OwnerUnresponsive           // the owner of its partition does not answer
+	Stopping                    // it is cancelled or its ticket failed, and its running tasks are being stopped
+	GangLeaving                 // the tasks of the gang's earlier attempt must end first
+	SiteWithoutLease            // the job came from the gateway, and the site has no lease for such jobs
+	FailsEverywhere             // its tasks fail on every machine, most likely for a mistake in the job; it is tried rarely
+	RetryBackoff                // a task failed, and its next try is not due yet
+	WritePending                // a change of the job is being written to the state service
+	TeamLimit                   // its team's limit leaves too little for it
+	GuaranteesFirst             // a team without a guarantee waits while jobs of teams with a guarantee wait
+	PreemptionInProgress        // other tasks are being stopped for it
+	NoFreeMachine               // no machine that it may use has enough capacity
 	GangIncomplete              // not all tasks of the gang fit at once
-	ZoneBound                   // where its other tasks are leaves no room
-	EarmarkedForGang            // machines with room are kept for a gang
+	ZoneBound                   // the zones of its other tasks leave no capacity
+	EarmarkedForGang            // machines with enough capacity are earmarked for a gang
 	Drained                     // machines that it may use are being drained
 	NotReady                    // machines that it may use are not ready
-	ReportOverdue               // machines that it may use are not heard
-	Booting                     // machines are on their way
-	CloudRefused                // the cloud has none to give at present
-	NoCapacity                  // machines are wanted, and none is known to come yet
-	RentalsStopped              // by operators
-	NeverFits                   // no type of machine in the catalogue can take its tasks
-	GangNeverFits               // its gang may not be in so few zones as it can be in
-	JobsAhead                   // more urgent or earlier jobs wait for the same machines
-	Fetching                    // tasks are placed and their machine fetches the image
-	WaitingForGang              // tasks are placed and wait for the rest of the gang
-	Starting                    // tasks are placed and about to start
-	Unreachable                 // tasks are on machines that are not heard
-	AwaitingFirstReport         // machines have not spoken since its share was taken
-	ReservingForGang            // machines are reserved for the gang until all of it fits
-	reasonCount
+	ReportOverdue               // reports of machines that it may use are overdue
+	Booting                     // machines are booting
+	CloudRefused                // the cloud currently has no machine of an allowed offer
+	NoCapacity                  // machines are needed, and none is known to be coming
+	RentalsStopped              // operators have stopped rentals
+	NeverFits                   // no machine type in the catalogue fits its tasks
+	GangNeverFits               // the gang must be spread over two zones and fits in one only
+	JobsAhead                   // jobs of higher priority or earlier jobs wait for the same machines
+	Fetching                    // tasks are placed, and their machine is fetching the image
+	WaitingForGang              // tasks are placed and wait for the gang's other tasks
+	Starting                    // tasks are placed and being started
+	Unreachable                 // tasks are placed on machines whose reports are overdue
+	AwaitingFirstReport         // machines have not reported since the partition got its present owner
+	ReservingForGang            // machines are being reserved for the gang until all its tasks fit
+	reasonCount                 // number of reasons
 )
 
+// reasonTexts holds the name of each reason for metrics and programs, and its text for users.
 var reasonTexts = [reasonCount]struct{ name, text string }{
 	StateServiceDown:     {"state_service_down", "the state service does not answer"},
 	NoOwner:              {"no_holder", "its share has no holder"},
@@ -75,13 +77,13 @@
 	ReservingForGang:     {"gathering_room", "machines are kept for it until all of its gang fits"},
 }
 
-// String is the reason's name, for metrics and programs.
+// String returns the reason's name, for metrics and programs.
 func (k Reason) String() string { return reasonTexts[k].name }
 
-// Text is the reason in words.
+// Text describes the reason for users.
 func (k Reason) Text() string { return reasonTexts[k].text }
 
-// ReasonNames are all reasons by name.
+// ReasonNames returns the names of all reasons.
 func ReasonNames() []string {
 	var out []string
 	for _, t := range reasonTexts {
