--- a/internal/coordination/decide/displaced.go
+++ b/internal/coordination/decide/displaced.go
@@ -8,67 +8,69 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// Replicas that came when nothing else was free are on machines with GPUs, and a share that is
-// full of replicas has nowhere to shift them to when work waits that needs those GPUs, however
-// much less urgent work there is in other shares. Machines without GPUs are then moved to the
-// share for them. (On a simulated quiet day 336 replicas of one CPU kept 7 of a share's 15
-// machines from gangs for four minutes, while another share ran arrays, which are less urgent,
-// on 700 CPUs.)
+// Service replicas that need no GPU are placed on machines with GPUs when nothing else is
+// free. When a job that needs those GPUs waits and the partition has no capacity to relocate
+// the replicas to, machines without GPUs are moved to the partition for them from partitions
+// that run work of lower priority. Without that, 336 replicas of one CPU kept 7 of a
+// partition's 15 machines from gangs for four minutes on a simulated day, while another
+// partition ran arrays of lower priority on 700 CPUs.
 
-// relocationJobKey is what makes places for shifted tasks equal.
+// relocationJobKey identifies relocated tasks that can be placed on the same machines and
+// belong to the same team. They are planned as one job.
 type relocationJobKey struct {
 	placementKey
 	team int
 }
 
-// planMovesForRelocation plans machines for tasks that keep GPUs from jobs for which a share lacks
-// machines and that find no place in the share without them.
-func (p *movePlan) planMovesForRelocation(lacks []shortfall, own [][]*moveCandidate, guests [][]*Job, none map[shortfallKey]bool) {
-	for _, l := range lacks {
-		if l.job.Need.GPUs == 0 || l.unguaranteed {
+// planMovesForRelocation plans moves of machines for tasks that occupy GPUs which jobs with a
+// shortfall need, and that fit nowhere else in their partition.
+func (p *movePlan) planMovesForRelocation(shortfalls []shortfall, candidates [][]*moveCandidate, unguaranteed [][]*Job, notFound map[shortfallKey]bool) {
+	for _, jobShortfall := range shortfalls {
+		if jobShortfall.job.Need.GPUs == 0 || jobShortfall.unguaranteed {
 			continue
 		}
-		var lacking []shortfall
-		for _, j := range p.jobsToRelocate(l, own[l.partition]) {
-			found := p.placeInPartition(j, l.partition, j.Waiting, own[l.partition], map[placementKey]bool{})
-			if found.tasks > 0 {
-				lacking = append(lacking, found)
+		var displacedShortfalls []shortfall
+		for _, j := range p.jobsToRelocate(jobShortfall, candidates[jobShortfall.partition]) {
+			missing := p.placeInPartition(j, jobShortfall.partition, j.Waiting, candidates[jobShortfall.partition], map[placementKey]bool{})
+			if missing.tasks > 0 {
+				displacedShortfalls = append(displacedShortfalls, missing)
 			}
 		}
-		p.planMovesForAll(lacking, guests, none)
+		p.planMovesForAll(displacedShortfalls, unguaranteed, notFound)
 	}
 }
 
-// jobsToRelocate stands for the tasks that would have to run elsewhere for a job to have the
-// places that it lacks: one job for all that need the same in the same zone.
-func (p *movePlan) jobsToRelocate(l shortfall, own []*moveCandidate) []*Job {
-	counts := map[relocationJobKey]*Job{}
-	for _, b := range own {
-		if l.tasks <= 0 {
+// jobsToRelocate returns the tasks that would have to be relocated for a job's shortfall to
+// fit, as one job for all tasks of a team that need the same resources in the same zone. The
+// jobs with the most tasks come first.
+func (p *movePlan) jobsToRelocate(jobShortfall shortfall, candidates []*moveCandidate) []*Job {
+	jobs := map[relocationJobKey]*Job{}
+	for _, candidate := range candidates {
+		if jobShortfall.tasks <= 0 {
 			break
 		}
-		if b.moved || b.relocationPlanned || !p.canUse(l.job, b, l.zone, nil) || !p.view.mayRelocateFor(l.job, b.m) {
+		if candidate.moved || candidate.relocationPlanned || !p.canUse(jobShortfall.job, candidate, jobShortfall.zone, nil) || !p.view.mayRelocateFor(jobShortfall.job, candidate.m) {
 			continue
 		}
-		held, all := b.m.relocatableTasks(l.job.Rank)
-		if !all || len(held) == 0 {
+		tasks, all := candidate.m.relocatableTasks(jobShortfall.job.Rank)
+		if !all || len(tasks) == 0 {
 			continue
 		}
-		b.relocationPlanned = true
-		l.tasks -= b.m.Size.TaskCount(l.job.Need)
-		for _, h := range held {
-			spec := *h.Job.Spec
-			spec.Zone, spec.Spread, spec.OneZone = b.m.Zone, false, false
-			key := relocationJobKey{placementKeyOf(&Job{Spec: &spec, Need: h.Job.Need}), h.Job.Team}
-			if counts[key] == nil {
-				counts[key] = &Job{Spec: &spec, Team: h.Job.Team, Partition: l.partition, Rank: l.job.Rank, Need: h.Job.Need}
+		candidate.relocationPlanned = true
+		jobShortfall.tasks -= candidate.m.Size.TaskCount(jobShortfall.job.Need)
+		for _, task := range tasks {
+			spec := *task.Job.Spec
+			spec.Zone, spec.Spread, spec.OneZone = candidate.m.Zone, false, false
+			key := relocationJobKey{placementKeyOf(&Job{Spec: &spec, Need: task.Job.Need}), task.Job.Team}
+			if jobs[key] == nil {
+				jobs[key] = &Job{Spec: &spec, Team: task.Job.Team, Partition: jobShortfall.partition, Rank: jobShortfall.job.Rank, Need: task.Job.Need}
 			}
-			counts[key].Tasks++
-			counts[key].Waiting++
+			jobs[key].Tasks++
+			jobs[key].Waiting++
 		}
 	}
-	out := make([]*Job, 0, len(counts))
-	for _, j := range counts {
+	out := make([]*Job, 0, len(jobs))
+	for _, j := range jobs {
 		out = append(out, j)
 	}
 	slices.SortFunc(out, func(a, b *Job) int {
@@ -77,18 +79,18 @@
 	return out
 }
 
-// relocatableTasks are the tasks of a machine that are as urgent as a rank or more, and whether all
-// of them could be shifted if there were places: they are settled, need no GPUs and run
-// without others.
-func (m *Machine) relocatableTasks(rank int) (held []Assignment, all bool) {
-	for _, h := range m.Assignments {
-		if h.Stopping || h.Job.Rank > rank && h.Active && !h.coscheduled() {
+// relocatableTasks returns the tasks of a machine that cannot be preempted by a job of a rank,
+// and reports whether all of them could be relocated given enough capacity elsewhere: they are
+// active tasks of services and need no GPUs.
+func (m *Machine) relocatableTasks(rank int) (tasks []Assignment, all bool) {
+	for _, task := range m.Assignments {
+		if task.Stopping || task.Job.Rank > rank && task.Active && !task.coscheduled() {
 			continue
 		}
-		if !h.Active || h.Job.Need.GPUs > 0 || h.Job.Spec.Shape != protocol.Service {
+		if !task.Active || task.Job.Need.GPUs > 0 || task.Job.Spec.Shape != protocol.Service {
 			return nil, false
 		}
-		held = append(held, h)
+		tasks = append(tasks, task)
 	}
-	return held, true
+	return tasks, true
 }
--- a/internal/coordination/decide/moves.go
+++ b/internal/coordination/decide/moves.go
@@ -8,124 +8,127 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// Move hands a machine to a share.
+// Move moves a machine to another partition.
 type Move struct {
 	Machine        *Machine
 	Partition      int
-	OnlyIfUnneeded bool // only if its own share does not expect to need it
-	Rank           int  // of the job that it is for: work of that urgency or more keeps it
-	Drain          bool // nothing is stopped on it: it goes once its tasks have ended
+	OnlyIfUnneeded bool // only if its present partition does not expect to need it
+	Rank           int  // of the job that it is moved for; tasks of the same or a higher priority prevent the move
+	Drain          bool // no task is stopped; the machine moves once its tasks have ended
 }
 
-// maxPreemptingMoves is how many machines with work on them one plan takes from shares.
+// maxPreemptingMoves limits how many machines with running tasks one plan moves. Machines with
+// unguaranteedOnly do not count.
 const maxPreemptingMoves = 8
 
-// PlanMoves says which machines go to shares where jobs wait: those that what waits could
-// use, beyond what is free where it waits or could be freed there, and that the jobs of
-// their own share could not use as well. claims are the jobs with a guarantee that wait in
-// each share, guests the others, both by urgency and arrival. Empty machines go first;
-// then those with guests' work alone, if nothing with a guarantee waits there; then those
-// on which all is less urgent than the job that waits. Work of guest teams is no reason to
-// keep a machine from work with a guarantee, and gets only machines that nobody needs.
-func (v *View) PlanMoves(claims, guests [][]*Job, most int) []Move {
-	p := &movePlan{view: v, placedByTeam: make([]Resources, len(v.Teams)), maxMoves: most, relocations: map[int]*relocationPlan{}, unmet: map[int][]*Job{}}
-	for i := range claims {
+// PlanMoves returns at most maxMoves moves of machines to partitions where jobs wait. A machine
+// moves only if a waiting job can use it, the job's own partition has no free or preemptible
+// capacity for the job, and the waiting jobs of the machine's partition do not need it.
+// guaranteed holds the waiting jobs of teams with a guarantee for each partition, unguaranteed
+// the others, both by rank and arrival. Empty machines move first, then those that run tasks of
+// unguaranteed teams only, if no job with a guarantee waits in their partition, then those on
+// which every task has a lower priority than the waiting job. Tasks of unguaranteed teams never
+// prevent a move for a job with a guarantee, and jobs of unguaranteed teams get only machines
+// that nothing else needs.
+func (v *View) PlanMoves(guaranteed, unguaranteed [][]*Job, maxMoves int) []Move {
+	p := &movePlan{view: v, placedByTeam: make([]Resources, len(v.Teams)), maxMoves: maxMoves, relocations: map[int]*relocationPlan{}, unmet: map[int][]*Job{}}
+	for i := range guaranteed {
 		for _, m := range v.Index.Machines(i) {
-			// Only machines that are up: the address is stored with the first report.
+			// Only machines that have been up: the address is stored with the first report.
 			if m.Block&Returned == 0 && m.HasAddress {
-				p.candidates = append(p.candidates, p.newCandidate(m, len(claims[i]) == 0))
+				p.candidates = append(p.candidates, p.newCandidate(m, len(guaranteed[i]) == 0))
 			}
 		}
 	}
-	// Each share's jobs see to themselves first, the most urgent of all shares before the
-	// others: what nobody then uses may go.
-	p.planRound(claims, false, guests)
-	for i := range guests {
-		if len(claims[i]) > 0 {
-			guests = slices.Clone(guests)
-			guests[i] = nil // that comes first
+	// Each partition's waiting jobs are placed on its own machines first, by priority over
+	// all partitions. Machines that none of them uses may move.
+	p.planRound(guaranteed, false, unguaranteed)
+	for i := range unguaranteed {
+		if len(guaranteed[i]) > 0 {
+			unguaranteed = slices.Clone(unguaranteed)
+			unguaranteed[i] = nil // the partition's jobs with a guarantee come first
 		}
 	}
-	p.planRound(guests, true, guests)
+	p.planRound(unguaranteed, true, unguaranteed)
 	return p.moves
 }
 
-// planRound lets the jobs of each share see to themselves, and then fetches what they lack, one
-// priority after the other: what less urgent jobs of a share could use as well does not keep
-// a machine from more urgent ones of another share. (With all of a share's jobs first, a
-// machine that had just been emptied for an urgent job stayed for the work that had been
-// stopped there, and was emptied again a few seconds later, for ever.)
-func (p *movePlan) planRound(jobs [][]*Job, spare bool, guests [][]*Job) {
-	own := make([][]*moveCandidate, len(jobs))
+// planRound places the jobs of each partition on its own machines and then plans moves for those
+// that do not fit, one priority after the other. Jobs of lower priority therefore do not keep a
+// machine from jobs of higher priority in another partition. When all jobs of a partition were
+// placed first, a machine that had just been emptied for a job of higher priority stayed for the
+// tasks that had been stopped on it, and was emptied again a few seconds later, forever.
+func (p *movePlan) planRound(jobs [][]*Job, unguaranteedJobs bool, unguaranteed [][]*Job) {
+	candidates := make([][]*moveCandidate, len(jobs))
 	full := make([]map[placementKey]bool, len(jobs))
 	for i := range jobs {
 		if len(jobs[i]) > 0 {
-			own[i], full[i] = p.candidatesIn(i), map[placementKey]bool{}
+			candidates[i], full[i] = p.candidatesIn(i), map[placementKey]bool{}
 		}
 	}
-	none := map[shortfallKey]bool{}
+	notFound := map[shortfallKey]bool{}
 	for rank := protocol.Production; rank <= protocol.Low; rank++ {
-		var lacks []shortfall
+		var shortfalls []shortfall
 		for i := range jobs {
 			for _, j := range jobs[i] {
 				if j.Rank != rank {
 					continue
 				}
-				if l := p.placeWaiting(j, i, own[i], full[i]); l.tasks > 0 {
-					l.unguaranteed = spare
-					lacks = append(lacks, l)
+				if missing := p.placeWaiting(j, i, candidates[i], full[i]); missing.tasks > 0 {
+					missing.unguaranteed = unguaranteedJobs
+					shortfalls = append(shortfalls, missing)
 					p.unmet[i] = append(p.unmet[i], j)
 				}
 			}
 		}
-		p.planMovesForAll(lacks, guests, none)
-		p.planMovesForRelocation(lacks, own, guests, none)
+		p.planMovesForAll(shortfalls, unguaranteed, notFound)
+		p.planMovesForRelocation(shortfalls, candidates, unguaranteed, notFound)
 	}
 }
 
-// shortfallKey is a kind of machine that was looked for in other shares.
+// shortfallKey identifies shortfalls that the same machines of other partitions would fit.
 type shortfallKey struct {
 	placementKey
 	partition, rank int
 }
 
-// planMovesForAll plans machines of other shares for what jobs lack. What finds nothing, the next of
-// its kind need not look for.
-func (p *movePlan) planMovesForAll(lacks []shortfall, guests [][]*Job, none map[shortfallKey]bool) {
-	for _, l := range lacks {
-		kind := shortfallKey{placementKeyOf(l.job), l.partition, l.job.Rank}
-		if !none[kind] || l.job.zoneConstrained() {
-			none[kind] = !p.planMovesFor(l, guests)
+// planMovesForAll plans moves for several shortfalls. Keys in notFound are skipped: no machine was
+// found for an earlier shortfall with the same key.
+func (p *movePlan) planMovesForAll(shortfalls []shortfall, unguaranteed [][]*Job, notFound map[shortfallKey]bool) {
+	for _, missing := range shortfalls {
+		key := shortfallKey{placementKeyOf(missing.job), missing.partition, missing.job.Rank}
+		if !notFound[key] || missing.job.zoneConstrained() {
+			notFound[key] = !p.planMovesFor(missing, unguaranteed)
 		}
 	}
 }
 
-// shortfall is so many tasks of a job for which its share has no place.
+// shortfall is the number of a job's tasks that do not fit on the machines of its partition.
 type shortfall struct {
 	partition    int
 	job          *Job
 	tasks        int
-	zone         string // for a job that must be in one
-	unguaranteed bool   // of a guest
+	zone         string // the zone chosen for a job that must run in one zone
+	unguaranteed bool   // the job's team has no guarantee
 }
 
-// moveCandidate is a machine as a plan of moves sees it.
+// moveCandidate is the state of a machine in a plan of moves.
 type moveCandidate struct {
 	m                *Machine
 	partition        int
 	free             Resources
-	preemptible      [4]Resources // by rank: what tasks that are less urgent take, and could be stopped
-	usedLocally      bool         // by a job of its own share
-	moved            bool         // in this plan
-	emptyingLoss     float64      // of emptying it
-	minRank          int          // what is on it is less urgent than anything above; 4: nothing is
-	unguaranteedOnly bool         // what is on it is guests' work, and nothing with a guarantee waits there
-
-	relocationPlanned bool            // places are looked for in this plan for what is on it
-	canRelocate       [4]cachedAnswer // by rank: whether what is as urgent could run elsewhere in its share
+	preemptible      [4]Resources // by rank: resources of tasks that a job of this rank could preempt
+	usedLocally      bool         // a waiting job of its own partition was placed on it
+	moved            bool         // the plan moves it
+	emptyingLoss     float64      // seconds of work lost by stopping all its tasks
+	minRank          int          // lowest rank of its tasks, 0 if one must not be stopped; 4: it has no tasks
+	unguaranteedOnly bool         // it runs tasks of unguaranteed teams only, and no job with a guarantee waits in its partition
+
+	relocationPlanned bool            // the plan already searches capacity for relocating its tasks
+	canRelocate       [4]cachedAnswer // by rank: whether the tasks that a job of this rank cannot preempt could be relocated
 }
 
-// cachedAnswer is what was found out once in a plan.
+// cachedAnswer is the cached result of a check that a plan makes at most once.
 type cachedAnswer uint8
 
 const (
@@ -134,129 +137,138 @@
 	no
 )
 
+// movePlan is a plan of moves in progress.
 type movePlan struct {
 	view            *View
 	candidates      []*moveCandidate
-	placedByTeam    []Resources // by team, of what was imagined
+	placedByTeam    []Resources // by team: resources of the tasks placed in the plan
 	moves           []Move
 	maxMoves        int
 	preemptingMoves int
-	relocations     map[int]*relocationPlan // of each share: where tasks of machines that go would run
-	unmet           map[int][]*Job          // of each share: what lacks places
+	relocations     map[int]*relocationPlan // by partition: where the tasks of moved machines would be relocated
+	unmet           map[int][]*Job          // by partition: jobs with a shortfall
 }
 
-func (p *movePlan) newCandidate(m *Machine, unclaimed bool) *moveCandidate {
-	b := &moveCandidate{m: m, partition: m.Partition, free: m.Free(), minRank: 4, preemptible: m.preemptibleByRank()}
-	b.unguaranteedOnly = unclaimed && len(m.Assignments) > 0
-	for _, h := range m.Assignments {
-		b.unguaranteedOnly = b.unguaranteedOnly && p.view.Teams[h.Job.Team].Unguaranteed()
-		if b.minRank = min(b.minRank, h.Job.Rank); (!h.Active || h.coscheduled()) && !h.Stopping {
-			b.minRank = 0
+// newCandidate returns the state of a machine at the start of the plan.
+func (p *movePlan) newCandidate(m *Machine, noGuaranteedWaiting bool) *moveCandidate {
+	candidate := &moveCandidate{m: m, partition: m.Partition, free: m.Free(), minRank: 4, preemptible: m.preemptibleByRank()}
+	candidate.unguaranteedOnly = noGuaranteedWaiting && len(m.Assignments) > 0
+	for _, task := range m.Assignments {
+		candidate.unguaranteedOnly = candidate.unguaranteedOnly && p.view.Teams[task.Job.Team].Unguaranteed()
+		if candidate.minRank = min(candidate.minRank, task.Job.Rank); (!task.Active || task.coscheduled()) && !task.Stopping {
+			candidate.minRank = 0
 		}
 	}
 	if len(m.Assignments) > 0 {
-		b.emptyingLoss = m.emptyingLoss(p.view.Now)
+		candidate.emptyingLoss = m.emptyingLoss(p.view.Now)
 	}
-	return b
+	return candidate
 }
 
-func (p *movePlan) candidatesIn(share int) (out []*moveCandidate) {
-	for _, b := range p.candidates {
-		if b.partition == share {
-			out = append(out, b)
+// candidatesIn returns the machines of a partition, the fullest first.
+func (p *movePlan) candidatesIn(partition int) (candidates []*moveCandidate) {
+	for _, candidate := range p.candidates {
+		if candidate.partition == partition {
+			candidates = append(candidates, candidate)
 		}
 	}
-	// The fullest first, so that what can go stays whole.
-	slices.SortStableFunc(out, func(a, b *moveCandidate) int { return cmp.Compare(len(b.m.Assignments), len(a.m.Assignments)) })
-	return out
+	// Filling the fullest first keeps machines that can move empty.
+	slices.SortStableFunc(candidates, func(a, b *moveCandidate) int { return cmp.Compare(len(b.m.Assignments), len(a.m.Assignments)) })
+	return candidates
 }
 
-// capacityFor is how many tasks of a job fit on a machine of its own share.
-func (b *moveCandidate) capacityFor(j *Job) int {
-	if b.m.Block&(Returning|Moving|Cordoned|InterruptionNotice) != 0 {
+// capacityFor returns how many tasks of a job fit on a machine of its own partition, preempting
+// tasks of lower priority.
+func (candidate *moveCandidate) capacityFor(j *Job) int {
+	if candidate.m.Block&(Returning|Moving|Cordoned|InterruptionNotice) != 0 {
 		return 0
 	}
-	return b.free.Add(b.preemptible[j.Rank], 1).TaskCount(j.Need)
+	return candidate.free.Add(candidate.preemptible[j.Rank], 1).TaskCount(j.Need)
 }
 
-// placeWaiting imagines a job's waiting tasks on machines of its share and returns how many find
-// no place. A gang that finds too little keeps what it found: it will be there.
-func (p *movePlan) placeWaiting(j *Job, share int, own []*moveCandidate, full map[placementKey]bool) shortfall {
-	tm := *p.view.team(j)
-	tm.Used = tm.Used.Add(p.placedByTeam[j.Team], 1)
+// placeWaiting places a job's waiting tasks on machines of its partition, within the plan, and
+// returns the shortfall. A gang that fits only in part keeps the capacity that it found, since it
+// will need it.
+func (p *movePlan) placeWaiting(j *Job, partition int, candidates []*moveCandidate, full map[placementKey]bool) shortfall {
+	team := *p.view.team(j)
+	team.Used = team.Used.Add(p.placedByTeam[j.Team], 1)
 	const horizon = 2000
-	r := min(p.view.Demand(j), tm.TasksWithinLimit(j.Need), horizon)
-	if r <= 0 || j.Spec.Shape == protocol.Gang && r < j.Tasks || p.view.neverRuns(j) {
+	tasks := min(p.view.Demand(j), team.TasksWithinLimit(j.Need), horizon)
+	if tasks <= 0 || j.Spec.Shape == protocol.Gang && tasks < j.Tasks || p.view.neverRuns(j) {
 		return shortfall{}
 	}
-	p.placedByTeam[j.Team] = p.placedByTeam[j.Team].Add(j.Need, float64(r))
-	return p.placeInPartition(j, share, r, own, full)
+	p.placedByTeam[j.Team] = p.placedByTeam[j.Team].Add(j.Need, float64(tasks))
+	return p.placeInPartition(j, partition, tasks, candidates, full)
 }
 
-// placeInPartition puts r tasks of a job on machines of its share, as far as there are places.
-func (p *movePlan) placeInPartition(j *Job, share, r int, own []*moveCandidate, full map[placementKey]bool) shortfall {
-	l := shortfall{partition: share, job: j, tasks: r, zone: p.chooseZone(j, share)}
+// placeInPartition places a number of a job's tasks on machines of its partition, as far as they
+// fit, and returns the shortfall. Keys in full are known not to fit.
+func (p *movePlan) placeInPartition(j *Job, partition, tasks int, candidates []*moveCandidate, full map[placementKey]bool) shortfall {
+	missing := shortfall{partition: partition, job: j, tasks: tasks, zone: p.chooseZone(j, partition)}
 	key := placementKeyOf(j)
 	if full[key] && !j.zoneConstrained() {
-		return l
+		return missing
 	}
 	placed := map[string]int{}
-	for _, b := range own {
-		if l.tasks == 0 {
+	for _, candidate := range candidates {
+		if missing.tasks == 0 {
 			break
 		}
-		if b.moved || !p.canUse(j, b, l.zone, placed) {
+		if candidate.moved || !p.canUse(j, candidate, missing.zone, placed) {
 			continue
 		}
-		if k := min(l.tasks, b.capacityFor(j), p.zoneCapacityLeft(j, b.m.Zone, placed)); k > 0 {
-			b.free = b.free.Add(j.Need, -float64(k))
-			b.usedLocally = true
-			placed[b.m.Zone] += k
-			l.tasks -= k
+		if k := min(missing.tasks, candidate.capacityFor(j), p.zoneCapacityLeft(j, candidate.m.Zone, placed)); k > 0 {
+			candidate.free = candidate.free.Add(j.Need, -float64(k))
+			candidate.usedLocally = true
+			placed[candidate.m.Zone] += k
+			missing.tasks -= k
 		}
 	}
-	full[key] = full[key] || l.tasks > 0 && !j.zoneConstrained()
-	return l
+	full[key] = full[key] || missing.tasks > 0 && !j.zoneConstrained()
+	return missing
 }
 
-// canUse says whether a job may use a machine at all, in the zone that was chosen for it.
-func (p *movePlan) canUse(j *Job, b *moveCandidate, zone string, placed map[string]int) bool {
-	return Allowed(j.Spec, b.m.offer()) && (zone == "" || zone == b.m.Zone) && p.view.idledGPUs(j, b.m.Type) == 0 && p.zoneCapacityLeft(j, b.m.Zone, placed) > 0
+// canUse reports whether a job may be placed on a machine: the machine satisfies its constraints
+// and is in the zone chosen for the job, and no GPUs would idle.
+func (p *movePlan) canUse(j *Job, candidate *moveCandidate, zone string, placed map[string]int) bool {
+	return Allowed(j.Spec, candidate.m.offer()) && (zone == "" || zone == candidate.m.Zone) && p.view.idledGPUs(j, candidate.m.Type) == 0 && p.zoneCapacityLeft(j, candidate.m.Zone, placed) > 0
 }
 
-// zoneCapacityLeft is how many more tasks of a job a zone may take, those imagined included.
+// zoneCapacityLeft returns how many more tasks of a job may be placed in a zone after those that
+// the plan has placed.
 func (p *movePlan) zoneCapacityLeft(j *Job, zone string, placed map[string]int) int {
 	return j.zoneCapacity(zone) - map[bool]int{true: placed[zone], false: 0}[j.Spec.Spread]
 }
 
-// chooseZone is the zone for a job that must be in one: of those in which all of it finds room,
-// by what its share has and could get, the one in which the share has the most; empty if
-// the job need not be in one.
-func (p *movePlan) chooseZone(j *Job, share int) string {
+// chooseZone returns the zone for a job that must run in one zone. Among the zones in which all
+// waiting tasks would fit, with the machines that could move, it chooses the one in which the
+// partition itself has the most capacity; if there is none, it chooses among all zones. It
+// returns an empty string for other jobs.
+func (p *movePlan) chooseZone(j *Job, partition int) string {
 	if !j.Spec.OneZone {
 		return ""
 	}
-	own, all := map[string]int{}, map[string]int{}
-	for _, b := range p.candidates {
-		if !Allowed(j.Spec, b.m.offer()) || j.zoneCapacity(b.m.Zone) <= 0 || b.moved {
+	ownCapacity, totalCapacity := map[string]int{}, map[string]int{}
+	for _, candidate := range p.candidates {
+		if !Allowed(j.Spec, candidate.m.offer()) || j.zoneCapacity(candidate.m.Zone) <= 0 || candidate.moved {
 			continue
 		}
-		if b.partition == share {
-			own[b.m.Zone] += b.capacityFor(j)
-			all[b.m.Zone] += b.capacityFor(j)
-		} else if p.mayMove(j, b, false) {
-			all[b.m.Zone] += b.m.Size.TaskCount(j.Need)
+		if candidate.partition == partition {
+			ownCapacity[candidate.m.Zone] += candidate.capacityFor(j)
+			totalCapacity[candidate.m.Zone] += candidate.capacityFor(j)
+		} else if p.mayMove(j, candidate, false) {
+			totalCapacity[candidate.m.Zone] += candidate.m.Size.TaskCount(j.Need)
 		}
 	}
 	best := ""
-	for z, n := range all {
-		if n >= j.Waiting && (best == "" || cmp.Or(cmp.Compare(own[best], own[z]), cmp.Compare(z, best)) < 0) {
+	for z, n := range totalCapacity {
+		if n >= j.Waiting && (best == "" || cmp.Or(cmp.Compare(ownCapacity[best], ownCapacity[z]), cmp.Compare(z, best)) < 0) {
 			best = z
 		}
 	}
 	if best == "" {
-		for z, n := range own {
-			if best == "" || cmp.Or(cmp.Compare(own[best], n), cmp.Compare(z, best)) < 0 {
+		for z, n := range ownCapacity {
+			if best == "" || cmp.Or(cmp.Compare(ownCapacity[best], n), cmp.Compare(z, best)) < 0 {
 				best = z
 			}
 		}
@@ -264,164 +276,168 @@
 	return best
 }
 
-// mayMove says whether a machine of another share may go for a job at all.
-func (p *movePlan) mayMove(j *Job, b *moveCandidate, spare bool) bool {
-	if b.usedLocally || b.moved || b.m.Block&(Returning|Moving) != 0 || p.view.idledGPUs(j, b.m.Type) > 0 {
+// mayMove reports whether a machine of another partition may move for a job.
+func (p *movePlan) mayMove(j *Job, candidate *moveCandidate, unguaranteedJob bool) bool {
+	if candidate.usedLocally || candidate.moved || candidate.m.Block&(Returning|Moving) != 0 || p.view.idledGPUs(j, candidate.m.Type) > 0 {
 		return false
 	}
-	return len(b.m.Assignments) == 0 || !spare && (b.unguaranteedOnly || p.preemptingMoves < maxPreemptingMoves && (j.Rank < b.minRank || p.canRelocateTasks(j, b)))
+	return len(candidate.m.Assignments) == 0 || !unguaranteedJob && (candidate.unguaranteedOnly || p.preemptingMoves < maxPreemptingMoves && (j.Rank < candidate.minRank || p.canRelocateTasks(j, candidate)))
 }
 
-// canRelocateTasks says whether a machine of another share may go for a job since what is as urgent
-// there needs none of its GPUs and could run elsewhere.
-func (p *movePlan) canRelocateTasks(j *Job, b *moveCandidate) bool {
-	a := &b.canRelocate[j.Rank]
-	if *a == unknown {
-		*a = no
-		if p.view.mayRelocateFor(j, b.m) && p.view.CanRelocate(b.m, j.Rank) {
-			*a = yes
+// canRelocateTasks reports whether all tasks of a machine that the job cannot preempt could be
+// relocated within their partition, because they need none of its GPUs.
+func (p *movePlan) canRelocateTasks(j *Job, candidate *moveCandidate) bool {
+	answer := &candidate.canRelocate[j.Rank]
+	if *answer == unknown {
+		*answer = no
+		if p.view.mayRelocateFor(j, candidate.m) && p.view.CanRelocate(candidate.m, j.Rank) {
+			*answer = yes
 		}
 	}
-	return *a == yes
+	return *answer == yes
 }
 
-// reserveRelocation takes the places for what is to run elsewhere when a machine goes.
-func (p *movePlan) reserveRelocation(j *Job, b *moveCandidate) bool {
-	if len(b.m.Assignments) == 0 || b.unguaranteedOnly || j.Rank < b.minRank {
+// reserveRelocation reserves capacity for the tasks that must be relocated when a machine moves.
+// It reports whether there is enough, or none is needed.
+func (p *movePlan) reserveRelocation(j *Job, candidate *moveCandidate) bool {
+	if len(candidate.m.Assignments) == 0 || candidate.unguaranteedOnly || j.Rank < candidate.minRank {
 		return true
 	}
-	if p.relocations[b.m.Partition] == nil {
-		p.relocations[b.m.Partition] = p.view.newRelocationPlan(b.m.Partition)
+	if p.relocations[candidate.m.Partition] == nil {
+		p.relocations[candidate.m.Partition] = p.view.newRelocationPlan(candidate.m.Partition)
 	}
-	return p.relocations[b.m.Partition].placeAll(b.m, j.Rank)
+	return p.relocations[candidate.m.Partition].placeAll(candidate.m, j.Rank)
 }
 
-// planMovesFor plans machines of other shares for tasks that find no place in theirs. It returns
-// false if there is none that could go.
-func (p *movePlan) planMovesFor(l shortfall, guests [][]*Job) bool {
+// planMovesFor plans moves of machines from other partitions for a shortfall. It returns false if
+// no machine could move for it.
+func (p *movePlan) planMovesFor(missing shortfall, unguaranteed [][]*Job) bool {
 	if len(p.moves) >= p.maxMoves {
 		return false
 	}
-	j, r := l.job, l.tasks
+	j, remaining := missing.job, missing.tasks
 	placed := map[string]int{}
-	for _, b := range p.candidates { // what is planned already for earlier ones
-		if b.moved && b.partition == l.partition && p.canUse(j, b, l.zone, placed) {
-			k := min(r, b.free.TaskCount(j.Need), p.zoneCapacityLeft(j, b.m.Zone, placed))
-			b.free = b.free.Add(j.Need, -float64(k))
-			placed[b.m.Zone] += k
-			r -= k
+	for _, candidate := range p.candidates { // machines that the plan moves there for earlier jobs
+		if candidate.moved && candidate.partition == missing.partition && p.canUse(j, candidate, missing.zone, placed) {
+			k := min(remaining, candidate.free.TaskCount(j.Need), p.zoneCapacityLeft(j, candidate.m.Zone, placed))
+			candidate.free = candidate.free.Add(j.Need, -float64(k))
+			placed[candidate.m.Zone] += k
+			remaining -= k
 		}
 	}
 	var donors []*moveCandidate
-	fit := 0
-	for _, b := range p.candidates {
-		if b.partition != l.partition && p.mayMove(j, b, l.unguaranteed) && p.canUse(j, b, l.zone, placed) && b.m.Size.TaskCount(j.Need) > 0 && !(l.unguaranteed && len(guests[b.partition]) > 0) {
-			donors = append(donors, b)
-			fit += b.m.Size.TaskCount(j.Need)
+	fitting := 0
+	for _, candidate := range p.candidates {
+		if candidate.partition != missing.partition && p.mayMove(j, candidate, missing.unguaranteed) && p.canUse(j, candidate, missing.zone, placed) && candidate.m.Size.TaskCount(j.Need) > 0 && !(missing.unguaranteed && len(unguaranteed[candidate.partition]) > 0) {
+			donors = append(donors, candidate)
+			fitting += candidate.m.Size.TaskCount(j.Need)
 		}
 	}
-	if r <= 0 || j.Spec.Shape == protocol.Gang && fit < r {
-		return fit > 0 // some of it would not start it
+	if remaining <= 0 || j.Spec.Shape == protocol.Gang && fitting < remaining {
+		return fitting > 0 // a part of a gang does not start
 	}
-	// Those on which the least is lost come first, and so do those that are being
-	// emptied already. (With the fewest tasks first a guest's single jobs, which save
-	// nothing, lost up to 130 s of work each.)
-	class := func(b *moveCandidate) int {
+	// The machines on which the least work is lost come first; this includes those that
+	// are being emptied already. When those with the fewest tasks came first, single
+	// jobs of unguaranteed teams, which write no checkpoints, lost up to 130 s of work
+	// each.
+	evictionClass := func(candidate *moveCandidate) int {
 		switch {
-		case len(b.m.Assignments) == 0:
+		case len(candidate.m.Assignments) == 0:
 			return 0
-		case b.unguaranteedOnly:
+		case candidate.unguaranteedOnly:
 			return 1
 		}
 		return 2
 	}
 	slices.SortStableFunc(donors, func(a, b *moveCandidate) int {
-		return cmp.Or(class(a)-class(b), cmp.Compare(a.emptyingLoss, b.emptyingLoss))
+		return cmp.Or(evictionClass(a)-evictionClass(b), cmp.Compare(a.emptyingLoss, b.emptyingLoss))
 	})
-	for _, b := range donors {
-		if r <= 0 || len(p.moves) >= p.maxMoves {
+	for _, candidate := range donors {
+		if remaining <= 0 || len(p.moves) >= p.maxMoves {
 			break
 		}
-		k := min(r, b.m.Size.TaskCount(j.Need), p.zoneCapacityLeft(j, b.m.Zone, placed))
-		if k <= 0 || !p.mayMove(j, b, l.unguaranteed) || !p.reserveRelocation(j, b) {
+		k := min(remaining, candidate.m.Size.TaskCount(j.Need), p.zoneCapacityLeft(j, candidate.m.Zone, placed))
+		if k <= 0 || !p.mayMove(j, candidate, missing.unguaranteed) || !p.reserveRelocation(j, candidate) {
 			continue
 		}
-		if class(b) == 2 {
+		if evictionClass(candidate) == 2 {
 			p.preemptingMoves++
 		}
-		placed[b.m.Zone] += k
-		r -= k
-		p.addMove(b, l, k, false)
+		placed[candidate.m.Zone] += k
+		remaining -= k
+		p.addMove(candidate, missing, k, false)
 	}
-	return p.planDrains(l, r, placed) || fit > 0
+	return p.planDrains(missing, remaining, placed) || fitting > 0
 }
 
-// addMove notes that a machine goes to where something is lacking, for so many of the tasks.
-func (p *movePlan) addMove(b *moveCandidate, l shortfall, tasks int, drain bool) {
-	b.moved, b.partition, b.free = true, l.partition, b.m.Size.Add(l.job.Need, -float64(tasks))
-	p.moves = append(p.moves, Move{Machine: b.m, Partition: l.partition, OnlyIfUnneeded: l.unguaranteed, Rank: l.job.Rank, Drain: drain})
+// addMove adds the move of a machine for a number of the missing tasks to the plan.
+func (p *movePlan) addMove(candidate *moveCandidate, missing shortfall, tasks int, drain bool) {
+	candidate.moved, candidate.partition, candidate.free = true, missing.partition, candidate.m.Size.Add(missing.job.Need, -float64(tasks))
+	p.moves = append(p.moves, Move{Machine: candidate.m, Partition: missing.partition, OnlyIfUnneeded: missing.unguaranteed, Rank: missing.job.Rank, Drain: drain})
 }
 
-// maxDrainTime is within which time all tasks of a machine should end for it to be drained.
+// maxDrainTime is the time within which all tasks of a machine must be expected to end for it to
+// be drained.
 const maxDrainTime = 60 * time.Second
 
-// planDrains plans machines on which nobody in their share waits for room, and whose tasks end by
-// themselves soon, for what nothing empty is left for: nothing new is placed on them, and they
-// go once they are empty. (On a simulated quiet day a share had 2,000 CPUs free for three
-// minutes, on machines that new tasks kept from being empty, while 13,000 tasks waited in the
-// others.) It says whether there are any.
-func (p *movePlan) planDrains(l shortfall, r int, placed map[string]int) (any bool) {
-	j := l.job
-	if l.unguaranteed || j.Spec.Shape == protocol.Gang {
+// planDrains plans moves of machines whose tasks are expected to end soon and that no waiting job
+// of their partition needs, for the tasks that are still missing. A drained machine gets no new
+// tasks and moves once it is empty. It reports whether a drain was planned. Without drains, a
+// partition had 2,000 CPUs free for three minutes on a simulated day, on machines that never
+// became empty because of new tasks, while 13,000 tasks waited in the other partitions.
+func (p *movePlan) planDrains(missing shortfall, remaining int, placed map[string]int) (planned bool) {
+	j := missing.job
+	if missing.unguaranteed || j.Spec.Shape == protocol.Gang {
 		return false
 	}
-	for _, b := range p.candidates {
-		if r <= 0 || len(p.moves) >= p.maxMoves {
+	for _, candidate := range p.candidates {
+		if remaining <= 0 || len(p.moves) >= p.maxMoves {
 			break
 		}
-		if b.partition == l.partition || b.usedLocally || b.moved || b.m.Block&(Returning|Moving) != 0 || !p.canUse(j, b, l.zone, placed) || p.neededLocally(b) || !p.view.DrainsSoon(b.m) {
+		if candidate.partition == missing.partition || candidate.usedLocally || candidate.moved || candidate.m.Block&(Returning|Moving) != 0 || !p.canUse(j, candidate, missing.zone, placed) || p.neededLocally(candidate) || !p.view.DrainsSoon(candidate.m) {
 			continue
 		}
-		k := min(r, b.m.Size.TaskCount(j.Need), p.zoneCapacityLeft(j, b.m.Zone, placed))
+		k := min(remaining, candidate.m.Size.TaskCount(j.Need), p.zoneCapacityLeft(j, candidate.m.Zone, placed))
 		if k <= 0 {
 			continue
 		}
-		placed[b.m.Zone] += k
-		r -= k
-		p.addMove(b, l, k, true)
-		any = true
+		placed[candidate.m.Zone] += k
+		remaining -= k
+		p.addMove(candidate, missing, k, true)
+		planned = true
 	}
-	return any
+	return planned
 }
 
-// neededLocally says whether something that lacks places in a machine's own share could use it.
-func (p *movePlan) neededLocally(b *moveCandidate) bool {
-	return slices.ContainsFunc(p.unmet[b.partition], func(j *Job) bool {
-		return p.canUse(j, b, "", nil) && b.m.Size.TaskCount(j.Need) > 0
+// neededLocally reports whether a job with a shortfall in the machine's own partition could use it.
+func (p *movePlan) neededLocally(candidate *moveCandidate) bool {
+	return slices.ContainsFunc(p.unmet[candidate.partition], func(j *Job) bool {
+		return p.canUse(j, candidate, "", nil) && candidate.m.Size.TaskCount(j.Need) > 0
 	})
 }
 
-// DrainsSoon says whether a machine's tasks should all end by themselves soon.
+// DrainsSoon reports whether a machine has tasks and all of them are array tasks that are expected
+// to end within maxDrainTime.
 func (v *View) DrainsSoon(m *Machine) bool {
-	for _, h := range m.Assignments {
-		at, ends := v.expectedEnd(m, h)
-		if !ends || h.Job.Spec.Shape != protocol.Array || at.Sub(v.Now) > maxDrainTime {
+	for _, task := range m.Assignments {
+		end, ends := v.expectedEnd(m, task)
+		if !ends || task.Job.Spec.Shape != protocol.Array || end.Sub(v.Now) > maxDrainTime {
 			return false
 		}
 	}
 	return len(m.Assignments) > 0
 }
 
-// emptyingLoss is how many seconds of work are lost when all tasks of a machine are
+// emptyingLoss returns how many seconds of work are lost when all tasks of a machine are
 // stopped.
 func (m *Machine) emptyingLoss(now time.Time) float64 {
 	loss := 0.0
-	for _, h := range m.Assignments {
-		if h.Job.Spec.Shape == protocol.Service {
-			loss += relocationLoss // it has no work of its own to lose
+	for _, task := range m.Assignments {
+		if task.Job.Spec.Shape == protocol.Service {
+			loss += relocationLoss // a service replica has no progress to lose
 			continue
 		}
-		loss += h.Job.preemptionLoss(h.Since, now)
+		loss += task.Job.preemptionLoss(task.Since, now)
 	}
 	return loss
 }
--- a/internal/coordination/decide/place.go
+++ b/internal/coordination/decide/place.go
@@ -8,32 +8,33 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// MaxPlacements is the most tasks that one decision places: they are stored in one change.
+// MaxPlacements limits the number of tasks that one decision places, since they are stored in one
+// change.
 const MaxPlacements = 512
 
-// Placement is what Place decides.
+// Placement is the result of Place.
 type Placement struct {
-	Machines   []*Machine  // a machine for each task that is placed
-	MaxFetchS  float64     // what the last of them has to fetch
-	Preemption *Preemption // room to be made where the job's image is
-	IdlesGPUs  bool        // some of them idle GPUs there, for as long as the job is there
-	Reason     Reason      // why not all that wait are placed; None if they are
+	Machines   []*Machine  // one for each placed task
+	MaxFetchS  float64     // seconds to fetch the image on the last of the chosen machines
+	Preemption *Preemption // tasks to preempt for machines with the image or without GPUs
+	IdlesGPUs  bool        // some tasks of a service would leave GPUs idle for as long as it runs
+	Reason     Reason      // why not all waiting tasks are placed; NoReason if they are
 
-	Reserve              *Reservation // for a gang that does not fit yet
-	BlockedByReservation bool         // it would fit but for what is reserved for gangs
+	Reserve              *Reservation // for a gang that does not fit yet; may be nil
+	BlockedByReservation bool         // the job would fit without the reservations for gangs
 }
 
-// candidate is a machine that a job fits on so many times.
+// candidate is a machine that a job's tasks fit on.
 type candidate struct {
 	m         *Machine
-	fit       int
-	idledGPUs float64 // GPUs that would be kept from others there
-	cost      float64
-	order     float64
+	fit       int     // number of tasks that fit
+	idledGPUs float64 // see View.idledGPUs
+	cost      float64 // seconds to fetch the image
+	order     float64 // see Slot.Order
 }
 
-// Place gives a job's waiting tasks machines of the share, by the threshold rule: a
-// heavy job the r cheapest free slots, a light one ranks r+1 to 2r.
+// Place chooses machines of the partition for a job's waiting tasks by the threshold rule: a
+// heavy job with r tasks gets the r cheapest free slots, a light one the slots ranked r+1 to 2r.
 func (v *View) Place(j *Job) Placement {
 	r := min(v.Startable(j), MaxPlacements)
 	if v.neverRuns(j) {
@@ -45,33 +46,33 @@
 		}
 		return Placement{Reason: TeamLimit}
 	}
-	cands, zones := v.candidates(j, r)
+	candidates, zones := v.candidates(j, r)
 	var slots []Slot
-	for i, c := range cands {
+	for i, c := range candidates {
 		if len(slots) >= 2*r && !j.zoneConstrained() {
-			break // the rule looks at no more
+			break // the rule uses no more slots
 		}
 		for range c.fit {
 			slots = append(slots, Slot{Machine: i, Zone: zones[c.m.Zone], Cost: c.cost, Order: c.order})
 		}
 	}
 	if j.Spec.OneZone {
-		slots = v.bestZone(j, slots, cands, r)
+		slots = v.bestZone(j, slots, candidates, r)
 	}
-	var room map[int]int
+	var zoneCapacity map[int]int
 	if j.Spec.Spread {
-		room = map[int]int{}
+		zoneCapacity = map[int]int{}
 		for z, i := range zones {
-			room[i] = j.zoneCapacity(z)
+			zoneCapacity[i] = j.zoneCapacity(z)
 		}
 	}
-	picked := Pick(slots, r, j.Heavy, room)
-	patience := v.Config.maxFetchSeconds(j.Spec)
-	late := countAbove(picked, patience)
+	picked := Pick(slots, r, j.Heavy, zoneCapacity)
+	maxFetch := v.Config.maxFetchSeconds(j.Spec)
+	late := countAbove(picked, maxFetch)
 	if late > 0 && !j.Heavy {
-		// Its aim would be missed for leaving the cheapest slots to heavier jobs.
-		if cheapest := Pick(slots, r, true, room); countAbove(cheapest, patience) < late {
-			picked, late = cheapest, countAbove(cheapest, patience)
+		// Leaving the cheapest slots to heavier jobs would miss the job's objective.
+		if cheapest := Pick(slots, r, true, zoneCapacity); countAbove(cheapest, maxFetch) < late {
+			picked, late = cheapest, countAbove(cheapest, maxFetch)
 		}
 	}
 	switch {
@@ -81,42 +82,42 @@
 		return Placement{Reason: NoFreeMachine, BlockedByReservation: v.blockedByReservations(j, 0)}
 	}
 	p := Placement{MaxFetchS: picked[len(picked)-1].Cost}
-	service := j.Spec.Shape == protocol.Service // what ends gives GPUs back
-	idling := 0
+	isService := j.Spec.Shape == protocol.Service // tasks of other jobs end and release the GPUs
+	idlingTasks := 0
 	for _, s := range picked {
-		if service && cands[s.Machine].idledGPUs > 0 {
-			idling++
+		if isService && candidates[s.Machine].idledGPUs > 0 {
+			idlingTasks++
 		}
 	}
-	p.IdlesGPUs = idling > 0
-	made := false
-	if late+idling > 0 && !v.NoPreemption && !v.Now.Before(j.PreemptAfter) {
-		// The aim would be missed for the fetch alone, or GPUs lie idle for as long as
-		// the job is there. Room that was made without regard to the image is taken, or
-		// another job would take it.
-		if made = v.Now.Before(j.PreemptionWaitUntil) && v.vacating(j); !made && j.PreemptionWaitUntil.IsZero() {
+	p.IdlesGPUs = idlingTasks > 0
+	preempting := false
+	if late+idlingTasks > 0 && !v.NoPreemption && !v.Now.Before(j.PreemptAfter) {
+		// The image fetch alone would miss the objective, or GPUs would idle for as long
+		// as the service runs. Capacity that was preempted for the job without regard to
+		// the image is used all the same, since another job would take it otherwise.
+		if preempting = v.Now.Before(j.PreemptionWaitUntil) && v.vacating(j); !preempting && j.PreemptionWaitUntil.IsZero() {
 			if late > 0 {
 				p.Preemption = v.Preempt(j, late, MachinesWithImage)
 			}
-			if idling > 0 && !p.Preemption.HasEvictions() {
-				p.Preemption = v.Preempt(j, idling, MachinesWithoutIdleGPUs)
+			if idlingTasks > 0 && !p.Preemption.HasEvictions() {
+				p.Preemption = v.Preempt(j, idlingTasks, MachinesWithoutIdleGPUs)
 			}
-			made = p.Preemption.HasEvictions()
+			preempting = p.Preemption.HasEvictions()
 		}
 	}
-	if made {
+	if preempting {
 		p.Reason = PreemptionInProgress
 		if j.Spec.Shape == protocol.Gang {
 			return p
 		}
 	}
 	for _, s := range picked {
-		// What need not wait for the room goes at once.
-		if c := cands[s.Machine]; !made || c.cost <= patience && !(service && c.idledGPUs > 0) {
+		// Tasks that gain nothing from the preemption are placed at once.
+		if c := candidates[s.Machine]; !preempting || c.cost <= maxFetch && !(isService && c.idledGPUs > 0) {
 			p.Machines = append(p.Machines, c.m)
 		}
 	}
-	if made {
+	if preempting {
 		return p
 	}
 	if len(p.Machines) < j.Waiting {
@@ -125,24 +126,24 @@
 	return p
 }
 
-// candidates are the machines that a job's next r tasks may take, in the order of
-// their slots, and the zones' numbers. For a job that is bound to zones there are
-// enough of each zone; else the first ones with 2r slots together.
+// candidates returns the machines on which a job's next r tasks may be placed, in the order of
+// their slots, and the number of each zone. For a zone-constrained job it returns enough machines
+// of each zone, otherwise the first machines that have 2r slots in total.
 func (v *View) candidates(j *Job, r int) ([]candidate, map[string]int) {
-	s := &v.Index.partitions[v.Partition]
+	partition := &v.Index.partitions[v.Partition]
 	zones := map[string]int{}
 	v.reservedSlots = 0
-	if s.withCapacity == 0 {
+	if partition.withCapacity == 0 {
 		return nil, zones
 	}
 	key := placementKeyOf(j)
 	if at, known := v.noCapacityAt[key]; known && at == v.Index.version && !j.zoneConstrained() {
 		return nil, zones
 	}
-	var open []*machineGroup
-	for _, g := range s.groups {
+	var groups []*machineGroup
+	for _, g := range partition.groups {
 		if g.tree.Len() > 0 && Allowed(j.Spec, g.offer) && j.zoneCapacity(g.offer.Zone) > 0 {
-			open = append(open, g)
+			groups = append(groups, g)
 			if _, ok := zones[g.offer.Zone]; !ok {
 				zones[g.offer.Zone] = len(zones)
 			}
@@ -151,7 +152,7 @@
 	var out []candidate
 	if !j.zoneConstrained() {
 		v.skippedEarmarked = false
-		if out = v.leastIdledGPUs(j, open, r); len(out) == 0 && !v.skippedEarmarked {
+		if out = v.leastIdledGPUs(j, groups, r); len(out) == 0 && !v.skippedEarmarked {
 			if v.noCapacityAt == nil {
 				v.noCapacityAt = map[placementKey]uint64{}
 			}
@@ -160,39 +161,40 @@
 		return out, zones
 	}
 	for z := range zones {
-		out = append(out, v.leastIdledGPUs(j, slices.DeleteFunc(slices.Clone(open), func(g *machineGroup) bool { return g.offer.Zone != z }), r)...)
+		out = append(out, v.leastIdledGPUs(j, slices.DeleteFunc(slices.Clone(groups), func(g *machineGroup) bool { return g.offer.Zone != z }), r)...)
 	}
 	slices.SortFunc(out, byCost)
 	return out, zones
 }
 
-// leastIdledGPUs are the cheapest of the groups on which no GPUs would idle, and of the next
-// ones only as many as are missing.
-func (v *View) leastIdledGPUs(j *Job, open []*machineGroup, r int) []candidate {
+// leastIdledGPUs returns the cheapest machines of the groups with the fewest idled GPUs, up to 2r
+// slots, and of the groups with more idled GPUs only as many as r slots still lack.
+func (v *View) leastIdledGPUs(j *Job, groups []*machineGroup, r int) []candidate {
 	levels := map[float64][]*machineGroup{}
-	for _, g := range open {
-		idles := v.idledGPUs(j, g.offer.Type)
-		levels[idles] = append(levels[idles], g)
+	for _, g := range groups {
+		idled := v.idledGPUs(j, g.offer.Type)
+		levels[idled] = append(levels[idled], g)
 	}
 	var out []candidate
-	have := 0
-	for i, idles := range slices.Sorted(maps.Keys(levels)) {
-		want := r - have
-		if want <= 0 {
+	fitting := 0
+	for i, idled := range slices.Sorted(maps.Keys(levels)) {
+		missing := r - fitting
+		if missing <= 0 {
 			break
 		}
 		if i == 0 {
-			want = 2 * r
+			missing = 2 * r
 		}
-		for _, c := range v.cheapest(j, levels[idles], want) {
-			c.idledGPUs = idles
-			have += c.fit
+		for _, c := range v.cheapest(j, levels[idled], missing) {
+			c.idledGPUs = idled
+			fitting += c.fit
 			out = append(out, c)
 		}
 	}
 	return out
 }
 
+// sizeOf returns the resources of a machine type, none if the type is unknown.
 func (v *View) sizeOf(typ string) Resources {
 	if t := v.Types[typ]; t != nil {
 		return SizeOf(t)
@@ -200,15 +202,17 @@
 	return Resources{}
 }
 
+// byCost orders candidates by idled GPUs, fetch cost, order and name.
 func byCost(a, b candidate) int {
 	return cmp.Or(cmp.Compare(a.idledGPUs, b.idledGPUs), cmp.Compare(a.cost, b.cost), cmp.Compare(a.order, b.order), cmp.Compare(a.m.Name, b.m.Name))
 }
 
-// cheapest are the first machines of some groups, until they have so many slots.
+// cheapest returns the first machines of groups in the order of their cost, until they have the
+// given number of slots.
 func (v *View) cheapest(j *Job, groups []*machineGroup, slots int) (out []candidate) {
-	s := &v.Index.partitions[v.Partition]
-	fragile := v.Config.RestartMissesObjective(j, v.Now)
-	left := slots
+	partition := &v.Index.partitions[v.Partition]
+	avoidSpot := v.Config.RestartMissesObjective(j, v.Now)
+	remaining := slots
 	add := func(m *Machine, order, cost float64) bool {
 		if m.EarmarkExcludes(j, v.Now) {
 			v.skippedEarmarked = true
@@ -218,104 +222,105 @@
 		} else if v.usable(m) {
 			if k := min(m.Free().TaskCount(j.Need), slots); k > 0 {
 				out = append(out, candidate{m: m, fit: k, cost: cost, order: order})
-				left -= k
+				remaining -= k
 			}
 		}
-		return left > 0
+		return remaining > 0
 	}
-	shift := func(g *machineGroup) float64 {
-		if j.Spec.Spot && g.offer.Spot == fragile {
+	orderOffset := func(g *machineGroup) float64 {
+		if j.Spec.Spot && g.offer.Spot == avoidSpot {
 			return 10
 		}
 		return 0
 	}
-	streams := func(gs []*machineGroup) (out []*groupCursor) {
+	cursors := func(gs []*machineGroup) (out []*groupCursor) {
 		for _, g := range gs {
-			out = append(out, &groupCursor{group: g, orderOffset: shift(g)})
+			out = append(out, &groupCursor{group: g, orderOffset: orderOffset(g)})
 		}
 		return out
 	}
-	// Machines that hold the image come first. If they are few they are listed, else
-	// met soon in the order of the groups.
-	cached := s.images[j.Spec.Image]
+	// Machines that have the image come first. If there are few of them, they are listed
+	// from the bitmap; otherwise a scan of the groups finds them quickly.
+	cached := partition.images[j.Spec.Image]
 	if cached != nil && j.Spec.ImageGB > 0 {
-		if int(cached.GetCardinality())*8 < s.withCapacity {
-			var few []candidate
+		if int(cached.GetCardinality())*8 < partition.withCapacity {
+			var cachedCandidates []candidate
 			for it := cached.Iterator(); it.HasNext(); {
 				m := v.Index.byID[it.Next()]
 				if slices.Contains(groups, m.group) {
-					few = append(few, candidate{m: m, order: shift(m.group) + m.packingOrder()})
+					cachedCandidates = append(cachedCandidates, candidate{m: m, order: orderOffset(m.group) + m.packingOrder()})
 				}
 			}
-			slices.SortFunc(few, byCost)
-			for _, c := range few {
+			slices.SortFunc(cachedCandidates, byCost)
+			for _, c := range cachedCandidates {
 				if !add(c.m, c.order, 0) {
 					return out
 				}
 			}
 		} else {
-			mergeGroups(streams(groups), func(m *Machine, order float64) bool {
+			mergeGroups(cursors(groups), func(m *Machine, order float64) bool {
 				return !cached.Contains(m.id) || add(m, order, 0)
 			})
-			if left <= 0 {
+			if remaining <= 0 {
 				return out
 			}
 		}
 	}
-	// Then the others, by what they have to fetch.
-	rest := slices.Clone(groups)
+	// The other machines follow by fetch cost.
+	uncached := slices.Clone(groups)
 	costOf := func(g *machineGroup) float64 { return g.secPerGB * j.Spec.ImageGB }
-	slices.SortStableFunc(rest, func(a, b *machineGroup) int { return cmp.Compare(costOf(a), costOf(b)) })
-	for len(rest) > 0 && left > 0 {
+	slices.SortStableFunc(uncached, func(a, b *machineGroup) int { return cmp.Compare(costOf(a), costOf(b)) })
+	for len(uncached) > 0 && remaining > 0 {
 		n := 1
-		for n < len(rest) && costOf(rest[n]) == costOf(rest[0]) {
+		for n < len(uncached) && costOf(uncached[n]) == costOf(uncached[0]) {
 			n++
 		}
-		cost := costOf(rest[0])
-		mergeGroups(streams(rest[:n]), func(m *Machine, order float64) bool {
+		cost := costOf(uncached[0])
+		mergeGroups(cursors(uncached[:n]), func(m *Machine, order float64) bool {
 			if cached != nil && j.Spec.ImageGB > 0 && cached.Contains(m.id) {
 				return true
 			}
 			return add(m, order, cost)
 		})
-		rest = rest[n:]
+		uncached = uncached[n:]
 	}
 	return out
 }
 
-// bestZone keeps the slots of the zone with room for r tasks and the least cost of the
-// first r, or else of the one with the most room; of equals the zone whose first
-// machine comes first.
-func (v *View) bestZone(j *Job, slots []Slot, cands []candidate, r int) []Slot {
+// bestZone returns the slots of one zone: the one with room for r tasks whose first r slots have
+// the least total cost, or if there is none, the one with the most slots. Among equal zones it
+// chooses the one with the first machine by name.
+func (v *View) bestZone(j *Job, slots []Slot, candidates []candidate, r int) []Slot {
 	byZone := map[int][]Slot{}
 	for _, s := range slots {
 		byZone[s.Zone] = append(byZone[s.Zone], s)
 	}
-	score := func(s []Slot) float64 {
-		c := 0.0
-		for _, x := range s[:min(r, len(s))] {
-			c += x.Cost
+	score := func(zoneSlots []Slot) float64 {
+		total := 0.0
+		for _, slot := range zoneSlots[:min(r, len(zoneSlots))] {
+			total += slot.Cost
 		}
-		return c - 1e6*float64(min(r, len(s)))
+		return total - 1e6*float64(min(r, len(zoneSlots)))
 	}
 	best, bestScore, bestName := -1, 0.0, ""
-	for z, s := range byZone {
-		name := "" // looked up only to part equals
-		sc := score(s)
-		if best >= 0 && sc == bestScore {
+	for z, zoneSlots := range byZone {
+		name := "" // looked up only to break ties
+		zoneScore := score(zoneSlots)
+		if best >= 0 && zoneScore == bestScore {
 			if bestName == "" {
-				bestName = v.firstMachineInZone(j, cands[byZone[best][0].Machine].m.Zone)
+				bestName = v.firstMachineInZone(j, candidates[byZone[best][0].Machine].m.Zone)
 			}
-			name = v.firstMachineInZone(j, cands[s[0].Machine].m.Zone)
+			name = v.firstMachineInZone(j, candidates[zoneSlots[0].Machine].m.Zone)
 		}
-		if best < 0 || sc < bestScore || sc == bestScore && name < bestName {
-			best, bestScore, bestName = z, sc, name
+		if best < 0 || zoneScore < bestScore || zoneScore == bestScore && name < bestName {
+			best, bestScore, bestName = z, zoneScore, name
 		}
 	}
 	return byZone[best]
 }
 
-// vacating says whether somebody is about to leave a machine where a job wants room made.
+// vacating reports whether tasks are being stopped on a machine that is among those on which a job
+// has others preempted: it has the image, or the job would idle no GPUs on it.
 func (v *View) vacating(j *Job) bool {
 	for _, m := range v.Index.Machines(v.Partition) {
 		if m.stoppingTasks > 0 && j.zoneCapacity(m.Zone) > 0 && Allowed(j.Spec, m.offer()) && (m.HasImage(j.Spec.Image) || v.idledGPUs(j, m.Type) == 0) {
@@ -325,7 +330,7 @@
 	return false
 }
 
-// firstMachineInZone is the first machine by name in a zone that a job could take.
+// firstMachineInZone returns the first machine by name in a zone that a job can use.
 func (v *View) firstMachineInZone(j *Job, zone string) string {
 	for _, m := range v.Index.Machines(v.Partition) {
 		if m.Zone == zone && m.group != nil && v.usable(m) && Allowed(j.Spec, m.offer()) && !m.EarmarkExcludes(j, v.Now) && m.Free().TaskCount(j.Need) > 0 {
@@ -335,13 +340,13 @@
 	return ""
 }
 
-// countAbove is how many slots cost more than a bound.
+// countAbove returns the number of slots whose cost exceeds a bound.
 func countAbove(slots []Slot, bound float64) int {
-	c := 0
+	count := 0
 	for _, s := range slots {
 		if s.Cost > bound {
-			c++
+			count++
 		}
 	}
-	return c
+	return count
 }
--- a/internal/coordination/decide/quota.go
+++ b/internal/coordination/decide/quota.go
@@ -7,103 +7,107 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// PreemptWithinTeam stops less urgent work of a job's own team, so that the job finds room within
-// the team's limit, and what else it needs to be placed then. It stops nothing if it
-// could not be placed all the same, or if what is leaving already will do. What it frees is
-// to be kept for the job (Team.Kept), or other tasks of those that were stopped would take
-// it. (On a simulated day 32 services waited for up to 39 s while arrays of their own team
-// used up its limit.)
+// PreemptWithinTeam chooses tasks of lower priority of a job's own team to preempt, so that the
+// job fits within the team's limit, and the tasks to preempt for the capacity that it then needs.
+// It chooses none if the job could still not be placed, or if tasks that are being stopped
+// already free enough. The caller must reserve the freed part of the limit for the job
+// (Team.LimitReservations); otherwise other tasks of the preempted jobs take it. Without this
+// preemption, 32 services waited for up to 39 s on a simulated day while arrays of their own team
+// used up its limit.
 func (v *View) PreemptWithinTeam(j *Job) *Preemption {
-	t := *v.team(j)
-	r := j.EligibleTasks(v.Now)
-	if j.Rank == protocol.Low || j.Cancelled || j.AbortAttempt || j.FailsEverywhere || r <= 0 || v.neverRuns(j) || j.Spec.Shape == protocol.Gang && r < j.Tasks {
+	unlimited := *v.team(j)
+	tasks := j.EligibleTasks(v.Now)
+	if j.Rank == protocol.Low || j.Cancelled || j.AbortAttempt || j.FailsEverywhere || tasks <= 0 || v.neverRuns(j) || j.Spec.Shape == protocol.Gang && tasks < j.Tasks {
 		return nil
 	}
-	leaving, own := v.lowerPriorityTeamTasks(j)
-	after := t // the team as it will be
-	after.Used = t.Used.Add(t.reservedLimit(j, true, v.Now), 1).Add(leaving, -1)
-	atOnce := j.minTasksToStart()
-	if after.TasksWithinLimit(j.Need) >= atOnce {
+	stopping, teamTasks := v.lowerPriorityTeamTasks(j)
+	after := unlimited // the team after the preemption
+	after.Used = unlimited.Used.Add(unlimited.reservedLimit(j, true, v.Now), 1).Add(stopping, -1)
+	minTasks := j.minTasksToStart()
+	if after.TasksWithinLimit(j.Need) >= minTasks {
 		return nil
 	}
-	// Would it be placed then?
-	w := *v
-	w.Teams, w.noCapacityAt, w.noVictimsAt = slices.Clone(v.Teams), nil, nil
-	t.Limit, t.LimitReservations = Resources{}, nil
-	w.Teams[j.Team] = &t
-	out := &Preemption{}
+	// Would the job be placed without the limit?
+	withoutLimit := *v
+	withoutLimit.Teams, withoutLimit.noCapacityAt, withoutLimit.noVictimsAt = slices.Clone(v.Teams), nil, nil
+	unlimited.Limit, unlimited.LimitReservations = Resources{}, nil
+	withoutLimit.Teams[j.Team] = &unlimited
+	preemption := &Preemption{}
 	stopped := map[taskKey]bool{}
-	if on := len(w.Place(j).Machines); on > 0 {
-		r = min(r, on)
-	} else if out = w.Preempt(j, r, AnyMachine); !out.HasEvictions() {
+	if placed := len(withoutLimit.Place(j).Machines); placed > 0 {
+		tasks = min(tasks, placed)
+	} else if preemption = withoutLimit.Preempt(j, tasks, AnyMachine); !preemption.HasEvictions() {
 		return nil
 	}
-	by := map[*Machine]*Eviction{}
-	for _, c := range out.Evictions {
-		by[c.Machine] = c
-		for _, x := range c.Victims {
-			stopped[taskKey{x.Job, x.Task}] = true
-			if x.Job.Team == j.Team {
-				after.Used = after.Used.Add(x.Job.Need, -1)
+	evictions := map[*Machine]*Eviction{}
+	for _, eviction := range preemption.Evictions {
+		evictions[eviction.Machine] = eviction
+		for _, victim := range eviction.Victims {
+			stopped[taskKey{victim.Job, victim.Task}] = true
+			if victim.Job.Team == j.Team {
+				after.Used = after.Used.Add(victim.Job.Need, -1)
 			}
 		}
 	}
-	for _, c := range own {
-		if after.TasksWithinLimit(j.Need) >= r {
+	for _, task := range teamTasks {
+		if after.TasksWithinLimit(j.Need) >= tasks {
 			break
 		}
-		over := after.Used.Add(j.Need, float64(r)).Add(after.Limit, -1)
-		if stopped[taskKey{c.Job, c.Task}] || !(after.Limit.CPUs > 0 && over.CPUs > Tolerance && c.Job.Need.CPUs > 0) && !(after.Limit.GPUs > 0 && over.GPUs > Tolerance && c.Job.Need.GPUs > 0) {
+		excess := after.Used.Add(j.Need, float64(tasks)).Add(after.Limit, -1)
+		if stopped[taskKey{task.Job, task.Task}] || !(after.Limit.CPUs > 0 && excess.CPUs > Tolerance && task.Job.Need.CPUs > 0) && !(after.Limit.GPUs > 0 && excess.GPUs > Tolerance && task.Job.Need.GPUs > 0) {
 			continue
 		}
-		after.Used = after.Used.Add(c.Job.Need, -1)
-		if by[c.m] == nil {
-			by[c.m] = &Eviction{Machine: c.m}
-			out.Evictions = append(out.Evictions, by[c.m])
+		after.Used = after.Used.Add(task.Job.Need, -1)
+		if evictions[task.m] == nil {
+			evictions[task.m] = &Eviction{Machine: task.m}
+			preemption.Evictions = append(preemption.Evictions, evictions[task.m])
 		}
-		by[c.m].Victims = append(by[c.m].Victims, c.Victim)
+		evictions[task.m].Victims = append(evictions[task.m].Victims, task.Victim)
 	}
-	if after.TasksWithinLimit(j.Need) < atOnce {
+	if after.TasksWithinLimit(j.Need) < minTasks {
 		return nil
 	}
-	return out
+	return preemption
 }
 
+// taskKey identifies a task.
 type taskKey struct {
 	job  *Job
 	task int
 }
 
+// teamTask is a task that could be preempted for its team's limit.
 type teamTask struct {
 	m *Machine
 	Victim
-	loss float64
+	loss float64 // seconds of work lost
 }
 
-// lowerPriorityTeamTasks are the less urgent tasks of a job's team that could be stopped, those with the
-// least loss first, and what of the team's is leaving already.
-func (v *View) lowerPriorityTeamTasks(j *Job) (leaving Resources, out []teamTask) {
+// lowerPriorityTeamTasks returns the tasks of a job's team that have a lower priority and can be
+// preempted, those with the least loss first, and the resources of the team's tasks that are being
+// stopped already.
+func (v *View) lowerPriorityTeamTasks(j *Job) (stopping Resources, out []teamTask) {
 	for _, m := range v.Index.Machines(v.Partition) {
 		if m.lowestPriority <= j.Rank && m.stoppingTasks == 0 {
 			continue
 		}
-		for _, h := range m.Assignments {
-			x := h.Job
+		for _, task := range m.Assignments {
+			job := task.Job
 			switch {
-			case x.Team != j.Team:
-			case h.Stopping:
-				leaving = leaving.Add(x.Need, 1)
-			case h.Active && x.Rank > j.Rank && !h.coscheduled():
-				loss := x.preemptionLoss(h.Since, v.Now)
-				if v.Config.preemptionMissesObjective(x, h.Since, v.Now) {
+			case job.Team != j.Team:
+			case task.Stopping:
+				stopping = stopping.Add(job.Need, 1)
+			case task.Active && job.Rank > j.Rank && !task.coscheduled():
+				loss := job.preemptionLoss(task.Since, v.Now)
+				if v.Config.preemptionMissesObjective(job, task.Since, v.Now) {
 					loss += missedObjectiveLoss
 				}
-				out = append(out, teamTask{m, Victim{Job: x, Task: h.Task}, loss})
+				out = append(out, teamTask{m, Victim{Job: job, Task: task.Task}, loss})
 			}
 		}
 	}
 	slices.SortFunc(out, func(a, b teamTask) int {
 		return cmp.Or(cmp.Compare(a.loss, b.loss), cmp.Compare(a.Job.ID, b.Job.ID), cmp.Compare(a.Task, b.Task))
 	})
-	return leaving, out
+	return stopping, out
 }
--- a/internal/coordination/decide/rent.go
+++ b/internal/coordination/decide/rent.go
@@ -8,26 +8,29 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// Bin is a machine that waiting tasks are imagined on, to see what to rent.
+// Bin is a machine in a forecast, on which waiting tasks are placed to find out what to rent.
 type Bin struct {
 	Offer
 	free    Resources
-	machine *Machine // nil: asked for, or only imagined
-	uses    int      // tasks imagined on it
-	gpus    bool     // of a type with GPUs
+	machine *Machine // nil: requested from the cloud, to be moved here, or to be rented
+	uses    int      // tasks that the forecast placed on it
+	gpus    bool     // its type has GPUs
 }
 
+// binOf returns a bin for an existing machine.
 func binOf(m *Machine) *Bin {
 	return &Bin{Offer: m.offer(), free: m.Free(), machine: m, gpus: m.HasType && m.Size.GPUs > 0}
 }
 
+// newBin returns a bin for a machine to be rented.
 func newBin(o Offer, t *protocol.MachineType) *Bin {
 	return &Bin{Offer: o, free: SizeOf(t), gpus: t.GPUs > 0}
 }
 
-// SizeOf is what a machine of a type has.
+// SizeOf returns the resources of a machine type.
 func SizeOf(t *protocol.MachineType) Resources { return Resources{t.CPUs, t.GPUs, t.MemoryGB} }
 
+// tasks returns the number of tasks that the bin's machine has already.
 func (b *Bin) tasks() int {
 	if b.machine == nil {
 		return 0
@@ -35,6 +38,7 @@
 	return len(b.machine.Assignments)
 }
 
+// images returns the number of images on the bin's machine.
 func (b *Bin) images() int {
 	if b.machine == nil {
 		return 0
@@ -42,51 +46,52 @@
 	return len(b.machine.Images)
 }
 
-// full says whether hardly anything can fit into a bin any more.
+// full reports whether a bin has no CPUs left, or no GPUs if its type has any.
 func (b *Bin) full() bool { return b.free.CPUs <= Tolerance || b.gpus && b.free.GPUs <= Tolerance }
 
-// PendingRental are machines that were asked for and are not recorded yet.
+// PendingRental is a number of machines that were requested from the cloud and are not recorded yet.
 type PendingRental struct {
 	Offer
 	Count int
 }
 
-// Market is what is known of the cloud beside its catalogue.
+// Market is the state of the cloud's offers and of machines that may come.
 type Market struct {
-	Pending         []PendingRental     // for this share
-	RefusedUntil    map[Offer]time.Time // until when an offer is not asked for
-	DonorPartitions []int               // shares without waiting tasks, whose free machines may come
+	Pending         []PendingRental     // for this partition
+	RefusedUntil    map[Offer]time.Time // until when an offer is not requested again
+	DonorPartitions []int               // partitions without waiting tasks, whose empty machines may be moved here
 }
 
-// RefusalBackoff is for how long an offer that was refused so often in a row is not asked
-// for: long enough, after some times, that all the others can be asked for meanwhile. (On
-// simulated days with 20 kinds of machine the ten cheapest were asked for round and round,
-// one a second, while 74 of the dearer ones stood unused and 9,000 tasks waited.)
+// RefusalBackoff returns for how long an offer is not requested after a number of refusals in a
+// row. It grows until all other offers can be requested meanwhile, at one request per period.
+// Without that, on simulated days with 20 offers, the ten cheapest were requested in turn, one a
+// second, while 74 machines of the more expensive offers were available and 9,000 tasks waited.
 func RefusalBackoff(times, offers int, period time.Duration) time.Duration {
 	const first = 8 * time.Second
-	round := time.Duration(1.5 * float64(offers) * float64(period))
-	return max(first, min(first<<min(times-1, 4), round))
+	roundTime := time.Duration(1.5 * float64(offers) * float64(period))
+	return max(first, min(first<<min(times-1, 4), roundTime))
 }
 
-// Rental is what Rent decides.
+// Rental is the result of Rent.
 type Rental struct {
-	ToRent  map[Offer]int
-	Reasons []Reason          // of each waiting job: why it waits, as far as machines go
-	Needed  map[*Machine]bool // of the share's machines: whether something needs it
+	ToRent  map[Offer]int     // number of machines to rent
+	Reasons []Reason          // for each waiting job: why it waits, as far as machines are concerned
+	Needed  map[*Machine]bool // for each machine of the partition: whether a waiting or expected job needs it
 }
 
-// Rent says which machines the waiting jobs lack beyond those on the way, and which
-// jobs like the recent ones will need before a machine rented later could serve them.
-func (v *View) Rent(waits, expected []*Job, market *Market) Rental {
-	out := Rental{ToRent: map[Offer]int{}, Needed: map[*Machine]bool{}}
-	f := &forecast{view: v, placedByTeam: make([]Resources, len(v.Teams)), toRent: out.ToRent, inZone: map[string]int{}, market: market}
+// Rent returns which machines to rent: those that the waiting jobs need beyond the ones that are
+// requested or booting, and those that jobs like the recent ones will need before a machine
+// rented later would be up.
+func (v *View) Rent(waiting, expected []*Job, market *Market) Rental {
+	rental := Rental{ToRent: map[Offer]int{}, Needed: map[*Machine]bool{}}
+	f := &forecast{view: v, placedByTeam: make([]Resources, len(v.Teams)), toRent: rental.ToRent, inZone: map[string]int{}, market: market}
 	var running []*Bin
 	for _, m := range v.Index.Machines(v.Partition) {
 		if m.Block&(Returned|Returning|Cordoned|Moving) != 0 {
 			continue
 		}
 		f.inZone[m.Zone]++
-		out.Needed[m] = false
+		rental.Needed[m] = false
 		if m.LastReport.IsZero() && m.Block&InterruptionNotice == 0 {
 			f.bins = append(f.bins, binOf(m))
 		} else if v.usable(m) {
@@ -101,31 +106,31 @@
 			}
 		}
 	}
-	// What ends before a rented machine is up serves what waits sooner.
+	// Resources freed before a rented machine would be up serve waiting tasks sooner.
 	for _, b := range running {
 		b.free = b.free.Add(v.freedWithin(b.machine, v.bootTime(b.Type)), 1)
 	}
-	lent := v.donorMachines(market.DonorPartitions)
+	donors := v.donorMachines(market.DonorPartitions)
 	f.bins = append(slices.Clone(running), f.bins...)
 	f.openBins = slices.Clone(f.bins)
-	for _, j := range waits {
+	for _, j := range waiting {
 		if v.Now.Sub(j.FirstSeen) < v.moveTime() {
-			f.bins = append(f.bins, lent...)
-			f.openBins = append(f.openBins, lent...)
-			lent = nil
+			f.bins = append(f.bins, donors...)
+			f.openBins = append(f.openBins, donors...)
+			donors = nil
 		}
-		why := NoCapacity
+		reason := NoCapacity
 		if v.neverRuns(j) {
-			out.Reasons = append(out.Reasons, GangNeverFits)
+			rental.Reasons = append(rental.Reasons, GangNeverFits)
 			continue
 		}
 		if !f.placeTasks(j, j.EligibleTasks(v.Now)) {
-			why = TeamLimit
+			reason = TeamLimit
 		}
-		out.Reasons = append(out.Reasons, why)
+		rental.Reasons = append(rental.Reasons, reason)
 	}
-	// Running machines come first for what is only expected: the fullest ones, and
-	// then those with the most images, so that the others can go.
+	// Expected jobs are placed on running machines first, on the fullest ones and then on
+	// those with the most images, so that the others can be returned.
 	slices.SortStableFunc(f.bins, func(a, b *Bin) int {
 		return cmp.Or(b.tasks()-a.tasks(), b.images()-a.images())
 	})
@@ -136,13 +141,13 @@
 	}
 	for _, b := range f.bins {
 		if b.machine != nil {
-			out.Needed[b.machine] = b.uses > 0
+			rental.Needed[b.machine] = b.uses > 0
 		}
 	}
-	return out
+	return rental
 }
 
-// bootTime is how long a machine of a type should take to boot.
+// bootTime returns how long a machine of a type is expected to take to boot.
 func (v *View) bootTime(typ string) time.Duration {
 	if t := v.Types[typ]; t != nil {
 		return time.Duration(t.BootS * float64(time.Second))
@@ -150,55 +155,55 @@
 	return 0
 }
 
-// moveTime is how long a move takes at most when all goes well.
+// moveTime returns the longest time that a move takes without failures.
 func (v *View) moveTime() time.Duration {
 	return time.Duration((v.Config.MoveS + v.Config.ReportS) * float64(time.Second))
 }
 
-// freedWithin is what a machine's tasks that should be done within d take. By the
-// owner's estimate, which is often wrong; an overdue task counts as ending soon.
+// freedWithin returns the resources of a machine's tasks that are expected to end within d,
+// by the submitter's estimate, which is often wrong. An overdue task counts as ending soon.
 func (v *View) freedWithin(m *Machine, d time.Duration) Resources {
-	var out Resources
-	for _, h := range m.Assignments {
-		j := h.Job
+	var freed Resources
+	for _, task := range m.Assignments {
+		j := task.Job
 		if j.Spec.Shape == protocol.Service && !j.Cancelled {
 			continue
 		}
-		ran := v.Now.Sub(h.Since).Seconds()
+		ran := v.Now.Sub(task.Since).Seconds()
 		if j.Cancelled || j.Spec.EstimateS+m.FetchSeconds(j.Spec)-ran < d.Seconds() {
-			out = out.Add(j.Need, 1)
+			freed = freed.Add(j.Need, 1)
 		}
 	}
-	return out
+	return freed
 }
 
-// donorMachines are free machines that the leader can be expected to move here sooner than
-// a rented one boots.
-func (v *View) donorMachines(shares []int) []*Bin {
-	var out []*Bin
-	for _, s := range shares {
+// donorMachines returns bins for the empty machines of other partitions, which the leader is
+// expected to move here sooner than a rented machine boots.
+func (v *View) donorMachines(partitions []int) []*Bin {
+	var donors []*Bin
+	for _, s := range partitions {
 		for _, m := range v.Index.Machines(s) {
 			if len(m.Assignments) == 0 && m.HasAddress {
 				b := binOf(m)
-				b.machine = nil // not ours to keep
-				out = append(out, b)
+				b.machine = nil // it belongs to another partition, so Rental.Needed does not list it
+				donors = append(donors, b)
 			}
 		}
 	}
-	return out
+	return donors
 }
 
-// Arrival is a recent job, from which the near future is expected.
+// Arrival is a recently submitted job. ExpectedJobs predicts jobs from arrivals.
 type Arrival struct {
 	At   time.Time
 	Spec *protocol.JobSpec
 	Team int
 }
 
-// arrivalWindow is how long arrivals are remembered.
+// arrivalWindow is how long arrivals are used for predictions.
 const arrivalWindow = 120 * time.Second
 
-// TrimArrivals drops arrivals that are too old.
+// TrimArrivals drops the arrivals that are older than arrivalWindow.
 func TrimArrivals(recent []Arrival, now time.Time) []Arrival {
 	for len(recent) > 0 && now.Sub(recent[0].At) > arrivalWindow {
 		recent = recent[1:]
@@ -206,108 +211,108 @@
 	return recent
 }
 
-// ExpectedJobs are stand-ins for the jobs that will come while a machine boots: every so
-// manieth of the recent ones. held is for how long the share has been held, headroom
-// the operators' setting.
-func (v *View) ExpectedJobs(recent []Arrival, held time.Duration, headroom float64) []*Job {
-	boot := 0.0
+// ExpectedJobs predicts the jobs that will arrive while a machine boots: a fraction of the recent
+// ones, evenly spaced within each class. ownedFor is how long the partition has had its present
+// owner, headroom the operators' setting. Nothing is predicted from less than 20 s of arrivals.
+func (v *View) ExpectedJobs(recent []Arrival, ownedFor time.Duration, headroom float64) []*Job {
+	maxBootS := 0.0
 	for _, t := range v.Types {
-		boot = max(boot, t.BootS)
+		maxBootS = max(maxBootS, t.BootS)
 	}
-	span := min(arrivalWindow.Seconds(), held.Seconds())
-	if span < 20 {
+	spanS := min(arrivalWindow.Seconds(), ownedFor.Seconds())
+	if spanS < 20 {
 		return nil
 	}
-	part := min(1, headroom*boot/span)
+	fraction := min(1, headroom*maxBootS/spanS)
 	var out []*Job
-	sums := map[string]float64{}
+	accumulated := map[string]float64{}
 	for _, a := range recent {
 		if v.Teams[a.Team].Unguaranteed() {
-			continue // a guest's one huge job says nothing of what will come
+			continue // a single huge job of an unguaranteed team predicts nothing
 		}
-		sum, ok := sums[a.Spec.Class]
+		sum, ok := accumulated[a.Spec.Class]
 		if !ok && a.Spec.Rank() == protocol.Production {
-			sum = 1 - part // one of a class that must not wait is always expected
+			sum = 1 - fraction // at least one job of a class that must not wait is always expected
 		} else if !ok {
 			sum = 0.5
 		}
-		if sum += part; sum < 1 {
-			sums[a.Spec.Class] = sum
+		if sum += fraction; sum < 1 {
+			accumulated[a.Spec.Class] = sum
 			continue
 		}
-		sums[a.Spec.Class] = sum - 1
+		accumulated[a.Spec.Class] = sum - 1
 		out = append(out, &Job{ID: a.Spec.ID, Spec: a.Spec, Team: a.Team, Partition: v.Partition, Rank: a.Spec.Rank(),
 			Need: Need(a.Spec), Tasks: min(a.Spec.Tasks, 200)})
 	}
 	return out
 }
 
-// forecast is one look at what machines the near future needs.
+// forecast is the search for the machines that waiting and expected jobs need.
 type forecast struct {
 	view         *View
 	bins         []*Bin               // all, in order
-	openBins     []*Bin               // those with room
-	scanFrom     map[placementKey]int // of jobs of equal needs: where in open to begin
-	placedByTeam []Resources          // by team, of what was imagined
-	toRent       map[Offer]int
-	inZone       map[string]int
+	openBins     []*Bin               // bins with capacity
+	scanFrom     map[placementKey]int // index in openBins at which jobs with the same key start
+	placedByTeam []Resources          // by team: resources of the tasks placed in the forecast
+	toRent       map[Offer]int        // number of bins opened by offer
+	inZone       map[string]int       // number of machines of the partition by zone
 	market       *Market
 
-	noNewBins bool // open no new ones
+	noNewBins bool // place tasks on existing bins only
 }
 
-// placeTasks puts r tasks of a job on bins, opening new ones where allowed. It returns
-// false if the team's limit keeps all of them waiting.
-func (f *forecast) placeTasks(j *Job, r int) bool {
-	tm := *f.view.team(j)
-	tm.Used = tm.Used.Add(f.placedByTeam[j.Team], 1)
-	r = min(r, tm.TasksWithinLimit(j.Need))
-	if r <= 0 || (j.Spec.Shape == protocol.Gang && r < j.Tasks) {
+// placeTasks places a number of a job's tasks on bins and opens new bins for the rest. It returns
+// false if no task is to be placed, in particular because of the team's limit.
+func (f *forecast) placeTasks(j *Job, tasks int) bool {
+	team := *f.view.team(j)
+	team.Used = team.Used.Add(f.placedByTeam[j.Team], 1)
+	tasks = min(tasks, team.TasksWithinLimit(j.Need))
+	if tasks <= 0 || (j.Spec.Shape == protocol.Gang && tasks < j.Tasks) {
 		return false
 	}
-	const horizon = 2000 // tasks looked at: renting is limited to 50 a request anyway
-	r = min(r, horizon)
-	f.placedByTeam[j.Team] = f.placedByTeam[j.Team].Add(j.Need, float64(r))
+	const horizon = 2000 // tasks considered; a rental request is limited to 50 machines anyway
+	tasks = min(tasks, horizon)
+	f.placedByTeam[j.Team] = f.placedByTeam[j.Team].Add(j.Need, float64(tasks))
 	byZone := map[string]int{}
-	only := "" // zone that the job is bound to
+	zone := "" // the zone of the job's tasks if all must be in one zone
 	for z, n := range j.Zones {
 		byZone[z] = n
 		if j.Spec.OneZone && n > 0 {
-			only = z
+			zone = z
 		}
 	}
 	half := (j.Tasks + 1) / 2
 	fits := func(o Offer) bool {
-		return Allowed(j.Spec, o) && (only == "" || only == o.Zone) &&
+		return Allowed(j.Spec, o) && (zone == "" || zone == o.Zone) &&
 			(!j.Spec.Spread || byZone[o.Zone] < half)
 	}
-	put := func(b *Bin) {
-		for r > 0 && b.free.TaskCount(j.Need) > 0 && fits(b.Offer) {
+	fill := func(b *Bin) {
+		for tasks > 0 && b.free.TaskCount(j.Need) > 0 && fits(b.Offer) {
 			b.free = b.free.Add(j.Need, -1)
 			b.uses++
 			byZone[b.Zone]++
 			if j.Spec.OneZone {
-				only = b.Zone
+				zone = b.Zone
 			}
-			r--
+			tasks--
 		}
 	}
-	// A bin only becomes fuller, so one pass over those open does, and a job of equal
-	// needs goes on where the last one stopped. What a fleet has filled up is not
-	// looked at again for the next job.
+	// Bins only become fuller. One pass over the open bins is therefore enough, and a job
+	// with the same key continues where the last one stopped. Full bins are removed, so
+	// that the next jobs do not scan them again.
 	key := placementKeyOf(j)
-	at, full := 0, 0
+	next, full := 0, 0
 	if !j.zoneConstrained() {
-		at = f.scanFrom[key]
+		next = f.scanFrom[key]
 	}
-	for ; at < len(f.openBins) && r > 0; at++ {
-		b := f.openBins[at]
-		put(b)
+	for ; next < len(f.openBins) && tasks > 0; next++ {
+		b := f.openBins[next]
+		fill(b)
 		if b.full() {
 			full++
 		}
-		if r == 0 {
-			break // it may have room for the next one
+		if tasks == 0 {
+			break // the bin may have capacity for the next job
 		}
 	}
 	if full > 16 {
@@ -317,9 +322,9 @@
 		if f.scanFrom == nil {
 			f.scanFrom = map[placementKey]int{}
 		}
-		f.scanFrom[key] = at
+		f.scanFrom[key] = next
 	}
-	for r > 0 && !f.noNewBins {
+	for tasks > 0 && !f.noNewBins {
 		o, ok := f.bestOffer(j, fits)
 		if !ok {
 			return true
@@ -327,7 +332,7 @@
 		f.inZone[o.Zone]++
 		f.toRent[o]++
 		b := newBin(o, f.view.Types[o.Type])
-		put(b)
+		fill(b)
 		if b.uses == 0 {
 			return true
 		}
@@ -336,12 +341,13 @@
 	return true
 }
 
-// bestOffer is the cheapest kind that a job may use and that the cloud has not just
-// refused; among zones the one with the fewest machines of the share.
+// bestOffer returns the cheapest offer that fits a job and that the cloud has not refused
+// recently. Among offers of the same price it prefers the zone with the fewest machines of the
+// partition.
 func (f *forecast) bestOffer(j *Job, fits func(Offer) bool) (best Offer, ok bool) {
 	var price float64
-	better := func(o Offer, p float64) bool {
-		return !ok || cmp.Or(cmp.Compare(p, price), cmp.Compare(f.inZone[o.Zone], f.inZone[best.Zone]),
+	better := func(o Offer, offerPrice float64) bool {
+		return !ok || cmp.Or(cmp.Compare(offerPrice, price), cmp.Compare(f.inZone[o.Zone], f.inZone[best.Zone]),
 			cmp.Compare(o.Zone, best.Zone), cmp.Compare(o.Type, best.Type)) < 0
 	}
 	for _, t := range f.view.Types {
@@ -350,13 +356,13 @@
 		}
 		for _, z := range t.Zones {
 			for _, spot := range []bool{true, false} {
-				p := t.Price
+				offerPrice := t.Price
 				if spot {
-					p = t.SpotPrice
+					offerPrice = t.SpotPrice
 				}
 				o := Offer{t.Name, z, spot}
-				if fits(o) && !f.view.Now.Before(f.market.RefusedUntil[o]) && better(o, p) {
-					best, price, ok = o, p, true
+				if fits(o) && !f.view.Now.Before(f.market.RefusedUntil[o]) && better(o, offerPrice) {
+					best, price, ok = o, offerPrice, true
 				}
 			}
 		}
--- a/internal/coordination/decide/reserve.go
+++ b/internal/coordination/decide/reserve.go
@@ -9,52 +9,52 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// Reservations for gangs. A gang starts with all of its tasks or not at all, so that in a
-// full share smaller jobs of the same priority would take each machine that becomes free
-// while a larger gang waits for several. The machines that are free for the gang in the
-// zone where it is expected to start first are therefore reserved for it, and so are those
-// where less urgent work could be stopped for it. Nobody is stopped for a reservation before
-// all of the gang fits. Other jobs are backfilled: they may use a reserved machine if they are
-// expected to end before the gang can start, or may be stopped for it.
+// Reservations for gangs. A gang starts with all of its tasks or not at all. In a full
+// partition, smaller jobs of the same priority would take each machine that becomes free while a
+// larger gang waits for several. Therefore machines are reserved for the gang in the zone where
+// it is expected to start first: those that are free for it and those on which tasks of lower
+// priority could be preempted for it. No task is preempted for a reservation before all of the
+// gang fits. Other jobs are backfilled: they may use a reserved machine if they are expected to
+// end before the gang can start, or if the gang can preempt them.
 
 const (
-	// minReservation and longestReservation bound how long machines are reserved for
-	// a gang. In between it is as long as the gang itself is expected to run.
+	// minReservation and maxReservation bound how long machines are reserved for a gang.
+	// Between them, the time is the gang's own expected run time.
 	minReservation = 2 * time.Minute
 	maxReservation = 10 * time.Minute
-	// ReservationBackoff is how long others may use what a reservation that came to nothing
-	// had kept, before the gang may have another.
+	// ReservationBackoff is how long a gang whose reservation expired before it could start
+	// may not have another one, so that other jobs can use the machines.
 	ReservationBackoff = 30 * time.Second
-	// maxReservationBlock is how long a job waits beside machines that it would fit on, for others'
-	// reservations alone. After that they do not hold for it: nobody should wait for 90 s
-	// while a machine has room, and several gangs may reserve the same one in turn.
+	// maxReservationBlock is how long a job may be kept waiting by reservations alone. After
+	// that, reservations do not apply to it. No job should wait for 90 s while a machine has
+	// capacity for it, and several gangs may reserve the same machine in turn.
 	maxReservationBlock = 75 * time.Second
 )
 
-// Reservation is what is reserved for a gang that can't start yet.
+// Reservation is the set of machines to reserve for a gang that cannot start yet.
 type Reservation struct {
-	Machines      []*Machine // those on which tasks of it have a place, or could be given one
-	ExpectedStart time.Time  // when its last task should have a place
+	Machines      []*Machine // machines with capacity for tasks of the gang, free or preemptible
+	ExpectedStart time.Time  // when its last task is expected to have a place
 }
 
-// ReservationTime is for how long machines are reserved for a gang at most.
+// ReservationTime returns for how long machines may be reserved for a gang.
 func (j *Job) ReservationTime() time.Duration {
 	runs := time.Duration(j.Spec.EstimateS * float64(time.Second))
 	return max(minReservation, min(runs, maxReservation))
 }
 
-// ReservationExpired says whether a gang has held its reservation for as long as it may.
+// ReservationExpired reports whether a gang has had its reservation for ReservationTime.
 func (j *Job) ReservationExpired(now time.Time) bool {
 	return !j.ReservedSince.IsZero() && now.Sub(j.ReservedSince) >= j.ReservationTime()
 }
 
-// IsReservedFor says whether a machine is reserved for a gang.
+// IsReservedFor reports whether a machine is reserved for a gang.
 func (m *Machine) IsReservedFor(j *Job, now time.Time) bool {
 	return m.Reserved && m.EarmarkedFor != nil && m.EarmarkedFor.ID == j.ID && now.Before(m.EarmarkedUntil)
 }
 
-// reservationExcludes says whether a machine's reservation for a gang keeps a job of no higher
-// priority off it.
+// reservationExcludes reports whether a machine's reservation for a gang keeps off a job of the
+// same or a lower priority.
 func (m *Machine) reservationExcludes(j *Job, now time.Time) bool {
 	gang := m.EarmarkedFor
 	if gang.Cancelled || gang.Partition != m.Partition || j.precedes(gang) || j.exemptFromReservations(now) {
@@ -65,20 +65,20 @@
 		return false
 	}
 	if j.Spec.Shape == protocol.Service {
-		return true // it does not end by itself
+		return true // a service does not end by itself
 	}
 	ends := now.Add(durationOfSeconds(j.Spec.EstimateS + m.FetchSeconds(j.Spec)))
 	return ends.After(gang.ExpectedStart)
 }
 
-// exemptFromReservations says whether reservations have kept a job off machines for as long as they
-// may.
+// exemptFromReservations reports whether reservations alone have kept a job waiting for
+// maxReservationBlock.
 func (j *Job) exemptFromReservations(now time.Time) bool {
 	return !j.ReservationBlockedSince.IsZero() && now.Sub(j.ReservationBlockedSince) >= maxReservationBlock
 }
 
-// blockedByReservations says whether what was just looked at has room for a job that found
-// too few slots, if nothing were reserved.
+// blockedByReservations reports whether a job that found too few slots in the last search would
+// have found enough without reservations.
 func (v *View) blockedByReservations(j *Job, found int) bool {
 	if j.Spec.Shape == protocol.Gang {
 		return found+v.reservedSlots >= j.Tasks
@@ -86,44 +86,45 @@
 	return v.reservedSlots > 0
 }
 
-// precedes says whether a job comes before another: the more urgent one, or of equals the
-// older one.
+// precedes reports whether a job is scheduled before another: by rank, and among jobs of the same
+// rank by the time of submission.
 func (j *Job) precedes(other *Job) bool {
 	return cmp.Or(j.Rank-other.Rank, j.Submitted.Compare(other.Submitted), strings.Compare(j.ID, other.ID)) < 0
 }
 
-// coscheduled says whether a job's tasks run only all at once, on several machines.
+// coscheduled reports whether a job is a gang of several tasks, which run only all at once.
 func (j *Job) coscheduled() bool { return j.Spec.Shape == protocol.Gang && j.Tasks > 1 }
 
+// durationOfSeconds converts seconds to a duration.
 func durationOfSeconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// gangPlace is room for one task of a gang.
+// gangPlace is present or expected capacity for one task of a gang.
 type gangPlace struct {
 	machine *Machine
-	at      time.Time // when it should be free
-	ready   bool      // it is free, or could be made so for the gang
+	at      time.Time // when it is expected to be free
+	ready   bool      // it is free, or tasks on it could be preempted or relocated for the gang
 }
 
-// Reserve says what to reserve for a gang that finds too few places: nothing if it may not
-// have a reservation now or its places are not expected to become free in time.
+// Reserve returns the reservation for a gang that does not fit yet. It returns nil if the gang may
+// not have a reservation now, or if its places are not expected to become free in time.
 func (v *View) Reserve(j *Job) *Reservation {
 	if !j.coscheduled() || j.FailsEverywhere || v.Now.Before(j.ReserveAfter) || j.ReservationExpired(v.Now) {
 		return nil
 	}
-	var best []gangPlace
-	for _, zone := range v.expectedPlaces(j) {
-		if chosen := v.earliestPlaces(j, zone); chosen != nil && (best == nil || startsSooner(chosen, best)) {
-			best = chosen
+	var earliest []gangPlace
+	for _, places := range v.expectedPlaces(j) {
+		if chosen := v.earliestPlaces(j, places); chosen != nil && (earliest == nil || startsSooner(chosen, earliest)) {
+			earliest = chosen
 		}
 	}
-	if best == nil {
+	if earliest == nil {
 		return nil
 	}
-	r := &Reservation{ExpectedStart: best[len(best)-1].at}
+	r := &Reservation{ExpectedStart: earliest[len(earliest)-1].at}
 	if j.ReservedSince.IsZero() && r.ExpectedStart.Sub(v.Now) > j.ReservationTime() {
 		return nil
 	}
-	for _, p := range best {
+	for _, p := range earliest {
 		if p.ready && !slices.Contains(r.Machines, p.machine) {
 			r.Machines = append(r.Machines, p.machine)
 		}
@@ -131,19 +132,20 @@
 	return r
 }
 
-// earliestFirst orders places by when they should be free, at the same time the ready ones
-// first: what is overdue counts as ending now, and may go on for long.
+// earliestFirst orders places by when they are expected to be free, ready ones first among places
+// of the same time: an overdue task counts as ending now but may run on for long.
 func earliestFirst(a, b gangPlace) int {
 	return cmp.Or(a.at.Compare(b.at), countReady([]gangPlace{b})-countReady([]gangPlace{a}))
 }
 
-// startsSooner says whether a gang should start earlier on some places than on others, or at the
-// same time with more of them ready.
+// startsSooner reports whether a gang is expected to start earlier on places a than on places b, or
+// at the same time with more places ready.
 func startsSooner(a, b []gangPlace) bool {
 	last := len(a) - 1
 	return cmp.Or(a[last].at.Compare(b[last].at), countReady(b)-countReady(a), strings.Compare(a[0].machine.Zone, b[0].machine.Zone)) < 0
 }
 
+// countReady returns the number of ready places.
 func countReady(places []gangPlace) (ready int) {
 	for _, p := range places {
 		if p.ready {
@@ -153,11 +155,12 @@
 	return ready
 }
 
-// expectedPlaces are the places that a gang could have on the share's machines, by zone if
-// it must be in one. Those that another gang's reservation still lacks are left out.
+// expectedPlaces returns the places that a gang could have on the partition's machines, the
+// earliest first, by zone if it must run in one zone. It leaves out as many of the earliest places
+// as the gangs with earmarked machines still lack.
 func (v *View) expectedPlaces(j *Job) map[string][]gangPlace {
 	out := map[string][]gangPlace{}
-	lacking := map[string]map[*Job]int{}
+	missing := map[string]map[*Job]int{}
 	for _, m := range v.Index.Machines(v.Partition) {
 		if m.Size.TaskCount(j.Need) == 0 || j.zoneCapacity(m.Zone) <= 0 || !Allowed(j.Spec, m.offer()) || !v.usable(m) || v.idledGPUs(j, m.Type) > 0 {
 			continue
@@ -167,28 +170,29 @@
 			zone = m.Zone
 		}
 		if m.EarmarkExcludes(j, v.Now) {
-			if lacking[zone] == nil {
-				lacking[zone] = map[*Job]int{}
+			if missing[zone] == nil {
+				missing[zone] = map[*Job]int{}
 			}
-			if _, seen := lacking[zone][m.EarmarkedFor]; !seen {
-				lacking[zone][m.EarmarkedFor] = m.EarmarkedFor.Waiting
+			if _, seen := missing[zone][m.EarmarkedFor]; !seen {
+				missing[zone][m.EarmarkedFor] = m.EarmarkedFor.Waiting
 			}
-			lacking[zone][m.EarmarkedFor] -= m.Free().TaskCount(m.EarmarkedFor.Need)
+			missing[zone][m.EarmarkedFor] -= m.Free().TaskCount(m.EarmarkedFor.Need)
 			continue
 		}
 		out[zone] = append(out[zone], v.placesOn(m, j)...)
 	}
 	for zone, places := range out {
 		slices.SortStableFunc(places, earliestFirst)
-		for _, lacks := range lacking[zone] {
-			places = places[min(max(lacks, 0), len(places)):]
+		for _, count := range missing[zone] {
+			places = places[min(max(count, 0), len(places)):]
 		}
 		out[zone] = places
 	}
 	return out
 }
 
-// placesOn are the places for a gang's tasks on a machine, as its tasks should end.
+// placesOn returns the places for a gang's tasks on a machine: those that are ready, and those that
+// are expected to become free as tasks end.
 func (v *View) placesOn(m *Machine, j *Job) []gangPlace {
 	type ending struct {
 		at   time.Time
@@ -196,11 +200,11 @@
 	}
 	var endings []ending
 	free := m.Free()
-	for _, h := range m.Assignments {
-		if v.vacatesFor(m, h, j) {
-			free = free.Add(h.Job.Need, 1)
-		} else if at, ends := v.expectedEnd(m, h); ends {
-			endings = append(endings, ending{at, h.Job.Need})
+	for _, task := range m.Assignments {
+		if v.vacatesFor(m, task, j) {
+			free = free.Add(task.Job.Need, 1)
+		} else if at, ends := v.expectedEnd(m, task); ends {
+			endings = append(endings, ending{at, task.Job.Need})
 		}
 	}
 	slices.SortStableFunc(endings, func(a, b ending) int { return a.at.Compare(b.at) })
@@ -217,37 +221,37 @@
 	return out
 }
 
-// vacatesFor says whether a task leaves its place to a gang when all of the gang fits: it is
-// leaving already, is less urgent and may be stopped, or can run elsewhere.
-func (v *View) vacatesFor(m *Machine, h Assignment, gang *Job) bool {
+// vacatesFor reports whether a task's resources become available to a gang once all of the gang
+// fits: the task is being stopped already, can be preempted, or can be relocated.
+func (v *View) vacatesFor(m *Machine, task Assignment, gang *Job) bool {
 	switch {
-	case h.Stopping:
+	case task.Stopping:
 		return true
-	case !h.Active || h.coscheduled():
+	case !task.Active || task.coscheduled():
 		return false
-	case h.Job.Rank > gang.Rank:
+	case task.Job.Rank > gang.Rank:
 		return true
 	}
-	return h.Job.Need.GPUs == 0 && v.mayRelocateFor(gang, m) && v.relocatableMachines(gang.Rank)[m]
+	return task.Job.Need.GPUs == 0 && v.mayRelocateFor(gang, m) && v.relocatableMachines(gang.Rank)[m]
 }
 
-// relocatableMachines are the machines of the share from which all tasks that need none of the GPUs
-// and are as urgent as a rank could be shifted, together.
+// relocatableMachines returns the machines of the partition from which all tasks that a job of a
+// rank cannot preempt could be relocated, all at once, because they need no GPUs.
 func (v *View) relocatableMachines(rank int) map[*Machine]bool {
 	if out, known := v.relocatableByRank[rank]; known {
 		return out
 	}
-	var with []*Machine
+	var occupied []*Machine
 	for _, m := range v.Index.Machines(v.Partition) {
 		if m.cpuOnlyTasks > 0 {
-			with = append(with, m)
+			occupied = append(occupied, m)
 		}
 	}
-	slices.SortStableFunc(with, func(a, b *Machine) int { return a.cpuOnlyTasks - b.cpuOnlyTasks })
-	places := v.newRelocationPlan(v.Partition)
+	slices.SortStableFunc(occupied, func(a, b *Machine) int { return a.cpuOnlyTasks - b.cpuOnlyTasks })
+	plan := v.newRelocationPlan(v.Partition)
 	out := map[*Machine]bool{}
-	for _, m := range with {
-		out[m] = (v.GPUTypesInDemand == nil || v.GPUTypesInDemand[m.Type]) && places.placeAll(m, rank)
+	for _, m := range occupied {
+		out[m] = (v.GPUTypesInDemand == nil || v.GPUTypesInDemand[m.Type]) && plan.placeAll(m, rank)
 	}
 	if v.relocatableByRank == nil {
 		v.relocatableByRank = map[int]map[*Machine]bool{}
@@ -256,20 +260,20 @@
 	return out
 }
 
-// expectedEnd is when a task should end, by the owner's estimate: at once if it is overdue,
-// never for a service.
-func (v *View) expectedEnd(m *Machine, h Assignment) (at time.Time, ends bool) {
-	if h.Job.Spec.Shape == protocol.Service {
+// expectedEnd returns when a task is expected to end, by the submitter's estimate: now if it is
+// overdue. A service does not end.
+func (v *View) expectedEnd(m *Machine, task Assignment) (at time.Time, ends bool) {
+	if task.Job.Spec.Shape == protocol.Service {
 		return time.Time{}, false
 	}
-	at = h.Since.Add(durationOfSeconds(h.Job.Spec.EstimateS + m.FetchSeconds(h.Job.Spec)))
+	at = task.Since.Add(durationOfSeconds(task.Job.Spec.EstimateS + m.FetchSeconds(task.Job.Spec)))
 	if at.Before(v.Now) {
 		at = v.Now
 	}
 	return at, true
 }
 
-// earliestPlaces are the first places on which all of a gang fits, nil if there are too few.
+// earliestPlaces returns the first places on which all of a gang fits, or nil if there are too few.
 func (v *View) earliestPlaces(j *Job, places []gangPlace) []gangPlace {
 	var out []gangPlace
 	inZone := map[string]int{}
--- a/internal/coordination/decide/room.go
+++ b/internal/coordination/decide/room.go
@@ -7,58 +7,59 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// Preemption is who is stopped for a job, and what is kept for it meanwhile.
+// Preemption is the set of tasks to stop for a job, and the machines to earmark for it while they
+// stop.
 type Preemption struct {
 	Evictions []*Eviction
-	Earmarked []*Machine // for a gang: nothing else of no higher priority goes there
+	Earmarked []*Machine // for a gang; keeps off jobs of the same or a lower priority
 }
 
-// HasEvictions says whether anybody is stopped.
-func (r *Preemption) HasEvictions() bool { return r != nil && len(r.Evictions) > 0 }
+// HasEvictions reports whether any task is to be stopped.
+func (p *Preemption) HasEvictions() bool { return p != nil && len(p.Evictions) > 0 }
 
-// Victim is a task that may be stopped for another.
+// Victim is a task that may be stopped for another job.
 type Victim struct {
 	Job           *Job
 	Task          int
-	overGuarantee bool // only because its team has more than its guarantee
-	relocates     bool // only to run elsewhere at once
+	overGuarantee bool // it may be stopped only because its team uses more than its guarantee
+	relocates     bool // it may be stopped only to be relocated
 }
 
-// Eviction is what stopping some tasks of a machine would bring.
+// Eviction is a set of tasks to stop on one machine, with the gain and the loss.
 type Eviction struct {
 	Machine *Machine
 	Victims []Victim
-	gain    int     // tasks of the job that would fit in addition
-	loss    float64 // seconds of work lost, and of fetching the image
+	gain    int     // number of further tasks of the job that would fit
+	loss    float64 // seconds of work lost, plus seconds to fetch the image
 }
 
-// missedObjectiveLoss is how many seconds of lost work a job that misses its aim for being
-// stopped counts for.
+// missedObjectiveLoss is the loss, in seconds of work, that is added if stopping a task makes its
+// job miss an objective.
 const missedObjectiveLoss = 120
 
-// preemptionKey is what makes two jobs equal for whom to stop.
+// preemptionKey identifies jobs for which the same tasks can be preempted.
 type preemptionKey struct {
 	placementKey
-	team, rank int
-	where      PreemptionScope
-	image      string // where only machines with it count
-	gb         float64
-	within     bool
+	team, rank      int
+	scope           PreemptionScope
+	image           string // set if the scope is MachinesWithImage
+	imageGB         float64
+	withinGuarantee bool
 }
 
-// PreemptionScope says on which machines room may be made.
+// PreemptionScope limits the machines on which tasks are preempted.
 type PreemptionScope uint8
 
 const (
 	AnyMachine              PreemptionScope = iota
-	MachinesWithImage                       // only where the job's image is, and no GPUs would idle
-	MachinesWithoutIdleGPUs                 // only where no GPUs would idle
+	MachinesWithImage                       // only machines that have the job's image and on which it would idle no GPUs
+	MachinesWithoutIdleGPUs                 // only machines on which the job would idle no GPUs
 )
 
-// borrowed is how many GPUs each team uses beyond its guarantee, not counting tasks
-// that are being stopped already. Without that, and without counting on as victims
-// are chosen, a team is stopped below its guarantee, has others stopped in turn, and
-// in an overload half of all work is thrown away.
+// borrowed returns how many GPUs each team uses beyond its guarantee, not counting tasks that are
+// being stopped already. The caller subtracts further victims as it chooses them. Without both, a
+// team falls below its guarantee, preempts others in turn, and in an overload half of all work is
+// lost.
 func (v *View) borrowed() []float64 {
 	out := make([]float64, len(v.Teams))
 	for i, t := range v.Teams {
@@ -67,100 +68,104 @@
 	return out
 }
 
-// withinBorrowed says whether the teams that lend still have that much to give back.
-func (c *Eviction) withinBorrowed(borrowed []float64) bool {
-	take := map[int]float64{}
-	for _, v := range c.Victims {
-		take[v.Job.Team] += v.Job.Need.GPUs
-		if v.overGuarantee && take[v.Job.Team] > borrowed[v.Job.Team]+Tolerance {
+// withinBorrowed reports whether the victims' teams still borrow at least what the eviction takes
+// from them.
+func (e *Eviction) withinBorrowed(borrowed []float64) bool {
+	takenByTeam := map[int]float64{}
+	for _, victim := range e.Victims {
+		takenByTeam[victim.Job.Team] += victim.Job.Need.GPUs
+		if victim.overGuarantee && takenByTeam[victim.Job.Team] > borrowed[victim.Job.Team]+Tolerance {
 			return false
 		}
 	}
 	return true
 }
 
-// Preempt stops work of lower priority, or work that another team runs beyond its
-// guarantee if the job is within its own team's, so that up to r tasks fit.
-func (v *View) Preempt(j *Job, r int, where PreemptionScope) *Preemption {
+// Preempt chooses tasks to stop so that up to the given number of a job's tasks fit: tasks of lower
+// priority, tasks that another team runs beyond its guarantee if the job is within its own team's
+// guarantee, and tasks that can be relocated.
+func (v *View) Preempt(j *Job, tasks int, scope PreemptionScope) *Preemption {
 	if j.Rank == protocol.Low || v.neverRuns(j) {
 		return nil
 	}
-	cached := where == MachinesWithImage
-	tm := v.team(j)
-	within := tm.Used.Add(j.Need, float64(r)).Within(tm.Guarantee)
-	key := preemptionKey{placementKey: placementKeyOf(j), team: j.Team, rank: j.Rank, where: where, within: within}
-	if cached {
-		key.image, key.gb = j.Spec.Image, j.Spec.ImageGB
+	withImage := scope == MachinesWithImage
+	team := v.team(j)
+	withinGuarantee := team.Used.Add(j.Need, float64(tasks)).Within(team.Guarantee)
+	key := preemptionKey{placementKey: placementKeyOf(j), team: j.Team, rank: j.Rank, scope: scope, withinGuarantee: withinGuarantee}
+	if withImage {
+		key.image, key.imageGB = j.Spec.Image, j.Spec.ImageGB
 	}
 	if at, known := v.noVictimsAt[key]; known && at == v.Index.version && !j.zoneConstrained() {
 		return nil
 	}
 	var borrowed []float64
-	if within {
+	if withinGuarantee {
 		borrowed = v.borrowed()
 	}
-	// Room where the job may not go is no room. (Seen on a simulated day: a service
-	// that lacked a place in one zone had others stopped in the other every 8 s.)
-	var may []*Machine
+	// Only machines that the job may use count. On a simulated day a service that lacked
+	// capacity in one zone preempted tasks in another zone every 8 s.
+	var machines []*Machine
 	for _, m := range v.Index.Machines(v.Partition) {
-		if m.lowestPriority <= j.Rank && !(within && m.lowestPriority >= protocol.High) && !v.mayRelocateFor(j, m) || m.stoppingTasks > 0 {
-			continue // nobody there may be stopped for it
+		if m.lowestPriority <= j.Rank && !(withinGuarantee && m.lowestPriority >= protocol.High) && !v.mayRelocateFor(j, m) || m.stoppingTasks > 0 {
+			continue // no task on it may be stopped for the job
 		}
-		if j.zoneCapacity(m.Zone) <= 0 || !Allowed(j.Spec, m.offer()) || !v.usable(m) || m.EarmarkExcludes(j, v.Now) || cached && !m.HasImage(j.Spec.Image) || where != AnyMachine && v.idledGPUs(j, m.Type) > 0 {
+		if j.zoneCapacity(m.Zone) <= 0 || !Allowed(j.Spec, m.offer()) || !v.usable(m) || m.EarmarkExcludes(j, v.Now) || withImage && !m.HasImage(j.Spec.Image) || scope != AnyMachine && v.idledGPUs(j, m.Type) > 0 {
 			continue
 		}
-		may = append(may, m)
+		machines = append(machines, m)
 	}
-	if j.Need.GPUs > 0 { // who can be placed elsewhere is asked where that is the least first
-		slices.SortStableFunc(may, func(a, b *Machine) int { return a.cpuOnlyTasks - b.cpuOnlyTasks })
+	if j.Need.GPUs > 0 { // machines with the fewest tasks to relocate come first
+		slices.SortStableFunc(machines, func(a, b *Machine) int { return a.cpuOnlyTasks - b.cpuOnlyTasks })
 	}
-	var choices []*Eviction
-	places := v.newRelocationPlan(v.Partition)
-	for _, m := range may {
-		if c := v.evictionOn(m, j, min(r, j.zoneCapacity(m.Zone)), within, cached, borrowed, places); c != nil {
-			choices = append(choices, c)
+	var evictions []*Eviction
+	relocations := v.newRelocationPlan(v.Partition)
+	for _, m := range machines {
+		if eviction := v.evictionOn(m, j, min(tasks, j.zoneCapacity(m.Zone)), withinGuarantee, withImage, borrowed, relocations); eviction != nil {
+			evictions = append(evictions, eviction)
 		}
 	}
-	if len(choices) == 0 {
+	if len(evictions) == 0 {
 		if v.noVictimsAt == nil {
 			v.noVictimsAt = map[preemptionKey]uint64{}
 		}
 		v.noVictimsAt[key] = v.Index.version
 	}
-	slices.SortStableFunc(choices, func(a, b *Eviction) int {
-		// Of equals the fullest, so that machines with guests' work alone stay so.
+	slices.SortStableFunc(evictions, func(a, b *Eviction) int {
+		// Among equal machines the fullest come first, so that a machine that runs only
+		// tasks of unguaranteed teams continues to run only those.
 		return cmp.Or(cmp.Compare(v.idledGPUs(j, a.Machine.Type), v.idledGPUs(j, b.Machine.Type)), cmp.Compare(a.loss/float64(a.gain), b.loss/float64(b.gain)), cmp.Compare(b.Machine.Used.GPUs, a.Machine.Used.GPUs))
 	})
-	out := &Preemption{}
+	preemption := &Preemption{}
 	if j.Spec.Shape == protocol.Gang {
-		if choices, r, out.Earmarked = v.selectForGang(j, choices); choices == nil {
-			return out // stopping some would not start it
+		if evictions, tasks, preemption.Earmarked = v.selectForGang(j, evictions); evictions == nil {
+			return preemption // stopping some tasks would not start the gang
 		}
 	}
 	gained := map[string]int{}
-	for _, c := range choices {
-		if r <= 0 {
+	for _, eviction := range evictions {
+		if tasks <= 0 {
 			break
 		}
-		if gained[c.Machine.Zone] >= j.zoneCapacity(c.Machine.Zone) || !c.withinBorrowed(borrowed) {
+		if gained[eviction.Machine.Zone] >= j.zoneCapacity(eviction.Machine.Zone) || !eviction.withinBorrowed(borrowed) {
 			continue
 		}
-		gained[c.Machine.Zone] += c.gain
-		r -= c.gain
-		out.Evictions = append(out.Evictions, c)
-		for _, x := range c.Victims {
+		gained[eviction.Machine.Zone] += eviction.gain
+		tasks -= eviction.gain
+		preemption.Evictions = append(preemption.Evictions, eviction)
+		for _, victim := range eviction.Victims {
 			if borrowed != nil {
-				borrowed[x.Job.Team] -= x.Job.Need.GPUs
+				borrowed[victim.Job.Team] -= victim.Job.Need.GPUs
 			}
 		}
 	}
-	return out
+	return preemption
 }
 
-// selectForGang picks, for a gang, what to stop so that together with what is free all of it
-// fits, in one zone if it must be. What is free there is kept for it from jobs of no
-// higher priority while the others leave.
-func (v *View) selectForGang(j *Job, choices []*Eviction) (stop []*Eviction, r int, keep []*Machine) {
+// selectForGang chooses the evictions after which, together with the free capacity, all tasks of a
+// gang fit, in one zone if it must run in one. It returns them, the number of tasks that need
+// them, and the machines to earmark for the gang while the victims stop: those with free capacity
+// and those of the evictions. It returns no evictions if the gang would not fit.
+func (v *View) selectForGang(j *Job, evictions []*Eviction) (chosen []*Eviction, tasks int, earmarked []*Machine) {
 	zoneOf := func(m *Machine) string {
 		if j.Spec.OneZone {
 			return m.Zone
@@ -169,103 +174,104 @@
 	}
 	free := map[string][]*Machine{}
 	isFree := map[*Machine]bool{}
-	room := map[string]int{}
+	freeTasks := map[string]int{}
 	for _, m := range v.Index.Machines(v.Partition) {
 		if k := m.Free().TaskCount(j.Need); k > 0 && Allowed(j.Spec, m.offer()) && v.usable(m) && !m.EarmarkExcludes(j, v.Now) {
 			free[zoneOf(m)] = append(free[zoneOf(m)], m)
 			isFree[m] = true
-			room[zoneOf(m)] += k
+			freeTasks[zoneOf(m)] += k
 		}
 	}
 	byZone := map[string][]*Eviction{}
 	loss, gain := map[string]float64{}, map[string]int{}
-	for _, c := range choices { // cheapest first
-		z := zoneOf(c.Machine)
-		if isFree[c.Machine] || room[z]+gain[z] >= j.Tasks {
+	for _, eviction := range evictions { // sorted, the cheapest first
+		z := zoneOf(eviction.Machine)
+		if isFree[eviction.Machine] || freeTasks[z]+gain[z] >= j.Tasks {
 			continue
 		}
-		byZone[z] = append(byZone[z], c)
-		gain[z] += c.gain
-		loss[z] += c.loss
+		byZone[z] = append(byZone[z], eviction)
+		gain[z] += eviction.gain
+		loss[z] += eviction.loss
 	}
 	best, found := "", false
 	for z := range byZone {
-		if room[z]+gain[z] >= j.Tasks && (!found || loss[z] < loss[best] || loss[z] == loss[best] && z < best) {
+		if freeTasks[z]+gain[z] >= j.Tasks && (!found || loss[z] < loss[best] || loss[z] == loss[best] && z < best) {
 			best, found = z, true
 		}
 	}
 	if !found {
 		return nil, 0, nil
 	}
-	keep = free[best]
-	for _, c := range byZone[best] {
-		keep = append(keep, c.Machine)
+	earmarked = free[best]
+	for _, eviction := range byZone[best] {
+		earmarked = append(earmarked, eviction.Machine)
 	}
-	return byZone[best], j.Tasks - room[best], keep
+	return byZone[best], j.Tasks - freeTasks[best], earmarked
 }
 
-// evictionOn finds the cheapest tasks of m to stop so that up to r more tasks of j fit.
-func (v *View) evictionOn(m *Machine, j *Job, r int, within, cached bool, borrowed []float64, places *relocationPlan) *Eviction {
-	type cand struct {
+// evictionOn chooses the tasks of m with the least loss to stop so that up to the given number of
+// further tasks of j fit. It returns nil if no further task would fit.
+func (v *View) evictionOn(m *Machine, j *Job, tasks int, withinGuarantee, withImage bool, borrowed []float64, relocations *relocationPlan) *Eviction {
+	type rankedVictim struct {
 		Victim
 		loss float64
 	}
-	var cands []cand
-	shifts := v.mayRelocateFor(j, m)
-	for _, h := range m.Assignments {
-		x := h.Job
-		if !h.Active || h.coscheduled() {
+	var victims []rankedVictim
+	mayRelocate := v.mayRelocateFor(j, m)
+	for _, task := range m.Assignments {
+		job := task.Job
+		if !task.Active || task.coscheduled() {
 			continue
 		}
-		lends := within && x.Team != j.Team && x.Rank >= protocol.High && borrowed[x.Team] >= x.Need.GPUs-Tolerance && x.Need.GPUs > 0
-		if x.Rank <= j.Rank && !lends {
-			if shifts && x.Need.GPUs == 0 {
-				cands = append(cands, cand{Victim{Job: x, Task: h.Task, relocates: true}, relocationLoss})
+		overGuarantee := withinGuarantee && job.Team != j.Team && job.Rank >= protocol.High && borrowed[job.Team] >= job.Need.GPUs-Tolerance && job.Need.GPUs > 0
+		if job.Rank <= j.Rank && !overGuarantee {
+			if mayRelocate && job.Need.GPUs == 0 {
+				victims = append(victims, rankedVictim{Victim{Job: job, Task: task.Task, relocates: true}, relocationLoss})
 			}
 			continue
 		}
-		loss := x.preemptionLoss(h.Since, v.Now)
-		if lends && x.Rank <= j.Rank && x.Spec.CheckpointS == 0 && loss > x.Spec.EstimateS/3 {
-			continue // it gives its place back soon by itself
+		loss := job.preemptionLoss(task.Since, v.Now)
+		if overGuarantee && job.Rank <= j.Rank && job.Spec.CheckpointS == 0 && loss > job.Spec.EstimateS/3 {
+			continue // the task has run for more than a third of its estimate: better wait for its end
 		}
-		if v.Config.preemptionMissesObjective(x, h.Since, v.Now) {
-			if cached {
-				continue // a late fetch is not worse than a late job
+		if v.Config.preemptionMissesObjective(job, task.Since, v.Now) {
+			if withImage {
+				continue // avoiding a slow fetch does not justify a missed objective
 			}
 			loss += missedObjectiveLoss
 		}
-		cands = append(cands, cand{Victim{Job: x, Task: h.Task, overGuarantee: x.Rank <= j.Rank}, loss})
+		victims = append(victims, rankedVictim{Victim{Job: job, Task: task.Task, overGuarantee: job.Rank <= j.Rank}, loss})
 	}
-	slices.SortFunc(cands, func(a, b cand) int {
+	slices.SortFunc(victims, func(a, b rankedVictim) int {
 		return cmp.Or(cmp.Compare(a.loss, b.loss), cmp.Compare(a.Job.ID, b.Job.ID), cmp.Compare(a.Task, b.Task))
 	})
-	c := &Eviction{Machine: m, loss: m.FetchSeconds(j.Spec)}
+	eviction := &Eviction{Machine: m, loss: m.FetchSeconds(j.Spec)}
 	free := m.Free()
 	before := free.TaskCount(j.Need)
-	taken := map[int]float64{}
-	begun := len(places.placements)
-	for _, x := range cands {
-		if free.TaskCount(j.Need)-before >= r {
+	takenByTeam := map[int]float64{}
+	checkpoint := len(relocations.placements)
+	for _, victim := range victims {
+		if free.TaskCount(j.Need)-before >= tasks {
 			break
 		}
-		if x.relocates {
-			fetchS, found := places.placeTask(x.Job, m)
+		if victim.relocates {
+			fetchS, found := relocations.placeTask(victim.Job, m)
 			if !found {
 				continue
 			}
-			x.loss += fetchS
+			victim.loss += fetchS
 		}
-		if taken[x.Job.Team] += x.Job.Need.GPUs; x.overGuarantee && taken[x.Job.Team] > borrowed[x.Job.Team]+Tolerance {
+		if takenByTeam[victim.Job.Team] += victim.Job.Need.GPUs; victim.overGuarantee && takenByTeam[victim.Job.Team] > borrowed[victim.Job.Team]+Tolerance {
 			continue
 		}
-		free = free.Add(x.Job.Need, 1)
-		c.Victims = append(c.Victims, x.Victim)
-		c.loss += x.loss
+		free = free.Add(victim.Job.Need, 1)
+		eviction.Victims = append(eviction.Victims, victim.Victim)
+		eviction.loss += victim.loss
 	}
-	c.gain = min(r, free.TaskCount(j.Need)-before)
-	if c.gain <= 0 || len(c.Victims) == 0 {
-		places.rollBack(begun)
+	eviction.gain = min(tasks, free.TaskCount(j.Need)-before)
+	if eviction.gain <= 0 || len(eviction.Victims) == 0 {
+		relocations.rollBack(checkpoint)
 		return nil
 	}
-	return c
+	return eviction
 }
--- a/internal/coordination/decide/shift.go
+++ b/internal/coordination/decide/shift.go
@@ -1,174 +1,179 @@
 package decide
 
-// Work that needs no GPU may be on a machine with GPUs because there was no other place
-// when it came, and services stay for as long as their users want them. When work waits
-// that needs the GPUs, such tasks are stopped there to run elsewhere at once: their
-// machine is drained of them, as PROTOCOL allows for moving replicas, whatever their
-// urgency. (On a simulated day with 40 machines one replica of one CPU kept each of the two
-// machines that gangs fit on, for ten minutes, and no gang ever ran.)
-
-// relocationLoss is how many seconds of a task are lost when it is stopped to run elsewhere,
-// beside what it has to fetch there.
+// Relocation. Tasks that need no GPU may run on a machine with GPUs because nothing else was free
+// when they were placed, and services run for as long as their users want them. When a job waits
+// that needs the GPUs, such tasks are stopped to run elsewhere at once, whatever their priority:
+// the machine is drained of them, which PROTOCOL allows for moving replicas. Without that, on a
+// simulated day with 40 machines, one replica of one CPU on each of the two machines that gangs
+// fit on kept all gangs from running for ten minutes.
+
+// relocationLoss is how many seconds of a task are lost when it is relocated, in addition to the
+// image fetch.
 const relocationLoss = 2
 
-// mayRelocateFor says whether tasks of a machine may be shifted for a job: they need none of
-// the GPUs there that it wants.
+// mayRelocateFor reports whether tasks of a machine may be relocated for a job: the job needs GPUs,
+// jobs need GPUs of the machine's type, and some tasks on the machine need none.
 func (v *View) mayRelocateFor(j *Job, m *Machine) bool {
 	return j.Need.GPUs > 0 && m.cpuOnlyTasks > 0 && (v.GPUTypesInDemand == nil || v.GPUTypesInDemand[m.Type])
 }
 
-// maxRelocationFetch is how many seconds a task may have to fetch its image when it is stopped to
-// run elsewhere: for so long nobody runs it.
+// maxRelocationFetch is the longest image fetch, in seconds, that a relocated task may need. The
+// task does not run meanwhile.
 const maxRelocationFetch = 10
 
-// relocationPlan are places on a share's machines that tasks are imagined to be shifted to.
+// relocationPlan is a plan of relocating tasks to machines of one partition.
 type relocationPlan struct {
 	view        View
 	placements  []relocation
-	needOn      map[*Machine]Resources // what the tasks in taken need, by machine
-	noPlace     map[relocationKey]bool // what found no place
-	preemptible map[*Machine][4]Resources
+	needOn      map[*Machine]Resources    // resources of the tasks in placements, by machine
+	noPlace     map[relocationKey]bool    // keys for which no place was found
+	preemptible map[*Machine][4]Resources // cached results of Machine.preemptibleByRank
 }
 
+// relocation is the new place of a task.
 type relocation struct {
 	to   *Machine
 	need Resources
 }
 
+// relocationKey identifies tasks that can be relocated to the same machines.
 type relocationKey struct {
 	placementKey
 	zone, image string
 }
 
-func (v *View) newRelocationPlan(share int) *relocationPlan {
-	e := &relocationPlan{view: *v, needOn: map[*Machine]Resources{}, noPlace: map[relocationKey]bool{}}
-	e.view.Partition, e.view.noCapacityAt, e.view.noVictimsAt = share, nil, nil
-	return e
+// newRelocationPlan returns an empty plan for a partition.
+func (v *View) newRelocationPlan(partition int) *relocationPlan {
+	plan := &relocationPlan{view: *v, needOn: map[*Machine]Resources{}, noPlace: map[relocationKey]bool{}}
+	plan.view.Partition, plan.view.noCapacityAt, plan.view.noVictimsAt = partition, nil, nil
+	return plan
 }
 
-// placeTask finds a place for a task of a machine, in the same zone and where it keeps GPUs from
-// nobody: one where its image is, so that it runs again within a moment, or else one where it
-// is there soon. Of both, places that are free come before those where less urgent work would
-// be stopped for it. It returns how long the fetch takes.
-func (e *relocationPlan) placeTask(j *Job, from *Machine) (fetchS float64, found bool) {
+// placeTask finds a place for a task of machine from, in the same zone and where it idles no GPUs.
+// Machines that have the image come first, so that the task runs again at once, then those that
+// fetch it within maxRelocationFetch. In both cases free capacity comes before capacity for which
+// tasks of lower priority would be preempted. It returns the seconds that the fetch takes.
+func (p *relocationPlan) placeTask(j *Job, from *Machine) (fetchS float64, found bool) {
 	key := relocationKey{placementKeyOf(j), from.Zone, j.Spec.Image}
-	if e.noPlace[key] {
+	if p.noPlace[key] {
 		return 0, false
 	}
 	var groups []*machineGroup
-	for _, g := range e.view.Index.partitions[e.view.Partition].groups {
-		if g.tree.Len() > 0 && g.offer.Zone == from.Zone && Allowed(j.Spec, g.offer) && e.view.idledGPUs(j, g.offer.Type) == 0 {
+	for _, g := range p.view.Index.partitions[p.view.Partition].groups {
+		if g.tree.Len() > 0 && g.offer.Zone == from.Zone && Allowed(j.Spec, g.offer) && p.view.idledGPUs(j, g.offer.Type) == 0 {
 			groups = append(groups, g)
 		}
 	}
-	free := e.view.cheapest(j, groups, len(e.placements)+1)
-	for _, atMost := range []float64{0, maxRelocationFetch} {
-		if m := e.placeOnFree(j, free, atMost); m != nil {
+	free := p.view.cheapest(j, groups, len(p.placements)+1)
+	for _, maxFetch := range []float64{0, maxRelocationFetch} {
+		if m := p.placeOnFree(j, free, maxFetch); m != nil {
 			return m.FetchSeconds(j.Spec), true
 		}
-		if m := e.placeByPreempting(j, from.Zone, atMost); m != nil {
+		if m := p.placeByPreempting(j, from.Zone, maxFetch); m != nil {
 			return m.FetchSeconds(j.Spec), true
 		}
 	}
-	e.noPlace[key] = true
+	p.noPlace[key] = true
 	return 0, false
 }
 
-// placeOnFree takes a free place with a fetch of at most so many seconds, if there is one.
-func (e *relocationPlan) placeOnFree(j *Job, free []candidate, atMost float64) *Machine {
+// placeOnFree places a task on free capacity with a fetch of at most maxFetch seconds. It returns
+// the machine, or nil.
+func (p *relocationPlan) placeOnFree(j *Job, free []candidate, maxFetch float64) *Machine {
 	for _, c := range free {
-		if c.cost > atMost {
-			return nil // they come by cost
+		if c.cost > maxFetch {
+			return nil // sorted by cost
 		}
-		if e.tryPlace(j, c.m, c.m.Free()) {
+		if p.tryPlace(j, c.m, c.m.Free()) {
 			return c.m
 		}
 	}
 	return nil
 }
 
-// placeByPreempting takes a place in a zone where less urgent work would be stopped, with a fetch
-// of at most so many seconds, if there is one.
-func (e *relocationPlan) placeByPreempting(j *Job, zone string, atMost float64) *Machine {
-	for _, m := range e.view.Index.Machines(e.view.Partition) {
-		if m.lowestPriority > j.Rank && m.stoppingTasks == 0 && m.Zone == zone && m.FetchSeconds(j.Spec) <= atMost && e.view.idledGPUs(j, m.Type) == 0 && Allowed(j.Spec, m.offer()) && e.view.usable(m) &&
-			e.tryPlace(j, m, m.Free().Add(e.preemptibleOn(m)[j.Rank], 1)) {
+// placeByPreempting places a task on a machine of a zone on which tasks of lower priority would be
+// preempted for it, with a fetch of at most maxFetch seconds. It returns the machine, or nil.
+func (p *relocationPlan) placeByPreempting(j *Job, zone string, maxFetch float64) *Machine {
+	for _, m := range p.view.Index.Machines(p.view.Partition) {
+		if m.lowestPriority > j.Rank && m.stoppingTasks == 0 && m.Zone == zone && m.FetchSeconds(j.Spec) <= maxFetch && p.view.idledGPUs(j, m.Type) == 0 && Allowed(j.Spec, m.offer()) && p.view.usable(m) &&
+			p.tryPlace(j, m, m.Free().Add(p.preemptibleOn(m)[j.Rank], 1)) {
 			return m
 		}
 	}
 	return nil
 }
 
-// tryPlace takes a place on a machine that would have so much free, if it has one left.
-func (e *relocationPlan) tryPlace(j *Job, m *Machine, free Resources) bool {
-	if free.Add(e.needOn[m], -1).TaskCount(j.Need) == 0 {
+// tryPlace places a task on a machine with the given free resources, if it fits beside the tasks
+// that the plan has placed there.
+func (p *relocationPlan) tryPlace(j *Job, m *Machine, free Resources) bool {
+	if free.Add(p.needOn[m], -1).TaskCount(j.Need) == 0 {
 		return false
 	}
-	e.needOn[m] = e.needOn[m].Add(j.Need, 1)
-	e.placements = append(e.placements, relocation{m, j.Need})
+	p.needOn[m] = p.needOn[m].Add(j.Need, 1)
+	p.placements = append(p.placements, relocation{m, j.Need})
 	return true
 }
 
-// preemptibleOn is, by rank, what less urgent tasks take on a machine that could be stopped.
-func (e *relocationPlan) preemptibleOn(m *Machine) [4]Resources {
-	if e.preemptible == nil {
-		e.preemptible = map[*Machine][4]Resources{}
+// preemptibleOn returns preemptibleByRank of a machine and caches it.
+func (p *relocationPlan) preemptibleOn(m *Machine) [4]Resources {
+	if p.preemptible == nil {
+		p.preemptible = map[*Machine][4]Resources{}
 	}
-	lower, known := e.preemptible[m]
+	amounts, known := p.preemptible[m]
 	if !known {
-		lower = m.preemptibleByRank()
-		e.preemptible[m] = lower
+		amounts = m.preemptibleByRank()
+		p.preemptible[m] = amounts
 	}
-	return lower
+	return amounts
 }
 
-// preemptibleByRank is, by rank, what tasks of a machine take that are less urgent and could be
-// stopped.
-func (m *Machine) preemptibleByRank() (lower [4]Resources) {
-	for _, h := range m.Assignments {
-		if h.Active && !h.coscheduled() {
-			for rank := range h.Job.Rank {
-				lower[rank] = lower[rank].Add(h.Job.Need, 1)
+// preemptibleByRank returns, for each rank, the resources of the machine's tasks that a job of this
+// rank could preempt because of their lower priority.
+func (m *Machine) preemptibleByRank() (amounts [4]Resources) {
+	for _, task := range m.Assignments {
+		if task.Active && !task.coscheduled() {
+			for rank := range task.Job.Rank {
+				amounts[rank] = amounts[rank].Add(task.Job.Need, 1)
 			}
 		}
 	}
-	return lower
+	return amounts
 }
 
-// rollBack forgets what was taken after the first so many.
-func (e *relocationPlan) rollBack(first int) {
-	if len(e.placements) == first {
+// rollBack removes all placements beyond the first checkpoint ones.
+func (p *relocationPlan) rollBack(checkpoint int) {
+	if len(p.placements) == checkpoint {
 		return
 	}
-	for _, t := range e.placements[first:] {
-		e.needOn[t.to] = e.needOn[t.to].Add(t.need, -1)
+	for _, placement := range p.placements[checkpoint:] {
+		p.needOn[placement.to] = p.needOn[placement.to].Add(placement.need, -1)
 	}
-	e.placements = e.placements[:first]
-	clear(e.noPlace)
+	p.placements = p.placements[:checkpoint]
+	clear(p.noPlace)
 }
 
-// placeAll finds places for all tasks of a machine that are as urgent as a rank or more, and
-// says whether there are any.
-func (e *relocationPlan) placeAll(m *Machine, rank int) bool {
-	begun := len(e.placements)
-	for _, h := range m.Assignments {
-		if h.Stopping || h.Job.Rank > rank && h.Active && !h.coscheduled() {
+// placeAll finds places for all tasks of a machine that a job of a rank cannot preempt. It reports
+// whether it found places for all of them; otherwise it takes none.
+func (p *relocationPlan) placeAll(m *Machine, rank int) bool {
+	checkpoint := len(p.placements)
+	for _, task := range m.Assignments {
+		if task.Stopping || task.Job.Rank > rank && task.Active && !task.coscheduled() {
 			continue
 		}
-		if !h.Active || h.Job.Need.GPUs > 0 {
-			e.rollBack(begun)
+		if !task.Active || task.Job.Need.GPUs > 0 {
+			p.rollBack(checkpoint)
 			return false
 		}
-		if _, found := e.placeTask(h.Job, m); !found {
-			e.rollBack(begun)
+		if _, found := p.placeTask(task.Job, m); !found {
+			p.rollBack(checkpoint)
 			return false
 		}
 	}
 	return true
 }
 
-// CanRelocate says whether all tasks of a machine that are as urgent as a rank or more could
-// run elsewhere in its share, for a job that needs its GPUs.
+// CanRelocate reports whether all tasks of a machine that a job of a rank cannot preempt could be
+// relocated within the partition, for a job that needs the machine's GPUs.
 func (v *View) CanRelocate(m *Machine, rank int) bool {
 	return m.cpuOnlyTasks > 0 && (v.GPUTypesInDemand == nil || v.GPUTypesInDemand[m.Type]) && v.newRelocationPlan(m.Partition).placeAll(m, rank)
 }
