--- a/internal/coordination/decide/agree_test.go
+++ b/internal/coordination/decide/agree_test.go
@@ -13,38 +13,38 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// The indexed decision chooses the same machines, in the same order, as one that walks
-// and sorts the fleet, job after job as each takes its places.
-func TestPlacingsAgreeWithAWalk(t *testing.T) {
+// Place chooses the same machines, in the same order, as the reference implementation, which scans
+// and sorts all machines, for several jobs in a row with the index updated between them.
+func TestPlaceMatchesReferenceScan(t *testing.T) {
 	now := time.Date(2026, 3, 1, 0, 0, 0, 0, time.UTC)
 	typ := &protocol.MachineType{Name: "g4", CPUs: 24, GPUs: 4, MemoryGB: 192, FetchGBPerS: 0.5}
 	rapid.Check(t, func(t *rapid.T) {
-		x := decide.NewIndex(1, 1)
-		kept := &decide.Job{ID: "job-kept", Rank: protocol.High, Waiting: 1}
+		index := decide.NewIndex(1, 1)
+		earmarkedGang := &decide.Job{ID: "job-kept", Rank: protocol.High, Waiting: 1}
 		for i := range rapid.IntRange(0, 60).Draw(t, "machines") {
 			used := float64(rapid.IntRange(0, 4).Draw(t, "used"))
-			f := decide.Machine{Name: fmt.Sprintf("m%02d", i), Type: "g4", Zone: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot"),
+			facts := decide.Machine{Name: fmt.Sprintf("m%02d", i), Type: "g4", Zone: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot"),
 				HasType: true, Size: decide.SizeOf(typ), Used: decide.Resources{CPUs: 4 * used, GPUs: used, MemoryGB: 20 * used}, LastReport: now,
 				SecPerGB: rapid.SampledFrom([]float64{2, 2, 2, 3, 4}).Draw(t, "cost")}
-			// Some images are everywhere, some nearly nowhere: both ways of finding them.
-			for k, most := range []int{1, 2, 12, 20} {
-				if rapid.IntRange(0, most).Draw(t, "image") == 0 {
-					f.Images = append(f.Images, fmt.Sprint("i", k))
+			// Some images are on most machines, some on hardly any, to test both ways of finding them.
+			for k, rarity := range []int{1, 2, 12, 20} {
+				if rapid.IntRange(0, rarity).Draw(t, "image") == 0 {
+					facts.Images = append(facts.Images, fmt.Sprint("i", k))
 				}
 			}
 			switch rapid.IntRange(0, 12).Draw(t, "state") {
 			case 0:
-				f.Block = decide.Cordoned
+				facts.Block = decide.Cordoned
 			case 1:
-				f.LastReport = now.Add(-time.Minute)
+				facts.LastReport = now.Add(-time.Minute)
 			case 2:
-				f.AvoidUntil = now.Add(time.Second)
+				facts.AvoidUntil = now.Add(time.Second)
 			case 3:
-				f.EarmarkedFor, f.EarmarkedUntil = kept, now.Add(time.Second)
+				facts.EarmarkedFor, facts.EarmarkedUntil = earmarkedGang, now.Add(time.Second)
 			}
-			x.Set(&decide.Machine{}, &f)
+			index.Set(&decide.Machine{}, &facts)
 		}
-		v := &decide.View{Now: now, Index: x, Types: map[string]*protocol.MachineType{"g4": typ}, Config: decide.Config{ReportS: 2}, Teams: []*decide.Team{{Name: "red", Limit: decide.Resources{GPUs: 150}}}}
+		v := &decide.View{Now: now, Index: index, Types: map[string]*protocol.MachineType{"g4": typ}, Config: decide.Config{ReportS: 2}, Teams: []*decide.Team{{Name: "red", Limit: decide.Resources{GPUs: 150}}}}
 		for i := range rapid.IntRange(1, 12).Draw(t, "jobs") {
 			n := rapid.IntRange(1, 12).Draw(t, "tasks")
 			spec := &protocol.JobSpec{ID: fmt.Sprint("job-", i), Shape: protocol.Array, Priority: "standard", Tasks: n, CPUs: 4, GPUs: 1, MemoryGB: 20,
@@ -65,19 +65,20 @@
 			want := decidetest.Slots(v, j, false)
 			got := v.Place(j).Machines
 			if !slices.Equal(got, want) {
-				t.Fatalf("job %d: %v, a walk takes %v", i, show(got), show(want))
+				t.Fatalf("job %d: placed on %v, reference implementation %v", i, machineNames(got), machineNames(want))
 			}
 			v.Teams[0].Used = v.Teams[0].Used.Add(j.Need, float64(len(got)))
 			for _, m := range got {
-				f := *m
-				f.Used = f.Used.Add(j.Need, 1)
-				x.Set(m, &f)
+				facts := *m
+				facts.Used = facts.Used.Add(j.Need, 1)
+				index.Set(m, &facts)
 			}
 		}
 	})
 }
 
-func show(ms []*decide.Machine) (out []string) {
+// machineNames returns the names of machines.
+func machineNames(ms []*decide.Machine) (out []string) {
 	for _, m := range ms {
 		out = append(out, m.Name)
 	}
--- a/internal/coordination/decide/decidetest/plain.go
+++ b/internal/coordination/decide/decidetest/plain.go
@@ -1,6 +1,5 @@
-// Package decidetest has the ordinary path of the decisions written a second time, as
-// plainly as it can be: a walk over all machines and one sort. Tests hold the indexed
-// one to it.
+// Package decidetest is a reference implementation of placement without preemption: a scan of
+// all machines and one sort. Tests compare package decide, which uses an index, with it.
 package decidetest
 
 import (
@@ -11,19 +10,21 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
+// slot is capacity for one task on a machine, with what slots are ordered by.
 type slot struct {
-	m                  *decide.Machine
-	idles, cost, order float64
+	m                      *decide.Machine
+	idledGPUs, cost, order float64
 }
 
-// Slots are the machines that a job's next r tasks would be placed on, one for each,
-// before anybody is stopped for it; nil if there are not enough for a gang.
-func Slots(v *decide.View, j *decide.Job, fragile bool) []*decide.Machine {
+// Slots returns the machines on which a job's startable tasks would be placed without preemption,
+// one for each task. It returns nil if there are not enough for a gang. avoidSpot reports whether
+// the job should avoid spot machines (Config.RestartMissesObjective).
+func Slots(v *decide.View, j *decide.Job, avoidSpot bool) []*decide.Machine {
 	r := min(v.Startable(j), decide.MaxPlacements)
 	if r == 0 {
 		return nil
 	}
-	zoneRoom := func(zone string) int {
+	zoneCapacity := func(zone string) int {
 		switch {
 		case j.Spec.OneZone && len(j.Zones) > 0 && j.Zones[zone] == 0:
 			return 0
@@ -34,41 +35,41 @@
 	}
 	var slots []slot
 	for _, m := range v.Index.Machines(v.Partition) {
-		if !m.HasCapacity() || !m.Usable(v.Now, v.Config.ReportS) || m.EarmarkExcludes(j, v.Now) || zoneRoom(m.Zone) <= 0 ||
+		if !m.HasCapacity() || !m.Usable(v.Now, v.Config.ReportS) || m.EarmarkExcludes(j, v.Now) || zoneCapacity(m.Zone) <= 0 ||
 			!decide.Allowed(j.Spec, decide.Offer{Type: m.Type, Zone: m.Zone, Spot: m.Spot}) {
 			continue
 		}
 		s := slot{m: m, cost: m.FetchSeconds(j.Spec)}
-		if j.Spec.Spot && m.Spot == fragile {
+		if j.Spec.Spot && m.Spot == avoidSpot {
 			s.order += 10
 		}
-		full := 0.0
+		fullness := 0.0
 		if m.HasType && m.Size.GPUs > 0 {
-			full = m.Used.GPUs / m.Size.GPUs
+			fullness = m.Used.GPUs / m.Size.GPUs
 		}
 		if m.HasType && m.Size.CPUs > 0 {
-			full = max(full, m.Used.CPUs/m.Size.CPUs)
+			fullness = max(fullness, m.Used.CPUs/m.Size.CPUs)
 		}
-		s.order -= full
+		s.order -= fullness
 		if j.Need.GPUs == 0 && (v.GPUTypesInDemand == nil || v.GPUTypesInDemand[m.Type]) {
-			s.idles = m.Size.GPUs
+			s.idledGPUs = m.Size.GPUs
 		}
 		for range m.Free().TaskCount(j.Need) {
 			slots = append(slots, s)
 		}
 	}
-	slices.SortStableFunc(slots, func(a, b slot) int { // machines come by name
-		return cmp.Or(cmp.Compare(a.idles, b.idles), cmp.Compare(a.cost, b.cost), cmp.Compare(a.order, b.order))
+	slices.SortStableFunc(slots, func(a, b slot) int { // stable: machines are sorted by name
+		return cmp.Or(cmp.Compare(a.idledGPUs, b.idledGPUs), cmp.Compare(a.cost, b.cost), cmp.Compare(a.order, b.order))
 	})
-	slots = leastIdle(slots, r, j.Spec.OneZone || j.Spec.Spread)
+	slots = leastIdledGPUs(slots, r, j.Spec.OneZone || j.Spec.Spread)
 	if j.Spec.OneZone {
 		slots = bestZone(v, slots, r)
 	}
-	// limit keeps the first most slots that their zones have room for.
-	limit := func(in []slot, most int) (out []slot) {
+	// limit returns the first maxSlots slots that their zones have capacity for.
+	limit := func(in []slot, maxSlots int) (out []slot) {
 		used := map[string]int{}
 		for _, s := range in {
-			if len(out) < most && (!j.Spec.Spread || used[s.m.Zone] < zoneRoom(s.m.Zone)) {
+			if len(out) < maxSlots && (!j.Spec.Spread || used[s.m.Zone] < zoneCapacity(s.m.Zone)) {
 				used[s.m.Zone]++
 				out = append(out, s)
 			}
@@ -94,32 +95,34 @@
 	return out
 }
 
-// leastIdle drops slots on which GPUs would idle where others suffice, by zone for a job
-// that is bound to zones.
-func leastIdle(slots []slot, r int, byZone bool) (out []slot) {
-	have := map[string]map[float64]int{} // by zone and level
+// leastIdledGPUs drops the slots that would idle GPUs although r slots with fewer idled GPUs exist,
+// by zone for a zone-constrained job.
+func leastIdledGPUs(slots []slot, r int, byZone bool) (out []slot) {
+	count := map[string]map[float64]int{} // by zone and number of idled GPUs
 	for _, s := range slots {
 		zone := ""
 		if byZone {
 			zone = s.m.Zone
 		}
-		if have[zone] == nil {
-			have[zone] = map[float64]int{}
+		if count[zone] == nil {
+			count[zone] = map[float64]int{}
 		}
-		before, first := 0, true
-		for level, n := range have[zone] {
-			if level < s.idles {
-				before, first = before+n, false
+		lower, lowest := 0, true
+		for level, n := range count[zone] {
+			if level < s.idledGPUs {
+				lower, lowest = lower+n, false
 			}
 		}
-		if first || before+have[zone][s.idles] < r {
-			have[zone][s.idles]++
+		if lowest || lower+count[zone][s.idledGPUs] < r {
+			count[zone][s.idledGPUs]++
 			out = append(out, s)
 		}
 	}
 	return out
 }
 
+// bestZone returns the slots of one zone: the one with r slots of the least total cost, or the one
+// with the most slots; among equal zones the one with the first machine by name.
 func bestZone(v *decide.View, slots []slot, r int) []slot {
 	first := map[string]string{} // the first machine by name with a slot
 	byZone := map[string][]slot{}
@@ -130,12 +133,12 @@
 			first[z] = s.m.Name
 		}
 	}
-	score := func(s []slot) float64 {
-		c := 0.0
-		for _, x := range s[:min(r, len(s))] {
-			c += x.cost
+	score := func(zoneSlots []slot) float64 {
+		total := 0.0
+		for _, slot := range zoneSlots[:min(r, len(zoneSlots))] {
+			total += slot.cost
 		}
-		return c - 1e6*float64(min(r, len(s)))
+		return total - 1e6*float64(min(r, len(zoneSlots)))
 	}
 	best := ""
 	for z := range byZone {
--- a/internal/coordination/decide/explain_test.go
+++ b/internal/coordination/decide/explain_test.go
@@ -13,6 +13,7 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
+// reasonsOf joins the names of the causes' reasons.
 func reasonsOf(cs []Cause) string {
 	var out []string
 	for _, c := range cs {
@@ -21,9 +22,9 @@
 	return strings.Join(out, " ")
 }
 
-// Each cause there is, and several at once: all are named, the one that binds first
-// first, with what would release the job; and the decision confirms it.
-func TestCauses(t *testing.T) {
+// Explain lists all causes that apply, alone and in combination, in the order in which they take
+// effect, and ChangesToStart returns the changes that let the job start.
+func TestExplainListsAllCauses(t *testing.T) {
 	full := func(name string) *Machine {
 		m := g4Machine(name, "a", 4)
 		for k := range 4 {
@@ -36,15 +37,15 @@
 		m.Block = b
 		return m
 	}
-	kept := g4Machine("m1", "a", 0)
-	kept.EarmarkedFor, kept.EarmarkedUntil = gpuJob("job-g", 3, true), testNow.Add(time.Minute)
-	kept.EarmarkedFor.Rank = protocol.High
-	silent := g4Machine("m1", "a", 0)
-	silent.LastReport = testNow.Add(-time.Minute)
+	earmarked := g4Machine("m1", "a", 0)
+	earmarked.EarmarkedFor, earmarked.EarmarkedUntil = gpuJob("job-g", 3, true), testNow.Add(time.Minute)
+	earmarked.EarmarkedFor.Rank = protocol.High
+	overdue := g4Machine("m1", "a", 0)
+	overdue.LastReport = testNow.Add(-time.Minute)
 	booting := g4Machine("m1", "a", 0)
 	booting.LastReport, booting.HasAddress = time.Time{}, false
-	unheard := g4Machine("m1", "a", 0) // it was up, and its share was just taken
-	unheard.LastReport = time.Time{}
+	unreported := g4Machine("m1", "a", 0) // it has been up, and its partition has a new owner
+	unreported.LastReport = time.Time{}
 	avoided := g4Machine("m1", "a", 0)
 	avoided.AvoidUntil = testNow.Add(time.Second)
 	for _, c := range []struct {
@@ -54,16 +55,16 @@
 		around  ExplainContext
 		view    func(v *View)
 		want    string
-		release string
+		changes string
 	}{
 		{"full", []*Machine{full("m1"), full("m2")}, nil, ExplainContext{}, nil, "no_free_machine", "1 tasks end on any 1 of m1, m2"},
 		{"drained", []*Machine{blocked("m1", Cordoned), blocked("m2", InterruptionNotice)}, nil, ExplainContext{}, nil, "drained", "the drain ends of any 1 of m1, m2"},
 		{"limit", []*Machine{g4Machine("m1", "a", 0)}, nil, ExplainContext{}, func(v *View) { v.Teams[0].Limit.GPUs, v.Teams[0].Used.GPUs = 8, 8 }, "team_limit", "1 more cards of the team's limit"},
 		{"limit and full", []*Machine{full("m1")}, nil, ExplainContext{}, func(v *View) { v.Teams[0].Limit.GPUs, v.Teams[0].Used.GPUs = 8, 8 }, "team_limit no_free_machine", "1 more cards of the team's limit; 1 tasks end on m1"},
-		{"kept", []*Machine{kept}, nil, ExplainContext{}, nil, "kept_for_gang", "no longer kept for a gang: m1"},
-		{"silent", []*Machine{silent}, nil, ExplainContext{}, nil, "silent", "heard again: m1"},
+		{"kept", []*Machine{earmarked}, nil, ExplainContext{}, nil, "kept_for_gang", "no longer kept for a gang: m1"},
+		{"silent", []*Machine{overdue}, nil, ExplainContext{}, nil, "silent", "heard again: m1"},
 		{"booting", []*Machine{booting}, nil, ExplainContext{}, nil, "booting", "ready: m1"},
-		{"unheard", []*Machine{unheard}, nil, ExplainContext{}, nil, "unheard", "ready: m1"},
+		{"unheard", []*Machine{unreported}, nil, ExplainContext{}, nil, "unheard", "ready: m1"},
 		{"avoided", []*Machine{avoided}, nil, ExplainContext{}, nil, "not_ready", "ready: m1"},
 		{"moving", []*Machine{blocked("m1", Moving)}, nil, ExplainContext{}, nil, "not_ready", "ready: m1"},
 		{"none", nil, nil, ExplainContext{}, nil, "no_capacity", "1 machines more of g4 in a"},
@@ -98,9 +99,9 @@
 		if got := reasonsOf(causes); got != c.want {
 			t.Errorf("%s: %s, want %s", c.name, got, c.want)
 		}
-		for _, x := range causes {
-			if x.String() == "" {
-				t.Errorf("%s: no words", c.name)
+		for _, cause := range causes {
+			if cause.String() == "" {
+				t.Errorf("%s: no text", c.name)
 			}
 		}
 		if c.want == "" {
@@ -108,27 +109,27 @@
 		}
 		changes, ok := v.ChangesToStart(j, &c.around)
 		var got []string
-		for _, x := range changes {
-			got = append(got, x.String())
+		for _, change := range changes {
+			got = append(got, change.String())
 		}
-		if strings.Join(got, "; ") != c.release || ok != (c.release != "") {
-			t.Errorf("%s: release %q (%v), want %q", c.name, got, ok, c.release)
+		if strings.Join(got, "; ") != c.changes || ok != (c.changes != "") {
+			t.Errorf("%s: changes %q (%v), want %q", c.name, got, ok, c.changes)
 		}
 	}
 }
 
-// A waiting job is never without an explanation, one that a decision would start has
-// none, and applying what is said to release it makes the decision start it: Release
-// itself asks the decision, here it is asked once more on machines changed by hand.
-func TestExplanationsAreTrue(t *testing.T) {
+// A waiting job has a cause if and only if Place would not start it, and Place starts it after the
+// changes that ChangesToStart returns. ChangesToStart confirms this itself on copies; the test
+// applies the changes to the real index and asks Place again.
+func TestChangesToStartLetPlaceStartTheJob(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v, ms := drawFleet(t)
 		for _, m := range ms {
-			f := *m
-			for k := 0; f.Used.GPUs > float64(k); k++ {
-				f.Assignments = append(f.Assignments, Assignment{Job: gpuJob("job-h", 4, true), Task: k, Active: true})
+			facts := *m
+			for k := 0; facts.Used.GPUs > float64(k); k++ {
+				facts.Assignments = append(facts.Assignments, Assignment{Job: gpuJob("job-h", 4, true), Task: k, Active: true})
 			}
-			v.Index.Set(m, &f)
+			v.Index.Set(m, &facts)
 		}
 		v.Teams[0].Limit.GPUs = float64(rapid.IntRange(5, 60).Draw(t, "limit"))
 		v.Teams[0].Used.GPUs = float64(rapid.IntRange(0, 60).Draw(t, "used"))
@@ -144,10 +145,10 @@
 		}
 		changes, ok := v.ChangesToStart(j, a)
 		if !ok {
-			return // said so: no single change was found
+			return // no sufficient change was found
 		}
 		if len(changes) == 0 {
-			t.Fatal("released by nothing")
+			t.Fatal("ChangesToStart returned no changes")
 		}
 		for _, c := range changes {
 			if c.Reason == TeamLimit {
@@ -160,10 +161,10 @@
 					continue
 				}
 				m := ms[slices.IndexFunc(ms, func(m *Machine) bool { return m.Name == c.Machines[i] })]
-				f := *m
-				f.Block, f.AvoidUntil, f.LastReport, f.EarmarkedFor = 0, time.Time{}, testNow, nil
-				f.Used = f.Used.Add(Resources{4, 1, 20}, -float64(c.Tasks))
-				v.Index.Set(m, &f)
+				facts := *m
+				facts.Block, facts.AvoidUntil, facts.LastReport, facts.EarmarkedFor = 0, time.Time{}, testNow, nil
+				facts.Used = facts.Used.Add(Resources{4, 1, 20}, -float64(c.Tasks))
+				v.Index.Set(m, &facts)
 			}
 		}
 		v.noCapacityAt, v.noVictimsAt = nil, nil
@@ -173,22 +174,23 @@
 	})
 }
 
-func TestKindsHaveNames(t *testing.T) {
+// Every reason has a text and a unique name, and is decoded from its name.
+func TestReasonsHaveNames(t *testing.T) {
 	seen := map[string]bool{}
 	for k := Reason(1); k < reasonCount; k++ {
 		if k.String() == "" || k.Text() == "" || seen[k.String()] {
-			t.Errorf("kind %d: %q %q", k, k.String(), k.Text())
+			t.Errorf("reason %d: %q %q", k, k.String(), k.Text())
 		}
 		seen[k.String()] = true
 		data, _ := json.Marshal(k)
 		var back Reason
 		if json.Unmarshal(data, &back) != nil || back != k {
-			t.Errorf("%s reads as %v", data, back)
+			t.Errorf("%s is decoded as %v", data, back)
 		}
 	}
 }
 
-// What an explanation costs when it is asked for, by size of the fleet.
+// BenchmarkExplain measures an explanation by fleet size.
 func BenchmarkExplain(b *testing.B) {
 	for _, size := range []int{48, 400, 1600, 16000} {
 		b.Run(fmt.Sprintf("machines=%d", size), func(b *testing.B) {
@@ -197,26 +199,26 @@
 			j.Need = Resources{5, 3, 36}
 			for b.Loop() {
 				if len(v.Explain(j, &ExplainContext{})) == 0 {
-					b.Fatal("nothing explained")
+					b.Fatal("Explain returned no causes")
 				}
 				if _, ok := v.ChangesToStart(j, &ExplainContext{}); !ok {
-					b.Fatal("nothing releases it")
+					b.Fatal("no sufficient change was found")
 				}
 			}
 		})
 	}
 }
 
-// A gang whose tasks must be in one zone, or can be in one only, and of which at most half may
-// be in one zone, never runs. It says so, and nobody is stopped, moved or rented for it; what
-// of other jobs can run with the same wishes does. (Such a gang had room made for it every
-// 8 s, and machines rented for half of it.)
-func TestAGangThatCanNeverRunAsksForNothing(t *testing.T) {
+// A gang that must be spread over zones but must run, or only fits, in one zone never runs. It must
+// be explained as such, and nothing may be preempted, moved or rented for it; other jobs with the
+// same constraints run. Such a gang once had tasks preempted for it every 8 s, and machines rented
+// for half of its tasks.
+func TestGangThatNeverFitsRequestsNothing(t *testing.T) {
 	low := cpuJob("job-low", protocol.Array, 24, protocol.Low)
 	for _, c := range []struct {
-		name  string
-		wish  func(s *protocol.JobSpec)
-		never bool
+		name      string
+		constrain func(s *protocol.JobSpec)
+		never     bool
 	}{
 		{"spread", func(s *protocol.JobSpec) {}, false},
 		{"and in one zone", func(s *protocol.JobSpec) { s.OneZone = true }, true},
@@ -225,21 +227,21 @@
 		{"of one task", func(s *protocol.JobSpec) { s.OneZone, s.Tasks = true, 1 }, false},
 		{"an array", func(s *protocol.JobSpec) { s.OneZone, s.Shape = true, protocol.Array }, false},
 	} {
-		away := machineOf(c24, "m9", 0)
-		v := viewOfPartitions([]*Machine{withTasks(machineOf(c24, "m1", 24), low, 24), withTasks(machineOf(c24, "m2", 24), low, 24)}, []*Machine{away})
+		elsewhere := machineOf(c24, "m9", 0)
+		v := viewOfPartitions([]*Machine{withTasks(machineOf(c24, "m1", 24), low, 24), withTasks(machineOf(c24, "m2", 24), low, 24)}, []*Machine{elsewhere})
 		v.Types["c1"] = &protocol.MachineType{Name: "c1", CPUs: 24, MemoryGB: 192, Price: 1, SpotPrice: 0.5, BootS: 30, Zones: []string{"a"}}
 		j := cpuJob("job-1", protocol.Gang, 2, protocol.High)
 		j.Spec.Spread = true
-		c.wish(j.Spec)
+		c.constrain(j.Spec)
 		j.Tasks, j.Waiting = j.Spec.Tasks, j.Spec.Tasks
-		r := v.Rent([]*Job{j}, nil, &Market{})
-		asks := v.Preempt(j, j.Tasks, AnyMachine).HasEvictions() || len(v.PlanMoves([][]*Job{{j}, nil}, make([][]*Job, 2), 9)) > 0 || len(r.ToRent) > 0
-		if asks == c.never || c.never != (v.Place(j).Reason == GangNeverFits) || c.never != (r.Reasons[0] == GangNeverFits) {
-			t.Errorf("%s: asks for something %v, waits for %v and %v", c.name, asks, v.Place(j).Reason, r.Reasons)
+		rental := v.Rent([]*Job{j}, nil, &Market{})
+		requests := v.Preempt(j, j.Tasks, AnyMachine).HasEvictions() || len(v.PlanMoves([][]*Job{{j}, nil}, make([][]*Job, 2), 9)) > 0 || len(rental.ToRent) > 0
+		if requests == c.never || c.never != (v.Place(j).Reason == GangNeverFits) || c.never != (rental.Reasons[0] == GangNeverFits) {
+			t.Errorf("%s: requests machines %v, waits for %v and %v", c.name, requests, v.Place(j).Reason, rental.Reasons)
 		}
 		causes := v.Explain(j, &ExplainContext{})
 		if _, ok := v.ChangesToStart(j, &ExplainContext{}); c.never && (ok || len(causes) == 0 || causes[0].Reason != GangNeverFits) {
-			t.Errorf("%s: told %v, and a change that would do: %v", c.name, causes, ok)
+			t.Errorf("%s: causes %v, sufficient change found: %v", c.name, causes, ok)
 		}
 	}
 }
--- a/internal/coordination/decide/policy_test.go
+++ b/internal/coordination/decide/policy_test.go
@@ -6,7 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// The window follows Theorem 4: x >= N/(2N+1) * mean(x), the arrival counted.
+// The window applies the threshold of Theorem 4, x >= N/(2N+1) * mean(x), where the means include
+// the arrival itself.
 func TestWindowThreshold(t *testing.T) {
 	w := NewWindow(3)
 	if !w.RecordArrival(1, 5) {
@@ -25,10 +26,10 @@
 	}
 }
 
-// A weak spot that the design names: many tiny images drag the mean down
-// until every job counts as heavy. This test shows it, and that the window
-// forgets it.
-func TestTinyImageSwarmMakesAllHeavy(t *testing.T) {
+// A known weakness of the rule: many arrivals with tiny images lower the mean
+// until every job counts as heavy. The effect ends once a window of other
+// arrivals has replaced them.
+func TestManyTinyImagesMakeAllJobsHeavy(t *testing.T) {
 	w := NewWindow(DefaultWindow)
 	for range DefaultWindow {
 		w.RecordArrival(10, 8)
@@ -40,16 +41,18 @@
 		w.RecordArrival(10, 0.01)
 	}
 	if !w.RecordArrival(10, 0.5) {
-		t.Fatal("after the swarm even 0.5 GB should count as heavy")
+		t.Fatal("after a window of tiny images 0.5 GB should count as heavy")
 	}
 	for range DefaultWindow {
 		w.RecordArrival(10, 8)
 	}
 	if w.RecordArrival(10, 2) {
-		t.Fatal("a window later the swarm should be forgotten")
+		t.Fatal("after another window the tiny images should have no effect")
 	}
 }
 
+// Pick returns the first r slots for a heavy job and the slots ranked r+1 to 2r for a light one, or
+// the last r if there are fewer than 2r.
 func TestPickRanks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		costs := rapid.SliceOfN(rapid.Float64Range(0, 10), 0, 30).Draw(t, "costs")
@@ -78,35 +81,36 @@
 	})
 }
 
-// With room per zone no zone takes more than it may, and no slot is wasted.
-func TestPickKeepsZoneRoom(t *testing.T) {
+// Pick places at most its capacity in each zone, and uses r slots if the zones have capacity for
+// them.
+func TestPickRespectsZoneCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := rapid.SliceOfN(rapid.IntRange(0, 2), 0, 30).Draw(t, "zones")
 		r := rapid.IntRange(1, 12).Draw(t, "r")
-		room := map[int]int{}
+		zoneCapacity := map[int]int{}
 		possible := 0
 		for z := range 3 {
-			room[z] = rapid.IntRange(-1, 6).Draw(t, "room")
+			zoneCapacity[z] = rapid.IntRange(-1, 6).Draw(t, "room")
 			n := 0
 			for _, y := range zones {
 				if y == z {
 					n++
 				}
 			}
-			possible += min(n, max(0, room[z]))
+			possible += min(n, max(0, zoneCapacity[z]))
 		}
 		var slots []Slot
 		for i, z := range zones {
 			slots = append(slots, Slot{Machine: i, Zone: z, Cost: float64(i)})
 		}
-		got := Pick(slots, r, rapid.Bool().Draw(t, "heavy"), room)
+		got := Pick(slots, r, rapid.Bool().Draw(t, "heavy"), zoneCapacity)
 		used := map[int]int{}
 		for _, s := range got {
 			used[s.Zone]++
 		}
 		for z, k := range used {
-			if k > room[z] {
-				t.Fatalf("zone %d has %d, room for %d", z, k, room[z])
+			if k > zoneCapacity[z] {
+				t.Fatalf("zone %d has %d, capacity for %d", z, k, zoneCapacity[z])
 			}
 		}
 		if len(got) > r || len(got) < min(r, possible) && len(got) < r {
@@ -115,19 +119,20 @@
 	})
 }
 
-func TestAssignSharesBalances(t *testing.T) {
+// The total guarantees of two partitions differ by at most the guarantee of one team.
+func TestAssignPartitionsBalancesGuarantees(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g := rapid.SliceOfN(rapid.Float64Range(0, 100), 1, 40).Draw(t, "guarantees")
-		k := rapid.IntRange(1, 5).Draw(t, "shares")
-		load := make([]float64, k)
-		most := 0.0
-		for i, s := range AssignPartitions(g, k) {
-			load[s] += g[i]
-			most = max(most, g[i])
+		guarantees := rapid.SliceOfN(rapid.Float64Range(0, 100), 1, 40).Draw(t, "guarantees")
+		partitions := rapid.IntRange(1, 5).Draw(t, "shares")
+		load := make([]float64, partitions)
+		largest := 0.0
+		for i, partition := range AssignPartitions(guarantees, partitions) {
+			load[partition] += guarantees[i]
+			largest = max(largest, guarantees[i])
 		}
 		for _, a := range load {
 			for _, b := range load {
-				if a-b > most+1e-9 {
+				if a-b > largest+1e-9 {
 					t.Fatalf("loads %v differ by more than one team", load)
 				}
 			}
--- a/internal/coordination/decide/reserve_test.go
+++ b/internal/coordination/decide/reserve_test.go
@@ -8,7 +8,8 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// g4GangJob is a gang whose tasks fill a g4 machine each.
+// g4GangJob returns a g4Gang that was submitted at an offset from testNow and is estimated to run for
+// a time.
 func g4GangJob(id string, tasks int, submitted, runs time.Duration) *Job {
 	j := g4Gang(id, tasks)
 	j.Spec.OneZone, j.Spec.EstimateS = true, runs.Seconds()
@@ -16,17 +17,18 @@
 	return j
 }
 
-// partitionSim plays a share of g4 machines second by second: it places what waits by age,
-// keeps what is reserved, and ends tasks when their time is over.
+// partitionSim simulates a partition of g4 machines second by second: it places waiting jobs by age,
+// applies reservations, and ends tasks after their run time.
 type partitionSim struct {
 	view        *View
 	waiting     []*Job
-	started     map[*Job]time.Duration
-	ends        map[*Job]time.Duration
-	longestIdle time.Duration // the longest that a machine was free while a job waited
-	freeFrom    map[*Machine]time.Duration
+	started     map[*Job]time.Duration     // when jobs started
+	ends        map[*Job]time.Duration     // when started jobs end
+	longestIdle time.Duration              // longest time for which a machine was free while a job waited
+	freeFrom    map[*Machine]time.Duration // when machines were last busy, or no job waited
 }
 
+// newPartitionSim returns a partition with empty machines.
 func newPartitionSim(machines int) *partitionSim {
 	var ms []*Machine
 	for i := range machines {
@@ -35,30 +37,31 @@
 	return &partitionSim{view: viewWithAllTypes(ms...), started: map[*Job]time.Duration{}, ends: map[*Job]time.Duration{}, freeFrom: map[*Machine]time.Duration{}}
 }
 
+// update changes a machine in the index.
 func (s *partitionSim) update(m *Machine, change func(f *Machine)) {
-	f := *m
-	f.Assignments = append([]Assignment(nil), m.Assignments...)
-	change(&f)
-	s.view.Index.Set(m, &f)
+	facts := *m
+	facts.Assignments = append([]Assignment(nil), m.Assignments...)
+	change(&facts)
+	s.view.Index.Set(m, &facts)
 }
 
-// step decides and applies one look at a time since the start.
-func (s *partitionSim) step(at time.Duration, runs func(j *Job) time.Duration) {
-	now := testNow.Add(at)
-	look := *s.view
-	look.Now = now
-	look.noCapacityAt, look.noVictimsAt, look.relocatableByRank = nil, nil, nil
+// step runs one scheduling pass at a time since the start. runTime returns how long a job runs.
+func (s *partitionSim) step(elapsed time.Duration, runTime func(j *Job) time.Duration) {
+	now := testNow.Add(elapsed)
+	view := *s.view
+	view.Now = now
+	view.noCapacityAt, view.noVictimsAt, view.relocatableByRank = nil, nil, nil
 	for _, m := range s.view.Index.Machines(0) {
 		s.update(m, func(f *Machine) {
 			f.LastReport = now
-			if len(f.Assignments) > 0 && s.ends[f.Assignments[0].Job] <= at {
+			if len(f.Assignments) > 0 && s.ends[f.Assignments[0].Job] <= elapsed {
 				f.Assignments, f.Used = nil, Resources{}
 			}
 		})
 	}
-	var left []*Job
+	var stillWaiting []*Job
 	for _, j := range s.waiting {
-		p := look.Place(j)
+		p := view.Place(j)
 		s.reserve(j, p.Reserve, now)
 		if !p.BlockedByReservation {
 			j.ReservationBlockedSince = time.Time{}
@@ -66,7 +69,7 @@
 			j.ReservationBlockedSince = now
 		}
 		if len(p.Machines) == 0 {
-			left = append(left, j)
+			stillWaiting = append(stillWaiting, j)
 			continue
 		}
 		for k, m := range p.Machines {
@@ -75,18 +78,18 @@
 				f.Used = f.Used.Add(j.Need, 1)
 			})
 		}
-		j.Waiting, s.started[j], s.ends[j] = 0, at, at+runs(j)
+		j.Waiting, s.started[j], s.ends[j] = 0, elapsed, elapsed+runTime(j)
 	}
-	s.waiting = left
+	s.waiting = stillWaiting
 	for _, m := range s.view.Index.Machines(0) {
 		if len(m.Assignments) > 0 || len(s.waiting) == 0 {
-			s.freeFrom[m] = at
+			s.freeFrom[m] = elapsed
 		}
-		s.longestIdle = max(s.longestIdle, at-s.freeFrom[m])
+		s.longestIdle = max(s.longestIdle, elapsed-s.freeFrom[m])
 	}
 }
 
-// reserve applies a reservation as the actor does.
+// reserve applies a reservation in the same way as package node.
 func (s *partitionSim) reserve(j *Job, r *Reservation, now time.Time) {
 	for _, m := range s.view.Index.Machines(0) {
 		if m.IsReservedFor(j, now) || m.EarmarkedFor == j {
@@ -111,12 +114,12 @@
 	}
 }
 
-// Gangs of one keep coming and take every machine that becomes free. A gang of four of the
-// same priority begins all the same, before the younger ones that would delay it, and no
-// machine stands idle for longer than a reservation lasts.
-func TestLargeGangIsNotOvertakenForever(t *testing.T) {
+// Gangs of one task keep arriving and would take every machine that becomes free. A gang of four of
+// the same priority must still start, before younger ones that would delay it, and no machine may
+// stay idle for longer than a reservation lasts.
+func TestLargeGangIsNotStarved(t *testing.T) {
 	s := newPartitionSim(6)
-	runs := func(j *Job) time.Duration { return time.Duration(j.Spec.EstimateS) * time.Second }
+	runTime := func(j *Job) time.Duration { return time.Duration(j.Spec.EstimateS) * time.Second }
 	large := g4GangJob("job-large", 4, 20*time.Second, 60*time.Second)
 	waited := 0
 	for at := time.Duration(0); at < 10*time.Minute; at += time.Second {
@@ -126,79 +129,79 @@
 		if at == 20*time.Second {
 			s.waiting = append(s.waiting, large)
 		}
-		s.step(at, runs)
+		s.step(at, runTime)
 		waited = max(waited, len(s.waiting))
 	}
-	began, ok := s.started[large]
-	if !ok || began > 20*time.Second+2*large.ReservationTime() {
-		t.Errorf("the gang of four began after %v (%v)", began, ok)
+	started, ok := s.started[large]
+	if !ok || started > 20*time.Second+2*large.ReservationTime() {
+		t.Errorf("the gang of four started after %v (%v)", started, ok)
 	}
 	if waited < 2 {
-		t.Error("nothing else ever waited: the share was not full")
+		t.Error("nothing else ever waited: the partition was not full")
 	}
 	if s.longestIdle > large.ReservationTime() {
-		t.Errorf("a machine stood idle for %v while others waited", s.longestIdle)
+		t.Errorf("a machine was idle for %v while jobs waited", s.longestIdle)
 	}
 }
 
-// A gang whose places do not become free, since the running tasks go on for longer than
-// was estimated, keeps what is reserved for it no longer than it may; then others go on.
-func TestReservationThatCannotBeMetEnds(t *testing.T) {
+// A gang cannot start because running tasks exceed their estimates. Its reservation must expire
+// after ReservationTime, so that other jobs can use the machines.
+func TestUnmetReservationExpires(t *testing.T) {
 	s := newPartitionSim(4)
-	runs := func(j *Job) time.Duration {
+	runTime := func(j *Job) time.Duration {
 		if j.ID == "job-overdue" {
 			return time.Hour
 		}
 		return 30 * time.Second
 	}
 	s.waiting = []*Job{g4GangJob("job-overdue", 3, 0, 30*time.Second)}
-	s.step(0, runs)
+	s.step(0, runTime)
 	large, small := g4GangJob("job-large", 2, 1, 30*time.Second), g4GangJob("job-small", 1, 2, 30*time.Second)
 	s.waiting = []*Job{large, small}
 	for at := time.Second; at < 10*time.Minute; at += time.Second {
-		s.step(at, runs)
+		s.step(at, runTime)
 		if at == 10*time.Second && s.started[small] != 0 {
-			t.Fatal("nothing was reserved: the small gang has begun")
+			t.Fatal("nothing was reserved: the small gang has started")
 		}
 	}
-	if began := s.started[small]; began == 0 || began > large.ReservationTime()+5*time.Second {
-		t.Errorf("the small gang began after %v, the reservation lasts %v", began, large.ReservationTime())
+	if started := s.started[small]; started == 0 || started > large.ReservationTime()+5*time.Second {
+		t.Errorf("the small gang started after %v, the reservation lasts %v", started, large.ReservationTime())
 	}
 	if _, ok := s.started[large]; ok {
-		t.Error("the large gang has begun without places")
+		t.Error("the large gang has started without enough machines")
 	}
 }
 
-// Reservations keep a job off machines that it would fit on for so long together and no longer,
-// also if it is one gang after the other that has them.
-func TestNobodyIsKeptOffForever(t *testing.T) {
+// Reservations may keep a job off machines that it would fit on for maxReservationBlock in total,
+// even if several gangs have reservations in turn.
+func TestReservationsBlockAJobForLimitedTime(t *testing.T) {
 	s := newPartitionSim(3)
-	runs := func(j *Job) time.Duration {
+	runTime := func(j *Job) time.Duration {
 		if j.ID == "job-overdue" {
 			return time.Hour
 		}
 		return 30 * time.Second
 	}
 	s.waiting = []*Job{g4GangJob("job-overdue", 2, 0, 30*time.Second)}
-	s.step(0, runs)
+	s.step(0, runTime)
 	small := g4GangJob("job-small", 1, 10*time.Second, 10*time.Minute)
 	s.waiting = []*Job{g4GangJob("job-large", 2, time.Second, 30*time.Second), g4GangJob("job-next", 2, 2*time.Second, 30*time.Second), small}
-	kept := time.Duration(0)
+	blocked := time.Duration(0)
 	for at := 10 * time.Second; at < 5*time.Minute && s.started[small] == 0; at += time.Second {
-		s.step(at, runs)
+		s.step(at, runTime)
 		if !small.ReservationBlockedSince.IsZero() {
-			kept += time.Second
+			blocked += time.Second
 		}
 	}
-	if kept < maxReservationBlock/2 {
-		t.Fatalf("it was kept off for %v only", kept)
+	if blocked < maxReservationBlock/2 {
+		t.Fatalf("the job was blocked for %v only", blocked)
 	}
-	if began := s.started[small]; began == 0 || began > 10*time.Second+maxReservationBlock+2*time.Second {
-		t.Errorf("it began after %v", began)
+	if started := s.started[small]; started == 0 || started > 10*time.Second+maxReservationBlock+2*time.Second {
+		t.Errorf("the job started after %v", started)
 	}
 }
 
-// What a reservation keeps off a machine, and what it lets through.
+// A reservation keeps off the jobs that would delay the gang and lets others be backfilled.
 func TestBackfill(t *testing.T) {
 	large := g4GangJob("job-large", 4, 10*time.Second, time.Minute)
 	large.ExpectedStart = testNow.Add(time.Minute)
@@ -211,27 +214,27 @@
 		return job(protocol.Gang, 1, large.Rank, submitted, runs)
 	}
 	for _, c := range []struct {
-		name   string
-		job    *Job
-		change func(m *Machine)
-		kept   bool
+		name     string
+		job      *Job
+		change   func(m *Machine)
+		excluded bool
 	}{
 		{"younger, ends later", gangOfOne(20*time.Second, 2*time.Minute), nil, true},
 		{"younger, ends in time", gangOfOne(20*time.Second, 30*time.Second), nil, false},
 		{"younger, ends in time but for the fetch", gangOfOne(20*time.Second, 59*time.Second), func(m *Machine) { m.Images = nil }, true},
 		{"older", gangOfOne(0, 2*time.Minute), nil, false},
 		{"a service of the same priority", job(protocol.Service, 1, large.Rank, 20*time.Second, time.Second), nil, true},
-		{"more urgent", job(protocol.Gang, 1, protocol.Production, 20*time.Second, 2*time.Minute), nil, false},
-		{"less urgent, may be stopped", job(protocol.Array, 1, protocol.Low, 20*time.Second, time.Hour), nil, false},
-		{"less urgent gang, may not", job(protocol.Gang, 2, protocol.Low, 20*time.Second, time.Hour), nil, true},
-		{"the time is over", gangOfOne(20*time.Second, 2*time.Minute), func(m *Machine) { m.EarmarkedUntil = testNow }, false},
-		{"the machine has left the share", gangOfOne(20*time.Second, 2*time.Minute), func(m *Machine) { m.Partition = 1 }, false},
+		{"higher priority", job(protocol.Gang, 1, protocol.Production, 20*time.Second, 2*time.Minute), nil, false},
+		{"lower priority, can be preempted", job(protocol.Array, 1, protocol.Low, 20*time.Second, time.Hour), nil, false},
+		{"gang of lower priority, cannot be preempted", job(protocol.Gang, 2, protocol.Low, 20*time.Second, time.Hour), nil, true},
+		{"the reservation has expired", gangOfOne(20*time.Second, 2*time.Minute), func(m *Machine) { m.EarmarkedUntil = testNow }, false},
+		{"the machine has left the partition", gangOfOne(20*time.Second, 2*time.Minute), func(m *Machine) { m.Partition = 1 }, false},
 		{"the gang is cancelled", gangOfOne(20*time.Second, 2*time.Minute), func(m *Machine) {
 			cancelled := *large
 			cancelled.Cancelled = true
 			m.EarmarkedFor = &cancelled
 		}, false},
-		{"the gang has begun", gangOfOne(20*time.Second, 2*time.Minute), func(m *Machine) {
+		{"the gang has started", gangOfOne(20*time.Second, 2*time.Minute), func(m *Machine) {
 			begun := *large
 			begun.Waiting = 0
 			m.EarmarkedFor = &begun
@@ -242,15 +245,16 @@
 		if c.change != nil {
 			c.change(m)
 		}
-		if got := m.EarmarkExcludes(c.job, testNow); got != c.kept {
-			t.Errorf("%s: kept off %v, want %v", c.name, got, c.kept)
+		if got := m.EarmarkExcludes(c.job, testNow); got != c.excluded {
+			t.Errorf("%s: excluded %v, want %v", c.name, got, c.excluded)
 		}
 	}
 }
 
-// What is reserved: the zone where the gang should start first, machines on which it has a
-// place or whose less urgent work may be stopped, and nothing that cannot lead to a start.
-func TestWhatIsReserved(t *testing.T) {
+// Reserve chooses the zone where the gang is expected to start first, and in it the machines that
+// are free for the gang or on which it can preempt tasks. It chooses none if the gang could not
+// start in time or may not have a reservation.
+func TestReserveChoosesMachines(t *testing.T) {
 	running := func(name, zone string, left time.Duration) *Machine {
 		j := g4GangJob("job-"+name, 1, 0, 5*time.Minute)
 		m := machineOf(g4, name, 0, "i")
@@ -276,13 +280,13 @@
 		in       time.Duration
 	}{
 		{"the zone that is ready first", []*Machine{free("m1", "a"), running("m2", "a", 90*time.Second), free("m3", "b"), running("m4", "b", 30*time.Second)}, nil, "m3 ", 30 * time.Second},
-		{"what is free, also if others are overdue", []*Machine{running("m1", "a", -time.Minute), running("m2", "a", -time.Minute), free("m3", "a")}, nil, "m3 ", 0},
-		{"less urgent work may be stopped", []*Machine{low, running("m2", "a", time.Minute)}, nil, "m8 ", time.Minute},
-		{"not where a service stays", []*Machine{service, free("m1", "a")}, nil, "", 0},
+		{"free machines before overdue tasks", []*Machine{running("m1", "a", -time.Minute), running("m2", "a", -time.Minute), free("m3", "a")}, nil, "m3 ", 0},
+		{"tasks of lower priority can be preempted", []*Machine{low, running("m2", "a", time.Minute)}, nil, "m8 ", time.Minute},
+		{"not where a service runs", []*Machine{service, free("m1", "a")}, nil, "", 0},
 		{"too late", []*Machine{free("m1", "a"), running("m2", "a", 4*time.Minute)}, nil, "", 0},
-		{"an older gang's is left to it", []*Machine{other, free("m1", "a"), running("m2", "a", 10*time.Second), running("m3", "a", 20*time.Second)}, nil, "", 0},
-		{"after a reservation in vain", []*Machine{free("m1", "a"), running("m2", "a", time.Minute)}, func(j *Job) { j.ReserveAfter = testNow.Add(time.Second) }, "", 0},
-		{"it has lasted", []*Machine{free("m1", "a"), running("m2", "a", time.Minute)}, func(j *Job) { j.ReservedSince = testNow.Add(-j.ReservationTime()) }, "", 0},
+		{"machines that an older gang needs are left to it", []*Machine{other, free("m1", "a"), running("m2", "a", 10*time.Second), running("m3", "a", 20*time.Second)}, nil, "", 0},
+		{"in backoff after an expired reservation", []*Machine{free("m1", "a"), running("m2", "a", time.Minute)}, func(j *Job) { j.ReserveAfter = testNow.Add(time.Second) }, "", 0},
+		{"its reservation has expired", []*Machine{free("m1", "a"), running("m2", "a", time.Minute)}, func(j *Job) { j.ReservedSince = testNow.Add(-j.ReservationTime()) }, "", 0},
 		{"it fails everywhere", []*Machine{free("m1", "a"), running("m2", "a", time.Minute)}, func(j *Job) { j.FailsEverywhere = true }, "", 0},
 		{"not for one task", []*Machine{running("m2", "a", time.Minute)}, func(j *Job) { j.Tasks, j.Waiting = 1, 1 }, "", 0},
 	} {
@@ -304,8 +308,8 @@
 	}
 }
 
-// A gang that room is gathered for is told how much of it there is.
-func TestWhyTellsOfTheRoomGathered(t *testing.T) {
+// Explain reports how many of the machines that a gang needs are reserved for it.
+func TestExplainReportsReservedMachines(t *testing.T) {
 	m1, m2 := machineOf(g4, "m1", 0, "i"), machineOf(g4, "m2", 24, "i")
 	j := g4GangJob("job-1", 2, 0, time.Minute)
 	m1.EarmarkedFor, m1.EarmarkedUntil, m1.Reserved = j, testNow.Add(time.Minute), true
@@ -318,33 +322,33 @@
 			return
 		}
 	}
-	t.Error("it does not say that room is gathered")
+	t.Error("the reservation is not among the causes")
 }
 
-// Replicas that made way for a gang do not come back to its machine before it, though they
-// are more urgent and looked at first; more urgent work that needs the GPUs may go there, and
-// when the time is over all may.
-func TestShiftedWorkDoesNotComeBack(t *testing.T) {
-	kept := func() *Machine {
+// Replicas that were relocated for a gang do not return to its machine before the gang starts,
+// although they have a higher priority and are placed first. Jobs of higher priority that need the
+// GPUs may use the machine, and all jobs may when the earmark has expired.
+func TestRelocatedTasksDoNotReturnBeforeTheGang(t *testing.T) {
+	earmarked := func() *Machine {
 		m := machineOf(g4, "m1", 0, "i")
 		m.EarmarkedFor, m.EarmarkedUntil = g4GangJob("job-g", 1, 0, time.Minute), testNow.Add(8*time.Second)
 		return m
 	}
-	v := viewWithAllTypes(kept())
+	v := viewWithAllTypes(earmarked())
 	pages := cpuJob("job-pages", protocol.Service, 2, protocol.Production)
 	if p := v.Place(pages); len(p.Machines) != 0 {
-		t.Errorf("replicas come back to %s", machineNames(p.Machines))
+		t.Errorf("replicas return to %s", machineNames(p.Machines))
 	}
 	urgent := gpuJob("job-urgent", 1, true)
 	urgent.Rank = protocol.Production
 	if p := v.Place(urgent); len(p.Machines) != 1 {
-		t.Error("more urgent work with GPUs is kept off")
+		t.Error("a job of higher priority that needs GPUs is kept off")
 	}
-	later := kept()
+	later := earmarked()
 	later.LastReport = later.EarmarkedUntil
 	v = viewWithAllTypes(later)
 	v.Now = later.EarmarkedUntil
 	if p := v.Place(pages); len(p.Machines) != 2 {
-		t.Error("replicas are kept off for longer than the room is")
+		t.Error("replicas are kept off after the earmark has expired")
 	}
 }
