--- a/internal/coordination/node/admin.go
+++ b/internal/coordination/node/admin.go
@@ -13,7 +13,7 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-// routeAdmin adds the operators' interface.
+// routeAdmin adds the HTTP interface for operators.
 func (n *Node) routeAdmin(r *httprouter.Router) {
 	r.GET("/admin/status", func(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 		n.serve(w, r, func(reply chan<- answer) { reply <- answer{status: 200, body: n.status(time.Now())} })
@@ -27,8 +27,7 @@
 	r.Handler("GET", "/metrics", metrics)
 }
 
-// SettingsView shows the operators' settings with the revision that a change
-// must name.
+// SettingsView shows the operators' settings with the revision that a change must name.
 type SettingsView struct {
 	Stamp    uint64            `json:"stamp"`
 	Settings Policy            `json:"settings"`
@@ -43,7 +42,7 @@
 	return v
 }
 
-// SettingChange asks for a change of one setting, decided on the given stamp.
+// SettingChange is a request to change one setting, based on the settings at the given stamp.
 type SettingChange struct {
 	Value json.RawMessage `json:"value"`
 	Stamp *uint64         `json:"stamp"`
@@ -51,25 +50,25 @@
 
 func (n *Node) putSetting(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 	data, err := readBody(r)
-	var c SettingChange
+	var change SettingChange
 	if err == nil {
-		err = json.Unmarshal(data, &c)
+		err = json.Unmarshal(data, &change)
 	}
-	if err != nil || c.Stamp == nil {
+	if err != nil || change.Stamp == nil {
 		writeAnswer(w, answer{status: 400, body: errorBody{`need {"value":...,"stamp":N} with the stamp that /admin/settings shows`}})
 		return
 	}
-	name, from := p.ByName("name"), r.RemoteAddr
-	n.serve(w, r, func(reply chan<- answer) { n.onSetting(name, c, from, reply) })
+	name, remoteAddr := p.ByName("name"), r.RemoteAddr
+	n.serve(w, r, func(reply chan<- answer) { n.onSetting(name, change, remoteAddr, reply) })
 }
 
-// onSetting stores a change; every node sees it by the watch.
-func (n *Node) onSetting(name string, c SettingChange, from string, reply chan<- answer) {
+// onSetting stores a change of a setting; all nodes receive it by the watch.
+func (n *Node) onSetting(name string, change SettingChange, remoteAddr string, reply chan<- answer) {
 	if !n.loaded {
 		reply <- busyAnswer
 		return
 	}
-	changed, known, err := n.policy.Set(name, c.Value)
+	changed, known, err := n.policy.Set(name, change.Value)
 	switch {
 	case !known:
 		reply <- answer{status: 404, body: errorBody{"no such setting"}}
@@ -77,18 +76,18 @@
 	case err != nil:
 		reply <- answer{status: 400, body: errorBody{err.Error()}}
 		return
-	case *c.Stamp != n.revisionOf(protocol.PolicyKey):
+	case *change.Stamp != n.revisionOf(protocol.PolicyKey):
 		reply <- answer{status: 409, body: errorBody{"changed meanwhile: read the settings again"}}
 		return
 	}
-	op := &storage.Op{Once: true, Conds: []storage.Cond{{Key: protocol.PolicyKey, Stamp: *c.Stamp}},
+	op := &storage.Op{Once: true, Conds: []storage.Cond{{Key: protocol.PolicyKey, Stamp: *change.Stamp}},
 		Writes: []storage.Write{{Put: protocol.PolicyKey, Value: mustJSON(changed)}}}
 	op.Done = func(r storage.Result) {
 		n.post(func() {
 			switch {
 			case r.OK:
 				n.applyOwnWrite(op.Writes[0], r.Epoch)
-				n.log.Info("setting changed", "setting", name, "value", string(c.Value), "by", from)
+				n.log.Info("setting changed", "setting", name, "value", string(change.Value), "by", remoteAddr)
 				reply <- answer{status: 200, body: n.settingsView()}
 			case r.Err != nil:
 				reply <- busyAnswer
@@ -102,7 +101,8 @@
 	}
 }
 
-var page = template.Must(template.New("status").Parse(`<!doctype html><html><head><meta charset="utf-8"><title>dapplestage {{.Node}}</title>
+// statusPage is the status page for operators. It refers to the fields of Status by name.
+var statusPage = template.Must(template.New("status").Parse(`<!doctype html><html><head><meta charset="utf-8"><title>dapplestage {{.Node}}</title>
 <meta name="viewport" content="width=device-width"><style>body{font:14px sans-serif;margin:1em}table{border-collapse:collapse;margin:.5em 0 1.5em}
 td,th{border:1px solid #bbb;padding:.2em .6em;text-align:left}th{background:#eee}.bad{background:#fdd;padding:.4em}</style></head><body>
 <h1>dapplestage: {{.Node}}</h1>
@@ -126,7 +126,7 @@
 	select {
 	case s := <-reply:
 		w.Header().Set("Content-Type", "text/html; charset=utf-8")
-		page.Execute(w, s)
+		statusPage.Execute(w, s)
 	case <-r.Context().Done():
 	}
 }
--- a/internal/coordination/node/api.go
+++ b/internal/coordination/node/api.go
@@ -14,7 +14,7 @@
 	"dapplestage.example/dapplestage/internal/transport"
 )
 
-// API is the HTTP interface for users, workers and health checks.
+// API returns the HTTP handler for users, workers, operators and health checks.
 func (n *Node) API() http.Handler {
 	r := httprouter.New()
 	r.RedirectTrailingSlash, r.RedirectFixedPath = false, false
@@ -31,14 +31,14 @@
 	return r
 }
 
-// serve lets the actor answer a request.
-func (n *Node) serve(w http.ResponseWriter, r *http.Request, f func(reply chan<- answer)) {
+// serve has the actor answer a request.
+func (n *Node) serve(w http.ResponseWriter, r *http.Request, handle func(reply chan<- answer)) {
 	reply := make(chan answer, 1)
-	n.post(func() { f(reply) })
+	n.post(func() { handle(reply) })
 	n.await(w, r, reply)
 }
 
-// await writes the answer when it comes.
+// await writes the answer once it is available.
 func (n *Node) await(w http.ResponseWriter, r *http.Request, reply <-chan answer) {
 	select {
 	case a := <-reply:
@@ -83,7 +83,7 @@
 		writeAnswer(w, answer{status: 400, body: errorBody{err.Error()}})
 		return
 	}
-	s, err := protocol.ParseJob(data)
+	spec, err := protocol.ParseJob(data)
 	if errors.Is(err, protocol.ErrTicket) {
 		n.postEmbeddedTicket(w, r, data)
 		return
@@ -92,9 +92,9 @@
 		writeAnswer(w, answer{status: 400, body: errorBody{err.Error()}})
 		return
 	}
-	came := time.Now()
-	n.serve(w, r, func(reply chan<- answer) { n.onSubmit(s, time.Now(), reply) })
-	observeSince(n.metrics.accept, came, time.Now())
+	received := time.Now()
+	n.serve(w, r, func(reply chan<- answer) { n.onSubmit(spec, time.Now(), reply) })
+	observeSince(n.metrics.accept, received, time.Now())
 }
 
 func (n *Node) getJob(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
@@ -116,29 +116,29 @@
 	n.serve(w, r, func(reply chan<- answer) { n.onCancel(id, 5, reply) })
 }
 
-// maxReport bounds a worker's report: a request holds 64 KiB; a little more
-// does no harm, and a longer one is cut and so refused as malformed.
+// maxReport bounds the size of a worker's report. A request may hold 64 KiB; a somewhat longer
+// one does no harm, and one beyond this bound is truncated and so refused as malformed.
 const maxReport = 4 * protocol.MaxBody
 
 func (n *Node) postReport(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	data, err := io.ReadAll(io.LimitReader(r.Body, maxReport))
-	var rep *protocol.Report
+	var report *protocol.Report
 	if err == nil {
-		rep, err = protocol.ParseReport(data)
+		report, err = protocol.ParseReport(data)
 	}
 	if err != nil {
 		n.metrics.guardRefusals.WithLabelValues("malformed_report").Inc()
 		writeAnswer(w, answer{status: 400, body: errorBody{err.Error()}})
 		return
 	}
-	reply, dealt := make(chan answer, 1), make(chan struct{})
+	reply, handled := make(chan answer, 1), make(chan struct{})
 	n.post(func() {
-		n.onReport(rep, time.Now(), reply)
-		close(dealt)
+		n.onReport(report, time.Now(), reply)
+		close(handled)
 	})
 	select {
-	case <-dealt:
-		transport.Grown(r.Context()) // its answer may wait, the next worker need not
+	case <-handled:
+		transport.Grown(r.Context()) // its answer may be deferred; the next worker need not wait for that
 	case <-n.ctx.Done():
 	}
 	n.await(w, r, reply)
--- a/internal/coordination/node/cancels.go
+++ b/internal/coordination/node/cancels.go
@@ -8,23 +8,24 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// Users who cancel a job are told that it is cancelled when nothing of it is left. Until
-// then it is as it was to all who ask, and nothing of it is started.
-
-// confirmsCancelAfterStop says whether all nodes do that; where one of an earlier version lives they may
-// not, and then this one tells at once too, since the other reads the record so. Of a job of
-// the gateway its members tell; it runs only as long as the site has its lease, and every
-// answer stops it after that (halts).
+// A user who cancels a job is told that it is cancelled once none of its tasks is left. Until
+// then every status request shows the job as it was, and none of its tasks is started.
+
+// confirmsCancelAfterStop reports whether all nodes confirm cancellations only when the tasks have
+// ended. While a node of an earlier version lives it may confirm as soon as the cancellation is
+// stored; this node then does so too, since the other node reads the record that way. Jobs of the
+// gateway are confirmed by the gateway's members: such a job runs only while the site has its
+// lease, and after that every answer to a report stops it (stopsForReport).
 func (n *Node) confirmsCancelAfterStop() bool {
 	return len(n.nodesWithoutEntries) == 0 && (len(n.olderNodes) == 0 || !n.handlesTickets())
 }
 
-// handlesTickets says whether this node takes tickets, or there are any.
+// handlesTickets reports whether this node accepts tickets or knows of any.
 func (n *Node) handlesTickets() bool {
 	return len(n.tickets.byID)+len(n.tickets.fileClasses)+len(n.tickets.storedClasses) > 0
 }
 
-// cancelWaiter is a user who waits for the end of a job that is being cancelled.
+// cancelWaiter is a user who waits until a job that is being cancelled has ended.
 type cancelWaiter struct {
 	jobID     string
 	triesLeft int
@@ -32,115 +33,116 @@
 	deadline  time.Time
 }
 
-// endTime is how long such an answer may take while the job's end is under way: its holder
-// sees the cancellation, stops the tasks directly and stores that they are gone, which
-// takes some hundredths of a second. Whoever is not told by then is told to ask again.
-const endTime = 900 * time.Millisecond
+// cancelWaitTimeout bounds how long a user waits for the end of a cancelled job. The partition's
+// owner receives the cancellation, stops the tasks directly and stores that they have ended, which
+// takes some hundredths of a second. A user who has no answer by then is told to ask again.
+const cancelWaitTimeout = 900 * time.Millisecond
 
-// awaitCancelled answers a user who cancels a job, or a ticket with its steps' jobs, once nothing
-// of it is left, or at once that it is not over, if its end can't be known so soon.
-func (n *Node) awaitCancelled(id string, of []*job, tries int, reply chan<- answer) {
+// awaitCancelled answers a user who cancels a job, or a ticket with the jobs of its steps, once
+// all tasks have ended. If the end cannot be known that soon, it answers at once that the
+// cancellation is not complete.
+func (n *Node) awaitCancelled(id string, jobs []*job, triesLeft int, reply chan<- answer) {
 	now := time.Now()
-	if slices.ContainsFunc(of, func(j *job) bool { return n.endsLater(j, now) }) {
-		n.tellLater(reply)
+	if slices.ContainsFunc(jobs, func(j *job) bool { return n.cancelWillBeSlow(j, now) }) {
+		n.answerCancelPending(reply)
 		return
 	}
-	n.cancelWaiters = append(n.cancelWaiters, cancelWaiter{id, tries, reply, now.Add(endTime)})
+	n.cancelWaiters = append(n.cancelWaiters, cancelWaiter{id, triesLeft, reply, now.Add(cancelWaitTimeout)})
 }
 
-// endsLater says whether some of a job's tasks will not be known to be gone within a
-// moment: their machine is out of reach, as far as this node knows, or they are on more
-// machines than are told directly.
-func (n *Node) endsLater(j *job, now time.Time) bool {
-	mine := n.owns(n.partitions[j.partition])
-	on := map[*machine]bool{}
+// cancelWillBeSlow reports whether the end of some of a job's tasks cannot be known within a
+// moment: a machine is unreachable as far as this node knows, or the tasks are on more machines
+// than are told directly.
+func (n *Node) cancelWillBeSlow(j *job, now time.Time) bool {
+	owned := n.owns(n.partitions[j.partition])
+	seen := map[*machine]bool{}
 	for i := range j.tasks {
 		t := &j.tasks[i]
-		if t.phase != phasePlaced || t.outcome != outcomeNone || on[t.machine] {
+		if t.phase != phasePlaced || t.outcome != outcomeNone || seen[t.machine] {
 			continue
 		}
 		m := t.machine
-		if on[m] = true; len(on) > mostStopped || n.zoneUnreachable(m.rec.Zone, now) || mine && (m.addr == "" || !m.fenced || n.silent(m, now)) {
+		if seen[m] = true; len(seen) > maxDirectStops || n.zoneUnreachable(m.rec.Zone, now) || owned && (m.addr == "" || !m.fenced || n.silent(m, now)) {
 			return true
 		}
 	}
 	return false
 }
 
-// tellLater tells a user who cancels a job to ask again.
-func (n *Node) tellLater(reply chan<- answer) {
+// answerCancelPending tells a user who cancels a job to ask again.
+func (n *Node) answerCancelPending(reply chan<- answer) {
 	n.metrics.guardRefusals.WithLabelValues("not_stopped").Inc()
 	reply <- answer{status: 503, retryAfterS: 1, body: errorBody{"it is being cancelled: some of its tasks are not known to be gone yet"}}
 }
 
-// notifyCancelWaiters answers those who wait for a job or ticket that has gone from the replica.
+// notifyCancelWaiters answers the users who wait for a job or ticket that the replica has dropped.
 func (n *Node) notifyCancelWaiters(id string) {
 	kept := n.cancelWaiters[:0]
-	for _, a := range n.cancelWaiters {
-		if a.jobID != id {
-			kept = append(kept, a)
+	for _, waiter := range n.cancelWaiters {
+		if waiter.jobID != id {
+			kept = append(kept, waiter)
 			continue
 		}
-		n.spawn(func(context.Context) { n.post(func() { n.onCancel(a.jobID, a.triesLeft, a.reply) }) })
+		n.spawn(func(context.Context) { n.post(func() { n.onCancel(waiter.jobID, waiter.triesLeft, waiter.reply) }) })
 	}
 	n.cancelWaiters = kept
 }
 
-// expireCancelWaiters turns those away who have waited for long enough.
+// expireCancelWaiters answers the users whose wait has timed out.
 func (n *Node) expireCancelWaiters(now time.Time) {
 	kept := n.cancelWaiters[:0]
-	for _, a := range n.cancelWaiters {
-		if now.Before(a.deadline) {
-			kept = append(kept, a)
+	for _, waiter := range n.cancelWaiters {
+		if now.Before(waiter.deadline) {
+			kept = append(kept, waiter)
 			continue
 		}
-		n.tellLater(a.reply)
+		n.answerCancelPending(waiter.reply)
 	}
 	n.cancelWaiters = kept
 }
 
-// mostStopped is how many machines are told directly to stop a job's tasks; the others
-// hear it with the answers to their reports.
-const mostStopped = 32
+// maxDirectStops is how many machines are told directly to stop a job's tasks. The others
+// receive the stop with the answers to their reports.
+const maxDirectStops = 32
 
-// stopTasksDirectly tells machines of a job that is being cancelled to stop its tasks.
+// stopTasksDirectly tells the machines of a job that is being cancelled to stop its tasks.
 func (n *Node) stopTasksDirectly(j *job) {
 	if !n.owns(n.partitions[j.partition]) {
 		return
 	}
-	told := map[*machine]bool{}
+	stopped := map[*machine]bool{}
 	for i := range j.tasks {
-		if m := j.tasks[i].machine; m != nil && j.tasks[i].phase == phasePlaced && !told[m] && len(told) < mostStopped {
-			told[m] = true
+		if m := j.tasks[i].machine; m != nil && j.tasks[i].phase == phasePlaced && !stopped[m] && len(stopped) < maxDirectStops {
+			stopped[m] = true
 			n.sendStops(m)
 		}
 	}
 }
 
-// cancelledPerHint is how many jobs that are being cancelled one hint tells of: any of them,
-// others with the next one.
-const cancelledPerHint = 256
+// cancelledJobsPerHint is how many jobs that are being cancelled one hint names. With more of them
+// the selection is arbitrary, and later hints name others.
+const cancelledJobsPerHint = 256
 
-// cancelledJobsForHint is what the next hints tell of jobs that are being cancelled and of which
-// something may be left.
+// cancelledJobsForHint returns the jobs that the next hints name as being cancelled and of which
+// tasks may be left.
 func (n *Node) cancelledJobsForHint() (out []protocol.CancelledJob) {
 	for j := range n.cancelling {
-		if len(out) == cancelledPerHint {
+		if len(out) == cancelledJobsPerHint {
 			break
 		}
-		if rev := n.revisionOf(protocol.JobKey(j.id)); rev > 0 {
-			out = append(out, protocol.CancelledJob{Job: j.id, Revision: rev})
+		if revision := n.revisionOf(protocol.JobKey(j.id)); revision > 0 {
+			out = append(out, protocol.CancelledJob{Job: j.id, Revision: revision})
 		}
 	}
 	return out
 }
 
-// applyCancelHints takes in which jobs a sibling says are being cancelled. A holder that the
-// state service refuses learns so what it can't read there, and stops their tasks. It proves
-// nothing: nobody is told anything for it, nothing is stored, and it holds until this node
-// knows all that is stored up to the revision that is said to tell it.
-func (n *Node) applyCancelHints(from string, told []protocol.CancelledJob) {
-	for _, c := range told {
+// applyCancelHints handles the jobs that a peer reports as being cancelled. An owner that the state
+// service refuses learns of cancellations this way and stops the tasks. A hint proves nothing: no
+// user is answered and nothing is stored because of it, and it applies only until this node's
+// replica has reached the revision that the hint names for the cancellation.
+func (n *Node) applyCancelHints(from string, cancelled []protocol.CancelledJob) {
+	for _, c := range cancelled {
 		j := n.jobs[c.Job]
 		if j == nil || j.cancelled || c.Revision <= max(j.cancelHintRevision, n.completeRevision) {
 			continue
@@ -154,5 +156,5 @@
 	}
 }
 
-// cancelledByHint says whether a job counts as cancelled by a sibling's hint alone.
+// cancelledByHint reports whether a job counts as cancelled only because of a peer's hint.
 func (n *Node) cancelledByHint(j *job) bool { return j.cancelHintRevision > n.completeRevision }
--- a/internal/coordination/node/policyset.go
+++ b/internal/coordination/node/policyset.go
@@ -11,24 +11,24 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// levels are the log levels by name.
-var levels = map[string]slog.Level{"error": slog.LevelError, "info": slog.LevelInfo, "debug": slog.LevelDebug}
+// logLevels are the log levels by name.
+var logLevels = map[string]slog.Level{"error": slog.LevelError, "info": slog.LevelInfo, "debug": slog.LevelDebug}
 
-// Policy holds the values that operators may change while the service runs.
-// They are stored in the state service and seen by every node.
+// Policy holds the settings that operators may change while the service runs. They are stored in
+// the state service, and every node receives them.
 type Policy struct {
-	Window       int      `json:"window"`        // arrivals remembered for the threshold
-	MoveS        float64  `json:"move_s"`        // period of the leader's moves
-	IdleS        float64  `json:"idle_s"`        // how long a machine that nothing needs is kept
-	Headroom     float64  `json:"headroom"`      // boot times of expected arrivals to keep room for
+	Window       int      `json:"window"`        // how many arrivals the heavy-job threshold is computed from
+	MoveS        float64  `json:"move_s"`        // interval at which the leader moves machines between partitions
+	IdleS        float64  `json:"idle_s"`        // how long an idle machine is kept
+	Headroom     float64  `json:"headroom"`      // capacity is kept for the arrivals expected within this many boot times
 	Greedy       bool     `json:"greedy"`        // every job takes the cheapest slots
-	StopRentals  bool     `json:"stop_rentals"`  // rent nothing
-	HeldBack     []string `json:"held_back"`     // machines on which nothing new is placed
-	LogLevel     string   `json:"log_level"`     // empty: what LOG_LEVEL says
-	PlainRecords bool     `json:"plain_records"` // every job in a record of its own: for going back to an earlier version
+	StopRentals  bool     `json:"stop_rentals"`  // no machine is rented
+	HeldBack     []string `json:"held_back"`     // machines on which no new task is placed
+	LogLevel     string   `json:"log_level"`     // empty: the level of LOG_LEVEL
+	PlainRecords bool     `json:"plain_records"` // stores every job in a record of its own, as needed before a downgrade
 }
 
-// DefaultPolicy is what holds until operators change it.
+// DefaultPolicy returns the settings that apply until operators change them.
 func DefaultPolicy() Policy {
 	return Policy{Window: decide.DefaultWindow, MoveS: 1, IdleS: 45, Headroom: 2, HeldBack: []string{}}
 }
@@ -47,15 +47,15 @@
 		return len(p.HeldBack) <= 100 && !slices.ContainsFunc(p.HeldBack, func(s string) bool { return s == "" || len(s) > 100 || strings.ContainsAny(s, " /") })
 	}},
 	{"idle_s", "5 to 3600 seconds", func(p *Policy) any { return &p.IdleS }, func(p *Policy) bool { return p.IdleS >= 5 && p.IdleS <= 3600 }},
-	{"log_level", "error, info, debug, or empty for LOG_LEVEL", func(p *Policy) any { return &p.LogLevel }, func(p *Policy) bool { _, ok := levels[p.LogLevel]; return ok || p.LogLevel == "" }},
+	{"log_level", "error, info, debug, or empty for LOG_LEVEL", func(p *Policy) any { return &p.LogLevel }, func(p *Policy) bool { _, ok := logLevels[p.LogLevel]; return ok || p.LogLevel == "" }},
 	{"move_s", "0.5 to 600 seconds", func(p *Policy) any { return &p.MoveS }, func(p *Policy) bool { return p.MoveS >= 0.5 && p.MoveS <= 600 }},
 	{"plain_records", "true or false", func(p *Policy) any { return &p.PlainRecords }, func(*Policy) bool { return true }},
 	{"stop_rentals", "true or false", func(p *Policy) any { return &p.StopRentals }, func(*Policy) bool { return true }},
 	{"window", "1 to 1000 arrivals", func(p *Policy) any { return &p.Window }, func(p *Policy) bool { return p.Window >= 1 && p.Window <= 1000 }},
 }
 
-// Set changes one setting. known is false if there is no such setting; err
-// says what is wrong with the value.
+// Set returns the policy with one setting changed. known is false if there is no such setting; err
+// describes what is wrong with the value.
 func (p Policy) Set(name string, value json.RawMessage) (changed Policy, known bool, err error) {
 	i := slices.IndexFunc(settingsList, func(s setting) bool { return s.name == name })
 	if i < 0 {
@@ -69,7 +69,7 @@
 	return p, true, nil
 }
 
-// SettingNames are the operators' settings by name.
+// SettingNames returns the names of the operators' settings.
 func SettingNames() []string {
 	var out []string
 	for _, s := range settingsList {
@@ -78,29 +78,29 @@
 	return out
 }
 
-// valid says whether a stored policy is within bounds; one that is not (from
-// another version, say) is not used.
+// valid reports whether a stored policy is within bounds. One that is not, for instance one stored
+// by another version, is not used.
 func (p Policy) valid() bool {
 	return !slices.ContainsFunc(settingsList, func(s setting) bool { return !s.valid(&p) })
 }
 
-// setPolicy takes in what operators have set.
-func (n *Node) setPolicy(p Policy) {
-	if !p.valid() {
-		n.log.Error("stored settings are out of bounds and not used", "key", protocol.PolicyKey)
+// setPolicy applies the operators' settings.
+func (n *Node) setPolicy(policy Policy) {
+	if !policy.valid() {
+		n.log.Error("stored settings are out of bounds; keeping the previous ones", "key", protocol.PolicyKey)
 		return
 	}
-	n.policy = p
-	for _, s := range n.partitions {
-		s.window.Resize(p.Window)
+	n.policy = policy
+	for _, partition := range n.partitions {
+		partition.window.Resize(policy.Window)
 	}
 	for _, m := range n.machines {
-		m.heldBack = slices.Contains(p.HeldBack, m.name)
+		m.heldBack = slices.Contains(policy.HeldBack, m.name)
 		n.markStale(m)
 	}
 	if n.SetLogLevel != nil {
-		n.SetLogLevel(levels[p.LogLevel], p.LogLevel != "")
+		n.SetLogLevel(logLevels[policy.LogLevel], policy.LogLevel != "")
 	}
-	n.log.Info("operators' settings", "settings", string(mustJSON(p)))
+	n.log.Info("operators' settings", "settings", string(mustJSON(policy)))
 	n.replan = true
 }
--- a/internal/coordination/node/sitejobs.go
+++ b/internal/coordination/node/sitejobs.go
@@ -14,45 +14,44 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-// Jobs of the gateway are ordinary jobs with a claim: the number under which the
-// site holds them. Three things are different, since another site takes such a job
-// over when this one is lost:
-//   - they run only while the site has its lease, which this node asks the site's
-//     daemon for; when it is over, every answer to a report stops them;
-//   - they are started in answers to reports alone, never directly;
-//   - the end of a claim leaves a record of its number, which a submission under it
-//     that was held on its way for minutes meets.
+// Jobs of the gateway are ordinary jobs with a claim: the number under which the site holds the
+// job. Since another site takes over such a job when this site is lost, three things differ:
+//   - They run only while the site has its lease, which this node requests from the site's
+//     daemon; once the lease has expired, every answer to a report stops them.
+//   - They are started only in answers to reports, never directly.
+//   - The end of a claim leaves a record of its number, which rejects a submission under the
+//     same claim that arrives after a delay of minutes.
+//
 // docs/gateway.md has the times and the proof.
 
 // siteLease is what this node knows of the site's lease.
 type siteLease struct {
-	expiresAt   time.Time // by this node's steady clock
-	minRevision uint64    // a replica older than this revision knows too little
-	lostJobs    map[string]bool
+	expiresAt   time.Time       // by this node's monotonic clock
+	minRevision uint64          // a replica older than this revision may lack stops of gateway jobs
+	lostJobs    map[string]bool // jobs that the site has lost: they may not run here
 }
 
-// SiteLeasePeriod is how often a controller asks for the lease.
+// SiteLeasePeriod is how often a controller requests the lease.
 const SiteLeasePeriod = 500 * time.Millisecond
 
-// maxClockDrift bounds the difference of two steady clocks.
+// maxClockDrift bounds the relative drift between two monotonic clocks.
 const maxClockDrift = 0.001
 
-// maxLease bounds what a controller believes of a lease.
-const maxLease = time.Minute
+// maxLeaseDuration bounds the remaining lease time that a controller accepts from an answer.
+const maxLeaseDuration = time.Minute
 
-// KeepSiteLease asks the site's daemon for the lease until the node ends. ask returns
-// its answer.
+// KeepSiteLease requests the lease from the site's daemon until the node ends. ask returns
+// the daemon's answer.
 func (n *Node) KeepSiteLease(ask func(ctx context.Context) ([]byte, error)) {
 	for n.ctx.Err() == nil {
-		// What the answer says counts from before it was asked for, however long it
-		// took on its way.
-		asked := time.Now()
+		// The lease time counts from before the request was sent, however long the answer took.
+		requestedAt := time.Now()
 		data, err := ask(n.ctx)
-		var l *wire.Lease
+		var lease *wire.Lease
 		if err == nil {
-			l, err = wire.DecodeLease(data)
+			lease, err = wire.DecodeLease(data)
 		}
-		n.post(func() { n.onLease(l, err, asked) })
+		n.post(func() { n.onLease(lease, err, requestedAt) })
 		select {
 		case <-n.ctx.Done():
 		case <-time.After(SiteLeasePeriod):
@@ -60,102 +59,104 @@
 	}
 }
 
-func (n *Node) onLease(l *wire.Lease, err error, asked time.Time) {
+func (n *Node) onLease(lease *wire.Lease, err error, requestedAt time.Time) {
 	now := time.Now()
-	was := !n.gatewayJobsBlocked(now)
+	wasOpen := !n.gatewayJobsBlocked(now)
 	if err != nil {
-		n.log.Debug("lease not learned", "why", err)
+		n.log.Debug("cannot get the site's lease from its daemon", "why", err)
 	} else {
-		left := min(time.Duration(l.LeftMS)*time.Millisecond, maxLease)
-		g := &siteLease{expiresAt: asked.Add(time.Duration(float64(left) * (1 - maxClockDrift))), minRevision: l.Floor, lostJobs: map[string]bool{}}
+		left := min(time.Duration(lease.LeftMS)*time.Millisecond, maxLeaseDuration)
+		updated := &siteLease{expiresAt: requestedAt.Add(time.Duration(float64(left) * (1 - maxClockDrift))), minRevision: lease.Floor, lostJobs: map[string]bool{}}
 		if n.siteLease != nil {
-			g.minRevision = max(g.minRevision, n.siteLease.minRevision)
+			updated.minRevision = max(updated.minRevision, n.siteLease.minRevision)
 			if left > 0 {
-				g.expiresAt = latest(g.expiresAt, n.siteLease.expiresAt)
+				updated.expiresAt = latest(updated.expiresAt, n.siteLease.expiresAt)
 			}
 		}
-		for _, id := range l.Dead {
-			g.lostJobs[id] = true
+		for _, id := range lease.Dead {
+			updated.lostJobs[id] = true
 		}
-		n.siteLease = g
-		n.markAllStale() // which jobs may run
+		n.siteLease = updated
+		n.markAllStale() // the lease decides which jobs may run
 	}
-	if open := !n.gatewayJobsBlocked(now); open != was {
+	if open := !n.gatewayJobsBlocked(now); open != wasOpen {
 		n.log.Info("jobs of the gateway", "may_run", open, "why", err)
 		n.replan = true
 	}
 }
 
-// gatewayJobsBlocked says whether no job of the gateway may run here.
+// gatewayJobsBlocked reports whether no job of the gateway may run here.
 func (n *Node) gatewayJobsBlocked(now time.Time) bool {
 	return n.siteLease == nil || !now.Before(n.siteLease.expiresAt) || n.completeRevision < n.siteLease.minRevision
 }
 
-// blockedBySiteLease says whether a job may not run because it is the gateway's and the site
-// has no lease, or has lost it.
+// blockedBySiteLease reports whether a job may not run because it is the gateway's and the site
+// has no lease, or has lost the job.
 func (n *Node) blockedBySiteLease(j *job, now time.Time) bool {
 	return j.claim > 0 && (n.gatewayJobsBlocked(now) || n.siteLease.lostJobs[j.id])
 }
 
-// reclaimed: the site holds a job again that it had lost. What became of the
-// earlier claim says nothing any more.
+// forgetEarlierClaim is called when the site holds a job again that it had lost: the final record
+// of the earlier claim no longer applies.
 func (n *Node) forgetEarlierClaim(id string, claim uint32) {
 	if f, ok := n.finalJobs.byID[id]; ok && f.Claim > 0 && f.Claim < claim {
 		delete(n.finalJobs.byID, id)
 	}
 }
 
-// isGatewayJob says whether a job is the gateway's: then only its members tell users how
-// it is. Here it may be stopped because it goes to another site, or run on for a
-// moment after its user was told that it is cancelled.
+// isGatewayJob reports whether a job came through the gateway. Only the gateway's members tell users
+// the status of such a job: here it may be stopped because it moves to another site, or still run
+// for a moment after its user was told that it is cancelled.
 func (n *Node) isGatewayJob(id string) bool {
 	j := n.jobs[id]
 	return j != nil && j.claim > 0 || n.finalJobs.byID[id].Claim > 0
 }
 
-// askGatewayAnswer answers users who ask a site about such a job.
+// askGatewayAnswer answers users who ask a site about a job of the gateway.
 var askGatewayAnswer = answer{status: 503, retryAfterS: 5, body: errorBody{"this job came through the gateway: ask there"}}
 
-// unlessGatewayJob goes on with a submission unless the job came through the gateway:
-// a user who repeats a submission straight at another site must not get a second job.
-// If the daemon does not answer, the job is the site's own, as without a gateway.
-func (n *Node) unlessGatewayJob(id string, reply chan<- answer, goOn func()) {
+// unlessGatewayJob continues with a submission unless the job came through the gateway: a user who
+// repeats a submission directly at another site must not get a second job. If the daemon does not
+// answer, the job is the site's own, as it would be without a gateway.
+func (n *Node) unlessGatewayJob(id string, reply chan<- answer, proceed func()) {
 	if n.LookUpGatewayJob == nil {
-		goOn()
+		proceed()
 		return
 	}
 	n.spawn(func(ctx context.Context) {
-		s, known, err := n.LookUpGatewayJob(ctx, id)
+		status, known, err := n.LookUpGatewayJob(ctx, id)
 		n.post(func() {
 			switch {
 			case known && err != nil:
 				reply <- busyAnswer
 			case known:
-				reply <- answer{status: 200, body: s}
+				reply <- answer{status: 200, body: status}
 			default:
 				if err != nil {
-					n.log.Debug("daemon does not say whether a job is the gateway's", "job", id, "why", err)
+					n.log.Debug("site daemon did not answer whether a job came through the gateway; accepting it as the site's own", "job", id, "why", err)
 				}
-				goOn()
+				proceed()
 			}
 		})
 	})
 }
 
-// routeSite adds the interface for the site's daemon.
+// routeSite adds the HTTP interface for the site's daemon.
 func (n *Node) routeSite(r *httprouter.Router) {
 	r.POST("/site/calls", n.postCalls)
 	r.GET("/site/hint", n.getHint)
 }
 
-// mostCalls bounds the calls of one request.
-const mostCalls = 512
+// maxCallsPerRequest bounds the calls in one request.
+const maxCallsPerRequest = 512
 
-// maxCalls bounds a request: as many submissions of the longest kind.
-const maxCalls = mostCalls * (protocol.MaxBody / 16)
+// maxCallsBytes bounds the size of a request: maxCallsPerRequest of the longest submissions, each
+// with a sixteenth of the largest request body.
+const maxCallsBytes = maxCallsPerRequest * (protocol.MaxBody / 16)
 
-// fromDaemon refuses whoever is not the site's daemon: users reach the same address.
-func (n *Node) fromDaemon(w http.ResponseWriter, r *http.Request) bool {
+// requireSiteDaemon rejects a request that does not come from the site's daemon: users reach the
+// same address.
+func (n *Node) requireSiteDaemon(w http.ResponseWriter, r *http.Request) bool {
 	if host, _, err := net.SplitHostPort(r.RemoteAddr); err == nil && n.SiteDaemonHost != "" && host == n.SiteDaemonHost {
 		return true
 	}
@@ -165,15 +166,15 @@
 }
 
 func (n *Node) postCalls(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	if !n.fromDaemon(w, r) {
+	if !n.requireSiteDaemon(w, r) {
 		return
 	}
-	data, err := io.ReadAll(io.LimitReader(r.Body, maxCalls))
-	var e *wire.Envelope
+	data, err := io.ReadAll(io.LimitReader(r.Body, maxCallsBytes))
+	var envelope *wire.Envelope
 	if err == nil {
-		e, err = wire.Decode(data)
+		envelope, err = wire.Decode(data)
 	}
-	if err == nil && len(e.Items) > mostCalls {
+	if err == nil && len(envelope.Items) > maxCallsPerRequest {
 		err = errTooLong
 	}
 	if err != nil {
@@ -181,21 +182,21 @@
 		writeAnswer(w, answer{status: 400, body: errorBody{err.Error()}})
 		return
 	}
-	replies := make(chan wire.Item, len(e.Items))
+	replies := make(chan wire.Item, len(envelope.Items))
 	n.post(func() {
-		for i := range e.Items {
-			n.onSiteCall(&e.Items[i], func(res wire.Item) { replies <- res })
+		for i := range envelope.Items {
+			n.onSiteCall(&envelope.Items[i], func(res wire.Item) { replies <- res })
 		}
 	})
-	out := &wire.Envelope{}
-	wait := time.NewTimer(callPatience)
-	defer wait.Stop()
-	for len(out.Items) < len(e.Items) {
+	results := &wire.Envelope{}
+	timer := time.NewTimer(callsTimeout)
+	defer timer.Stop()
+	for len(results.Items) < len(envelope.Items) {
 		select {
 		case res := <-replies:
-			out.Items = append(out.Items, res)
+			results.Items = append(results.Items, res)
 			continue
-		case <-wait.C: // the others are asked again
+		case <-timer.C: // the daemon repeats the calls that have no answer yet
 		case <-r.Context().Done():
 			return
 		case <-n.ctx.Done():
@@ -203,173 +204,173 @@
 		break
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
-	w.Write(wire.Encode(out))
+	w.Write(wire.Encode(results))
 }
 
-// callPatience is how long calls of one request wait for one another.
-const callPatience = 2 * time.Second
+// callsTimeout is how long the calls of one request wait for one another.
+const callsTimeout = 2 * time.Second
 
-// onSiteCall does what the site's daemon asks. Every change is one conditional write.
-func (n *Node) onSiteCall(it *wire.Item, reply func(wire.Item)) {
-	c := &siteCall{n: n, it: it, reply: reply, tries: 3}
-	if !n.loaded || !protocol.ValidJobID(it.ID) || it.Record.Epoch == 0 {
-		c.answer(wire.Busy, "not ready, or malformed")
+// onSiteCall executes a call of the site's daemon. Every change is one conditional write.
+func (n *Node) onSiteCall(item *wire.Item, reply func(wire.Item)) {
+	call := &siteCall{node: n, request: item, reply: reply, triesLeft: 3}
+	if !n.loaded || !protocol.ValidJobID(item.ID) || item.Record.Epoch == 0 {
+		call.answer(wire.Busy, "not ready, or malformed")
 		return
 	}
-	c.decide()
+	call.decide()
 }
 
-// siteCall is one call under way.
+// siteCall is one call in progress.
 type siteCall struct {
-	n     *Node
-	it    *wire.Item
-	reply func(wire.Item)
-	tries int
-	fresh bool // what is stored was just read
-	final storage.Item
+	node        *Node
+	request     *wire.Item
+	reply       func(wire.Item)
+	triesLeft   int
+	storeRead   bool // the stored records were read for this call
+	storedFinal storage.Item
 }
 
 func (c *siteCall) answer(code uint8, why string) { c.answerAt(code, 0, nil, why) }
 
-func (c *siteCall) answerAt(code uint8, rev uint64, j *job, why string) {
-	res := wire.Item{Kind: wire.Result, ID: c.it.ID, Why: code, Ballot: wire.Ballot{N: rev}, Record: wire.Record{Epoch: c.it.Record.Epoch, Spec: []byte(why)}}
+func (c *siteCall) answerAt(code uint8, revision uint64, j *job, why string) {
+	result := wire.Item{Kind: wire.Result, ID: c.request.ID, Why: code, Ballot: wire.Ballot{N: revision}, Record: wire.Record{Epoch: c.request.Record.Epoch, Spec: []byte(why)}}
 	if j != nil {
-		res.Record.Tasks, res.Running = uint32(j.nDone), uint32(j.nPlaced)
+		result.Record.Tasks, result.Running = uint32(j.nDone), uint32(j.nPlaced)
 	}
-	c.reply(res)
+	c.reply(result)
 }
 
-// decide answers from the replica where that is enough, and reads what is stored
-// where it is not: a job that is missing here may have ended or be new.
+// decide answers from the replica where that is sufficient and otherwise reads the stored records:
+// a job that the replica lacks may have ended or be new.
 func (c *siteCall) decide() {
-	n, id, epoch := c.n, c.it.ID, c.it.Record.Epoch
+	n, id, epoch := c.node, c.request.ID, c.request.Record.Epoch
 	j := n.jobs[id]
-	f, ended := n.finalJobs.byID[id]
+	final, ended := n.finalJobs.byID[id]
 	switch {
-	case j != nil && j.claim == 0, j == nil && ended && f.Claim == 0, n.tickets.byID[id] != nil:
+	case j != nil && j.claim == 0, j == nil && ended && final.Claim == 0, n.tickets.byID[id] != nil:
 		c.answer(wire.Conflict, "the site has a job of its own under this id")
-	case j == nil && ended && f.Status == protocol.JobDone:
-		c.ended(f)
-	case c.it.Kind == wire.Stop:
-		c.stop(j, f, ended)
+	case j == nil && ended && final.Status == protocol.JobDone:
+		c.answerEnded(final)
+	case c.request.Kind == wire.Stop:
+		c.endClaim(j, final, ended)
 	case j != nil && j.claim == epoch && j.cancelled:
 		c.answer(wire.Over, "")
 	case j != nil && j.claim == epoch:
 		c.answerAt(wire.Held, 0, j, "")
-	case j != nil && j.claim > epoch, j == nil && ended && f.Claim >= epoch:
+	case j != nil && j.claim > epoch, j == nil && ended && final.Claim >= epoch:
 		c.answer(wire.Over, "")
-	case c.it.Kind == wire.Submit:
-		c.submit(j, f, ended)
-	case c.fresh && j == nil:
+	case c.request.Kind == wire.Submit:
+		c.submit(j, final, ended)
+	case c.storeRead && j == nil:
 		c.answer(wire.Missing, "")
 	case j == nil:
-		c.read()
+		c.reread()
 	default:
 		c.answer(wire.Busy, "held under an earlier claim")
 	}
 }
 
-func (c *siteCall) ended(f protocol.FinalRecord) {
-	c.reply(wire.Item{Kind: wire.Result, ID: c.it.ID, Why: wire.Ended, Record: wire.Record{Epoch: c.it.Record.Epoch, Tasks: uint32(f.Tasks)}})
+func (c *siteCall) answerEnded(final protocol.FinalRecord) {
+	c.reply(wire.Item{Kind: wire.Result, ID: c.request.ID, Why: wire.Ended, Record: wire.Record{Epoch: c.request.Record.Epoch, Tasks: uint32(final.Tasks)}})
 }
 
-// read takes in what is stored of the job, and decides again.
-func (c *siteCall) read() {
-	if c.tries--; c.tries < 0 {
+// reread reads the stored records of the job and decides again.
+func (c *siteCall) reread() {
+	if c.triesLeft--; c.triesLeft < 0 {
 		c.answer(wire.Busy, "changed meanwhile")
 		return
 	}
-	c.n.resync([]string{protocol.JobKey(c.it.ID), protocol.FinalKey(c.it.ID)}, func(items []storage.Item, err error) {
+	c.node.resync([]string{protocol.JobKey(c.request.ID), protocol.FinalKey(c.request.ID)}, func(items []storage.Item, err error) {
 		if err != nil {
 			c.answer(wire.Busy, "state service")
 			return
 		}
-		c.fresh, c.final = true, items[1]
+		c.storeRead, c.storedFinal = true, items[1]
 		c.decide()
 	})
 }
 
-// finalCond is the condition that what is stored of the job's end is as it was
-// read; if it was not read, that there is nothing.
+// finalCond is the condition that the job's final record is as it was read, or, if it was not
+// read, that there is none.
 func (c *siteCall) finalCond() storage.Cond {
-	cond := storage.Cond{Key: protocol.FinalKey(c.it.ID)}
-	if c.fresh && c.final.Value != nil {
-		cond.Stamp = c.final.Stamp
+	cond := storage.Cond{Key: protocol.FinalKey(c.request.ID)}
+	if c.storeRead && c.storedFinal.Value != nil {
+		cond.Stamp = c.storedFinal.Stamp
 	}
 	return cond
 }
 
-// change stores something; if a condition fails, what is stored is read and the
-// call decided again.
-func (c *siteCall) change(op *storage.Op, then func(storage.Result)) {
-	n := c.n
-	refuse := make(chan answer, 1)
-	n.submitForUser(op, refuse, func(r storage.Result) {
+// store submits a change. If a condition fails, the stored records are read and the call is
+// decided again.
+func (c *siteCall) store(op *storage.Op, onStored func(storage.Result)) {
+	n := c.node
+	rejected := make(chan answer, 1)
+	n.submitForUser(op, rejected, func(r storage.Result) {
 		switch {
 		case r.OK:
 			for _, w := range op.Writes {
 				n.applyOwnWrite(w, r.Epoch)
 			}
-			then(r)
+			onStored(r)
 		case r.Err != nil:
 			c.answer(wire.Busy, "state service")
 		default:
-			c.read()
+			c.reread()
 		}
 	})
 	select {
-	case <-refuse:
+	case <-rejected:
 		c.answer(wire.Busy, "the rate of changes is used up")
 	default:
 	}
 }
 
-// submit stores a job under its claim, as a user's submission is stored.
-func (c *siteCall) submit(j *job, f protocol.FinalRecord, ended bool) {
-	n, epoch := c.n, c.it.Record.Epoch
+// submit stores a job under its claim, in the same way as a user's submission.
+func (c *siteCall) submit(j *job, final protocol.FinalRecord, ended bool) {
+	n, epoch := c.node, c.request.Record.Epoch
 	if j != nil {
-		c.raise(j)
+		c.raiseClaim(j)
 		return
 	}
-	if ended && !c.fresh {
-		c.read()
+	if ended && !c.storeRead {
+		c.reread()
 		return
 	}
-	s, err := protocol.ParseStoredJob(c.it.Record.Spec)
-	if err != nil || s.ID != c.it.ID {
+	spec, err := protocol.ParseStoredJob(c.request.Record.Spec)
+	if err != nil || spec.ID != c.request.ID {
 		c.answer(wire.Refused, "malformed submission")
 		return
 	}
-	why, decided := n.checkRunnable(s)
+	reason, decided := n.checkRunnable(spec)
 	switch {
 	case !decided:
 		c.answer(wire.Busy, "the machine types are not known yet")
 		return
-	case why != "":
-		c.answer(wire.Refused, why)
+	case reason != "":
+		c.answer(wire.Refused, reason)
 		return
 	}
-	created := time.UnixMilli(int64(c.it.Record.CreatedMS))
-	if now := time.Now(); created.After(now) || c.it.Record.CreatedMS == 0 {
+	created := time.UnixMilli(int64(c.request.Record.CreatedMS))
+	if now := time.Now(); created.After(now) || c.request.Record.CreatedMS == 0 {
 		created = now
 	}
 	op := &storage.Op{
-		Conds:  []storage.Cond{{Key: protocol.JobKey(s.ID)}, c.finalCond()},
-		Writes: []storage.Write{{Put: protocol.JobKey(s.ID), Value: mustJSON(protocol.JobRecord{Spec: s, SubmittedMS: created.UnixMilli(), Next: 1, Claim: epoch})}}}
+		Conds:  []storage.Cond{{Key: protocol.JobKey(spec.ID)}, c.finalCond()},
+		Writes: []storage.Write{{Put: protocol.JobKey(spec.ID), Value: mustJSON(protocol.JobRecord{Spec: spec, SubmittedMS: created.UnixMilli(), Next: 1, Claim: epoch})}}}
 	if op.Conds[1].Stamp != 0 {
-		op.Writes = append(op.Writes, storage.Write{Delete: protocol.FinalKey(s.ID)})
+		op.Writes = append(op.Writes, storage.Write{Delete: protocol.FinalKey(spec.ID)})
 	}
-	c.change(op, func(r storage.Result) {
-		n.forgetEarlierClaim(s.ID, epoch)
-		n.log.Debug("job of the gateway taken", "job", s.ID, "claim", epoch)
-		c.answerAt(wire.Held, r.Epoch, n.jobs[s.ID], "")
+	c.store(op, func(r storage.Result) {
+		n.forgetEarlierClaim(spec.ID, epoch)
+		n.log.Debug("accepted a job of the gateway", "job", spec.ID, "claim", epoch)
+		c.answerAt(wire.Held, r.Epoch, n.jobs[spec.ID], "")
 	})
 }
 
-// raise lets a job that is here under an earlier claim go on under a new one: the
-// site lost it and has it again, and was told of neither.
-func (c *siteCall) raise(j *job) {
-	n, epoch := c.n, c.it.Record.Epoch
+// raiseClaim continues a job that is here under an earlier claim under a new one: the site lost
+// the job and got it again, and received neither message.
+func (c *siteCall) raiseClaim(j *job) {
+	n, epoch := c.node, c.request.Record.Epoch
 	if j.cancelled {
 		c.answer(wire.Busy, "an earlier claim is being ended")
 		return
@@ -378,26 +379,26 @@
 	rec.Claim = epoch
 	op := &storage.Op{Conds: []storage.Cond{n.unchanged(protocol.JobKey(j.id))},
 		Writes: []storage.Write{{Put: protocol.JobKey(j.id), Value: mustJSON(rec)}}}
-	c.change(op, func(r storage.Result) { c.answerAt(wire.Held, r.Epoch, n.jobs[j.id], "") })
+	c.store(op, func(r storage.Result) { c.answerAt(wire.Held, r.Epoch, n.jobs[j.id], "") })
 }
 
-// stop ends the site's claims on a job up to one, and says when nothing of it
-// can run here any more.
-func (c *siteCall) stop(j *job, f protocol.FinalRecord, ended bool) {
-	n, id, epoch := c.n, c.it.ID, c.it.Record.Epoch
+// endClaim ends the site's claims on a job up to a given one, and answers Over when no task of the
+// job can run here any more.
+func (c *siteCall) endClaim(j *job, final protocol.FinalRecord, ended bool) {
+	n, id, epoch := c.node, c.request.ID, c.request.Record.Epoch
 	if j == nil {
 		switch {
-		case ended && f.Claim >= epoch && c.fresh:
+		case ended && final.Claim >= epoch && c.storeRead:
 			c.answer(wire.Over, "")
-		case !c.fresh:
-			c.read()
+		case !c.storeRead:
+			c.reread()
 		default:
 			op := &storage.Op{Conds: []storage.Cond{{Key: protocol.JobKey(id)}, c.finalCond()},
 				Writes: []storage.Write{{Put: protocol.FinalKey(id), Value: mustJSON(protocol.FinalRecord{Status: protocol.JobCancelled, Claim: epoch})}}}
-			// Nothing was placed when the job ended or there was none: a replica that
-			// does not know it yet can start nothing, since its change would fail. And
-			// the watch does not tell of this key, so no replica could be asked for it.
-			c.change(op, func(storage.Result) { c.answer(wire.Over, "") })
+			// No task was placed when the job ended, or there was no job. A replica that has not seen the
+			// final record yet cannot start anything, since its change would fail. The watch does not cover
+			// this key, so there is no replica revision that the daemon could wait for.
+			c.store(op, func(storage.Result) { c.answer(wire.Over, "") })
 		}
 		return
 	}
@@ -417,16 +418,16 @@
 			op.Writes = finalWrites(id, protocol.JobCancelled, len(j.tasks), epoch)
 			code = wire.Over
 		}
-		c.change(op, func(r storage.Result) {
+		c.store(op, func(r storage.Result) {
 			n.log.Info("claim on a job of the gateway ended", "job", id, "claim", epoch)
 			c.answerAt(code, r.Epoch, nil, "")
 		})
 	}
 }
 
-// getHint tells the site's daemon what it may tell the other members.
+// getHint returns the hint that the site's daemon may pass to the other members.
 func (n *Node) getHint(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	if !n.fromDaemon(w, r) {
+	if !n.requireSiteDaemon(w, r) {
 		return
 	}
 	reply := make(chan *wire.Hint, 1)
@@ -444,17 +445,17 @@
 	}
 }
 
-// siteHint is a bounded summary of the site as far as this node knows it; nil while
-// it knows nothing. Free amounts are known of the shares that it holds; the daemon
-// adds up what the controllers say.
+// siteHint returns a bounded summary of the site as far as this node knows it, or nil while it
+// knows nothing. Free resources are known only for the partitions that this node owns; the daemon
+// adds up the hints of the controllers.
 func (n *Node) siteHint(now time.Time) *wire.Hint {
 	if !n.loaded || len(n.machineTypes) == 0 || n.sinceContact(now) > stateServiceTimeout {
 		return nil
 	}
-	h := &wire.Hint{}
+	hint := &wire.Hint{}
 	for _, t := range n.machineTypes {
-		if len(h.Types) < wire.MaxTypes {
-			h.Types = append(h.Types, wire.TypeHint{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB, Zones: t.Zones})
+		if len(hint.Types) < wire.MaxTypes {
+			hint.Types = append(hint.Types, wire.TypeHint{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB, Zones: t.Zones})
 		}
 	}
 	images := map[string]bool{}
@@ -463,13 +464,13 @@
 			continue
 		}
 		if t := n.machineTypes[m.rec.Type]; t != nil {
-			h.GPUs += t.GPUs
-			h.FreeGPUs += n.available(m).GPUs
+			hint.GPUs += t.GPUs
+			hint.FreeGPUs += n.available(m).GPUs
 		}
-		for _, im := range m.images {
-			if len(images) < wire.MaxImages && !images[im.Name] {
-				images[im.Name] = true
-				h.Images = append(h.Images, im.Name)
+		for _, image := range m.images {
+			if len(images) < wire.MaxImages && !images[image.Name] {
+				images[image.Name] = true
+				hint.Images = append(hint.Images, image.Name)
 			}
 		}
 	}
@@ -480,17 +481,17 @@
 		}
 		for _, j := range s.jobs {
 			if !j.cancelled && !n.blockedBySiteLease(j, now) {
-				h.Waiting += j.nWaiting()
+				hint.Waiting += j.nWaiting()
 				waiting[j.team] += j.nWaiting()
 			}
 		}
 	}
 	for i, t := range n.teams[:min(len(n.teams), wire.MaxTeams)] {
-		th := wire.TeamHint{Name: t.Name, CPUsMax: t.Limit.CPUs, GPUsMax: t.Limit.GPUs, GPUs: t.Guarantee.GPUs}
+		teamHint := wire.TeamHint{Name: t.Name, CPUsMax: t.Limit.CPUs, GPUsMax: t.Limit.GPUs, GPUs: t.Guarantee.GPUs}
 		if n.owns(n.partitions[t.partition]) {
-			th.UsedGPU, th.Waiting = t.Used.GPUs, waiting[i]
+			teamHint.UsedGPU, teamHint.Waiting = t.Used.GPUs, waiting[i]
 		}
-		h.Teams = append(h.Teams, th)
+		hint.Teams = append(hint.Teams, teamHint)
 	}
-	return h
+	return hint
 }
--- a/internal/coordination/node/ticketapi.go
+++ b/internal/coordination/node/ticketapi.go
@@ -17,8 +17,8 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-// The interface for tickets. Both ways in, POST /tickets and a ticket in an ordinary
-// submission, differ in how their body is read and in nothing else.
+// The HTTP interface for tickets. A ticket comes by POST /tickets or inside an ordinary job
+// submission; the two differ only in how the body is parsed.
 
 func (n *Node) routeTickets(r *httprouter.Router) {
 	r.POST("/tickets", n.postTicket)
@@ -38,16 +38,16 @@
 		writeAnswer(w, answer{status: 400, body: errorBody{err.Error()}})
 		return
 	}
-	n.takeTicket(w, r, data, format.ParseTicket)
+	n.handleTicketPost(w, r, data, format.ParseTicket)
 }
 
-// postEmbeddedTicket takes an ordinary submission that carries a ticket.
+// postEmbeddedTicket handles an ordinary submission that contains a ticket.
 func (n *Node) postEmbeddedTicket(w http.ResponseWriter, r *http.Request, data []byte) {
-	n.takeTicket(w, r, data, format.ParseCarried)
+	n.handleTicketPost(w, r, data, format.ParseCarried)
 }
 
-func (n *Node) takeTicket(w http.ResponseWriter, r *http.Request, data []byte, parse func([]byte) (*format.Submission, error)) {
-	if n.tickets.fileClasses == nil { // set before the node runs, and never again
+func (n *Node) handleTicketPost(w http.ResponseWriter, r *http.Request, data []byte, parse func([]byte) (*format.Submission, error)) {
+	if n.tickets.fileClasses == nil { // set before the node runs and not changed afterwards
 		writeAnswer(w, answer{status: 400, body: errorBody{protocol.ErrTicket.Error() + " (--tickets)"}})
 		return
 	}
@@ -67,20 +67,20 @@
 		writeAnswer(w, busyAnswer)
 		return
 	}
-	a, err := ticket.Admit(s, classes, ticket.Limits{ValueBytes: int(n.cfg.Params.State.ValueKB*1024) - 256})
-	came := time.Now()
-	n.serve(w, r, func(reply chan<- answer) { n.onSubmitTicket(s.ID, a, err, time.Now(), reply) })
-	observeSince(n.metrics.accept, came, time.Now())
+	admitted, err := ticket.Admit(s, classes, ticket.Limits{ValueBytes: int(n.cfg.Params.State.ValueKB*1024) - 256})
+	received := time.Now()
+	n.serve(w, r, func(reply chan<- answer) { n.onSubmitTicket(s.ID, admitted, err, time.Now(), reply) })
+	observeSince(n.metrics.accept, received, time.Now())
 }
 
-// onSubmitTicket accepts a ticket, or says why not. A repeat is judged by what is stored,
-// whatever its class would say of it now.
-func (n *Node) onSubmitTicket(id string, a *ticket.Admitted, refused error, now time.Time, reply chan<- answer) {
+// onSubmitTicket accepts or rejects a ticket. A repeated submission is answered by the stored
+// ticket, even if its class would reject it now.
+func (n *Node) onSubmitTicket(id string, admitted *ticket.Admitted, admitErr error, now time.Time, reply chan<- answer) {
 	if !n.loaded {
 		reply <- busyAnswer
 		return
 	}
-	repeat := func(ifNew func()) {
+	answerAsRepeat := func(ifNew func()) {
 		n.readJobStatus(id, func(known bool, _ protocol.JobStatus, err error) {
 			switch s, ok := n.ticketStatus(id, time.Now()); {
 			case err != nil:
@@ -96,114 +96,119 @@
 			}
 		})
 	}
-	refuse := func(status int, why string) { repeat(func() { reply <- answer{status: status, body: errorBody{why}} }) }
+	reject := func(status int, why string) {
+		answerAsRepeat(func() { reply <- answer{status: status, body: errorBody{why}} })
+	}
 	_, final := n.finalJobs.byID[id]
 	switch j := n.jobs[id]; {
 	case j != nil && j.step != nil:
 		reply <- answer{status: 422, body: errorBody{"field id: it is that of a ticket's step"}}
 		return
 	case final || j != nil || n.tickets.byID[id] != nil:
-		repeat(func() { reply <- busyAnswer })
+		answerAsRepeat(func() { reply <- busyAnswer })
 		return
 	}
-	var r *ticket.Refusal
+	var refusal *ticket.Refusal
 	switch {
-	case refused == nil && n.openTasks()+a.Record.Base.Tasks > n.mostTasks():
-		// A few bytes may bring 100,000 tasks: what would not fit this node's memory is
-		// turned away, and can be asked for again when others have ended.
+	case admitErr == nil && n.openTasks()+admitted.Record.Base.Tasks > n.maxOpenTasks():
+		// A body of a few bytes may ask for 100,000 tasks. A ticket that would not fit this node's
+		// memory is rejected, and can be submitted again when others have ended.
 		n.metrics.guardRefusals.WithLabelValues("ticket_memory").Inc()
-		repeat(func() {
-			reply <- answer{status: 503, retryAfterS: 30, body: errorBody{fmt.Sprintf("%d tasks are open, at most %d with this ticket's", n.openTasks(), n.mostTasks())}}
+		answerAsRepeat(func() {
+			reply <- answer{status: 503, retryAfterS: 30, body: errorBody{fmt.Sprintf("%d tasks are open, at most %d with this ticket's", n.openTasks(), n.maxOpenTasks())}}
 		})
 		return
-	case errors.As(refused, &r) && !r.Malformed:
-		refuse(422, r.Why)
+	case errors.As(admitErr, &refusal) && !refusal.Malformed:
+		reject(422, refusal.Why)
 		return
-	case refused != nil:
-		refuse(400, refused.Error())
+	case admitErr != nil:
+		reject(400, admitErr.Error())
 		return
 	}
-	for i := range a.Record.Steps {
-		switch why, decided := n.checkRunnable(ticket.StepSpec(a.Record, i)); {
+	for i := range admitted.Record.Steps {
+		switch why, decided := n.checkRunnable(ticket.StepSpec(admitted.Record, i)); {
 		case !decided:
-			repeat(func() { reply <- busyAnswer })
+			answerAsRepeat(func() { reply <- busyAnswer })
 			return
 		case why != "":
-			refuse(422, fmt.Sprintf("step %s: %s", a.Record.Steps[i].Name, why))
+			reject(422, fmt.Sprintf("step %s: %s", admitted.Record.Steps[i].Name, why))
 			return
 		}
 	}
-	n.unlessGatewayJob(id, reply, func() { n.acceptTicket(a, now, reply, repeat) })
+	n.unlessGatewayJob(id, reply, func() { n.acceptTicket(admitted, now, reply, answerAsRepeat) })
 }
 
-// taskBytes is what an open task takes of a node's memory.
-const taskBytes = 125
+// bytesPerOpenTask is the memory that a node uses for an open task.
+const bytesPerOpenTask = 125
 
-// mostTasks is how many tasks may be open for another ticket to be taken: they take a
-// fifth of the node's memory at the most.
-func (n *Node) mostTasks() int { return int(n.cfg.Params.Quota.MemoryMB * 0.2 * (1 << 20) / taskBytes) }
+// maxOpenTasks is how many tasks may be open, with those of a new ticket, for the ticket to be
+// accepted: they use at most a fifth of the node's memory.
+func (n *Node) maxOpenTasks() int {
+	return int(n.cfg.Params.Quota.MemoryMB * 0.2 * (1 << 20) / bytesPerOpenTask)
+}
 
 func (n *Node) openTasks() int {
-	c := 0
+	count := 0
 	for _, j := range n.jobs {
-		c += len(j.tasks)
+		count += len(j.tasks)
 	}
-	return c
+	return count
 }
 
-// acceptTicket stores a ticket, its template and the jobs of its first steps at once.
-func (n *Node) acceptTicket(a *ticket.Admitted, now time.Time, reply chan<- answer, repeat func(ifNew func())) {
-	rec := a.Record
+// acceptTicket stores a ticket, its template and the jobs of its first steps in one transaction.
+func (n *Node) acceptTicket(admitted *ticket.Admitted, now time.Time, reply chan<- answer, answerAsRepeat func(ifNew func())) {
+	rec := admitted.Record
 	t := &openTicket{submitted: now}
 	for i := range rec.Steps {
 		t.steps = append(t.steps, ticket.StepSpec(rec, i).ID)
 	}
 	op := &storage.Op{
-		Conds: []storage.Cond{{Key: protocol.JobKey(a.ID)}, {Key: protocol.FinalKey(a.ID)}},
+		Conds: []storage.Cond{{Key: protocol.JobKey(admitted.ID)}, {Key: protocol.FinalKey(admitted.ID)}},
 		Writes: []storage.Write{
-			{Put: protocol.TicketKey(a.ID), Value: mustJSON(packedTicket{a.Packed})},
-			{Put: protocol.JobKey(a.ID), Value: mustJSON(t.jobRecord(rec))}}}
-	d := ticket.Decide(rec, false, make([]ticket.StepNow, len(rec.Steps)), n.tickets.maxOpenSteps)
-	n.addOpenSteps(rec, t.steps, d.Open, now, op)
+			{Put: protocol.TicketKey(admitted.ID), Value: mustJSON(packedTicket{admitted.Packed})},
+			{Put: protocol.JobKey(admitted.ID), Value: mustJSON(t.jobRecord(rec))}}}
+	next := ticket.Decide(rec, false, make([]ticket.StepNow, len(rec.Steps)), n.tickets.maxOpenSteps)
+	n.addOpenSteps(rec, t.steps, next.Open, now, op)
 	n.submitForUser(op, reply, func(r storage.Result) {
 		switch {
 		case r.OK:
 			for _, w := range op.Writes[1:] {
 				n.applyOwnWrite(w, r.Epoch)
 			}
-			n.log.Info("ticket accepted", "ticket", a.ID, "name", rec.Name, "class", rec.Base.Class, "team", rec.Base.Team, "tasks", rec.Base.Tasks, "steps", len(rec.Steps),
+			n.log.Info("ticket accepted", "ticket", admitted.ID, "name", rec.Name, "class", rec.Base.Class, "team", rec.Base.Team, "tasks", rec.Base.Tasks, "steps", len(rec.Steps),
 				"urgency", rec.Terms.Urgency, "retries", rec.Terms.Retries.Granted)
-			s, _ := n.ticketStatus(a.ID, time.Now())
+			s, _ := n.ticketStatus(admitted.ID, time.Now())
 			reply <- answer{status: 201, body: s}
 		case r.Err != nil:
 			reply <- busyAnswer
 		default:
-			// Somebody has the id, or that of a step. What holds is read once more.
-			n.resync(r.Failed, func([]storage.Item, error) { repeat(func() { reply <- busyAnswer }) })
+			// The id, or that of a step, is in use. Reads the current records and treats this as a
+			// repeated submission.
+			n.resync(r.Failed, func([]storage.Item, error) { answerAsRepeat(func() { reply <- busyAnswer }) })
 		}
 	})
 }
 
-// packedTicket is what is stored under a ticket's TicketKey.
+// packedTicket is the value stored under a ticket's TicketKey.
 type packedTicket struct {
 	Packed []byte `json:"z"`
 }
 
-// cancelTicket cancels a ticket and all its open steps in one change: from then on
-// nothing of it can be started.
-func (n *Node) cancelTicket(t *openTicket, tries int, reply chan<- answer) {
+// cancelTicket cancels a ticket and all its open steps in one transaction. Once that is stored
+// none of its tasks can be started.
+func (n *Node) cancelTicket(t *openTicket, triesLeft int, reply chan<- answer) {
 	if t.rec.Failing != "" {
 		reply <- answer{status: 200, body: protocol.JobStatus{ID: t.id, Status: protocol.JobFailed}}
 		return
 	}
 	if t.cancelPending {
-		n.awaitCancelled(t.id, n.openStepJobs(t), tries, reply)
+		n.awaitCancelled(t.id, n.openStepJobs(t), triesLeft, reply)
 		return
 	}
 	head := protocol.JobKey(t.id)
-	late := n.confirmsCancelAfterStop()
+	afterStop := n.confirmsCancelAfterStop()
 	rec := t.jobRecord(t.rec)
-	rec.Cancelled, rec.Asked = !late, late
+	rec.Cancelled, rec.Asked = !afterStop, afterStop
 	op := &storage.Op{Conds: []storage.Cond{n.unchanged(head)}, Writes: []storage.Write{{Put: head, Value: mustJSON(rec)}}}
 	for _, j := range n.openStepJobs(t) {
 		n.addStepStop(j, op, func(r *protocol.JobRecord) { r.Cancelled = true })
@@ -218,18 +223,18 @@
 			for _, w := range op.Writes {
 				n.applyOwnWrite(w, r.Epoch)
 			}
-			if late && n.tickets.byID[id] == t {
-				n.awaitCancelled(id, n.openStepJobs(t), tries, reply)
+			if afterStop && n.tickets.byID[id] == t {
+				n.awaitCancelled(id, n.openStepJobs(t), triesLeft, reply)
 				return
 			}
 			reply <- answer{status: 200, body: protocol.JobStatus{ID: id, Status: protocol.JobCancelled}}
-		case r.Err == nil && tries > 0:
+		case r.Err == nil && triesLeft > 0:
 			n.resync(append(r.Failed, protocol.FinalKey(id)), func(_ []storage.Item, err error) {
 				if err != nil {
 					reply <- busyAnswer
 					return
 				}
-				n.onCancel(id, tries-1, reply)
+				n.onCancel(id, triesLeft-1, reply)
 			})
 		default:
 			reply <- busyAnswer
@@ -237,105 +242,105 @@
 	})
 }
 
-// ticketJobStatus is what users see of a ticket where they ask for a job.
+// ticketJobStatus returns a ticket's status in the form of a job's, for requests that ask for a job.
 func (n *Node) ticketJobStatus(t *openTicket) protocol.JobStatus {
-	s := protocol.JobStatus{ID: t.id, Status: protocol.JobQueued, Terms: &t.rec.Terms}
-	for _, st := range t.rec.Steps {
-		s.Done, s.Failed = s.Done+st.Done, s.Failed+st.Failed
+	status := protocol.JobStatus{ID: t.id, Status: protocol.JobQueued, Terms: &t.rec.Terms}
+	for _, step := range t.rec.Steps {
+		status.Done, status.Failed = status.Done+step.Done, status.Failed+step.Failed
 	}
 	for _, j := range n.openStepJobs(t) {
-		s.Done, s.Failed, s.Running = s.Done+j.nDone, s.Failed+j.nExhausted, s.Running+j.nPlaced
+		status.Done, status.Failed, status.Running = status.Done+j.nDone, status.Failed+j.nExhausted, status.Running+j.nPlaced
 	}
 	switch {
 	case t.rec.Failing != "":
-		s.Status = protocol.JobFailed
+		status.Status = protocol.JobFailed
 	case t.cancelled && !t.cancelPending:
-		s.Status = protocol.JobCancelled
-	case s.Running > 0:
-		s.Status = protocol.JobRunning
+		status.Status = protocol.JobCancelled
+	case status.Running > 0:
+		status.Status = protocol.JobRunning
 	}
-	return s
+	return status
 }
 
-// TicketStatus is a ticket and its steps.
+// TicketStatus is the status of a ticket and its steps.
 type TicketStatus struct {
 	protocol.JobStatus
 	Name  string       `json:"name"`
 	Class string       `json:"lot"`
 	Team  string       `json:"crew"`
 	Tasks int          `json:"tasks"`
-	Why   string       `json:"why,omitempty"` // it failed
+	Why   string       `json:"why,omitempty"` // the reason why the ticket failed
 	Steps []StepStatus `json:"steps"`
 }
 
-// States of a step beside a job's.
+// Step states in addition to those of a job.
 const (
-	StepBlocked = "blocked" // waits for steps that it depends on
-	StepNotRun  = "not_run" // and the ticket is over
+	StepBlocked = "blocked" // waits for the steps that it depends on
+	StepNotRun  = "not_run" // the ticket ended before the step ran
 )
 
-// StepStatus is one step of a ticket.
+// StepStatus is the status of one step of a ticket.
 type StepStatus struct {
 	Step         string   `json:"step"`
-	Job          string   `json:"job"` // under which its description is uploaded
+	Job          string   `json:"job"` // the job's id, under which its description is uploaded
 	Status       string   `json:"status"`
 	Tasks        int      `json:"tasks"`
 	Done         int      `json:"done"`
 	Running      int      `json:"running"`
 	Failed       int      `json:"failed"`
-	FailedRanges [][2]int `json:"failed_tasks,omitempty"` // the first ranges of them
-	After        []string `json:"after,omitempty"`        // steps that must be done before
-	Why          string   `json:"why,omitempty"`          // its tasks wait
+	FailedRanges [][2]int `json:"failed_tasks,omitempty"` // the first ranges of failed task numbers
+	After        []string `json:"after,omitempty"`        // the steps that must be done before this one
+	Why          string   `json:"why,omitempty"`          // the reason why its tasks wait
 }
 
-// ticketStatus is how a ticket is; false if there is none of that id.
+// ticketStatus returns the status of a ticket; false if there is no ticket with that id.
 func (n *Node) ticketStatus(id string, now time.Time) (*TicketStatus, bool) {
 	var rec *protocol.TicketRecord
-	s := &TicketStatus{}
+	status := &TicketStatus{}
 	t := n.tickets.byID[id]
 	over := false
 	if f, ok := n.finalJobs.byID[id]; ok {
 		if rec, over = f.Ticket, true; rec == nil {
 			return nil, false
 		}
-		s.JobStatus = finalStatus(id, f)
+		status.JobStatus = finalStatus(id, f)
 	} else if t != nil {
 		rec = t.rec
-		s.JobStatus = n.ticketJobStatus(t)
+		status.JobStatus = n.ticketJobStatus(t)
 		over = t.cancelled || rec.Failing != ""
 	} else {
 		return nil, false
 	}
-	s.Name, s.Class, s.Team, s.Tasks, s.Why = rec.Name, rec.Base.Class, rec.Base.Team, rec.Base.Tasks, rec.Failing
-	for i, st := range rec.Steps {
-		v := StepStatus{Step: st.Name, Job: ticket.StepSpec(rec, i).ID, Status: st.State, Tasks: st.Tasks, Done: st.Done, Failed: st.Failed, FailedRanges: st.Which}
-		for _, d := range st.Deps {
-			v.After = append(v.After, rec.Steps[d].Name)
+	status.Name, status.Class, status.Team, status.Tasks, status.Why = rec.Name, rec.Base.Class, rec.Base.Team, rec.Base.Tasks, rec.Failing
+	for i, step := range rec.Steps {
+		stepStatus := StepStatus{Step: step.Name, Job: ticket.StepSpec(rec, i).ID, Status: step.State, Tasks: step.Tasks, Done: step.Done, Failed: step.Failed, FailedRanges: step.Which}
+		for _, d := range step.Deps {
+			stepStatus.After = append(stepStatus.After, rec.Steps[d].Name)
 		}
-		j := n.jobs[v.Job]
+		j := n.jobs[stepStatus.Job]
 		switch {
-		case st.State != "":
+		case step.State != "":
 		case t != nil && j != nil && j.step != nil:
-			js := j.status()
-			v.Status, v.Done, v.Running, v.Failed = js.Status, js.Done, js.Running, j.nExhausted
+			jobStatus := j.status()
+			stepStatus.Status, stepStatus.Done, stepStatus.Running, stepStatus.Failed = jobStatus.Status, jobStatus.Done, jobStatus.Running, j.nExhausted
 			if j.failed {
-				v.Status = protocol.JobFailed
+				stepStatus.Status = protocol.JobFailed
 			}
-			if k, stuck := n.stuckJob(j, now); stuck {
-				v.Why = k.Why
+			if stuckJob, stuck := n.stuckJob(j, now); stuck {
+				stepStatus.Why = stuckJob.Why
 			}
 		case over:
-			v.Status = StepNotRun
+			stepStatus.Status = StepNotRun
 		default:
-			v.Status = StepBlocked
+			stepStatus.Status = StepBlocked
 		}
-		s.Steps = append(s.Steps, v)
+		status.Steps = append(status.Steps, stepStatus)
 	}
-	return s, true
+	return status, true
 }
 
-// onTicketPoll answers how a ticket is, after the same comparison with the store as
-// any poll.
+// onTicketPoll answers a status request for a ticket, after the same read barrier as any other
+// status request.
 func (n *Node) onTicketPoll(id string, reply chan<- answer) {
 	if !n.loaded {
 		reply <- busyAnswer
@@ -363,12 +368,12 @@
 	n.serve(w, r, func(reply chan<- answer) { n.onTicketPoll(id, reply) })
 }
 
-// TicketTask is a task with its parameters.
+// TicketTask is the status of a task with its parameters.
 type TicketTask struct {
 	Task       int              `json:"task"`
 	Status     string           `json:"status"` // waiting, placed, running, done, failed, or over
 	Machine    string           `json:"machine,omitempty"`
-	Errors     int              `json:"errors,omitempty"` // that counted
+	Errors     int              `json:"errors,omitempty"` // those that count against its retries
 	Parameters []format.Binding `json:"parameters,omitempty"`
 }
 
@@ -380,26 +385,26 @@
 	More   bool         `json:"more"`
 }
 
-// mostPage bounds a page of tasks.
-const mostPage = 500
+// maxPageTasks bounds a page of tasks.
+const maxPageTasks = 500
 
-// getTicketTasks tells a step's tasks, from ?since= on, ?limit= of them. What they are
-// doing comes from memory, their parameters from the stored template: one read.
+// getTicketTasks returns a page of a step's tasks: ?limit= tasks, starting with number ?since=.
+// Their status comes from memory, their parameters from the stored template, with one read.
 func (n *Node) getTicketTasks(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
-	q := r.URL.Query()
-	number := func(name string, otherwise, least, most int) (int, error) {
-		if q.Get(name) == "" {
+	query := r.URL.Query()
+	intParam := func(name string, otherwise, least, most int) (int, error) {
+		if query.Get(name) == "" {
 			return otherwise, nil
 		}
-		v, err := strconv.Atoi(q.Get(name))
+		v, err := strconv.Atoi(query.Get(name))
 		if err != nil || v < least || v > most {
 			err = fmt.Errorf("%s: must be %d to %d", name, least, most)
 		}
 		return v, err
 	}
-	from, err := number("since", 0, 0, protocol.MaxTasks)
-	limit, lerr := number("limit", 100, 1, mostPage)
-	if err = errors.Join(err, lerr); err != nil {
+	from, err := intParam("since", 0, 0, protocol.MaxTasks)
+	limit, limitErr := intParam("limit", 100, 1, maxPageTasks)
+	if err = errors.Join(err, limitErr); err != nil {
 		writeAnswer(w, answer{status: 400, body: errorBody{err.Error()}})
 		return
 	}
@@ -411,13 +416,13 @@
 	page := make(chan answer, 1)
 	step := -1
 	n.post(func() {
-		// After a restart the ticket may be known only once it was read.
+		// After a restart the ticket may be known only once it has been read.
 		n.readJobStatus(id, func(_ bool, _ protocol.JobStatus, err error) {
 			if err != nil {
 				page <- busyAnswer
 				return
 			}
-			step = n.ticketTasks(id, q.Get("step"), from, limit, page)
+			step = n.ticketTasks(id, query.Get("step"), from, limit, page)
 		})
 	})
 	var a answer
@@ -428,29 +433,29 @@
 	case <-n.ctx.Done():
 		a = busyAnswer
 	}
-	if out, ok := a.body.(*TicketTasks); ok {
-		it, err := n.store.Get(r.Context(), protocol.TicketKey(id))
+	if tasks, ok := a.body.(*TicketTasks); ok {
+		item, err := n.store.Get(r.Context(), protocol.TicketKey(id))
 		var packed packedTicket
-		if err == nil && it.Value != nil {
-			err = json.Unmarshal(it.Value, &packed)
+		if err == nil && item.Value != nil {
+			err = json.Unmarshal(item.Value, &packed)
 		}
 		var plan *format.Plan
 		if err == nil {
 			_, plan, err = format.Unpack(packed.Packed)
 		}
 		if err != nil || step >= len(plan.Steps) {
-			n.log.Info("ticket's template not read", "ticket", id, "why", err)
+			n.log.Info("cannot read the template of a ticket", "ticket", id, "why", err)
 			writeAnswer(w, busyAnswer)
 			return
 		}
-		for i := range out.Tasks {
-			out.Tasks[i].Parameters = plan.Steps[step].Space.At(out.Tasks[i].Task)
+		for i := range tasks.Tasks {
+			tasks.Tasks[i].Parameters = plan.Steps[step].Space.At(tasks.Tasks[i].Task)
 		}
 	}
 	writeAnswer(w, a)
 }
 
-// ticketTasks answers with a page without parameters, and returns the step's number.
+// ticketTasks answers with a page of tasks without their parameters and returns the step's index.
 func (n *Node) ticketTasks(id, name string, from, limit int, reply chan<- answer) int {
 	rec := n.finalJobs.byID[id].Ticket
 	if t := n.tickets.byID[id]; t != nil {
@@ -464,54 +469,54 @@
 		if st.Name != name && (name != "" || i > 0) {
 			continue
 		}
-		out := &TicketTasks{Ticket: id, Step: st.Name, Tasks: []TicketTask{}, More: from+limit < st.Tasks}
+		tasks := &TicketTasks{Ticket: id, Step: st.Name, Tasks: []TicketTask{}, More: from+limit < st.Tasks}
 		j := n.jobs[ticket.StepSpec(rec, i).ID]
 		for k := from; k < min(st.Tasks, from+limit); k++ {
-			out.Tasks = append(out.Tasks, taskOf(j, st, k))
+			tasks.Tasks = append(tasks.Tasks, ticketTaskOf(j, st, k))
 		}
-		reply <- answer{status: 200, body: out}
+		reply <- answer{status: 200, body: tasks}
 		return i
 	}
 	reply <- answer{status: 404, body: errorBody{"no such step"}}
 	return -1
 }
 
-func taskOf(j *job, st protocol.TicketStep, k int) TicketTask {
-	v := TicketTask{Task: k, Status: "waiting"}
+func ticketTaskOf(j *job, step protocol.TicketStep, number int) TicketTask {
+	status := TicketTask{Task: number, Status: "waiting"}
 	switch {
-	case st.State == protocol.JobDone:
-		v.Status = "done"
-	case st.State != "":
-		v.Status = "over"
-		for _, r := range st.Which {
-			if k >= r[0] && k <= r[1] {
-				v.Status = "failed"
+	case step.State == protocol.JobDone:
+		status.Status = "done"
+	case step.State != "":
+		status.Status = "over"
+		for _, r := range step.Which {
+			if number >= r[0] && number <= r[1] {
+				status.Status = "failed"
 			}
 		}
-	case j != nil && j.step != nil && k < len(j.tasks):
-		t := &j.tasks[k]
-		v.Errors = t.countedErrors()
+	case j != nil && j.step != nil && number < len(j.tasks):
+		t := &j.tasks[number]
+		status.Errors = t.countedErrors()
 		switch {
 		case t.phase == phaseExhausted:
-			v.Status = "failed"
+			status.Status = "failed"
 		case t.phase == phaseDone:
-			v.Status = "done"
+			status.Status = "done"
 		case t.phase == phasePlaced:
-			v.Status, v.Machine = "placed", t.machine.name
+			status.Status, status.Machine = "placed", t.machine.name
 			if t.reportedState == reportedRunning {
-				v.Status = "running"
+				status.Status = "running"
 			}
 		}
 	}
-	return v
+	return status
 }
 
-// ClassesView shows the classes of tickets with the revision that a change must name.
+// ClassesView shows the ticket classes with the revision that a change must name.
 type ClassesView struct {
 	Stamp          uint64       `json:"stamp"`
-	AcceptsTickets bool         `json:"taken"` // whether this node takes tickets
+	AcceptsTickets bool         `json:"taken"` // whether this node accepts tickets
 	Classes        ticket.Table `json:"classes"`
-	Stored         []string     `json:"stored"` // those that operators set
+	Stored         []string     `json:"stored"` // the lots whose classes operators set
 }
 
 func (n *Node) classesView() ClassesView {
@@ -520,23 +525,23 @@
 
 func (n *Node) putClass(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 	data, err := readBody(r)
-	var c SettingChange
+	var change SettingChange
 	if err == nil {
-		err = json.Unmarshal(data, &c)
+		err = json.Unmarshal(data, &change)
 	}
-	if err != nil || c.Stamp == nil {
+	if err != nil || change.Stamp == nil {
 		writeAnswer(w, answer{status: 400, body: errorBody{`need {"value":{...},"stamp":N} with the stamp that /admin/classes shows`}})
 		return
 	}
 	lot := p.ByName("lot")
-	class, err := ticket.ParseClass(lot, c.Value)
+	class, err := ticket.ParseClass(lot, change.Value)
 	if err != nil {
 		writeAnswer(w, answer{status: 400, body: errorBody{err.Error()}})
 		return
 	}
-	from := r.RemoteAddr
+	remoteAddr := r.RemoteAddr
 	n.serve(w, r, func(reply chan<- answer) {
-		n.setClasses(*c.Stamp, from, reply, func(t ticket.Table) { t[lot] = class })
+		n.setClasses(*change.Stamp, remoteAddr, reply, func(t ticket.Table) { t[lot] = class })
 	})
 }
 
@@ -546,32 +551,32 @@
 		writeAnswer(w, answer{status: 400, body: errorBody{"need ?stamp=N with the stamp that /admin/classes shows"}})
 		return
 	}
-	lot, from := p.ByName("lot"), r.RemoteAddr
+	lot, remoteAddr := p.ByName("lot"), r.RemoteAddr
 	n.serve(w, r, func(reply chan<- answer) {
 		if _, ok := n.tickets.storedClasses[lot]; !ok {
 			reply <- answer{status: 404, body: errorBody{"operators set no class of that lot"}}
 			return
 		}
-		n.setClasses(stamp, from, reply, func(t ticket.Table) { delete(t, lot) })
+		n.setClasses(stamp, remoteAddr, reply, func(t ticket.Table) { delete(t, lot) })
 	})
 }
 
-// setClasses stores what operators set of the classes.
-func (n *Node) setClasses(stamp uint64, from string, reply chan<- answer, change func(ticket.Table)) {
+// setClasses stores a change of the operators' ticket classes.
+func (n *Node) setClasses(stamp uint64, remoteAddr string, reply chan<- answer, change func(ticket.Table)) {
 	changed := ticket.Table{}
 	maps.Copy(changed, n.tickets.storedClasses)
 	change(changed)
 	conflict := answer{status: 409, body: errorBody{"changed meanwhile: read the classes again"}}
 	value := mustJSON(changed)
-	switch most := int(n.cfg.Params.State.ValueKB * 1024); {
+	switch maxBytes := int(n.cfg.Params.State.ValueKB * 1024); {
 	case !n.loaded:
 		reply <- busyAnswer
 		return
 	case stamp != n.revisionOf(protocol.ClassesKey):
 		reply <- conflict
 		return
-	case len(changed) > ticket.MaxClasses || len(value) > most:
-		reply <- answer{status: 400, body: errorBody{fmt.Sprintf("classes: %d in %d bytes, at most %d in %d are stored", len(changed), len(value), ticket.MaxClasses, most)}}
+	case len(changed) > ticket.MaxClasses || len(value) > maxBytes:
+		reply <- answer{status: 400, body: errorBody{fmt.Sprintf("classes: %d in %d bytes, at most %d in %d are stored", len(changed), len(value), ticket.MaxClasses, maxBytes)}}
 		return
 	}
 	op := &storage.Op{Conds: []storage.Cond{{Key: protocol.ClassesKey, Stamp: stamp}}, Writes: []storage.Write{{Put: protocol.ClassesKey, Value: value}}}
@@ -579,7 +584,7 @@
 		switch {
 		case r.OK:
 			n.applyOwnWrite(op.Writes[0], r.Epoch)
-			n.log.Info("classes of tickets changed", "lots", n.tickets.storedClasses.Lots(), "by", from)
+			n.log.Info("ticket classes changed", "lots", n.tickets.storedClasses.Lots(), "by", remoteAddr)
 			reply <- answer{status: 200, body: n.classesView()}
 		case r.Err != nil:
 			reply <- busyAnswer
--- a/internal/coordination/node/tickets.go
+++ b/internal/coordination/node/tickets.go
@@ -12,89 +12,92 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-// Render-farm tickets (docs/tickets.md). A ticket is a record beside the jobs, under a
-// job's key; each of its steps is a job, placed, counted, stopped and stored as any
-// other. This file is the actor's part: it shows package ticket how things stand and
-// does what that decides, each time in one conditional write. It may touch desk,
+// Render-farm tickets (docs/tickets.md). A ticket is a record beside the jobs, stored under a
+// job's key; each of its steps is a job, which is placed, counted, stopped and stored like any
+// other. This file is the actor's part: it passes the state of a ticket to package ticket and
+// carries out what that decides, each time in one conditional write. It may modify ticketState,
 // openTicket and, of a job, step, failed and the tasks' errors.
 //
-// What makes a step start once and only once: its job is stored under an id derived
-// from the ticket, on condition that there is none and that the ticket's record is
-// unchanged; and the end of a step's job changes that record in the same write that
-// removes the job. So whoever decided on an older record, stalled for any time,
-// changes nothing.
+// Each step starts exactly once: its job is stored under an id derived from the ticket, on the
+// conditions that there is no such job and that the ticket's record is unchanged; and the write
+// that removes the job at its end also changes that record. A node that decided on an older
+// record, however long it was stalled, therefore changes nothing.
 
 // ticketState is what a node knows of tickets.
 type ticketState struct {
-	fileClasses   ticket.Table // of the file; nil: this node takes no tickets
-	storedClasses ticket.Table // that operators set
+	fileClasses   ticket.Table // from the settings file; nil: this node accepts no tickets
+	storedClasses ticket.Table // set by operators
 	byID          map[string]*openTicket
-	dirty         map[string]bool // to be looked at by the holder of their share
-	maxOpenSteps  int             // steps of a ticket open at a time
+	dirty         map[string]bool // tickets that the owner of their partition has to reconcile
+	maxOpenSteps  int             // bounds the steps of a ticket that are open at a time
 }
 
-// openTicket is an accepted ticket that is not over.
+// openTicket is an accepted ticket that is not final.
 type openTicket struct {
 	id            string
 	rec           *protocol.TicketRecord
 	team          int
-	share         int
+	partition     int
 	submitted     time.Time
 	cancelled     bool
-	cancelPending bool      // cancelled, and nobody was told: something of it may be left
-	steps         []string  // the ids of its steps' jobs
-	busy          bool      // a change of it is being stored
-	changesPaused bool      // no change of its jobs begins: they are about to be stopped
-	retryAfter    time.Time // when to try again what could not be stored
+	cancelPending bool      // the cancellation is stored and not confirmed to the user yet: tasks may be left
+	steps         []string  // the job ids of its steps
+	writePending  bool      // a change of the ticket is being stored
+	changesPaused bool      // no change of its jobs may begin, since they are about to be stopped
+	retryAfter    time.Time // when to retry a change that could not be stored
 }
 
-// mostOpen bounds the steps of a ticket that are open at a time: all of them and the
-// ticket are cancelled in one write.
-const mostOpen = 8
+// openStepsLimit bounds the steps of a ticket that are open at a time: one write cancels all of
+// them together with the ticket.
+const openStepsLimit = 8
 
 func newTicketState(txnOps int) ticketState {
-	return ticketState{byID: map[string]*openTicket{}, dirty: map[string]bool{}, maxOpenSteps: max(1, min(mostOpen, txnOps-3))}
+	return ticketState{byID: map[string]*openTicket{}, dirty: map[string]bool{}, maxOpenSteps: max(1, min(openStepsLimit, txnOps-3))}
 }
 
-// AcceptTickets lets this node take tickets of these classes. It is called before Run.
+// AcceptTickets makes this node accept tickets of these classes. It is called before Run.
 func (n *Node) AcceptTickets(classes ticket.Table) { n.tickets.fileClasses = classes }
 
-// effectiveClasses is the classes as they hold now.
+// effectiveClasses returns the classes that apply now: those of the settings file, overridden by
+// the stored ones.
 func (d *ticketState) effectiveClasses() ticket.Table { return d.fileClasses.With(d.storedClasses) }
 
-func (d *ticketState) ownershipAcquired(share int) {
+// ownershipAcquired marks the tickets of a partition, which this node has come to own, to be
+// reconciled.
+func (d *ticketState) ownershipAcquired(partition int) {
 	for id, t := range d.byID {
-		if t.share == share {
+		if t.partition == partition {
 			d.dirty[id] = true
 		}
 	}
 }
 
+// markTicketDirty marks a ticket to be reconciled.
 func (n *Node) markTicketDirty(id string) { n.tickets.dirty[id] = true }
 
-// setTicket takes in a ticket's record.
-func (n *Node) setTicket(id string, r *protocol.JobRecord) {
-	team, ok := n.teamIndex[r.Ticket.Base.Team]
+// setTicket applies a ticket's record to the replica.
+func (n *Node) setTicket(id string, record *protocol.JobRecord) {
+	team, ok := n.teamIndex[record.Ticket.Base.Team]
 	if !ok {
-		n.log.Error("ticket of an unknown team", "ticket", id, "team", r.Ticket.Base.Team)
+		n.log.Error("ignoring a ticket of an unknown team", "ticket", id, "team", record.Ticket.Base.Team)
 		return
 	}
 	t := n.tickets.byID[id]
 	if t == nil {
-		t = &openTicket{id: id, team: team, share: n.teams[team].partition, submitted: time.UnixMilli(r.SubmittedMS)}
-		for i := range r.Ticket.Steps {
-			t.steps = append(t.steps, ticket.StepSpec(r.Ticket, i).ID)
+		t = &openTicket{id: id, team: team, partition: n.teams[team].partition, submitted: time.UnixMilli(record.SubmittedMS)}
+		for i := range record.Ticket.Steps {
+			t.steps = append(t.steps, ticket.StepSpec(record.Ticket, i).ID)
 		}
 		n.tickets.byID[id] = t
 	}
-	if r.Ticket.Failing != "" && t.rec != nil && t.rec.Failing == "" {
-		n.log.Info("ticket fails", "ticket", id, "name", r.Ticket.Name, "why", r.Ticket.Failing)
+	if record.Ticket.Failing != "" && t.rec != nil && t.rec.Failing == "" {
+		n.log.Info("ticket fails", "ticket", id, "name", record.Ticket.Name, "why", record.Ticket.Failing)
 	}
-	t.rec, t.cancelled, t.cancelPending = r.Ticket, r.Cancelled || r.Asked, r.Asked && !r.Cancelled
+	t.rec, t.cancelled, t.cancelPending = record.Ticket, record.Cancelled || record.Asked, record.Asked && !record.Cancelled
 	n.markTicketDirty(id)
 }
 
-// dropTicket forgets a ticket whose record is gone: it is over.
+// dropTicket removes a ticket whose record is gone: the ticket is final.
 func (n *Node) dropTicket(id string) {
 	if t := n.tickets.byID[id]; t != nil {
 		n.recordTicketEnd(t)
@@ -104,13 +107,13 @@
 	delete(n.tickets.dirty, id)
 }
 
-// jobRecord is a ticket's record as it is stored.
+// jobRecord returns the record under which a ticket is stored.
 func (t *openTicket) jobRecord(rec *protocol.TicketRecord) protocol.JobRecord {
 	return protocol.JobRecord{Ticket: rec, SubmittedMS: t.submitted.UnixMilli(), Cancelled: t.cancelled && !t.cancelPending, Asked: t.cancelPending, Next: 1}
 }
 
-// now is how the steps of a ticket are. without, if not nil, is a job whose end is
-// about to be stored.
+// stepStates returns the state of each step of a ticket. without, if not nil, is a job whose end
+// is about to be stored.
 func (n *Node) stepStates(t *openTicket, without *job) []ticket.StepNow {
 	out := make([]ticket.StepNow, len(t.steps))
 	for i, id := range t.steps {
@@ -125,7 +128,7 @@
 	return out
 }
 
-// open is a ticket's open jobs.
+// openStepJobs returns a ticket's open jobs.
 func (n *Node) openStepJobs(t *openTicket) (out []*job) {
 	for _, id := range t.steps {
 		if j := n.jobs[id]; j != nil && j.step != nil && j.step.Ticket == t.id {
@@ -135,34 +138,34 @@
 	return out
 }
 
-// reconcileTickets does what is to be done about tickets of the shares held.
+// reconcileTickets makes the changes that tickets of the owned partitions need.
 func (n *Node) reconcileTickets(now time.Time) {
 	if len(n.tickets.dirty) == 0 || n.sinceContact(now) > 2*time.Second {
 		return
 	}
 	for _, id := range slices.Sorted(maps.Keys(n.tickets.dirty)) {
 		t := n.tickets.byID[id]
-		if t == nil || !n.owns(n.partitions[t.share]) {
+		if t == nil || !n.owns(n.partitions[t.partition]) {
 			delete(n.tickets.dirty, id)
 			continue
 		}
-		if t.busy || now.Before(t.retryAfter) {
-			continue // looked at again when that is stored
+		if t.writePending || now.Before(t.retryAfter) {
+			continue // reconciled again once that change is stored
 		}
-		d := ticket.Decide(t.rec, t.cancelled, n.stepStates(t, nil), n.tickets.maxOpenSteps)
-		// To stop jobs their records must stand still: no more changes of them begin until
-		// those under way are stored.
-		if t.changesPaused = d.Fail != "" || d.Stop != nil; t.changesPaused && slices.ContainsFunc(n.openStepJobs(t), func(j *job) bool { return j.writePending }) {
+		next := ticket.Decide(t.rec, t.cancelled, n.stepStates(t, nil), n.tickets.maxOpenSteps)
+		// The records of jobs must not change while they are being stopped: no further change of
+		// them begins, and the stop waits until those in flight are stored.
+		if t.changesPaused = next.Fail != "" || next.Stop != nil; t.changesPaused && slices.ContainsFunc(n.openStepJobs(t), func(j *job) bool { return j.writePending }) {
 			continue
 		}
 		delete(n.tickets.dirty, id)
-		op := n.ticketOp(t, d, now)
+		op := n.ticketOp(t, next, now)
 		if op == nil {
 			continue
 		}
-		t.busy = true
+		t.writePending = true
 		n.submit(op, func(r storage.Result) {
-			t.busy, t.changesPaused = false, false
+			t.writePending, t.changesPaused = false, false
 			if !r.OK {
 				t.retryAfter = time.Now().Add(200 * time.Millisecond)
 			}
@@ -171,37 +174,37 @@
 	}
 }
 
-// ticketOp turns a decision into a change; nil: nothing is to be done.
-func (n *Node) ticketOp(t *openTicket, d ticket.Next, now time.Time) *storage.Op {
+// ticketOp turns a decision into a transaction; nil if there is nothing to do.
+func (n *Node) ticketOp(t *openTicket, next ticket.Next, now time.Time) *storage.Op {
 	head := protocol.JobKey(t.id)
-	op := &storage.Op{Conds: []storage.Cond{n.unchanged(protocol.HolderKey(t.share)), n.unchanged(head)}}
+	op := &storage.Op{Conds: []storage.Cond{n.unchanged(protocol.HolderKey(t.partition)), n.unchanged(head)}}
 	put := func(key string, v any) {
 		op.Writes = append(op.Writes, storage.Write{Put: key, Value: mustJSON(v)})
 	}
 	switch {
-	case d.Fail != "":
-		put(head, t.jobRecord(ticket.Failing(t.rec, d.Fail)))
+	case next.Fail != "":
+		put(head, t.jobRecord(ticket.Failing(t.rec, next.Fail)))
 		for _, j := range n.openStepJobs(t) {
 			n.addStepStop(j, op, func(r *protocol.JobRecord) { r.Failed = true })
 		}
-	case d.Stop != nil:
-		for _, i := range d.Stop {
+	case next.Stop != nil:
+		for _, i := range next.Stop {
 			n.addStepStop(n.jobs[t.steps[i]], op, func(r *protocol.JobRecord) {
 				r.Failed = !t.cancelled || t.rec.Failing != ""
 				r.Cancelled = !r.Failed
 			})
 		}
-	case d.Over != "":
-		op.Writes = n.ticketEnds(t, t.rec, d.Over)
-	case d.Open != nil:
-		n.addOpenSteps(t.rec, t.steps, d.Open, now, op)
+	case next.Over != "":
+		op.Writes = n.finalTicketWrites(t, t.rec, next.Over)
+	case next.Open != nil:
+		n.addOpenSteps(t.rec, t.steps, next.Open, now, op)
 	default:
 		return nil
 	}
 	return op
 }
 
-// addOpenSteps adds the jobs of steps to a change.
+// addOpenSteps adds the creation of the jobs of some steps to a transaction.
 func (n *Node) addOpenSteps(rec *protocol.TicketRecord, ids []string, steps []int, now time.Time, op *storage.Op) {
 	for _, i := range steps {
 		key := protocol.JobKey(ids[i])
@@ -210,17 +213,17 @@
 	}
 }
 
-// addStepStop adds to a change that a step's job is to end.
-func (n *Node) addStepStop(j *job, op *storage.Op, how func(r *protocol.JobRecord)) {
+// addStepStop adds to a transaction that the job of a step is to end.
+func (n *Node) addStepStop(j *job, op *storage.Op, mark func(r *protocol.JobRecord)) {
 	key := protocol.JobKey(j.id)
 	rec := n.storedRecordAtLog(j)
-	how(&rec)
+	mark(&rec)
 	op.Conds = append(op.Conds, n.unchanged(key))
 	op.Writes = append(op.Writes, storage.Write{Put: key, Value: mustJSON(rec)})
 }
 
-// ticketEnds is the write that makes a ticket final.
-func (n *Node) ticketEnds(t *openTicket, rec *protocol.TicketRecord, status string) []storage.Write {
+// finalTicketWrites returns the writes that make a ticket final.
+func (n *Node) finalTicketWrites(t *openTicket, rec *protocol.TicketRecord, status string) []storage.Write {
 	n.log.Info("ticket over", "ticket", t.id, "name", rec.Name, "status", status, "why", rec.Failing, "took_s", roundToTenth(time.Since(t.submitted).Seconds()))
 	return []storage.Write{
 		{Put: protocol.FinalKey(t.id), Value: mustJSON(protocol.FinalRecord{Status: status, Tasks: rec.Base.Tasks, Ticket: rec})},
@@ -228,52 +231,53 @@
 	}
 }
 
-// addStepEnd adds to a change what the end of a step's job is for its ticket: the job
-// goes, the ticket's record says what became of it, and the steps that waited for it
-// alone start. False: not now, since another change of the ticket is being stored.
+// addStepEnd adds to a transaction what the end of a step's job means for its ticket: the job is
+// removed, the ticket's record gets the step's outcome, and the steps that waited only for this
+// one start. It returns false if that has to wait since another change of the ticket is being
+// stored.
 func (n *Node) addStepEnd(j *job, op *storage.Op) bool {
-	gone := storage.Write{Delete: protocol.JobKey(j.id)}
+	removal := storage.Write{Delete: protocol.JobKey(j.id)}
 	t := n.tickets.byID[j.step.Ticket]
 	if t == nil {
-		op.Writes = []storage.Write{gone} // its ticket is over: nothing of it is wanted
+		op.Writes = []storage.Write{removal} // its ticket is final: nothing else has to be stored
 		return true
 	}
-	if t.busy {
+	if t.writePending {
 		return false
 	}
 	nDone, failed := 0, 0
-	var which [][2]int
+	var failedRanges [][2]int
 	for i := range j.tasks {
-		switch tk := &j.tasks[i]; {
-		case j.taskExhausted(tk):
+		switch task := &j.tasks[i]; {
+		case j.taskExhausted(task):
 			failed++
-			if l := len(which); l > 0 && which[l-1][1] == i-1 {
-				which[l-1][1] = i
+			if l := len(failedRanges); l > 0 && failedRanges[l-1][1] == i-1 {
+				failedRanges[l-1][1] = i
 			} else {
-				which = append(which, [2]int{i, i})
+				failedRanges = append(failedRanges, [2]int{i, i})
 			}
-		case tk.phase == phaseDone || tk.outcome == outcomeFinished:
+		case task.phase == phaseDone || task.outcome == outcomeFinished:
 			nDone++
 		}
 	}
 	if j.spec.Shape == protocol.Gang && nDone > 0 {
-		nDone = len(j.tasks) // they complete together
+		nDone = len(j.tasks) // the tasks of a gang complete together
 	}
-	rec := ticket.Ended(t.rec, j.step.Step, ticket.Outcome(j.cancelled, j.failed, failed), nDone, failed, which)
+	rec := ticket.Ended(t.rec, j.step.Step, ticket.Outcome(j.cancelled, j.failed, failed), nDone, failed, failedRanges)
 	op.Conds = append(op.Conds, n.unchanged(protocol.JobKey(t.id)))
-	op.Writes = []storage.Write{gone}
-	switch d := ticket.Decide(rec, t.cancelled, n.stepStates(t, j), n.tickets.maxOpenSteps); {
-	case d.Over != "":
-		op.Writes = append(op.Writes, n.ticketEnds(t, rec, d.Over)...)
+	op.Writes = []storage.Write{removal}
+	switch next := ticket.Decide(rec, t.cancelled, n.stepStates(t, j), n.tickets.maxOpenSteps); {
+	case next.Over != "":
+		op.Writes = append(op.Writes, n.finalTicketWrites(t, rec, next.Over)...)
 	default:
 		op.Writes = append(op.Writes, storage.Write{Put: protocol.JobKey(t.id), Value: mustJSON(t.jobRecord(rec))})
-		n.addOpenSteps(rec, t.steps, d.Open, time.Now(), op)
+		n.addOpenSteps(rec, t.steps, next.Open, time.Now(), op)
 	}
-	t.busy, j.storingEnd = true, true
+	t.writePending, j.storingEnd = true, true
 	return true
 }
 
-// jobChangesPaused says whether no change of a job may begin now.
+// jobChangesPaused reports whether no change of a job may begin now.
 func (n *Node) jobChangesPaused(j *job) bool {
 	if n.hasCorruptRecord(j) {
 		return true
@@ -285,20 +289,20 @@
 	return t != nil && t.changesPaused
 }
 
-// stepEnded: a change of a job is stored, or refused. If it was its end, the ticket
-// may change again.
+// stepChangeFinished is called when a change of a job is stored or refused. If the change was the
+// end of a step's job, the ticket may change again.
 func (n *Node) stepChangeFinished(j *job) {
 	if !j.storingEnd {
 		return
 	}
 	j.storingEnd = false
 	if t := n.tickets.byID[j.step.Ticket]; t != nil {
-		t.busy = false
+		t.writePending = false
 		n.markTicketDirty(t.id)
 	}
 }
 
-// countedErrors is how often a task has failed so that it counts.
+// countedErrors returns how many of a task's failures count against its retries.
 func (t *task) countedErrors() int {
 	if t.unstoredError {
 		return int(t.storedErrors) + 1
@@ -306,64 +310,65 @@
 	return int(t.storedErrors)
 }
 
-// retriesExhausted says whether so many errors are all that a task may have.
+// retriesExhausted reports whether this many errors use up a task's retries.
 func (j *job) retriesExhausted(errors int) bool {
 	return j.step != nil && ticket.Spent(errors, j.step.Retries)
 }
 
-// taskExhausted says whether a task has used up its tries, stored or not.
+// taskExhausted reports whether a task has used up its retries, whether or not that is stored.
 func (j *job) taskExhausted(t *task) bool {
 	return t.phase == phaseExhausted || t.outcome == outcomeGone && j.retriesExhausted(t.countedErrors())
 }
 
-// inBackoff says whether a task that failed waits before it is tried again.
+// inBackoff reports whether a failed task is still waiting before its next try.
 func (j *job) inBackoff(i int, now time.Time) bool {
 	t := &j.tasks[i]
 	return j.hasErrors && t.storedErrors > 0 && now.Sub(t.phaseSince) < ticket.Pause(int(t.storedErrors))
 }
 
-// startableTasks is how many waiting tasks of a job that had errors may be started.
+// startableTasks returns how many waiting tasks of a job that had errors may be started.
 func (j *job) startableTasks(now time.Time) int {
-	c := 0
+	count := 0
 	for i := range j.tasks {
 		if j.tasks[i].phase == phaseWaiting && !j.inBackoff(i, now) {
-			c++
+			count++
 		}
 	}
-	return c
+	return count
 }
 
-// onStepTaskFailed notes that a task of a ticket's step ended with an error on a machine.
-// Its tries are limited, so the job is not tried in smaller and smaller numbers as
-// others are. The machine is avoided for a moment, and blamed unless the job has
-// failed elsewhere too: then it is most likely the ticket.
+// onStepTaskFailed handles that a task of a ticket's step ended with an error on a machine. The
+// task's retries are limited, so the job is not reduced to fewer and fewer tries like other jobs.
+// The machine is avoided for a moment and blamed, unless the job has failed on other machines too:
+// then the ticket itself is most likely at fault.
 func (n *Node) onStepTaskFailed(j *job, m *machine, now time.Time) {
 	m.avoidUntil = now.Add(5 * time.Second)
 	n.markStale(m)
-	f := &j.failures
-	if !slices.Contains(f.machines, m) {
-		f.machines = append(f.machines, m)
+	failures := &j.failures
+	if !slices.Contains(failures.machines, m) {
+		failures.machines = append(failures.machines, m)
 	}
-	if len(f.machines) == 1 {
+	if len(failures.machines) == 1 {
 		m.faults.addFailure(j.id, false, time.Now())
 		return
 	}
-	for _, o := range f.machines {
-		o.faults.removeFailuresOf(j.id)
-		n.markStale(o)
+	for _, other := range failures.machines {
+		other.faults.removeFailuresOf(j.id)
+		n.markStale(other)
 	}
 }
 
-// drainNote tells how many of the machines that a job may use take nothing new.
-func (n *Node) drainNote(s *partition, j *job) string {
-	c := 0
-	for _, m := range s.machines {
+// drainNote returns a note on how many of the machines that a job may use are being drained, or ""
+// if there are none.
+func (n *Node) drainNote(owned *partition, j *job) string {
+	draining := 0
+	for _, m := range owned.machines {
 		if (m.heldBack || m.spotNotice || m.returning) && decide.Allowed(j.spec, offer{Type: m.rec.Type, Zone: m.rec.Zone, Spot: m.rec.Spot}) {
-			c++
+			draining++
 		}
 	}
-	if c == 0 {
+	if draining == 0 {
 		return ""
 	}
-	return fmt.Sprintf(" (%d of its machines are being drained)", c)
+	return fmt.Sprintf(" (%d of its machines are being drained)", draining)
 }
--- a/internal/coordination/node/users.go
+++ b/internal/coordination/node/users.go
@@ -15,16 +15,17 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-// finalCache remembers final jobs: what is final never changes. The oldest are
-// forgotten first, and are read from the store when asked for again.
+// finalCache caches the records of final jobs, which never change. When it is full the
+// oldest entries are evicted; an evicted record is read from the state service again when
+// it is asked for.
 type finalCache struct {
 	maxEntries int
 	byID       map[string]protocol.FinalRecord
 	order      []string
 }
 
-func newFinalCache(most int) *finalCache {
-	return &finalCache{maxEntries: most, byID: map[string]protocol.FinalRecord{}}
+func newFinalCache(maxEntries int) *finalCache {
+	return &finalCache{maxEntries: maxEntries, byID: map[string]protocol.FinalRecord{}}
 }
 
 func (c *finalCache) add(id string, r protocol.FinalRecord) {
@@ -38,17 +39,17 @@
 	}
 }
 
-func (n *Node) applyFinal(it storage.Item) {
-	id, ok := strings.CutPrefix(it.Key, protocol.FinalRoot)
-	if !ok || it.Value == nil {
+func (n *Node) applyFinal(item storage.Item) {
+	id, ok := strings.CutPrefix(item.Key, protocol.FinalRoot)
+	if !ok || item.Value == nil {
 		return
 	}
-	var r protocol.FinalRecord
-	if err := json.Unmarshal(it.Value, &r); err != nil {
-		n.log.Error("final record not understood", "job", id, "why", err)
+	var record protocol.FinalRecord
+	if err := json.Unmarshal(item.Value, &record); err != nil {
+		n.log.Error("final record not understood; ignoring it", "job", id, "why", err)
 		return
 	}
-	n.finalJobs.add(id, r)
+	n.finalJobs.add(id, record)
 }
 
 func finalStatus(id string, r protocol.FinalRecord) protocol.JobStatus {
@@ -65,7 +66,7 @@
 	return s
 }
 
-// status is what users see of a job that is not final.
+// status is the status that users are shown for a job that is not final.
 func (j *job) status() protocol.JobStatus {
 	s := protocol.JobStatus{ID: j.id, Status: protocol.JobQueued, Done: j.nDone, Running: j.nPlaced}
 	if j.nPlaced > 0 {
@@ -79,39 +80,40 @@
 
 var busyAnswer = answer{status: 503, retryAfterS: 1}
 
-// usersPart is the part of the rate of changes that users can count on while
-// the books have much to store too.
-const usersPart = 0.85
+// userWriteFraction is the fraction of the write rate that user changes can count on while
+// the background committer has a backlog too.
+const userWriteFraction = 0.85
 
-// rejectIfOverloaded says whether a change that a user waits for could not be stored soon.
-// Then the user is told at once when to come back: each one turned away a turn
-// later, by what the rate allows, so that they do not all return together.
+// rejectIfOverloaded reports whether a user's change could not be stored within maxQueueWait,
+// and returns the 503 answer for that case. Successive rejected users get retry times spaced by
+// the write rate, so that they do not all return together.
 func (n *Node) rejectIfOverloaded(now time.Time) (answer, bool) {
-	perChange := time.Duration(float64(time.Second) / (usersPart * n.rateLimiter.PerSecond()))
-	ahead := n.pendingUserChanges + (len(n.packed.submissions)+n.submissionsPerEntry()-1)/n.submissionsPerEntry()
-	backlog := now.Add(time.Duration(ahead) * perChange)
-	if ahead <= forWaiting || backlog.Sub(now) < maxQueueWait {
+	perChange := time.Duration(float64(time.Second) / (userWriteFraction * n.rateLimiter.PerSecond()))
+	queued := n.pendingUserChanges + (len(n.packed.submissions)+n.submissionsPerEntry()-1)/n.submissionsPerEntry()
+	queueEnd := now.Add(time.Duration(queued) * perChange)
+	if queued <= queueBurst || queueEnd.Sub(now) < maxQueueWait {
 		return answer{}, false
 	}
-	if n.nextRetrySlot.Before(backlog) {
-		n.nextRetrySlot = backlog
+	if n.nextRetrySlot.Before(queueEnd) {
+		n.nextRetrySlot = queueEnd
 	}
 	if n.mayWriteEntries() {
 		perChange /= time.Duration(n.submissionsPerEntry())
 	}
 	n.nextRetrySlot = n.nextRetrySlot.Add(perChange)
-	n.log.Debug("user turned away", "waiting", ahead, "per_second", n.rateLimiter.PerSecond(), "turn_s", n.nextRetrySlot.Sub(now).Seconds())
+	n.log.Debug("user turned away", "waiting", queued, "per_second", n.rateLimiter.PerSecond(), "turn_s", n.nextRetrySlot.Sub(now).Seconds())
 	return answer{status: 503, retryAfterS: min(30, int(math.Ceil(n.nextRetrySlot.Sub(now).Seconds())))}, true
 }
 
 const (
-	// maxQueueWait is how long a user's change may wait for its turn to be stored.
+	// maxQueueWait is how long a user's change may wait in the queue before it is stored.
 	maxQueueWait = 1500 * time.Millisecond
-	// forWaiting is how many may wait whatever the rate: the rate has a burst.
-	forWaiting = 16
+	// queueBurst is how many changes may be queued whatever the write rate: the rate limiter
+	// allows a burst.
+	queueBurst = 16
 )
 
-// statusRead is a request that needs to know what is stored of a job.
+// statusRead is a request that needs the stored status of a job.
 type statusRead struct {
 	id       string
 	onResult func(known bool, s protocol.JobStatus, err error)
@@ -122,22 +124,22 @@
 	readBarrier = statusread.Barrier[*statusRead]
 )
 
-// readJobStatus tells a job's state as of now or later. What is final may come from
-// memory; anything else is compared with the store first, together with all
-// other reads that wait.
-func (n *Node) readJobStatus(id string, then func(known bool, s protocol.JobStatus, err error)) {
+// readJobStatus passes a job's status, as of now or later, to onResult. The status of a final
+// job may come from the cache; any other is first compared with the state service, together
+// with all other pending reads.
+func (n *Node) readJobStatus(id string, onResult func(known bool, s protocol.JobStatus, err error)) {
 	if r, ok := n.finalJobs.byID[id]; ok {
-		then(true, finalStatus(id, r), nil)
+		onResult(true, finalStatus(id, r), nil)
 		return
 	}
-	if !n.statusReads.Add(&statusRead{id: id, onResult: then}, time.Now()) {
-		then(false, protocol.JobStatus{}, storage.ErrRefused)
+	if !n.statusReads.Add(&statusRead{id: id, onResult: onResult}, time.Now()) {
+		onResult(false, protocol.JobStatus{}, storage.ErrRefused)
 	}
 }
 
-// sendReadBarrier sends the read barrier that is due, if any: in one request, a compare-only
-// transaction on their stamps, it compares what the replica says of the jobs asked for with
-// the store. Whoever waits for too long is told that this can't be decided now.
+// sendReadBarrier sends the read barrier that is due, if any: one compare-only transaction on
+// the stamps of the requested jobs, which verifies that the replica's view of them is current.
+// A read that has waited too long is answered that its result is unknown.
 func (n *Node) sendReadBarrier(now time.Time) {
 	for _, r := range n.statusReads.Expired(now) {
 		n.metrics.guardRefusals.WithLabelValues("read_unanswered").Inc()
@@ -149,7 +151,7 @@
 		return
 	}
 	conds := conditions.all()
-	// A late answer is noticed when the next barrier is due, not with a later tick.
+	// Wakes the actor when the next barrier is due, so that a retry does not wait for the next tick.
 	wake := time.AfterFunc(n.statusReads.RetryTime(), func() { n.post(func() {}) })
 	n.spawn(func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, statusread.Patience)
@@ -160,26 +162,26 @@
 	})
 }
 
-// barrierConditions are the conditions of one read barrier: that the jobs asked for are
-// stored as the replica has them when the barrier is sent.
+// barrierConditions collects the conditions of one read barrier: the requested jobs are stored
+// as the replica has them when the barrier is sent.
 type barrierConditions struct {
 	node        *Node
 	initialized bool
-	mayBePacked bool            // jobs may be stored in entries of inboxes
-	inReplica   map[string]bool // jobs asked for: whether the replica has them
-	anyMissing  bool            // it lacks some of them
+	mayBePacked bool            // jobs may be stored in inbox entries
+	inReplica   map[string]bool // for each requested job, whether the replica has it
+	anyMissing  bool            // the replica lacks at least one requested job
 	conds       []storage.Cond
-	inboxConds  []storage.Cond // nothing was accepted that the replica lacks
+	inboxConds  []storage.Cond // no inbox has an entry that the replica lacks
 }
 
-// add adds the conditions for one read. It returns false if there is no room.
+// add adds the conditions for one read. It returns false if there is no room for them.
 func (b *barrierConditions) add(r *statusRead) bool {
 	if !b.initialized {
 		b.initialized = true
 		if b.mayBePacked = b.node.mayHaveEntries(); b.mayBePacked {
 			b.inboxConds = b.node.inboxUnchangedConds()
 		} else {
-			b.conds = append(b.conds, b.node.unchanged(protocol.FormatKey)) // no entry has been written
+			b.conds = append(b.conds, b.node.unchanged(protocol.FormatKey)) // fails if jobs are stored in entries by now
 		}
 	}
 	if _, added := b.inReplica[r.id]; added {
@@ -198,7 +200,7 @@
 	return true
 }
 
-// all are the conditions of the whole barrier.
+// all returns the conditions of the whole barrier.
 func (b *barrierConditions) all() []storage.Cond {
 	if b.anyMissing {
 		return append(b.conds, b.inboxConds...)
@@ -206,10 +208,10 @@
 	return b.conds
 }
 
-// finishReadBarrier takes in how a barrier ended. known says which of its jobs the replica had when
-// it was sent. The replica may have advanced since: it is then newer than what was compared,
-// and so all the more no older than the questions.
-func (n *Node) finishReadBarrier(barrier *readBarrier, known map[string]bool, ok bool, failed []string, err error) {
+// finishReadBarrier handles the result of a barrier. inReplica tells which of its jobs the
+// replica had when the barrier was sent. The replica may have advanced since then; it is then
+// newer than the compared state, and so still recent enough for the barrier's reads.
+func (n *Node) finishReadBarrier(barrier *readBarrier, inReplica map[string]bool, ok bool, failed []string, err error) {
 	switch {
 	case err == nil:
 	case errors.Is(err, storage.ErrUnknown):
@@ -223,32 +225,33 @@
 	}
 	answered := n.statusReads.Answered(barrier, time.Now())
 	if slices.Contains(failed, protocol.FormatKey) {
-		return // entries are written, which this node learns of before the next barrier
+		return // jobs are stored in entries by now; the watch delivers that before the next barrier
 	}
 	stale, acceptedMore := staleJobs(failed)
 	for _, open := range answered {
 		r := open.Value
 		current := ok || len(failed) > 0 && !stale[r.id]
 		switch {
-		case open.Closed(): // with another read of this barrier
+		case open.Closed(): // answered together with another read of this barrier
 		case current && n.answerFromReplica(open):
-		case !known[r.id] && !stale[r.id] && (acceptedMore || n.anyInboxUnreadable()):
+		case !inReplica[r.id] && !stale[r.id] && (acceptedMore || n.anyInboxUnreadable()):
 			if n.anyInboxUnreadable() {
 				n.closeRead(open, false, protocol.JobStatus{}, storage.ErrUnknown)
 			}
-			// Otherwise it waits for the next barrier, when the watch has told.
-		case current && !known[r.id]:
+			// Otherwise the read waits for the next barrier, by when the watch has delivered the
+			// missing entries.
+		case current && !inReplica[r.id]:
 			n.closeRead(open, false, protocol.JobStatus{}, nil)
 		default:
-			// Changed meanwhile, perhaps while the answer was on its way: a job that
-			// the watch has dropped became final, and is not unknown.
-			n.readStored(open)
+			// The job changed, perhaps while the barrier was in flight: a job that the watch has
+			// removed from the replica became final and is not unknown.
+			n.resolveFromStore(open)
 		}
 	}
 }
 
-// staleJobs are the jobs that are not stored as a barrier expected, by the keys whose
-// conditions failed, and whether more was accepted than the replica knew.
+// staleJobs returns, from the keys whose conditions failed, the jobs that are not stored as a
+// barrier expected, and whether an inbox has entries that the replica lacks.
 func staleJobs(failed []string) (stale map[string]bool, acceptedMore bool) {
 	stale = map[string]bool{}
 	for _, key := range failed {
@@ -265,7 +268,7 @@
 	return stale, acceptedMore
 }
 
-// closeRead answers a read, unless it was answered or given up meanwhile.
+// closeRead answers a read, unless it was answered or expired meanwhile.
 func (n *Node) closeRead(open *openRead, known bool, s protocol.JobStatus, err error) {
 	if open.Closed() {
 		return
@@ -274,9 +277,10 @@
 	open.Value.onResult(known, s, err)
 }
 
-// readStored answers a read from the store: first the job, then what it became,
-// since it only moves in that direction. Only if both are missing is it unknown.
-func (n *Node) readStored(open *openRead) {
+// resolveFromStore answers a read from the state service. It reads the job's record before the
+// final record, since a job only moves from the first to the second; the job is unknown only if
+// both are missing.
+func (n *Node) resolveFromStore(open *openRead) {
 	n.statusReads.Resolve(open)
 	id := open.Value.id
 	n.resync([]string{protocol.JobKey(id), protocol.FinalKey(id)}, func(items []storage.Item, err error) {
@@ -293,14 +297,14 @@
 	})
 }
 
-// answerFromReplica answers a read from the replica, which is known to be no older than it.
-// It returns false, and answers nothing, if the replica has no such job.
+// answerFromReplica answers a read from the replica, which the caller has verified to be recent
+// enough. It returns false, and answers nothing, if the replica does not have the job.
 func (n *Node) answerFromReplica(open *openRead) bool {
 	id := open.Value.id
 	if f, ok := n.finalJobs.byID[id]; ok {
 		n.closeRead(open, true, finalStatus(id, f), nil)
 	} else if j := n.jobs[id]; j != nil && j.step != nil {
-		n.closeRead(open, false, protocol.JobStatus{}, nil) // a ticket's step: nobody submitted it
+		n.closeRead(open, false, protocol.JobStatus{}, nil) // a ticket's step, which no user submitted
 	} else if j != nil {
 		n.closeRead(open, true, j.status(), nil)
 	} else if t := n.tickets.byID[id]; t != nil {
@@ -311,7 +315,7 @@
 	return true
 }
 
-// onPoll answers a poll.
+// onPoll answers a status poll.
 func (n *Node) onPoll(id string, reply chan<- answer) {
 	if !n.loaded {
 		reply <- busyAnswer
@@ -319,7 +323,7 @@
 	}
 	if _, final := n.finalJobs.byID[id]; !final && n.shedsLoad(time.Now()) {
 		n.metrics.guardRefusals.WithLabelValues("load_shed").Inc()
-		reply <- retryLaterAnswer // what is final costs nothing to tell
+		reply <- retryLaterAnswer // final jobs are answered from memory, at no cost, even under overload
 		return
 	}
 	n.readJobStatus(id, func(known bool, s protocol.JobStatus, err error) {
@@ -340,20 +344,20 @@
 	Error string `json:"error"`
 }
 
-// checkRunnable says why a job can never run; decided is false while the machine
-// types are not known.
-func (n *Node) checkRunnable(s *protocol.JobSpec) (why string, decided bool) {
-	ti, ok := n.teamIndex[s.Team]
+// checkRunnable returns the reason why a job can never run, or "". decided is false while the
+// machine types that the check needs are not known.
+func (n *Node) checkRunnable(spec *protocol.JobSpec) (reason string, decided bool) {
+	team, ok := n.teamIndex[spec.Team]
 	if !ok {
 		return "unknown team", true
 	}
-	need := decide.Need(s)
-	tm := decide.Team{Limit: n.teams[ti].Limit}
-	atOnce := s.Tasks
-	if s.Shape == protocol.Array {
-		atOnce = 1
+	need := decide.Need(spec)
+	limits := decide.Team{Limit: n.teams[team].Limit}
+	minTasks := spec.Tasks
+	if spec.Shape == protocol.Array {
+		minTasks = 1
 	}
-	if tm.TasksWithinLimit(need) < atOnce {
+	if limits.TasksWithinLimit(need) < minTasks {
 		return "more than the team's limit", true
 	}
 	if len(n.machineTypes) == 0 {
@@ -361,58 +365,60 @@
 	}
 	for _, t := range n.machineTypes {
 		for _, z := range t.Zones {
-			if decide.Allowed(s, offer{Type: t.Name, Zone: z}) && capacityOf(t).TaskCount(need) > 0 {
+			if decide.Allowed(spec, offer{Type: t.Name, Zone: z}) && capacityOf(t).TaskCount(need) > 0 {
 				return "", true
 			}
 		}
 	}
-	// By a catalogue that is only remembered nothing is refused for ever.
+	// While the catalogue is only the stored one, not yet confirmed by the cloud, no job is
+	// rejected for good.
 	return "a task fits no allowed machine type", n.catalog.fromCloud != nil
 }
 
-// onSubmit accepts a job: it is stored before anybody is told.
-func (n *Node) onSubmit(s *protocol.JobSpec, now time.Time, reply chan<- answer) {
+// onSubmit accepts a job. The job is stored before any user is told that it is accepted.
+func (n *Node) onSubmit(spec *protocol.JobSpec, now time.Time, reply chan<- answer) {
 	if !n.loaded {
 		reply <- busyAnswer
 		return
 	}
-	repeat := func(ifNew func()) {
-		n.readJobStatus(s.ID, func(known bool, st protocol.JobStatus, err error) {
+	answerAsRepeat := func(ifNew func()) {
+		n.readJobStatus(spec.ID, func(known bool, status protocol.JobStatus, err error) {
 			switch {
 			case err != nil:
 				reply <- busyAnswer
-			case known && n.isGatewayJob(s.ID):
-				n.unlessGatewayJob(s.ID, reply, func() { reply <- askGatewayAnswer })
+			case known && n.isGatewayJob(spec.ID):
+				n.unlessGatewayJob(spec.ID, reply, func() { reply <- askGatewayAnswer })
 			case known:
-				reply <- answer{status: 200, body: st}
+				reply <- answer{status: 200, body: status}
 			default:
 				ifNew()
 			}
 		})
 	}
-	_, final := n.finalJobs.byID[s.ID]
-	if j := n.jobs[s.ID]; j != nil && j.step != nil {
+	_, final := n.finalJobs.byID[spec.ID]
+	if j := n.jobs[spec.ID]; j != nil && j.step != nil {
 		reply <- answer{status: 422, body: errorBody{"field id: it is that of a ticket's step"}}
 		return
 	}
-	if final || n.jobs[s.ID] != nil || n.tickets.byID[s.ID] != nil {
-		repeat(func() { reply <- busyAnswer })
+	if final || n.jobs[spec.ID] != nil || n.tickets.byID[spec.ID] != nil {
+		answerAsRepeat(func() { reply <- busyAnswer })
 		return
 	}
-	why, decided := n.checkRunnable(s)
+	reason, decided := n.checkRunnable(spec)
 	switch {
 	case !decided:
-		repeat(func() { reply <- busyAnswer })
+		answerAsRepeat(func() { reply <- busyAnswer })
 		return
-	case why != "":
-		// A repeat is judged by the stored job, so look first.
-		repeat(func() { reply <- answer{status: 422, body: errorBody{why}} })
+	case reason != "":
+		// A repeated submission is answered by the stored job, so that is looked up first.
+		answerAsRepeat(func() { reply <- answer{status: 422, body: errorBody{reason}} })
 		return
 	}
-	n.unlessGatewayJob(s.ID, reply, func() { n.acceptJob(s, now, reply, repeat) })
+	n.unlessGatewayJob(spec.ID, reply, func() { n.acceptJob(spec, now, reply, answerAsRepeat) })
 }
 
-// inboxUnchangedConds are the conditions that nothing was accepted that this node does not know.
+// inboxUnchangedConds returns the conditions that no inbox has an entry that this node does not
+// know.
 func (n *Node) inboxUnchangedConds() []storage.Cond {
 	names := map[string]bool{n.cfg.Node: true}
 	for name := range n.peers {
@@ -421,56 +427,56 @@
 	for name := range n.packed.inboxes {
 		names[name] = true
 	}
-	var out []storage.Cond
+	var conds []storage.Cond
 	for name := range names {
 		slot, _ := n.inboxOf(name).Next()
-		out = append(out, n.unchanged(protocol.InboxKey(name, slot)))
+		conds = append(conds, n.unchanged(protocol.InboxKey(name, slot)))
 	}
-	return out
+	return conds
 }
 
 // acceptJob stores a new job.
-func (n *Node) acceptJob(s *protocol.JobSpec, now time.Time, reply chan<- answer, repeat func(ifNew func())) {
+func (n *Node) acceptJob(spec *protocol.JobSpec, now time.Time, reply chan<- answer, answerAsRepeat func(ifNew func())) {
 	if n.shouldBatch() {
 		if a, full := n.rejectIfOverloaded(time.Now()); full {
 			reply <- a
 			return
 		}
-		n.packed.submissions = append(n.packed.submissions, &submission{spec: s, receivedAt: now, reply: reply, answerAsRepeat: repeat})
+		n.packed.submissions = append(n.packed.submissions, &submission{spec: spec, receivedAt: now, reply: reply, answerAsRepeat: answerAsRepeat})
 		return
 	}
-	rec := protocol.JobRecord{Spec: s, SubmittedMS: now.UnixMilli(), Next: 1}
+	rec := protocol.JobRecord{Spec: spec, SubmittedMS: now.UnixMilli(), Next: 1}
 	op := &storage.Op{
 		For:    uint8(forSubmissions),
-		Conds:  append(n.unaccepted(), storage.Cond{Key: protocol.JobKey(s.ID)}, storage.Cond{Key: protocol.FinalKey(s.ID)}),
-		Writes: []storage.Write{{Put: protocol.JobKey(s.ID), Value: mustJSON(rec)}}}
-	then := func(r storage.Result) {
+		Conds:  append(n.noUnseenAcceptanceConds(), storage.Cond{Key: protocol.JobKey(spec.ID)}, storage.Cond{Key: protocol.FinalKey(spec.ID)}),
+		Writes: []storage.Write{{Put: protocol.JobKey(spec.ID), Value: mustJSON(rec)}}}
+	onResult := func(r storage.Result) {
 		switch {
 		case r.OK:
 			n.applyOwnWrite(op.Writes[0], r.Epoch)
-			n.log.Debug("job accepted", "job", s.ID, "class", s.Class, "tasks", s.Tasks, "took_s", time.Since(now).Seconds())
-			reply <- answer{status: 201, body: protocol.JobStatus{ID: s.ID, Status: protocol.JobQueued}}
+			n.log.Debug("job accepted", "job", spec.ID, "class", spec.Class, "tasks", spec.Tasks, "took_s", time.Since(now).Seconds())
+			reply <- answer{status: 201, body: protocol.JobStatus{ID: spec.ID, Status: protocol.JobQueued}}
 		case r.Err != nil:
-			n.log.Debug("submission not stored", "job", s.ID, "why", r.Err, "took_s", time.Since(now).Seconds())
+			n.log.Debug("submission not stored", "job", spec.ID, "why", r.Err, "took_s", time.Since(now).Seconds())
 			reply <- busyAnswer
-		case slices.Contains(r.Failed, protocol.JobKey(s.ID)) || slices.Contains(r.Failed, protocol.FinalKey(s.ID)):
-			repeat(func() { reply <- busyAnswer })
+		case slices.Contains(r.Failed, protocol.JobKey(spec.ID)) || slices.Contains(r.Failed, protocol.FinalKey(spec.ID)):
+			answerAsRepeat(func() { reply <- busyAnswer })
 		default:
 			n.resync(r.Failed, func(_ []storage.Item, err error) {
 				if err != nil || time.Since(now) > maxQueueWait {
 					reply <- busyAnswer
 					return
 				}
-				n.onSubmit(s, now, reply) // perhaps another node has accepted it
+				n.onSubmit(spec, now, reply) // another node may have accepted the job
 			})
 		}
 	}
-	n.startUserChange(&userChange{op: op, reply: reply, onResult: then, verify: n.lookForSubmission(s.ID), timeout: submissionTimeout})
+	n.startUserChange(&userChange{op: op, reply: reply, onResult: onResult, verify: n.verifySubmission(spec.ID), timeout: submissionTimeout})
 }
 
-// lookForSubmission finds out whether a job is accepted while the answer to its storing is
-// late: then the user is answered as for a repeated submission.
-func (n *Node) lookForSubmission(id string) func(c *userChange) {
+// verifySubmission finds out, while the answer to storing a job is late, whether the job is
+// accepted. If it is, the user is answered as for a repeated submission.
+func (n *Node) verifySubmission(id string) func(c *userChange) {
 	return func(c *userChange) {
 		n.verifyByStatus(c, id, func(s protocol.JobStatus) bool {
 			if n.isGatewayJob(id) {
@@ -482,9 +488,9 @@
 	}
 }
 
-// lookForCancellation does the same for a cancellation: its user waits for the job's end, or
-// is told of it.
-func (n *Node) lookForCancellation(id string, tries int) func(c *userChange) {
+// verifyCancellation does the same for a cancellation. If it is stored, the user waits until
+// the job has ended, or is told how it ended.
+func (n *Node) verifyCancellation(id string, triesLeft int) func(c *userChange) {
 	return func(c *userChange) {
 		n.verifyByStatus(c, id, func(s protocol.JobStatus) bool {
 			j := n.jobs[id]
@@ -493,7 +499,7 @@
 				c.resolve(answer{status: 200, body: protocol.JobStatus{ID: id, Status: s.Status}})
 			case j != nil && j.cancelPending:
 				c.resolved = true
-				n.awaitCancelled(id, []*job{j}, tries, c.reply)
+				n.awaitCancelled(id, []*job{j}, triesLeft, c.reply)
 			default:
 				return false
 			}
@@ -502,17 +508,17 @@
 	}
 }
 
-// unaccepted are the conditions that nothing was accepted in an entry that this node does not
-// know.
-func (n *Node) unaccepted() []storage.Cond {
+// noUnseenAcceptanceConds returns the conditions that no job was accepted in an inbox entry that
+// this node does not know.
+func (n *Node) noUnseenAcceptanceConds() []storage.Cond {
 	if !n.mayHaveEntries() {
 		return []storage.Cond{n.unchanged(protocol.FormatKey)}
 	}
 	return n.inboxUnchangedConds()
 }
 
-// onCancel cancels a job: from the moment it is stored no start of it can be.
-func (n *Node) onCancel(id string, tries int, reply chan<- answer) {
+// onCancel cancels a job. Once the cancellation is stored, no task of the job can be started.
+func (n *Node) onCancel(id string, triesLeft int, reply chan<- answer) {
 	if !n.loaded {
 		reply <- busyAnswer
 		return
@@ -529,67 +535,68 @@
 		case s.Status == protocol.JobDone || s.Status == protocol.JobCancelled || s.Status == protocol.JobFailed:
 			reply <- answer{status: 200, body: protocol.JobStatus{ID: id, Status: s.Status}}
 		case n.tickets.byID[id] != nil:
-			n.cancelTicket(n.tickets.byID[id], tries, reply)
+			n.cancelTicket(n.tickets.byID[id], triesLeft, reply)
 		case j == nil:
 			reply <- busyAnswer
 		default:
-			n.cancelJob(j, tries, reply)
+			n.cancelJob(j, triesLeft, reply)
 		}
 	})
 }
 
-// cancelJob cancels a job: from the moment that is stored nothing of it is started. Its user
-// is told that it is cancelled once nothing of it is left: by a task's end that is known,
-// not by the time within which a worker should have heard. So a controller that has lost
-// the state service need not let workers' leases run out for cancellations that it cannot
-// know of. (On simulated days with a zone cut off for 70 to 90 s a third of all replicas
-// ended with their leases after 47 s.)
-func (n *Node) cancelJob(j *job, tries int, reply chan<- answer) {
+// cancelJob cancels a job. Once the cancellation is stored, no task of the job is started. The
+// user is told that the job is cancelled only when all its tasks are known to have ended, and
+// not after the time within which a worker should have received the stop. A controller that has
+// lost the state service therefore need not let workers' leases expire because of cancellations
+// that it cannot know of. (On simulated days with a zone cut off for 70 to 90 s, a third of all
+// replicas ended with their leases after 47 s.)
+func (n *Node) cancelJob(j *job, triesLeft int, reply chan<- answer) {
 	if j.cancelPending {
-		n.awaitCancelled(j.id, []*job{j}, tries, reply)
+		n.awaitCancelled(j.id, []*job{j}, triesLeft, reply)
 		return
 	}
 	rec := n.storedRecordAtLog(j)
-	late := n.confirmsCancelAfterStop()
-	rec.Cancelled, rec.Asked = !late, late
+	afterStop := n.confirmsCancelAfterStop()
+	rec.Cancelled, rec.Asked = !afterStop, afterStop
 	op := &storage.Op{For: uint8(forCancellations), Conds: n.stillOpen(j.id),
 		Writes: []storage.Write{{Put: protocol.JobKey(j.id), Value: mustJSON(rec)}}}
 	if len(rec.Placed) == 0 && len(j.storedChunks) == 0 && !n.dependsOnEntries(j) && !n.inAnyInbox(j.id) {
-		if n.mayHaveEntries() { // nothing of it is placed meanwhile
+		if n.mayHaveEntries() { // the transaction fails if one of its tasks is placed meanwhile
 			op.Conds = append(op.Conds, n.logUnchanged(j.partition))
 		} else {
 			op.Conds = append(op.Conds, n.unchanged(protocol.FormatKey))
 		}
 		op.Writes = finalWrites(j.id, protocol.JobCancelled, len(j.tasks), j.claim)
 	}
-	then := func(r storage.Result) {
+	onResult := func(r storage.Result) {
 		switch {
 		case r.OK:
 			for _, w := range op.Writes {
 				n.applyOwnWrite(w, r.Epoch)
 			}
-			if late && n.jobs[j.id] == j {
-				n.awaitCancelled(j.id, []*job{j}, tries, reply)
+			if afterStop && n.jobs[j.id] == j {
+				n.awaitCancelled(j.id, []*job{j}, triesLeft, reply)
 				return
 			}
 			reply <- answer{status: 200, body: protocol.JobStatus{ID: j.id, Status: protocol.JobCancelled}}
-		case r.Err == nil && tries > 0:
+		case r.Err == nil && triesLeft > 0:
 			n.resync([]string{protocol.JobKey(j.id), protocol.FinalKey(j.id)}, func(_ []storage.Item, err error) {
 				if err != nil {
 					reply <- busyAnswer
 					return
 				}
-				n.onCancel(j.id, tries-1, reply)
+				n.onCancel(j.id, triesLeft-1, reply)
 			})
 		default:
 			reply <- busyAnswer
 		}
 	}
-	n.startUserChange(&userChange{op: op, reply: reply, onResult: then, verify: n.lookForCancellation(j.id, tries), timeout: cancellationTimeout})
+	n.startUserChange(&userChange{op: op, reply: reply, onResult: onResult, verify: n.verifyCancellation(j.id, triesLeft), timeout: cancellationTimeout})
 }
 
-// storedRecord is a job's head as it is stored now, without what is only proposed
-// or noted: whoever changes it must not store another's pending decisions.
+// storedRecord returns a job's own record as it is stored now, without placements and facts that
+// are only proposed: a caller that changes the record must not store another change's pending
+// decisions.
 func (j *job) storedRecord() protocol.JobRecord {
 	r := protocol.JobRecord{Spec: j.spec, SubmittedMS: j.submitted.UnixMilli(), Cancelled: j.cancelled && !j.cancelPending, Asked: j.cancelPending, Next: j.nextAttempt, Tries: j.failures.tries, Claim: j.claim, Step: j.step, Failed: j.failed, Lost: j.history.lostRuns, LostMS: j.history.lastLostMS()}
 	lo, hi := j.chunkRange(0)
