--- a/internal/coordination/node/bad_input_test.go
+++ b/internal/coordination/node/bad_input_test.go
@@ -12,53 +12,53 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-// Bad input beside every other meeting: stored values that can't be decoded for a while, hints
-// that are cut off, damaged or old, reports of machines and tasks that do not exist, and reports
-// older than what is known that contradict it. None of it ends a process or proves anything.
-var badInput = faultScenario{name: "bad input", mustOccur: []string{"value spoiled", "hint refused", "old hint", "nonsense reported"}, inject: func(w *simCluster) {
+// badInput injects invalid input beside every other scenario: stored values that cannot be decoded for
+// a while, hints that are truncated, damaged or old, reports of machines and tasks that do not exist,
+// and old reports that contradict what is known. None of it may end a process or count as evidence.
+var badInput = faultScenario{name: "bad input", mustOccur: []string{"value corrupted", "hint refused", "old hint accepted", "invalid report sent"}, inject: func(w *simCluster) {
 	old := map[string][]byte{}
 	for from := time.Now(); time.Since(from) < 70*time.Second; time.Sleep(w.randDuration(300*time.Millisecond, 3*time.Second)) {
-		go w.spoilOne()
-		w.badHints(old)
-		w.badReports()
+		go w.corruptOne()
+		w.sendBadHints(old)
+		w.sendBadReports()
 	}
 }}
 
-// spoiled is a value that no record is.
-var spoiled = json.RawMessage(`"spoiled"`)
+// corruptValue is a value that is not a valid record of any kind.
+var corruptValue = json.RawMessage(`"spoiled"`)
 
-// spoilOne makes a random stored value unreadable for a while, unless it changes meanwhile.
-func (w *simCluster) spoilOne() {
+// corruptOne makes a random stored value unreadable for a while, unless it changes meanwhile.
+func (w *simCluster) corruptOne() {
 	items, _, _ := w.state.List(w.ctx, protocol.Root)
 	items = slices.DeleteFunc(items, func(it storage.Item) bool {
 		return !slices.ContainsFunc([]string{protocol.JobPrefix, protocol.MachineRoot, protocol.LogRoot, protocol.InboxRoot, protocol.MovesKey}, func(root string) bool { return strings.HasPrefix(it.Key, root) }) ||
-			string(it.Value) == string(spoiled)
+			string(it.Value) == string(corruptValue)
 	})
 	if len(items) == 0 {
 		return
 	}
 	it := items[w.randInt(len(items))]
-	ok, stamp, _, _ := w.state.Txn(w.ctx, []storage.Cond{{Key: it.Key, Stamp: it.Stamp}}, []storage.Write{{Put: it.Key, Value: spoiled}})
+	ok, stamp, _, _ := w.state.Txn(w.ctx, []storage.Cond{{Key: it.Key, Stamp: it.Stamp}}, []storage.Write{{Put: it.Key, Value: corruptValue}})
 	if !ok {
 		return
 	}
-	w.recordEvent("value spoiled")
+	w.recordEvent("value corrupted")
 	if strings.HasPrefix(it.Key, protocol.JobPrefix) {
-		w.recordEvent("job spoiled")
+		w.recordEvent("job corrupted")
 	}
 	time.Sleep(w.randDuration(100*time.Millisecond, 4*time.Second))
 	w.state.Txn(w.ctx, []storage.Cond{{Key: it.Key, Stamp: stamp}}, []storage.Write{{Put: it.Key, Value: it.Value}})
 }
 
-// readableItems are the items that a node reads; with the guard left out, a job's record that is
-// spoiled is read as if it were not there.
+// readableItems returns the items that a node reads. With the guard disabled, a corrupt job record is
+// read as if it did not exist.
 func (w *simCluster) readableItems(items []storage.Item, deleted bool) []storage.Item {
 	if w.disabledGuard != "unreadable" {
 		return items
 	}
 	var out []storage.Item
 	for _, it := range items {
-		if string(it.Value) == string(spoiled) && strings.HasPrefix(it.Key, protocol.JobPrefix) {
+		if string(it.Value) == string(corruptValue) && strings.HasPrefix(it.Key, protocol.JobPrefix) {
 			if !deleted {
 				continue
 			}
@@ -69,8 +69,8 @@
 	return out
 }
 
-// badHints sends nodes hints that are cut off or damaged, and one from much earlier.
-func (w *simCluster) badHints(old map[string][]byte) {
+// sendBadHints sends a node hints that are truncated or damaged, and one from much earlier.
+func (w *simCluster) sendBadHints(earlierHints map[string][]byte) {
 	from, to := w.node(w.randomNode()), w.node(w.randomNode())
 	if from == nil || to == nil || from == to {
 		return
@@ -80,11 +80,11 @@
 		return
 	}
 	name := from.cfg.Node
-	if before := old[name]; before != nil && to.ReceiveHint(slices.Clone(before)) == nil {
-		w.recordEvent("old hint")
+	if before := earlierHints[name]; before != nil && to.ReceiveHint(slices.Clone(before)) == nil {
+		w.recordEvent("old hint accepted")
 	}
-	if old[name] == nil || w.randInt(8) == 0 {
-		old[name] = slices.Clone(hint)
+	if earlierHints[name] == nil || w.randInt(8) == 0 {
+		earlierHints[name] = slices.Clone(hint)
 	}
 	if to.ReceiveHint(slices.Clone(hint[:w.randInt(len(hint))])) != nil {
 		w.recordEvent("hint refused")
@@ -98,9 +98,9 @@
 	}
 }
 
-// badReports sends a node reports with machines, tasks and states that there are not, and an
-// old one of a machine that contradicts what is known.
-func (w *simCluster) badReports() {
+// sendBadReports sends nodes reports with machines, tasks and states that do not exist, and an old report
+// of a machine that contradicts what is known.
+func (w *simCluster) sendBadReports() {
 	nonsense := []protocol.TaskReport{
 		{Task: "x", Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseDone},
 		{Task: "job-000000/-1", Attempt: 1, State: protocol.TaskRunning},
@@ -110,25 +110,25 @@
 	reports := []protocol.Report{{Machine: fmt.Sprintf("host-9%05d", w.randInt(1000)), Type: "no such", Zone: "z", Session: 1, Seq: 1, Tasks: nonsense}}
 	if names := w.fleet.Names(); len(names) > 0 {
 		if r, err := w.fleet.Inspect(w.ctx, names[w.randInt(len(names))]+":9000"); err == nil {
-			lies := *r
-			lies.Session, lies.Seq, lies.Tasks = 0, 0, slices.Clone(nonsense)
-			for _, x := range r.Tasks { // all of them are done, and under attempts that were not given
+			contradicting := *r
+			contradicting.Session, contradicting.Seq, contradicting.Tasks = 0, 0, slices.Clone(nonsense)
+			for _, x := range r.Tasks { // all tasks are reported done, under attempts that were never assigned
 				x.State, x.Cause, x.Attempt = protocol.TaskExited, protocol.CauseDone, x.Attempt+1
-				lies.Tasks = append(lies.Tasks, x)
+				contradicting.Tasks = append(contradicting.Tasks, x)
 			}
-			reports = append(reports, lies)
+			reports = append(reports, contradicting)
 		}
 	}
 	for _, r := range reports {
-		w.recordEvent("nonsense reported")
+		w.recordEvent("invalid report sent")
 		go w.nodeRequest(w.ctx, w.randomNode(), func(n *Node, reply chan<- answer) { n.onReport(&r, time.Now(), reply) })
 	}
 }
 
-// ciBadInput is about how many meetings are played with bad input without -seeds.
+// ciBadInput is roughly how many scenarios are run with bad input without -seeds.
 const ciBadInput = 7
 
-func TestMeetingsWithBadInput(t *testing.T) {
+func TestScenariosWithBadInput(t *testing.T) {
 	all := pairableScenarios()
 	every := (len(all) + ciBadInput - 1) / ciBadInput
 	if *moreSeeds > 0 {
@@ -144,22 +144,22 @@
 				if (uint64(i)/uint64(every)+seed)%2 == 0 {
 					storeOnlyEntries(t, 4)
 				} else {
-					bad.mustOccur = append(slices.Clone(bad.mustOccur), "job spoiled")
+					bad.mustOccur = append(slices.Clone(bad.mustOccur), "job corrupted")
 				}
-				m.mustOccur = nil // asserted of it alone
+				m.mustOccur = nil // asserted in the run of the scenario alone
 				runScenarios(t, 9000+seed, "", m, bad)
 			})
 		}
 	}
 }
 
-// What can't be read taken for a record that is gone is found.
-func TestBadInputFindsWhatIsLeftOut(t *testing.T) {
+// Checks that a node is detected that takes an unreadable record for a deleted one.
+func TestBadInputDetectsDisabledGuard(t *testing.T) {
 	often := badInput
 	often.inject = func(w *simCluster) {
 		for range 40 {
 			for range 8 {
-				go w.spoilOne()
+				go w.corruptOne()
 			}
 			time.Sleep(2 * time.Second)
 		}
--- a/internal/coordination/node/cancel_now_test.go
+++ b/internal/coordination/node/cancel_now_test.go
@@ -2,43 +2,43 @@
 
 import "time"
 
-// cancelRunningJobs lets the users of up to count jobs that have tasks on machines cancel them within a
-// fifth of a second, each at a node of its own choice. With hang set, the machines of these jobs
-// stand still for that long from the same moment. It returns the jobs.
+// cancelRunningJobs lets the users of up to count jobs with tasks on machines cancel them within a
+// fifth of a second, each at a random node. If hang is set, the machines of these jobs hang for that
+// long from the same moment. It returns the users.
 func (w *simCluster) cancelRunningJobs(count int, hang time.Duration) []*user {
 	w.mu.Lock()
 	users := w.users
 	w.mu.Unlock()
-	var called []*user
+	var cancelling []*user
 	for _, u := range users {
-		if len(called) < count && u.knownFinalStatus() == "" && w.fleet.Left(u.spec.ID) > 0 {
-			called = append(called, u)
+		if len(cancelling) < count && u.knownFinalStatus() == "" && w.fleet.Left(u.spec.ID) > 0 {
+			cancelling = append(cancelling, u)
 		}
 	}
-	for _, u := range called {
+	for _, u := range cancelling {
 		if hang > 0 {
 			w.hangMachinesOf(u.spec.ID, hang)
 		}
 		go u.cancelUntilConfirmed(w.randDuration(0, 200*time.Millisecond))
 	}
-	return called
+	return cancelling
 }
 
-// hangMachinesOf makes the machines on which a job runs stand still.
+// hangMachinesOf makes the machines on which a job runs hang.
 func (w *simCluster) hangMachinesOf(job string, lasts time.Duration) {
-	till := time.Now().Add(lasts)
+	until := time.Now().Add(lasts)
 	for _, machine := range w.fleet.Names() {
 		if w.fleet.Runs(machine, job) {
-			w.withLock(func() { w.hungUntil[machine] = till })
+			w.withLock(func() { w.hungUntil[machine] = until })
 			w.recordEvent("machine of a cancelled job hangs")
 		}
 	}
 }
 
-// cancelUntilConfirmed asks for a cancellation after a while, again and again, until a final answer
-// has come.
-func (u *user) cancelUntilConfirmed(after time.Duration) {
-	time.Sleep(after)
+// cancelUntilConfirmed requests a cancellation after a delay, and repeats it until the job's final
+// status is known.
+func (u *user) cancelUntilConfirmed(delay time.Duration) {
+	time.Sleep(delay)
 	for u.w.ctx.Err() == nil && u.knownFinalStatus() == "" {
 		if a := u.w.cancelOnce(u.randomNode(), u.spec.ID); a.status == 200 {
 			return
@@ -47,7 +47,7 @@
 	}
 }
 
-// releaseReports lets all kept copies of reports arrive at all nodes now.
+// releaseReports delivers all kept copies of reports to all nodes now.
 func (w *simCluster) releaseReports() {
 	w.mu.Lock()
 	kept := w.kept
--- a/internal/coordination/node/cancels_test.go
+++ b/internal/coordination/node/cancels_test.go
@@ -9,7 +9,7 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// cancelOnce asks once, of one node, to cancel a job.
+// cancelOnce asks one node once to cancel a job.
 func (w *simCluster) cancelOnce(node, id string) answer {
 	ctx, cancel := context.WithTimeout(w.ctx, 5*time.Second)
 	defer cancel()
@@ -17,7 +17,7 @@
 	return a
 }
 
-// pollStatus asks a node how a job is.
+// pollStatus asks a node for a job's status.
 func (w *simCluster) pollStatus(node, id string) string {
 	a, _ := w.pollAt(w.ctx, node, id)
 	if s, ok := a.body.(protocol.JobStatus); ok {
@@ -26,10 +26,9 @@
 	return ""
 }
 
-// A job is called cancelled once nothing of it is left: within a second where its machines
-// are heard, at every node; not while one of them is out of reach, and nobody is kept
-// waiting for that.
-func TestCancelledWhenNothingIsLeft(t *testing.T) {
+// A cancellation is confirmed once no task is left: at every node within a second where the machines
+// are reachable. While a machine is out of reach it must be answered 503, soon.
+func TestCancellationConfirmedWhenTasksAreGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		w := newWorld(t, ctx, 6, defaultSettings)
@@ -40,7 +39,7 @@
 		w.submit(spec("job-000002"))
 		time.Sleep(30 * time.Second)
 		if r := w.fleet.Running(); r != 4 {
-			t.Fatalf("%d tasks run", r)
+			t.Fatalf("%d tasks run, want 4", r)
 		}
 		for i, name := range w.names {
 			from := time.Now()
@@ -49,7 +48,7 @@
 				t.Errorf("cancel %d at %s: %+v after %v, %d tasks left", i, name, a, took, w.fleet.Left("job-000001"))
 			}
 		}
-		w.withLock(func() { w.lossRate = 1 }) // no worker is heard, nor hears anything
+		w.withLock(func() { w.lossRate = 1 }) // every report and answer is lost
 		time.Sleep(time.Second)
 		w.withLock(func() {
 			w.lossRate = 0
@@ -59,21 +58,21 @@
 			from := time.Now()
 			a := w.cancelOnce(name, "job-000002")
 			if took := time.Since(from); a.status != 503 || a.retryAfterS == 0 || took > 1200*time.Millisecond {
-				t.Errorf("with its machines out of reach %s answers %+v after %v", name, a, took)
+				t.Errorf("with the machines out of reach, %s answers %+v after %v", name, a, took)
 			}
 			if s := w.pollStatus(name, "job-000002"); s != protocol.JobRunning {
-				t.Errorf("%s says %q", name, s)
+				t.Errorf("with the machines out of reach, %s reports status %q", name, s)
 			}
 		}
 		time.Sleep(2 * time.Second)
 		from := time.Now()
 		if a := w.cancelOnce(w.node("n-0").partitions[0].owner.Node, "job-000002"); a.status != 503 || time.Since(from) > 100*time.Millisecond {
-			t.Errorf("who knows that its machines are out of reach answers %+v after %v", a, time.Since(from))
+			t.Errorf("the owner, which knows that the machines are out of reach, answers %+v after %v", a, time.Since(from))
 		}
 		w.withLock(func() { clear(w.workersUnreachable) })
 		time.Sleep(8 * time.Second)
 		if a := w.cancelOnce("n-1", "job-000002"); a.status != 200 || w.fleet.Left("job-000002") != 0 {
-			t.Errorf("when they are back: %+v, %d tasks left", a, w.fleet.Left("job-000002"))
+			t.Errorf("after the machines are reachable again: %+v, %d tasks left", a, w.fleet.Left("job-000002"))
 		}
 		cancel()
 		time.Sleep(2 * time.Minute)
@@ -81,10 +80,10 @@
 	})
 }
 
-// While the state service is down for longer than cancel_s no lease runs out: nobody was
-// told of a cancellation that a controller could miss. (On simulated days with a zone cut
+// While the state service is down for longer than cancel_s no worker's lease may expire, since no user
+// was told of a cancellation that a controller could have missed. (On simulated days with a zone cut
 // off for 70 to 90 s a thousand tasks ended with their leases.)
-func TestLeasesLiveThroughALongOutage(t *testing.T) {
+func TestLeasesSurviveALongOutage(t *testing.T) {
 	for _, early := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
@@ -98,7 +97,7 @@
 			w.withLock(func() { w.outage = true })
 			time.Sleep(90 * time.Second)
 			if _, expired := w.fleet.Ended(); (expired > 0) != early {
-				t.Errorf("%d tasks ended with their leases; a node of an earlier version lives: %v", expired, early)
+				t.Errorf("%d tasks ended with expired leases; a node of an earlier version lives: %v", expired, early)
 			}
 			w.withLock(func() { w.outage = false })
 			w.state.Refill()
--- a/internal/coordination/node/gap_test.go
+++ b/internal/coordination/node/gap_test.go
@@ -11,50 +11,50 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// gap is one way in which a leader loses the state service alone, another controller
-// confirms cancellations, and then nobody has it for longer than cancel_s.
-type gap struct {
-	apart  time.Duration // from the one to the other
-	first  bool          // the outage comes first, and what the leader loses lasts beyond it
-	outage time.Duration
-	hangs  bool // the state service does not answer the leader at all; else it refuses
-	early  bool // a node of an earlier version lives: users are told at once
-	stale  bool // the watch has told another controller nothing for some time, its other calls are answered
-	ends   bool // the leader ends within the outage, and is back
-	nodes  int
-	seed   uint64
-	// atOnce says that users cancel within a fifth of a second of the first trouble, at any
-	// node, also at the leader that has just lost the state service.
-	atOnce bool
-	// leftOut is a guard that is left out.
-	leftOut string
+// leaderLoss is one case in which the leader alone loses the state service, another controller
+// confirms cancellations, and then the state service is down for all for longer than cancel_s.
+type leaderLoss struct {
+	separation     time.Duration // time between the two faults
+	outageFirst    bool          // the outage comes first, and the leader's fault lasts beyond it
+	outage         time.Duration
+	stateSilent    bool // the state service does not answer the leader at all; otherwise it refuses the leader
+	earlierVersion bool // a node of an earlier version lives, so cancellations are confirmed as soon as they are stored
+	staleWatch     bool // another controller's watch has been stalled for some time; its other calls are answered
+	leaderRestarts bool // the leader is restarted during the outage
+	nodeCount      int
+	seed           uint64
+	// cancelAtOnce makes users cancel within a fifth of a second of the first fault, at any node,
+	// also at the leader that has just lost the state service.
+	cancelAtOnce bool
+	// disabledGuard is a guard that is disabled.
+	disabledGuard string
 }
 
-func (g gap) String() string {
-	type plain gap
+func (g leaderLoss) String() string {
+	type plain leaderLoss
 	return fmt.Sprintf("%+v", plain(g))
 }
 
-// gapDone is what took place: confirmations by others between the two, reports that the
-// leader answered within the outage, cancellations asked, confirmed and the longest time a
-// task ran after its user was told.
-type gapDone struct {
-	between, atLeader, asked, confirmed, refused int
-	atOnce                                       int // asked within a fifth of a second of the first trouble
-	broken                                       []string
+// leaderLossResult is what occurred: cancellations that other controllers confirmed between the two
+// faults, reports that the leader answered during the outage, cancellations that were requested,
+// confirmed and refused, and the violations found.
+type leaderLossResult struct {
+	betweenFaults, leaderReports, requested, confirmed, refused int
+	requestedAtOnce                                             int // requested within a fifth of a second of the first fault
+	violations                                                  []string
 }
 
-// atOnceWithin is how soon after the first trouble users cancel where they do so at once.
+// atOnceWithin is how soon after the first fault users cancel with cancelAtOnce.
 const atOnceWithin = 200 * time.Millisecond
 
-// play plays it: jobs of every share run long, users cancel most of them through
-// other controllers from the moment that the leader loses the state service.
-func (g gap) play(t *testing.T) (done gapDone) {
+// run runs the case: jobs of every partition run for long, and users cancel most of them through other
+// controllers from the moment that the leader loses the state service.
+func (g leaderLoss) run(t *testing.T) (result leaderLossResult) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		w := newWorld(t, ctx, g.seed, func(p *protocol.WorkerSettings) { p.ReportS, p.LeaseS, p.CancelS = 3, 20, 40 })
-		w.disabledGuard, w.collectOnly = g.leftOut, g.leftOut != ""
-		if g.early {
+		w.disabledGuard, w.collectOnly = g.disabledGuard, g.disabledGuard != ""
+		if g.earlierVersion {
 			w.fleet.ToldLate = false
 			w.state.Put(protocol.NodeKey("n-9"), map[string]uint64{"lease": 1})
 		}
@@ -63,13 +63,13 @@
 				Tasks: 1 + i/3%2, CPUs: 4, GPUs: 1, Image: "i", ImageGB: 1, EstimateS: 600, Spot: true})
 		}
 		time.Sleep(45 * time.Second)
-		for i := range w.names[g.nodes:] { // those that the place does not have are cut off for good
-			w.withLock(func() { w.isolated[w.names[g.nodes+i]] = true })
+		for i := range w.names[g.nodeCount:] { // nodes that the case does not have are isolated for good
+			w.withLock(func() { w.isolated[w.names[g.nodeCount+i]] = true })
 		}
 		time.Sleep(20 * time.Second)
 		leader := w.partitionOwner(0)
 		others := []string{}
-		for _, name := range w.names[:g.nodes] {
+		for _, name := range w.names[:g.nodeCount] {
 			if name != leader {
 				others = append(others, name)
 			}
@@ -77,7 +77,7 @@
 		if len(others) == 0 {
 			others = []string{leader}
 		}
-		// Some machines are reached by the leader alone, so that they go on reporting to it.
+		// Some machines are reachable only from the leader, so that they go on reporting to it.
 		for i, host := range w.fleet.Names() {
 			if i%3 == 0 {
 				for _, name := range others {
@@ -87,58 +87,58 @@
 				}
 			}
 		}
-		var mu sync.Mutex // guards what follows, and done
-		var outageFrom, outageTill time.Time
-		lose := func(is bool) {
+		var mu sync.Mutex // guards outageFrom, outageUntil and result
+		var outageFrom, outageUntil time.Time
+		setLeaderFault := func(active bool) {
 			w.withLock(func() {
-				if g.hangs {
-					w.stateSilent[leader] = is
+				if g.stateSilent {
+					w.stateSilent[leader] = active
 				} else {
-					w.stateRefused[leader] = is
+					w.stateRefused[leader] = active
 				}
 			})
 		}
-		down := func(is bool) {
-			w.withLock(func() { w.outage = is })
+		setOutage := func(active bool) {
+			w.withLock(func() { w.outage = active })
 			mu.Lock()
 			defer mu.Unlock()
-			if is {
+			if active {
 				outageFrom = time.Now()
 			} else {
-				outageTill = time.Now()
+				outageUntil = time.Now()
 				w.state.Refill()
 			}
 		}
-		if g.stale {
+		if g.staleWatch {
 			w.withLock(func() { w.watchStalled[others[len(others)-1]] = true })
 			time.Sleep(4 * time.Second)
 		}
-		lost := time.Now()
+		faultAt := time.Now()
 		var wg sync.WaitGroup
 		for i := range 10 {
 			wg.Go(func() {
 				id := fmt.Sprintf("job-%06d", i)
-				if g.atOnce {
+				if g.cancelAtOnce {
 					time.Sleep(w.randDuration(0, atOnceWithin))
 				}
-				from := time.Now()
+				requestedAt := time.Now()
 				mu.Lock()
-				done.asked++
-				if from.Sub(lost) <= atOnceWithin {
-					done.atOnce++
+				result.requested++
+				if requestedAt.Sub(faultAt) <= atOnceWithin {
+					result.requestedAtOnce++
 				}
 				mu.Unlock()
-				for k := 0; time.Since(from) < time.Minute; k++ {
-					by := others[0]
-					if g.atOnce {
-						by = w.names[w.randInt(g.nodes)]
+				for k := 0; time.Since(requestedAt) < time.Minute; k++ {
+					target := others[0]
+					if g.cancelAtOnce {
+						target = w.names[w.randInt(g.nodeCount)]
 					}
-					a := w.cancelOnce(by, id)
+					a := w.cancelOnce(target, id)
 					if a.status == 200 {
 						mu.Lock()
-						done.confirmed++
-						if now := time.Now(); by != leader && now.After(lost) && (outageFrom.IsZero() || now.Before(outageFrom)) {
-							done.between++
+						result.confirmed++
+						if now := time.Now(); target != leader && now.After(faultAt) && (outageFrom.IsZero() || now.Before(outageFrom)) {
+							result.betweenFaults++
 						}
 						mu.Unlock()
 						return
@@ -146,95 +146,95 @@
 					time.Sleep(time.Second)
 				}
 				mu.Lock()
-				done.refused++
+				result.refused++
 				mu.Unlock()
 			})
 		}
-		if g.first {
-			down(true)
-			time.Sleep(g.apart)
-			lose(true)
+		if g.outageFirst {
+			setOutage(true)
+			time.Sleep(g.separation)
+			setLeaderFault(true)
 		} else {
-			lose(true)
-			time.Sleep(g.apart)
-			down(true)
+			setLeaderFault(true)
+			time.Sleep(g.separation)
+			setOutage(true)
 		}
-		before := w.eventCount("reported to " + leader)
-		if g.ends {
+		reportsBefore := w.eventCount("reported to " + leader)
+		if g.leaderRestarts {
 			time.Sleep(10 * time.Second)
 			w.restart(leader, 300*time.Millisecond)
 			time.Sleep(g.outage - 10*time.Second)
 		} else {
 			time.Sleep(g.outage)
 		}
-		done.atLeader = w.eventCount("reported to "+leader) - before
-		down(false)
+		result.leaderReports = w.eventCount("reported to "+leader) - reportsBefore
+		setOutage(false)
 		time.Sleep(10 * time.Second)
-		lose(false)
+		setLeaderFault(false)
 		w.withLock(func() { clear(w.cutPairs); clear(w.watchStalled) })
 		wg.Wait()
-		if lasted := outageTill.Sub(outageFrom); lasted <= 40*time.Second {
-			t.Errorf("the outage lasted %v", lasted)
+		if lasted := outageUntil.Sub(outageFrom); lasted <= 40*time.Second {
+			t.Errorf("the outage lasted %v, not longer than cancel_s", lasted)
 		}
 		time.Sleep(60 * time.Second)
 		for _, b := range w.fleet.Broken {
 			w.violation("rule broken: %s", b)
 		}
-		done.broken = w.violations
+		result.violations = w.violations
 		cancel()
 		time.Sleep(2 * time.Minute)
 		synctest.Wait()
 	})
-	return done
+	return result
 }
 
-// The state service refuses the leader alone, another controller confirms cancellations,
-// then it is down for all for longer than cancel_s, while workers go on reporting to the old
-// leader: the tasks of those jobs are gone within cancel_s all the same. The ways differ in
-// the distance of the two troubles, which is first, the outage's length, what the leader
-// gets, how users are told, and how many controllers there are.
-func TestGap(t *testing.T) {
-	var sum gapDone
-	ways := []gap{
-		{apart: 500 * time.Millisecond, outage: 60 * time.Second},
-		{apart: 2 * time.Second, outage: 60 * time.Second, hangs: true},
-		{apart: 5 * time.Second, outage: 50 * time.Second},
-		{apart: 8 * time.Second, outage: 90 * time.Second, hangs: true, ends: true},
-		{apart: 11 * time.Second, outage: 60 * time.Second},
-		{apart: 2 * time.Second, outage: 60 * time.Second, first: true},
-		{apart: 2 * time.Second, outage: 90 * time.Second, early: true},
-		{apart: 8 * time.Second, outage: 60 * time.Second, early: true, hangs: true},
-		{apart: 8 * time.Second, outage: 90 * time.Second, early: true, stale: true},
-		{apart: 8 * time.Second, outage: 90 * time.Second, stale: true},
-		{apart: 8 * time.Second, outage: 60 * time.Second, nodes: 2},
-		{apart: 8 * time.Second, outage: 60 * time.Second, nodes: 1},
-		{apart: 0, outage: 60 * time.Second, atOnce: true},
-		{apart: 100 * time.Millisecond, outage: 60 * time.Second, atOnce: true},
-		{apart: time.Second, outage: 60 * time.Second, atOnce: true},
-		{apart: time.Second, outage: 60 * time.Second, atOnce: true, hangs: true},
-		{apart: 1500 * time.Millisecond, outage: 50 * time.Second, atOnce: true, ends: true},
-		{apart: 2 * time.Second, outage: 90 * time.Second, atOnce: true},
+// The state service refuses the leader alone, another controller confirms cancellations, then the
+// state service is down for all for longer than cancel_s while workers go on reporting to the old
+// leader. The tasks of the cancelled jobs must still be gone within cancel_s. The cases differ in the
+// time between the two faults and their order, the length of the outage, how the leader loses the state
+// service, when cancellations are confirmed, and the number of controllers.
+func TestLeaderLossThenOutage(t *testing.T) {
+	var sum leaderLossResult
+	cases := []leaderLoss{
+		{separation: 500 * time.Millisecond, outage: 60 * time.Second},
+		{separation: 2 * time.Second, outage: 60 * time.Second, stateSilent: true},
+		{separation: 5 * time.Second, outage: 50 * time.Second},
+		{separation: 8 * time.Second, outage: 90 * time.Second, stateSilent: true, leaderRestarts: true},
+		{separation: 11 * time.Second, outage: 60 * time.Second},
+		{separation: 2 * time.Second, outage: 60 * time.Second, outageFirst: true},
+		{separation: 2 * time.Second, outage: 90 * time.Second, earlierVersion: true},
+		{separation: 8 * time.Second, outage: 60 * time.Second, earlierVersion: true, stateSilent: true},
+		{separation: 8 * time.Second, outage: 90 * time.Second, earlierVersion: true, staleWatch: true},
+		{separation: 8 * time.Second, outage: 90 * time.Second, staleWatch: true},
+		{separation: 8 * time.Second, outage: 60 * time.Second, nodeCount: 2},
+		{separation: 8 * time.Second, outage: 60 * time.Second, nodeCount: 1},
+		{separation: 0, outage: 60 * time.Second, cancelAtOnce: true},
+		{separation: 100 * time.Millisecond, outage: 60 * time.Second, cancelAtOnce: true},
+		{separation: time.Second, outage: 60 * time.Second, cancelAtOnce: true},
+		{separation: time.Second, outage: 60 * time.Second, cancelAtOnce: true, stateSilent: true},
+		{separation: 1500 * time.Millisecond, outage: 50 * time.Second, cancelAtOnce: true, leaderRestarts: true},
+		{separation: 2 * time.Second, outage: 90 * time.Second, cancelAtOnce: true},
 	}
-	for i, g := range ways {
+	for i, g := range cases {
 		for seed := range seedCount(1) {
-			if g.seed = 40 + 100*seed + uint64(i); g.nodes == 0 {
-				g.nodes = 3
+			if g.seed = 40 + 100*seed + uint64(i); g.nodeCount == 0 {
+				g.nodeCount = 3
 			}
 			t.Run(g.String(), func(t *testing.T) {
-				d := g.play(t)
-				t.Logf("%+v", d)
-				sum.asked, sum.confirmed, sum.refused = sum.asked+d.asked, sum.confirmed+d.confirmed, sum.refused+d.refused
-				if g.atOnce && d.atOnce < d.asked {
-					t.Errorf("%d of %d cancellations were asked at once", d.atOnce, d.asked)
+				result := g.run(t)
+				t.Logf("%+v", result)
+				sum.requested, sum.confirmed, sum.refused = sum.requested+result.requested, sum.confirmed+result.confirmed, sum.refused+result.refused
+				if g.cancelAtOnce && result.requestedAtOnce < result.requested {
+					t.Errorf("%d of %d cancellations were requested at once", result.requestedAtOnce, result.requested)
 				}
-				if g.first || g.nodes == 1 {
-					return // nobody can confirm anything before the outage
+				if g.outageFirst || g.nodeCount == 1 {
+					return // no other controller can confirm a cancellation before the outage
 				}
-				if told := g.early || g.apart >= 5*time.Second || g.atOnce && g.apart >= time.Second; told && d.between == 0 {
-					t.Error("no other controller confirmed a cancellation between the two")
+				if confirmable := g.earlierVersion || g.separation >= 5*time.Second || g.cancelAtOnce && g.separation >= time.Second; confirmable && result.betweenFaults == 0 {
+					t.Error("no other controller confirmed a cancellation between the two faults")
 				}
-				if d.atLeader == 0 {
-					t.Error("no worker reported to the old leader within the outage")
+				if result.leaderReports == 0 {
+					t.Error("no worker reported to the old leader during the outage")
 				}
 			})
 		}
@@ -242,13 +242,13 @@
 	t.Logf("%+v", sum)
 }
 
-// A user who is told that a job is cancelled as soon as that is stored, while its tasks go on
-// at a leader that can't know of it, is found.
-func TestGapFindsWhatIsLeftOut(t *testing.T) {
+// Checks that a cancellation is detected that is confirmed as soon as it is stored, while its tasks go
+// on at a leader that cannot know of it.
+func TestLeaderLossDetectsDisabledGuard(t *testing.T) {
 	for seed := range seedCount(4) {
-		g := gap{apart: time.Second, outage: 60 * time.Second, atOnce: true, nodes: 3, seed: 80 + seed, leftOut: "gone tasks"}
-		if d := g.play(t); len(d.broken) > 0 {
-			t.Logf("found with seed %d: %s", g.seed, d.broken[0])
+		g := leaderLoss{separation: time.Second, outage: 60 * time.Second, cancelAtOnce: true, nodeCount: 3, seed: 80 + seed, disabledGuard: "gone tasks"}
+		if result := g.run(t); len(result.violations) > 0 {
+			t.Logf("found with seed %d: %s", g.seed, result.violations[0])
 			return
 		}
 	}
--- a/internal/coordination/node/odd_requests_test.go
+++ b/internal/coordination/node/odd_requests_test.go
@@ -16,17 +16,17 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-// oddJob is a submission that must be refused.
-type oddJob struct {
+// invalidJob is a submission that must be rejected.
+type invalidJob struct {
 	name   string
 	change func(fields map[string]any)
 	status int
-	reason string // a part of what the user is told
-	// byCatalog says that it can't be decided before the machine types are known.
-	byCatalog bool
+	reason string // part of the error that the user gets
+	// needsCatalog is set if the rejection depends on the machine types.
+	needsCatalog bool
 }
 
-// withField gives a field a value, withoutField leaves one out.
+// withField sets a field to a value; withoutField removes a field.
 func withField(field string, value any) func(map[string]any) {
 	return func(fields map[string]any) { fields[field] = value }
 }
@@ -35,25 +35,25 @@
 	return func(fields map[string]any) { delete(fields, field) }
 }
 
-var oddJobs = []oddJob{
+var invalidJobs = []invalidJob{
 	{"without its number of tasks", withoutField("pieces"), 400, "field pieces", false},
 	{"without a team", withoutField("crew"), 400, "field crew", false},
 	{"team null", withField("crew", nil), 400, "field crew", false},
 	{"without a shape", withoutField("shape"), 400, "field shape", false},
-	{"a shape that there is not", withField("shape", "ring"), 400, "field shape", false},
+	{"an unknown shape", withField("shape", "ring"), 400, "field shape", false},
 	{"no tasks", withField("pieces", 0), 400, "field pieces", false},
 	{"memory as text", withField("memGb", "20"), 400, "field memGb", false},
 	{"an empty list of types", withField("builds", []string{}), 400, "field builds", false},
-	{"a team that there is not", withField("crew", "mauve"), 422, "unknown team", false},
+	{"an unknown team", withField("crew", "mauve"), 422, "unknown team", false},
 	{"a gang beyond its team's limit", func(f map[string]any) { f["shape"], f["pieces"], f["cards"] = "gang", 9, 1 }, 422, "team's limit", false},
 	{"one task beyond its team's limit", withField("cards", 8.5), 422, "team's limit", false},
 	{"more memory than any machine has", withField("memGb", 193), 422, "no allowed machine type", true},
 	{"more processors than any machine has", withField("vcpus", 25), 422, "no allowed machine type", true},
-	{"a type that there is not", withField("builds", []string{"g5"}), 422, "no allowed machine type", true},
-	{"a zone that there is not", withField("region", "c"), 422, "no allowed machine type", true},
+	{"an unknown machine type", withField("builds", []string{"g5"}), 422, "no allowed machine type", true},
+	{"an unknown zone", withField("region", "c"), 422, "no allowed machine type", true},
 }
 
-// submissionBody is a good submission as users send it, with a change.
+// submissionBody returns the body of a valid submission after a change of its fields.
 func submissionBody(id string, change func(map[string]any)) string {
 	fields := map[string]any{"id": id, "lot": "c", "crew": "red", "shape": "sweep", "urgency": "high", "pieces": 1, "vcpus": 4.0, "cards": 1.0,
 		"memGb": 20.0, "bundle": "i", "sizeGb": 1.0, "builds": nil, "region": nil, "together": false, "scatter": false, "loaners": true,
@@ -62,7 +62,8 @@
 	return string(mustJSON(fields))
 }
 
-// postAt sends a submission as it is to a node's HTTP interface; no status: it has no process.
+// postAt posts a body to a node's HTTP interface. It returns status 0 if the node has no process or
+// does not answer in time.
 func (w *simCluster) postAt(node, body string) (status int, why string) {
 	n := w.node(node)
 	if n == nil {
@@ -77,16 +78,16 @@
 	}
 	var e errorBody
 	if err := json.Unmarshal(response.Body.Bytes(), &e); err != nil {
-		w.violation("%s answers %q with %q", node, body, response.Body)
+		w.violation("%s answers %q with %q, which is not JSON", node, body, response.Body)
 	}
 	return response.Code, e.Error
 }
 
-// refuses sends an odd job to a node until it is refused, and complains unless the refusal is
-// the right one and says why. No node then knows the job.
-func (w *simCluster) refuses(node string, number int, odd oddJob) {
+// expectRejection submits an invalid job to a node until it gets a definite answer, and reports a
+// violation unless that is the expected rejection with its reason and no node knows the job afterwards.
+func (w *simCluster) expectRejection(node string, number int, invalid invalidJob) {
 	id := fmt.Sprintf("job-96%05d", number)
-	body := submissionBody(id, odd.change)
+	body := submissionBody(id, invalid.change)
 	for w.ctx.Err() == nil {
 		status, why := w.postAt(node, body)
 		if status == 0 || status == 503 {
@@ -94,31 +95,31 @@
 			continue
 		}
 		w.recordEvent(fmt.Sprintf("refused with %d", status))
-		if status != odd.status || !strings.Contains(why, odd.reason) {
-			w.violation("%s (%s) is answered %d %q at %s, want %d %q", id, odd.name, status, why, node, odd.status, odd.reason)
+		if status != invalid.status || !strings.Contains(why, invalid.reason) {
+			w.violation("%s (%s) is answered %d %q at %s, want %d %q", id, invalid.name, status, why, node, invalid.status, invalid.reason)
 		}
 		break
 	}
 	for _, name := range w.names {
 		ctx, cancel := context.WithTimeout(w.ctx, pollTimeout)
 		if a, err := w.pollAt(ctx, name, id); err == nil && a.status != 404 && a.status != 503 {
-			w.violation("%s (%s) was refused and is answered %d at %s", id, odd.name, a.status, name)
+			w.violation("%s (%s) was refused and is answered %d at %s", id, invalid.name, a.status, name)
 		}
 		cancel()
 	}
 }
 
-// oddRequests: users repeat submissions of unfinished jobs, cancel jobs that are done, and send
+// edgeCaseRequests: users repeat submissions of unfinished jobs, cancel jobs that are done, and submit
 // jobs that can never run or lack a field.
 func edgeCaseRequests(w *simCluster) {
 	w.mu.Lock()
 	first := w.eventCounts["odd jobs"]
-	w.eventCounts["odd jobs"] += len(oddJobs)
+	w.eventCounts["odd jobs"] += len(invalidJobs)
 	w.mu.Unlock()
 	var users sync.WaitGroup
-	for i, odd := range oddJobs {
+	for i, invalid := range invalidJobs {
 		u := w.addTrackedUser(mixedShape(i))
-		users.Go(func() { w.refuses(w.randomNode(), first+i, odd) })
+		users.Go(func() { w.expectRejection(w.randomNode(), first+i, invalid) })
 		users.Go(func() {
 			u.retryUntilSuccess(u.submitOnce)
 			u.repeatUnfinished()
@@ -130,7 +131,7 @@
 	w.awaitAll(&users)
 }
 
-// repeatUnfinished repeats the submission at all nodes while the job is not over.
+// repeatUnfinished repeats the submission at all nodes while the job is not final.
 func (u *user) repeatUnfinished() {
 	for range 4 {
 		for _, node := range u.w.names {
@@ -142,7 +143,7 @@
 	}
 }
 
-// cancelDone cancels a job that is over at all nodes; the answerChecker sees that it stays so.
+// cancelDone cancels a job that is done at all nodes; the answerChecker verifies that its status stays.
 func (u *user) cancelDone() {
 	for _, node := range u.w.names {
 		if a, err := u.cancelOnce(node); err == nil && a.status == 200 {
@@ -151,8 +152,8 @@
 	}
 }
 
-// forgetCatalog begins all processes anew, with the cloud out of reach and no types stored.
-func (w *simCluster) forgetCatalog() {
+// restartWithoutCatalog restarts all processes while the cloud is down and no machine types are stored.
+func (w *simCluster) restartWithoutCatalog() {
 	w.withLock(func() { w.cloudDown = true })
 	for _, name := range w.names {
 		w.stopNode(name)
@@ -167,34 +168,34 @@
 	time.Sleep(10 * time.Second)
 }
 
-// Before the machine types are known nothing is decided that depends on them, and nothing is
-// accepted; what is wrong without them is refused all the same.
-func TestOddJobsBeforeTheCatalogue(t *testing.T) {
+// Before the machine types are known no job may be accepted or rejected by them; jobs that are invalid
+// whatever the types are rejected all the same.
+func TestInvalidJobsBeforeCatalogIsKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		w := newWorld(t, ctx, 1, defaultSettings)
-		w.forgetCatalog()
-		for i, odd := range oddJobs {
-			status, why := w.postAt(w.names[i%3], submissionBody(fmt.Sprintf("job-97%05d", i), odd.change))
-			want := odd.status
-			if odd.byCatalog {
+		w.restartWithoutCatalog()
+		for i, invalid := range invalidJobs {
+			status, why := w.postAt(w.names[i%3], submissionBody(fmt.Sprintf("job-97%05d", i), invalid.change))
+			want := invalid.status
+			if invalid.needsCatalog {
 				want = 503
 			}
-			if status != want || !odd.byCatalog && !strings.Contains(why, odd.reason) {
-				t.Errorf("%s: answered %d %q before the types are known, want %d", odd.name, status, why, want)
+			if status != want || !invalid.needsCatalog && !strings.Contains(why, invalid.reason) {
+				t.Errorf("%s: answered %d %q before the types are known, want %d", invalid.name, status, why, want)
 			}
 		}
 		u := w.addTrackedUser(func(*protocol.JobSpec) {})
 		if a, err := u.submitOnce("n-0"); err != nil || a.status != 503 {
-			t.Errorf("a good job is answered %d, %v before the types are known", a.status, err)
+			t.Errorf("a valid job is answered %d, %v before the types are known", a.status, err)
 		}
 		w.withLock(func() { w.cloudDown = false })
 		time.Sleep(10 * time.Second)
-		for i, odd := range oddJobs {
-			w.refuses(w.names[i%3], i, odd)
+		for i, invalid := range invalidJobs {
+			w.expectRejection(w.names[i%3], i, invalid)
 		}
 		if a, err := u.submitOnce("n-0"); err != nil || a.status != 201 {
-			t.Errorf("a good job is answered %d, %v once the types are known", a.status, err)
+			t.Errorf("a valid job is answered %d, %v once the types are known", a.status, err)
 		}
 		cancel()
 		time.Sleep(2 * time.Minute)
--- a/internal/coordination/node/reads_test.go
+++ b/internal/coordination/node/reads_test.go
@@ -14,24 +14,24 @@
 
 // How long users wait for an answer.
 const (
-	pollWait   = 2 * time.Second
-	submitWait = 5 * time.Second
+	userPollTimeout   = 2 * time.Second
+	userSubmitTimeout = 5 * time.Second
 )
 
-// answerTimes are how long requests of one kind took. Its methods may be called by many.
+// answerTimes collects how long requests of one kind took. Its methods are safe for concurrent use.
 type answerTimes struct {
 	mu         sync.Mutex
-	times      []time.Duration // of those that were answered
+	times      []time.Duration // of the answered requests
 	undecided  int             // answered 503
-	unanswered int             // by the time that users wait
+	unanswered int             // not answered within the user's timeout
 }
 
-// measure makes one request of a node that its user waits for within limit.
-func (m *answerTimes) measure(w *simCluster, node string, limit time.Duration, f func(n *Node, reply chan<- answer)) answer {
+// measure sends one request to a node and waits up to limit for the answer.
+func (m *answerTimes) measure(w *simCluster, node string, limit time.Duration, send func(n *Node, reply chan<- answer)) answer {
 	ctx, cancel := context.WithTimeout(w.ctx, limit)
 	defer cancel()
 	began := time.Now()
-	a, err := w.userRequest(ctx, node, f)
+	a, err := w.userRequest(ctx, node, send)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err != nil {
@@ -45,7 +45,7 @@
 	return a
 }
 
-// longest is the longest time that an answer took.
+// longest returns the longest time that an answer took.
 func (m *answerTimes) longest() time.Duration {
 	if len(m.times) == 0 {
 		return 0
@@ -53,36 +53,36 @@
 	return slices.Max(m.times)
 }
 
-// decidedPart is the part of all requests that were answered otherwise than with 503.
-func (m *answerTimes) decidedPart() float64 {
+// decidedFraction returns the fraction of all requests that were answered otherwise than with 503.
+func (m *answerTimes) decidedFraction() float64 {
 	return float64(len(m.times)-m.undecided) / float64(max(1, len(m.times)+m.unanswered))
 }
 
 func (m *answerTimes) String() string {
 	slices.Sort(m.times)
-	at := func(part float64) time.Duration {
+	percentile := func(fraction float64) time.Duration {
 		if len(m.times) == 0 {
 			return 0
 		}
-		return m.times[int(part*float64(len(m.times)-1))].Round(time.Millisecond)
+		return m.times[int(fraction*float64(len(m.times)-1))].Round(time.Millisecond)
 	}
-	return fmt.Sprintf("%d answered, p50 %v p95 %v max %v, %d with 503, %d not answered", len(m.times), at(0.5), at(0.95), at(1), m.undecided, m.unanswered)
+	return fmt.Sprintf("%d answered, p50 %v p95 %v max %v, %d with 503, %d not answered", len(m.times), percentile(0.5), percentile(0.95), percentile(1), m.undecided, m.unanswered)
 }
 
-// load is what users do at all nodes for a while, and how they fare.
-type load struct {
-	w                       *simCluster
+// userLoad is what users do at all nodes for a while, and how they are answered.
+type userLoad struct {
+	cluster                 *simCluster
 	polls, submits, cancels answerTimes
-	until                   time.Time
+	endsAt                  time.Time
 	mu                      sync.Mutex
 	accepted                []string
 }
 
-// play lets users ask every second, submit every few seconds and cancel, at every node.
-func (l *load) play(lasts time.Duration) {
-	l.until = time.Now().Add(lasts)
+// run has users at every node poll every second, submit every few seconds, and cancel.
+func (l *userLoad) run(lasts time.Duration) {
+	l.endsAt = time.Now().Add(lasts)
 	var users sync.WaitGroup
-	for i, node := range l.w.names {
+	for i, node := range l.cluster.names {
 		for k := range 4 {
 			users.Go(func() { l.poll(node, time.Duration(250*k+70*i)*time.Millisecond) })
 		}
@@ -91,22 +91,22 @@
 	users.Wait()
 }
 
-// poll asks a node about jobs every second.
-func (l *load) poll(node string, after time.Duration) {
-	time.Sleep(after)
-	for turn := 0; time.Now().Before(l.until); turn++ {
+// poll polls the status of jobs at a node every second.
+func (l *userLoad) poll(node string, delay time.Duration) {
+	time.Sleep(delay)
+	for turn := 0; time.Now().Before(l.endsAt); turn++ {
 		began := time.Now()
-		id := l.jobToAsk(turn)
-		a := l.polls.measure(l.w, node, pollWait, func(n *Node, reply chan<- answer) { n.onPoll(id, reply) })
+		id := l.jobToPoll(turn)
+		a := l.polls.measure(l.cluster, node, userPollTimeout, func(n *Node, reply chan<- answer) { n.onPoll(id, reply) })
 		if a.status == 404 && id != "job-unknown" {
-			l.w.violation("%s forgotten at %s", id, node)
+			l.cluster.violation("%s forgotten at %s", id, node)
 		}
 		time.Sleep(time.Until(began.Add(time.Second)))
 	}
 }
 
-// jobToAsk is an accepted job, or now and then one that nobody has submitted.
-func (l *load) jobToAsk(turn int) string {
+// jobToPoll returns an accepted job or, every tenth time, one that no user has submitted.
+func (l *userLoad) jobToPoll(turn int) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.accepted) == 0 || turn%10 == 9 {
@@ -115,13 +115,13 @@
 	return l.accepted[turn%len(l.accepted)]
 }
 
-// submitAndCancel submits a job every three seconds, each until it is accepted, and cancels
-// every other one a while later.
-func (l *load) submitAndCancel(node string, of int) {
-	for k := 0; time.Now().Before(l.until); k++ {
-		s := &protocol.JobSpec{ID: fmt.Sprintf("job-9%02d%03d", of, k), Team: "red", Class: "c", Priority: "standard", Shape: protocol.Service,
+// submitAndCancel submits jobs one after the other, each until it is accepted, with pauses of three
+// seconds, and cancels every other one.
+func (l *userLoad) submitAndCancel(node string, user int) {
+	for k := 0; time.Now().Before(l.endsAt); k++ {
+		s := &protocol.JobSpec{ID: fmt.Sprintf("job-9%02d%03d", user, k), Team: "red", Class: "c", Priority: "standard", Shape: protocol.Service,
 			Tasks: 1, CPUs: 1, GPUs: 0.1, MemoryGB: 1, Image: "img-0", ImageGB: 1}
-		l.w.fleet.Submitted(s)
+		l.cluster.fleet.Submitted(s)
 		if !l.submitJob(node, s) {
 			return
 		}
@@ -133,14 +133,14 @@
 }
 
 // submitJob submits a job until it is accepted or the load ends.
-func (l *load) submitJob(node string, s *protocol.JobSpec) (accepted bool) {
-	for time.Now().Before(l.until) {
-		a := l.submits.measure(l.w, node, submitWait, func(n *Node, reply chan<- answer) { n.onSubmit(s, time.Now(), reply) })
+func (l *userLoad) submitJob(node string, s *protocol.JobSpec) (accepted bool) {
+	for time.Now().Before(l.endsAt) {
+		a := l.submits.measure(l.cluster, node, userSubmitTimeout, func(n *Node, reply chan<- answer) { n.onSubmit(s, time.Now(), reply) })
 		if a.status == 200 || a.status == 201 {
 			l.mu.Lock()
 			l.accepted = append(l.accepted, s.ID)
 			l.mu.Unlock()
-			l.askAllNodes(s.ID, false)
+			l.pollAllNodes(s.ID, false)
 			return true
 		}
 		time.Sleep(time.Second)
@@ -148,63 +148,63 @@
 	return false
 }
 
-// cancelJob cancels a job until that is confirmed or the load ends.
-func (l *load) cancelJob(node, id string) {
-	for time.Now().Before(l.until) {
-		a := l.cancels.measure(l.w, node, submitWait, func(n *Node, reply chan<- answer) { n.onCancel(id, 5, reply) })
+// cancelJob cancels a job until the cancellation is confirmed or the load ends.
+func (l *userLoad) cancelJob(node, id string) {
+	for time.Now().Before(l.endsAt) {
+		a := l.cancels.measure(l.cluster, node, userSubmitTimeout, func(n *Node, reply chan<- answer) { n.onCancel(id, 5, reply) })
 		if a.status == 200 {
-			l.w.fleet.Cancelled(id)
-			l.askAllNodes(id, true)
+			l.cluster.fleet.Cancelled(id)
+			l.pollAllNodes(id, true)
 			return
 		}
 		time.Sleep(time.Second)
 	}
 }
 
-// askAllNodes asks all nodes about a job at once, right after its user was told that it is
-// accepted, or cancelled: no answer may be older than that.
-func (l *load) askAllNodes(id string, cancelled bool) {
+// pollAllNodes polls a job at all nodes at once, right after its user was told that it is accepted or
+// cancelled: no answer may be older than that.
+func (l *userLoad) pollAllNodes(id string, cancelled bool) {
 	var asked sync.WaitGroup
-	for _, node := range l.w.names {
+	for _, node := range l.cluster.names {
 		asked.Go(func() {
-			a := l.polls.measure(l.w, node, pollWait, func(n *Node, reply chan<- answer) { n.onPoll(id, reply) })
+			a := l.polls.measure(l.cluster, node, userPollTimeout, func(n *Node, reply chan<- answer) { n.onPoll(id, reply) })
 			s, known := a.body.(protocol.JobStatus)
 			switch {
 			case a.status == 404:
-				l.w.violation("%s forgotten at %s", id, node)
+				l.cluster.violation("%s forgotten at %s", id, node)
 			case known && cancelled != (s.Status == protocol.JobCancelled):
-				l.w.violation("%s is %s at %s, cancelled: %v", id, s.Status, node, cancelled)
+				l.cluster.violation("%s has status %s at %s, cancelled: %v", id, s.Status, node, cancelled)
 			case known:
-				l.w.recordEvent("close look answered")
+				l.cluster.recordEvent("poll right after an answer")
 			}
 		})
 	}
 	asked.Wait()
 }
 
-// usersAmid plays a load amid a fault of the state service and checks that no request goes
-// without an answer, that no question waits for longer than a second, and that the state
-// service gets no more requests than its limit.
-func usersAmid(t *testing.T, seed uint64, lasts time.Duration, fault func(w *simCluster), check func(t *testing.T, l *load)) {
+// runLoadAmid runs a load during a fault of the state service. It checks that every request is
+// answered, that no status poll takes longer than a second, and that the state service gets no more
+// requests than its limit.
+func runLoadAmid(t *testing.T, seed uint64, lasts time.Duration, fault func(w *simCluster), check func(t *testing.T, load *userLoad)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		w := newWorld(t, ctx, seed, defaultSettings)
-		l := &load{w: w}
+		l := &userLoad{cluster: w}
 		w.runWorkload(10, func(w *simCluster) {
 			w.withLock(func() { clear(w.stateCalls); fault(w) })
-			l.play(lasts)
+			l.run(lasts)
 		})
-		t.Logf("questions: %v", &l.polls)
+		t.Logf("status polls: %v", &l.polls)
 		t.Logf("submissions: %v", &l.submits)
 		t.Logf("cancellations: %v", &l.cancels)
 		t.Logf("state service: %d requests in the busiest second", maxPerSecond(w.stateCalls))
 		for _, m := range []*answerTimes{&l.polls, &l.submits, &l.cancels} {
 			if m.unanswered > 0 {
-				t.Errorf("unanswered: %v", m)
+				t.Errorf("requests without an answer: %v", m)
 			}
 		}
 		if len(l.polls.times) == 0 || len(l.submits.times) == 0 || l.polls.longest() > time.Second {
-			t.Errorf("a question waited for %v", l.polls.longest())
+			t.Errorf("a status poll waited for %v", l.polls.longest())
 		}
 		if limit := int(w.cfg["n-0"].Params.State.RPS); maxPerSecond(w.stateCalls) > limit {
 			t.Errorf("%d requests to the state service in a second, limit %d", maxPerSecond(w.stateCalls), limit)
@@ -216,22 +216,22 @@
 	})
 }
 
-// Where a third of all transactions are executed at once and only their answer is lost, users
-// are answered, and hardly any question with 503. (On a simulated day of this kind 1,993 of
-// 26,047 questions were in vain and 965 requests went unanswered: one read barrier was under
-// way at a time, and all questions waited for it.)
-func TestUsersAreAnsweredWhereAnswersAreLost(t *testing.T) {
+// More than a third of all transactions are executed and only their answers are lost. Users must be
+// answered, and hardly any status poll with 503. (On a simulated day of this kind 1,993 of 26,047
+// status polls were in vain and 965 requests went unanswered: one read barrier was in flight at a
+// time, and all polls waited for it.)
+func TestUsersAreAnsweredWhenStateAnswersAreLost(t *testing.T) {
 	for seed := range seedCount(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			usersAmid(t, 20+seed, 100*time.Second, func(w *simCluster) { w.lostAnswerRate = 0.35 }, func(t *testing.T, l *load) {
-				if lost, barriers := l.w.eventCount("executed without an answer"), l.w.eventCount("read barrier without an answer"); lost < 20 || barriers < 100 || len(l.cancels.times) == 0 {
+			runLoadAmid(t, 20+seed, 100*time.Second, func(w *simCluster) { w.lostAnswerRate = 0.35 }, func(t *testing.T, l *userLoad) {
+				if lost, barriers := l.cluster.eventCount("executed without an answer"), l.cluster.eventCount("read barrier without an answer"); lost < 20 || barriers < 100 || len(l.cancels.times) == 0 {
 					t.Errorf("answers of only %d changes and %d read barriers were lost, %d cancellations", lost, barriers, len(l.cancels.times))
 				}
-				if l.w.eventCount("close look answered") < 100 {
-					t.Errorf("only %d questions right after an answer were answered", l.w.eventCount("close look answered"))
+				if l.cluster.eventCount("poll right after an answer") < 100 {
+					t.Errorf("only %d status polls right after an answer were answered", l.cluster.eventCount("poll right after an answer"))
 				}
-				if part := l.polls.decidedPart(); part < 0.99 {
-					t.Errorf("only %.3f of the questions were decided", part)
+				if part := l.polls.decidedFraction(); part < 0.99 {
+					t.Errorf("only %.3f of the status polls were decided", part)
 				}
 				if l.submits.longest() > 2500*time.Millisecond || l.cancels.longest() > 2500*time.Millisecond {
 					t.Errorf("submissions took up to %v, cancellations up to %v", l.submits.longest(), l.cancels.longest())
@@ -241,16 +241,16 @@
 	}
 }
 
-// Where the state service does not answer at all, users are told soon that nothing can be
-// decided, and it is asked rarely.
-func TestUsersAreAnsweredInSilence(t *testing.T) {
-	usersAmid(t, 30, 30*time.Second, func(w *simCluster) {
+// The state service does not answer at all. Users must be told soon that nothing can be decided, and
+// the state service must get few requests.
+func TestUsersAreAnsweredWhenStateServiceIsSilent(t *testing.T) {
+	runLoadAmid(t, 30, 30*time.Second, func(w *simCluster) {
 		for _, name := range w.names {
 			w.stateSilent[name] = true
 		}
-	}, func(t *testing.T, l *load) {
+	}, func(t *testing.T, l *userLoad) {
 		if l.polls.undecided < len(l.polls.times)/2 {
-			t.Errorf("only %d of %d questions undecided", l.polls.undecided, len(l.polls.times))
+			t.Errorf("only %d of %d status polls undecided", l.polls.undecided, len(l.polls.times))
 		}
 		if l.submits.longest() > 2*time.Second {
 			t.Errorf("a submission waited for %v", l.submits.longest())
--- a/internal/coordination/node/sitejobs_test.go
+++ b/internal/coordination/node/sitejobs_test.go
@@ -13,19 +13,19 @@
 	wire "dapplestage.example/dapplestage/internal/protocol/gateway"
 )
 
-// open lets jobs of the gateway run on a bench.
-func (b *testNode) open() {
+// grantGatewayLease gives the node a lease with which gateway jobs may run.
+func (b *testNode) grantSiteLease() {
 	b.onLease(&wire.Lease{LeftMS: 3000}, nil, time.Now())
 }
 
-// claimed stores a job of the gateway, placed on host-1.
-func (b *testNode) claimed(id string, placed ...protocol.Placement) *job {
+// addGatewayJob stores a job of the gateway with the given placements.
+func (b *testNode) addGatewayJob(id string, placed ...protocol.Placement) *job {
 	spec := &protocol.JobSpec{ID: id, Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 1, CPUs: 4, GPUs: 1, Image: "i", ImageGB: 1}
 	b.watchPut(protocol.JobKey(id), protocol.JobRecord{Spec: spec, Next: 2, Claim: 1, Chunk: protocol.Chunk{Placed: placed}})
 	return b.jobs[id]
 }
 
-func verbs(a *answer) string {
+func commandOps(a *answer) string {
 	if a == nil {
 		return "parked"
 	}
@@ -36,71 +36,72 @@
 	return s
 }
 
-// Without the lease nothing of a gateway's job starts, and what runs is stopped with
-// the next answer; jobs of the site's own go on.
-func TestClosedGateStopsOnlyTheGatewaysJobs(t *testing.T) {
+// Without a lease no job of the gateway starts, and a running one is stopped with the next answer;
+// the site's own jobs go on.
+func TestExpiredLeaseStopsOnlyGatewayJobs(t *testing.T) {
 	for _, c := range []struct {
-		name          string
-		lease         *wire.Lease
-		started, runs string
+		name                       string
+		lease                      *wire.Lease
+		startOrders, runningOrders string
 	}{
-		{"open", &wire.Lease{LeftMS: 3000}, "run ", "parked"},
-		{"over", &wire.Lease{}, "", "halt "},
-		{"a stop not seen yet", &wire.Lease{LeftMS: 3000, Floor: 1 << 40}, "", "halt "},
-		{"the job is dead", &wire.Lease{LeftMS: 3000, Dead: []string{"job-1"}}, "", "halt "},
-		{"never asked", nil, "", "halt "},
+		{"valid lease", &wire.Lease{LeftMS: 3000}, "run ", "parked"},
+		{"expired lease", &wire.Lease{}, "", "halt "},
+		{"replica older than the lease requires", &wire.Lease{LeftMS: 3000, Floor: 1 << 40}, "", "halt "},
+		{"job lost by the site", &wire.Lease{LeftMS: 3000, Dead: []string{"job-1"}}, "", "halt "},
+		{"no lease received", nil, "", "halt "},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for _, running := range []bool{false, true} {
 				b := newTestNode(t)
-				b.claimed("job-1", placedOnHost1)
+				b.addGatewayJob("job-1", placedOnHost1)
 				if c.lease != nil {
 					b.onLease(c.lease, nil, time.Now())
 				}
 				if !running {
-					if got := verbs(b.sendReport(7, 1)); got != c.started && !(c.started == "" && got == "parked") {
-						t.Errorf("not started: orders %q, want %q", got, c.started)
+					if got := commandOps(b.sendReport(7, 1)); got != c.startOrders && !(c.startOrders == "" && got == "parked") {
+						t.Errorf("not started: orders %q, want %q", got, c.startOrders)
 					}
 					continue
 				}
-				got := verbs(b.sendReport(7, 1, protocol.TaskReport{Task: "job-1/0", Attempt: 1, State: protocol.TaskRunning}))
-				if got != c.runs && !(c.runs == "parked" && got == "") {
-					t.Errorf("running: orders %q, want %q", got, c.runs)
+				got := commandOps(b.sendReport(7, 1, protocol.TaskReport{Task: "job-1/0", Attempt: 1, State: protocol.TaskRunning}))
+				if got != c.runningOrders && !(c.runningOrders == "parked" && got == "") {
+					t.Errorf("running: orders %q, want %q", got, c.runningOrders)
 				}
 			}
 		})
 	}
 	b := newTestNode(t)
 	b.addJob("job-2", false, placedOnHost1)
-	if got := verbs(b.sendReport(7, 1, protocol.TaskReport{Task: "job-2/0", Attempt: 1, State: protocol.TaskRunning})); got != "" && got != "parked" {
+	if got := commandOps(b.sendReport(7, 1, protocol.TaskReport{Task: "job-2/0", Attempt: 1, State: protocol.TaskRunning})); got != "" && got != "parked" {
 		t.Errorf("the site's own job got %q", got)
 	}
 }
 
-// A lease counts from when it was asked for: an answer that was held on its way for
-// minutes opens nothing.
-func TestLateLeaseOpensNothing(t *testing.T) {
+// A lease counts from when it was requested: an answer that arrives after it has expired must not
+// let gateway jobs run.
+func TestLateLeaseAnswerGrantsNothing(t *testing.T) {
 	b := newTestNode(t)
-	j := b.claimed("job-1")
+	j := b.addGatewayJob("job-1")
 	b.onLease(&wire.Lease{LeftMS: 3000}, nil, time.Now().Add(-3*time.Second))
 	if !b.blockedBySiteLease(j, time.Now()) {
-		t.Error("a lease of 3 s asked for 3 s ago is taken for valid")
+		t.Error("a lease of 3 s requested 3 s ago is accepted as valid")
 	}
-	b.open()
+	b.grantSiteLease()
 	if b.blockedBySiteLease(j, time.Now()) {
-		t.Error("a fresh lease opens nothing")
+		t.Error("a fresh lease does not let the job run")
 	}
 	if !b.blockedBySiteLease(j, time.Now().Add(3*time.Second)) {
-		t.Error("the lease does not end by itself")
+		t.Error("the lease does not expire")
 	}
 }
 
-// A direct command may be executed minutes late, when the site has lost the job.
-func TestGatewaysJobsAreNotStartedDirectly(t *testing.T) {
+// Gateway jobs are never started by a direct command, since it may be executed minutes late, when
+// the site has lost the job.
+func TestGatewayJobsAreNotStartedDirectly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestNode(t)
-		b.open()
-		b.claimed("job-1", placedOnHost1)
+		b.grantSiteLease()
+		b.addGatewayJob("job-1", placedOnHost1)
 		m := b.machines["host-1"]
 		m.addr, m.fenced, m.lastFencedReport, m.session = "host-1:9000", true, time.Now(), 1
 		m.lastReport = time.Now()
@@ -112,15 +113,15 @@
 	})
 }
 
-// Who answers for a holder that can't be reached keeps workers' leases alive: it stops
-// what may not run any more, and, with no lease, also what it does not know. (A
-// replica that is behind does not know the newest jobs.)
-func TestStandInStopsTheGatewaysJobs(t *testing.T) {
+// A node that answers reports for an unreachable owner keeps the workers' leases alive. It must stop
+// tasks that may not run any more, and without the site's lease also tasks that it does not know,
+// since a stale replica lacks the newest jobs.
+func TestAnswerForOwnerStopsGatewayJobs(t *testing.T) {
 	b := newTestNode(t)
 	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
-	b.claimed("job-1", placedOnHost1)
+	b.addGatewayJob("job-1", placedOnHost1)
 	b.addJob("job-2", false)
-	ask := func() string {
+	sendReport := func() string {
 		reply := make(chan answer, 1)
 		b.onReport(&protocol.Report{Machine: "host-1", Type: "g4", Zone: "a", Session: 1, Seq: 1, Token: 8, Tasks: []protocol.TaskReport{
 			{Task: "job-1/0", Attempt: 1, State: protocol.TaskRunning}, {Task: "job-2/0", Attempt: 1, State: protocol.TaskRunning},
@@ -134,31 +135,31 @@
 		}
 		return s
 	}
-	if got := ask(); got != "halt job-1/0 " {
+	if got := sendReport(); got != "halt job-1/0 " {
 		t.Errorf("without a gateway: %q", got)
 	}
 	b.SiteDaemonHost = "127.0.0.1"
-	if got := ask(); got != "halt job-1/0 halt job-3/0 " {
+	if got := sendReport(); got != "halt job-1/0 halt job-3/0 " {
 		t.Errorf("without a lease: %q", got)
 	}
 	b.onLease(&wire.Lease{LeftMS: 30000}, nil, time.Now())
-	if got := ask(); got != "" {
+	if got := sendReport(); got != "" {
 		t.Errorf("with a lease: %q", got)
 	}
 }
 
-// caller runs one node whose actor is alive, to be called as the daemon does.
-type caller struct {
-	t *testing.T
-	n *Node
+// caller calls a running node as the site's daemon does.
+type daemonCaller struct {
+	t    *testing.T
+	node *Node
 }
 
-func (c *caller) call(kind wire.Kind, id string, epoch uint32) wire.Item {
+func (c *daemonCaller) call(kind wire.Kind, id string, epoch uint32) wire.Item {
 	c.t.Helper()
 	spec := mustJSON(&protocol.JobSpec{ID: id, Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 1, CPUs: 4, GPUs: 1, Image: "i", ImageGB: 1})
 	reply := make(chan wire.Item, 1)
-	c.n.post(func() {
-		c.n.onSiteCall(&wire.Item{Kind: kind, ID: id, Record: wire.Record{Epoch: epoch, Spec: spec}}, func(r wire.Item) { reply <- r })
+	c.node.post(func() {
+		c.node.onSiteCall(&wire.Item{Kind: kind, ID: id, Record: wire.Record{Epoch: epoch, Spec: spec}}, func(r wire.Item) { reply <- r })
 	})
 	select {
 	case r := <-reply:
@@ -169,8 +170,7 @@
 	return wire.Item{}
 }
 
-// TestClaimsAtASite walks one node through what the daemon may ask, in the orders
-// that delays make of it.
+// Walks nodes through the calls that the daemon may make, in the orders that delays may produce.
 func TestClaimsAtASite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -182,8 +182,8 @@
 			}
 		})
 		time.Sleep(6 * time.Second)
-		c := &caller{t: t, n: w.node("n-0")}
-		other := &caller{t: t, n: w.node("n-1")}
+		c := &daemonCaller{t: t, node: w.node("n-0")}
+		other := &daemonCaller{t: t, node: w.node("n-1")}
 		want := func(what string, got wire.Item, codes ...uint8) {
 			t.Helper()
 			for _, k := range codes {
@@ -193,24 +193,24 @@
 			}
 			t.Errorf("%s: code %d (%s), want %v", what, got.Why, got.Record.Spec, codes)
 		}
-		want("poll of what was never given", c.call(wire.Poll, "job-1", 1), wire.Missing)
+		want("poll of a job that was never submitted", c.call(wire.Poll, "job-1", 1), wire.Missing)
 		want("submission", c.call(wire.Submit, "job-1", 1), wire.Held)
-		want("its repeat at another node", other.call(wire.Submit, "job-1", 1), wire.Held)
+		want("repeated submission at another node", other.call(wire.Submit, "job-1", 1), wire.Held)
 		want("stop", other.call(wire.Stop, "job-1", 1), wire.Over, wire.Held)
 		time.Sleep(time.Minute)
 		want("stop again", c.call(wire.Stop, "job-1", 1), wire.Over)
-		want("the submission, held on its way until now", c.call(wire.Submit, "job-1", 1), wire.Over)
+		want("delayed submission under the ended claim", c.call(wire.Submit, "job-1", 1), wire.Over)
 		want("a later claim", other.call(wire.Submit, "job-1", 3), wire.Held)
 		time.Sleep(time.Second)
 		want("poll of the later claim", c.call(wire.Poll, "job-1", 3), wire.Held)
-		want("a late stop of the earlier claim", c.call(wire.Stop, "job-1", 1), wire.Over)
-		want("the later claim is untouched", c.call(wire.Poll, "job-1", 3), wire.Held)
+		want("delayed stop of the earlier claim", c.call(wire.Stop, "job-1", 1), wire.Over)
+		want("poll of the later claim after the delayed stop", c.call(wire.Poll, "job-1", 3), wire.Held)
 
-		want("stop before the submission comes", c.call(wire.Stop, "job-2", 2), wire.Over)
-		want("the submission", other.call(wire.Submit, "job-2", 2), wire.Over)
-		want("a claim while an earlier one runs here", c.call(wire.Submit, "job-3", 1), wire.Held)
+		want("stop before the submission", c.call(wire.Stop, "job-2", 2), wire.Over)
+		want("submission after its stop", other.call(wire.Submit, "job-2", 2), wire.Over)
+		want("submission under the first claim", c.call(wire.Submit, "job-3", 1), wire.Held)
 		time.Sleep(time.Second)
-		want("the same job under a later claim", other.call(wire.Submit, "job-3", 4), wire.Held)
+		want("submission of the same job under a later claim", other.call(wire.Submit, "job-3", 4), wire.Held)
 
 		own := &protocol.JobSpec{ID: "job-4", Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 1, CPUs: 4, GPUs: 1, Image: "i", ImageGB: 1}
 		if a, err := w.submitAt(ctx, "n-1", own); err != nil || a.status != 201 {
@@ -218,9 +218,9 @@
 		}
 		time.Sleep(time.Second)
 		want("a job of the site's own under the same id", c.call(wire.Submit, "job-4", 1), wire.Conflict)
-		want("its stop", c.call(wire.Stop, "job-4", 1), wire.Conflict)
+		want("stop of the site's own job", c.call(wire.Stop, "job-4", 1), wire.Conflict)
 
-		// Users who ask the site: what became of a claim is not what became of the job.
+		// Users who ask the site get no answer from the end of a claim: it does not say how the job ended.
 		for id, status := range map[string]int{"job-2": 503, "job-1": 503, "job-4": 200} {
 			a, err := w.pollAt(ctx, "n-0", id)
 			if err != nil || a.status != status {
@@ -235,11 +235,11 @@
 	})
 }
 
-// TestNothingRunsAfterTheBound: the lease ends at some moment amid every trouble of
-// controllers, network and state service; StopBound later nothing of the gateway's
-// runs, whatever else goes wrong. Then the lease is back, and every job is done.
-func TestNothingRunsAfterTheBound(t *testing.T) {
-	const controllers = 3 * time.Second
+// The site's lease ends at a random moment amid faults of controllers, network and state service. No
+// task of a gateway job may run longer than the bound after that. Once the lease is back all jobs
+// must be done.
+func TestNoGatewayJobRunsAfterLeaseBound(t *testing.T) {
+	const leaseTime = 3 * time.Second
 	for seed := range uint64(16) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
@@ -248,7 +248,7 @@
 				defer cancel()
 				direct := seed%2 == 1
 				w := newWorld(t, ctx, 500+seed, func(p *protocol.WorkerSettings) {
-					if direct { // workers report rarely, so that the site's own jobs start directly
+					if direct { // workers report rarely, so that the site's own jobs are started directly
 						p.ReportS, p.LeaseS, p.CancelS = 6, 36, 56
 					}
 				})
@@ -256,28 +256,28 @@
 					n := w.node(name)
 					n.post(func() { n.SiteDaemonHost = "the daemon" })
 				}
-				lease := time.Duration(w.fleet.Workers.LeaseS * float64(time.Second))
-				bound := time.Duration(float64(controllers+lease)*(1+maxClockDrift)) + 4*time.Second
-				on := map[string]int{}
-				end := time.Now().Add(time.Hour) // of the daemon's lease
+				workerLease := time.Duration(w.fleet.Workers.LeaseS * float64(time.Second))
+				bound := time.Duration(float64(leaseTime+workerLease)*(1+maxClockDrift)) + 4*time.Second
+				running := map[string]int{}
+				leaseEnd := time.Now().Add(time.Hour) // end of the daemon's lease
 				w.withLock(func() {
 					w.fleet.Log = func(event, task, machine string, at time.Time) {
 						id, _, _ := protocol.ParseTaskID(task)
 						w.mu.Lock()
 						defer w.mu.Unlock()
 						if event != "start" {
-							on[id]--
+							running[id]--
 							return
 						}
-						on[id]++
-						if time.Now().After(end.Add(bound)) && id < "job-100" {
-							t.Errorf("%s started %v after the lease", task, time.Since(end))
+						running[id]++
+						if time.Now().After(leaseEnd.Add(bound)) && id < "job-100" {
+							t.Errorf("%s started %v after the end of the lease", task, time.Since(leaseEnd))
 						}
 					}
 					w.daemonLease = func(ctx context.Context, node string) ([]byte, error) {
 						time.Sleep(w.randDuration(time.Millisecond, 300*time.Millisecond))
 						w.mu.Lock()
-						left := max(0, min(controllers, time.Until(end)))
+						left := max(0, min(leaseTime, time.Until(leaseEnd)))
 						w.mu.Unlock()
 						data := wire.EncodeLease(&wire.Lease{LeftMS: uint32(left.Milliseconds())})
 						time.Sleep(w.randDuration(time.Millisecond, 300*time.Millisecond))
@@ -317,27 +317,27 @@
 				time.Sleep(w.randDuration(10*time.Second, 30*time.Second))
 				go randomFaults(w)
 				time.Sleep(w.randDuration(0, 60*time.Second))
-				w.withLock(func() { end = time.Now().Add(controllers) })
-				time.Sleep(controllers + bound + time.Second)
+				w.withLock(func() { leaseEnd = time.Now().Add(leaseTime) })
+				time.Sleep(leaseTime + bound + time.Second)
 				ran := false
 				for range 60 {
 					for _, id := range ids {
 						w.withLock(func() {
-							if on[id] > 0 {
-								t.Errorf("%d tasks of %s run %v after the lease, bound %v", on[id], id, time.Since(end), bound)
+							if running[id] > 0 {
+								t.Errorf("%d tasks of %s run %v after the end of the lease, bound %v", running[id], id, time.Since(leaseEnd), bound)
 							}
 						})
 					}
 					ran = ran || w.fleet.Started > 0
 					time.Sleep(500 * time.Millisecond)
 				}
-				time.Sleep(3 * time.Minute) // the troubles are over
+				time.Sleep(3 * time.Minute) // the injected faults are over
 				w.withLock(func() {
 					w.outage, w.lossRate, w.lateTxnRate = false, 0, 0
 					clear(w.stateRefused)
 					clear(w.isolated)
 					clear(w.workersUnreachable)
-					end = time.Now().Add(time.Hour)
+					leaseEnd = time.Now().Add(time.Hour)
 				})
 				time.Sleep(6 * time.Minute)
 				for _, id := range ids {
@@ -364,25 +364,25 @@
 	}
 }
 
-// A submission repeated straight at the other site is told how the gateway's job is;
-// without the daemon's word the site takes it as its own, as without a gateway.
-func TestRepeatAtTheOtherSiteIsNoSecondJob(t *testing.T) {
+// A submission repeated directly at the other site is answered with the status of the gateway's job.
+// If the daemon does not answer, the site accepts the job as its own, as without a gateway.
+func TestRepeatAtOtherSiteMakesNoSecondJob(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		known  func(context.Context, string) (protocol.JobStatus, bool, error)
 		status int
 		stored bool
 	}{
-		{"the gateway's", func(_ context.Context, id string) (protocol.JobStatus, bool, error) {
+		{"gateway job", func(_ context.Context, id string) (protocol.JobStatus, bool, error) {
 			return protocol.JobStatus{ID: id, Status: protocol.JobRunning, Running: 2}, true, nil
 		}, 200, false},
-		{"the gateway's, but nobody can tell how it is", func(context.Context, string) (protocol.JobStatus, bool, error) {
+		{"gateway job of unknown status", func(context.Context, string) (protocol.JobStatus, bool, error) {
 			return protocol.JobStatus{}, true, errNoAnswer
 		}, 503, false},
-		{"nobody's", func(context.Context, string) (protocol.JobStatus, bool, error) {
+		{"not a gateway job", func(context.Context, string) (protocol.JobStatus, bool, error) {
 			return protocol.JobStatus{}, false, nil
 		}, 201, true},
-		{"no answer", func(context.Context, string) (protocol.JobStatus, bool, error) {
+		{"no answer from the daemon", func(context.Context, string) (protocol.JobStatus, bool, error) {
 			return protocol.JobStatus{}, false, errNoAnswer
 		}, 201, true},
 	} {
@@ -408,8 +408,8 @@
 	}
 }
 
-// Users reach a controller on the same address as the daemon: only the host that
-// --site-daemon names may hand over jobs or end claims.
+// Users reach a controller on the same address as the daemon: only the host that --site-daemon names
+// may submit gateway jobs or end claims.
 func TestOnlyTheDaemonMayCall(t *testing.T) {
 	for _, c := range []struct {
 		daemon, from string
--- a/internal/coordination/node/tickets_test.go
+++ b/internal/coordination/node/tickets_test.go
@@ -23,13 +23,13 @@
 	"strict": {Lot: "strict", Urgency: "standard", Shapes: []string{"sweep", "gang"}, Over: ticket.Refuse, Retries: 1, Tasks: 50, VCPUs: 4, Cards: 1, MemGB: 20, Bundle: "img-s", SizeGB: 1, ExpectS: 3},
 }
 
-// body makes a ticket's body: steps with their tasks, each after those named.
+// ticketBody returns the body of a ticket. Each of steps is "NAME TASKS [DEPENDENCY...]".
 func ticketBody(id, lot, crew, extra string, steps ...string) string {
-	var list []string
-	for _, s := range steps {
-		f := strings.Fields(s) // name tasks after...
+	var stepBodies []string
+	for _, step := range steps {
+		fields := strings.Fields(step) // name, number of tasks, dependencies
 		deps := ""
-		for i, d := range f[2:] {
+		for i, d := range fields[2:] {
 			if i > 0 {
 				deps += ","
 			}
@@ -38,13 +38,13 @@
 		if deps != "" {
 			deps = `"dependencies":[` + deps + `],`
 		}
-		list = append(list, fmt.Sprintf(`{"name":%q,%s"parameterSpace":{"taskParameterDefinitions":[{"name":"F","type":"INT","range":"1-%s"}]},"script":{"actions":{"onRun":{"command":"render"}}}}`, f[0], deps, f[1]))
+		stepBodies = append(stepBodies, fmt.Sprintf(`{"name":%q,%s"parameterSpace":{"taskParameterDefinitions":[{"name":"F","type":"INT","range":"1-%s"}]},"script":{"actions":{"onRun":{"command":"render"}}}}`, fields[0], deps, fields[1]))
 	}
-	return fmt.Sprintf(`{"id":%q,"lot":%q,"crew":%q,%s"template":{"specificationVersion":"jobtemplate-2023-09","name":"t","steps":[%s]}}`, id, lot, crew, extra, strings.Join(list, ","))
+	return fmt.Sprintf(`{"id":%q,"lot":%q,"crew":%q,%s"template":{"specificationVersion":"jobtemplate-2023-09","name":"t","steps":[%s]}}`, id, lot, crew, extra, strings.Join(stepBodies, ","))
 }
 
-// carried is the same ticket inside an ordinary submission.
-func carried(body string) string {
+// embedded returns the body of an ordinary submission that contains the same ticket.
+func embedded(body string) string {
 	outer, inner := map[string]json.RawMessage{}, map[string]json.RawMessage{}
 	json.Unmarshal([]byte(body), &outer)
 	for _, k := range []string{"template", "maxRetriesPerTask", "maxFailedTasksCount", "priority"} {
@@ -63,61 +63,63 @@
 	if err != nil {
 		t.Fatalf("%v\n%s", err, body)
 	}
-	a, err := ticket.Admit(s, ticketClasses, ticket.Limits{ValueBytes: 8000})
-	return s, a, err
+	admitted, err := ticket.Admit(s, ticketClasses, ticket.Limits{ValueBytes: 8000})
+	return s, admitted, err
 }
 
-// ticketUser submits a ticket by both ways and at any node, polls it by both, and
-// complains about every answer that may not be.
+// ticketUser submits a ticket in both forms and at any node, reads its status by both interfaces,
+// and reports every answer that is not allowed.
 type ticketUser struct {
-	w        *simCluster
-	body     string
-	id       string
-	sub      *format.Submission
-	adm      *ticket.Admitted
-	cancelAt time.Duration
-	want     string // the final state; empty: done or withdrawn
-	final    string // guarded by the world's mu
-	polls    int
+	cluster       *simCluster
+	body          string
+	id            string
+	submission    *format.Submission
+	admitted      *ticket.Admitted
+	cancelAt      time.Duration
+	expectedFinal string // the expected final status; empty: done or cancelled
+	finalStatus   string // guarded by the world's mu
+	polls         int
 }
 
 func newTicketUser(w *simCluster, body string) *ticketUser {
-	s, a, err := admit(w.t, body)
+	s, admitted, err := admit(w.t, body)
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	u := &ticketUser{w: w, body: body, id: s.ID, sub: s, adm: a}
-	for i := range a.Record.Steps {
-		w.fleet.Submitted(ticket.StepSpec(a.Record, i))
+	u := &ticketUser{cluster: w, body: body, id: s.ID, submission: s, admitted: admitted}
+	for i := range admitted.Record.Steps {
+		w.fleet.Submitted(ticket.StepSpec(admitted.Record, i))
 	}
 	return u
 }
 
-func (u *ticketUser) any() string { return u.w.names[u.w.randDuration(0, 3*time.Second)/time.Second] }
+func (u *ticketUser) randomNode() string {
+	return u.cluster.names[u.cluster.randDuration(0, 3*time.Second)/time.Second]
+}
 
-// submit asks one node once.
+// submit sends the ticket once to one node.
 func (u *ticketUser) submit(name string) (answer, error) {
 	body, parse := u.body, format.ParseTicket
-	if u.w.chance(&half) {
-		body, parse = carried(u.body), format.ParseCarried
+	if u.cluster.chance(&half) {
+		body, parse = embedded(u.body), format.ParseCarried
 	}
 	s, err := parse([]byte(body))
 	if err != nil {
-		u.w.t.Error(err)
+		u.cluster.t.Error(err)
 		return answer{}, err
 	}
-	a, refused := ticket.Admit(s, ticketClasses, ticket.Limits{ValueBytes: 8000})
-	ctx, cancel := context.WithTimeout(u.w.ctx, 5*time.Second)
+	admitted, admitErr := ticket.Admit(s, ticketClasses, ticket.Limits{ValueBytes: 8000})
+	ctx, cancel := context.WithTimeout(u.cluster.ctx, 5*time.Second)
 	defer cancel()
-	return u.w.sendChecked(ctx, submitRequest, name, s.ID, func(n *Node, reply chan<- answer) { n.onSubmitTicket(s.ID, a, refused, time.Now(), reply) })
+	return u.cluster.sendChecked(ctx, submitRequest, name, s.ID, func(n *Node, reply chan<- answer) { n.onSubmitTicket(s.ID, admitted, admitErr, time.Now(), reply) })
 }
 
 func (u *ticketUser) run(done func()) {
 	defer done()
-	w := u.w
+	w := u.cluster
 	start := time.Now()
 	for accepted := false; !accepted; {
-		a, err := u.submit(u.any())
+		a, err := u.submit(u.randomNode())
 		if accepted = err == nil && (a.status == 200 || a.status == 201); err == nil && (a.status == 400 || a.status == 422) {
 			w.t.Errorf("%s refused: %v", u.id, a.body)
 			return
@@ -127,36 +129,36 @@
 		}
 		time.Sleep(time.Second)
 	}
-	asked := false
+	cancelSent := false
 	for w.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(w.ctx, 2*time.Second)
-		if u.cancelAt > 0 && time.Since(start) > u.cancelAt && u.ended() == "" {
-			asked = true
-			a, err := w.cancelAt(ctx, u.any(), u.id)
-			u.told(a, err, asked)
+		if u.cancelAt > 0 && time.Since(start) > u.cancelAt && u.knownFinalStatus() == "" {
+			cancelSent = true
+			a, err := w.cancelAt(ctx, u.randomNode(), u.id)
+			u.checkAnswer(a, err, cancelSent)
 		}
-		if u.polls++; u.polls%4 == 0 { // a repeat at any time, by either way
-			a, err := u.submit(u.any())
-			u.told(a, err, asked)
+		if u.polls++; u.polls%4 == 0 { // a repeated submission, at any time and in either form
+			a, err := u.submit(u.randomNode())
+			u.checkAnswer(a, err, cancelSent)
 		}
-		ask := (*Node).onPoll
+		poll := (*Node).onPoll
 		if u.polls%2 == 0 {
-			ask = (*Node).onTicketPoll
+			poll = (*Node).onTicketPoll
 		}
-		a, err := w.sendChecked(ctx, statusRequest, u.any(), u.id, func(n *Node, reply chan<- answer) { ask(n, u.id, reply) })
+		a, err := w.sendChecked(ctx, statusRequest, u.randomNode(), u.id, func(n *Node, reply chan<- answer) { poll(n, u.id, reply) })
 		cancel()
-		u.told(a, err, asked)
+		u.checkAnswer(a, err, cancelSent)
 		time.Sleep(w.randDuration(time.Second, 3*time.Second))
 	}
 }
 
-func (u *ticketUser) ended() string {
-	u.w.mu.Lock()
-	defer u.w.mu.Unlock()
-	return u.final
+func (u *ticketUser) knownFinalStatus() string {
+	u.cluster.mu.Lock()
+	defer u.cluster.mu.Unlock()
+	return u.finalStatus
 }
 
-func (u *ticketUser) told(a answer, err error, asked bool) {
+func (u *ticketUser) checkAnswer(a answer, err error, cancelSent bool) {
 	if err != nil || a.status == 503 {
 		return
 	}
@@ -167,160 +169,160 @@
 	case *TicketStatus:
 		status = b.Status
 	}
-	u.w.mu.Lock()
-	defer u.w.mu.Unlock()
+	u.cluster.mu.Lock()
+	defer u.cluster.mu.Unlock()
 	switch {
 	case a.status != 200 || status == "":
-		u.w.t.Errorf("%s: answered %d %v", u.id, a.status, a.body)
-	case u.final != "" && status != u.final:
-		u.w.t.Errorf("%s went back from %s to %s", u.id, u.final, status)
-	case status == protocol.JobCancelled && !asked:
-		u.w.t.Errorf("%s is called cancelled, but nobody asked", u.id)
+		u.cluster.t.Errorf("%s: answered %d %v", u.id, a.status, a.body)
+	case u.finalStatus != "" && status != u.finalStatus:
+		u.cluster.t.Errorf("%s changed from final status %s to %s", u.id, u.finalStatus, status)
+	case status == protocol.JobCancelled && !cancelSent:
+		u.cluster.t.Errorf("%s is reported as cancelled without a cancellation request", u.id)
 	}
 	if status == protocol.JobDone || status == protocol.JobCancelled || status == protocol.JobFailed {
-		u.final = status
+		u.finalStatus = status
 		if status == protocol.JobCancelled {
-			for i := range u.adm.Record.Steps {
-				step := ticket.StepSpec(u.adm.Record, i).ID
-				if left := u.w.fleet.Left(step); left > 0 {
-					u.w.t.Errorf("%s is called cancelled with %d tasks of %s left", u.id, left, step)
+			for i := range u.admitted.Record.Steps {
+				step := ticket.StepSpec(u.admitted.Record, i).ID
+				if left := u.cluster.fleet.Left(step); left > 0 {
+					u.cluster.t.Errorf("%s is reported as cancelled with %d tasks of %s left", u.id, left, step)
 				}
-				u.w.fleet.Cancelled(step)
+				u.cluster.fleet.Cancelled(step)
 			}
 		}
 	}
 }
 
-// diary is what the machines ran, by task.
-type diary struct {
-	mu     sync.Mutex
-	first  map[string]time.Time // start
-	done   map[string]time.Time
-	starts map[string]int
-	errs   map[string]int
+// taskLog records what the machines ran, by task.
+type taskLog struct {
+	mu          sync.Mutex
+	firstStart  map[string]time.Time // the first start
+	doneAt      map[string]time.Time
+	starts      map[string]int
+	errorCounts map[string]int
 }
 
-func keepDiary(w *simCluster) *diary {
-	d := &diary{first: map[string]time.Time{}, done: map[string]time.Time{}, starts: map[string]int{}, errs: map[string]int{}}
+func recordTasks(w *simCluster) *taskLog {
+	log := &taskLog{firstStart: map[string]time.Time{}, doneAt: map[string]time.Time{}, starts: map[string]int{}, errorCounts: map[string]int{}}
 	w.fleet.Log = func(event, task, _ string, at time.Time) {
-		d.mu.Lock()
-		defer d.mu.Unlock()
+		log.mu.Lock()
+		defer log.mu.Unlock()
 		switch event {
 		case "start":
-			d.starts[task]++
-			if d.first[task].IsZero() {
-				d.first[task] = at
+			log.starts[task]++
+			if log.firstStart[task].IsZero() {
+				log.firstStart[task] = at
 			}
 		case "done":
-			d.done[task] = at
+			log.doneAt[task] = at
 		case "error":
-			d.errs[task]++
+			log.errorCounts[task]++
 		}
 	}
-	return d
+	return log
 }
 
-// check holds what ran against what the user was told.
-func (u *ticketUser) check(d *diary) {
-	t := u.w.t
-	if u.final == "" || u.want != "" && u.final != u.want {
-		t.Errorf("%s ended as %q, want %q (cancelled after %v)", u.id, u.final, u.want, u.cancelAt)
+// check compares what ran with what the user was told.
+func (u *ticketUser) check(log *taskLog) {
+	t := u.cluster.t
+	if u.finalStatus == "" || u.expectedFinal != "" && u.finalStatus != u.expectedFinal {
+		t.Errorf("%s ended as %q, want %q (cancelled after %v)", u.id, u.finalStatus, u.expectedFinal, u.cancelAt)
 	}
-	rec := u.adm.Record
-	over := make([]time.Time, len(rec.Steps)) // the last end of a step's tasks
+	rec := u.admitted.Record
+	endedAt := make([]time.Time, len(rec.Steps)) // when the last of a step's tasks ended
 	for i, st := range rec.Steps {
 		id := ticket.StepSpec(rec, i).ID
 		complete := true
 		for k := range st.Tasks {
 			task := protocol.TaskID(id, k)
-			at, ok := d.done[task]
+			at, ok := log.doneAt[task]
 			complete = complete && ok
-			if at.After(over[i]) {
-				over[i] = at
+			if at.After(endedAt[i]) {
+				endedAt[i] = at
 			}
-			if most := rec.Terms.Retries.Granted + 1; d.errs[task] > most+2 { // two may be lost with leases
-				t.Errorf("%s failed %d times, %d are allowed", task, d.errs[task], most)
+			if maxRuns := rec.Terms.Retries.Granted + 1; log.errorCounts[task] > maxRuns+2 { // two failures may go unrecorded when leases expire
+				t.Errorf("%s failed %d times, want at most %d", task, log.errorCounts[task], maxRuns)
 			}
 			for _, dep := range st.Deps {
-				if f := d.first[task]; !f.IsZero() && (over[dep].IsZero() || f.Before(over[dep])) {
-					t.Errorf("%s of %s started at %v, before %s was done at %v", task, st.Name, f, rec.Steps[dep].Name, over[dep])
+				if first := log.firstStart[task]; !first.IsZero() && (endedAt[dep].IsZero() || first.Before(endedAt[dep])) {
+					t.Errorf("%s of %s started at %v, before %s was done at %v", task, st.Name, first, rec.Steps[dep].Name, endedAt[dep])
 				}
 			}
 		}
-		if u.final == protocol.JobDone && !complete {
-			t.Errorf("%s is called done, but %s is not", u.id, st.Name)
+		if u.finalStatus == protocol.JobDone && !complete {
+			t.Errorf("%s is reported as done, but step %s is not complete", u.id, st.Name)
 		}
 		if !complete {
-			over[i] = time.Time{}
+			endedAt[i] = time.Time{}
 		}
 	}
 }
 
-// tickets draws tickets with errors, chains and cancellations.
-func (w *simCluster) tickets(count int) []*ticketUser {
-	hopeless := map[string]bool{}
-	var us []*ticketUser
+// ticketUsers draws tickets with task errors, chains of steps and cancellations.
+func (w *simCluster) ticketUsers(count int) []*ticketUser {
+	failing := map[string]bool{}
+	var users []*ticketUser
 	for i := range count {
 		var steps []string
 		n := 1 + w.plan.IntN(4)
 		for k := range n {
-			s := fmt.Sprintf("s%d %d", k, 1+w.plan.IntN(5))
+			step := fmt.Sprintf("s%d %d", k, 1+w.plan.IntN(5))
 			for d := range k {
 				if w.plan.IntN(2) == 0 {
-					s += fmt.Sprintf(" s%d", d)
+					step += fmt.Sprintf(" s%d", d)
 				}
 			}
-			steps = append(steps, s)
+			steps = append(steps, step)
 		}
 		u := newTicketUser(w, ticketBody(fmt.Sprintf("job-9%05d", i), "render", []string{"red", "blue", "green"}[i%3], `"maxRetriesPerTask":9,`, steps...))
 		switch w.plan.IntN(4) {
 		case 0:
 			u.cancelAt = time.Duration(5+w.plan.IntN(60)) * time.Second
 		case 1:
-			u.want = protocol.JobFailed
-			hopeless[u.adm.Record.Base.ID] = true
+			u.expectedFinal = protocol.JobFailed
+			failing[u.admitted.Record.Base.ID] = true
 		default:
-			u.want = protocol.JobDone
+			u.expectedFinal = protocol.JobDone
 		}
-		us = append(us, u)
+		users = append(users, u)
 	}
-	steps := map[string]*ticketUser{}
-	for _, u := range us {
-		for i := range u.adm.Record.Steps {
-			steps[ticket.StepSpec(u.adm.Record, i).ID] = u
+	stepUsers := map[string]*ticketUser{}
+	for _, u := range users {
+		for i := range u.admitted.Record.Steps {
+			stepUsers[ticket.StepSpec(u.admitted.Record, i).ID] = u
 		}
 	}
 	salt := w.plan.Uint64()
 	w.fleet.Fails = func(job *protocol.JobSpec, task, errors int) bool {
-		u := steps[job.ID]
+		u := stepUsers[job.ID]
 		if u == nil {
 			return false
 		}
-		if hopeless[u.id] && task == 0 && job.ID == ticket.StepSpec(u.adm.Record, 0).ID {
+		if failing[u.id] && task == 0 && job.ID == ticket.StepSpec(u.admitted.Record, 0).ID {
 			return true
 		}
 		n, _ := strconv.ParseUint(job.ID[len(job.ID)-9:], 10, 64)
 		return errors < int(rand.New(rand.NewPCG(n^salt, uint64(task))).IntN(5))-2 // 0, 0, 0, 1 or 2 errors
 	}
-	return us
+	return users
 }
 
-// simulateTickets runs tickets amid ordinary jobs and troubles.
-func simulateTickets(t *testing.T, seed uint64, faults func(w *simCluster)) {
+// simulateTickets runs tickets beside ordinary jobs while inject injects faults.
+func simulateTickets(t *testing.T, seed uint64, inject func(w *simCluster)) {
 	nodeTicketClasses = ticketClasses
 	defer func() { nodeTicketClasses = nil }()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		w := newWorld(t, ctx, seed, defaultSettings)
-		d := keepDiary(w)
-		us := w.tickets(8)
+		log := recordTasks(w)
+		users := w.ticketUsers(8)
 		var wg sync.WaitGroup
-		for _, u := range us {
+		for _, u := range users {
 			wg.Add(1)
 			go u.run(wg.Done)
 		}
 		w.runWorkload(6, func(w *simCluster) {
-			faults(w)
+			inject(w)
 			w.withLock(func() {
 				w.outage, w.lossRate, w.lateTxnRate = false, 0, 0
 				clear(w.stateRefused)
@@ -329,8 +331,8 @@
 			})
 			for deadline := time.Now().Add(8 * time.Minute); time.Now().Before(deadline); time.Sleep(time.Second) {
 				open := false
-				for _, u := range us {
-					open = open || u.ended() == ""
+				for _, u := range users {
+					open = open || u.knownFinalStatus() == ""
 				}
 				if !open {
 					return
@@ -340,20 +342,20 @@
 		cancel()
 		time.Sleep(2 * time.Minute)
 		synctest.Wait()
-		for _, u := range us {
-			u.check(d)
+		for _, u := range users {
+			u.check(log)
 		}
 	})
 }
 
-func TestTicketsOnAQuietDay(t *testing.T) {
+func TestTicketsWithoutFaults(t *testing.T) {
 	simulateTickets(t, 1, func(*simCluster) { time.Sleep(20 * time.Second) })
 }
 
-// Holders end between the end of a step and the start of the next, users cancel
-// between steps, reports come twice and late: each step still starts once, after those
-// before it, and the answer is one. TICKET_SEEDS plays more by hand.
-func TestTicketsAmidTroubles(t *testing.T) {
+// Owners end between the end of a step and the start of the next, users cancel between steps,
+// and reports arrive twice or late. Each step must still start exactly once, after the steps that
+// it depends on, and all answers must agree. TICKET_SEEDS sets the number of seeds.
+func TestTicketsAmidFaults(t *testing.T) {
 	seeds := uint64(10)
 	if s, err := strconv.ParseUint(os.Getenv("TICKET_SEEDS"), 10, 64); err == nil {
 		seeds = s
@@ -361,27 +363,27 @@
 	for seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { simulateTickets(t, 500+seed, randomFaults) })
 	}
-	// A node cancelled a ticket and had not heard of a step that was open: that one
-	// went on, and the ticket was called done after it had been called withdrawn.
-	t.Run("cancelled without a step", func(t *testing.T) { simulateTickets(t, 500+327, randomFaults) })
+	// With this seed a node cancelled a ticket before it had seen an open step. That step went on,
+	// and the ticket was reported as done after it had been reported as cancelled.
+	t.Run("cancelled before an open step was seen", func(t *testing.T) { simulateTickets(t, 500+327, randomFaults) })
 }
 
-// alone lets a test have one ticket in a quiet world. between is called now and then
-// until the ticket is over.
-func alone(t *testing.T, body string, prepare func(w *simCluster, u *ticketUser), between func(w *simCluster, u *ticketUser, d *diary)) {
+// runSingleTicket runs one ticket without faults. observe is called every 250 ms until the
+// ticket is final.
+func runSingleTicket(t *testing.T, body string, prepare func(w *simCluster, u *ticketUser), observe func(w *simCluster, u *ticketUser, log *taskLog)) {
 	nodeTicketClasses = ticketClasses
 	defer func() { nodeTicketClasses = nil }()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		w := newWorld(t, ctx, 3, defaultSettings)
-		d := keepDiary(w)
+		d := recordTasks(w)
 		u := newTicketUser(w, body)
 		prepare(w, u)
 		var wg sync.WaitGroup
 		wg.Add(1)
 		go u.run(wg.Done)
-		for deadline := time.Now().Add(10 * time.Minute); time.Now().Before(deadline) && u.ended() == ""; time.Sleep(250 * time.Millisecond) {
-			between(w, u, d)
+		for deadline := time.Now().Add(10 * time.Minute); time.Now().Before(deadline) && u.knownFinalStatus() == ""; time.Sleep(250 * time.Millisecond) {
+			observe(w, u, d)
 		}
 		cancel()
 		time.Sleep(2 * time.Minute)
@@ -393,15 +395,15 @@
 	})
 }
 
-func nothing(*simCluster, *ticketUser, *diary) {}
+func noObservation(*simCluster, *ticketUser, *taskLog) {}
 
-// More retries than the class allows are not given, and that is told.
-func TestRetriesAreTheClasses(t *testing.T) {
+// Checks that a ticket gets no more retries than its class allows and that its terms say so.
+func TestRetriesAreLimitedByClass(t *testing.T) {
 	var terms *protocol.TicketTerms
-	alone(t, ticketBody("job-90", "render", "red", `"maxRetriesPerTask":50,`, "a 3", "b 1 a"), func(w *simCluster, u *ticketUser) {
-		u.want = protocol.JobFailed
+	runSingleTicket(t, ticketBody("job-90", "render", "red", `"maxRetriesPerTask":50,`, "a 3", "b 1 a"), func(w *simCluster, u *ticketUser) {
+		u.expectedFinal = protocol.JobFailed
 		w.fleet.Fails = func(_ *protocol.JobSpec, task, _ int) bool { return task == 1 }
-	}, func(w *simCluster, u *ticketUser, _ *diary) {
+	}, func(w *simCluster, u *ticketUser, _ *taskLog) {
 		if a, err := w.sendChecked(w.ctx, statusRequest, "n-0", "job-90", func(n *Node, reply chan<- answer) { n.onTicketPoll("job-90", reply) }); err == nil && a.status == 200 {
 			terms = a.body.(*TicketStatus).Terms
 		}
@@ -415,81 +417,82 @@
 	}
 }
 
-// A task that fails on its last try: three runs are three, though its report is
-// repeated and its holder ends at the moment.
+// A task that fails on its last try must have run exactly three times, even if its reports are
+// repeated or its owner ends at that moment.
 func TestErrorsCountOnce(t *testing.T) {
-	for _, ends := range []bool{false, true} {
-		var d2 *diary
+	for _, ownersEnd := range []bool{false, true} {
+		var log *taskLog
 		var task string
 		crashed := false
-		alone(t, ticketBody("job-92", "render", "red", "", "a 1"), func(w *simCluster, u *ticketUser) {
-			u.want = protocol.JobFailed
-			task = protocol.TaskID(ticket.StepSpec(u.adm.Record, 0).ID, 0)
+		runSingleTicket(t, ticketBody("job-92", "render", "red", "", "a 1"), func(w *simCluster, u *ticketUser) {
+			u.expectedFinal = protocol.JobFailed
+			task = protocol.TaskID(ticket.StepSpec(u.admitted.Record, 0).ID, 0)
 			w.fleet.Fails = func(*protocol.JobSpec, int, int) bool { return true }
-		}, func(w *simCluster, u *ticketUser, d *diary) {
-			d2 = d
-			if ends && !crashed && w.fleet.Errors(task) == 3 {
+		}, func(w *simCluster, u *ticketUser, observed *taskLog) {
+			log = observed
+			if ownersEnd && !crashed && w.fleet.Errors(task) == 3 {
 				crashed = true
 				for _, name := range w.names {
 					go w.crash(name)
 				}
 			}
 		})
-		if d2.errs[task] != 3 || d2.starts[task] != 3 || ends != crashed {
-			t.Errorf("ends %v: %d errors in %d starts, want 3 in 3", ends, d2.errs[task], d2.starts[task])
+		if log.errorCounts[task] != 3 || log.starts[task] != 3 || ownersEnd != crashed {
+			t.Errorf("owners end %v: %d errors in %d starts, want 3 in 3", ownersEnd, log.errorCounts[task], log.starts[task])
 		}
 	}
 }
 
-// A ticket survives as many failed tasks as it was granted; what depends on them
-// does not run, and the rest does.
-func TestFailedTasksThatATicketSurvives(t *testing.T) {
-	alone(t, ticketBody("job-93", "render", "red", `"maxFailedTasksCount":2,"maxRetriesPerTask":0,`, "a 4", "b 2 a", "c 2"), func(w *simCluster, u *ticketUser) {
-		u.want = protocol.JobFailed
-		a := ticket.StepSpec(u.adm.Record, 0).ID
+// A ticket survives as many failed tasks as it was granted: steps that depend on them do not run,
+// the others do.
+func TestTicketSurvivesGrantedFailures(t *testing.T) {
+	runSingleTicket(t, ticketBody("job-93", "render", "red", `"maxFailedTasksCount":2,"maxRetriesPerTask":0,`, "a 4", "b 2 a", "c 2"), func(w *simCluster, u *ticketUser) {
+		u.expectedFinal = protocol.JobFailed
+		a := ticket.StepSpec(u.admitted.Record, 0).ID
 		w.fleet.Fails = func(j *protocol.JobSpec, task, _ int) bool { return j.ID == a && task < 2 }
-	}, nothing)
-	alone(t, ticketBody("job-94", "render", "red", `"maxFailedTasksCount":2,"maxRetriesPerTask":0,`, "a 4", "c 2"), func(w *simCluster, u *ticketUser) {
-		u.want = protocol.JobFailed
-		a := ticket.StepSpec(u.adm.Record, 0).ID
+	}, noObservation)
+	runSingleTicket(t, ticketBody("job-94", "render", "red", `"maxFailedTasksCount":2,"maxRetriesPerTask":0,`, "a 4", "c 2"), func(w *simCluster, u *ticketUser) {
+		u.expectedFinal = protocol.JobFailed
+		a := ticket.StepSpec(u.admitted.Record, 0).ID
 		w.fleet.Fails = func(j *protocol.JobSpec, task, _ int) bool { return j.ID == a && task == 0 }
 		t.Cleanup(func() {
 			for k := range 3 {
-				if u.w.fleet.Errors(protocol.TaskID(a, k+1)) > 0 {
+				if u.cluster.fleet.Errors(protocol.TaskID(a, k+1)) > 0 {
 					t.Error("another task failed")
 				}
 			}
 		})
-	}, nothing)
+	}, noObservation)
 }
 
-// A cancel between two steps: the second never starts.
+// A ticket is cancelled between two steps: the second must not run to its end.
 func TestCancelBetweenSteps(t *testing.T) {
 	var second string
-	var seen *diary
-	alone(t, ticketBody("job-95", "render", "red", "", "a 2", "b 2 a"), func(w *simCluster, u *ticketUser) {
-		second = protocol.TaskID(ticket.StepSpec(u.adm.Record, 1).ID, 0)
-	}, func(w *simCluster, u *ticketUser, d *diary) {
-		seen = d
-		first := protocol.TaskID(ticket.StepSpec(u.adm.Record, 0).ID, 0)
-		d.mu.Lock()
-		over := !d.done[first].IsZero()
-		d.mu.Unlock()
-		if over && u.cancelAt == 0 {
+	var log *taskLog
+	runSingleTicket(t, ticketBody("job-95", "render", "red", "", "a 2", "b 2 a"), func(w *simCluster, u *ticketUser) {
+		second = protocol.TaskID(ticket.StepSpec(u.admitted.Record, 1).ID, 0)
+	}, func(w *simCluster, u *ticketUser, observed *taskLog) {
+		log = observed
+		first := protocol.TaskID(ticket.StepSpec(u.admitted.Record, 0).ID, 0)
+		observed.mu.Lock()
+		firstDone := !observed.doneAt[first].IsZero()
+		observed.mu.Unlock()
+		if firstDone && u.cancelAt == 0 {
 			u.cancelAt = time.Nanosecond
 			a, err := w.cancelAt(w.ctx, "n-1", u.id)
 			if err == nil && a.status == 200 {
-				u.told(a, err, true)
+				u.checkAnswer(a, err, true)
 			}
 		}
 	})
-	if seen.starts[second] > 0 && seen.done[second].IsZero() == false {
+	if log.starts[second] > 0 && log.doneAt[second].IsZero() == false {
 		t.Error("the second step ran to its end after the ticket was cancelled")
 	}
 }
 
-// The same ticket by both ways at two nodes at once is one ticket and one job a step.
-func TestOneTicketByBothWaysAtOnce(t *testing.T) {
+// The same ticket is submitted in both forms at three nodes at once: it must become one ticket with
+// one job for each step.
+func TestConcurrentSubmissionsMakeOneTicket(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		w := newWorld(t, ctx, 5, defaultSettings)
@@ -522,7 +525,7 @@
 			}
 		}
 		if codes[201] != 1 || codes[201]+codes[200]+codes[503] != 12 || heads != 1 || jobs != 2 {
-			t.Errorf("answers %v, %d records, %d jobs", codes, heads, jobs)
+			t.Errorf("answers %v, %d ticket records, %d jobs", codes, heads, jobs)
 		}
 		cancel()
 		time.Sleep(2 * time.Minute)
@@ -530,9 +533,9 @@
 	})
 }
 
-// Nobody submitted the job of a step: users who ask for it get 404, and nobody can
-// submit another under its id.
-func TestStepsAreNoUsersJobs(t *testing.T) {
+// The job of a step was submitted by no user: users who ask for it get 404, and a submission under
+// its id is rejected.
+func TestStepJobsAreHiddenFromUsers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		w := newWorld(t, ctx, 6, defaultSettings)
@@ -540,7 +543,7 @@
 		u := newTicketUser(w, ticketBody("job-97", "render", "red", "", "a 2"))
 		u.submit("n-0")
 		time.Sleep(time.Second)
-		step := ticket.StepSpec(u.adm.Record, 0)
+		step := ticket.StepSpec(u.admitted.Record, 0)
 		for _, name := range w.names {
 			a, _ := w.pollAt(ctx, name, step.ID)
 			b, _ := w.cancelAt(ctx, name, step.ID)
@@ -555,75 +558,75 @@
 	})
 }
 
-// A ticket whose machines are all held back waits and says why; when they are given
-// free it starts. Held back after it was accepted, too.
-func TestTicketWaitsForADrain(t *testing.T) {
-	for _, afterwards := range []bool{false, true} {
-		t.Run(fmt.Sprintf("after it was accepted %v", afterwards), func(t *testing.T) { waitsForADrain(t, afterwards) })
+// A ticket waits while operators hold back all machines, and its status says why; it starts when
+// they are released. The machines are held back before or after the ticket is accepted.
+func TestTicketWaitsWhileMachinesAreHeldBack(t *testing.T) {
+	for _, heldAfterAcceptance := range []bool{false, true} {
+		t.Run(fmt.Sprintf("held back after acceptance %v", heldAfterAcceptance), func(t *testing.T) { testTicketWaitsWhileHeldBack(t, heldAfterAcceptance) })
 	}
 }
 
-func waitsForADrain(t *testing.T, afterwards bool) {
+func testTicketWaitsWhileHeldBack(t *testing.T, heldAfterAcceptance bool) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		w := newWorld(t, ctx, 8, defaultSettings)
-		d := keepDiary(w)
+		log := recordTasks(w)
 		time.Sleep(5 * time.Second)
 		warm := newTicketUser(w, ticketBody("job-98", "render", "red", "", "a 4"))
 		warm.submit("n-0")
-		time.Sleep(40 * time.Second) // there are machines now
-		hold := func(names []string) {
-			p := DefaultPolicy()
-			p.HeldBack, p.StopRentals = append([]string{}, names...), len(names) > 0
-			w.state.Put(protocol.PolicyKey, p)
+		time.Sleep(40 * time.Second) // machines have been rented by now
+		holdBack := func(names []string) {
+			policy := DefaultPolicy()
+			policy.HeldBack, policy.StopRentals = append([]string{}, names...), len(names) > 0
+			w.state.Put(protocol.PolicyKey, policy)
 			time.Sleep(time.Second)
 		}
 		u := newTicketUser(w, ticketBody("job-99", "render", "red", "", "a 2"))
-		if afterwards {
-			// The machines are full while it is accepted, and held back before they are not.
-			full := newTicketUser(w, ticketBody("job-97", "render", "red", "", "a 8"))
-			full.submit("n-0")
+		if heldAfterAcceptance {
+			// The machines are full while the ticket is accepted, and are held back before a task ends.
+			filler := newTicketUser(w, ticketBody("job-97", "render", "red", "", "a 8"))
+			filler.submit("n-0")
 			time.Sleep(3 * time.Second)
 			u.submit("n-1")
-			hold(w.fleet.Names())
+			holdBack(w.fleet.Names())
 			time.Sleep(10 * time.Second)
 		} else {
-			hold(w.fleet.Names())
+			holdBack(w.fleet.Names())
 			u.submit("n-1")
 		}
 		time.Sleep(8 * time.Second)
-		why := ""
+		reasons := ""
 		for _, name := range w.names {
 			a, err := w.sendChecked(ctx, statusRequest, name, "job-99", func(n *Node, reply chan<- answer) { n.onTicketPoll("job-99", reply) })
 			if s, ok := a.body.(*TicketStatus); err == nil && ok {
-				why += s.Steps[0].Why + "; "
+				reasons += s.Steps[0].Why + "; "
 			}
 		}
-		task := protocol.TaskID(ticket.StepSpec(u.adm.Record, 0).ID, 0)
-		if d.starts[task] > 0 || !strings.Contains(why, "being drained") {
-			t.Errorf("%d starts on held machines, reasons %q", d.starts[task], why)
+		task := protocol.TaskID(ticket.StepSpec(u.admitted.Record, 0).ID, 0)
+		if log.starts[task] > 0 || !strings.Contains(reasons, "being drained") {
+			t.Errorf("%d starts on machines held back, reasons %q", log.starts[task], reasons)
 		}
-		hold(nil)
+		holdBack(nil)
 		time.Sleep(15 * time.Second)
-		d.mu.Lock()
-		if d.starts[task] == 0 {
-			t.Error("not started after the drain")
+		log.mu.Lock()
+		if log.starts[task] == 0 {
+			t.Error("not started after the machines were released")
 		}
-		d.mu.Unlock()
+		log.mu.Unlock()
 		cancel()
 		time.Sleep(2 * time.Minute)
 		synctest.Wait()
 	})
 }
 
-// A few bytes may ask for 100,000 tasks. What would not fit a node's memory is turned
-// away at once, to come again, and what is there goes on.
-func TestTicketsThatWouldNotFitAreTurnedAway(t *testing.T) {
+// A ticket of a few bytes may ask for 100,000 tasks. One that would not fit a node's memory is
+// answered 503 with a retry time, while the accepted ones go on.
+func TestTicketsBeyondMemoryAreRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		w := newWorld(t, ctx, 9, func(*protocol.WorkerSettings) {})
 		for _, name := range w.names {
-			w.cfg[name].Params.Quota.MemoryMB = 1.3 // some 2,000 tasks
+			w.cfg[name].Params.Quota.MemoryMB = 1.3 // room for some 2,000 tasks
 		}
 		time.Sleep(5 * time.Second)
 		var codes []int
@@ -635,7 +638,7 @@
 			}
 			codes = append(codes, a.status)
 			if a.status == 503 && a.retryAfterS == 0 {
-				t.Error("turned away without a time to come again")
+				t.Error("rejected without a retry time")
 			}
 			time.Sleep(time.Second)
 		}
--- a/internal/coordination/node/user_meetings_test.go
+++ b/internal/coordination/node/user_meetings_test.go
@@ -13,26 +13,26 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-// aroundTheEnd is how long before and after the end of a job's last task its user acts.
-const aroundTheEnd = 300 * time.Millisecond
+// aroundJobEnd is how long before and after the end of a job's last task its user acts.
+const aroundJobEnd = 300 * time.Millisecond
 
-// reportDelay is how long after a task's end its worker reports it, and storesWithin how long
-// before and after that a request has to be sent that may meet the storing of the end.
+// reportDelay is how long after a task's end its worker reports it. A request meets the write of
+// the end only if it is sent within endWriteWindow before or after the report.
 const (
-	reportDelay  = 500 * time.Millisecond
-	storesWithin = 150 * time.Millisecond
+	reportDelay    = 500 * time.Millisecond
+	endWriteWindow = 150 * time.Millisecond
 )
 
-// awaitEndOfLastTask waits until a moment chosen at random around the expected end of the
-// job's last task, or around its report.
+// awaitEndOfLastTask waits until a random moment around the expected end of the job's last task, or
+// around its report.
 func (u *user) awaitEndOfLastTask() {
 	for u.w.ctx.Err() == nil {
 		if since := u.w.fleet.AllRunSince(u.spec.ID); !since.IsZero() {
 			end := since.Add(time.Duration(u.spec.EstimateS * float64(time.Second)))
 			if u.w.chance(&half) {
-				time.Sleep(time.Until(end.Add(u.w.randDuration(-aroundTheEnd, aroundTheEnd))))
+				time.Sleep(time.Until(end.Add(u.w.randDuration(-aroundJobEnd, aroundJobEnd))))
 			} else {
-				time.Sleep(time.Until(end.Add(reportDelay + u.w.randDuration(-storesWithin, storesWithin))))
+				time.Sleep(time.Until(end.Add(reportDelay + u.w.randDuration(-endWriteWindow, endWriteWindow))))
 			}
 			return
 		}
@@ -43,15 +43,16 @@
 	}
 }
 
-// metTheEnd notes a request that was sent around the end of the job's last task, and answered.
-func (u *user) metTheEnd(what string, sent time.Time) {
-	if end := u.w.fleet.CompletedAt(u.spec.ID); !end.IsZero() && end.Sub(sent).Abs() <= aroundTheEnd {
-		u.w.recordEvent(what + " met the end")
+// recordRequestAtEnd records a request that was sent around the end of the job's last task and was
+// answered.
+func (u *user) recordRequestAtEnd(what string, sent time.Time) {
+	if end := u.w.fleet.CompletedAt(u.spec.ID); !end.IsZero() && end.Sub(sent).Abs() <= aroundJobEnd {
+		u.w.recordEvent(what + " sent around the end")
 	}
 }
 
-// requestsAtTheEnd: a cancellation, a status read or a repeated submission is sent to every node
-// around the moment at which the last task of a job completes.
+// requestsAtTheEnd sends a cancellation, a status read or a repeated submission to every node around
+// the moment at which the last task of a job completes.
 func requestsAtTheEnd(w *simCluster) {
 	var users sync.WaitGroup
 	for i := range 48 {
@@ -66,17 +67,17 @@
 		users.Go(func() {
 			u.retryUntilSuccess(u.submitOnce)
 			u.awaitEndOfLastTask()
-			var open sync.WaitGroup
+			var requests sync.WaitGroup
 			for _, node := range w.names {
-				open.Go(func() {
+				requests.Go(func() {
 					time.Sleep(w.randDuration(0, 100*time.Millisecond))
 					sent := time.Now()
 					if a, err := kind.send(node); err == nil && a.status == 200 {
-						u.metTheEnd(kind.name, sent)
+						u.recordRequestAtEnd(kind.name, sent)
 					}
 				})
 			}
-			open.Wait()
+			requests.Wait()
 			u.askAllNodes("after a request at the end")
 			if kind.name == "cancellation" {
 				u.retryUntilSuccess(u.cancelOnce)
@@ -90,18 +91,18 @@
 	w.awaitAll(&users)
 }
 
-// Jobs of one task come at this rate for this long.
+// The rate and duration of submissions of one-task jobs.
 const (
-	smallJobsEvery = 250 * time.Millisecond
-	smallJobsFor   = 2 * time.Minute
+	smallJobInterval  = 250 * time.Millisecond
+	smallJobsDuration = 2 * time.Minute
 )
 
-// manySmallJobs: jobs of one task come four a second for two minutes, a quarter of them
-// is cancelled after up to four seconds.
+// manySmallJobs submits four one-task jobs a second for two minutes and cancels a quarter of them
+// after up to four seconds.
 func manySmallJobs(w *simCluster) {
 	var users sync.WaitGroup
 	from := time.Now()
-	for i := 0; time.Since(from) < smallJobsFor; i++ {
+	for i := 0; time.Since(from) < smallJobsDuration; i++ {
 		u := w.addTrackedUser(func(s *protocol.JobSpec) { s.EstimateS = 1 + float64(i%8)/4 })
 		users.Go(func() {
 			u.retryUntilSuccess(u.submitOnce)
@@ -109,7 +110,7 @@
 			if i%4 == 0 {
 				time.Sleep(w.randDuration(0, 4*time.Second))
 				u.retryUntilSuccess(u.cancelOnce)
-				w.recordEvent("small job over after its cancellation")
+				w.recordEvent("small job ended after its cancellation")
 			}
 			u.awaitEnd()
 			if u.knownFinalStatus() == protocol.JobCancelled {
@@ -119,17 +120,17 @@
 				u.askAllNodes("after a small job's end")
 			}
 		})
-		time.Sleep(smallJobsEvery)
+		time.Sleep(smallJobInterval)
 	}
 	w.awaitAll(&users)
-	const came = int(smallJobsFor / smallJobsEvery)
-	if accepted, over := w.eventCount("small job accepted"), w.eventCount("small job over after its cancellation"); accepted < came || over < came/4 {
-		w.violation("%d of %d small jobs accepted, %d of %d over after their cancellation", accepted, came, over, came/4)
+	const expected = int(smallJobsDuration / smallJobInterval)
+	if accepted, ended := w.eventCount("small job accepted"), w.eventCount("small job ended after its cancellation"); accepted < expected || ended < expected/4 {
+		w.violation("%d of %d small jobs accepted, %d of %d ended after their cancellation", accepted, expected, ended, expected/4)
 	}
 }
 
 var userScenarios = []faultScenario{
-	{name: "close looks", inject: askAfterEachEvent, mustOccur: []string{
+	{name: "requests right after each event", inject: askAfterEachEvent, mustOccur: []string{
 		"status read after acceptance", "submission repeated after acceptance",
 		"status read after the end", "submission repeated after the end",
 		"status read after a cancellation", "submission repeated after a cancellation"}},
@@ -137,13 +138,13 @@
 		"executed without an answer", "acceptance read by others while its answer was lost",
 		"status read after its answer was lost", "submission repeated after its answer was lost"}},
 	{name: "requests at the end", inject: requestsAtTheEnd, mustOccur: []string{
-		"cancellation met the end", "status read met the end", "repeated submission met the end"}},
+		"cancellation sent around the end", "status read sent around the end", "repeated submission sent around the end"}},
 	{name: "many small jobs", inject: manySmallJobs, mustOccur: []string{"small job cancelled", "status read after a small job's end"}},
 	{name: "odd requests", inject: edgeCaseRequests, mustOccur: []string{
 		"refused with 400", "refused with 422", "submission of an unfinished job repeated", "a job that was done cancelled"}},
 }
 
-func TestUserMeetings(t *testing.T) {
+func TestUserScenarios(t *testing.T) {
 	for _, m := range userScenarios {
 		for seed := range seedCount(1) {
 			t.Run(fmt.Sprintf("%s/%d", m.name, seed), func(t *testing.T) { runScenarios(t, 6000+seed, "", m) })
@@ -155,46 +156,45 @@
 	}
 }
 
-// The same while controllers end and stand still, networks are cut and the state service is away.
-func TestUserMeetingsAmidTroubles(t *testing.T) {
-	for i, with := range []faultScenario{{name: "troubles", inject: randomFaults}, {name: "fast restarts", inject: fastRestarts}} {
+// Runs the scenarios while controllers end and stall, networks are cut and the state service is down.
+func TestUserScenariosAmidFaults(t *testing.T) {
+	for i, other := range []faultScenario{{name: "troubles", inject: randomFaults}, {name: "fast restarts", inject: fastRestarts}} {
 		for k, m := range userScenarios[:3] {
 			for seed := range seedCount(1) {
-				t.Run(fmt.Sprintf("%s, %s/%d", m.name, with.name, seed), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s, %s/%d", m.name, other.name, seed), func(t *testing.T) {
 					if (i+k+int(seed))%2 == 0 {
 						storeOnlyEntries(t, 4)
 					}
-					m.mustOccur = nil // what must have taken place is asserted of each alone
-					runScenarios(t, 9100+seed, "", m, with)
+					m.mustOccur = nil // which events must occur is asserted in the run of each scenario alone
+					runScenarios(t, 9100+seed, "", m, other)
 				})
 			}
 		}
 	}
 }
 
-// answerWithoutGuard are ways to answer users without a guard that the nodes have.
+// answerWithoutGuard answers users without one of the guards of a node.
 var answerWithoutGuard = map[string]func(w *simCluster, kind requestKind, id string, send func(*Node, chan<- answer)) func(*Node, chan<- answer){
-	// Status reads are answered from the replica, which is not compared with the store.
+	// Status reads are answered from the replica without comparing it with the state service.
 	"read barrier": func(_ *simCluster, kind requestKind, id string, send func(*Node, chan<- answer)) func(*Node, chan<- answer) {
 		if kind != statusRequest {
 			return send
 		}
-		return func(n *Node, reply chan<- answer) { reply <- fromReplica(n, id) }
+		return func(n *Node, reply chan<- answer) { reply <- answerFromAnyReplica(n, id) }
 	},
-	// Users are told that a job is cancelled as soon as that is stored, not when its tasks
-	// are gone.
+	// A cancellation is confirmed as soon as it is stored, not when the job's tasks have ended.
 	"gone tasks": func(w *simCluster, kind requestKind, id string, send func(*Node, chan<- answer)) func(*Node, chan<- answer) {
 		if kind != cancelRequest {
 			return send
 		}
 		return func(n *Node, reply chan<- answer) {
-			w.tellWhenStored(n, id, reply, send)
+			w.confirmWhenStored(n, id, reply, send)
 		}
 	},
 }
 
-// fromReplica answers a status read by what a node happens to know.
-func fromReplica(n *Node, id string) (a answer) {
+// answerFromAnyReplica answers a status read from the replica, however stale it is.
+func answerFromAnyReplica(n *Node, id string) (a answer) {
 	then := func(_ bool, s protocol.JobStatus, _ error) { a = answer{status: 200, body: s} }
 	known := n.answerFromReplica(&openRead{Value: &statusRead{id: id, onResult: then}})
 	if !known {
@@ -203,14 +203,14 @@
 	return a
 }
 
-// tellWhenStored answers a cancellation as soon as this node knows that it is stored.
-func (w *simCluster) tellWhenStored(n *Node, id string, reply chan<- answer, send func(*Node, chan<- answer)) {
-	late := make(chan answer, 1)
-	send(n, late)
+// confirmWhenStored answers a cancellation as soon as this node knows that it is stored.
+func (w *simCluster) confirmWhenStored(n *Node, id string, reply chan<- answer, send func(*Node, chan<- answer)) {
+	later := make(chan answer, 1)
+	send(n, later)
 	go func() {
 		for w.ctx.Err() == nil && n.ctx.Err() == nil {
 			select {
-			case a := <-late:
+			case a := <-later:
 				reply <- a
 				return
 			case <-time.After(5 * time.Millisecond):
@@ -223,48 +223,48 @@
 	}()
 }
 
-// withoutOmittedConds are a transaction's conditions without some that are left out: that a job which is
-// accepted has no final record, or no record of its own, or that one which is cancelled is as it
-// was and has not ended.
+// withoutOmittedConds returns a transaction's conditions without those that the disabled guard adds:
+// that an accepted job has no final record, that it has no record of its own, or that a cancelled
+// job is unchanged and has not ended.
 func (w *simCluster) withoutOmittedConds(conds []storage.Cond, writes []storage.Write) []storage.Cond {
-	drop := func(of string, is func(c storage.Cond) bool) []storage.Cond {
+	dropConds := func(change string, matches func(c storage.Cond) bool) []storage.Cond {
 		if !slices.ContainsFunc(writes, func(x storage.Write) bool {
 			var r protocol.JobRecord
-			return strings.HasPrefix(x.Put, protocol.JobPrefix) && json.Unmarshal(x.Value, &r) == nil && r.Asked == (of == "cancelled")
+			return strings.HasPrefix(x.Put, protocol.JobPrefix) && json.Unmarshal(x.Value, &r) == nil && r.Asked == (change == "cancelled")
 		}) {
 			return conds
 		}
-		return slices.DeleteFunc(slices.Clone(conds), is)
+		return slices.DeleteFunc(slices.Clone(conds), matches)
 	}
 	final := func(c storage.Cond) bool { return strings.HasPrefix(c.Key, protocol.FinalRoot) }
-	own := func(c storage.Cond) bool { return strings.HasPrefix(c.Key, protocol.JobPrefix) }
+	ownRecord := func(c storage.Cond) bool { return strings.HasPrefix(c.Key, protocol.JobPrefix) }
 	switch w.disabledGuard {
 	case "final condition":
-		return drop("accepted", final)
+		return dropConds("accepted", final)
 	case "job condition":
-		return drop("accepted", func(c storage.Cond) bool { return own(c) && c.Stamp == 0 })
+		return dropConds("accepted", func(c storage.Cond) bool { return ownRecord(c) && c.Stamp == 0 })
 	case "cancel conditions":
-		return drop("cancelled", func(c storage.Cond) bool { return final(c) || own(c) })
+		return dropConds("cancelled", func(c storage.Cond) bool { return final(c) || ownRecord(c) })
 	}
 	return conds
 }
 
-// A guard that is left out is found by the meeting of users.
-func TestUserMeetingsFindWhatIsLeftOut(t *testing.T) {
-	for _, f := range []struct {
+// Checks that the user scenarios detect each disabled guard.
+func TestUserScenariosDetectDisabledGuards(t *testing.T) {
+	for _, defect := range []struct {
 		leftOut string
 		by      int
 	}{{"read barrier", 0}, {"final condition", 0}, {"job condition", 1}, {"cancel conditions", 2}, {"gone tasks", 3}} {
-		t.Run(f.leftOut+"/"+userScenarios[f.by].name, func(t *testing.T) {
-			m := userScenarios[f.by]
-			if f.leftOut == "cancel conditions" {
-				m.inject = func(w *simCluster) { // the longer a change is on its way, the more meet another
+		t.Run(defect.leftOut+"/"+userScenarios[defect.by].name, func(t *testing.T) {
+			m := userScenarios[defect.by]
+			if defect.leftOut == "cancel conditions" {
+				m.inject = func(w *simCluster) { // the slower the writes, the more of them overlap another
 					w.withLock(func() { w.stateDelay = 80 * time.Millisecond })
 					requestsAtTheEnd(w)
 				}
 			}
 			for seed := range seedCount(10) {
-				if broken := runScenarios(t, 8000+seed, f.leftOut, m); len(broken) > 0 {
+				if broken := runScenarios(t, 8000+seed, defect.leftOut, m); len(broken) > 0 {
 					t.Logf("found with seed %d: %s", 8000+seed, broken[0])
 					return
 				}
