--- a/internal/coordination/node/answers_test.go
+++ b/internal/coordination/node/answers_test.go
@@ -262,16 +262,18 @@
 func TestAnswersAreChecked(t *testing.T) {
 	const queued, running, done, cancelled = protocol.JobQueued, protocol.JobRunning, protocol.JobDone, protocol.JobCancelled
 	type step struct {
-		name string // of the request: a step with a kind sends it, one without receives its response
-		kind requestKind
-		code int
-		said string
+		name      string // of the request: a step with a kind sends it, one without receives its response
+		kind      requestKind
+		code      int
+		jobStatus string
 	}
 	send := func(name string, kind requestKind) step { return step{name: name, kind: kind} }
-	receive := func(name string, code int, said string) step { return step{name: name, code: code, said: said} }
+	receive := func(name string, code int, jobStatus string) step {
+		return step{name: name, code: code, jobStatus: jobStatus}
+	}
 	// exchange returns the steps of a request that is answered before the next step.
-	exchange := func(kind requestKind, code int, said string) []step {
-		return []step{send("", kind), receive("", code, said)}
+	exchange := func(kind requestKind, code int, jobStatus string) []step {
+		return []step{send("", kind), receive("", code, jobStatus)}
 	}
 	accepted := exchange(submitRequest, 201, queued)
 	doneJob := append(append([]step{}, accepted...), exchange(statusRequest, 200, done)...)
@@ -325,7 +327,7 @@
 					open[s.name] = checker.noteRequest(s.kind, "job-1", "n-0")
 					continue
 				}
-				wrong = append(wrong, checker.checkResponse(open[s.name], s.code, s.said)...)
+				wrong = append(wrong, checker.checkResponse(open[s.name], s.code, s.jobStatus)...)
 			}
 			if found := strings.Join(wrong, "; "); (c.wrong == "") != (found == "") || !strings.Contains(found, c.wrong) {
 				t.Errorf("found %q, want %q", found, c.wrong)
--- a/internal/coordination/node/api.go
+++ b/internal/coordination/node/api.go
@@ -49,6 +49,7 @@
 	}
 }
 
+// writeAnswer writes an answer with its body as JSON.
 func writeAnswer(w http.ResponseWriter, a answer) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
@@ -67,8 +68,10 @@
 	w.Write(data)
 }
 
+// errTooLong is the error for a request body that exceeds its bound.
 var errTooLong = errors.New("body over 64 KiB")
 
+// readBody reads the body of a request, up to protocol.MaxBody bytes.
 func readBody(r *http.Request) ([]byte, error) {
 	data, err := io.ReadAll(io.LimitReader(r.Body, protocol.MaxBody+1))
 	if err == nil && len(data) > protocol.MaxBody {
--- a/internal/coordination/node/bad_input_test.go
+++ b/internal/coordination/node/bad_input_test.go
@@ -134,20 +134,20 @@
 	if *moreSeeds > 0 {
 		every = 1
 	}
-	for i, m := range all {
+	for i, scenario := range all {
 		for seed := range seedCount(1) {
 			if i%every != 0 {
 				continue
 			}
-			t.Run(fmt.Sprintf("%s/%d", m.name, seed), func(t *testing.T) {
-				bad := badInput
+			t.Run(fmt.Sprintf("%s/%d", scenario.name, seed), func(t *testing.T) {
+				injected := badInput
 				if (uint64(i)/uint64(every)+seed)%2 == 0 {
 					storeOnlyEntries(t, 4)
 				} else {
-					bad.mustOccur = append(slices.Clone(bad.mustOccur), "job corrupted")
+					injected.mustOccur = append(slices.Clone(injected.mustOccur), "job corrupted")
 				}
-				m.mustOccur = nil // asserted in the run of the scenario alone
-				runScenarios(t, 9000+seed, "", m, bad)
+				scenario.mustOccur = nil // asserted in the run of the scenario alone
+				runScenarios(t, 9000+seed, "", scenario, injected)
 			})
 		}
 	}
@@ -155,8 +155,8 @@
 
 // Checks that a node is detected that takes an unreadable record for a deleted one.
 func TestBadInputDetectsDisabledGuard(t *testing.T) {
-	often := badInput
-	often.inject = func(w *simCluster) {
+	frequent := badInput
+	frequent.inject = func(w *simCluster) {
 		for range 40 {
 			for range 8 {
 				go w.corruptOne()
@@ -165,7 +165,7 @@
 		}
 	}
 	for seed := range seedCount(10) {
-		if broken := runScenarios(t, 9500+seed, "unreadable", often); len(broken) > 0 {
+		if broken := runScenarios(t, 9500+seed, "unreadable", frequent); len(broken) > 0 {
 			t.Logf("found with seed %d: %s", 9500+seed, broken[0])
 			return
 		}
--- a/internal/coordination/node/cancel_now_test.go
+++ b/internal/coordination/node/cancel_now_test.go
@@ -25,8 +25,8 @@
 }
 
 // hangMachinesOf makes the machines on which a job runs hang.
-func (w *simCluster) hangMachinesOf(job string, lasts time.Duration) {
-	until := time.Now().Add(lasts)
+func (w *simCluster) hangMachinesOf(job string, duration time.Duration) {
+	until := time.Now().Add(duration)
 	for _, machine := range w.fleet.Names() {
 		if w.fleet.Runs(machine, job) {
 			w.withLock(func() { w.hungUntil[machine] = until })
--- a/internal/coordination/node/cancels.go
+++ b/internal/coordination/node/cancels.go
@@ -52,7 +52,7 @@
 
 // cancelWillBeSlow reports whether the end of some of a job's tasks cannot be known within a
 // moment: a machine is unreachable as far as this node knows, or the tasks are on more machines
-// than are told directly.
+// than get the stop directly.
 func (n *Node) cancelWillBeSlow(j *job, now time.Time) bool {
 	owned := n.owns(n.partitions[j.partition])
 	seen := map[*machine]bool{}
@@ -101,8 +101,8 @@
 	n.cancelWaiters = kept
 }
 
-// maxDirectStops is how many machines are told directly to stop a job's tasks. The others
-// receive the stop with the answers to their reports.
+// maxDirectStops is how many machines get the command to stop a job's tasks directly. The others
+// get it with the answers to their reports.
 const maxDirectStops = 32
 
 // stopTasksDirectly tells the machines of a job that is being cancelled to stop its tasks.
--- a/internal/coordination/node/gap_test.go
+++ b/internal/coordination/node/gap_test.go
@@ -26,7 +26,7 @@
 	// cancelAtOnce makes users cancel within a fifth of a second of the first fault, at any node,
 	// also at the leader that has just lost the state service.
 	cancelAtOnce bool
-	// disabledGuard is a guard that is disabled.
+	// disabledGuard is the guard that is disabled; empty: none.
 	disabledGuard string
 }
 
--- a/internal/coordination/node/odd_requests_test.go
+++ b/internal/coordination/node/odd_requests_test.go
@@ -103,7 +103,7 @@
 	for _, name := range w.names {
 		ctx, cancel := context.WithTimeout(w.ctx, pollTimeout)
 		if a, err := w.pollAt(ctx, name, id); err == nil && a.status != 404 && a.status != 503 {
-			w.violation("%s (%s) was refused and is answered %d at %s", id, invalid.name, a.status, name)
+			w.violation("%s (%s) was rejected and is answered %d at %s", id, invalid.name, a.status, name)
 		}
 		cancel()
 	}
@@ -147,7 +147,7 @@
 func (u *user) cancelDone() {
 	for _, node := range u.w.names {
 		if a, err := u.cancelOnce(node); err == nil && a.status == 200 {
-			u.w.recordEvent("a job that was done cancelled")
+			u.w.recordEvent("cancellation of a done job answered")
 		}
 	}
 }
--- a/internal/coordination/node/reads_test.go
+++ b/internal/coordination/node/reads_test.go
@@ -79,8 +79,8 @@
 }
 
 // run has users at every node poll every second, submit every few seconds, and cancel.
-func (l *userLoad) run(lasts time.Duration) {
-	l.endsAt = time.Now().Add(lasts)
+func (l *userLoad) run(duration time.Duration) {
+	l.endsAt = time.Now().Add(duration)
 	var users sync.WaitGroup
 	for i, node := range l.cluster.names {
 		for k := range 4 {
@@ -185,14 +185,14 @@
 // runLoadAmid runs a load during a fault of the state service. It checks that every request is
 // answered, that no status poll takes longer than a second, and that the state service gets no more
 // requests than its limit.
-func runLoadAmid(t *testing.T, seed uint64, lasts time.Duration, fault func(w *simCluster), check func(t *testing.T, load *userLoad)) {
+func runLoadAmid(t *testing.T, seed uint64, duration time.Duration, fault func(w *simCluster), check func(t *testing.T, load *userLoad)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		w := newWorld(t, ctx, seed, defaultSettings)
 		l := &userLoad{cluster: w}
 		w.runWorkload(10, func(w *simCluster) {
 			w.withLock(func() { clear(w.stateCalls); fault(w) })
-			l.run(lasts)
+			l.run(duration)
 		})
 		t.Logf("status polls: %v", &l.polls)
 		t.Logf("submissions: %v", &l.submits)
--- a/internal/coordination/node/sitejobs_test.go
+++ b/internal/coordination/node/sitejobs_test.go
@@ -13,7 +13,7 @@
 	wire "dapplestage.example/dapplestage/internal/protocol/gateway"
 )
 
-// grantGatewayLease gives the node a lease with which gateway jobs may run.
+// grantSiteLease gives the node a lease with which gateway jobs may run.
 func (b *testNode) grantSiteLease() {
 	b.onLease(&wire.Lease{LeftMS: 3000}, nil, time.Now())
 }
@@ -25,6 +25,7 @@
 	return b.jobs[id]
 }
 
+// commandOps returns the operations of the orders in an answer, or "parked" if the answer is deferred.
 func commandOps(a *answer) string {
 	if a == nil {
 		return "parked"
--- a/internal/coordination/node/tickets_test.go
+++ b/internal/coordination/node/tickets_test.go
@@ -18,6 +18,7 @@
 	format "dapplestage.example/dapplestage/internal/protocol/ticket"
 )
 
+// ticketClasses are the ticket classes of these tests.
 var ticketClasses = ticket.Table{
 	"render": {Lot: "render", Urgency: "standard", Shapes: []string{"sweep"}, Over: ticket.Grant, Retries: 2, Failed: 3, Tasks: 1000, VCPUs: 4, Cards: 1, MemGB: 20, Bundle: "img-r", SizeGB: 1, Loaners: true, ExpectS: 4},
 	"strict": {Lot: "strict", Urgency: "standard", Shapes: []string{"sweep", "gang"}, Over: ticket.Refuse, Retries: 1, Tasks: 50, VCPUs: 4, Cards: 1, MemGB: 20, Bundle: "img-s", SizeGB: 1, ExpectS: 3},
@@ -58,6 +59,7 @@
 	return string(out)
 }
 
+// admit parses a ticket's body and admits it by ticketClasses.
 func admit(t testing.TB, body string) (*format.Submission, *ticket.Admitted, error) {
 	s, err := format.ParseTicket([]byte(body))
 	if err != nil {
@@ -77,7 +79,7 @@
 	admitted      *ticket.Admitted
 	cancelAt      time.Duration
 	expectedFinal string // the expected final status; empty: done or cancelled
-	finalStatus   string // guarded by the world's mu
+	finalStatus   string // guarded by the cluster's mu
 	polls         int
 }
 
@@ -114,6 +116,8 @@
 	return u.cluster.sendChecked(ctx, submitRequest, name, s.ID, func(n *Node, reply chan<- answer) { n.onSubmitTicket(s.ID, admitted, admitErr, time.Now(), reply) })
 }
 
+// run submits the ticket until it is accepted, then polls its status, repeats the submission and, if
+// cancelAt is set, cancels it. It calls done at the end.
 func (u *ticketUser) run(done func()) {
 	defer done()
 	w := u.cluster
@@ -158,6 +162,8 @@
 	return u.finalStatus
 }
 
+// checkAnswer reports an answer that contradicts an earlier one, that is malformed, or that confirms a
+// cancellation while tasks are left.
 func (u *ticketUser) checkAnswer(a answer, err error, cancelSent bool) {
 	if err != nil || a.status == 503 {
 		return
@@ -196,12 +202,13 @@
 // taskLog records what the machines ran, by task.
 type taskLog struct {
 	mu          sync.Mutex
-	firstStart  map[string]time.Time // the first start
+	firstStart  map[string]time.Time
 	doneAt      map[string]time.Time
 	starts      map[string]int
 	errorCounts map[string]int
 }
 
+// recordTasks returns the log of what the machines run from now on.
 func recordTasks(w *simCluster) *taskLog {
 	log := &taskLog{firstStart: map[string]time.Time{}, doneAt: map[string]time.Time{}, starts: map[string]int{}, errorCounts: map[string]int{}}
 	w.fleet.Log = func(event, task, _ string, at time.Time) {
@@ -376,19 +383,19 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		w := newWorld(t, ctx, 3, defaultSettings)
-		d := recordTasks(w)
+		log := recordTasks(w)
 		u := newTicketUser(w, body)
 		prepare(w, u)
 		var wg sync.WaitGroup
 		wg.Add(1)
 		go u.run(wg.Done)
 		for deadline := time.Now().Add(10 * time.Minute); time.Now().Before(deadline) && u.knownFinalStatus() == ""; time.Sleep(250 * time.Millisecond) {
-			observe(w, u, d)
+			observe(w, u, log)
 		}
 		cancel()
 		time.Sleep(2 * time.Minute)
 		synctest.Wait()
-		u.check(d)
+		u.check(log)
 		for _, b := range w.fleet.Broken {
 			t.Error(b)
 		}
--- a/internal/coordination/node/user_meetings_test.go
+++ b/internal/coordination/node/user_meetings_test.go
@@ -141,16 +141,16 @@
 		"cancellation sent around the end", "status read sent around the end", "repeated submission sent around the end"}},
 	{name: "many small jobs", inject: manySmallJobs, mustOccur: []string{"small job cancelled", "status read after a small job's end"}},
 	{name: "odd requests", inject: edgeCaseRequests, mustOccur: []string{
-		"refused with 400", "refused with 422", "submission of an unfinished job repeated", "a job that was done cancelled"}},
+		"refused with 400", "refused with 422", "submission of an unfinished job repeated", "cancellation of a done job answered"}},
 }
 
 func TestUserScenarios(t *testing.T) {
-	for _, m := range userScenarios {
+	for _, scenario := range userScenarios {
 		for seed := range seedCount(1) {
-			t.Run(fmt.Sprintf("%s/%d", m.name, seed), func(t *testing.T) { runScenarios(t, 6000+seed, "", m) })
-			t.Run(fmt.Sprintf("%s/entries/%d", m.name, seed), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s/%d", scenario.name, seed), func(t *testing.T) { runScenarios(t, 6000+seed, "", scenario) })
+			t.Run(fmt.Sprintf("%s/entries/%d", scenario.name, seed), func(t *testing.T) {
 				storeOnlyEntries(t, 4)
-				runScenarios(t, 7000+seed, "", m)
+				runScenarios(t, 7000+seed, "", scenario)
 			})
 		}
 	}
@@ -159,14 +159,14 @@
 // Runs the scenarios while controllers end and stall, networks are cut and the state service is down.
 func TestUserScenariosAmidFaults(t *testing.T) {
 	for i, other := range []faultScenario{{name: "troubles", inject: randomFaults}, {name: "fast restarts", inject: fastRestarts}} {
-		for k, m := range userScenarios[:3] {
+		for k, scenario := range userScenarios[:3] {
 			for seed := range seedCount(1) {
-				t.Run(fmt.Sprintf("%s, %s/%d", m.name, other.name, seed), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s, %s/%d", scenario.name, other.name, seed), func(t *testing.T) {
 					if (i+k+int(seed))%2 == 0 {
 						storeOnlyEntries(t, 4)
 					}
-					m.mustOccur = nil // which events must occur is asserted in the run of each scenario alone
-					runScenarios(t, 9100+seed, "", m, other)
+					scenario.mustOccur = nil // which events must occur is asserted in the run of each scenario alone
+					runScenarios(t, 9100+seed, "", scenario, other)
 				})
 			}
 		}
@@ -195,8 +195,8 @@
 
 // answerFromAnyReplica answers a status read from the replica, however stale it is.
 func answerFromAnyReplica(n *Node, id string) (a answer) {
-	then := func(_ bool, s protocol.JobStatus, _ error) { a = answer{status: 200, body: s} }
-	known := n.answerFromReplica(&openRead{Value: &statusRead{id: id, onResult: then}})
+	onResult := func(_ bool, s protocol.JobStatus, _ error) { a = answer{status: 200, body: s} }
+	known := n.answerFromReplica(&openRead{Value: &statusRead{id: id, onResult: onResult}})
 	if !known {
 		a = answer{status: 404}
 	}
@@ -252,19 +252,19 @@
 // Checks that the user scenarios detect each disabled guard.
 func TestUserScenariosDetectDisabledGuards(t *testing.T) {
 	for _, defect := range []struct {
-		leftOut string
-		by      int
+		guard    string
+		scenario int
 	}{{"read barrier", 0}, {"final condition", 0}, {"job condition", 1}, {"cancel conditions", 2}, {"gone tasks", 3}} {
-		t.Run(defect.leftOut+"/"+userScenarios[defect.by].name, func(t *testing.T) {
-			m := userScenarios[defect.by]
-			if defect.leftOut == "cancel conditions" {
-				m.inject = func(w *simCluster) { // the slower the writes, the more of them overlap another
+		t.Run(defect.guard+"/"+userScenarios[defect.scenario].name, func(t *testing.T) {
+			scenario := userScenarios[defect.scenario]
+			if defect.guard == "cancel conditions" {
+				scenario.inject = func(w *simCluster) { // the slower the writes, the more of them overlap another
 					w.withLock(func() { w.stateDelay = 80 * time.Millisecond })
 					requestsAtTheEnd(w)
 				}
 			}
 			for seed := range seedCount(10) {
-				if broken := runScenarios(t, 8000+seed, defect.leftOut, m); len(broken) > 0 {
+				if broken := runScenarios(t, 8000+seed, defect.guard, scenario); len(broken) > 0 {
 					t.Logf("found with seed %d: %s", 8000+seed, broken[0])
 					return
 				}
--- a/internal/coordination/node/users.go
+++ b/internal/coordination/node/users.go
@@ -39,6 +39,7 @@
 	}
 }
 
+// applyFinal adds a final record to the cache.
 func (n *Node) applyFinal(item storage.Item) {
 	id, ok := strings.CutPrefix(item.Key, protocol.FinalRoot)
 	if !ok || item.Value == nil {
@@ -52,6 +53,7 @@
 	n.finalJobs.add(id, record)
 }
 
+// finalStatus returns the status that users are shown for a final job.
 func finalStatus(id string, r protocol.FinalRecord) protocol.JobStatus {
 	s := protocol.JobStatus{ID: id, Status: r.Status}
 	if r.Status == protocol.JobDone {
@@ -78,6 +80,7 @@
 	return s
 }
 
+// busyAnswer asks users to retry the request after a second.
 var busyAnswer = answer{status: 503, retryAfterS: 1}
 
 // userWriteFraction is the fraction of the write rate that user changes can count on while
@@ -340,6 +343,7 @@
 	})
 }
 
+// errorBody is the body of an error answer.
 type errorBody struct {
 	Error string `json:"error"`
 }
