--- a/internal/coordination/node/sitejobs.go
+++ b/internal/coordination/node/sitejobs.go
@@ -59,6 +59,7 @@
 	}
 }
 
+// onLease handles the daemon's answer to a lease request that was sent at requestedAt.
 func (n *Node) onLease(lease *wire.Lease, err error, requestedAt time.Time) {
 	now := time.Now()
 	wasOpen := !n.gatewayJobsBlocked(now)
@@ -165,6 +166,7 @@
 	return false
 }
 
+// postCalls executes the calls of a request and answers with the results that are available in time.
 func (n *Node) postCalls(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	if !n.requireSiteDaemon(w, r) {
 		return
@@ -230,8 +232,11 @@
 	storedFinal storage.Item
 }
 
+// answer answers the call with a code and the reason for it.
 func (c *siteCall) answer(code uint8, why string) { c.answerAt(code, 0, nil, why) }
 
+// answerAt answers the call with the revision of a stored change, if not 0, and with the task counts of
+// a job, if not nil.
 func (c *siteCall) answerAt(code uint8, revision uint64, j *job, why string) {
 	result := wire.Item{Kind: wire.Result, ID: c.request.ID, Why: code, Ballot: wire.Ballot{N: revision}, Record: wire.Record{Epoch: c.request.Record.Epoch, Spec: []byte(why)}}
 	if j != nil {
@@ -270,6 +275,7 @@
 	}
 }
 
+// answerEnded answers that the job is done.
 func (c *siteCall) answerEnded(final protocol.FinalRecord) {
 	c.reply(wire.Item{Kind: wire.Result, ID: c.request.ID, Why: wire.Ended, Record: wire.Record{Epoch: c.request.Record.Epoch, Tasks: uint32(final.Tasks)}})
 }
