--- a/internal/coordination/node/doc.go
+++ b/internal/coordination/node/doc.go
@@ -1,9 +1,10 @@
-// Package node decides what runs where. One routine, the node's actor,
-// owns all state; everything else talks to it over its inbox. What must survive
-// is written to the state service first and acted on only once stored.
+// Package node implements a controller: it decides which task runs on which machine. A single
+// goroutine, the actor, owns all state; other goroutines reach it only through its mailbox. State
+// that must survive a restart is first written to the state service and acted on only once it is
+// stored.
 //
-// The node keeps a replica of the watched keys. Its own committed changes enter
-// the replica the same way as everyone else's: by key, value and stamp. Every
-// change is conditional on the stamps it was decided on, so a stale replica
-// delays a decision and never makes a wrong one.
+// The node keeps a replica of the keys that it watches. Its own committed changes are applied to
+// the replica in the same way as those of other nodes: by key, value and revision. Every change is
+// conditional on the revisions that the decision was based on, so a stale replica can delay a
+// decision but can't make a wrong one take effect.
 package node
--- a/internal/coordination/node/jobs.go
+++ b/internal/coordination/node/jobs.go
@@ -12,48 +12,49 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-// phase is where a task stands in the stored record, or is about to.
+// phase is the state of a task in the stored record, or in the change that is being stored.
 type phase uint8
 
 const (
-	phaseWaiting   phase = iota // no machine recorded
+	phaseWaiting   phase = iota // no machine is recorded
 	phaseProposed               // a placement is being stored
-	phasePlaced                 // a machine is recorded: the task may be there
+	phasePlaced                 // a machine is recorded: the task may be running there
 	phaseDone                   // completed and stored
-	phaseExhausted              // of a ticket: it used up its tries, and that is stored
+	phaseExhausted              // ticket jobs: the task has used up its tries, and that is stored
 )
 
-// taskOutcome is what is known of a placed task beyond the record and not stored yet.
+// taskOutcome is how a placed task ended, as long as that is not stored yet.
 type taskOutcome uint8
 
 const (
 	outcomeNone     taskOutcome = iota
 	outcomeFinished             // the worker reported it done
-	outcomeGone                 // it is proven not to be on its machine, and never will be
+	outcomeGone                 // proven to be absent from its machine, and never to start there
 )
 
+// task is one task of a job: its stored state, and what this node has observed of it.
 type task struct {
 	phase         phase
 	outcome       taskOutcome
-	storing       bool // the fact is part of a change being stored
-	capacityFreed bool // its place counts as free: it is known not to be there
-	stopRequested bool // wanted off its machine
+	storing       bool // the outcome is part of a change that is being stored
+	capacityFreed bool // its resources count as free: it is known to be gone
+	stopRequested bool // it is to leave its machine
 	reportedState reportedState
-	unstoredError bool  // of a ticket: gone with an error that counts, not stored yet
-	storedErrors  uint8 // of a ticket: errors that count, as stored
-	// Up to which entry of its share's log it is as it is, and whether an entry says so and
-	// not its job's own record; see packed.go.
+	unstoredError bool  // ticket jobs: it ended with an error that counts and is not stored yet
+	storedErrors  uint8 // ticket jobs: stored number of errors that count
+	// logSeq is the number of the partition's log entry up to which the task's state is known.
+	// fromLog is set if that state is in an entry and not in the job's own record; see packed.go.
 	logSeq       uint64
 	fromLog      bool
 	attempt      uint64
 	machine      *machine
-	phaseSince   time.Time // when it began to wait, or was recorded
-	startSentAt  time.Time // when a start was last commanded by this node
-	runningSince time.Time // when this node first saw it run
-	stopGraceS   float64   // grace of the stop
+	phaseSince   time.Time // when it began to wait, or when its placement was recorded
+	startSentAt  time.Time // when this node last sent a start for it
+	runningSince time.Time // when this node first saw it running
+	stopGraceS   float64   // grace period of the stop
 }
 
-// reportedState is a task's state as last reported, as a dense number.
+// reportedState is a task's state in the last report, as a small number.
 type reportedState uint8
 
 const (
@@ -70,7 +71,7 @@
 	protocol.TaskRunning: reportedRunning, protocol.TaskSaving: reportedSaving, protocol.TaskExited: reportedExited,
 }
 
-// job is an accepted job that is not final yet.
+// job is an accepted job that has not ended.
 type job struct {
 	id                  string
 	spec                *protocol.JobSpec
@@ -81,52 +82,55 @@
 	submitted           time.Time
 	cancelled           bool
 	hasRecord           bool   // it has a record of its own
-	cancelPending       bool   // cancelled, and nobody was told: something of it may be left
-	cancelHintRevision  uint64 // the revision of a record that cancels it, as a sibling says; see cancels.go
-	claim               uint32 // of a job of the gateway; see sitejobs.go
+	cancelPending       bool   // a cancellation is stored but not confirmed to its user: tasks may be left
+	cancelHintRevision  uint64 // revision of the cancelling record that a peer's hint named; see cancels.go
+	claim               uint32 // claim number of a gateway job; see sitejobs.go
 	nextAttempt         uint64
 	tasks               []task
-	storedChunks        map[int]bool // stored chunks beyond the head
+	storedChunks        map[int]bool // stored chunks other than the head, by number
 	nDone               int
-	nPlaced             int               // placed or proposed
-	nExhausted          int               // tasks that used up their tries
-	step                *protocol.StepRef // of a ticket's step; see tickets.go
-	failed              bool              // of such a job: it is to end since it, or its ticket, has failed
-	storingEnd          bool              // of such a job: its end is being stored
-	hasErrors           bool              // of such a job: a task of it has errors that count
-	writePending        bool              // a change is being stored
-	heavy               bool
-	abortAttempt        bool      // gang: this attempt is to end
-	firstSeen           time.Time // when this node learned of it
-	preemptionWaitUntil time.Time // how long to wait for room made where its image is
-	allPlacedAt         time.Time // when the last waiting task was first recorded
-	firstRunningAt      time.Time // when a task was first seen running
-	preemptAfter        time.Time // when others may be stopped for it again
-	victimSearchAfter   time.Time // when to look again for others to stop
-
-	// Of a gang that waits for all of its places; see decide.Reservation.
+	nPlaced             int               // tasks in phasePlaced or phaseProposed
+	nExhausted          int               // tasks that have used up their tries
+	step                *protocol.StepRef // set if the job is a step of a ticket; see tickets.go
+	failed              bool              // ticket jobs: it must end because it, or its ticket, has failed
+	storingEnd          bool              // ticket jobs: its end is being stored
+	hasErrors           bool              // ticket jobs: a task has errors that count
+	writePending        bool              // a change of it is being stored
+	heavy               bool              // its image is large compared with recent arrivals; see decide.Window
+	abortAttempt        bool              // gangs: the current attempt must end
+	firstSeen           time.Time         // when this node first saw it
+	preemptionWaitUntil time.Time         // how long to wait for preemption on machines that cache its image
+	allPlacedAt         time.Time         // when the last waiting task was first recorded as placed
+	firstRunningAt      time.Time         // when a task was first seen running
+	preemptAfter        time.Time         // no further preemption for it before this time
+	victimSearchAfter   time.Time         // no further search for tasks to evict before this time
+
+	// Of a gang that waits until it can start whole; see decide.Reservation.
 	reservedMachines []*machine
 	reservedSince    time.Time
 	reserveAfter     time.Time
 	expectedStart    time.Time
 
-	reservationBlockedSince time.Time // since when it would fit but for others' reservations
+	reservationBlockedSince time.Time // since when only the reservations of others keep it from being placed
 
 	dirtySince  time.Time     // since when something of it waits to be stored
-	failures    jobFailures   // its tasks' errors
-	notBefore   time.Time     // start nothing before, after errors
-	waitCause   decide.Reason // why its tasks wait, as the last look had it
-	facts       decide.Job    // what decisions see of it; see facts.go
+	failures    jobFailures   // errors of its tasks
+	notBefore   time.Time     // after errors: no start before this time
+	waitCause   decide.Reason // why its tasks wait, according to the last decision
+	facts       decide.Job    // the decisions' view of it; see facts.go
 	history     jobHistory    // what this node saw of its runs; see account.go
-	dirtyChunks map[int]bool  // chunks to be written by the next change
+	dirtyChunks map[int]bool  // chunks that the next change must write
 }
 
+// nWaiting returns how many tasks wait for a placement.
 func (j *job) nWaiting() int { return len(j.tasks) - j.nDone - j.nPlaced - j.nExhausted }
 
+// chunkRange returns the tasks of chunk k: from lo up to, and not including, hi.
 func (j *job) chunkRange(k int) (lo, hi int) {
 	return k * protocol.ChunkTasks, min(len(j.tasks), (k+1)*protocol.ChunkTasks)
 }
 
+// revisionOf returns the revision of a key in the replica; 0 if there is no such key.
 func (n *Node) revisionOf(key string) uint64 {
 	if !n.keyExists(key) {
 		return 0
@@ -134,18 +138,19 @@
 	return n.revisions[key]
 }
 
+// unchanged is the condition that a key is stored as this node knows it.
 func (n *Node) unchanged(key string) storage.Cond {
 	return storage.Cond{Key: key, Stamp: n.revisionOf(key)}
 }
 
-// applyJob takes in a job's head: its own record, or what an inbox says of it.
-func (n *Node) applyJob(id string, r *protocol.JobRecord, based bool) {
+// applyJob applies the head of a job, from its own record or from an inbox entry.
+func (n *Node) applyJob(id string, r *protocol.JobRecord, hasRecord bool) {
 	j := n.jobs[id]
-	fresh := j == nil
-	if fresh {
+	isNew := j == nil
+	if isNew {
 		team, ok := n.teamIndex[r.Spec.Team]
 		if !ok {
-			n.log.Error("job of an unknown team", "job", id, "team", r.Spec.Team)
+			n.log.Error("job record names an unknown team", "job", id, "team", r.Spec.Team)
 			return
 		}
 		j = &job{id: id, spec: r.Spec, team: team, partition: n.teams[team].partition, rank: r.Spec.Rank(),
@@ -163,17 +168,17 @@
 		n.rememberArrival(j, now)
 		n.partitions[j.partition].newJobs = append(n.partitions[j.partition].newJobs, j)
 		list := &n.partitions[j.partition].jobs
-		at, _ := slices.BinarySearchFunc(*list, j, byUrgency)
+		at, _ := slices.BinarySearchFunc(*list, j, byPriority)
 		*list = slices.Insert(*list, at, j)
 		for key, c := range n.orphanChunks {
-			if oid, k := splitJobKey(key); oid == id {
+			if jobID, k := splitJobKey(key); jobID == id {
 				delete(n.orphanChunks, key)
 				j.storedChunks[k] = true
-				n.setTasks(j, k, &c)
+				n.applyTasks(j, k, &c)
 			}
 		}
 	}
-	j.hasRecord = j.hasRecord || based
+	j.hasRecord = j.hasRecord || hasRecord
 	if r.Claim > j.claim {
 		j.claim = r.Claim
 		n.forgetEarlierClaim(id, r.Claim)
@@ -192,14 +197,14 @@
 	}
 	j.nextAttempt = max(j.nextAttempt, r.Next)
 	n.applyTries(j, r.Tries, time.Now())
-	n.setTasks(j, 0, &r.Chunk)
-	if fresh {
+	n.applyTasks(j, 0, &r.Chunk)
+	if isNew {
 		n.applyLogParts(j)
 	}
 }
 
-// applyTries learns how often a job that fails everywhere was tried: who takes over need
-// not find out again. Its holder knows.
+// applyTries applies the stored number of tries of a job that fails everywhere, so that a new
+// owner need not find that out again. The present owner knows it already.
 func (n *Node) applyTries(j *job, tries int, now time.Time) {
 	if f := &j.failures; tries > f.tries && !n.owns(n.partitions[j.partition]) {
 		f.failsEverywhere, f.tries, f.fromAttempt = true, tries, j.nextAttempt
@@ -207,7 +212,7 @@
 	}
 }
 
-// applyChunk takes in a chunk of tasks beyond the head.
+// applyChunk applies a chunk other than the head; ok is false if it was deleted.
 func (n *Node) applyChunk(id string, k int, key string, c protocol.Chunk, ok bool) {
 	j := n.jobs[id]
 	switch {
@@ -220,34 +225,34 @@
 		n.orphanChunks[key] = c
 	default:
 		j.storedChunks[k] = true
-		n.setTasks(j, k, &c)
+		n.applyTasks(j, k, &c)
 	}
 }
 
-// setTasks makes a chunk's tasks what the record says, and keeps what was
-// observed of placements that stay.
-func (n *Node) setTasks(j *job, k int, c *protocol.Chunk) {
+// applyTasks sets the tasks of a chunk to their recorded state. What was observed of a placement
+// that is unchanged is kept.
+func (n *Node) applyTasks(j *job, k int, chunk *protocol.Chunk) {
 	lo, hi := j.chunkRange(k)
 	if lo < 0 || lo >= hi {
-		return // there is no such chunk of this job
+		return // the job has no such chunk
 	}
 	now := time.Now()
-	want := make([]protocol.Placement, hi-lo)
+	placements := make([]protocol.Placement, hi-lo)
 	isDone := make([]bool, hi-lo)
-	for _, d := range c.Done {
+	for _, d := range chunk.Done {
 		for i := max(lo, d[0]); i <= min(hi-1, d[1]); i++ {
 			isDone[i-lo] = true
 		}
 	}
-	for _, p := range c.Placed {
+	for _, p := range chunk.Placed {
 		if p.Task >= lo && p.Task < hi {
-			want[p.Task-lo] = p
+			placements[p.Task-lo] = p
 			j.nextAttempt = max(j.nextAttempt, p.Attempt+1)
 		}
 	}
 	if j.step != nil {
 		defer n.markTicketDirty(j.step.Ticket)
-		for _, e := range c.Errors {
+		for _, e := range chunk.Errors {
 			if e[0] >= lo && e[0] < hi {
 				j.tasks[e[0]].storedErrors = uint8(min(e[1], 255))
 				j.hasErrors = true
@@ -255,10 +260,10 @@
 		}
 	}
 	for i := lo; i < hi; i++ {
-		if t := &j.tasks[i]; t.fromLog && t.logSeq > c.Log {
-			continue // its share's log tells something later
+		if t := &j.tasks[i]; t.fromLog && t.logSeq > chunk.Log {
+			continue // an entry of the partition's log holds a later state
 		}
-		switch p := want[i-lo]; {
+		switch p := placements[i-lo]; {
 		case isDone[i-lo]:
 			n.applyTask(j, i, phaseDone, "", 0, now)
 		case p.Machine != "":
@@ -266,27 +271,27 @@
 		default:
 			n.applyTask(j, i, phaseWaiting, "", 0, now)
 		}
-		j.tasks[i].logSeq, j.tasks[i].fromLog = c.Log, false
+		j.tasks[i].logSeq, j.tasks[i].fromLog = chunk.Log, false
 	}
 	n.afterTasksApplied(j)
 }
 
-// applyTask makes a task what is stored of it, and keeps what was observed of a placement
-// that stays.
-func (n *Node) applyTask(j *job, i int, is phase, machine string, attempt uint64, now time.Time) {
+// applyTask sets a task to its stored state. What was observed of a placement that is unchanged
+// is kept.
+func (n *Node) applyTask(j *job, i int, newPhase phase, machine string, attempt uint64, now time.Time) {
 	t := &j.tasks[i]
 	switch {
-	case is == phaseDone:
+	case newPhase == phaseDone:
 		n.setPhase(j, i, phaseDone, nil, 0, now)
-	case is == phasePlaced:
+	case newPhase == phasePlaced:
 		m := n.findOrAddMachine(machine)
 		if t.phase == phasePlaced && t.machine == m && t.attempt == attempt {
 			t.storing = false
 			return
 		}
-		fresh := t.phase == phaseProposed && t.machine == m && t.attempt == attempt
+		confirmed := t.phase == phaseProposed && t.machine == m && t.attempt == attempt
 		n.setPhase(j, i, phasePlaced, m, attempt, now)
-		if fresh {
+		if confirmed {
 			n.scheduleAnswer(m, now)
 			n.pendingStarts[m] = true
 		}
@@ -297,7 +302,7 @@
 	}
 }
 
-// afterTasksApplied follows what is stored of some tasks.
+// afterTasksApplied updates the job after the stored state of some of its tasks was applied.
 func (n *Node) afterTasksApplied(j *job) {
 	if j.abortAttempt && j.nPlaced == 0 {
 		j.abortAttempt = false
@@ -308,58 +313,60 @@
 	}
 }
 
-// setPhase is the one place where a task changes its phase, and with it what
-// its team and its machine are counted to use: from before a placement is
-// stored until the task is known to be gone.
-func (n *Node) setPhase(j *job, i int, p phase, m *machine, attempt uint64, now time.Time) {
+// setPhase is the only place where a task's phase changes, and with it the resources that
+// its team and its machine are counted to use. A task counts from before its placement is stored
+// until it is known to be gone.
+func (n *Node) setPhase(j *job, i int, newPhase phase, m *machine, attempt uint64, now time.Time) {
 	t := &j.tasks[i]
-	holds := func(p phase) bool { return p == phaseProposed || p == phasePlaced }
-	other := t.machine != m || t.attempt != attempt
-	if holds(t.phase) && other {
-		// The worker is to forget the task, but not before what may take its place
-		// is stored: then both go in one answer.
+	occupies := func(p phase) bool { return p == phaseProposed || p == phasePlaced }
+	moved := t.machine != m || t.attempt != attempt
+	if occupies(t.phase) && moved {
+		// The worker is to forget the task, but only after what may take its place is stored:
+		// then one answer carries both.
 		n.scheduleAnswer(t.machine, now.Add(refillTime))
-		n.release(j, i)
+		n.removePlacement(j, i)
 	}
-	if holds(p) && (other || !holds(t.phase)) {
-		n.reserve(j, i, m)
+	if occupies(newPhase) && (moved || !occupies(t.phase)) {
+		n.addPlacement(j, i, m)
 	}
-	if t.phase != phaseDone && p == phaseDone {
+	if t.phase != phaseDone && newPhase == phaseDone {
 		j.nDone++
 	}
-	if t.phase == phaseDone && p != phaseDone {
+	if t.phase == phaseDone && newPhase != phaseDone {
 		j.nDone--
 	}
-	if t.phase != phaseExhausted && p == phaseExhausted {
+	if t.phase != phaseExhausted && newPhase == phaseExhausted {
 		j.nExhausted++
 	}
-	if t.phase == phaseExhausted && p != phaseExhausted {
+	if t.phase == phaseExhausted && newPhase != phaseExhausted {
 		j.nExhausted--
 	}
-	if t.phase != p || t.attempt != attempt {
-		*t = task{phase: p, attempt: attempt, machine: m, phaseSince: now, storedErrors: t.storedErrors, logSeq: t.logSeq, fromLog: t.fromLog}
+	if t.phase != newPhase || t.attempt != attempt {
+		*t = task{phase: newPhase, attempt: attempt, machine: m, phaseSince: now, storedErrors: t.storedErrors, logSeq: t.logSeq, fromLog: t.fromLog}
 	}
 	t.machine = m
 	n.markStale(m)
 	j.facts.Waiting, j.facts.Placed = j.nWaiting(), j.nPlaced
 }
 
-// refillTime is how long a place that became free is usually without a new task.
+// refillTime is how long freed resources usually stay without a new task.
 const refillTime = 100 * time.Millisecond
 
-func (n *Node) reserve(j *job, i int, m *machine) {
+// addPlacement counts a task's resources on a machine and for its team.
+func (n *Node) addPlacement(j *job, i int, m *machine) {
 	j.nPlaced++
 	n.markStale(m)
-	tm := n.teams[j.team]
-	tm.Used = tm.Used.Add(j.need, 1)
+	team := n.teams[j.team]
+	team.Used = team.Used.Add(j.need, 1)
 	m.used = m.used.Add(j.need, 1)
 	m.tasks[taskKey{j, i}] = struct{}{}
 	m.idleSince, m.idleSinceUnknown = time.Time{}, false
 }
 
-func (n *Node) release(j *job, i int) {
+// removePlacement removes a task from its machine and frees its resources.
+func (n *Node) removePlacement(j *job, i int) {
 	j.nPlaced--
-	n.freePlace(j, i)
+	n.freeCapacity(j, i)
 	m := j.tasks[i].machine
 	n.markStale(m)
 	delete(m.tasks, taskKey{j, i})
@@ -370,35 +377,35 @@
 	n.replan = true
 }
 
-// freePlace gives back what a task took, once: when it is known to be gone, which is
-// before that is stored. The next task need not wait for the books: should this
-// node end before they are written, the next holder counts both until a fenced
-// report shows which is there. What is stored first is that task's placement.
-func (n *Node) freePlace(j *job, i int) {
+// freeCapacity returns a task's resources to its team and its machine, once. It is called when the
+// task is known to be gone, before that is stored, so that the next task need not wait for it. The
+// placement of that next task is stored first. If this node ends before the outcome is stored, the
+// next owner counts both tasks until a fenced report shows which one is there.
+func (n *Node) freeCapacity(j *job, i int) {
 	t := &j.tasks[i]
 	if t.capacityFreed {
 		return
 	}
 	t.capacityFreed = true
 	n.markStale(t.machine)
-	tm := n.teams[j.team]
-	tm.Used = tm.Used.Add(j.need, -1)
+	team := n.teams[j.team]
+	team.Used = team.Used.Add(j.need, -1)
 	t.machine.used = t.machine.used.Add(j.need, -1)
 	n.replan = true
 }
 
-// discardOutcomes takes back what was observed of a job's placed tasks when its share
-// is taken over. What this node saw as an earlier holder may be over: another
-// holder, not knowing it, may have started the same attempt again meanwhile.
-// (Found with simulated troubles: a task ran twice, and a team passed its limit,
-// after a share had come back to a node with facts that it had not yet stored.)
+// discardOutcomes drops what was observed of a job's placed tasks when this node becomes the owner
+// of its partition. Outcomes that it saw during an earlier ownership may no longer be true: another
+// owner, not knowing them, may have started the same attempt again. Without this a task ran twice,
+// and a team exceeded its limit, after a partition had come back to a node that still held outcomes
+// it had not stored.
 func (n *Node) discardOutcomes(j *job) {
 	for i := range j.tasks {
 		t := &j.tasks[i]
 		if t.capacityFreed {
 			t.capacityFreed = false
-			tm := n.teams[j.team]
-			tm.Used = tm.Used.Add(j.need, 1)
+			team := n.teams[j.team]
+			team.Used = team.Used.Add(j.need, 1)
 			t.machine.used = t.machine.used.Add(j.need, 1)
 		}
 		t.outcome, t.storing, t.stopRequested, t.unstoredError = outcomeNone, false, false, false
@@ -407,7 +414,7 @@
 	}
 }
 
-// dropJob forgets a job whose head is gone: it is final.
+// dropJob removes a job whose head was deleted: it has ended.
 func (n *Node) dropJob(id string) {
 	j := n.jobs[id]
 	if j == nil {
@@ -429,116 +436,115 @@
 	delete(n.dirty, j)
 	delete(n.cancelling, j)
 	n.releaseLimitReservation(j)
-	if s := n.partitions[j.partition]; len(s.newJobs) > 0 {
-		s.newJobs = slices.DeleteFunc(s.newJobs, func(o *job) bool { return o == j })
+	if partition := n.partitions[j.partition]; len(partition.newJobs) > 0 {
+		partition.newJobs = slices.DeleteFunc(partition.newJobs, func(o *job) bool { return o == j })
 	}
 	list := &n.partitions[j.partition].jobs
-	if at, found := slices.BinarySearchFunc(*list, j, byUrgency); found {
+	if at, found := slices.BinarySearchFunc(*list, j, byPriority); found {
 		*list = slices.Delete(*list, at, at+1)
 	}
 }
 
-// orphanSweep is what is left of jobs that are over: their chunks beyond the head.
+// orphanSweep is the progress in removing chunks of jobs that have ended.
 type orphanSweep struct {
-	keys []string // orphans for a while
-	last time.Time
+	candidates []string // keys of orphans when the last round began
+	lastRound  time.Time
 }
 
 const (
-	// sweepPause is for how long a chunk must be without its job.
-	sweepPause = time.Minute
-	// mostSwept is how many go at a time.
-	mostSwept = 4
+	// orphanGracePeriod is how long a chunk must have been without its job before it is removed.
+	orphanGracePeriod = time.Minute
+	// maxOrphansPerTick is how many chunks are removed at a time.
+	maxOrphansPerTick = 4
 )
 
-// removeOrphanChunks lets the leader remove chunks of jobs that are over, when changes are
-// ample and nobody waits for any. A job's end removes its head only, in one change with
-// its final record; what it leaves would be read at every start, for ever: 781 keys of
-// a ticket of 100,000 tasks.
+// removeOrphanChunks lets the leader remove chunks of ended jobs when the rate limit has reserve
+// and no user waits for a change. The end of a job deletes only its head, in one change with its
+// final record. The other chunks would be read at every start of a node, for ever: a ticket of
+// 100,000 tasks leaves 781 of them.
 func (n *Node) removeOrphanChunks(now time.Time) {
 	if !n.isLeader() || n.sinceContact(now) > 2*time.Second || n.pendingUserChanges > 0 || n.totalPendingWrites() > 0 || !n.rateLimiter.Ample() {
 		return
 	}
-	s := &n.orphanSweep
-	if len(s.keys) == 0 {
-		if now.Sub(s.last) >= sweepPause {
-			s.last = now
+	sweep := &n.orphanSweep
+	if len(sweep.candidates) == 0 {
+		if now.Sub(sweep.lastRound) >= orphanGracePeriod {
+			sweep.lastRound = now
 			for key := range n.orphanChunks {
-				s.keys = append(s.keys, key)
+				sweep.candidates = append(sweep.candidates, key)
 			}
 		}
 		return
 	}
-	if now.Sub(s.last) < sweepPause {
+	if now.Sub(sweep.lastRound) < orphanGracePeriod {
 		return
 	}
-	for range min(mostSwept, len(s.keys)) {
-		key := s.keys[0]
-		s.keys = s.keys[1:]
+	for range min(maxOrphansPerTick, len(sweep.candidates)) {
+		key := sweep.candidates[0]
+		sweep.candidates = sweep.candidates[1:]
 		if _, still := n.orphanChunks[key]; !still {
 			continue
 		}
 		id, _ := splitJobKey(key)
-		// Should the job be there after all, or come again, nothing is removed.
+		// The conditions fail if the job exists after all, or appears again.
 		n.submitTo(n.backgroundCommitter, &storage.Op{Conds: []storage.Cond{n.unchanged(protocol.HolderKey(0)), {Key: protocol.JobKey(id)}, n.unchanged(key)},
 			Writes: []storage.Write{{Delete: key}}}, func(storage.Result) {})
 	}
 }
 
-// recordOutcome records a fact about a placed task, to be stored with the next flush.
-func (n *Node) recordOutcome(j *job, i int, f taskOutcome) {
+// recordOutcome sets the outcome of a placed task, which the next flush stores.
+func (n *Node) recordOutcome(j *job, i int, outcome taskOutcome) {
 	t := &j.tasks[i]
 	if t.phase != phasePlaced || t.outcome != outcomeNone {
 		return
 	}
-	t.outcome = f
+	t.outcome = outcome
 	n.dirty[j] = true
 	n.markStale(t.machine)
-	n.freePlace(j, i)
+	n.freeCapacity(j, i)
 	if j.spec.Shape != protocol.Gang {
 		return
 	}
-	if f == outcomeFinished {
+	if outcome == outcomeFinished {
 		// If one task of a gang is done, all of them are.
 		for k := range j.tasks {
 			if j.tasks[k].phase == phasePlaced {
 				j.tasks[k].outcome = outcomeFinished
 				n.markStale(j.tasks[k].machine)
-				n.freePlace(j, k)
+				n.freeCapacity(j, k)
 			}
 		}
 	} else if !j.abortAttempt {
-		// A gang that lost a task ends its attempt: the rest are stopped, and the
+		// A gang that lost a task ends its attempt: the other tasks are stopped, and the
 		// next attempt starts only when all of them are known to be gone.
 		j.abortAttempt = true
 		n.wakeMachines(j)
 	}
 }
 
-// proposePlacements reserves places for tasks; flush stores them.
-func (n *Node) proposePlacements(j *job, tasks []int, to []*machine, now time.Time) {
+// proposePlacements reserves machines for tasks. flush stores the placements.
+func (n *Node) proposePlacements(j *job, tasks []int, machines []*machine, now time.Time) {
 	for k, i := range tasks {
-		n.setPhase(j, i, phaseProposed, to[k], j.nextAttempt, now)
+		n.setPhase(j, i, phaseProposed, machines[k], j.nextAttempt, now)
 		j.dirtyChunks[i/protocol.ChunkTasks] = true
 	}
 	j.nextAttempt++
 	n.dirty[j] = true
 }
 
-// flush stores what is new of the jobs that no other change is being stored of,
-// the most urgent first, and only so much at a time: what cannot be stored at
-// once stays here, where it is put in order and gathered by job, and not in a
-// queue.
+// flush stores what has changed in jobs that have no change in flight, the most urgent first, up to
+// a limit of writes in flight. What can't be sent yet stays in n.dirty instead of a queue: there it
+// is collected by job and ordered anew each time.
 func (n *Node) flush(now time.Time) {
 	if len(n.dirty) == 0 {
 		return
 	}
-	most := max(4, int(n.rateLimiter.PerSecond()/3))
-	if n.pendingWrites[n.urgentCommitter] >= most && n.pendingWrites[n.backgroundCommitter] >= most {
+	maxWrites := max(4, int(n.rateLimiter.PerSecond()/3))
+	if n.pendingWrites[n.urgentCommitter] >= maxWrites && n.pendingWrites[n.backgroundCommitter] >= maxWrites {
 		return
 	}
 	ample := n.rateLimiter.Ample()
-	turns := make([][]storeRequest, len(n.partitions))
+	requests := make([][]storeRequest, len(n.partitions))
 	for j := range n.dirty {
 		if j.writePending || n.jobChangesPaused(j) {
 			continue
@@ -551,49 +557,49 @@
 		if j.dirtySince.IsZero() {
 			j.dirtySince = now
 		}
-		is := j.storeUrgency()
-		u, now := storePriority(is, n.unguaranteed(j), now.Sub(j.dirtySince), n.pendingUserChanges > 0, ample)
-		if now {
-			turns[j.partition] = append(turns[j.partition], storeRequest{j, u, purposeOf[is]})
+		urgency := j.storeUrgency()
+		priority, due := storePriority(urgency, n.unguaranteed(j), now.Sub(j.dirtySince), n.pendingUserChanges > 0, ample)
+		if due {
+			requests[j.partition] = append(requests[j.partition], storeRequest{j, priority, purposeOf[urgency]})
 		}
 	}
-	order := make([]int, 0, len(turns))
-	for i, t := range turns {
-		if len(t) == 0 {
+	order := make([]int, 0, len(requests))
+	for i, list := range requests {
+		if len(list) == 0 {
 			continue
 		}
-		slices.SortFunc(t, func(a, b storeRequest) int {
+		slices.SortFunc(list, func(a, b storeRequest) int {
 			return cmp.Or(a.urgency-b.urgency, a.job.dirtySince.Compare(b.job.dirtySince), strings.Compare(a.job.id, b.job.id))
 		})
 		order = append(order, i)
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return turns[a][0].urgency - turns[b][0].urgency })
+	slices.SortStableFunc(order, func(a, b int) int { return requests[a][0].urgency - requests[b][0].urgency })
 	for _, i := range order {
-		n.storePartition(n.partitions[i], turns[i], most, now)
+		n.storePartition(n.partitions[i], requests[i], maxWrites, now)
 	}
 }
 
-// outcomeBatchDelay is how long the ends of an array's tasks are gathered when changes
-// are scarce. The job's end is not among them.
+// outcomeBatchDelay is how long the ends of an array's tasks are collected when changes are
+// scarce. The end of the job itself is not delayed.
 const outcomeBatchDelay = 3 * time.Second
 
-// guestPatience is how long what is new of a guest's job lets others go first. With
-// 25,000 tasks and 800 jobs of a guest it used up the rate: that a task of a job with
-// a guarantee was lost was not stored for 300 s, and so it did not run again.
+// guestPatience is how long changes of a job whose team has no guarantee give way to others. With
+// 25,000 tasks and 800 jobs such a team used up the rate of changes: the loss of a task of a
+// guaranteed job was not stored for 300 s, so the task did not run again.
 const guestPatience = 20 * time.Second
 
-// storePriority says how urgent it is to store what has been new of a job for so long,
-// and whether its turn has come.
-func storePriority(urgency int, guest bool, waits time.Duration, usersWait, ample bool) (int, bool) {
-	guest = guest && waits < guestPatience
-	if guest {
-		urgency += storeOutcomes // after nearly all else
+// storePriority returns how urgent it is to store a job that has waited for so long with something
+// new, and reports whether it may be stored now.
+func storePriority(urgency int, unguaranteed bool, waited time.Duration, usersWait, ample bool) (int, bool) {
+	unguaranteed = unguaranteed && waited < guestPatience
+	if unguaranteed {
+		urgency += storeOutcomes // after nearly everything else
 	}
-	return urgency, ample || !(guest && usersWait) && (urgency < storeOutcomes || waits >= outcomeBatchDelay)
+	return urgency, ample || !(unguaranteed && usersWait) && (urgency < storeOutcomes || waited >= outcomeBatchDelay)
 }
 
-// How urgent it is to store what is new of a job. That a task was lost is as urgent
-// as a start: it can only start again once that is stored.
+// How urgent it is to store what is new of a job. The loss of a task is as urgent as a start: the
+// task can start again only when its loss is stored.
 const (
 	storeEnd = iota
 	storeUrgentStart
@@ -601,28 +607,30 @@
 	storeOutcomes
 )
 
+// storeUrgency returns how urgent it is to store what is new of a job.
 func (j *job) storeUrgency() int {
-	starts, over, left := false, true, false
+	hasStart, allEnded, hasRunning := false, true, false
 	for i := range j.tasks {
 		t := &j.tasks[i]
-		starts = starts || t.phase == phaseProposed || t.outcome == outcomeGone
-		over = over && (t.phase == phaseDone || t.outcome == outcomeFinished || j.taskExhausted(t))
-		left = left || t.phase == phasePlaced && t.outcome == outcomeNone
+		hasStart = hasStart || t.phase == phaseProposed || t.outcome == outcomeGone
+		allEnded = allEnded && (t.phase == phaseDone || t.outcome == outcomeFinished || j.taskExhausted(t))
+		hasRunning = hasRunning || t.phase == phasePlaced && t.outcome == outcomeNone
 	}
 	switch {
-	case over || j.cancelled && !left:
+	case allEnded || j.cancelled && !hasRunning:
 		return storeEnd
 	case j.cancelled:
 		return storeOutcomes // its tasks leave one by one
-	case starts && j.rank <= protocol.High || j.spec.Shape == protocol.Gang:
+	case hasStart && j.rank <= protocol.High || j.spec.Shape == protocol.Gang:
 		return storeUrgentStart
-	case starts:
+	case hasStart:
 		return storeStart
 	}
 	return storeOutcomes
 }
 
-// chunkRecord builds chunk k as it is to be stored by the share's holder, who knows all of its log.
+// chunkRecord returns the record of chunk k as the partition's owner, which knows all of the log,
+// stores it.
 func (n *Node) chunkRecord(j *job, k int) protocol.Chunk {
 	c := protocol.Chunk{Log: n.partitions[j.partition].log.Last()}
 	lo, hi := j.chunkRange(k)
@@ -646,7 +654,7 @@
 	return c
 }
 
-// headRecord builds a job's head as it is to be stored.
+// headRecord returns a job's head record as the owner stores it.
 func (n *Node) headRecord(j *job) protocol.JobRecord {
 	return protocol.JobRecord{Spec: j.spec, SubmittedMS: j.submitted.UnixMilli(), Cancelled: j.cancelled && !j.cancelPending, Asked: j.cancelPending, Next: j.nextAttempt, Tries: j.failures.tries, Claim: j.claim, Step: j.step, Failed: j.failed, Lost: j.history.lostRuns, LostMS: j.history.lastLostMS(), Chunk: n.chunkRecord(j, 0)}
 }
@@ -654,21 +662,21 @@
 func mustJSON(v any) json.RawMessage {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // only our own records come here
+		panic(err) // only the program's own records are marshalled here
 	}
 	return b
 }
 
-// storeJob stores all that is new of a job in one conditional change, its end if it is over.
-func (n *Node) storeJob(j *job, to *storage.Committer, of changePurpose) {
-	n.storeJobAs(j, j.remainingTasks() == 0, to, of)
+// storeJob stores all that is new of a job in one conditional change, or its end if it has ended.
+func (n *Node) storeJob(j *job, committer *storage.Committer, purpose changePurpose) {
+	n.storeJobAs(j, j.remainingTasks() == 0, committer, purpose)
 }
 
-// storeJobAs stores all that is new of a job in one conditional change: that it has ended, or its
-// record.
-func (n *Node) storeJobAs(j *job, ends bool, to *storage.Committer, of changePurpose) {
+// storeJobAs stores either the end of a job or all that is new in its records, in one
+// conditional change.
+func (n *Node) storeJobAs(j *job, ends bool, committer *storage.Committer, purpose changePurpose) {
 	if j.cancelled {
-		n.revertProposals(j) // nothing of it may start any more
+		n.revertProposals(j) // no task of it may start any more
 	}
 	touched := j.dirtyChunks
 	j.dirtyChunks = map[int]bool{}
@@ -678,9 +686,9 @@
 			touched[i/protocol.ChunkTasks] = true
 		}
 	}
-	// The machines need no condition of their own: only the holder moves or
-	// returns those of its share, and it does neither while a task is proposed.
-	op := &storage.Op{For: uint8(of), Conds: []storage.Cond{n.unchanged(protocol.HolderKey(j.partition)), n.unchanged(protocol.JobKey(j.id))}}
+	// The machines need no condition of their own: only the owner moves or returns the
+	// machines of its partition, and it does neither while a placement is being stored.
+	op := &storage.Op{For: uint8(purpose), Conds: []storage.Cond{n.unchanged(protocol.HolderKey(j.partition)), n.unchanged(protocol.JobKey(j.id))}}
 	if n.mayHaveEntries() {
 		op.Conds = append(op.Conds, n.logUnchanged(j.partition), storage.Cond{Key: protocol.FinalKey(j.id)})
 	}
@@ -706,45 +714,46 @@
 				break
 			}
 		}
-		n.splitRest(j, touched, op)
+		n.deferChunks(j, touched, op)
 	}
 	j.writePending = true
-	s := n.partitions[j.partition]
-	s.pendingRecords++
-	n.pendingWrites[to] += len(op.Writes)
+	partition := n.partitions[j.partition]
+	partition.pendingRecords++
+	n.pendingWrites[committer] += len(op.Writes)
 	op.Done = func(r storage.Result) {
 		n.post(func() {
-			s.pendingRecords--
-			n.pendingWrites[to] -= len(op.Writes)
-			n.stored(j, op, r)
+			partition.pendingRecords--
+			n.pendingWrites[committer] -= len(op.Writes)
+			n.onJobStored(j, op, r)
 		})
 	}
-	if !to.Submit(op) {
-		s.pendingRecords--
-		n.pendingWrites[to] -= len(op.Writes)
+	if !committer.Submit(op) {
+		partition.pendingRecords--
+		n.pendingWrites[committer] -= len(op.Writes)
 		j.writePending = false
 		n.stepChangeFinished(j)
 		n.revertProposals(j)
 	}
 }
 
-// remainingTasks is how many tasks keep a job from being over, as far as this node knows.
+// remainingTasks returns how many tasks must still end before the job has ended, as far as this
+// node knows.
 func (j *job) remainingTasks() int {
-	left, anyDone := 0, false
+	remaining, anyDone := 0, false
 	for i := range j.tasks {
 		t := &j.tasks[i]
 		anyDone = anyDone || t.phase == phaseDone || t.outcome == outcomeFinished
 		if !(t.phase == phaseDone || t.outcome == outcomeFinished || j.taskExhausted(t)) && !(j.cancelled && (t.phase == phaseWaiting || t.phase == phaseProposed || t.outcome == outcomeGone)) {
-			left++
+			remaining++
 		}
 	}
 	if j.spec.Shape == protocol.Gang && anyDone {
-		return 0 // they complete together
+		return 0 // the tasks of a gang complete together
 	}
-	return left
+	return remaining
 }
 
-// finalStatus is what a job that is over has become.
+// finalStatus returns the status of a job that has ended.
 func (j *job) finalStatus() string {
 	if j.cancelled {
 		return protocol.JobCancelled
@@ -752,20 +761,20 @@
 	return protocol.JobDone
 }
 
-// totalPendingWrites is how many writes of jobs are under way.
+// totalPendingWrites returns how many writes of jobs are in flight.
 func (n *Node) totalPendingWrites() int {
 	return n.pendingWrites[n.urgentCommitter] + n.pendingWrites[n.backgroundCommitter]
 }
 
-// splitRest leaves the chunks that did not fit into op for the next change:
-// their proposals and facts are not part of this one.
-func (n *Node) splitRest(j *job, touched map[int]bool, op *storage.Op) {
-	in := map[string]bool{}
+// deferChunks leaves the chunks that did not fit into op to the next change: their
+// placements and outcomes are not part of this one.
+func (n *Node) deferChunks(j *job, touched map[int]bool, op *storage.Op) {
+	included := map[string]bool{}
 	for _, w := range op.Writes {
-		in[w.Put] = true
+		included[w.Put] = true
 	}
 	for k := range touched {
-		if in[protocol.ChunkKey(j.id, k)] {
+		if included[protocol.ChunkKey(j.id, k)] {
 			continue
 		}
 		lo, hi := j.chunkRange(k)
@@ -777,6 +786,7 @@
 	}
 }
 
+// finalWrites returns the writes that store a job's final record and delete its head.
 func finalWrites(id, status string, tasks int, claim uint32) []storage.Write {
 	return []storage.Write{
 		{Put: protocol.FinalKey(id), Value: mustJSON(protocol.FinalRecord{Status: status, Tasks: tasks, Claim: claim})},
@@ -784,8 +794,8 @@
 	}
 }
 
-// stored learns how a change of a job ended.
-func (n *Node) stored(j *job, op *storage.Op, r storage.Result) {
+// onJobStored handles the result of a change of a job.
+func (n *Node) onJobStored(j *job, op *storage.Op, r storage.Result) {
 	if r.OK {
 		n.metrics.stateCalls.WithLabelValues("stored").Inc()
 		for _, w := range op.Writes {
@@ -802,7 +812,7 @@
 		return
 	}
 	n.metrics.stateCalls.WithLabelValues("refused").Inc()
-	n.log.Info("change of a job refused", "job", j.id, "failed", strings.Join(r.Failed, " "), "why", r.Err)
+	n.log.Info("job change refused", "job", j.id, "failed", strings.Join(r.Failed, " "), "why", r.Err)
 	n.resync(r.Failed, func([]storage.Item, error) {
 		j.writePending = false
 		n.stepChangeFinished(j)
@@ -813,7 +823,7 @@
 	})
 }
 
-// onJobEnded tells what became of a job, and where its time went.
+// onJobEnded logs the end of a job and records how long it took.
 func (n *Node) onJobEnded(j *job) {
 	now := time.Now()
 	n.recordEndedJob(j, now)
@@ -830,7 +840,7 @@
 		"placed_s", after(j.allPlacedAt), "started_s", after(j.firstRunningAt), "ended_s", after(now))
 }
 
-// applyOwnWrite takes an own committed write into the replica.
+// applyOwnWrite applies a write that this node committed to the replica.
 func (n *Node) applyOwnWrite(w storage.Write, epoch uint64) {
 	it := storage.Item{Key: w.Key(), Value: w.Value, Stamp: epoch}
 	if strings.HasPrefix(it.Key, protocol.Root) {
@@ -840,8 +850,8 @@
 	}
 }
 
-// revertProposals takes proposals back that were not stored. Facts stay: they are true
-// whatever became of the change.
+// revertProposals takes back placements that were not stored. Outcomes stay: they are true
+// whether or not the change was stored.
 func (n *Node) revertProposals(j *job) {
 	now := time.Now()
 	for i := range j.tasks {
@@ -857,7 +867,7 @@
 	n.replan = true
 }
 
-// wakeMachines makes machines with tasks of a job be answered soon.
+// wakeMachines makes the deferred reports of machines that have tasks of a job be answered soon.
 func (n *Node) wakeMachines(j *job) {
 	n.markJobStale(j)
 	for i := range j.tasks {
@@ -867,7 +877,7 @@
 	}
 }
 
-// byUrgency orders jobs by priority and arrival.
-func byUrgency(a, b *job) int {
+// byPriority orders jobs by priority and arrival.
+func byPriority(a, b *job) int {
 	return cmp.Or(a.rank-b.rank, a.submitted.Compare(b.submitted), strings.Compare(a.id, b.id))
 }
--- a/internal/coordination/node/node.go
+++ b/internal/coordination/node/node.go
@@ -20,7 +20,7 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-// CloudService is the cloud as the node sees it.
+// CloudService is the part of the cloud's API that the node uses.
 type CloudService interface {
 	Catalog(ctx context.Context) ([]protocol.MachineType, error)
 	Rent(ctx context.Context, r protocol.RentRequest) ([]string, error)
@@ -28,215 +28,221 @@
 	List(ctx context.Context) ([]protocol.ListedMachine, error)
 }
 
-// Workers calls a worker directly.
+// Workers sends requests directly to workers.
 type Workers interface {
-	// Command sends orders and returns the worker's report; executed is false
-	// if the worker refused them for their token or session.
+	// Command sends orders and returns the worker's report. executed is false if the worker
+	// refused the orders because of their token or session.
 	Command(ctx context.Context, addr string, o protocol.Orders) (r *protocol.Report, executed bool, err error)
-	// Inspect asks for the worker's report.
+	// Inspect requests the worker's report.
 	Inspect(ctx context.Context, addr string) (*protocol.Report, error)
 }
 
-// Node is one controller. All fields below inbox belong to the actor routine.
+// Node is one controller. Only the actor goroutine may use the fields below mailbox, except
+// those of an atomic type and those whose comment allows others to read them.
 type Node struct {
 	cfg     *protocol.Settings
 	log     *slog.Logger
 	store   storage.Service
 	cloud   CloudService
 	workers Workers
-	// SiteDaemonHost is the host of the site's daemon, which alone may hand this node jobs of
-	// the gateway; empty: nobody may.
+	// SiteDaemonHost is the host of the site's daemon. Only that host may submit gateway jobs to
+	// this node; if it is empty, none may.
 	SiteDaemonHost string
-	// Known, if set, asks the site's daemon whether a job is the gateway's, and how it is.
+	// LookUpGatewayJob, if set, asks the site's daemon whether a job belongs to the gateway, and
+	// for its status.
 	LookUpGatewayJob func(ctx context.Context, id string) (s protocol.JobStatus, known bool, err error)
-	// SetLevel, if set, is told the log level that operators chose, if any.
+	// SetLogLevel, if set, is called with the log level that the operators' policy sets, if it
+	// sets one.
 	SetLogLevel func(l slog.Level, chosen bool)
-	// Closed, if set, is how many workers' connections were closed at once so far, since
-	// others were being served.
+	// ClosedConnections, if set, returns how many connections of workers were closed so far
+	// without being served because the node was serving its maximum.
 	ClosedConnections func() int64
-	// OnLoaded, if set, is told when the replica has been read once: from then on the
-	// node can answer.
+	// OnLoaded, if set, is called once the replica has been loaded: from then on the node can
+	// answer requests.
 	OnLoaded func()
-	// AskPeer, if set, asks another controller a question and returns its answer.
+	// AskPeer, if set, sends a question to another controller and returns its answer.
 	AskPeer             func(ctx context.Context, node string, question []byte) ([]byte, error)
-	userCommitter       *storage.Committer         // changes that a user waits for
-	urgentCommitter     *storage.Committer         // others that somebody waits for
-	backgroundCommitter *storage.Committer         // everything else
-	rateLimiter         *storage.Pace              // of all
-	pendingWrites       map[*storage.Committer]int // writes of jobs under way
+	userCommitter       *storage.Committer         // commits changes that a user waits for
+	urgentCommitter     *storage.Committer         // commits other urgent changes: starts, ends of jobs, partition ownership
+	backgroundCommitter *storage.Committer         // commits everything else
+	rateLimiter         *storage.Pace              // limits the rate of all changes
+	pendingWrites       map[*storage.Committer]int // writes of jobs in flight, by committer
 	rng                 *rand.Rand
 
 	startedAt       time.Time
-	lastContact     atomic.Int64  // when the last answered store call was sent, since started
-	watchTimeout    atomic.Int64  // how long a watch waits for changes
-	watchWake       chan struct{} // ends the pause of the watch; see hastenWatch
-	replicaRevision uint64        // revision of the replica; read atomically by others
-	mailbox         chan func()
+	lastContact     atomic.Int64  // when the last state call that was answered was sent, relative to startedAt
+	watchTimeout    atomic.Int64  // how long a watch request waits for changes
+	watchWake       chan struct{} // ends the pause between watch requests; see wakeWatch
+	replicaRevision uint64        // revision of the replica; other goroutines read it atomically
+	mailbox         chan func()   // functions for the actor to run
 	wg              sync.WaitGroup
 	ctx             context.Context
 
 	peers               map[string]*peer
-	loaded              bool // the replica has been read once
-	revisions           map[string]uint64
-	orphanChunks        map[string]protocol.Chunk // chunks whose head is not there (yet)
-	orphanSweep         orphanSweep               // of those whose job is over
+	loaded              bool                      // the replica has been loaded once
+	revisions           map[string]uint64         // revision of each key in the replica
+	orphanChunks        map[string]protocol.Chunk // chunks without a head record, by key
+	orphanSweep         orphanSweep               // removal of orphan chunks whose job has ended
 	jobs                map[string]*job
 	finalJobs           *finalCache
 	machines            map[string]*machine
-	batches             map[string]*batch // of machines, by key
+	batches             map[string]*batch // batches of machine records, by key
 	partitions          []*partition
 	teams               []*team
 	teamIndex           map[string]int
-	tokenCounter        uint64
-	liveNodes           map[string]time.Time // live nodes and since when
-	olderNodes          map[string]bool      // of those: of an earlier version of the records
-	nodesWithoutEntries map[string]bool      // and of one that knows no entries
-	lease               uint64
+	tokenCounter        uint64               // highest fencing token issued, as stored
+	liveNodes           map[string]time.Time // nodes with a live record, and when each was first seen
+	olderNodes          map[string]bool      // live nodes that use an earlier version of the records
+	nodesWithoutEntries map[string]bool      // live nodes whose version can't read packed entries
+	lease               uint64               // this node's lease; 0: none
 	machineTypes        map[string]*protocol.MachineType
 	catalog             catalog
 
-	dirty              map[*job]bool       // jobs with facts or placements to store
-	tombstones         map[string]struct{} // keys known to be deleted, until the watch has passed them
-	dueAnswers         dueHeap             // when parked reports are to be answered
+	dirty              map[*job]bool       // jobs with outcomes or placements to be stored
+	tombstones         map[string]struct{} // keys known to be deleted, kept until the watch has passed their revision
+	dueAnswers         dueHeap             // when to answer deferred reports
 	replan             bool
-	nextPlan           time.Time            // planning takes only a part of the node's time
-	pendingUserChanges int                  // users' changes under way
-	userChanges        []*userChange        // userchanges.go: those that a user still waits for
-	userChangeLatency  statusread.Estimator // how long users' changes take to be stored
-	pendingStarts      map[*machine]bool    // machines with starts just stored
-	directStarts       int                  // direct starts under way
-	nextRetrySlot      time.Time            // when the next user turned away should come back
+	nextPlan           time.Time            // planning may use only a part of the node's time
+	pendingUserChanges int                  // changes in flight that a user waits for
+	userChanges        []*userChange        // userchanges.go: changes that can be verified and whose user still waits
+	userChangeLatency  statusread.Estimator // estimate of how long changes for users take to be stored
+	pendingStarts      map[*machine]bool    // machines with placements stored since the last attempt to start them directly
+	directStarts       int                  // direct starts in flight
+	nextRetrySlot      time.Time            // when the next rejected user should retry
 	lastMove           time.Time
 	lastMachineTick    time.Time
 	lastStatusLog      time.Time
-	lastRelease        time.Time
-	siteLease          *siteLease  // of jobs of the gateway; nil: none may run
+	lastRelease        time.Time   // when this node last released a partition
+	siteLease          *siteLease  // permission to run gateway jobs; nil: none may run
 	tickets            ticketState // render-farm tickets; see tickets.go
 	completeRevision   uint64      // revision up to which the replica is complete
-	completeAt         time.Time   // when it last was, at least
+	completeAt         time.Time   // latest time at which the replica is known to have been complete
 	policy             Policy
 	metrics            *Metrics
-	endedJobs          []EndedJob
-
-	statusReads   statusread.Queue[*statusRead] // users.go: questions about jobs that wait to be compared with the store
-	changeDemand  changeDemand                  // shares.go: this node's part of the rate of changes
-	planningFacts planningFacts                 // facts.go: what decisions see
-	cloudState    cloudState                    // machines.go: what is under way with the cloud
-	reachability  reachability                  // sight.go, peers.go: whom this node hears
-	account       account                       // account.go: what ended, and how it went
-	cacheHints    cacheHints                    // peers.go: what it tells of machines' caches
-	loadControl   loadControl                   // square.go: what is ordered under a budget
-	standby       standbyState                  // standby.go: who stands by for whom
-	corruptKeys   map[string]uint64             // corrupt.go: stored values that are not understood, and their stamps
+	endedJobs          []EndedJob // jobs that ended recently
+
+	statusReads   statusread.Queue[*statusRead] // users.go: status reads that wait for a read barrier
+	changeDemand  changeDemand                  // shares.go: the rate of changes that this node needs
+	planningFacts planningFacts                 // facts.go: the input of decisions
+	cloudState    cloudState                    // machines.go: requests to the cloud, and machines without a record
+	reachability  reachability                  // sight.go, peers.go: whether workers and zones can be reached
+	account       account                       // account.go: history of ended jobs
+	cacheHints    cacheHints                    // peers.go: image caches that the next hints report
+	loadControl   loadControl                   // square.go: orders limited by a budget, and this node's load
+	standby       standbyState                  // standby.go: which nodes are standbys of which partitions
+	corruptKeys   map[string]uint64             // corrupt.go: keys whose stored value can't be decoded, with its revision
 	cancelling    map[*job]bool                 // cancels.go: jobs that are being cancelled
-	cancelWaiters []cancelWaiter                // cancels.go: users who wait for the end of what they cancel
-	changeCounts  changeCounts                  // spending.go: where changes went
-	adoption      *duty.Adoption                // adopt.go: of machines without a record
-	rentalFence   protocol.FenceRecord          // under which rentals are recorded
-	freshCluster  bool                          // nobody had held anything when this node first read the store
-	packed        packedState                   // packed.go: many jobs in one change
-	incarnations  incarnations                  // lives.go: this process and others of the same name
+	cancelWaiters []cancelWaiter                // cancels.go: users who wait until the job that they cancelled has ended
+	changeCounts  changeCounts                  // spending.go: number of changes by purpose
+	adoption      *duty.Adoption                // adopt.go: adoption of machines without a record
+	rentalFence   protocol.FenceRecord          // fence under which rentals are recorded
+	freshCluster  bool                          // the state service held no partition owner when this node first read it
+	packed        packedState                   // packed.go: entries that store many jobs in one change
+	incarnations  incarnations                  // lives.go: this and other processes that use this node's name
 }
 
-// catalog is where the types are known from.
+// catalog is the catalogue of machine types, from its two sources.
 type catalog struct {
-	fromCloud []protocol.MachineType // by the cloud; nil: not yet
+	fromCloud []protocol.MachineType // as the cloud last returned it; nil: not read yet
 	stored    []protocol.MachineType
-	storing   bool // it is being stored
+	storing   bool // a change of the stored catalogue is in flight
 }
 
-// changeDemand is what this node's part of the rate of changes is made of.
+// changeDemand is from what this node's part of the total rate of changes is computed.
 type changeDemand struct {
-	perSecond     atomicFloat // changes a second that this node would make
+	perSecond     atomicFloat // changes per second that this node would make without a limit
 	lastUpdate    time.Time
 	lastRequested int64
 }
 
-// planningFacts is what decisions see of the machines; see facts.go.
+// planningFacts is the decisions' view of the machines; see facts.go.
 type planningFacts struct {
 	index            *decide.Index
-	staleMachines    []*machine      // those whose facts are to be made anew
-	gatewayClosed    bool            // as the facts have it
-	gpuTypesInDemand map[string]bool // types that work with GPUs could use
-	gpuTypesAt       time.Time       // when that was last made
+	staleMachines    []*machine      // machines whose facts must be rebuilt
+	gatewayClosed    bool            // whether gateway jobs were blocked when the facts were last refreshed
+	gpuTypesInDemand map[string]bool // machine types that jobs which need GPUs could use
+	gpuTypesAt       time.Time       // when gpuTypesInDemand was computed
 }
 
-// cloudState is what is under way with the cloud.
+// cloudState is what the node knows of its requests to the cloud.
 type cloudState struct {
 	rentalSeq     uint64
-	nextRequest   time.Time // when the cloud's rate allows another request
-	wantedSince   time.Time // since when machines are wanted that were not asked for
+	nextRequest   time.Time // when the cloud's rate limit allows another rental request
+	wantedSince   time.Time // since when machines are needed for which no request was sent
 	refusedUntil  map[offer]time.Time
-	refusalsInRow map[offer]int     // in a row
-	requested     map[rentalKey]int // machines asked for
+	refusalsInRow map[offer]int     // consecutive refusals of each offer
+	requested     map[rentalKey]int // machines requested and not yet recorded
 	listing       bool
 	lastList      time.Time
-	unrecorded    map[string]time.Time // unrecorded machines that were listed or heard, first seen
-	returned      map[string]time.Time // machines that are gone for good
+	unrecorded    map[string]time.Time // machines without a record that were listed or that reported, by first sighting
+	returned      map[string]time.Time // machines that were returned to the cloud, and when
 }
 
-// reachability are whom this node hears.
+// reachability is the node's knowledge of whether it can reach workers and zones.
 type reachability struct {
-	lastActive          time.Time   // when the actor last did something
-	stallEnded          time.Time   // when it last had stood still
-	lastRejection       time.Time   // when it last turned connections away
-	rejectedConnections int64       // how many, by then
-	lastWorkerContact   time.Time   // when a worker was last heard
-	workersUnreachable  atomic.Bool // no worker is heard
-	pendingProbes       int         // workers being asked how they are
+	lastActive          time.Time   // when the actor last ran
+	stallEnded          time.Time   // when the actor last resumed after a stall
+	lastRejection       time.Time   // when this node last refused connections
+	rejectedConnections int64       // number of refused connections at that time
+	lastWorkerContact   time.Time   // when a worker last reported or answered
+	workersUnreachable  atomic.Bool // no worker can be reached
+	pendingProbes       int         // requests for reports in flight
 	lastProbe           time.Time
-	zoneUnreachableAt   map[string]time.Time // zones: when last found unreachable
+	zoneUnreachableAt   map[string]time.Time // when each zone was last found unreachable
 }
 
-// cacheHints is what the next hints tell of machines' caches.
+// cacheHints is what the next hints tell peers of the machines' image caches.
 type cacheHints struct {
-	caches      atomic.Pointer[[]protocol.Cache] // read by other routines
+	caches      atomic.Pointer[[]protocol.Cache] // other goroutines read it
 	lastUpdate  time.Time
 	nextMachine int
 }
 
-// atomicFloat is a number that other routines read.
+// atomicFloat is a float64 that other goroutines may read.
 type atomicFloat struct{ bits atomic.Uint64 }
 
 func (f *atomicFloat) Load() float64   { return math.Float64frombits(f.bits.Load()) }
 func (f *atomicFloat) Store(v float64) { f.bits.Store(math.Float64bits(v)) }
 
+// team is a team of users with its limits, and the index of the partition that runs its jobs.
 type team struct {
 	decide.Team
 	partition int
 }
 
+// partition is a set of teams' jobs and the machines for them. One controller at a time owns it
+// and decides on it.
 type partition struct {
 	index              int
-	owner              protocol.HolderRecord // Token 0: nobody
+	owner              protocol.HolderRecord // Token 0: no owner
 	vacantSince        time.Time
-	acquiredAt         time.Time              // when this node took it
-	ownerChangePending bool                   // a change of the holder is being stored
-	unconfirmedOwner   *protocol.HolderRecord // names this node, which does not know yet all that was stored before
-	jobs               []*job                 // unfinished, by priority and arrival
-	machines           []*machine             // recorded, by name
-	nextRent           time.Time              // when to look again at what to rent
+	acquiredAt         time.Time              // when this node became the owner
+	ownerChangePending bool                   // a change of the owner record is being stored
+	unconfirmedOwner   *protocol.HolderRecord // names this node, but the replica is not yet complete up to that record
+	jobs               []*job                 // unfinished jobs, by priority and arrival
+	machines           []*machine             // machines with a record, by name
+	nextRent           time.Time              // when to decide on rentals again
 	window             *decide.Window
-	recentArrivals     []arrival     // seen by this node, whoever held the share
-	reconciliation     *start.Square // while held: how far its machines have spoken; see square.go
-	previousOwner      string        // who held it before
-	takeover           takeover      // while held: how it came here; see standby.go
-	newJobs            []*job        // that its window has not counted
-	log                *packed.Ring  // what its log tells
-	pendingAppend      *logAppend    // an entry of it that is being stored
-	lastAppend         time.Time     // when that last began
+	recentArrivals     []arrival     // arrivals seen by this node, also while it was not the owner
+	reconciliation     *start.Square // while owned: which machines have reported under the current token; see square.go
+	previousOwner      string        // node that owned it before
+	takeover           takeover      // while owned: how this node became the owner; see standby.go
+	newJobs            []*job        // jobs that the window has not counted yet
+	log                *packed.Ring  // entries of the partition's log
+	pendingAppend      *logAppend    // log entry that is being stored
+	lastAppend         time.Time     // when the last append began
 	pendingRecords     int           // records of single jobs that are being stored
 }
 
-// New makes a node that lives until ctx ends. The caller runs it with Run.
+// New returns a node that runs until ctx ends. The caller starts it with Run.
 func New(ctx context.Context, cfg *protocol.Settings, log *slog.Logger, store storage.Service, cloud CloudService, workers Workers, seed uint64) *Node {
-	pace := storage.NewPace(cfg.Params.State, cfg.Params.Nodes)
+	limiter := storage.NewPace(cfg.Params.State, cfg.Params.Nodes)
 	n := &Node{
 		ctx: ctx, cfg: cfg, log: log, store: store, cloud: cloud, workers: workers,
-		rateLimiter:         pace,
-		userCommitter:       storage.NewCommitter(store, cfg.Params.State.TxnOps, pace, storage.UserLevel),
-		urgentCommitter:     storage.NewCommitter(store, cfg.Params.State.TxnOps, pace, storage.UrgentLevel),
-		backgroundCommitter: storage.NewCommitter(store, cfg.Params.State.TxnOps, pace, storage.BackgroundLevel),
+		rateLimiter:         limiter,
+		userCommitter:       storage.NewCommitter(store, cfg.Params.State.TxnOps, limiter, storage.UserLevel),
+		urgentCommitter:     storage.NewCommitter(store, cfg.Params.State.TxnOps, limiter, storage.UrgentLevel),
+		backgroundCommitter: storage.NewCommitter(store, cfg.Params.State.TxnOps, limiter, storage.BackgroundLevel),
 		pendingWrites:       map[*storage.Committer]int{},
 		rng:                 rand.New(rand.NewPCG(seed, 1)),
 		startedAt:           time.Now(), mailbox: make(chan func(), 1024), watchWake: make(chan struct{}, 1),
@@ -251,7 +257,7 @@
 	n.adoption, n.nodesWithoutEntries = duty.NewAdoption(), map[string]bool{}
 	n.olderNodes = map[string]bool{}
 	n.watchTimeout.Store(int64(longWatchTimeout))
-	n.packed = newPacking()
+	n.packed = newPackedState()
 	n.userCommitter.Spent, n.urgentCommitter.Spent, n.backgroundCommitter.Spent = n.changeCounts.add, n.changeCounts.add, n.changeCounts.add
 	n.reachability.zoneUnreachableAt = map[string]time.Time{}
 	n.standby.standbys, n.standby.suspicions, n.standby.presumedEnded = map[int]standby.Pair{}, standby.NewDoubts(), map[string]time.Time{}
@@ -274,10 +280,10 @@
 		guarantees = append(guarantees, max(t.GPUs, t.CPUs/8))
 	}
 	count := max(1, min(cfg.Params.Nodes, len(guarantees)))
-	for i, s := range decide.AssignPartitions(guarantees, count) {
+	for i, partitionIndex := range decide.AssignPartitions(guarantees, count) {
 		t := cfg.Params.Teams[i]
 		n.teamIndex[t.Name] = i
-		n.teams = append(n.teams, &team{partition: s, Team: decide.Team{Name: t.Name,
+		n.teams = append(n.teams, &team{partition: partitionIndex, Team: decide.Team{Name: t.Name,
 			Guarantee: Resources{CPUs: t.CPUs, GPUs: t.GPUs}, Limit: Resources{CPUs: t.CPUsMax, GPUs: t.GPUsMax}}})
 	}
 	for i := range count {
@@ -288,7 +294,7 @@
 	return n
 }
 
-// RecordContact notes that the state service answered a call sent at t.
+// RecordContact records that the state service answered a call that was sent at t.
 func (n *Node) RecordContact(t time.Time) {
 	at := int64(t.Sub(n.startedAt))
 	for {
@@ -299,12 +305,12 @@
 	}
 }
 
-// sinceContact is how long ago the last answered call was sent.
+// sinceContact returns the time since the last answered state call was sent.
 func (n *Node) sinceContact(now time.Time) time.Duration {
 	return now.Sub(n.startedAt) - time.Duration(n.lastContact.Load())
 }
 
-// post hands f to the actor.
+// post queues f to be run by the actor.
 func (n *Node) post(f func()) {
 	select {
 	case n.mailbox <- f:
@@ -312,7 +318,7 @@
 	}
 }
 
-// spawn runs a duty until the node ends.
+// spawn runs f in a goroutine that Run waits for.
 func (n *Node) spawn(f func(ctx context.Context)) {
 	n.wg.Add(1)
 	go func() {
@@ -321,7 +327,7 @@
 	}()
 }
 
-// Run serves until the node's context ends.
+// Run runs the actor until the node's context ends, and waits for the goroutines that it started.
 func (n *Node) Run() {
 	ctx := n.ctx
 	n.spawn(n.userCommitter.Run)
@@ -329,7 +335,7 @@
 	n.spawn(n.backgroundCommitter.Run)
 	n.spawn(n.maintainLease)
 	n.spawn(n.maintainReplica)
-	n.spawn(n.keepCatalog)
+	n.spawn(n.maintainCatalog)
 	tick := time.NewTicker(100 * time.Millisecond)
 	defer tick.Stop()
 	for ctx.Err() == nil {
@@ -338,7 +344,7 @@
 		case f := <-n.mailbox:
 			n.detectStall(time.Now())
 			f()
-			// Drain what has queued up before deciding anything.
+			// Run everything that is queued before deciding anything.
 			for more := true; more; {
 				select {
 				case f := <-n.mailbox:
@@ -362,7 +368,8 @@
 	n.wg.Wait()
 }
 
-// processPendingWork turns new facts into placements and stored changes.
+// processPendingWork plans placements, stores changes and answers requests as far as the events
+// since its last run allow it.
 func (n *Node) processPendingWork(now time.Time) {
 	if !n.loaded {
 		return
@@ -370,8 +377,8 @@
 	if n.replan && !now.Before(n.nextPlan) {
 		n.replan = false
 		n.plan(now)
-		// A fleet of a thousand machines must not keep a small controller planning
-		// while workers and users wait: three quarters of the time are theirs.
+		// With a thousand machines planning must not take all of a small controller's time
+		// while workers and users wait: three quarters of the time stay free for them.
 		end := time.Now()
 		n.nextPlan = end.Add(max(40*time.Millisecond, 3*end.Sub(now)))
 	}
@@ -389,7 +396,7 @@
 	n.sendReadBarrier(now)
 }
 
-// tick does what is due by time alone.
+// tick runs what is due by time alone.
 func (n *Node) tick(now time.Time) {
 	if !n.loaded {
 		return
@@ -406,12 +413,13 @@
 	n.tickMachines(now)
 }
 
-func (n *Node) keepCatalog(ctx context.Context) {
+// maintainCatalog reads the cloud's catalogue every minute; after a failure it retries in two seconds.
+func (n *Node) maintainCatalog(ctx context.Context) {
 	for ctx.Err() == nil {
 		types, err := n.cloud.Catalog(ctx)
 		wait := time.Minute
 		if err != nil {
-			n.log.Info("catalogue not read", "why", err)
+			n.log.Info("reading the catalogue failed", "why", err)
 			wait = 2 * time.Second
 		} else {
 			n.post(func() { n.applyCatalog(types) })
@@ -423,31 +431,31 @@
 	}
 }
 
-// applyCatalog takes in the catalogue as the cloud tells it.
+// applyCatalog uses the catalogue that the cloud returned.
 func (n *Node) applyCatalog(types []protocol.MachineType) {
 	n.catalog.fromCloud = types
-	n.learnTypes(types)
+	n.addMachineTypes(types)
 }
 
-// applyStoredCatalog takes in the catalogue as it was stored, until the cloud tells it: a node
-// that started while the cloud was down knew no type, and so could neither accept nor
-// place anything. (On a simulated day all controllers ended within an outage of the cloud,
-// and for 11 s longer than needed every submission was answered 503.)
+// applyStoredCatalog uses the stored catalogue until the cloud has returned its own. Without it a
+// node that started while the cloud was down knew no machine types, so it could neither accept nor
+// place jobs: after all controllers had ended during an outage of the cloud, every submission was
+// answered with 503 for 11 s longer than necessary.
 func (n *Node) applyStoredCatalog(types []protocol.MachineType) {
 	n.catalog.stored = types
 	if n.catalog.fromCloud == nil && len(types) > 0 {
-		n.log.Info("catalogue as it was stored is used", "types", len(types))
-		n.learnTypes(types)
+		n.log.Info("using the stored catalogue", "types", len(types))
+		n.addMachineTypes(types)
 	}
 }
 
-// storeCatalog lets the leader store the catalogue when it is another one; prices alone, which
-// change all the time, do not make it one.
+// storeCatalog lets the leader store the catalogue when it has changed. Prices are ignored, as they
+// change all the time.
 func (n *Node) storeCatalog() {
 	if !n.isLeader() || n.catalog.fromCloud == nil || n.catalog.storing || n.sinceContact(time.Now()) > 2*time.Second {
 		return
 	}
-	timeless := func(types []protocol.MachineType) string {
+	withoutPrices := func(types []protocol.MachineType) string {
 		out := slices.Clone(types)
 		for i := range out {
 			out[i].Price, out[i].SpotPrice = 0, 0
@@ -456,7 +464,7 @@
 		return string(mustJSON(out))
 	}
 	w := storage.Write{Put: protocol.CatalogKey, Value: mustJSON(protocol.CatalogRecord{Types: n.catalog.fromCloud})}
-	if timeless(n.catalog.fromCloud) == timeless(n.catalog.stored) || float64(len(w.Value)) > n.cfg.Params.State.ValueKB*1024 {
+	if withoutPrices(n.catalog.fromCloud) == withoutPrices(n.catalog.stored) || float64(len(w.Value)) > n.cfg.Params.State.ValueKB*1024 {
 		return
 	}
 	n.catalog.storing = true
@@ -464,7 +472,8 @@
 		func(storage.Result) { n.catalog.storing = false })
 }
 
-func (n *Node) learnTypes(types []protocol.MachineType) {
+// addMachineTypes adds types to the known ones, or updates them.
+func (n *Node) addMachineTypes(types []protocol.MachineType) {
 	if len(n.machineTypes) == 0 {
 		for _, s := range Shortages(n.cfg, types) {
 			n.log.Warn("settings can hardly be met", "why", s)
--- a/internal/coordination/node/packed.go
+++ b/internal/coordination/node/packed.go
@@ -14,78 +14,78 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-// The actor's part in storing what is new of many jobs in one change; see docs/packed.md.
-// A job may be known from a record of its own, from the inbox of the node that accepted it,
-// or from both; what its tasks are like from its record, from the log of its share, or from
-// both. This file writes and reads entries; what is still needed of them package packed
-// tells, with what is asked here.
-
-// ringSlots is how many slots rings have, and packAlways whether nothing is stored alone:
-// tests make the slots few and store all in entries.
+// The actor's part in storing the changes of many jobs in one change of the state service; see
+// docs/packed.md. A job may be known from a record of its own, from an entry in the inbox of the node
+// that accepted it, or from both. The state of its tasks is in its record, in the log of its
+// partition, or in both. This file writes and applies entries. Package packed decides what of an
+// entry is still needed, by the facts that it is given here.
+
+// ringSlots is the number of slots of a ring. alwaysPack forces everything into entries. Both are
+// variables so that tests can use few slots and store all changes in entries.
 var (
 	ringSlots  = packed.Slots
 	alwaysPack bool
 )
 
-// entryPart is how much of a value an entry may fill, and carryPart how much of that, and of
-// the conditions of its transaction, may be for what is said again from the entry that it takes
-// the place of: if more is, jobs are folded into records of their own first.
+// entryFill is the part of the maximum value size that an entry may fill. carryFill is the part of
+// that, and of the conditions of the entry's transaction, that may be used for what is carried over
+// from the entry that it replaces. Beyond that, jobs are first compacted into records of their own.
 const (
-	entryPart = 0.9
-	carryPart = 0.6
+	entryFill = 0.9
+	carryFill = 0.6
 )
 
-// packedState is what a node knows and does of entries.
+// packedState is the node's state for reading and writing entries.
 type packedState struct {
-	format       protocol.FormatRecord
-	formatStored bool                    // there is a format in the store
-	plainNodes   map[string]bool         // live nodes that need records of their own
-	inboxes      map[string]*packed.Ring // by node
-	broken       map[string]string       // keys of entries that are not understood
-	endedRecords map[string]int          // records of jobs that have ended, with their share
-	submissions  []*submission           // accepted, to be stored in the next entry
-	stored       []storedBatch           // those whose users are told once all that was stored before is known
-	busy         bool                    // an entry of the own inbox is being stored
-	write        *inboxWrite             // the last such entry
-	folding      int                     // records of accepted jobs being written
-	changed      time.Time               // when the format was last to be changed
-	swept        time.Time
-}
-
-func newPacking() packedState {
-	return packedState{plainNodes: map[string]bool{}, inboxes: map[string]*packed.Ring{}, broken: map[string]string{}, endedRecords: map[string]int{}}
-}
-
-// mustBePlain says whether every job has to be in a record of its own: operators want it, an
-// earlier version lives, or somebody tells users of cancellations at once.
-func (n *Node) mustBePlain() bool {
+	format             protocol.FormatRecord
+	formatStored       bool                    // the state service has a format record
+	plainNodes         map[string]bool         // live nodes that require a record of its own for each job
+	inboxes            map[string]*packed.Ring // by node
+	unreadable         map[string]string       // keys of entries that can't be decoded, with the error
+	endedRecords       map[string]int          // records of ended jobs that are still stored, with their partition
+	submissions        []*submission           // submissions to be stored in the next inbox entry
+	unconfirmed        []unconfirmedBatch      // stored batches whose users are not answered yet
+	inboxWritePending  bool                    // an entry of this node's inbox is being stored
+	lastInboxWrite     *inboxWrite             // the last write of such an entry
+	pendingCompactions int                     // records of accepted jobs being written
+	formatChangedAt    time.Time               // when a change of the format was last sent
+	lastCleanup        time.Time
+}
+
+func newPackedState() packedState {
+	return packedState{plainNodes: map[string]bool{}, inboxes: map[string]*packed.Ring{}, unreadable: map[string]string{}, endedRecords: map[string]int{}}
+}
+
+// recordsRequired reports whether every job must have a record of its own: the operators' policy
+// asks for it, a live node is of a version without entries, or a live node or this one requires it.
+func (n *Node) recordsRequired() bool {
 	return n.policy.PlainRecords || len(n.nodesWithoutEntries)+len(n.packed.plainNodes) > 0 || n.requiresRecords()
 }
 
-// requiresRecords says so of this node alone.
+// requiresRecords reports whether this node itself requires that.
 func (n *Node) requiresRecords() bool { return n.SiteDaemonHost != "" || n.handlesTickets() }
 
-// mayWriteEntries says whether entries may be written.
-func (n *Node) mayWriteEntries() bool { return n.packed.format.Packed && !n.mustBePlain() }
+// mayWriteEntries reports whether entries may be written.
+func (n *Node) mayWriteEntries() bool { return n.packed.format.Packed && !n.recordsRequired() }
 
-// mayHaveEntries says whether jobs may be in entries: then a job's own record alone does not
-// tell whether there is one, and how it is.
+// mayHaveEntries reports whether jobs may be stored in entries. If so, a job's own record alone does
+// not show whether the job exists or what state it is in.
 func (n *Node) mayHaveEntries() bool {
 	return n.packed.formatStored
 }
 
-// tickFormat lets the leader say that entries may be written, once all nodes of the settings
-// have been seen to understand them, or that they may not any more. A node that is down
-// later does not change that.
+// tickFormat lets the leader store whether entries may be written. They may be once all nodes of
+// the settings have been seen running a version that reads them; a node that goes down later does
+// not change that.
 func (n *Node) tickFormat(now time.Time) {
 	p := &n.packed
-	if !n.isLeader() || now.Sub(p.changed) < time.Second {
+	if !n.isLeader() || now.Sub(p.formatChangedAt) < time.Second {
 		return
 	}
-	on := !n.mustBePlain()
+	on := !n.recordsRequired()
 	if on && !p.format.Packed {
 		for name := range n.peers {
-			if _, lives := n.liveNodes[name]; !lives {
+			if _, live := n.liveNodes[name]; !live {
 				return
 			}
 		}
@@ -93,13 +93,13 @@
 	if on == p.format.Packed {
 		return
 	}
-	p.changed = now
-	n.log.Info("many jobs in one change", "on", on)
+	p.formatChangedAt = now
+	n.log.Info("writing of packed entries changed", "on", on)
 	n.submit(&storage.Op{Conds: []storage.Cond{n.unchanged(protocol.HolderKey(0)), n.unchanged(protocol.FormatKey)},
 		Writes: []storage.Write{{Put: protocol.FormatKey, Value: mustJSON(protocol.FormatRecord{Packed: on})}}}, func(storage.Result) {})
 }
 
-// inboxOf is the ring of what a node accepted.
+// inboxOf returns the inbox of a node.
 func (n *Node) inboxOf(node string) *packed.Ring {
 	r := n.packed.inboxes[node]
 	if r == nil {
@@ -109,46 +109,47 @@
 	return r
 }
 
-// entry reads a slot's value; nil: there is none. One that is not understood is not skipped:
-// its share decides nothing, and of jobs that nobody knows it is not said that they are
-// unknown.
-func (n *Node) entry(it storage.Item) (e *protocol.Entry, ok bool) {
-	delete(n.packed.broken, it.Key)
+// parseEntry decodes a slot's value; nil if the slot is empty. An entry that can't be decoded is not
+// skipped: the partition whose log it is in makes no decisions, and no unknown job is reported as
+// nonexistent.
+func (n *Node) parseEntry(it storage.Item) (e *protocol.Entry, ok bool) {
+	delete(n.packed.unreadable, it.Key)
 	if it.Value == nil {
 		return nil, true
 	}
 	e, err := packed.Parse(it.Value)
 	if err != nil {
-		n.notUnderstood(it.Key, err)
+		n.markUnreadable(it.Key, err)
 		return nil, false
 	}
 	return e, true
 }
 
-func (n *Node) notUnderstood(key string, err error) {
-	n.packed.broken[key] = err.Error()
-	n.log.Error("stored entry not understood: what depends on it stops", "key", key, "why", err)
+// markUnreadable records and logs an entry that can't be decoded.
+func (n *Node) markUnreadable(key string, err error) {
+	n.packed.unreadable[key] = err.Error()
+	n.log.Error("stored entry can't be decoded: decisions that depend on it stop", "key", key, "why", err)
 }
 
-// logUnreadable says whether something in a share's log is not understood.
-func (n *Node) logUnreadable(share int) bool {
-	for key := range n.packed.broken {
-		if s, _, ok := packed.LogSlot(key); ok && s == share {
+// logUnreadable reports whether an entry in a partition's log can't be decoded.
+func (n *Node) logUnreadable(partition int) bool {
+	for key := range n.packed.unreadable {
+		if s, _, ok := packed.LogSlot(key); ok && s == partition {
 			return true
 		}
 	}
 	return false
 }
 
-// logReadable says whether all entries of a share's log are known. If not, more may be stored
-// than is known: that a task has left, or that a job has ended.
-func (n *Node) logReadable(s *partition) bool {
-	return !n.mayHaveEntries() || s.log.Whole() && !n.logUnreadable(s.index)
+// logReadable reports whether all entries of a partition's log are known. If not, more may be stored
+// than is known: a task may be gone, or a job may have ended.
+func (n *Node) logReadable(partition *partition) bool {
+	return !n.mayHaveEntries() || partition.log.Whole() && !n.logUnreadable(partition.index)
 }
 
-// anyInboxUnreadable says so of any inbox.
+// anyInboxUnreadable reports whether an entry in any inbox can't be decoded.
 func (n *Node) anyInboxUnreadable() bool {
-	for key := range n.packed.broken {
+	for key := range n.packed.unreadable {
 		if strings.HasPrefix(key, protocol.InboxRoot) {
 			return true
 		}
@@ -156,20 +157,20 @@
 	return false
 }
 
-// applyLogEntry takes in a slot of a share's log.
+// applyLogEntry applies a slot of a partition's log.
 func (n *Node) applyLogEntry(it storage.Item) {
 	i, slot, ok := packed.LogSlot(it.Key)
 	if !ok || i >= len(n.partitions) {
 		n.log.Error("stored value not understood", "key", it.Key)
 		return
 	}
-	e, ok := n.entry(it)
+	e, ok := n.parseEntry(it)
 	if !ok {
 		return
 	}
-	s := n.partitions[i]
-	if _, err := s.log.Put(slot, e); err != nil {
-		n.notUnderstood(it.Key, err)
+	partition := n.partitions[i]
+	if _, err := partition.log.Put(slot, e); err != nil {
+		n.markUnreadable(it.Key, err)
 		return
 	}
 	if e == nil {
@@ -180,47 +181,47 @@
 		if p.End != "" {
 			n.applyEndFromLog(i, p)
 		} else if j := n.jobs[p.Job]; j != nil && j.partition == i {
-			n.overlay(j, e, p, time.Now())
+			n.applyLogPart(j, e, p, time.Now())
 		}
 	}
 }
 
-// applyEndFromLog takes in that a job has ended.
-func (n *Node) applyEndFromLog(share int, p *protocol.Part) {
+// applyEndFromLog applies the end of a job that an entry contains.
+func (n *Node) applyEndFromLog(partition int, p *protocol.Part) {
 	if _, known := n.finalJobs.byID[p.Job]; !known {
 		n.finalJobs.add(p.Job, protocol.FinalRecord{Status: p.End, Tasks: p.Tasks})
 	}
 	if j := n.jobs[p.Job]; j != nil {
 		if j.hasRecord {
-			n.packed.endedRecords[p.Job] = share
+			n.packed.endedRecords[p.Job] = partition
 		}
 		n.dropJob(p.Job)
 	}
 }
 
-// takes says whether an entry tells something of a task that is later than what is known.
-func (t *task) takes(seq uint64) bool { return seq > t.logSeq || seq == t.logSeq && t.fromLog }
+// acceptsEntry reports whether an entry's state of the task is as late as the known one, or later.
+func (t *task) acceptsEntry(seq uint64) bool { return seq > t.logSeq || seq == t.logSeq && t.fromLog }
 
-// overlay takes in what an entry says of a job.
-func (n *Node) overlay(j *job, e *protocol.Entry, p *protocol.Part, now time.Time) {
-	j.nextAttempt = max(j.nextAttempt, p.Next)
-	n.applyTries(j, p.Tries, now)
-	j.history.mergeStored(p.Lost, p.LostMS)
-	for _, r := range p.Placed {
+// applyLogPart applies what an entry contains of a job.
+func (n *Node) applyLogPart(j *job, entry *protocol.Entry, part *protocol.Part, now time.Time) {
+	j.nextAttempt = max(j.nextAttempt, part.Next)
+	n.applyTries(j, part.Tries, now)
+	j.history.mergeStored(part.Lost, part.LostMS)
+	for _, r := range part.Placed {
 		for i := int(r[0]); i <= int(r[1]) && i < len(j.tasks); i++ {
-			if j.tasks[i].takes(e.Seq) {
+			if j.tasks[i].acceptsEntry(entry.Seq) {
 				j.nextAttempt = max(j.nextAttempt, r[2]+1)
-				n.applyTask(j, i, phasePlaced, e.Machines[r[3]], r[2], now)
-				j.tasks[i].logSeq, j.tasks[i].fromLog = e.Seq, true
+				n.applyTask(j, i, phasePlaced, entry.Machines[r[3]], r[2], now)
+				j.tasks[i].logSeq, j.tasks[i].fromLog = entry.Seq, true
 			}
 		}
 	}
-	for phase, ranges := range map[phase][][2]int{phaseWaiting: p.Gone, phaseDone: p.Done} {
+	for phase, ranges := range map[phase][][2]int{phaseWaiting: part.Gone, phaseDone: part.Done} {
 		for _, r := range ranges {
 			for i := r[0]; i <= r[1] && i < len(j.tasks); i++ {
-				if j.tasks[i].takes(e.Seq) {
+				if j.tasks[i].acceptsEntry(entry.Seq) {
 					n.applyTask(j, i, phase, "", 0, now)
-					j.tasks[i].logSeq, j.tasks[i].fromLog = e.Seq, true
+					j.tasks[i].logSeq, j.tasks[i].fromLog = entry.Seq, true
 				}
 			}
 		}
@@ -228,43 +229,42 @@
 	n.afterTasksApplied(j)
 }
 
-// applyLogParts takes in what all entries say of a job that was just made.
+// applyLogParts applies what all entries contain of a job that was just added.
 func (n *Node) applyLogParts(j *job) {
 	now := time.Now()
-	n.partitions[j.partition].log.Each(j.id, func(e *protocol.Entry, p *protocol.Part) { n.overlay(j, e, p, now) })
+	n.partitions[j.partition].log.Each(j.id, func(e *protocol.Entry, p *protocol.Part) { n.applyLogPart(j, e, p, now) })
 }
 
-// ended says whether a share's log tells that a job has ended.
-func (n *Node) endedInLog(s *protocol.JobSpec) bool {
-	ti, ok := n.teamIndex[s.Team]
+// endedInLog reports whether the log of a job's partition contains its end.
+func (n *Node) endedInLog(spec *protocol.JobSpec) bool {
+	team, ok := n.teamIndex[spec.Team]
 	if !ok {
 		return false
 	}
-	_, _, over := n.partitions[n.teams[ti].partition].log.Ended(s.ID)
-	return over
+	_, _, ended := n.partitions[n.teams[team].partition].log.Ended(spec.ID)
+	return ended
 }
 
-// applyInboxEntry takes in a slot of a node's inbox. A job that no inbox mentions any more and that
-// has no record of its own has ended: as long as it has not, whoever writes the slot anew
-// says it again.
+// applyInboxEntry applies a slot of a node's inbox. A job that is in no inbox any more and has no
+// record of its own has ended: as long as a job is open, whoever overwrites its slot carries it over.
 func (n *Node) applyInboxEntry(it storage.Item) {
 	node, slot, ok := packed.InboxSlot(it.Key)
 	if !ok {
 		n.log.Error("stored value not understood", "key", it.Key)
 		return
 	}
-	e, ok := n.entry(it)
+	e, ok := n.parseEntry(it)
 	if !ok {
 		return
 	}
 	before, err := n.inboxOf(node).Put(slot, e)
 	if err != nil {
-		n.notUnderstood(it.Key, err)
+		n.markUnreadable(it.Key, err)
 		return
 	}
 	if e != nil {
 		for _, a := range e.Jobs {
-			n.setAccepted(a)
+			n.applyAccepted(a)
 		}
 	}
 	if before != nil {
@@ -276,6 +276,7 @@
 	}
 }
 
+// inAnyInbox reports whether an inbox contains a job.
 func (n *Node) inAnyInbox(id string) bool {
 	for _, r := range n.packed.inboxes {
 		if r.Mentions(id) {
@@ -285,12 +286,12 @@
 	return false
 }
 
-// mayBeInInbox says whether an inbox tells that a job was accepted, or may tell so in an entry
-// that is not understood.
+// mayBeInInbox reports whether an inbox contains a job, or may contain it in an entry that can't be
+// decoded.
 func (n *Node) mayBeInInbox(id string) bool { return n.anyInboxUnreadable() || n.inAnyInbox(id) }
 
-// setAccepted takes in a job from an inbox. Two nodes may have accepted it at once.
-func (n *Node) setAccepted(a protocol.Accepted) {
+// applyAccepted applies an accepted job of an inbox. Two nodes may have accepted the job at once.
+func (n *Node) applyAccepted(a protocol.Accepted) {
 	if n.endedInLog(a.Spec) {
 		return
 	}
@@ -300,117 +301,121 @@
 	n.applyJob(a.Spec.ID, &protocol.JobRecord{Spec: a.Spec, SubmittedMS: a.SubmittedMS, Next: 1}, false)
 }
 
-// storedRecordAtLog is a job's record as it is stored now, by all that this node knows.
+// storedRecordAtLog returns a job's record as it would be stored now, by all that this node knows,
+// with the number of the log entry up to which that is complete.
 func (n *Node) storedRecordAtLog(j *job) protocol.JobRecord {
 	r := j.storedRecord()
 	r.Log = n.partitions[j.partition].log.Known()
 	return r
 }
 
-// logUnchanged is the condition that nothing is in a share's log that this node does not know.
-func (n *Node) logUnchanged(share int) storage.Cond {
-	slot, _ := n.partitions[share].log.Next()
-	return n.unchanged(protocol.LogKey(share, slot))
+// logUnchanged is the condition that a partition's log has no entry that this node does not know.
+func (n *Node) logUnchanged(partition int) storage.Cond {
+	slot, _ := n.partitions[partition].log.Next()
+	return n.unchanged(protocol.LogKey(partition, slot))
 }
 
-// stillOpen are the conditions that a job is where this node thinks it is, and has not ended.
+// stillOpen returns the conditions that a job's own record is as this node knows it and that the job
+// has not ended.
 func (n *Node) stillOpen(id string) []storage.Cond {
 	return []storage.Cond{n.unchanged(protocol.JobKey(id)), {Key: protocol.FinalKey(id)}}
 }
 
-// logAppend is an entry of a share's log that is being stored.
+// logAppend is an entry of a partition's log that is being stored.
 type logAppend struct {
-	jobs     []*job
-	pressing bool
+	jobs   []*job
+	urgent bool
 }
 
-// storeRequest is a job whose turn to be stored has come.
+// storeRequest is a job that is to be stored now.
 type storeRequest struct {
 	job     *job
 	urgency int
-	of      changePurpose
+	purpose changePurpose
 }
 
-// mostEnds is how many jobs may end with one entry: each is a change of its own beside it,
-// and users are not to wait for what a dozen of them take of the rate.
-func (n *Node) mostEnds() int {
+// maxEndsPerEntry returns how many jobs may end with one entry. Each end is a change of its own beside
+// the entry, and users should not wait for the part of the rate that a dozen of them use.
+func (n *Node) maxEndsPerEntry() int {
 	return max(1, min(n.cfg.Params.State.TxnOps-1, int(n.rateLimiter.PerSecond()/3)))
 }
 
-// mustLog says whether what is new of a job has to be told in its share's log: that it has
-// ended, while an inbox tells that it was accepted.
-func (n *Node) mustLog(j *job) bool {
+// mustStoreInLog reports whether the change of a job must go through its partition's log. That is so
+// for the end of a job that an inbox lists as accepted.
+func (n *Node) mustStoreInLog(j *job) bool {
 	if j.hasRecord && !n.mayBeInInbox(j.id) {
 		return false
 	}
 	return j.remainingTasks() == 0 && j.step == nil
 }
 
-// storePartition stores what is new of jobs of a share whose turn has come: one alone in its own
-// record, as long as changes are ample, and several in an entry of the log, with whatever
-// else is new.
-func (n *Node) storePartition(s *partition, turns []storeRequest, most int, now time.Time) {
-	if !n.logReadable(s) {
+// storePartition stores the jobs of a partition that are due. A single job goes into its own
+// record as long as the rate limit has reserve. Several go into one log entry, together with
+// whatever else is new.
+func (n *Node) storePartition(partition *partition, requests []storeRequest, maxWrites int, now time.Time) {
+	if !n.logReadable(partition) {
 		return
 	}
-	level := func(c storeRequest) *storage.Committer {
-		if c.urgency <= storeUrgentStart {
+	committerFor := func(request storeRequest) *storage.Committer {
+		if request.urgency <= storeUrgentStart {
 			return n.urgentCommitter
 		}
 		return n.backgroundCommitter
 	}
-	alone := func(turns []storeRequest) {
-		for _, c := range turns {
-			if n.pendingWrites[level(c)] < most {
-				delete(n.dirty, c.job)
-				c.job.dirtySince = time.Time{}
-				n.storeJob(c.job, level(c), c.of)
+	storeSingly := func(requests []storeRequest) {
+		for _, request := range requests {
+			if n.pendingWrites[committerFor(request)] < maxWrites {
+				delete(n.dirty, request.job)
+				request.job.dirtySince = time.Time{}
+				n.storeJob(request.job, committerFor(request), request.purpose)
 			}
 		}
 	}
 	if !n.mayWriteEntries() {
-		var must, may []storeRequest
-		for _, c := range turns {
-			if n.mustLog(c.job) {
-				must = append(must, c)
+		var inLog, inRecords []storeRequest
+		for _, request := range requests {
+			if n.mustStoreInLog(request.job) {
+				inLog = append(inLog, request)
 			} else {
-				may = append(may, c)
+				inRecords = append(inRecords, request)
 			}
 		}
-		if len(must) > 0 && s.pendingAppend == nil {
-			n.appendLog(s, must, now)
+		if len(inLog) > 0 && partition.pendingAppend == nil {
+			n.appendLog(partition, inLog, now)
 		}
-		alone(may)
+		storeSingly(inRecords)
 		return
 	}
 	switch {
-	case s.pendingAppend != nil && !s.pendingAppend.pressing:
-		// What is pressing need not wait for what is not.
-		alone(slices.DeleteFunc(turns, func(c storeRequest) bool { return c.urgency > storeUrgentStart || n.mustLog(c.job) }))
-	case s.pendingAppend != nil || s.pendingRecords > 0:
-	case turns[0].urgency > storeUrgentStart && !n.rateLimiter.Ample() && now.Sub(s.lastAppend) < gatherTime:
-		// Every change that is left is one that a user, or a start, need not wait for.
-	case len(turns) == 1 && n.rateLimiter.Ample() && !n.mustLog(turns[0].job) && !alwaysPack:
-		alone(turns)
-	case n.pendingWrites[level(turns[0])] < most:
-		n.appendLog(s, append(turns, n.riders(s, turns)...), now)
-	}
-}
-
-// gatherTime is how long what nobody waits for is gathered for an entry while changes are
-// short. (Without it a share stored an entry whenever the rate allowed one, and used all of
-// it.)
-const gatherTime = 700 * time.Millisecond
-
-// riders are jobs of a share whose turn has not come and of which something is new: it costs
-// nothing to store that with others.
-func (n *Node) riders(s *partition, turns []storeRequest) (out []storeRequest) {
-	in := map[*job]bool{}
-	for _, c := range turns {
-		in[c.job] = true
+	case partition.pendingAppend != nil && !partition.pendingAppend.urgent:
+		// Urgent changes need not wait for an append that is not urgent.
+		storeSingly(slices.DeleteFunc(requests, func(request storeRequest) bool {
+			return request.urgency > storeUrgentStart || n.mustStoreInLog(request.job)
+		}))
+	case partition.pendingAppend != nil || partition.pendingRecords > 0:
+	case requests[0].urgency > storeUrgentStart && !n.rateLimiter.Ample() && now.Sub(partition.lastAppend) < entryBatchDelay:
+		// All these changes can wait: no user and no start depends on them.
+	case len(requests) == 1 && n.rateLimiter.Ample() && !n.mustStoreInLog(requests[0].job) && !alwaysPack:
+		storeSingly(requests)
+	case n.pendingWrites[committerFor(requests[0])] < maxWrites:
+		n.appendLog(partition, append(requests, n.additionalRequests(partition, requests)...), now)
+	}
+}
+
+// entryBatchDelay is how long changes that nobody waits for are collected for an entry while changes
+// are scarce. Without it a partition stored an entry whenever the rate limit allowed one, and used
+// all of the rate.
+const entryBatchDelay = 700 * time.Millisecond
+
+// additionalRequests returns the other jobs of a partition with something new that are not due yet:
+// storing them in the same entry costs nothing.
+func (n *Node) additionalRequests(partition *partition, requests []storeRequest) (out []storeRequest) {
+	included := map[*job]bool{}
+	for _, request := range requests {
+		included[request.job] = true
 	}
 	for j := range n.dirty {
-		if j.partition == s.index && !in[j] && !j.writePending && !n.jobChangesPaused(j) && j.step == nil {
+		if j.partition == partition.index && !included[j] && !j.writePending && !n.jobChangesPaused(j) && j.step == nil {
 			out = append(out, storeRequest{j, storeOutcomes, forTaskEnds})
 		}
 	}
@@ -420,44 +425,44 @@
 	return out
 }
 
-// appendLog stores what is new of some jobs of a share in one entry of its log, the first
-// ones first, as far as there is room. It returns false if nothing is on its way.
-func (n *Node) appendLog(s *partition, turns []storeRequest, now time.Time) bool {
-	w := packed.NewWriter(s.log, int(entryPart*1024*n.cfg.Params.State.ValueKB))
-	carried, fits := n.carry(s, w)
+// appendLog stores what is new of jobs of a partition in one entry of its log, in the given order, as
+// far as it fits. It returns false if nothing was sent.
+func (n *Node) appendLog(partition *partition, requests []storeRequest, now time.Time) bool {
+	writer := packed.NewWriter(partition.log, int(entryFill*1024*n.cfg.Params.State.ValueKB))
+	carried, fits := n.carryOver(partition, writer)
 	if !fits {
 		return false
 	}
-	a := &logAppend{pressing: turns[0].urgency <= storeUrgentStart}
-	slot, _ := s.log.Next()
-	op := &storage.Op{For: uint8(turns[0].of), Conds: []storage.Cond{n.unchanged(protocol.HolderKey(s.index)), n.unchanged(protocol.LogKey(s.index, slot)), n.unchanged(protocol.FormatKey)}}
-	op.Conds = append(op.Conds, n.unchangedRecords(carried)...)
-	most := n.mostEnds()
+	pending := &logAppend{urgent: requests[0].urgency <= storeUrgentStart}
+	slot, _ := partition.log.Next()
+	op := &storage.Op{For: uint8(requests[0].purpose), Conds: []storage.Cond{n.unchanged(protocol.HolderKey(partition.index)), n.unchanged(protocol.LogKey(partition.index, slot)), n.unchanged(protocol.FormatKey)}}
+	op.Conds = append(op.Conds, n.recordsUnchanged(carried)...)
+	maxEnds := n.maxEndsPerEntry()
 	var finals []storage.Write
-	for _, c := range turns {
-		j := c.job
+	for _, request := range requests {
+		j := request.job
 		if len(op.Conds)+2 > n.maxConditions() {
 			break
 		}
 		if j.cancelled {
-			n.revertProposals(j) // nothing of it may start any more
+			n.revertProposals(j) // no task of it may start any more
 		}
-		d := packed.Draft{Part: protocol.Part{Job: j.id}}
+		draft := packed.Draft{Part: protocol.Part{Job: j.id}}
 		if j.remainingTasks() == 0 {
-			if len(finals) == most {
+			if len(finals) == maxEnds {
 				continue
 			}
-			d.End, d.Tasks = j.finalStatus(), len(j.tasks)
-			finals = append(finals, finalWrites(j.id, d.End, d.Tasks, 0)[0])
-		} else if d = n.news(j); d.Empty() {
+			draft.End, draft.Tasks = j.finalStatus(), len(j.tasks)
+			finals = append(finals, finalWrites(j.id, draft.End, draft.Tasks, 0)[0])
+		} else if draft = n.unstoredChanges(j); draft.Empty() {
 			delete(n.dirty, j)
 			continue
 		}
-		if !w.Add(d) {
-			if d.End != "" {
+		if !writer.Add(draft) {
+			if draft.End != "" {
 				finals = finals[:len(finals)-1]
-			} else if len(a.jobs) == 0 {
-				n.saveWhatFitsNoEntry(c)
+			} else if len(pending.jobs) == 0 {
+				n.storeOversized(request)
 			}
 			break
 		}
@@ -468,44 +473,44 @@
 		for i := range j.tasks {
 			j.tasks[i].storing = j.tasks[i].outcome != outcomeNone
 		}
-		a.jobs = append(a.jobs, j)
+		pending.jobs = append(pending.jobs, j)
 	}
-	if len(a.jobs) == 0 {
+	if len(pending.jobs) == 0 {
 		return false
 	}
-	// What the jobs became before what their share's log says of it.
-	op.Writes = append(finals, storage.Write{Put: protocol.LogKey(s.index, slot), Value: mustJSON(w.Entry())})
-	to := n.backgroundCommitter
-	if a.pressing {
-		to = n.urgentCommitter
+	// The final records of jobs come before the log entry that ends them.
+	op.Writes = append(finals, storage.Write{Put: protocol.LogKey(partition.index, slot), Value: mustJSON(writer.Entry())})
+	committer := n.backgroundCommitter
+	if pending.urgent {
+		committer = n.urgentCommitter
 	}
-	s.pendingAppend, s.lastAppend = a, now
-	n.pendingWrites[to] += len(op.Writes)
+	partition.pendingAppend, partition.lastAppend = pending, now
+	n.pendingWrites[committer] += len(op.Writes)
 	op.Done = func(r storage.Result) {
 		n.post(func() {
-			n.pendingWrites[to] -= len(op.Writes)
-			n.appended(s, a, op, r)
+			n.pendingWrites[committer] -= len(op.Writes)
+			n.onAppended(partition, pending, op, r)
 		})
 	}
-	if !to.Submit(op) {
-		n.pendingWrites[to] -= len(op.Writes)
-		n.notAppended(s, a)
+	if !committer.Submit(op) {
+		n.pendingWrites[committer] -= len(op.Writes)
+		n.onAppendFailed(partition, pending)
 	}
-	n.metrics.entries.WithLabelValues("log").Observe(float64(len(a.jobs)))
+	n.metrics.entries.WithLabelValues("log").Observe(float64(len(pending.jobs)))
 	return true
 }
 
-// saveWhatFitsNoEntry stores a job in its own record: what is new of it does not fit beside what
-// an entry has to say again, and that does not become less with time.
-func (n *Node) saveWhatFitsNoEntry(c storeRequest) {
-	delete(n.dirty, c.job)
-	c.job.dirtySince = time.Time{}
-	n.storeJob(c.job, n.urgentCommitter, c.of)
+// storeOversized stores a job in its own record because its changes don't fit beside what the entry
+// must carry over. Waiting would not help, as that does not shrink with time.
+func (n *Node) storeOversized(request storeRequest) {
+	delete(n.dirty, request.job)
+	request.job.dirtySince = time.Time{}
+	n.storeJob(request.job, n.urgentCommitter, request.purpose)
 }
 
-// news is what of a job is not stored yet.
-func (n *Node) news(j *job) packed.Draft {
-	d := n.draft(j)
+// unstoredChanges drafts what is not stored yet of a job.
+func (n *Node) unstoredChanges(j *job) packed.Draft {
+	d := n.newDraft(j)
 	for i := range j.tasks {
 		switch t := &j.tasks[i]; {
 		case t.phase == phaseProposed:
@@ -519,13 +524,14 @@
 	return d
 }
 
-func (n *Node) draft(j *job) packed.Draft {
+// newDraft returns a draft of a job's part of an entry, without tasks.
+func (n *Node) newDraft(j *job) packed.Draft {
 	return packed.Draft{Part: protocol.Part{Job: j.id, Next: j.nextAttempt, Tries: j.failures.tries, Lost: j.history.lostRuns, LostMS: j.history.lastLostMS()}}
 }
 
-// said is what an entry says of a job that nothing later does, as it is stored now.
-func (n *Node) said(j *job, seq uint64) packed.Draft {
-	d := n.draft(j)
+// stateFromEntry drafts the stored state of a job's tasks whose latest state is in entry seq.
+func (n *Node) stateFromEntry(j *job, seq uint64) packed.Draft {
+	d := n.newDraft(j)
 	for i := range j.tasks {
 		t := &j.tasks[i]
 		if t.logSeq != seq || !t.fromLog {
@@ -543,14 +549,14 @@
 	return d
 }
 
-// maxConditions is how many conditions a transaction may have.
+// maxConditions returns how many conditions a transaction may have.
 func (n *Node) maxConditions() int { return 4 * n.cfg.Params.State.TxnOps }
 
-// unchangedRecords are the conditions that the own records of jobs that an entry says something
-// of again are as this node knows them. A record may be stored while the entry is under way,
-// and what the entry says again would count as later than that. Of a job that is over nothing
-// but its end can be stored, after which nothing counts.
-func (n *Node) unchangedRecords(carried []packed.Carried) []storage.Cond {
+// recordsUnchanged returns conditions that the own records of the carried-over jobs are as this node
+// knows them. A record may be stored while the entry is in flight, and what the entry carries over
+// would then count as later than that record. Jobs that have ended need no condition: nothing but
+// their end can be stored, and nothing counts after that.
+func (n *Node) recordsUnchanged(carried []packed.Carried) []storage.Cond {
 	conds := make([]storage.Cond, 0, len(carried))
 	for _, c := range carried {
 		if n.jobs[c.Job].remainingTasks() > 0 {
@@ -560,65 +566,65 @@
 	return conds
 }
 
-// carry says again what is still needed of the entry that the next one takes the place of, and
-// of which open jobs. If that is too much, or takes too many conditions, some jobs are folded
-// into records of their own first, and it returns false.
-func (n *Node) carry(s *partition, w *packed.Writer) ([]packed.Carried, bool) {
-	old := s.log.Old()
+// carryOver adds to the next entry what is still needed of the entry that it replaces, and returns the
+// open jobs concerned. If that takes too much space or too many conditions, it compacts some jobs into
+// records of their own first and returns false.
+func (n *Node) carryOver(partition *partition, writer *packed.Writer) ([]packed.Carried, bool) {
+	old := partition.log.Old()
 	if old == nil {
 		return nil, true
 	}
-	carried, fits := s.log.Carry(w, n.toldOf(s, old), func(id string, seq uint64) packed.Draft {
-		if j := n.jobs[id]; j != nil && j.partition == s.index {
-			return n.said(j, seq)
+	carried, fits := partition.log.Carry(writer, n.mayBeListedElsewhere(partition, old), func(id string, seq uint64) packed.Draft {
+		if j := n.jobs[id]; j != nil && j.partition == partition.index {
+			return n.stateFromEntry(j, seq)
 		}
 		return packed.Draft{}
 	})
-	room := int(carryPart * entryPart * 1024 * n.cfg.Params.State.ValueKB)
-	mostJobs := int(carryPart * float64(n.maxConditions()))
-	if fits && w.Size() <= room && len(carried) <= mostJobs {
+	maxSize := int(carryFill * entryFill * 1024 * n.cfg.Params.State.ValueKB)
+	maxJobs := int(carryFill * float64(n.maxConditions()))
+	if fits && writer.Size() <= maxSize && len(carried) <= maxJobs {
 		return carried, true
 	}
 	// The largest first.
 	slices.SortStableFunc(carried, func(a, b packed.Carried) int { return cmp.Compare(b.Size, a.Size) })
-	left, jobs, folded := w.Size(), len(carried), false
+	size, jobs, compacted := writer.Size(), len(carried), false
 	for _, c := range carried {
-		if left <= room/2 && jobs <= mostJobs/2 && fits {
+		if size <= maxSize/2 && jobs <= maxJobs/2 && fits {
 			break
 		}
-		// One that is over is not worth a record of its own.
+		// A job that has ended is not worth a record of its own.
 		if j := n.jobs[c.Job]; !j.writePending && j.remainingTasks() > 0 {
-			n.fold(j, old.Seq)
-			left -= c.Size
+			n.compactJob(j, old.Seq)
+			size -= c.Size
 			jobs--
-			folded = true
+			compacted = true
 		}
 	}
-	if !folded && (!fits || w.Size() > room) {
-		folded = n.foldEnded(carried, old.Seq)
+	if !compacted && (!fits || writer.Size() > maxSize) {
+		compacted = n.compactEnded(carried, old.Seq)
 	}
-	return carried, fits && !folded
+	return carried, fits && !compacted
 }
 
-// foldEnded stores jobs that are over, but not known to be to the store, in records of their
-// own: without them the next entry can be written, and they end with one after it. It takes more
-// than one change each, and is the last resort: if nothing else is left to be folded, no entry
-// could be written any more, and so no job of the share could end. It says whether it stores any.
-func (n *Node) foldEnded(carried []packed.Carried, seq uint64) (any bool) {
+// compactEnded stores jobs that have ended, but whose end is not stored yet, in records of their own.
+// Without them the next entry fits, and they end with a later one. It takes more than one change per
+// job and is the last resort: if nothing else is left to compact, no entry could be written any more,
+// so no job of the partition could end. It reports whether it stores any job.
+func (n *Node) compactEnded(carried []packed.Carried, seq uint64) (any bool) {
 	for _, c := range carried {
 		if j := n.jobs[c.Job]; !j.writePending && j.step == nil {
-			n.fold(j, seq)
+			n.compactJob(j, seq)
 			any = true
 		}
 	}
 	return any
 }
 
-// toldOf says whether a record of its own, or an inbox, tells of a job that has ended by an
-// entry. If what is stored is not known up to that entry, or can't be read, something may that
-// this node has not heard of.
-func (n *Node) toldOf(s *partition, e *protocol.Entry) func(id string) bool {
-	unknown := n.revisions[protocol.LogKey(s.index, int(e.Seq%uint64(ringSlots)))] > n.completeRevision
+// mayBeListedElsewhere returns a function that reports whether a job that an entry ended may still be
+// in a record of its own or in an inbox. If the stored state is not known up to that entry, or can't
+// be decoded, that is possible for any job.
+func (n *Node) mayBeListedElsewhere(partition *partition, e *protocol.Entry) func(id string) bool {
+	unknown := n.revisions[protocol.LogKey(partition.index, int(e.Seq%uint64(ringSlots)))] > n.completeRevision
 	return func(id string) bool {
 		_, head := n.packed.endedRecords[id]
 		_, unreadable := n.corruptKeys[protocol.JobKey(id)]
@@ -626,8 +632,9 @@
 	}
 }
 
-// fold stores a job in a record of its own, with all that an entry says of it (0: any).
-func (n *Node) fold(j *job, seq uint64) {
+// compactJob stores a job in a record of its own, with all that the entry seq contains of it (0: all
+// entries).
+func (n *Node) compactJob(j *job, seq uint64) {
 	for i := range j.tasks {
 		if j.tasks[i].logSeq == seq || seq == 0 && j.tasks[i].fromLog {
 			j.dirtyChunks[i/protocol.ChunkTasks] = true
@@ -638,20 +645,20 @@
 	n.storeJobAs(j, false, n.urgentCommitter, forCompaction)
 }
 
-// appended learns how an entry of a share's log ended.
-func (n *Node) appended(s *partition, a *logAppend, op *storage.Op, r storage.Result) {
+// onAppended handles the result of a log append.
+func (n *Node) onAppended(partition *partition, pending *logAppend, op *storage.Op, r storage.Result) {
 	if !r.OK {
 		n.metrics.stateCalls.WithLabelValues("refused").Inc()
-		n.log.Info("entry of a share's log refused", "share", s.index, "jobs", len(a.jobs), "failed", strings.Join(r.Failed, " "), "why", r.Err)
-		n.resync(r.Failed, func([]storage.Item, error) { n.notAppended(s, a) })
+		n.log.Info("partition log entry refused", "share", partition.index, "jobs", len(pending.jobs), "failed", strings.Join(r.Failed, " "), "why", r.Err)
+		n.resync(r.Failed, func([]storage.Item, error) { n.onAppendFailed(partition, pending) })
 		return
 	}
 	n.metrics.stateCalls.WithLabelValues("stored").Inc()
-	s.pendingAppend = nil
+	partition.pendingAppend = nil
 	for _, w := range op.Writes {
 		n.applyOwnWrite(w, r.Epoch)
 	}
-	for _, j := range a.jobs {
+	for _, j := range pending.jobs {
 		j.writePending = false
 		if n.jobs[j.id] != j {
 			n.onJobEnded(j)
@@ -661,9 +668,10 @@
 	}
 }
 
-func (n *Node) notAppended(s *partition, a *logAppend) {
-	s.pendingAppend = nil
-	for _, j := range a.jobs {
+// onAppendFailed marks the jobs of an entry that was not stored to be stored again.
+func (n *Node) onAppendFailed(partition *partition, pending *logAppend) {
+	partition.pendingAppend = nil
+	for _, j := range pending.jobs {
 		j.writePending = false
 		n.revertProposals(j)
 		if n.jobs[j.id] == j {
@@ -672,267 +680,268 @@
 	}
 }
 
-// submission is a job that is to be accepted with others.
+// submission is a job that is to be accepted in an entry with others.
 type submission struct {
 	spec           *protocol.JobSpec
 	receivedAt     time.Time
 	reply          chan<- answer
 	answerAsRepeat func(ifNew func())
-	tries          int
+	attempts       int
 }
 
-// mostAlone is how many changes that users wait for may be under way when one more is stored
-// alone: just fewer than those at which users are turned away (forWaiting). With 4 and with 10 a
-// few more submissions of a quiet day took over 200 ms: what is in entries costs changes later.
-const mostAlone = 14
+// maxSingleSubmissions is how many changes for users may be in flight when one more submission is
+// stored alone. It is just below the number at which users are rejected (forWaiting). With 4 and with
+// 10 a few more submissions of a quiet day took over 200 ms, as jobs in entries cost changes later.
+const maxSingleSubmissions = 14
 
-// shouldBatch says whether a submission is stored with others: changes are under way already, or
-// are short. That they are short shows only once the changes before have been sent: of a
-// wave that came within one turn of the actor the first 16 were stored alone and all others
-// turned away, every second anew (162 of 271 alone, 187 changes for 241 jobs).
+// shouldBatch reports whether a submission is stored in an entry with others: changes are in flight
+// already, or are scarce. That they are scarce shows only after the earlier changes were sent. Of a
+// burst that arrived within one run of the actor, the first 16 were therefore stored alone and all
+// others rejected, again every second (162 of 271 alone, 187 changes for 241 jobs).
 func (n *Node) shouldBatch() bool {
 	return n.mayWriteEntries() && n.inboxOf(n.cfg.Node).Whole() && !n.anyInboxUnreadable() &&
-		(n.packed.busy || len(n.packed.submissions) > 0 || n.pendingUserChanges >= mostAlone || !n.rateLimiter.Ample() || alwaysPack)
+		(n.packed.inboxWritePending || len(n.packed.submissions) > 0 || n.pendingUserChanges >= maxSingleSubmissions || !n.rateLimiter.Ample() || alwaysPack)
 }
 
-// submissionsPerEntry is about how many submissions fit one entry.
+// submissionsPerEntry estimates how many submissions fit into one entry.
 func (n *Node) submissionsPerEntry() int {
-	return max(1, min(int(n.cfg.Params.State.ValueKB*1024*entryPart/500), 2*n.cfg.Params.State.TxnOps-2))
+	return max(1, min(int(n.cfg.Params.State.ValueKB*1024*entryFill/500), 2*n.cfg.Params.State.TxnOps-2))
 }
 
-// inboxWrite is an entry of the own inbox that is being stored.
+// inboxWrite is an entry of this node's inbox that is being stored.
 type inboxWrite struct {
-	op      *storage.Op
-	batch   []*submission
-	sent    time.Time
-	settled bool // its submissions are answered, or wait for another entry
-	current bool // when it was sent, the replica had all that other nodes had accepted
+	op             *storage.Op
+	batch          []*submission
+	sentAt         time.Time
+	resolved       bool // its submissions are answered or wait for another entry
+	replicaCurrent bool // the replica had all that other nodes had accepted when it was sent
 }
 
-// flushInbox stores the submissions that wait in one entry.
+// flushInbox stores the waiting submissions in one entry.
 func (n *Node) flushInbox(now time.Time) {
 	p := &n.packed
-	n.giveUpSubmissions(now)
-	if w := p.write; p.busy && !w.settled && now.Sub(w.sent) >= n.resendDelay() {
-		n.lookForEntry(w, storage.Result{Err: storage.ErrUnknown})
+	n.expireSubmissions(now)
+	if write := p.lastInboxWrite; p.inboxWritePending && !write.resolved && now.Sub(write.sentAt) >= n.resendDelay() {
+		n.checkInboxWrite(write, storage.Result{Err: storage.ErrUnknown})
 	}
-	if p.busy || len(p.submissions) == 0 {
+	if p.inboxWritePending || len(p.submissions) == 0 {
 		return
 	}
 	if !n.mayWriteEntries() || n.anyInboxUnreadable() {
-		for _, x := range p.submissions {
-			x.reply <- busyAnswer
+		for _, sub := range p.submissions {
+			sub.reply <- busyAnswer
 		}
 		p.submissions = nil
 		return
 	}
 	own := n.inboxOf(n.cfg.Node)
-	w := packed.NewWriter(own, int(entryPart*1024*n.cfg.Params.State.ValueKB))
-	if !n.carryAccepted(own, w) {
+	writer := packed.NewWriter(own, int(entryFill*1024*n.cfg.Params.State.ValueKB))
+	if !n.carryOverAccepted(own, writer) {
 		return
 	}
 	slot, _ := own.Next()
 	op := &storage.Op{For: uint8(forSubmissions), Once: true, Conds: []storage.Cond{n.unchanged(protocol.InboxKey(n.cfg.Node, slot)), n.unchanged(protocol.FormatKey)}}
-	n.repeatKnown()
+	n.answerRepeated()
 	var batch []*submission
-	for _, x := range p.submissions {
-		if len(op.Conds)+2 > 4*n.cfg.Params.State.TxnOps || !w.Accept(protocol.Accepted{Spec: x.spec, SubmittedMS: x.receivedAt.UnixMilli()}) {
+	for _, sub := range p.submissions {
+		if len(op.Conds)+2 > 4*n.cfg.Params.State.TxnOps || !writer.Accept(protocol.Accepted{Spec: sub.spec, SubmittedMS: sub.receivedAt.UnixMilli()}) {
 			break
 		}
-		op.Conds = append(op.Conds, storage.Cond{Key: protocol.JobKey(x.spec.ID)}, storage.Cond{Key: protocol.FinalKey(x.spec.ID)})
-		batch = append(batch, x)
+		op.Conds = append(op.Conds, storage.Cond{Key: protocol.JobKey(sub.spec.ID)}, storage.Cond{Key: protocol.FinalKey(sub.spec.ID)})
+		batch = append(batch, sub)
 	}
 	if len(batch) == 0 {
 		return
 	}
 	p.submissions = p.submissions[len(batch):]
-	op.Writes = []storage.Write{{Put: protocol.InboxKey(n.cfg.Node, slot), Value: mustJSON(w.Entry())}}
-	p.busy = true
-	write := &inboxWrite{op: op, batch: batch, sent: now}
-	p.write = write
-	n.compareInboxes(write)
+	op.Writes = []storage.Write{{Put: protocol.InboxKey(n.cfg.Node, slot), Value: mustJSON(writer.Entry())}}
+	p.inboxWritePending = true
+	write := &inboxWrite{op: op, batch: batch, sentAt: now}
+	p.lastInboxWrite = write
+	n.checkReplicaCurrent(write)
 	n.pendingUserChanges++
 	op.Done = func(r storage.Result) {
 		n.post(func() {
 			n.pendingUserChanges--
-			n.accepted(write, r)
+			n.onInboxWritten(write, r)
 		})
 	}
 	if !n.userCommitter.Submit(op) {
 		n.pendingUserChanges--
-		p.busy = false
-		for _, x := range batch {
-			x.reply <- busyAnswer
+		p.inboxWritePending = false
+		for _, sub := range batch {
+			sub.reply <- busyAnswer
 		}
 	}
 	n.metrics.entries.WithLabelValues("inbox").Observe(float64(len(batch)))
 }
 
-// giveUpSubmissions answers users whose submissions have waited for an entry for too long.
-func (n *Node) giveUpSubmissions(now time.Time) {
+// expireSubmissions rejects submissions that have waited for an entry for too long.
+func (n *Node) expireSubmissions(now time.Time) {
 	p := &n.packed
-	p.submissions = slices.DeleteFunc(p.submissions, func(x *submission) bool {
-		if now.Sub(x.receivedAt) < submissionTimeout {
+	p.submissions = slices.DeleteFunc(p.submissions, func(sub *submission) bool {
+		if now.Sub(sub.receivedAt) < submissionTimeout {
 			return false
 		}
 		n.metrics.guardRefusals.WithLabelValues("change_unanswered").Inc()
-		x.reply <- busyAnswer
+		sub.reply <- busyAnswer
 		return true
 	})
 }
 
-// repeatKnown answers submissions of jobs that are stored by now, as repeated ones: an earlier
-// entry with them was executed after all.
-func (n *Node) repeatKnown() {
+// answerRepeated answers submissions of jobs that are stored by now as repeated ones: an earlier entry
+// with them was executed after all.
+func (n *Node) answerRepeated() {
 	p := &n.packed
-	p.submissions = slices.DeleteFunc(p.submissions, func(x *submission) bool {
-		if !n.knows(x.spec.ID) {
+	p.submissions = slices.DeleteFunc(p.submissions, func(sub *submission) bool {
+		if !n.inReplica(sub.spec.ID) {
 			return false
 		}
-		x.answerAsRepeat(func() { x.reply <- busyAnswer })
+		sub.answerAsRepeat(func() { sub.reply <- busyAnswer })
 		return true
 	})
 }
 
-// knows says whether the replica has a job of this id, open or ended.
-func (n *Node) knows(id string) bool {
+// inReplica reports whether the replica has a job or ticket with this id, open or ended.
+func (n *Node) inReplica(id string) bool {
 	_, final := n.finalJobs.byID[id]
 	return final || n.jobs[id] != nil || n.tickets.byID[id] != nil
 }
 
-// accepted learns how an entry with submissions ended.
-func (n *Node) accepted(w *inboxWrite, r storage.Result) {
+// onInboxWritten handles the result of writing an entry with submissions.
+func (n *Node) onInboxWritten(w *inboxWrite, r storage.Result) {
 	if r.Err == nil {
-		n.userChangeLatency.Observe(time.Since(w.sent))
+		n.userChangeLatency.Observe(time.Since(w.sentAt))
 	}
 	if r.OK {
 		n.applyOwnWrite(w.op.Writes[0], r.Epoch)
 	}
-	if w.settled {
+	if w.resolved {
 		return
 	}
 	if !r.OK {
-		n.lookForEntry(w, r)
+		n.checkInboxWrite(w, r)
 		return
 	}
-	w.settled = true
-	n.packed.busy = false
-	n.packed.stored = append(n.packed.stored, storedBatch{write: w, revision: r.Epoch, until: time.Now().Add(maxQueueWait)})
+	w.resolved = true
+	n.packed.inboxWritePending = false
+	n.packed.unconfirmed = append(n.packed.unconfirmed, unconfirmedBatch{write: w, revision: r.Epoch, deadline: time.Now().Add(maxQueueWait)})
 }
 
-// lookForEntry reads what kept an entry from being stored. Without an answer that is the slot
-// itself: the entry may be stored all the same, or later. Then its jobs wait for another entry
-// on the same condition, which only one of the two can meet.
-func (n *Node) lookForEntry(w *inboxWrite, r storage.Result) {
-	w.settled = true
+// checkInboxWrite reads the keys whose conditions failed. Without an answer it reads the slot itself:
+// the entry may be stored, or may still be stored later. Its jobs then wait for another entry on the
+// same condition, which only one of the two entries can meet.
+func (n *Node) checkInboxWrite(w *inboxWrite, r storage.Result) {
+	w.resolved = true
 	if r.Err != nil {
 		r.Failed = []string{w.op.Writes[0].Put}
 	}
-	n.log.Info("entry of the inbox not stored, or not known to be", "jobs", len(w.batch), "failed", strings.Join(r.Failed, " "), "why", r.Err)
+	n.log.Info("inbox entry not stored, or its result is unknown", "jobs", len(w.batch), "failed", strings.Join(r.Failed, " "), "why", r.Err)
 	if errors.Is(r.Err, storage.ErrRefused) {
-		n.packed.busy = false
-		for _, x := range w.batch {
-			x.reply <- busyAnswer
+		n.packed.inboxWritePending = false
+		for _, sub := range w.batch {
+			sub.reply <- busyAnswer
 		}
 		return
 	}
 	n.resync(r.Failed, func([]storage.Item, error) {
-		n.packed.busy = false
-		n.acceptAgain(w.batch, r.Failed)
+		n.packed.inboxWritePending = false
+		n.requeueSubmissions(w.batch, r.Failed)
 	})
 }
 
-// acceptAgain puts submissions whose entry is not known to be stored into the next one, but
-// those of which something is stored by now: they are answered as repeated ones.
-func (n *Node) acceptAgain(batch []*submission, failed []string) {
-	var again []*submission
-	for _, x := range batch {
-		id := x.spec.ID
-		x.tries++
+// requeueSubmissions moves submissions whose entry is not known to be stored to the next one. Those of
+// which something is stored by now are answered as repeated ones.
+func (n *Node) requeueSubmissions(batch []*submission, failed []string) {
+	var retry []*submission
+	for _, sub := range batch {
+		id := sub.spec.ID
+		sub.attempts++
 		switch {
-		case n.knows(id) || slices.Contains(failed, protocol.JobKey(id)) || slices.Contains(failed, protocol.FinalKey(id)):
-			x.answerAsRepeat(func() { x.reply <- busyAnswer })
-		case x.tries > 3 || !n.mayWriteEntries():
-			x.reply <- busyAnswer
+		case n.inReplica(id) || slices.Contains(failed, protocol.JobKey(id)) || slices.Contains(failed, protocol.FinalKey(id)):
+			sub.answerAsRepeat(func() { sub.reply <- busyAnswer })
+		case sub.attempts > 3 || !n.mayWriteEntries():
+			sub.reply <- busyAnswer
 		default:
-			again = append(again, x)
+			retry = append(retry, sub)
 		}
 	}
-	n.packed.submissions = append(again, n.packed.submissions...)
+	n.packed.submissions = append(retry, n.packed.submissions...)
 }
 
-// compareInboxes finds out, while an entry is being stored, whether the replica has all that
-// other nodes have accepted; if not, the watch is to tell.
-func (n *Node) compareInboxes(w *inboxWrite) {
-	own, _ := n.inboxOf(n.cfg.Node).Next()
-	conds := slices.DeleteFunc(n.inboxUnchangedConds(), func(c storage.Cond) bool { return c.Key == protocol.InboxKey(n.cfg.Node, own) })
+// checkReplicaCurrent checks, while an entry is being stored, whether the replica has all that
+// other nodes have accepted. If not, it wakes the watch.
+func (n *Node) checkReplicaCurrent(w *inboxWrite) {
+	ownSlot, _ := n.inboxOf(n.cfg.Node).Next()
+	conds := slices.DeleteFunc(n.inboxUnchangedConds(), func(c storage.Cond) bool { return c.Key == protocol.InboxKey(n.cfg.Node, ownSlot) })
 	n.spawn(func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, statusread.Patience)
 		defer cancel()
 		ok, _, _, err := n.store.Txn(ctx, conds, nil)
 		n.post(func() {
-			w.current = ok && err == nil
-			if !w.current {
+			w.replicaCurrent = ok && err == nil
+			if !w.replicaCurrent {
 				n.wakeWatch()
 			}
 		})
 	})
 }
 
-// storedBatch are submissions that were stored in an entry of the inbox at a revision. Another
+// unconfirmedBatch is a batch of submissions that was stored in an inbox entry at a revision. Another
 // node may have accepted one of them before.
-type storedBatch struct {
+type unconfirmedBatch struct {
 	write    *inboxWrite
 	revision uint64
-	until    time.Time // when their users are told to come back instead
+	deadline time.Time // when their users are told to retry instead
 }
 
-// knownBefore says whether the replica has all that other nodes had stored when the last of the
-// submissions came: who was told before then that one of them is accepted, was told of an entry
-// that is known. It has if it was compared with the store after that, if it is complete up to
-// the revision of their own entry, or if a watch that was sent after they came was answered.
-func (b *storedBatch) knownBefore(complete time.Time, caught uint64) bool {
-	return b.write.current || caught >= b.revision ||
-		!slices.ContainsFunc(b.write.batch, func(x *submission) bool { return complete.Before(x.receivedAt) })
+// safeToConfirm reports whether the replica has all that other nodes had stored when the last of the
+// submissions arrived. If another node told a user before then that one of these jobs is accepted,
+// the replica has that entry. It holds if the replica was compared with the state service after that
+// time, is complete up to the revision of the batch's entry, or was brought up to date by a watch
+// request sent after the submissions arrived.
+func (b *unconfirmedBatch) safeToConfirm(completeAt time.Time, completeRevision uint64) bool {
+	return b.write.replicaCurrent || completeRevision >= b.revision ||
+		!slices.ContainsFunc(b.write.batch, func(sub *submission) bool { return completeAt.Before(sub.receivedAt) })
 }
 
-// confirmAccepted tells users that their jobs are accepted, once all that was stored before they
-// asked is known. The entry itself could have conditions on the next slots of all other inboxes
-// instead; in a wave, when all nodes write entries all the time, most would fail on it, and
-// failed ones count against the rate of changes.
+// confirmAccepted tells users that their jobs are accepted once the replica has everything that was
+// stored before they asked. The entry itself could instead have conditions on the next slots of all
+// other inboxes. But during a burst, when all nodes keep writing entries, most would fail on these
+// conditions, and failed transactions count against the rate of changes.
 func (n *Node) confirmAccepted(now time.Time) {
 	p := &n.packed
-	kept := p.stored[:0]
-	for _, b := range p.stored {
-		known := b.knownBefore(n.completeAt, n.completeRevision)
-		if !known && now.Before(b.until) {
+	kept := p.unconfirmed[:0]
+	for _, b := range p.unconfirmed {
+		safe := b.safeToConfirm(n.completeAt, n.completeRevision)
+		if !safe && now.Before(b.deadline) {
 			kept = append(kept, b)
 			continue
 		}
-		for _, x := range b.write.batch {
-			n.confirm(x, known)
+		for _, sub := range b.write.batch {
+			n.confirmSubmission(sub, safe)
 		}
 	}
-	clear(p.stored[len(kept):])
-	p.stored = kept
+	clear(p.unconfirmed[len(kept):])
+	p.unconfirmed = kept
 }
 
-// confirm tells the user of a stored submission that the job is accepted, or how it is if
-// another node has accepted it too; known says whether that can be told.
-func (n *Node) confirm(x *submission, known bool) {
+// confirmSubmission answers a stored submission: the job is accepted or, if another node accepted it
+// too, in its present state. safe is false if neither can be told yet.
+func (n *Node) confirmSubmission(sub *submission, safe bool) {
 	switch {
-	case !known:
-		x.reply <- busyAnswer
-	case n.acceptedHereAlone(x.spec.ID):
-		n.log.Debug("job accepted", "job", x.spec.ID, "class", x.spec.Class, "tasks", x.spec.Tasks, "took_s", time.Since(x.receivedAt).Seconds())
-		x.reply <- answer{status: 201, body: protocol.JobStatus{ID: x.spec.ID, Status: protocol.JobQueued}}
+	case !safe:
+		sub.reply <- busyAnswer
+	case n.acceptedOnlyHere(sub.spec.ID):
+		n.log.Debug("job accepted", "job", sub.spec.ID, "class", sub.spec.Class, "tasks", sub.spec.Tasks, "took_s", time.Since(sub.receivedAt).Seconds())
+		sub.reply <- answer{status: 201, body: protocol.JobStatus{ID: sub.spec.ID, Status: protocol.JobQueued}}
 	default:
-		x.answerAsRepeat(func() { x.reply <- busyAnswer })
+		sub.answerAsRepeat(func() { sub.reply <- busyAnswer })
 	}
 }
 
-// acceptedHereAlone says whether a job is in the inbox of this node and nowhere else.
-func (n *Node) acceptedHereAlone(id string) bool {
+// acceptedOnlyHere reports whether a job is in this node's inbox and stored nowhere else.
+func (n *Node) acceptedOnlyHere(id string) bool {
 	if j := n.jobs[id]; j == nil || j.hasRecord {
 		return false
 	}
@@ -944,104 +953,105 @@
 	return true
 }
 
-// carryAccepted says again which jobs of the entry that the next one takes the place of are
-// open and in no record of their own. If these are too many, some get one first, and it
-// returns false.
-func (n *Node) carryAccepted(own *packed.Ring, w *packed.Writer) bool {
+// carryOverAccepted adds to the next inbox entry the jobs of the entry that it replaces that are open
+// and have no record of their own. If these are too many, some are given records first, and it returns
+// false.
+func (n *Node) carryOverAccepted(own *packed.Ring, w *packed.Writer) bool {
 	carried, fits := own.CarryAccepted(w, func(a protocol.Accepted) bool {
 		j := n.jobs[a.Spec.ID]
 		_, known := n.teamIndex[a.Spec.Team]
 		return !known || j != nil && !j.hasRecord
 	})
-	if fits && w.Size() <= int(carryPart*entryPart*1024*n.cfg.Params.State.ValueKB) {
+	if fits && w.Size() <= int(carryFill*entryFill*1024*n.cfg.Params.State.ValueKB) {
 		return true
 	}
-	if n.packed.folding == 0 {
+	if n.packed.pendingCompactions == 0 {
 		for _, id := range carried[:(len(carried)+1)/2] {
 			if j := n.jobs[id]; j != nil {
-				n.foldAccepted(j)
+				n.compactAccepted(j)
 			}
 		}
 	}
 	return false
 }
 
-// foldAccepted gives a job that is in an inbox a record of its own. Any node may: it says
-// up to which entry of the share's log it is true.
-func (n *Node) foldAccepted(j *job) {
-	n.packed.folding++
+// compactAccepted stores a job that is in an inbox in a record of its own. Any node may do that, as
+// the record names the entry of the partition's log up to which it is complete.
+func (n *Node) compactAccepted(j *job) {
+	n.packed.pendingCompactions++
 	n.submit(&storage.Op{For: uint8(forCompaction), Conds: n.stillOpen(j.id),
-		Writes: []storage.Write{{Put: protocol.JobKey(j.id), Value: mustJSON(n.storedRecordAtLog(j))}}}, func(storage.Result) { n.packed.folding-- })
+		Writes: []storage.Write{{Put: protocol.JobKey(j.id), Value: mustJSON(n.storedRecordAtLog(j))}}}, func(storage.Result) { n.packed.pendingCompactions-- })
 }
 
-// mostTidied is how many records of jobs that have ended, or jobs in entries that are not to be
-// there, are seen to in one go.
-const mostTidied = 4
+// maxCleanups is how many records of ended jobs, or jobs that must leave the entries, are handled in
+// one run.
+const maxCleanups = 4
 
-// removeLeftovers removes what is left of jobs that have ended, when changes are ample or too much is
-// left; and, where entries may not be written any more, gives the jobs in them records of
-// their own and empties the slots.
+// removeLeftovers removes what ended jobs left in the state service, when the rate limit has reserve
+// or too much is left. If entries may not be written any more, it also gives the jobs in them records
+// of their own and empties the slots.
 func (n *Node) removeLeftovers(now time.Time) {
 	p := &n.packed
-	if !n.loaded || n.sinceContact(now) > 2*time.Second || now.Sub(p.swept) < 200*time.Millisecond {
+	if !n.loaded || n.sinceContact(now) > 2*time.Second || now.Sub(p.lastCleanup) < 200*time.Millisecond {
 		return
 	}
-	p.swept = now
+	p.lastCleanup = now
 	if ample := n.rateLimiter.Ample() && n.pendingUserChanges == 0; ample || len(p.endedRecords) > 3*ringSlots {
-		n.removeHeads()
+		n.removeEndedRecords()
 	}
 	if !p.format.Packed && n.mayHaveEntries() && n.pendingUserChanges == 0 {
-		n.unpack(now)
+		n.unpackEntries(now)
 	}
 }
 
-func (n *Node) removeHeads() {
-	c := 0
-	for id, share := range n.packed.endedRecords {
-		if !n.owns(n.partitions[share]) || n.revisionOf(protocol.JobKey(id)) == 0 {
+// removeEndedRecords deletes some records of ended jobs in owned partitions.
+func (n *Node) removeEndedRecords() {
+	removed := 0
+	for id, partition := range n.packed.endedRecords {
+		if !n.owns(n.partitions[partition]) || n.revisionOf(protocol.JobKey(id)) == 0 {
 			continue
 		}
-		if c++; c > mostTidied {
+		if removed++; removed > maxCleanups {
 			return
 		}
-		n.submitTo(n.backgroundCommitter, &storage.Op{For: uint8(forCompaction), Conds: []storage.Cond{n.unchanged(protocol.HolderKey(share)), n.unchanged(protocol.JobKey(id))},
+		n.submitTo(n.backgroundCommitter, &storage.Op{For: uint8(forCompaction), Conds: []storage.Cond{n.unchanged(protocol.HolderKey(partition)), n.unchanged(protocol.JobKey(id))},
 			Writes: []storage.Write{{Delete: protocol.JobKey(id)}}}, func(storage.Result) {})
 	}
 }
 
-// unpack is done where entries were written and may not be any more.
-func (n *Node) unpack(now time.Time) {
+// unpackEntries moves jobs out of entries that were written and may not be used any more.
+func (n *Node) unpackEntries(now time.Time) {
 	p := &n.packed
-	c := 0
-	for _, s := range n.partitions {
-		if !n.owns(s) || s.pendingAppend != nil || !s.log.Whole() {
+	compacted := 0
+	for _, partition := range n.partitions {
+		if !n.owns(partition) || partition.pendingAppend != nil || !partition.log.Whole() {
 			continue
 		}
-		left := false
-		for _, j := range s.jobs {
+		remaining := false
+		for _, j := range partition.jobs {
 			if !n.dependsOnEntries(j) {
 				continue
 			}
-			left = true
-			if c < mostTidied && !j.writePending && j.remainingTasks() > 0 {
-				c++
+			remaining = true
+			if compacted < maxCleanups && !j.writePending && j.remainingTasks() > 0 {
+				compacted++
 				j.dirtyChunks[0] = true
-				n.fold(j, 0)
+				n.compactJob(j, 0)
 			}
 		}
-		if left || s.log.Empty() {
+		if remaining || partition.log.Empty() {
 			continue
 		}
-		// Nothing in it is needed but that jobs have ended of which a record or an inbox
-		// still tells.
-		n.emptySlots(s.log, func(slot int) string { return protocol.LogKey(s.index, slot) }, func(e *protocol.Entry) bool {
-			told := n.toldOf(s, e)
-			return slices.ContainsFunc(e.Parts, func(x protocol.Part) bool { return x.End != "" && told(x.Job) })
-		}, n.unchanged(protocol.HolderKey(s.index)))
+		// All that may still be needed in it are the ends of jobs that a record or an inbox
+		// still lists.
+		n.emptySlots(partition.log, func(slot int) string { return protocol.LogKey(partition.index, slot) }, func(e *protocol.Entry) bool {
+			listed := n.mayBeListedElsewhere(partition, e)
+			return slices.ContainsFunc(e.Parts, func(x protocol.Part) bool { return x.End != "" && listed(x.Job) })
+		}, n.unchanged(protocol.HolderKey(partition.index)))
 	}
 	for node, r := range p.inboxes {
-		_, lives := n.liveNodes[node]
-		if node != n.cfg.Node && (lives || !n.isLeader()) || r.Empty() {
+		_, live := n.liveNodes[node]
+		if node != n.cfg.Node && (live || !n.isLeader()) || r.Empty() {
 			continue
 		}
 		n.emptySlots(r, func(slot int) string { return protocol.InboxKey(node, slot) }, func(e *protocol.Entry) bool {
@@ -1051,25 +1061,25 @@
 			})
 		})
 	}
-	n.removeHeads()
+	n.removeEndedRecords()
 }
 
-// emptySlots writes the first entries of a ring in which nothing is needed anew, with their
-// number and nothing else.
-func (n *Node) emptySlots(r *packed.Ring, key func(slot int) string, needed func(e *protocol.Entry) bool, also ...storage.Cond) {
-	c := 0
+// emptySlots overwrites the first entries of a ring of which nothing is needed with empty entries of
+// the same number.
+func (n *Node) emptySlots(r *packed.Ring, key func(slot int) string, needed func(e *protocol.Entry) bool, extra ...storage.Cond) {
+	emptied := 0
 	r.Entries(func(e *protocol.Entry) {
-		if len(e.Parts)+len(e.Jobs) == 0 || needed(e) || c == mostTidied {
+		if len(e.Parts)+len(e.Jobs) == 0 || needed(e) || emptied == maxCleanups {
 			return
 		}
-		c++
-		k := key(int(e.Seq % uint64(ringSlots)))
-		n.submitTo(n.backgroundCommitter, &storage.Op{For: uint8(forCompaction), Conds: append([]storage.Cond{n.unchanged(k)}, also...),
-			Writes: []storage.Write{{Put: k, Value: mustJSON(protocol.Entry{Version: protocol.EntryVersion, Seq: e.Seq})}}}, func(storage.Result) {})
+		emptied++
+		slotKey := key(int(e.Seq % uint64(ringSlots)))
+		n.submitTo(n.backgroundCommitter, &storage.Op{For: uint8(forCompaction), Conds: append([]storage.Cond{n.unchanged(slotKey)}, extra...),
+			Writes: []storage.Write{{Put: slotKey, Value: mustJSON(protocol.Entry{Version: protocol.EntryVersion, Seq: e.Seq})}}}, func(storage.Result) {})
 	})
 }
 
-// dependsOnEntries says whether entries tell of a job what its own record does not.
+// dependsOnEntries reports whether entries contain something of a job that its own record lacks.
 func (n *Node) dependsOnEntries(j *job) bool {
 	return !j.hasRecord || slices.ContainsFunc(j.tasks, func(t task) bool { return t.fromLog })
 }
