--- a/internal/coordination/node/budget.go
+++ b/internal/coordination/node/budget.go
@@ -7,18 +7,18 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// What this program takes, measured on one node that serves a whole fleet.
+// Resources that this program needs, measured on one node that serves a whole fleet.
 const (
-	baseMB       = 25.0    // without connections and jobs
-	machineMB    = 0.06    // a machine's connection and state
-	spareSockets = 200     // users, health checks, siblings, the store, the cloud
-	reportS      = 0.00025 // processor time of a report with its answer
-	reportPart   = 0.8     // of the processor time that reports may take
+	baseMB           = 25.0    // without connections and jobs
+	machineMB        = 0.06    // a machine's connection and state
+	otherSockets     = 200     // users, health checks, peers, the state service, the cloud
+	reportCPUSeconds = 0.00025 // CPU time for a report and its answer
+	reportCPUPart    = 0.8     // part of the CPU time that reports may use
 )
 
-// Shortages says what of the settings is too little for the machines that the
-// guarantees ask for, should this node be the only one left. The service keeps
-// the rules all the same; it is slower, or machines lose their leases.
+// Shortages returns the settings that are too small for the machines that the guarantees need, should
+// this node be the only one left. The service then still keeps its rules, but it is slower, or
+// machines lose their leases.
 func Shortages(cfg *protocol.Settings, types []protocol.MachineType) []string {
 	machines := 0.0
 	for _, t := range cfg.Params.Teams {
@@ -44,8 +44,8 @@
 		}
 	}
 	q := cfg.Params.Quota
-	short("fd_limit", float64(q.FDLimit), machines+spareSockets)
+	short("fd_limit", float64(q.FDLimit), machines+otherSockets)
 	short("memory_mb", q.MemoryMB, baseMB+machineMB*machines)
-	short("cores", q.Cores, machines/cfg.Params.Workers.ReportS*reportS/reportPart)
+	short("cores", q.Cores, machines/cfg.Params.Workers.ReportS*reportCPUSeconds/reportCPUPart)
 	return out
 }
--- a/internal/coordination/node/corrupt.go
+++ b/internal/coordination/node/corrupt.go
@@ -5,26 +5,26 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-// A stored value that can't be decoded, or that can't be true, proves nothing: not that a job
-// has ended, that a machine has gone, or that a share has no holder. What was known of the key
-// stays, with the stamp that it had, so that whatever is decided on it fails on its condition;
-// and nothing is tried that would fail again and again. It ends when a value comes that can be
-// read. (Entries of logs and inboxes: see packed.go.)
+// A stored value that can't be decoded, or that is invalid, proves nothing: not that a job has
+// ended, that a machine is gone, or that a partition has no owner. What was known of the key stays,
+// with its old revision, so that any change based on it fails on its condition; and no change is
+// attempted that would fail again and again. That ends when a readable value is stored. For entries
+// of logs and inboxes see packed.go.
 
-// checkedRecord is a record that says whether it can be true.
+// checkedRecord is a record that can validate itself.
 type checkedRecord interface{ Check() error }
 
-// markCorrupt notes a value that is not understood, once.
+// markCorrupt records and logs a value that can't be decoded, once per revision.
 func (n *Node) markCorrupt(it storage.Item, err error) {
 	if n.corruptKeys[it.Key] == it.Stamp {
 		return
 	}
 	n.corruptKeys[it.Key] = it.Stamp
 	n.metrics.guardRefusals.WithLabelValues("corrupt_record").Inc()
-	n.log.Error("stored value not understood: what was known of it stays, and nothing is stored for it", "key", it.Key, "stamp", it.Stamp, "known_stamp", n.revisions[it.Key], "why", err)
+	n.log.Error("stored value not understood: the known state is kept, and changes that depend on it are paused", "key", it.Key, "stamp", it.Stamp, "known_stamp", n.revisions[it.Key], "why", err)
 }
 
-// hasCorruptRecord says so of a job's own record.
+// hasCorruptRecord reports whether a stored record of a job can't be decoded.
 func (n *Node) hasCorruptRecord(j *job) bool {
 	if len(n.corruptKeys) == 0 {
 		return false
@@ -40,17 +40,18 @@
 	return false
 }
 
-// mayBeInCorruptValue says whether a task that this node does not know may be stored in a value that it
-// can't read.
+// mayBeInCorruptValue reports whether a task that this node does not know may be stored in a value
+// that it can't decode.
 func (n *Node) mayBeInCorruptValue(id string, task int) bool {
 	_, head := n.corruptKeys[protocol.JobKey(id)]
 	_, chunk := n.corruptKeys[protocol.ChunkKey(id, task/protocol.ChunkTasks)]
 	return head || chunk || n.anyInboxUnreadable()
 }
 
-// hasCorruptOwner says so of what a share is taken by.
-func (n *Node) hasCorruptOwner(s *partition) bool {
-	_, holder := n.corruptKeys[protocol.HolderKey(s.index)]
+// hasCorruptOwner reports whether the owner record of a partition, or the token counter that is
+// needed to take it, can't be decoded.
+func (n *Node) hasCorruptOwner(partition *partition) bool {
+	_, owner := n.corruptKeys[protocol.HolderKey(partition.index)]
 	_, counter := n.corruptKeys[protocol.CounterKey]
-	return holder || counter
+	return owner || counter
 }
--- a/internal/coordination/node/metrics.go
+++ b/internal/coordination/node/metrics.go
@@ -6,8 +6,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics are the node's figures for Prometheus. Labels are bounded: classes
-// are those of the objectives, and "other".
+// Metrics are the node's Prometheus metrics. The number of label values is bounded: classes are
+// those of the objectives, and "other".
 type Metrics struct {
 	Registry        *prometheus.Registry
 	accept          prometheus.Histogram
@@ -67,13 +67,15 @@
 	return m
 }
 
-func (m *Metrics) classLabel(c string) string {
-	if m.classes[c] {
-		return c
+// classLabel returns the label for a job class.
+func (m *Metrics) classLabel(class string) string {
+	if m.classes[class] {
+		return class
 	}
 	return "other"
 }
 
+// callOutcome returns the label for the result of a call.
 func callOutcome(err error) string {
 	if err != nil {
 		return "failed"
@@ -81,7 +83,7 @@
 	return "ok"
 }
 
-// observeSince observes a time from t until now, if t is known.
+// observeSince observes the time from t until now, if t is known.
 func observeSince(h prometheus.Observer, t, now time.Time) {
 	if !t.IsZero() {
 		h.Observe(max(0, now.Sub(t).Seconds()))
--- a/internal/coordination/node/replica.go
+++ b/internal/coordination/node/replica.go
@@ -18,52 +18,55 @@
 )
 
 const (
-	// longWatchTimeout is how long a watch waits for changes, and watchOften the same where it
-	// matters when this node last knew all that was stored (mayAnswer).
+	// longWatchTimeout is how long a watch request waits for changes. shortWatchTimeout is used
+	// instead while leases may be extended only for a limited time after the replica was last known
+	// to be complete (mayExtendLeases).
 	longWatchTimeout  = 10 * time.Second
 	shortWatchTimeout = time.Second
 )
 
 const (
-	// watchPause bundles changes, so that a busy store costs few watch requests.
+	// watchPause is the pause between two watch requests. It collects changes, so that a busy
+	// state service costs few requests.
 	watchPause = 120 * time.Millisecond
-	// watchRetry is how long after a watch that failed the next one is asked.
+	// watchRetry is the pause after a watch request that failed.
 	watchRetry = 300 * time.Millisecond
 )
 
-// maintainReplica reads everything once and then follows the watch.
+// maintainReplica lists all keys once and then follows the watch. It lists again if the watch can't
+// go on because its revision was compacted.
 func (n *Node) maintainReplica(ctx context.Context) {
-	var since uint64
-	fresh := true
+	var revision uint64
+	mustList := true
 	for ctx.Err() == nil {
 		var err error
 		sent := time.Now()
-		if fresh {
+		if mustList {
 			var items []storage.Item
-			if items, since, err = n.store.List(ctx, protocol.Root); err == nil {
-				fresh = false
-				first := since
+			if items, revision, err = n.store.List(ctx, protocol.Root); err == nil {
+				mustList = false
+				first := revision
 				n.post(func() { n.applyListing(items, first); n.completeAt = latest(n.completeAt, sent) })
 			}
 		} else {
 			var items []storage.Item
-			var epoch uint64
-			n.forgetCatchUp() // this watch tells all that was stored before it was sent
-			items, epoch, err = n.store.Watch(ctx, protocol.Root, since, time.Duration(n.watchTimeout.Load()))
+			var watched uint64
+			n.clearWatchWake() // this request returns all that was stored before it was sent
+			items, watched, err = n.store.Watch(ctx, protocol.Root, revision, time.Duration(n.watchTimeout.Load()))
 			switch {
 			case errors.Is(err, storage.ErrCompacted):
-				fresh, err = true, nil
+				mustList, err = true, nil
 			case err == nil:
-				since = epoch
-				n.post(func() { n.applyWatch(items, epoch); n.completeAt = latest(n.completeAt, sent) })
+				revision = watched
+				n.post(func() { n.applyWatch(items, watched); n.completeAt = latest(n.completeAt, sent) })
 			}
 		}
 		n.awaitNextWatch(ctx, err)
 	}
 }
 
-// awaitNextWatch waits until the watch is to be asked again: after its pause, or at once if
-// something waits for what it tells.
+// awaitNextWatch waits until the next watch request is due: after the pause, or at once if wakeWatch
+// was called.
 func (n *Node) awaitNextWatch(ctx context.Context, failed error) {
 	if failed != nil {
 		select {
@@ -79,8 +82,8 @@
 	}
 }
 
-// wakeWatch ends the pause of the watch: a user, or a share that this node has just acquired,
-// waits for all that was stored up to a revision.
+// wakeWatch ends the pause between watch requests. It is used when a user, or a partition that this
+// node has just acquired, waits for all that was stored up to a revision.
 func (n *Node) wakeWatch() {
 	select {
 	case n.watchWake <- struct{}{}:
@@ -88,15 +91,15 @@
 	}
 }
 
-// forgetCatchUp drops a wish to end the pause of the watch.
-func (n *Node) forgetCatchUp() {
+// clearWatchWake drops a pending wakeWatch.
+func (n *Node) clearWatchWake() {
 	select {
 	case <-n.watchWake:
 	default:
 	}
 }
 
-// applyListing takes in a full listing whose first page is of revision first.
+// applyListing applies a full listing. first is the revision of its first page.
 func (n *Node) applyListing(items []storage.Item, first uint64) {
 	present := make(map[string]bool, len(items))
 	for _, it := range items {
@@ -105,8 +108,8 @@
 	for _, it := range logsLast(items) {
 		n.applyItem(it)
 	}
-	for key, st := range n.revisions {
-		if !present[key] && st <= first {
+	for key, revision := range n.revisions {
+		if !present[key] && revision <= first {
 			n.applyItem(storage.Item{Key: key, Stamp: first})
 		}
 	}
@@ -121,16 +124,16 @@
 		if n.OnLoaded != nil {
 			n.OnLoaded()
 		}
-		for _, s := range n.partitions {
-			s.vacantSince = now
+		for _, partition := range n.partitions {
+			partition.vacantSince = now
 		}
 		n.log.Info("replica loaded", "jobs", len(n.jobs), "machines", len(n.machines), "revision", first)
 	}
 	n.replan = true
 }
 
-// logsLast orders what was listed: jobs' own records and all else, what nodes accepted, and
-// the entries of shares' logs.
+// logsLast orders a listing: first jobs' own records and everything else, then inbox entries, then
+// the entries of the partitions' logs.
 func logsLast(items []storage.Item) []storage.Item {
 	rank := func(it storage.Item) int {
 		switch {
@@ -148,25 +151,26 @@
 	return out
 }
 
-// applyWatch takes in changes up to a revision.
-func (n *Node) applyWatch(items []storage.Item, epoch uint64) {
+// applyWatch applies the changes of a watch response, up to its revision.
+func (n *Node) applyWatch(items []storage.Item, revision uint64) {
 	for _, it := range items {
 		n.applyItem(it)
 	}
-	atomic.StoreUint64(&n.replicaRevision, epoch)
-	n.advanceReplica(epoch)
-	// Deletions older than what the watch has delivered cannot be contradicted
-	// by a late event any more.
+	atomic.StoreUint64(&n.replicaRevision, revision)
+	n.advanceReplica(revision)
+	// No late event can contradict a deletion that is older than what the watch has
+	// delivered, so its tombstone is not needed any more.
 	for key := range n.tombstones {
 		if n.keyExists(key) {
 			delete(n.tombstones, key)
-		} else if n.revisions[key] <= epoch {
+		} else if n.revisions[key] <= revision {
 			delete(n.tombstones, key)
 			delete(n.revisions, key)
 		}
 	}
 }
 
+// keyExists reports whether the replica has a value for a key.
 func (n *Node) keyExists(key string) bool {
 	switch {
 	case strings.HasPrefix(key, protocol.JobPrefix):
@@ -187,8 +191,8 @@
 		_, ok := n.liveNodes[strings.TrimPrefix(key, protocol.NodeRoot)]
 		return ok
 	case strings.HasPrefix(key, protocol.HolderRoot):
-		s := n.shareOfKey(key)
-		return s != nil && (s.owner.Token != 0 || s.unconfirmedOwner != nil)
+		partition := n.partitionOfKey(key)
+		return partition != nil && (partition.owner.Token != 0 || partition.unconfirmedOwner != nil)
 	case strings.HasPrefix(key, protocol.LogRoot):
 		i, slot, ok := packed.LogSlot(key)
 		return ok && i < len(n.partitions) && n.partitions[i].log.Has(slot)
@@ -201,6 +205,7 @@
 	return true
 }
 
+// splitJobKey returns the job id and the chunk number in the key of a job's record; 0 is the head.
 func splitJobKey(key string) (id string, chunk int) {
 	id, num, found := strings.Cut(strings.TrimPrefix(key, protocol.JobPrefix), "/")
 	if found {
@@ -209,7 +214,8 @@
 	return id, chunk
 }
 
-func (n *Node) shareOfKey(key string) *partition {
+// partitionOfKey returns the partition of an owner record's key; nil if there is none.
+func (n *Node) partitionOfKey(key string) *partition {
 	num, _, _ := strings.Cut(strings.TrimPrefix(key, protocol.HolderRoot), "/")
 	i, err := strconv.Atoi(num)
 	if err != nil || i < 0 || i >= len(n.partitions) {
@@ -218,13 +224,13 @@
 	return n.partitions[i]
 }
 
-// applyItem takes one stored value, or its absence, into the replica. An older
-// version than the one known is ignored, whatever way it came.
+// applyItem applies one stored value, or its absence, to the replica. A version older than the known
+// one is ignored, whichever way it came.
 func (n *Node) applyItem(it storage.Item) {
 	if it.Stamp <= n.revisions[it.Key] {
 		return
 	}
-	was, had := n.revisions[it.Key]
+	oldRevision, known := n.revisions[it.Key]
 	n.revisions[it.Key] = it.Stamp
 	delete(n.corruptKeys, it.Key)
 	if it.Value == nil {
@@ -237,11 +243,11 @@
 			return false
 		}
 		err := json.Unmarshal(it.Value, v)
-		if c, ok := v.(checkedRecord); ok && err == nil {
-			err = c.Check()
+		if record, ok := v.(checkedRecord); ok && err == nil {
+			err = record.Check()
 		}
 		if err != nil {
-			if n.revisions[it.Key] = was; !had {
+			if n.revisions[it.Key] = oldRevision; !known {
 				delete(n.revisions, it.Key)
 			}
 			n.markCorrupt(it, err)
@@ -291,11 +297,11 @@
 			return
 		}
 		var c protocol.Chunk
-		ok := read(&c)
+		present := read(&c)
 		if corrupt {
 			return
 		}
-		n.applyChunk(id, chunk, it.Key, c, ok)
+		n.applyChunk(id, chunk, it.Key, c, present)
 	case strings.HasPrefix(it.Key, protocol.MachineRoot):
 		var r protocol.BatchRecord
 		if read(&r) && r.Share >= 0 && r.Share < len(n.partitions) {
@@ -318,7 +324,7 @@
 		}
 		var r protocol.NodeRecord
 		if read(&r); corrupt {
-			r = protocol.NodeRecord{} // it lives, and what it understands is not known
+			r = protocol.NodeRecord{} // the node is live, but what it can read is not known
 		}
 		if r.Version < protocol.RecordVersion {
 			n.olderNodes[name] = true
@@ -355,17 +361,17 @@
 			n.answerLivenessCheck(d.By)
 		}
 	case strings.HasPrefix(it.Key, protocol.HolderRoot):
-		if s := n.shareOfKey(it.Key); s != nil {
+		if partition := n.partitionOfKey(it.Key); partition != nil {
 			var h protocol.HolderRecord
 			if read(&h); !corrupt {
-				n.applyOwnerRecord(s, h)
+				n.applyOwnerRecord(partition, h)
 			}
 		}
 	}
 }
 
-// resync reads keys whose conditions failed, so that the next try is decided
-// on what is stored, and then calls done on the actor.
+// resync reads the keys whose conditions failed and applies them, so that the next attempt is
+// decided on what is stored. It then calls done on the actor.
 func (n *Node) resync(keys []string, done func([]storage.Item, error)) {
 	n.spawn(func(ctx context.Context) {
 		var items []storage.Item
--- a/internal/coordination/node/spending.go
+++ b/internal/coordination/node/spending.go
@@ -7,51 +7,51 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-// Where the state service's changes go, by what they are for: they are what there is
-// least of.
+// Counts changes of the state service by their purpose. The rate of changes is the scarcest
+// resource of the system.
 
-// changePurpose is what a change is for.
+// changePurpose is what a change is made for.
 type changePurpose uint8
 
 const (
-	forOther         changePurpose = iota // shares, nodes, settings, accounts, tickets
+	forOther         changePurpose = iota // partitions, nodes, settings, accounts, tickets
 	forSubmissions                        // submissions
 	forCancellations                      // cancellations
-	forStarts                             // placements, and tasks that were lost
+	forStarts                             // placements, and losses of tasks
 	forJobEnds                            // ends of jobs
 	forTaskEnds                           // ends of single tasks of arrays
-	forMachines                           // machines rented, up, gone
-	forMoves                              // machines handed to other shares
-	forCompaction                         // what entries told of jobs, in records of their own; what ended jobs left
-	spendings
+	forMachines                           // machines rented, booted or gone
+	forMoves                              // machines moved to other partitions
+	forCompaction                         // compaction of entries into records, and removal of what ended jobs left
+	purposeCount
 )
 
-var spendingNames = [spendings]string{"others", "accepts", "cancels", "starts", "ends", "facts", "machines", "moves", "folds"}
+var purposeNames = [purposeCount]string{"others", "accepts", "cancels", "starts", "ends", "facts", "machines", "moves", "folds"}
 
-// spent counts changes by what they are for; any routine may add.
+// changeCounts counts changes by purpose. Any goroutine may add to it.
 type changeCounts struct {
-	now  [spendings]atomic.Int64
-	said [spendings]int64 // as last logged
+	counts     [purposeCount]atomic.Int64
+	lastLogged [purposeCount]int64 // counts when they were last logged
 }
 
-func (s *changeCounts) add(op *storage.Op) {
-	s.now[min(changePurpose(op.For), spendings-1)].Add(int64(len(op.Writes)))
+func (c *changeCounts) add(op *storage.Op) {
+	c.counts[min(changePurpose(op.For), purposeCount-1)].Add(int64(len(op.Writes)))
 }
 
-// logChangeCounts logs where the changes went since it was last said.
+// logChangeCounts logs the number of changes by purpose since it was last called.
 func (n *Node) logChangeCounts(since time.Duration) {
 	args := []any{"per_s", roundToTenth(n.rateLimiter.PerSecond())}
 	total := int64(0)
-	for i, name := range spendingNames {
-		now := n.changeCounts.now[i].Load()
-		more := now - n.changeCounts.said[i]
-		n.changeCounts.said[i] = now
-		args = append(args, name, more)
-		total += more
-		n.metrics.changes.WithLabelValues(name).Add(float64(more))
+	for i, name := range purposeNames {
+		count := n.changeCounts.counts[i].Load()
+		added := count - n.changeCounts.lastLogged[i]
+		n.changeCounts.lastLogged[i] = count
+		args = append(args, name, added)
+		total += added
+		n.metrics.changes.WithLabelValues(name).Add(float64(added))
 	}
 	n.log.Info("changes", append(args, "made_per_s", roundToTenth(float64(total)/since.Seconds()))...)
 }
 
-// purposeOf is what storing a job is for, by how urgent that is.
+// purposeOf is the purpose of storing a job, by the urgency of that.
 var purposeOf = [...]changePurpose{storeEnd: forJobEnds, storeUrgentStart: forStarts, storeStart: forStarts, storeOutcomes: forTaskEnds}
--- a/internal/coordination/node/userchanges.go
+++ b/internal/coordination/node/userchanges.go
@@ -9,44 +9,44 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-// Changes that users wait for. Where the answer to such a change is late, a status read shows
-// whether it is stored; if it is not, it is sent once more, on the same conditions, of which
-// only one of the two can meet. What is undecided after a while is answered 503.
+// Changes that users wait for. If the answer to such a change is late, a status read shows whether
+// the change is stored. If it is not, the change is sent once more on the same conditions, which
+// only one of the two attempts can meet. A change that stays undecided is answered with 503.
 
 const (
-	// submissionTimeout is how long a user waits for a submission to be stored, its turn in the
-	// queue (mostWait) included, and cancelPatience the same of a cancellation, after which
-	// the user may wait for the job's end too.
+	// submissionTimeout is how long a user waits for a submission to be stored, including its time
+	// in the queue (maxQueueWait). cancellationTimeout is the same for a cancellation; after it the
+	// user may have to wait for the job's end as well.
 	submissionTimeout   = 2500 * time.Millisecond
 	cancellationTimeout = time.Second
 
-	// leastLookTime and mostLookTime bound the time after which an answer counts as late. By
-	// the first the watch has usually told what is stored.
-	leastLookTime = 200 * time.Millisecond
-	mostLookTime  = 600 * time.Millisecond
+	// minAnswerTimeout and maxAnswerTimeout bound the time after which an answer counts as late. By
+	// the former the watch has usually shown what is stored.
+	minAnswerTimeout = 200 * time.Millisecond
+	maxAnswerTimeout = 600 * time.Millisecond
 
-	// mostAttempts is how often a change is sent for one request of a user.
-	mostAttempts = 2
+	// maxAttempts is how often a change is sent for one request of a user.
+	maxAttempts = 2
 )
 
 // userChange is a change that a user waits for.
 type userChange struct {
-	op       *storage.Op
-	reply    chan<- answer
-	onResult func(storage.Result) // answers the user by the change's result
-	verify   func(c *userChange)  // finds out whether it is stored; nil: it is not looked for
-	timeout  time.Duration        // with look: after which the user is told to ask again
-	began    time.Time
-	sent     time.Time // the last attempt
-	lookAt   time.Time
-	looking  bool
-	attempts int
-	resolved bool // the user is answered, or will be by somebody else
+	op        *storage.Op
+	reply     chan<- answer
+	onResult  func(storage.Result) // answers the user according to the result
+	verify    func(c *userChange)  // finds out whether the change is stored; nil: not checked
+	timeout   time.Duration        // with verify: after this the user is told to retry
+	startedAt time.Time
+	sentAt    time.Time // time of the last attempt
+	verifyAt  time.Time
+	verifying bool
+	attempts  int
+	resolved  bool // the user was answered, or another function will answer
 }
 
-// submitForUser queues a change that a user waits for, for one attempt however long it takes.
-func (n *Node) submitForUser(op *storage.Op, reply chan<- answer, then func(storage.Result)) {
-	n.startUserChange(&userChange{op: op, reply: reply, onResult: then})
+// submitForUser queues a change that a user waits for. It makes one attempt, however long that takes.
+func (n *Node) submitForUser(op *storage.Op, reply chan<- answer, onResult func(storage.Result)) {
+	n.startUserChange(&userChange{op: op, reply: reply, onResult: onResult})
 }
 
 // startUserChange queues a change that a user waits for.
@@ -56,7 +56,7 @@
 		c.reply <- a
 		return
 	}
-	c.began = now
+	c.startedAt = now
 	if !n.sendChange(c, now) {
 		c.reply <- busyAnswer
 		return
@@ -66,19 +66,19 @@
 	}
 }
 
-// sendChange sends a change, for the first time or again. It returns false if too many wait.
+// sendChange sends a change, for the first time or again. It returns false if the queue is full.
 func (n *Node) sendChange(c *userChange, now time.Time) bool {
 	op := *c.op
 	op.Once = true
 	op.Done = func(r storage.Result) {
 		n.post(func() {
 			n.pendingUserChanges--
-			n.changeEnded(c, r, time.Since(now))
+			n.onChangeResult(c, r, time.Since(now))
 		})
 	}
 	c.attempts++
-	c.sent = now
-	c.lookAt = now.Add(n.lookTime())
+	c.sentAt = now
+	c.verifyAt = now.Add(n.answerTimeout())
 	n.pendingUserChanges++
 	if !n.userCommitter.Submit(&op) {
 		n.pendingUserChanges--
@@ -87,57 +87,59 @@
 	return true
 }
 
-// lookTime is how long to wait for the answer to a user's change before looking for it.
-func (n *Node) lookTime() time.Duration {
-	return n.userChangeLatency.Timeout(leastLookTime, mostLookTime)
+// answerTimeout returns how long to wait for the answer to a user's change before checking whether
+// it is stored.
+func (n *Node) answerTimeout() time.Duration {
+	return n.userChangeLatency.Timeout(minAnswerTimeout, maxAnswerTimeout)
 }
 
-// resendDelay is how long to wait before sending it again: longer where changes are short, as
-// it may not have been sent yet.
+// resendDelay returns how long to wait before sending a change again. It is longer while changes are
+// scarce, as the first attempt may still be in the queue.
 func (n *Node) resendDelay() time.Duration {
 	if !n.rateLimiter.Ample() {
-		return mostLookTime
+		return maxAnswerTimeout
 	}
-	return n.lookTime()
+	return n.answerTimeout()
 }
 
-// changeEnded takes in how an attempt to store a change ended.
-func (n *Node) changeEnded(c *userChange, r storage.Result, took time.Duration) {
+// onChangeResult handles the result of an attempt to store a change.
+func (n *Node) onChangeResult(c *userChange, r storage.Result, took time.Duration) {
 	if r.Err == nil {
 		n.userChangeLatency.Observe(took)
 	}
 	switch {
 	case c.resolved:
 	case errors.Is(r.Err, storage.ErrUnknown) && c.verify != nil:
-		// It may be stored all the same: tickUserChanges looks.
+		// It may be stored all the same; checkUserChanges finds out.
 	default:
 		c.resolved = true
 		c.onResult(r)
 	}
 }
 
-// checkUserChanges looks for changes whose answer is late, and tells the users of those that
-// stay undecided to ask again.
+// checkUserChanges verifies changes whose answer is late, and tells the users of those that stay
+// undecided to retry.
 func (n *Node) checkUserChanges(now time.Time) {
 	n.userChanges = slices.DeleteFunc(n.userChanges, func(c *userChange) bool { return c.resolved })
 	for _, c := range slices.Clone(n.userChanges) {
 		switch {
-		case now.Sub(c.began) >= c.timeout:
+		case now.Sub(c.startedAt) >= c.timeout:
 			n.metrics.guardRefusals.WithLabelValues("change_unanswered").Inc()
 			c.resolve(busyAnswer)
-		case !c.looking && !now.Before(c.lookAt):
-			c.looking = true
+		case !c.verifying && !now.Before(c.verifyAt):
+			c.verifying = true
 			c.verify(c)
 		}
 	}
 }
 
-// verifyByStatus calls found with a job's state if it is stored now, and sends the change again
-// otherwise. found returns false if it does not show that the change is stored. If status
-// reads go unanswered too, the user is told at once that this is undecided.
+// verifyByStatus reads a job's status and calls found with it if the job is stored. found reports
+// whether that shows the change to be stored. If it does not, the change is sent again once its resend
+// delay has passed. If the status read gets no answer either, the user is told at once that the
+// result is unknown.
 func (n *Node) verifyByStatus(c *userChange, id string, found func(s protocol.JobStatus) bool) {
 	n.readJobStatus(id, func(known bool, s protocol.JobStatus, err error) {
-		c.looking = false
+		c.verifying = false
 		if c.resolved || err == nil && known && found(s) {
 			return
 		}
@@ -147,8 +149,8 @@
 			return
 		}
 		now := time.Now()
-		c.lookAt = now.Add(n.lookTime())
-		if err == nil && c.attempts < mostAttempts && now.Sub(c.sent) >= n.resendDelay() {
+		c.verifyAt = now.Add(n.answerTimeout())
+		if err == nil && c.attempts < maxAttempts && now.Sub(c.sentAt) >= n.resendDelay() {
 			n.sendChange(c, now)
 		}
 	})
