--- a/internal/coordination/node/facts.go
+++ b/internal/coordination/node/facts.go
@@ -7,13 +7,13 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// What decisions see of the actor's state. The actor changes machines, jobs and teams;
-// package decide sees facts about them, kept in an index so that a look need not walk
-// the fleet. Whoever changes something of a machine that facts are made of calls touch;
-// the facts are made anew before the next decision. This file may read all of a
-// machine's and a job's state and writes nothing but facts.
+// The decisions' view of the actor's state. The actor changes machines, jobs and teams. Package decide
+// sees facts about them, which are kept in an index so that a decision need not walk over the fleet.
+// Code that changes part of a machine's state from which facts are built calls markStale, and the
+// facts are rebuilt before the next decision. This file may read all state of machines and jobs, and
+// writes only facts.
 
-// Names from package decide that the actor's state is made of.
+// Names of package decide that the actor's state uses.
 type (
 	Resources = decide.Resources
 	Window    = decide.Window
@@ -22,7 +22,7 @@
 
 const tolerance = decide.Tolerance
 
-// markStale notes that something of a machine has changed.
+// markStale marks a machine's facts for rebuilding.
 func (n *Node) markStale(m *machine) {
 	if m != nil && !m.factsStale {
 		m.factsStale = true
@@ -30,23 +30,24 @@
 	}
 }
 
-// markJobStale notes that something of a job has changed which its machines' facts tell.
+// markJobStale marks the facts of all machines with tasks of a job for rebuilding.
 func (n *Node) markJobStale(j *job) {
 	for i := range j.tasks {
 		n.markStale(j.tasks[i].machine)
 	}
 }
 
+// markAllStale marks the facts of all machines for rebuilding.
 func (n *Node) markAllStale() {
 	for _, m := range n.machines {
 		n.markStale(m)
 	}
 }
 
-// refreshIndex makes the facts of all machines that were touched anew.
+// refreshIndex rebuilds the facts of all machines that are marked.
 func (n *Node) refreshIndex(now time.Time) {
-	if shut := n.gatewayJobsBlocked(now); shut != n.planningFacts.gatewayClosed {
-		n.planningFacts.gatewayClosed = shut // with the site's lease jobs of the gateway may not run: no event tells
+	if blocked := n.gatewayJobsBlocked(now); blocked != n.planningFacts.gatewayClosed {
+		n.planningFacts.gatewayClosed = blocked // gateway jobs may run only with the site's lease, and no event marks its end
 		n.markAllStale()
 	}
 	for _, m := range n.planningFacts.staleMachines {
@@ -55,7 +56,7 @@
 	n.planningFacts.staleMachines = n.planningFacts.staleMachines[:0]
 }
 
-// currentFacts are a machine's facts as they are now.
+// currentFacts returns a machine's facts, rebuilt if necessary.
 func (n *Node) currentFacts(m *machine) *decide.Machine {
 	if m.factsStale {
 		m.factsStale = false
@@ -69,6 +70,7 @@
 	return &m.facts
 }
 
+// buildMachineFacts builds a machine's facts from the actor's state.
 func (n *Node) buildMachineFacts(m *machine) decide.Machine {
 	t := n.machineTypes[m.rec.Type]
 	f := decide.Machine{Name: m.name, Type: m.rec.Type, Zone: m.rec.Zone, Spot: m.rec.Spot, Partition: m.rec.Share, Used: m.used, SecPerGB: decide.SecondsPerGB(t, m.secPerGB),
@@ -86,7 +88,7 @@
 		}
 	}
 	if m.reachableOnlyDirectly() {
-		f.LastReport = m.lastFencedReport.Add(-n.silenceTimeout()) // silent at once: a start would end with the lease
+		f.LastReport = m.lastFencedReport.Add(-n.silenceTimeout()) // counts as silent at once: a task started now would end with the lease
 	}
 	for _, im := range m.images {
 		f.Images = append(f.Images, im.Name)
@@ -104,7 +106,7 @@
 	return f
 }
 
-// jobFacts are a job's facts as they are now. What is counted by tasks is kept up by
+// jobFacts updates and returns a job's facts. Its counts of tasks are kept up to date by
 // setPhase.
 func (n *Node) jobFacts(j *job, now time.Time) *decide.Job {
 	f := &j.facts
@@ -119,7 +121,8 @@
 	return f
 }
 
-// jobFactsWithZones are a job's facts with the zones that its tasks are in, if they bind it.
+// jobFactsWithZones returns a job's facts with the zones that its tasks are in, if these constrain
+// its placement.
 func (n *Node) jobFactsWithZones(j *job, now time.Time) *decide.Job {
 	f := n.jobFacts(j, now)
 	f.Zones = nil
@@ -134,55 +137,56 @@
 	return f
 }
 
+// newJobFacts returns the facts of a job that was just added.
 func newJobFacts(j *job) decide.Job {
 	return decide.Job{ID: j.id, Spec: j.spec, Team: j.team, Partition: j.partition, Rank: j.rank, Need: j.need, Tasks: len(j.tasks),
 		Submitted: j.submitted, FirstSeen: j.firstSeen, Waiting: j.nWaiting(), TicketStep: j.step != nil}
 }
 
-// view is one look at a share.
-func (n *Node) view(s *partition, now time.Time) *decide.View {
+// view returns a partition's state as the input of one decision.
+func (n *Node) view(partition *partition, now time.Time) *decide.View {
 	n.refreshIndex(now)
-	v := &decide.View{Now: now, Partition: s.index, NoPreemption: n.owns(s) && !s.reconciliation.MayDisplace(), Types: n.machineTypes, Index: n.planningFacts.index, GPUTypesInDemand: n.wantedTypes(now),
+	view := &decide.View{Now: now, Partition: partition.index, NoPreemption: n.owns(partition) && !partition.reconciliation.MayDisplace(), Types: n.machineTypes, Index: n.planningFacts.index, GPUTypesInDemand: n.currentGPUTypes(now),
 		Config: decide.Config{ReportS: n.cfg.Params.Workers.ReportS, Objectives: n.cfg.Params.Aims, MoveS: n.policy.MoveS}}
 	for _, t := range n.teams {
-		v.Teams = append(v.Teams, &t.Team)
+		view.Teams = append(view.Teams, &t.Team)
 	}
-	return v
+	return view
 }
 
-// wantedFor is how long it holds which types work with GPUs could use.
-const wantedFor = 2 * time.Second
+// gpuTypesMaxAge is how long gpuTypesInDemand is used before it is computed again.
+const gpuTypesMaxAge = 2 * time.Second
 
-// wantedTypes are the types that work with GPUs could use: jobs that are there, of any
-// share, and those that came lately.
-func (n *Node) wantedTypes(now time.Time) map[string]bool {
-	if n.planningFacts.gpuTypesInDemand != nil && now.Sub(n.planningFacts.gpuTypesAt) < wantedFor {
+// currentGPUTypes returns the machine types that jobs which need GPUs could use: open jobs of any
+// partition, and jobs that arrived recently.
+func (n *Node) currentGPUTypes(now time.Time) map[string]bool {
+	if n.planningFacts.gpuTypesInDemand != nil && now.Sub(n.planningFacts.gpuTypesAt) < gpuTypesMaxAge {
 		return n.planningFacts.gpuTypesInDemand
 	}
 	n.planningFacts.gpuTypesInDemand, n.planningFacts.gpuTypesAt = map[string]bool{}, now
 	for _, j := range n.jobs {
 		decide.MarkGPUTypesInDemand(n.planningFacts.gpuTypesInDemand, n.machineTypes, j.spec)
 	}
-	for _, s := range n.partitions {
-		for _, a := range decide.TrimArrivals(s.recentArrivals, now) {
+	for _, partition := range n.partitions {
+		for _, a := range decide.TrimArrivals(partition.recentArrivals, now) {
 			decide.MarkGPUTypesInDemand(n.planningFacts.gpuTypesInDemand, n.machineTypes, a.Spec)
 		}
 	}
 	return n.planningFacts.gpuTypesInDemand
 }
 
-// usable says whether new tasks may be placed on a machine.
+// usable reports whether new tasks may be placed on a machine.
 func (n *Node) usable(m *machine, now time.Time) bool {
 	return n.currentFacts(m).Usable(now, n.cfg.Params.Workers.ReportS)
 }
 
-// available is what a machine has left.
+// available returns a machine's free resources.
 func (n *Node) available(m *machine) Resources { return n.currentFacts(m).Free() }
 
-// hasCapacity says whether another task could start on a machine.
+// hasCapacity reports whether another task could start on a machine.
 func (n *Node) hasCapacity(m *machine) bool { return n.currentFacts(m).HasCapacity() }
 
-// hasStoppingTask says whether something on a machine is to leave it.
+// hasStoppingTask reports whether a task on a machine is to leave it.
 func (n *Node) hasStoppingTask(m *machine) bool {
 	for k := range m.tasks {
 		if n.shouldStop(k.job, &k.job.tasks[k.task]) {
@@ -192,15 +196,15 @@
 	return false
 }
 
-// preemptionDemand is how many tasks of a job room should be made for.
+// preemptionDemand returns for how many tasks of a job others should be evicted.
 func (n *Node) preemptionDemand(j *job, now time.Time) int {
 	return decide.Demand(n.jobFacts(j, now), &n.teams[j.team].Team, now)
 }
 
-// unguaranteed says whether a job's team has no guarantee.
+// unguaranteed reports whether a job's team has no guarantee.
 func (n *Node) unguaranteed(j *job) bool { return n.teams[j.team].Unguaranteed() }
 
-// onlyUnguaranteed says whether all that a machine has to do is guests' work.
+// onlyUnguaranteed reports whether all tasks of a machine belong to teams without a guarantee.
 func (n *Node) onlyUnguaranteed(m *machine) bool {
 	for k := range m.tasks {
 		if !n.unguaranteed(k.job) {
@@ -210,9 +214,9 @@
 	return true
 }
 
-// overLimit says whether what is counted for a team is more than it may use: then
-// nothing of it is started, whatever is recorded.
+// overLimit reports whether a team is counted to use more than its limit. Then none of its tasks are
+// started, whatever is recorded.
 func (n *Node) overLimit(team int) bool { return n.teams[team].OverLimit() }
 
-// capacityOf is what a machine of a type has.
+// capacityOf returns the resources of a machine type.
 func capacityOf(t *protocol.MachineType) Resources { return decide.SizeOf(t) }
--- a/internal/coordination/node/schedule.go
+++ b/internal/coordination/node/schedule.go
@@ -10,26 +10,26 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// The actor's part in scheduling: it shows package decide how a share stands, one
-// question at a time, and applies each answer before it asks the next.
+// The actor's part in scheduling: it shows package decide the state of a partition, asks for one
+// decision at a time, and applies each before it asks for the next.
 
-// faulty says whether too much failed on a machine in a row.
+// faulty reports whether too many failures in a row speak against a machine.
 func (n *Node) faulty(m *machine) bool { return m.faults.faulty() }
 
-// plan places what waits on the machines of each share held, and rents for the rest.
+// plan places waiting tasks on the machines of each owned partition, and rents machines for the rest.
 func (n *Node) plan(now time.Time) {
 	if n.sinceContact(now) > 2*time.Second {
 		return // nothing could be stored
 	}
-	claimed := n.anyGuaranteedWorkWaits(now)
-	for _, s := range n.partitions {
-		n.countArrivals(s)
-		if !n.owns(s) || n.standby.leaving || !n.mayDecide(s, now) {
+	guaranteedWaits := n.anyGuaranteedWorkWaits(now)
+	for _, partition := range n.partitions {
+		n.countArrivals(partition)
+		if !n.owns(partition) || n.standby.leaving || !n.mayDecide(partition, now) {
 			continue
 		}
-		v := n.view(s, now)
-		var waits []*job
-		for _, j := range s.jobs {
+		view := n.view(partition, now)
+		var waiting []*job
+		for _, j := range partition.jobs {
 			if j.nWaiting() == 0 || j.cancelled || j.abortAttempt {
 				n.endReservation(j, now)
 				continue
@@ -39,176 +39,175 @@
 				continue
 			}
 			if !j.writePending && !now.Before(j.notBefore) {
-				n.place(v, j, now)
+				n.place(view, j, now)
 			}
-			if j.failures.failsEverywhere && len(s.machines) > 0 {
-				continue // nothing is rented or stopped for it
+			if j.failures.failsEverywhere && len(partition.machines) > 0 {
+				continue // nothing is rented or preempted for it
 			}
 			switch {
 			case j.nWaiting() == 0:
-			case claimed && n.unguaranteed(j):
+			case guaranteedWaits && n.unguaranteed(j):
 				j.waitCause = decide.GuaranteesFirst
 			default:
-				waits = append(waits, j)
+				waiting = append(waiting, j)
 			}
 		}
-		if s.reconciliation.MayDisplace() {
-			n.preempt(v, waits, now)
+		if partition.reconciliation.MayDisplace() {
+			n.preempt(view, waiting, now)
 		}
-		if !now.Before(s.nextRent) && !n.awaitsAdoption(now) {
-			s.nextRent = now.Add(rentInterval)
-			n.rent(v, s, waits, now)
+		if !now.Before(partition.nextRent) && !n.awaitsAdoption(now) {
+			partition.nextRent = now.Add(rentInterval)
+			n.rent(view, partition, waiting, now)
 		}
 	}
 }
 
-// rentInterval is how often a share looks at what it lacks: the cloud's rate allows hardly
-// more requests, and jobs come in bursts that one can cover.
+// rentInterval is the time between two decisions on rentals of a partition. The cloud's rate limit
+// allows hardly more requests, and jobs arrive in bursts that one request can cover.
 const rentInterval = 300 * time.Millisecond
 
-// arrival is a recent job, from which the near future is expected.
+// arrival is a recent job; the near future is forecast from these.
 type arrival = decide.Arrival
 
-// countArrivals lets the share's window see new jobs in the order they came, on every
-// node, so that who takes the share over has the window that its holder had. At a node's
-// start these are the jobs present, so the means have a start.
-func (n *Node) countArrivals(s *partition) {
-	if len(s.newJobs) == 0 {
+// countArrivals adds new jobs to the partition's window in the order of their arrival. Every node does
+// so, and a node that takes the partition over thus has the same window as the previous owner. When a
+// node starts, it counts the jobs that are present, so that the window's means have initial values.
+func (n *Node) countArrivals(partition *partition) {
+	if len(partition.newJobs) == 0 {
 		return
 	}
-	slices.SortFunc(s.newJobs, func(a, b *job) int {
+	slices.SortFunc(partition.newJobs, func(a, b *job) int {
 		return cmp.Or(a.submitted.Compare(b.submitted), cmp.Compare(a.id, b.id))
 	})
-	present := len(s.jobs) - len(s.newJobs)
-	for _, j := range s.newJobs {
+	present := len(partition.jobs) - len(partition.newJobs)
+	for _, j := range partition.newJobs {
 		present++
-		j.heavy = s.window.RecordArrival(present, j.spec.ImageGB) || n.policy.Greedy
+		j.heavy = partition.window.RecordArrival(present, j.spec.ImageGB) || n.policy.Greedy
 	}
-	clear(s.newJobs)
-	s.newJobs = s.newJobs[:0]
+	clear(partition.newJobs)
+	partition.newJobs = partition.newJobs[:0]
 }
 
-// takeBack gives up placements of less urgent jobs of a share that no change is being
-// stored of yet, so that a job finds the places: they are decided anew right after. (On
-// simulated days with 20 changes a second arrays held most of the free places like that
-// for seconds, where nobody could stop them, and services were put where gangs should
-// run.) Where the team's limit is what it lacks, they are those of its own team. It
-// returns false if there are none where the job could go.
-func (n *Node) takeBack(j *job, limit bool, now time.Time) bool {
-	any, replan := false, n.replan
-	defer func() { n.replan = replan }() // they are looked at later in this look
-	could := func(o *job, m *machine) bool {
-		if limit {
-			return o.team == j.team
+// revokeProposals takes back placements of less urgent jobs of the partition that are not being stored
+// yet, so that a job can use the capacity; the jobs that lose it are planned again right after. On
+// simulated days with 20 changes per second arrays held most of the free capacity in this way for
+// seconds, when nothing could preempt them, and services were placed where gangs should have run. If
+// the job is blocked by its team's limit, only placements of its own team are taken back. It returns
+// false if there are none that the job could replace.
+func (n *Node) revokeProposals(j *job, withinTeam bool, now time.Time) bool {
+	revoked, replan := false, n.replan
+	defer func() { n.replan = replan }() // the jobs concerned are planned later in this run of plan
+	canUse := func(other *job, m *machine) bool {
+		if withinTeam {
+			return other.team == j.team
 		}
 		t := n.machineTypes[m.rec.Type]
 		return t != nil && decide.Allowed(j.spec, offer{Type: m.rec.Type, Zone: m.rec.Zone, Spot: m.rec.Spot}) && decide.SizeOf(t).TaskCount(j.need) > 0
 	}
-	for o := range n.dirty {
-		if o.writePending || o.partition != j.partition || o.rank <= j.rank || o.spec.Shape == protocol.Gang {
+	for other := range n.dirty {
+		if other.writePending || other.partition != j.partition || other.rank <= j.rank || other.spec.Shape == protocol.Gang {
 			continue
 		}
-		news := false
-		for i := range o.tasks {
-			switch t := &o.tasks[i]; {
-			case t.phase == phaseProposed && could(o, t.machine):
-				any = true
-				n.setPhase(o, i, phaseWaiting, nil, 0, now)
+		hasMore := false
+		for i := range other.tasks {
+			switch t := &other.tasks[i]; {
+			case t.phase == phaseProposed && canUse(other, t.machine):
+				revoked = true
+				n.setPhase(other, i, phaseWaiting, nil, 0, now)
 			case t.phase == phaseProposed || t.outcome != outcomeNone:
-				news = true
+				hasMore = true
 			}
 		}
-		if news {
+		if hasMore {
 			continue
 		}
-		clear(o.dirtyChunks)
-		if !n.hasPendingUpdate(o) {
-			delete(n.dirty, o)
-			o.dirtySince = time.Time{}
+		clear(other.dirtyChunks)
+		if !n.hasPendingUpdate(other) {
+			delete(n.dirty, other)
+			other.dirtySince = time.Time{}
 		}
 	}
-	return any
+	return revoked
 }
 
-// place gives a job's waiting tasks the machines that are decided for them.
-func (n *Node) place(v *decide.View, j *job, now time.Time) {
-	p := v.Place(n.jobFactsWithZones(j, now))
-	if (p.Reason == decide.NoFreeMachine || p.Reason == decide.GangIncomplete || p.Reason == decide.TeamLimit || p.IdlesGPUs || p.Preemption.HasEvictions()) && j.rank <= protocol.High && n.takeBack(j, p.Reason == decide.TeamLimit, now) {
+// place assigns a job's waiting tasks to the machines that package decide chooses.
+func (n *Node) place(view *decide.View, j *job, now time.Time) {
+	placement := view.Place(n.jobFactsWithZones(j, now))
+	if (placement.Reason == decide.NoFreeMachine || placement.Reason == decide.GangIncomplete || placement.Reason == decide.TeamLimit || placement.IdlesGPUs || placement.Preemption.HasEvictions()) && j.rank <= protocol.High && n.revokeProposals(j, placement.Reason == decide.TeamLimit, now) {
 		n.refreshIndex(now)
-		p = v.Place(n.jobFactsWithZones(j, now))
+		placement = view.Place(n.jobFactsWithZones(j, now))
 	}
 	if checkPlacement != nil {
-		checkPlacement(n, v, &j.facts, p)
+		checkPlacement(n, view, &j.facts, placement)
 	}
-	n.applyPreemption(j, p.Preemption, true, now)
-	if j.waitCause = p.Reason; p.Reason == decide.PreemptionInProgress {
+	n.applyPreemption(j, placement.Preemption, true, now)
+	if j.waitCause = placement.Reason; placement.Reason == decide.PreemptionInProgress {
 		n.replan = true
 	}
-	n.keepReserved(j, p.Reserve, now)
+	n.updateReservation(j, placement.Reserve, now)
 	switch {
-	case !p.BlockedByReservation:
+	case !placement.BlockedByReservation:
 		j.reservationBlockedSince = time.Time{}
 	case j.reservationBlockedSince.IsZero():
 		j.reservationBlockedSince = now
 	}
-	if len(p.Machines) == 0 {
+	if len(placement.Machines) == 0 {
 		return
 	}
 	var tasks []int
-	var to []*machine
+	var machines []*machine
 	for i := range j.tasks {
-		if len(tasks) == len(p.Machines) {
+		if len(tasks) == len(placement.Machines) {
 			break
 		}
 		if j.tasks[i].phase == phaseWaiting && !j.inBackoff(i, now) {
-			to = append(to, n.machines[p.Machines[len(tasks)].Name])
+			machines = append(machines, n.machines[placement.Machines[len(tasks)].Name])
 			tasks = append(tasks, i)
 		}
 	}
-	n.proposePlacements(j, tasks, to, now)
+	n.proposePlacements(j, tasks, machines, now)
 	n.refreshIndex(now)
 	n.metrics.placed.Add(float64(len(tasks)))
-	n.log.Debug("placing", "job", j.id, "class", j.spec.Class, "tasks", len(tasks), "heavy", j.heavy, "waiting", j.nWaiting(), "fetch_s", p.MaxFetchS, "after_s", now.Sub(j.firstSeen).Seconds())
+	n.log.Debug("placing", "job", j.id, "class", j.spec.Class, "tasks", len(tasks), "heavy", j.heavy, "waiting", j.nWaiting(), "fetch_s", placement.MaxFetchS, "after_s", now.Sub(j.firstSeen).Seconds())
 }
 
-// keepReserved keeps for a gang what was decided to be reserved for it, and nothing else any
-// more.
-func (n *Node) keepReserved(j *job, r *decide.Reservation, now time.Time) {
+// updateReservation reserves for a gang exactly the machines that were decided for it.
+func (n *Node) updateReservation(j *job, reservation *decide.Reservation, now time.Time) {
 	if now.Before(j.preemptAfter) {
-		return // room is being made, which is kept already
+		return // preemption is in progress, and its machines are earmarked already
 	}
-	if r == nil || len(r.Machines) == 0 {
+	if reservation == nil || len(reservation.Machines) == 0 {
 		n.endReservation(j, now)
 		return
 	}
 	if j.reservedSince.IsZero() {
 		j.reservedSince = now
 	}
-	j.expectedStart = r.ExpectedStart
+	j.expectedStart = reservation.ExpectedStart
 	until := j.reservedSince.Add(j.facts.ReservationTime())
-	keep := make([]*machine, 0, len(r.Machines))
-	for _, f := range r.Machines {
-		keep = append(keep, n.machines[f.Name])
+	machines := make([]*machine, 0, len(reservation.Machines))
+	for _, f := range reservation.Machines {
+		machines = append(machines, n.machines[f.Name])
 	}
 	for _, m := range j.reservedMachines {
-		if !slices.Contains(keep, m) {
+		if !slices.Contains(machines, m) {
 			n.unreserve(m, j)
 		}
 	}
-	for _, m := range keep {
+	for _, m := range machines {
 		if m.earmarkedFor != j || !m.gangReservation || !m.earmarkedUntil.Equal(until) {
 			m.earmarkedFor, m.earmarkedUntil, m.gangReservation = j, until, true
 			n.markStale(m)
 		}
 	}
-	j.reservedMachines = keep
+	j.reservedMachines = machines
 	j.waitCause = decide.ReservingForGang
 	n.jobFacts(j, now)
 	n.refreshIndex(now)
 }
 
-// endReservation lets others use what is reserved for a gang. If it was reserved for as
-// long as it may be, they have it for a while before the gang may have another.
+// endReservation releases the machines that are reserved for a gang. If the reservation lasted for its
+// maximum time, others may use the machines for a while before the gang may reserve again.
 func (n *Node) endReservation(j *job, now time.Time) {
 	if j.reservedSince.IsZero() {
 		return
@@ -232,64 +231,64 @@
 	}
 }
 
-// checkPlacing, if a test sets it, is shown each decision with the view it was made on.
+// checkPlacement is set by tests only. It is called with each placement and the view it was decided on.
 var checkPlacement func(n *Node, v *decide.View, j *decide.Job, p decide.Placement)
 
-// preempt makes room for jobs that found none.
-func (n *Node) preempt(v *decide.View, waits []*job, now time.Time) {
-	for _, j := range waits {
+// preempt evicts tasks for jobs that found no capacity.
+func (n *Node) preempt(view *decide.View, waiting []*job, now time.Time) {
+	for _, j := range waiting {
 		if j.waitCause == decide.PreemptionInProgress {
-			continue // it was just made where its image is
+			continue // tasks were just evicted for it where its image is cached
 		}
 		if j.writePending || now.Before(j.preemptAfter) || now.Before(j.victimSearchAfter) {
 			continue
 		}
-		var room *decide.Preemption
-		if r := n.preemptionDemand(j, now); r > 0 {
-			room = v.Preempt(n.jobFactsWithZones(j, now), r, decide.AnyMachine)
+		var preemption *decide.Preemption
+		if count := n.preemptionDemand(j, now); count > 0 {
+			preemption = view.Preempt(n.jobFactsWithZones(j, now), count, decide.AnyMachine)
 		} else if j.waitCause == decide.TeamLimit {
-			if room = v.PreemptWithinTeam(n.jobFactsWithZones(j, now)); room.HasEvictions() {
+			if preemption = view.PreemptWithinTeam(n.jobFactsWithZones(j, now)); preemption.HasEvictions() {
 				n.releaseLimitReservation(j)
-				n.teams[j.team].LimitReservations = append(n.teams[j.team].LimitReservations, decide.LimitReservation{Job: &j.facts, Until: now.Add(roomTime)})
+				n.teams[j.team].LimitReservations = append(n.teams[j.team].LimitReservations, decide.LimitReservation{Job: &j.facts, Until: now.Add(preemptionHold)})
 			}
 		} else {
 			continue
 		}
-		if n.applyPreemption(j, room, false, now); !room.HasEvictions() {
-			j.victimSearchAfter = now.Add(noVictimsPause)
+		if n.applyPreemption(j, preemption, false, now); !preemption.HasEvictions() {
+			j.victimSearchAfter = now.Add(victimSearchPause)
 		}
 	}
 }
 
-// releaseLimitReservation forgets what of its team's limit was kept for a job, and what no longer is for
-// others.
+// releaseLimitReservation drops the part of the team's limit that is reserved for a job, and expired
+// reservations of other jobs.
 func (n *Node) releaseLimitReservation(j *job) {
-	tm, now := n.teams[j.team], time.Now()
-	tm.LimitReservations = slices.DeleteFunc(tm.LimitReservations, func(k decide.LimitReservation) bool {
+	team, now := n.teams[j.team], time.Now()
+	team.LimitReservations = slices.DeleteFunc(team.LimitReservations, func(k decide.LimitReservation) bool {
 		return k.Job == &j.facts || k.Job.Waiting == 0 || !now.Before(k.Until)
 	})
 }
 
-// noVictimsPause is how long a job that found nobody to stop does not look
-// again: looking costs a walk over all tasks of the share.
-const noVictimsPause = time.Second
+// victimSearchPause is how long a job for which no task could be evicted does not search again: a
+// search walks over all tasks of the partition.
+const victimSearchPause = time.Second
 
-// roomTime is how long room that is being made is kept and waited for.
-const roomTime = 8 * time.Second
+// preemptionHold is how long the capacity that a preemption frees is kept for its job, and waited for.
+const preemptionHold = 8 * time.Second
 
-// applyPreemption stops what was decided to be stopped for a job.
-func (n *Node) applyPreemption(j *job, r *decide.Preemption, cached bool, now time.Time) {
-	if r == nil {
+// applyPreemption evicts the tasks that were chosen for a job, and earmarks the machines.
+func (n *Node) applyPreemption(j *job, preemption *decide.Preemption, cached bool, now time.Time) {
+	if preemption == nil {
 		return
 	}
-	for _, f := range r.Earmarked {
+	for _, f := range preemption.Earmarked {
 		m := n.machines[f.Name]
-		m.earmarkedFor, m.earmarkedUntil, m.gangReservation = j, now.Add(roomTime), false
+		m.earmarkedFor, m.earmarkedUntil, m.gangReservation = j, now.Add(preemptionHold), false
 		n.markStale(m)
 	}
-	for _, c := range r.Evictions {
+	for _, c := range preemption.Evictions {
 		m := n.machines[c.Machine.Name]
-		if until := now.Add(roomTime); cached {
+		if until := now.Add(preemptionHold); cached {
 			j.preemptionWaitUntil = until
 		} else {
 			j.preemptAfter = until
@@ -303,71 +302,71 @@
 	n.refreshIndex(now)
 }
 
-// rentalKey is an offer asked for on behalf of a share.
+// rentalKey is an offer that is requested for a partition.
 type rentalKey struct {
 	partition int
 	offer
 }
 
-// rent asks for the machines that the waiting jobs lack beyond those on the way, and
-// for those that jobs like the recent ones will need.
-func (n *Node) rent(v *decide.View, s *partition, waits []*job, now time.Time) {
+// rent requests the machines that the waiting jobs need beyond those requested already, and those that
+// jobs like the recent ones are expected to need.
+func (n *Node) rent(view *decide.View, partition *partition, waiting []*job, now time.Time) {
 	if len(n.machineTypes) == 0 {
 		return
 	}
 	market := &decide.Market{RefusedUntil: n.cloudState.refusedUntil}
 	for r, k := range n.cloudState.requested {
-		if r.partition == s.index {
+		if r.partition == partition.index {
 			market.Pending = append(market.Pending, decide.PendingRental{Offer: r.offer, Count: k})
 		}
 	}
-	for _, o := range n.partitions {
-		if o != s && !n.hasWaitingTasks(o.index, now) {
-			market.DonorPartitions = append(market.DonorPartitions, o.index)
+	for _, other := range n.partitions {
+		if other != partition && !n.hasWaitingTasks(other.index, now) {
+			market.DonorPartitions = append(market.DonorPartitions, other.index)
 		}
 	}
 	var facts []*decide.Job
-	for _, j := range waits {
+	for _, j := range waiting {
 		facts = append(facts, n.jobFactsWithZones(j, now))
 	}
-	s.recentArrivals = decide.TrimArrivals(s.recentArrivals, now)
-	d := v.Rent(facts, v.ExpectedJobs(s.recentArrivals, now.Sub(n.loadControl.followingSince), n.policy.Headroom), market)
-	for i, j := range waits {
+	partition.recentArrivals = decide.TrimArrivals(partition.recentArrivals, now)
+	decision := view.Rent(facts, view.ExpectedJobs(partition.recentArrivals, now.Sub(n.loadControl.followingSince), n.policy.Headroom), market)
+	for i, j := range waiting {
 		if j.waitCause != decide.ReservingForGang {
-			j.waitCause = d.Reasons[i]
+			j.waitCause = decision.Reasons[i]
 		}
 	}
-	for f, needed := range d.Needed {
+	for f, needed := range decision.Needed {
 		if m := n.machines[f.Name]; m.needed != needed {
 			m.needed = needed
 			n.markStale(m)
 		}
 	}
 	if !n.policy.StopRentals {
-		n.askLargest(s, d.ToRent, now)
+		n.requestLargest(partition, decision.ToRent, now)
 	}
 }
 
-// askLargest sends the request for the most machines if the cloud's rate allows
-// one now. Asking later, not queueing, lets a request cover all that is wanted
-// when it goes out.
-func (n *Node) askLargest(s *partition, want map[offer]int, now time.Time) {
+// requestLargest sends the request for the largest number of machines, if the cloud's rate limit allows
+// one now. Waiting with the decision instead of queueing requests lets a request cover all that is
+// needed when it is sent.
+func (n *Node) requestLargest(partition *partition, want map[offer]int, now time.Time) {
 	if now.Before(n.cloudState.nextRequest) {
 		return
 	}
 	var best rentalKey
-	most := 0
+	count := 0
 	for o, k := range want {
-		r := rentalKey{s.index, o}
-		if n.cloudState.requested[r] == 0 && (k > most || k == most && compareNames(o.Zone, best.Zone) < 0) {
-			best, most = r, k
+		r := rentalKey{partition.index, o}
+		if n.cloudState.requested[r] == 0 && (k > count || k == count && compareNames(o.Zone, best.Zone) < 0) {
+			best, count = r, k
 		}
 	}
-	if most == 0 {
+	if count == 0 {
 		return
 	}
 	if n.cloudState.wantedSince.IsZero() {
-		n.cloudState.wantedSince = now // jobs come in bursts: look again in a moment
+		n.cloudState.wantedSince = now // jobs arrive in bursts: wait a moment to cover more of them
 	}
 	if now.Sub(n.cloudState.wantedSince) < 300*time.Millisecond {
 		return
@@ -377,7 +376,7 @@
 	}
 	n.cloudState.wantedSince = time.Time{}
 	n.cloudState.nextRequest = now.Add(time.Duration(float64(n.cfg.Params.Nodes) / n.cfg.Params.Cloud.RPS * float64(time.Second)))
-	n.rentMachines(s, best, min(most, 50))
+	n.rentMachines(partition, best, min(count, 50))
 }
 
 func compareNames(a, b string) int { return cmp.Compare(a, b) }
