--- a/internal/coordination/node/budget_test.go
+++ b/internal/coordination/node/budget_test.go
@@ -7,7 +7,7 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// Each setting that is too small for the guarantees is named, and no other.
+// Each setting that is too small for the guarantees must be named, and no other.
 func TestShortagesNameTheField(t *testing.T) {
 	types := []protocol.MachineType{{Name: "g4", CPUs: 24, GPUs: 4, MemoryGB: 192}}
 	for field, change := range map[string]func(q *protocol.MachineQuota){
--- a/internal/coordination/node/carried_test.go
+++ b/internal/coordination/node/carried_test.go
@@ -12,7 +12,7 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-// storePut puts a value into the state service, and the watch tells of it.
+// storePut stores a value in the state service and applies it as a watch event.
 func (b *testNode) storePut(key string, v any) {
 	b.state.Put(key, v)
 	it, _ := b.state.Get(b.t.Context(), key)
@@ -20,7 +20,7 @@
 	b.applyWatch([]storage.Item{it}, it.Stamp)
 }
 
-// awaitStored runs what the actor is told until nothing of a share's jobs is being stored.
+// awaitStored runs queued actor functions until no change of a partition's jobs is in flight.
 func (b *testNode) awaitStored(s *partition) {
 	b.t.Helper()
 	busy := func(j *job) bool { return j.writePending }
@@ -29,12 +29,12 @@
 		case f := <-b.mailbox:
 			f()
 		case <-time.After(10 * time.Second):
-			b.t.Fatal("no answer of the state service")
+			b.t.Fatal("the state service did not answer")
 		}
 	}
 }
 
-// addProposedArray is a job of one task on host-1 that is to be stored.
+// addProposedArray adds a job of one task whose placement on host-1 is to be stored.
 func (b *testNode) addProposedArray(id string) *job {
 	spec := &protocol.JobSpec{ID: id, Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 1, CPUs: 4, GPUs: 1, Image: "i", ImageGB: 1}
 	b.storePut(protocol.JobKey(id), protocol.JobRecord{Spec: spec, Next: 1})
@@ -42,27 +42,27 @@
 	return b.jobs[id]
 }
 
-// conditionLimit is a state service that takes so many conditions at once.
+// conditionLimit is a state service that refuses transactions with too many conditions.
 type conditionLimit struct {
 	*standin.State
-	t    *testing.T
-	most int
+	t     *testing.T
+	limit int
 }
 
 func (l *conditionLimit) Txn(ctx context.Context, conds []storage.Cond, writes []storage.Write) (bool, uint64, []string, error) {
-	if len(conds) > l.most {
-		l.t.Errorf("a transaction of %d conditions, where %d are taken", len(conds), l.most)
+	if len(conds) > l.limit {
+		l.t.Errorf("a transaction has %d conditions, the limit is %d", len(conds), l.limit)
 		return false, 0, nil, storage.ErrMalformed
 	}
 	return l.State.Txn(ctx, conds, writes)
 }
 
-// newTestNodeWithLog makes the bench write entries of four slots, of which the one that the next entry
-// takes the place of places a service's task on host-1 with attempt 2.
+// newTestNodeWithLog returns a node that writes entries to a ring of four slots. The entry that the
+// next one replaces places a service's task on host-1 with attempt 2.
 func newTestNodeWithLog(t *testing.T) (b *testNode, service *job) {
 	storeOnlyEntries(t, 4)
 	b = newTestNode(t)
-	for range b.revision + 1 { // what is stored from here on is later than what the bench began with
+	for range b.revision + 1 { // later revisions than those the test node began with
 		b.state.Put("revision", 0)
 	}
 	b.storePut(protocol.FormatKey, protocol.FormatRecord{Packed: true})
@@ -79,16 +79,16 @@
 	}
 	service = b.jobs[spec.ID]
 	if task := &service.tasks[0]; task.phase != phasePlaced || task.attempt != 2 || !task.fromLog {
-		t.Fatalf("the entry's task is read as %+v", task)
+		t.Fatalf("the task of the entry is read as %+v", task)
 	}
 	return b, service
 }
 
-// An entry says again where a service's task is, and while that is on its way, the end of that
-// task is stored in the service's own record. Whichever is executed first, the task is not
-// read as placed once its end is stored: it may run elsewhere by then. (On a quiet day two
-// replicas of a service that had been moved were started again where they had been.)
-func TestEntryDoesNotUndoALaterRecord(t *testing.T) {
+// An entry carries over where a service's task is placed. While it is in flight, the end of that task
+// is stored in the service's own record. Whichever is executed first, the task must not be read as
+// placed once its end is stored, as it may run elsewhere by then. Without the conditions on the
+// records, two replicas of a service that had been moved were started again in their old place.
+func TestCarriedStateDoesNotOverrideLaterRecord(t *testing.T) {
 	for _, recordFirst := range []bool{true, false} {
 		t.Run(fmt.Sprintf("record first %v", recordFirst), func(t *testing.T) {
 			b, service := newTestNodeWithLog(t)
@@ -101,7 +101,7 @@
 			b.recordOutcome(service, 0, outcomeGone)
 			b.flush(time.Now())
 			if s.pendingRecords != 1 {
-				t.Fatal("the service's own record is not being stored meanwhile")
+				t.Fatal("the service's own record is not being stored at the same time")
 			}
 			first, second := b.urgentCommitter, b.backgroundCommitter
 			if !recordFirst {
@@ -111,7 +111,7 @@
 			(<-b.mailbox)()
 			go second.Run(t.Context())
 			b.awaitStored(s)
-			b.flush(time.Now()) // what was refused is stored now
+			b.flush(time.Now()) // stores what was refused
 			b.awaitStored(s)
 			if is := &service.tasks[0]; is.phase != phaseWaiting {
 				t.Errorf("the node that stored the end knows the task as %v with attempt %d", is.phase, is.attempt)
@@ -131,14 +131,14 @@
 	}
 }
 
-// Of entries with many jobs some get records of their own before they would be said again: an
-// entry's transaction has no more conditions than the state service takes.
+// If an entry has many jobs, some must get records of their own before they are carried over, so that
+// the transaction stays within the state service's limit of conditions.
 func TestConditionsOfCarriedJobsFit(t *testing.T) {
 	b, _ := newTestNodeWithLog(t)
 	s := b.partitions[0]
 	b.cfg.Params.State.ValueKB = 64
 	e := *s.log.Old()
-	for i := range 60 { // more than conditions
+	for i := range 60 { // more than the limit of conditions
 		id := fmt.Sprintf("job-10%02d", i)
 		spec := &protocol.JobSpec{ID: id, Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 2, CPUs: 0.1, Image: "i"}
 		b.storePut(protocol.JobKey(id), protocol.JobRecord{Spec: spec, Next: 1})
@@ -156,7 +156,7 @@
 		b.awaitStored(s)
 	}
 	if _, seq := s.log.Next(); seq != 6 || array.tasks[0].phase != phasePlaced {
-		t.Errorf("the next entry is %d, the fifth one's task %v", seq, array.tasks[0].phase)
+		t.Errorf("the next entry is %d, the phase of the array's task %v", seq, array.tasks[0].phase)
 	}
 	live, read := b.jobSummaries(), newNodeFromStore(t, b.cfg, b.state).jobSummaries()
 	for id, j := range b.jobs {
--- a/internal/coordination/node/corrupt_test.go
+++ b/internal/coordination/node/corrupt_test.go
@@ -10,36 +10,36 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-// spoil changes a value somewhere: a number to one that can't be, a field to another kind of
-// value, or the whole to something else.
-func spoil(rng *rand.Rand, v any) any {
-	odd := []any{-1.0, 1e9, 9.2e18, 1.8e19, "x", nil, true, []any{}, map[string]any{}, []any{-1.0, 3.0}}
-	switch x := v.(type) {
+// corruptValue changes a decoded value at a random place: a number to an invalid one, a field to a
+// value of another type, or the whole value to something else.
+func corruptValue(rng *rand.Rand, value any) any {
+	invalid := []any{-1.0, 1e9, 9.2e18, 1.8e19, "x", nil, true, []any{}, map[string]any{}, []any{-1.0, 3.0}}
+	switch x := value.(type) {
 	case map[string]any:
 		if len(x) == 0 || rng.IntN(12) == 0 {
-			return odd[rng.IntN(len(odd))]
+			return invalid[rng.IntN(len(invalid))]
 		}
 		at := rng.IntN(len(x))
 		for k := range x {
 			if at--; at < 0 {
-				x[k] = spoil(rng, x[k])
+				x[k] = corruptValue(rng, x[k])
 				break
 			}
 		}
 		return x
 	case []any:
 		if len(x) == 0 || rng.IntN(8) == 0 {
-			return odd[rng.IntN(len(odd))]
+			return invalid[rng.IntN(len(invalid))]
 		}
 		i := rng.IntN(len(x))
-		x[i] = spoil(rng, x[i])
+		x[i] = corruptValue(rng, x[i])
 		return x
 	}
-	return odd[rng.IntN(len(odd))]
+	return invalid[rng.IntN(len(invalid))]
 }
 
-// Whatever is in the store, a node goes on: nothing that can't be read ends the process, and
-// none of it proves that a job has ended, a machine has gone or a share is free.
+// A node must go on whatever is stored: no unreadable value may crash the process, or prove that a job
+// has ended, a machine is gone or a partition is free.
 func TestCorruptRecordsProveNothing(t *testing.T) {
 	counted := 0
 	for seed := range seedCount(300) {
@@ -77,14 +77,14 @@
 			if err := json.Unmarshal(mustJSON(rec), &v); err != nil {
 				t.Fatal(err)
 			}
-			data := []byte(mustJSON(spoil(rng, v)))
+			data := []byte(mustJSON(corruptValue(rng, v)))
 			if rng.IntN(6) == 0 {
 				data = data[:rng.IntN(len(data))]
 			}
 			func() {
 				defer func() {
 					if r := recover(); r != nil {
-						t.Fatalf("seed %d: %s %s ended the process: %v", seed, key, data, r)
+						t.Fatalf("seed %d: %s %s crashed the node: %v", seed, key, data, r)
 					}
 				}()
 				b.revision++
@@ -93,23 +93,23 @@
 					counted++
 				}
 			}()
-			// What it could not read it still knows as before.
+			// What was known of an unreadable key must be unchanged.
 			if _, bad := b.corruptKeys[protocol.JobKey("job-000001")]; bad && b.jobs["job-000001"] == nil && !b.logUnreadable(0) {
 				if _, _, over := b.partitions[0].log.Ended("job-000001"); !over {
 					t.Fatalf("seed %d: %s %s ended a job", seed, key, data)
 				}
 			}
 			if _, bad := b.corruptKeys[protocol.HolderKey(0)]; bad && b.partitions[0].owner.Token == 0 {
-				t.Fatalf("seed %d: %s %s freed a share", seed, key, data)
+				t.Fatalf("seed %d: %s %s freed a partition", seed, key, data)
 			}
 			if _, bad := b.corruptKeys[protocol.BatchKey("r-0-7-1-0")]; bad && !b.machines["host-1"].recorded {
-				t.Fatalf("seed %d: %s %s took a machine", seed, key, data)
+				t.Fatalf("seed %d: %s %s removed a machine", seed, key, data)
 			}
 		}
 		func() {
 			defer func() {
 				if r := recover(); r != nil {
-					t.Fatalf("seed %d ended the process: %v", seed, r)
+					t.Fatalf("seed %d crashed the node: %v", seed, r)
 				}
 			}()
 			for i := range 3 {
@@ -126,9 +126,9 @@
 	}
 }
 
-// A record that can't be read is counted once, its job is left alone until it can be read,
-// and nobody is told that the job is unknown.
-func TestCorruptJobIsLeftAlone(t *testing.T) {
+// An unreadable record must be counted once, and its job left unchanged until the record can be read
+// again.
+func TestCorruptJobIsNotChanged(t *testing.T) {
 	b := newTestNode(t)
 	j := b.addJob("job-000001", false, placedOnHost1)
 	key := protocol.JobKey("job-000001")
@@ -140,11 +140,11 @@
 		t.Fatalf("job %v, stamp %d for %d, corrupt %v", b.jobs["job-000001"], b.revisionOf(key), known, b.corruptKeys)
 	}
 	if !b.jobChangesPaused(j) {
-		t.Error("changes of it are tried that fail again and again")
+		t.Error("changes of the job are attempted that must fail")
 	}
 	b.revision += 10
 	b.addJob("job-000001", true, placedOnHost1)
 	if b.jobChangesPaused(j) || !j.cancelled || len(b.corruptKeys) != 0 {
-		t.Errorf("readable again: quieted %v, cancelled %v, corrupt %v", b.jobChangesPaused(j), j.cancelled, b.corruptKeys)
+		t.Errorf("readable again: paused %v, cancelled %v, corrupt %v", b.jobChangesPaused(j), j.cancelled, b.corruptKeys)
 	}
 }
--- a/internal/coordination/node/facts_test.go
+++ b/internal/coordination/node/facts_test.go
@@ -11,8 +11,8 @@
 	"dapplestage.example/dapplestage/internal/coordination/decide/decidetest"
 )
 
-// Whatever the simulated troubles do, each decision is made on facts that are those of
-// the actor's state, and chooses what a walk over all machines would.
+// Every simulation checks each placement: its facts must match the actor's state, and it must choose
+// the machines that a full walk over all machines would choose.
 var checkedPlacements atomic.Int64
 
 func init() {
@@ -36,7 +36,7 @@
 			return
 		}
 		if want := decidetest.Slots(v, j, v.Config.RestartMissesObjective(j, v.Now)); !slices.Equal(p.Machines, want) {
-			panic(fmt.Sprintf("%s: %d places, a walk finds %d", j.ID, len(p.Machines), len(want)))
+			panic(fmt.Sprintf("%s: %d placements, a full walk finds %d", j.ID, len(p.Machines), len(want)))
 		}
 		checkedPlacements.Add(1)
 	}
--- a/internal/coordination/node/guards_test.go
+++ b/internal/coordination/node/guards_test.go
@@ -19,7 +19,7 @@
 	"dapplestage.example/dapplestage/internal/transport"
 )
 
-// testNode is one node whose actor is not running: the test is the actor.
+// testNode is a node whose actor is not running: the test runs the actor's functions itself.
 type testNode struct {
 	*Node
 	t        testing.TB
@@ -27,8 +27,8 @@
 	revision uint64
 }
 
-// newTestNode makes a node that holds share 0 under token 7, with one machine
-// host-1 and no jobs.
+// newTestNode returns a node that owns partition 0 under token 7, with one machine, host-1, and no
+// jobs.
 func newTestNode(t testing.TB) *testNode {
 	st := standin.NewState()
 	names := []string{"n-0", "n-1", "n-2"}
@@ -45,20 +45,20 @@
 	return b
 }
 
-// watchPut is a change that the watch tells.
+// watchPut applies a value as a watch event.
 func (b *testNode) watchPut(key string, v any) {
 	b.revision++
 	b.applyWatch([]storage.Item{{Key: key, Value: mustJSON(v), Stamp: b.revision}}, b.revision)
 }
 
-// addJob stores a one-task job of the share's team, placed on host-1.
+// addJob stores a job of one task and of the partition's team, with the given placements.
 func (b *testNode) addJob(id string, cancelled bool, placed ...protocol.Placement) *job {
 	spec := &protocol.JobSpec{ID: id, Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 1, CPUs: 4, GPUs: 1, Image: "i", ImageGB: 1}
 	b.watchPut(protocol.JobKey(id), protocol.JobRecord{Spec: spec, Next: 2, Cancelled: cancelled, Chunk: protocol.Chunk{Placed: placed}})
 	return b.jobs[id]
 }
 
-// sendReport sends a worker's report and returns the answer, or nil if it is parked.
+// sendReport sends a worker's report and returns the answer, or nil if it is deferred.
 func (b *testNode) sendReport(token, seq uint64, tasks ...protocol.TaskReport) *answer {
 	reply := make(chan answer, 1)
 	b.onReport(&protocol.Report{Machine: "host-1", Type: "g4", Zone: "a", Session: 1, Seq: seq, Token: token, Tasks: tasks}, time.Now(), reply)
@@ -72,9 +72,9 @@
 
 var placedOnHost1 = protocol.Placement{Task: 0, Attempt: 1, Machine: "host-1"}
 
-// A list under an earlier token proves nothing: an earlier holder's start may
-// still be on its way.
-func TestUnfencedListProvesNothing(t *testing.T) {
+// A report under an earlier token must prove nothing: a start by an earlier owner may still be on its
+// way.
+func TestUnfencedReportProvesNothing(t *testing.T) {
 	b := newTestNode(t)
 	j := b.addJob("job-1", true, placedOnHost1)
 	a := b.sendReport(6, 1)
@@ -82,19 +82,19 @@
 		t.Fatalf("answer %+v, want the token and no commands", a)
 	}
 	if j.tasks[0].outcome != outcomeNone {
-		t.Fatal("a task counts as gone by a report of an earlier token")
+		t.Fatal("a report with an earlier token proved a task gone")
 	}
 	if b.machines["host-1"].fenced {
 		t.Fatal("fenced by an earlier token")
 	}
 	b.sendReport(7, 2)
 	if j.tasks[0].outcome != outcomeGone {
-		t.Fatal("a report of the present token without the task proves it gone")
+		t.Fatal("a report with the current token that lacks the task did not prove it gone")
 	}
 }
 
-// A report held on its way lists what was, not what is.
-func TestOldReportProvesNothing(t *testing.T) {
+// A delayed report shows a past state and must prove nothing about the present one.
+func TestDelayedReportProvesNothing(t *testing.T) {
 	b := newTestNode(t)
 	b.addJob("job-1", false, placedOnHost1)
 	b.sendReport(7, 5, protocol.TaskReport{Task: "job-1/0", Attempt: 1, State: protocol.TaskRunning})
@@ -103,12 +103,12 @@
 		t.Fatalf("an older report was answered %+v", a)
 	}
 	if j.tasks[0].outcome != outcomeNone {
-		t.Fatal("a running task counts as gone by an older report")
+		t.Fatal("an older report proved a running task gone")
 	}
 }
 
-// A report of a higher token means that somebody else is entitled: answering
-// would at best let the lease run out, at worst command against them.
+// A report with a higher token means that another node owns the machine. An answer would at best let
+// the lease expire, and at worst contradict the owner's commands.
 func TestHigherTokenIsNotAnswered(t *testing.T) {
 	b := newTestNode(t)
 	if a := b.sendReport(8, 1); a == nil || a.status != 503 {
@@ -116,8 +116,8 @@
 	}
 }
 
-// No start is commanded before its placement is stored.
-func TestStartOnlyWhatIsStored(t *testing.T) {
+// A start must not be sent before its placement is stored.
+func TestOnlyStoredPlacementsAreStarted(t *testing.T) {
 	b := newTestNode(t)
 	b.sendReport(7, 1)
 	j := b.addJob("job-1", false)
@@ -132,8 +132,8 @@
 	}
 }
 
-// Done is stored before the worker is told to forget the task.
-func TestForgetOnlyWhatIsStored(t *testing.T) {
+// A task's completion must be stored before the worker is told to forget the task.
+func TestOnlyStoredOutcomesAreForgotten(t *testing.T) {
 	b := newTestNode(t)
 	j := b.addJob("job-1", false, placedOnHost1)
 	over := protocol.TaskReport{Task: "job-1/0", Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseDone}
@@ -141,22 +141,22 @@
 		t.Fatalf("commanded %+v before done is stored", a.body)
 	}
 	if j.tasks[0].outcome != outcomeFinished {
-		t.Fatal("done was not noted")
+		t.Fatal("the completion was not recorded")
 	}
 	b.applyItem(storage.Item{Key: protocol.JobKey("job-1"), Stamp: b.revision + 1})
 	a := b.sendReport(7, 2, over)
 	if a == nil || len(a.body.(protocol.Orders).Commands) != 1 || a.body.(protocol.Orders).Commands[0].Op != protocol.OpForget {
-		t.Fatalf("answered %+v, want clear", a)
+		t.Fatalf("answered %+v, want the task to be forgotten", a)
 	}
 }
 
-// Where a node of an earlier version lives, which tells at once that a job is cancelled, a
-// cancellation could be missed without the store, so leases may be extended only while
-// they would still end within cancel_s of the last contact.
+// A node of an earlier version confirms a cancellation to the user at once. While such a node is live,
+// this node could miss a cancellation if the state service is down, so it may extend leases only as
+// long as they still end within cancel_s of its last contact.
 func TestLeasesAreNotExtendedForeverWithoutStore(t *testing.T) {
 	b := newTestNode(t)
 	if now := time.Now(); !b.mayExtendLeases(now.Add(time.Hour)) {
-		t.Fatal("leases end in an outage though nobody is told of a cancellation before it is over")
+		t.Fatal("leases end in an outage although cancellations are confirmed only after the tasks have ended")
 	}
 	b.watchPut(protocol.NodeKey("n-2"), map[string]uint64{"lease": 9})
 	now := time.Now()
@@ -170,26 +170,26 @@
 	}
 	b.RecordContact(over)
 	if b.mayExtendLeases(over) {
-		t.Fatal("an answered call that tells nothing of what is stored extends leases")
+		t.Fatal("a call whose answer does not show what is stored extends leases")
 	}
 }
 
-// An event that the watch brings late does not bring a job back.
-func TestLateEventDoesNotRevive(t *testing.T) {
+// A late watch event must not bring an ended job back.
+func TestLateWatchEventDoesNotRestoreEndedJob(t *testing.T) {
 	b := newTestNode(t)
 	b.addJob("job-1", false)
 	late := storage.Item{Key: protocol.JobKey("job-1"), Value: mustJSON(b.headRecord(b.jobs["job-1"])), Stamp: b.revision}
 	b.applyItem(storage.Item{Key: protocol.JobKey("job-1"), Stamp: b.revision + 1})
 	b.applyItem(late)
 	if b.jobs["job-1"] != nil {
-		t.Fatal("a final job is back")
+		t.Fatal("an ended job is open again")
 	}
 }
 
-// A job that becomes final while its poll is on the way to the store has left
-// the replica when the answer comes, and is not unknown. (Seen on a simulated
-// day: a poll got 404 just after the holder on another node had finished it.)
-func TestFinishedWhilePolledIsNotUnknown(t *testing.T) {
+// A job that ends while its status read is on the way to the state service has left the replica when
+// the answer arrives. It must not be reported as unknown: a poll got 404 just after the owner on
+// another node had finished the job.
+func TestJobEndingDuringStatusReadIsNotUnknown(t *testing.T) {
 	b := newTestNode(t)
 	b.addJob("job-1", false)
 	b.state.Put(protocol.FinalKey("job-1"), protocol.FinalRecord{Status: protocol.JobDone, Tasks: 1})
@@ -205,18 +205,18 @@
 	b.applyItem(storage.Item{Key: protocol.JobKey("job-1"), Stamp: b.revision + 1})
 	b.finishReadBarrier(barrier, conditions.inReplica, true, nil, nil)
 	if len(got) != 0 {
-		t.Fatal("answered from a replica that has lost the job")
+		t.Fatal("answered from a replica that no longer has the job")
 	}
-	f := <-b.mailbox // the store's answer
+	f := <-b.mailbox // the state service's answer
 	f()
 	if len(got) != 1 || !got[0] {
 		t.Fatalf("answered %v, want done", got)
 	}
 }
 
-// A job's id is used up for ever: submitting it again long after it is over,
-// on a node that does not remember it, gives its final state.
-func TestFinalIDIsNotTakenAgain(t *testing.T) {
+// The id of an ended job must never be accepted again. A submission of it long after the end, at a
+// node that does not remember it, returns the final state.
+func TestFinalIDIsNotReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		w := newWorld(t, ctx, 1, defaultSettings)
@@ -233,8 +233,8 @@
 	})
 }
 
-// Every take-over raises the one counter, in the same transaction.
-func TestTakeOverRaisesToken(t *testing.T) {
+// Every takeover must raise the one token counter in the same transaction.
+func TestTakeoverRaisesToken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		w := newWorld(t, ctx, 1, defaultSettings)
@@ -244,7 +244,7 @@
 		seen := map[uint64]bool{}
 		for _, s := range w.nodes["n-0"].partitions {
 			if s.owner.Token <= 41 || seen[s.owner.Token] {
-				t.Errorf("share %d is held under token %d", s.index, s.owner.Token)
+				t.Errorf("partition %d is owned under token %d", s.index, s.owner.Token)
 			}
 			seen[s.owner.Token] = true
 		}
@@ -254,9 +254,9 @@
 	})
 }
 
-// A machine that was moved here long after it was rented is not one that never
-// booted. (Seen on a simulated day: each moved machine was returned at once.)
-func TestMovedMachineIsGivenTime(t *testing.T) {
+// A machine that is moved to this partition long after it was rented must get time to report. Before,
+// each moved machine counted as one that never booted and was returned at once.
+func TestMovedMachineGetsTimeToReport(t *testing.T) {
 	b := newTestNode(t)
 	host2 := []protocol.MachineRecord{{Name: "host-2", Type: "g4", Zone: "a", Addr: "host-2:9000"}}
 	b.watchPut(protocol.BatchKey("r-1-6-1-0"), protocol.BatchRecord{Share: 1, Machines: host2})
@@ -270,30 +270,29 @@
 	if !b.presumedDead(m, time.Now().Add(2*b.silenceTimeout())) {
 		b.RecordContact(time.Now().Add(2 * b.silenceTimeout()))
 		if !b.presumedDead(m, time.Now().Add(2*b.silenceTimeout())) {
-			t.Fatal("a machine that is never heard is kept for ever")
+			t.Fatal("a machine that never reports is kept for ever")
 		}
 	}
 }
 
-// When a zone comes back after a cut, its machines get time to report before
-// they count as dead. (Seen on a simulated day: nine working machines were
-// given up within two seconds of a partition's end.)
-func TestMachinesGetTimeAfterACut(t *testing.T) {
+// When a zone becomes reachable again, its machines must get time to report before they count as
+// dead. Before, nine working machines were given up within two seconds of a partition's end.
+func TestMachinesGetTimeAfterZoneOutage(t *testing.T) {
 	b := newTestNode(t)
 	b.sendReport(7, 1)
 	m := b.machines["host-1"]
 	now := time.Now().Add(40 * time.Second)
 	b.RecordContact(now)
 	if !b.presumedDead(m, now) {
-		t.Fatal("a machine silent for 40 s without a cut should be given up")
+		t.Fatal("a machine of a reachable zone that is silent for 40 s should be given up")
 	}
 	b.peers["n-1"].zone = "a"
-	b.cfg.Zone = "b" // a sibling in the machine's zone has never been heard
+	b.cfg.Zone = "b" // no hint has come from a peer in the machine's zone
 	b.detectZoneOutages(now)
 	later := now.Add(2 * time.Second)
 	b.RecordContact(later)
 	if b.presumedDead(m, later) {
-		t.Fatal("given up just after the cut")
+		t.Fatal("given up just after the zone was unreachable")
 	}
 	if later = now.Add(maxZoneOutage); true {
 		b.RecordContact(later)
@@ -303,13 +302,13 @@
 	}
 }
 
-// Of a team that borrows one place, one task is stopped for another team's
-// guarantee and not more. (Seen on a simulated day: teams were stopped below
-// their guarantee, had others stopped in turn, and half of all work was lost.)
-func TestLenderKeepsItsGuarantee(t *testing.T) {
+// If a team borrows one slot beyond its guarantee, only one of its tasks may be evicted for another
+// team's guarantee. Before, teams were pushed below their guarantee and evicted others in turn, and
+// half of all work was lost.
+func TestPreemptionKeepsGuaranteeOfBorrowingTeam(t *testing.T) {
 	b := newTestNode(t)
 	b.sendReport(7, 1)
-	b.teams[1].partition = 0 // blue lends to red on the same machines
+	b.teams[1].partition = 0 // blue shares the machines of red's partition
 	for i, id := range []string{"job-1", "job-2", "job-3", "job-4"} {
 		spec := &protocol.JobSpec{ID: id, Team: "blue", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 1, CPUs: 4, GPUs: 1, Image: "i", EstimateS: 60}
 		b.watchPut(protocol.JobKey(id), protocol.JobRecord{Spec: spec, SubmittedMS: int64(i), Next: 2, Chunk: protocol.Chunk{Placed: []protocol.Placement{placedOnHost1}}})
@@ -319,7 +318,7 @@
 	b.watchPut(protocol.JobKey("job-9"), protocol.JobRecord{Spec: spec, SubmittedMS: 9, Next: 1})
 	now := time.Now()
 	for range 3 {
-		b.roomFor(b.jobs["job-9"], 3, now)
+		b.preemptFor(b.jobs["job-9"], 3, now)
 	}
 	stopped := 0
 	for _, id := range []string{"job-1", "job-2", "job-3", "job-4"} {
@@ -332,13 +331,13 @@
 	}
 }
 
-// Whatever batches come and go, and in whatever order a move's two halves are
-// seen, each machine is in the list of its share exactly once.
-func TestBatchesAndShareListsAgree(t *testing.T) {
+// Whatever batches are added and removed, and in whatever order the two halves of a move are seen,
+// each machine must be exactly once in the list of its partition.
+func TestBatchesAndPartitionListsAgree(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		b := newTestNode(t)
 		names := []string{"host-1", "host-2", "host-3", "host-4", "host-5"}
-		where := map[string]string{"host-1": "r-0-7-1-0"} // machine to batch
+		where := map[string]string{"host-1": "r-0-7-1-0"} // batch by machine
 		share := map[string]int{"r-0-7-1-0": 0}
 		put := func(key string) {
 			rec := protocol.BatchRecord{Share: share[key]}
@@ -384,7 +383,7 @@
 						}
 					}
 					if want := where[name] != "" && share[where[name]] == s.index; in > 1 || (in == 1) != want {
-						rt.Fatalf("%s is %d times in share %d, batch %q", name, in, s.index, where[name])
+						rt.Fatalf("%s is %d times in partition %d, batch %q", name, in, s.index, where[name])
 					}
 				}
 			}
@@ -392,10 +391,9 @@
 	})
 }
 
-// A machine that the cloud lists with an address while it boots is not one that
-// was up before. (Seen on a simulated day: 325 machines were given up and rented
-// again just as they came up.)
-func TestListedAddressIsNoSignOfLife(t *testing.T) {
+// The cloud may list the address of a machine that is still booting. That must not count as proof that
+// the machine was up. Before, 325 machines were given up and rented again just as they came up.
+func TestListedAddressDoesNotProveBoot(t *testing.T) {
 	b := newTestNode(t)
 	now := time.Now()
 	b.onMachineList([]protocol.ListedMachine{{ID: "host-1", Addr: "host-1:9000", Type: "g4", Zone: "a", State: "booting"}}, now, now)
@@ -413,10 +411,10 @@
 	}
 }
 
-// A wave of submissions beyond the rate of changes is answered at once, each
-// user with a later turn. (Seen on a simulated day: 674 submissions got no
-// answer within their 5 s, and were sent again.)
-func TestWaveOfSubmissionsIsAnsweredAtOnce(t *testing.T) {
+// If more submissions arrive than the rate of changes allows, the rest must be rejected at once, each
+// user with a later retry time. Before, 674 submissions got no answer within their 5 s and were sent
+// again.
+func TestSubmissionBurstIsRejectedAtOnce(t *testing.T) {
 	b := newTestNode(t)
 	replies := make([]chan answer, 400)
 	for i := range replies {
@@ -435,13 +433,12 @@
 		}
 	}
 	if turned < 350 || last < 10 {
-		t.Fatalf("%d turned away, the last for %d s", turned, last)
+		t.Fatalf("%d rejected, the last for %d s", turned, last)
 	}
 }
 
-// A machine that falls silent and that the cloud lists no more is given up in
-// half the time that silence alone takes; one that is listed, or too young for
-// the list's lag, is not.
+// A silent machine that the cloud no longer lists must be given up in half the time that silence alone
+// takes. One that is listed, or too new to appear in the list, must be kept.
 func TestUnlistedSilentMachineIsGivenUpSoon(t *testing.T) {
 	b := newTestNode(t)
 	b.sendReport(7, 1)
@@ -450,7 +447,7 @@
 	now := time.Now().Add(b.overdueTimeout() + time.Second)
 	b.RecordContact(now)
 	if b.presumedDead(m, now) || !b.reportsOverdue(m, now) {
-		t.Fatal("silence this short should be a suspicion only")
+		t.Fatal("a silence this short should make the machine suspect, not dead")
 	}
 	b.onMachineList([]protocol.ListedMachine{{ID: "host-1", State: "running"}}, now, now)
 	if b.presumedDead(m, now) {
@@ -467,29 +464,28 @@
 	}
 }
 
-// A holder that takes a share over during a cut waits for the machines beyond
-// it. (Seen on a simulated day: 120 working machines with 354 tasks were given up
-// 13 s after a take-over in a partition.)
-func TestMachinesBeyondACutAreKeptAfterATakeOver(t *testing.T) {
+// An owner that takes a partition over while a zone is unreachable must wait for that zone's machines.
+// Before, 120 working machines with 354 tasks were given up 13 s after such a takeover.
+func TestUnreachableMachinesAreKeptAfterTakeover(t *testing.T) {
 	b := newTestNode(t)
 	j := b.addJob("job-1", false, placedOnHost1)
 	m := b.machines["host-1"]
 	now := time.Now().Add(b.silenceTimeout() + 4*time.Second)
 	b.RecordContact(now)
 	if !b.presumedDead(m, now) {
-		t.Fatalf("a machine with %d tasks that was never heard should be given up", j.nPlaced)
+		t.Fatalf("a machine with %d tasks that never reported should be given up", j.nPlaced)
 	}
 	b.peers["n-1"].zone = "a"
 	b.cfg.Zone = "b"
 	b.detectZoneOutages(now)
 	if b.presumedDead(m, now) {
-		t.Fatal("given up although its zone is cut off")
+		t.Fatal("given up although its zone is unreachable")
 	}
 }
 
-// Where images are is known beyond the node that learned it, and a sibling's
-// word does not replace what this node sees itself.
-func TestCachesAreToldToSiblings(t *testing.T) {
+// Hints must make a node's knowledge of image caches known to its peers, but a peer's hint must not
+// replace what the owner of a machine knows itself.
+func TestHintsShareCachesWithPeers(t *testing.T) {
 	a, b := newTestNode(t), newTestNode(t)
 	a.machines["host-1"].images = []protocol.CachedImage{{Name: "i", GB: 4}}
 	a.prepareHints(time.Now())
@@ -499,18 +495,18 @@
 	}
 	b.applyCacheHints(h.Caches)
 	if b.machines["host-1"].hasImage("i") {
-		t.Fatal("a holder believed another about its own machine")
+		t.Fatal("an owner believed a peer about its own machine")
 	}
 	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 4})
 	b.applyCacheHints(h.Caches)
 	if !b.machines["host-1"].hasImage("i") {
-		t.Fatal("what a sibling told is not known")
+		t.Fatal("the peer's hint was not applied")
 	}
 }
 
-// A service that finds all but one of its places where its image is gets one task
-// stopped there, and not as many as it has itself.
-func TestRoomIsMadeOnlyForWhatLacksTheImage(t *testing.T) {
+// If a service finds all but one of its slots on machines that cache its image, only one task may be
+// evicted there, and not as many as the service has tasks.
+func TestPreemptionOnlyForTasksWithoutCachedImage(t *testing.T) {
 	b := newTestNode(t)
 	b.watchPut(protocol.BatchKey("r-0-7-2-0"), protocol.BatchRecord{Machines: []protocol.MachineRecord{{Name: "host-2", Type: "g4", Zone: "a"}, {Name: "host-3", Type: "g4", Zone: "a"}}})
 	now := time.Now()
@@ -544,41 +540,40 @@
 	}
 }
 
-// A place is free as soon as its task is known to be gone, and is given back
-// once, whatever becomes of the record: stored, lost to another holder, or
-// replaced by a later attempt on the same machine.
-func TestPlaceIsGivenBackOnce(t *testing.T) {
+// Resources must be freed as soon as a task is known to be gone, and only once, whether its outcome is
+// stored, lost to another owner, or followed by a later attempt on the same machine.
+func TestCapacityIsFreedOnce(t *testing.T) {
 	b := newTestNode(t)
 	j := b.addJob("job-1", false, placedOnHost1)
 	m, tm := b.machines["host-1"], b.teams[0]
-	used := func(want float64) {
+	checkUsed := func(want float64) {
 		t.Helper()
 		if m.used.GPUs != want || tm.Used.GPUs != want {
 			t.Fatalf("%v GPUs of the machine and %v of the team in use, want %v", m.used.GPUs, tm.Used.GPUs, want)
 		}
 	}
-	used(1)
+	checkUsed(1)
 	b.recordOutcome(j, 0, outcomeGone)
-	used(0)
+	checkUsed(0)
 	if len(m.tasks) != 1 {
 		t.Fatal("a machine with a task whose end is not stored counts as empty")
 	}
 	again := placedOnHost1
 	again.Attempt = 2
 	b.watchPut(protocol.JobKey("job-1"), protocol.JobRecord{Spec: j.spec, Next: 3, Chunk: protocol.Chunk{Placed: []protocol.Placement{again}}})
-	used(1)
+	checkUsed(1)
 	b.recordOutcome(j, 0, outcomeFinished)
 	b.watchPut(protocol.JobKey("job-1"), protocol.JobRecord{Spec: j.spec, Next: 3, Chunk: protocol.Chunk{Done: [][2]int{{0, 0}}}})
-	used(0)
+	checkUsed(0)
 	if len(m.tasks) != 0 {
 		t.Fatal("a task that is done is still counted on its machine")
 	}
 }
 
-// Nobody is stopped in a zone that may take no more tasks of a spread service.
-// (Seen on a simulated day: a service that lacked one place in the other zone had
-// a task stopped every 8 s for 40 s, the same one three times.)
-func TestNoRoomIsMadeInAFullZone(t *testing.T) {
+// No task may be evicted in a zone that can take no more tasks of a spread service. Before, a service
+// that lacked one slot in the other zone had a task evicted every 8 s for 40 s, the same one three
+// times.
+func TestNoPreemptionInFullZone(t *testing.T) {
 	for _, zone := range []string{"a", "b"} {
 		b := newTestNode(t)
 		b.watchPut(protocol.BatchKey("r-0-7-2-0"), protocol.BatchRecord{Machines: []protocol.MachineRecord{{Name: "host-2", Type: "g4", Zone: zone}}})
@@ -598,16 +593,16 @@
 			low = append(low, protocol.Placement{Task: i, Attempt: 1, Machine: "host-2"})
 		}
 		place("job-2", "best_effort", protocol.Array, 4, false, low...)
-		made := b.roomFor(b.jobs["job-1"], 1, now)
+		made := b.preemptFor(b.jobs["job-1"], 1, now)
 		if made != (zone == "b") {
-			t.Errorf("room made in zone %s beside a task in zone a: %v", zone, made)
+			t.Errorf("preemption in zone %s beside a task in zone a: %v", zone, made)
 		}
 	}
 }
 
-// A share that comes back brings no proof with it: another holder may have
-// started the same attempt again meanwhile.
-func TestFactsDoNotOutliveTheHolding(t *testing.T) {
+// A node that becomes the owner of a partition again must not use the outcomes of its earlier
+// ownership: another owner may have started the same attempt again in between.
+func TestOutcomesEndWithOwnership(t *testing.T) {
 	for _, f := range []taskOutcome{outcomeGone, outcomeFinished} {
 		b := newTestNode(t)
 		j := b.addJob("job-1", false, placedOnHost1)
@@ -615,18 +610,18 @@
 		b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
 		b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
 		if m := b.machines["host-1"]; j.tasks[0].outcome != outcomeNone || m.used.GPUs != 1 || b.teams[0].Used.GPUs != 1 {
-			t.Fatalf("fact %v, %v GPUs of the machine and %v of the team in use", j.tasks[0].outcome, m.used.GPUs, b.teams[0].Used.GPUs)
+			t.Fatalf("outcome %v, %v GPUs of the machine and %v of the team in use", j.tasks[0].outcome, m.used.GPUs, b.teams[0].Used.GPUs)
 		}
 		b.sendReport(9, 1, protocol.TaskReport{Task: "job-1/0", Attempt: 1, State: protocol.TaskRunning})
 		b.rejectDeferred(b.machines["host-1"])
 		if j.tasks[0].outcome != outcomeNone {
-			t.Fatal("a running task counts as over")
+			t.Fatal("a running task counts as ended")
 		}
 	}
 }
 
-// What an earlier holder recorded may be more than the team's limit: the place of
-// a task that was over was given on, and its end not stored. Not all is started.
+// An earlier owner may have recorded more than the team's limit, if it reused the capacity of a task
+// whose end it had not stored. Not all of these tasks may be started.
 func TestNoStartAboveTheLimit(t *testing.T) {
 	b := newTestNode(t)
 	b.teams[0].Limit = Resources{GPUs: 2}
@@ -643,25 +638,25 @@
 	}
 }
 
-// A node stands in for a holder beyond a cut, and not for one whose host refuses
-// connections between controllers: there the workers themselves can go.
-func TestNoStandInBehindAFilter(t *testing.T) {
+// A node must answer reports in place of an owner that is cut off, but not of one whose host refuses
+// connections between controllers: then the workers themselves can reach the owner.
+func TestNoAnswerForOwnerBehindPacketFilter(t *testing.T) {
 	b := newTestNode(t)
 	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
 	if a := b.sendReport(8, 1); a == nil || a.status != 200 {
-		t.Fatalf("beyond a cut: %+v", a)
+		t.Fatalf("owner cut off: %+v", a)
 	}
 	b.OnConnEvent("n-1", transport.ConnRefused)
 	(<-b.mailbox)()
 	if a := b.sendReport(8, 2); a == nil || a.status != 421 || a.body.(protocol.Redirect).ReportTo != "n-1" {
-		t.Fatalf("behind a filter: %+v", a)
+		t.Fatalf("owner behind a packet filter: %+v", a)
 	}
 }
 
-// In an outage of the state service the machines of a holder that stands still keep
-// their leases by the others, as long as no cancellation could be missed, and get no
-// starts. (Seen on a simulated day: 179 workers of a stalled controller lost them.)
-func TestLeasesOfAStalledHolderLiveThroughAnOutage(t *testing.T) {
+// During an outage of the state service, the other nodes must extend the leases of machines whose
+// owner has stalled, as long as no cancellation can be missed, but must send no starts. Before, 179
+// workers of a stalled controller lost their leases.
+func TestLeasesOfStalledOwnerSurviveOutage(t *testing.T) {
 	b := newTestNode(t)
 	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
 	b.addJob("job-1", false, placedOnHost1)
@@ -674,12 +669,12 @@
 		t.Fatalf("15 s into an outage: %+v", a)
 	}
 	if a := ask(15*time.Second, 9); a.status != 503 {
-		t.Fatalf("somebody else has commanded it meanwhile: %+v", a)
+		t.Fatalf("another owner has commanded the machine: %+v", a)
 	}
 	w := b.cfg.Params.Workers
 	long := time.Duration((w.CancelS - w.LeaseS) * float64(time.Second))
 	if a := ask(long, 8); a.status != 200 {
-		t.Fatalf("a lease ends though no cancellation can be missed: %+v", a)
+		t.Fatalf("a lease ends although no cancellation can be missed: %+v", a)
 	}
 	b.watchPut(protocol.NodeKey("n-2"), map[string]uint64{"lease": 9}) // of an earlier version
 	if a := ask(long, 8); a.status != 503 {
@@ -687,28 +682,28 @@
 	}
 }
 
-// roomFor decides whom to stop for a job, and stops them.
-func (b *testNode) roomFor(j *job, r int, now time.Time) bool {
+// preemptFor decides which tasks to evict for a job and stops them.
+func (b *testNode) preemptFor(j *job, r int, now time.Time) bool {
 	room := b.view(b.partitions[0], now).Preempt(b.jobFactsWithZones(j, now), r, decide.AnyMachine)
 	b.applyPreemption(j, room, false, now)
 	return room.HasEvictions()
 }
 
-// eligibleTasks is how many of so many waiting tasks of a job may be started.
+// eligibleTasks returns how many of a job's waiting tasks may be started.
 func (b *testNode) eligibleTasks(j *job, waiting int, now time.Time) int {
 	f := *b.jobFacts(j, now)
 	f.Waiting = waiting
 	return f.EligibleTasks(now)
 }
 
-// A sibling's word that a job is cancelled stops its tasks, and proves nothing: nobody is told
-// anything for it, nothing is stored, and it ends when all is known that was stored by then.
-func TestHintOfACancellationStopsAndProvesNothing(t *testing.T) {
+// A peer's hint that a job is cancelled must stop its tasks but prove nothing: no user is answered and
+// nothing is stored because of it. It ends once the replica is complete up to the hint's revision.
+func TestCancelHintStopsTasksAndProvesNothing(t *testing.T) {
 	b := newTestNode(t)
 	j := b.addJob("job-1", false, placedOnHost1)
 	running := protocol.TaskReport{Task: "job-1/0", Attempt: 1, State: protocol.TaskRunning}
 	b.sendReport(7, 1, running)
-	stops := func(seq uint64) int {
+	stopsIn := func(seq uint64) int {
 		a := b.sendReport(7, seq, running)
 		if a == nil {
 			return 0
@@ -716,27 +711,27 @@
 		return len(a.body.(protocol.Orders).Commands)
 	}
 	b.applyCancelHints("n-1", []protocol.CancelledJob{{Job: "job-1", Revision: b.completeRevision}, {Job: "job-9", Revision: 99}})
-	if stops(2) != 0 {
-		t.Fatal("stopped by a hint of what this node has read")
+	if stopsIn(2) != 0 {
+		t.Fatal("stopped by a hint about a revision that this node has read")
 	}
 	b.applyCancelHints("n-1", []protocol.CancelledJob{{Job: "job-1", Revision: 50}})
-	if stops(3) != 1 {
+	if stopsIn(3) != 1 {
 		t.Fatal("not stopped")
 	}
 	if j.cancelled || j.status().Status != protocol.JobRunning || b.dirty[j] {
 		t.Fatalf("a hint counts as a cancellation: %+v", j.status())
 	}
 	b.applyWatch(nil, 50)
-	if stops(4) != 0 {
-		t.Fatal("stopped though the record does not say so")
+	if stopsIn(4) != 0 {
+		t.Fatal("stopped although the record is not cancelled")
 	}
 }
 
-// Where a machine is in doubt, or has not shown the holder's token, nothing is concluded or
-// started, but what is cancelled is stopped. (With a direct start unanswered when the state
-// service went down, the machine got no orders for as long as that lasted, and its lease
-// lived on.)
-func TestHaltsInDoubt(t *testing.T) {
+// On a machine with unconfirmed starts, or one that has not shown the owner's token, nothing may be
+// concluded or started, but cancelled tasks must be stopped. Before, a machine whose direct start was
+// unanswered when the state service went down got no orders until it was back, while its lease was
+// extended.
+func TestCancelledTasksAreStoppedWhileStartsAreUnconfirmed(t *testing.T) {
 	for _, unfenced := range []bool{false, true} {
 		b := newTestNode(t)
 		j := b.addJob("job-1", true, placedOnHost1)
@@ -749,16 +744,16 @@
 			t.Errorf("unfenced %v: %+v", unfenced, a)
 		}
 		if j.tasks[0].outcome != outcomeNone {
-			t.Error("a report in doubt proved something")
+			t.Error("a report of a machine with unconfirmed starts proved something")
 		}
 	}
 }
 
-// The change that records a rental is sent again when it was not answered. The first one,
-// executed long after, finds no key of that name if the machines were moved or returned
-// meanwhile, and so its condition holds. A machine stays where it was moved to, in whatever
-// order the two are read, and the holder mends the record.
-func TestLateRentalRecordDoesNotTakeAMovedMachineBack(t *testing.T) {
+// The change that records a rental is sent again if it got no answer. The first attempt may be
+// executed long after. If the machines were moved or returned in between, its key does not exist, so
+// its condition holds. A moved machine must stay in its new partition, in whatever order the two
+// records are read, and the owner must correct the old record.
+func TestLateRentalRecordKeepsMovedMachine(t *testing.T) {
 	rental, moved := protocol.BatchKey("r-0-7-1-0"), protocol.BatchKey("m-1-9")
 	rec := protocol.MachineRecord{Name: "host-1", Type: "g4", Zone: "a"}
 	b := newTestNode(t)
@@ -766,18 +761,18 @@
 	b.revision++
 	b.applyItem(storage.Item{Key: rental, Stamp: b.revision})
 	b.watchPut(rental, protocol.BatchRecord{Machines: []protocol.MachineRecord{rec}})
-	where := func(n *Node, how string) {
+	checkMoved := func(n *Node, how string) {
 		if m := n.machines["host-1"]; m == nil || !m.recorded || m.rec.Share != 1 || n.fencingToken(m) != 9 {
 			t.Errorf("%s: %+v", how, m)
 		}
 	}
-	where(b.Node, "executed late")
+	checkMoved(b.Node, "executed late")
 	if b.batches[rental].dirtySince.IsZero() {
-		t.Error("the record is not mended")
+		t.Error("the record is not corrected")
 	}
 	w := b.batches[rental].writeKeeping(func(r *protocol.MachineRecord) bool { return b.machines[r.Name].batch == b.batches[rental] })
 	if w.Delete != rental {
-		t.Errorf("mended by %+v", w)
+		t.Errorf("corrected by %+v", w)
 	}
 	for _, order := range [][]string{{rental, moved}, {moved, rental}} {
 		fresh := newTestNode(t)
@@ -789,6 +784,6 @@
 			}
 			fresh.watchPut(key, r)
 		}
-		where(fresh.Node, "read in the order "+order[0])
+		checkMoved(fresh.Node, "read in the order "+order[0])
 	}
 }
--- a/internal/coordination/node/jobs_test.go
+++ b/internal/coordination/node/jobs_test.go
@@ -20,8 +20,8 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-// What is stored of a job and read again is the same job, whatever its tasks
-// are doing, and no value outgrows the smallest limit.
+// A job that is stored and read again must be the same, whatever the state of its tasks, and no value
+// may exceed the smallest limit.
 func TestRecordRoundTrip(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		b := newTestNode(t)
@@ -73,8 +73,8 @@
 	})
 }
 
-// A job of many values runs to its end, and one of the largest allowed size is
-// accepted and can be cancelled.
+// A job whose record spans several values must run to its end, and one of the maximum size must be
+// accepted and be cancellable.
 func TestManyTasks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -90,7 +90,7 @@
 		time.Sleep(4 * time.Minute)
 		synctest.Wait()
 		if us[0].knownFinalStatus() != protocol.JobDone || us[1].knownFinalStatus() != protocol.JobCancelled {
-			t.Errorf("became %q and %q", us[0].knownFinalStatus(), us[1].knownFinalStatus())
+			t.Errorf("the jobs ended as %q and %q", us[0].knownFinalStatus(), us[1].knownFinalStatus())
 		}
 		for _, b := range w.fleet.Broken {
 			t.Errorf("rule broken: %s", b)
@@ -101,11 +101,11 @@
 	})
 }
 
-// The other weak spot that the design names: after a take-over the window is gone. Each
-// node counts the arrivals that it sees, so a standby has the window that the holder had;
-// after a start of all the jobs present are counted, in their order, so that the
-// threshold has means to go by.
-func TestWindowAfterTakeOver(t *testing.T) {
+// A node that takes a partition over must have the same window of arrivals as the previous owner,
+// because every node counts the arrivals that it sees. At a node's start the present jobs are counted
+// in their order, so that the threshold has means to work with. The design names a window lost at a
+// takeover as a weak spot.
+func TestWindowSurvivesTakeover(t *testing.T) {
 	b := newTestNode(t)
 	for i, gb := range []float64{8, 8, 8, 1} {
 		spec := &protocol.JobSpec{ID: fmt.Sprintf("job-%d", i), Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 1, CPUs: 4, GPUs: 1, Image: fmt.Sprint(i), ImageGB: gb}
@@ -122,7 +122,7 @@
 	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 10, Lease: 9})
 	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 11, Lease: 3})
 	if b.countArrivals(s); s.window.Len() != 4 {
-		t.Errorf("%d arrivals after another take-over: what ended counts too", s.window.Len())
+		t.Errorf("%d arrivals after another takeover: ended jobs count too", s.window.Len())
 	}
 }
 
@@ -140,14 +140,14 @@
 				p = q
 			}
 			if !p.valid() {
-				t.Fatalf("%s = %s left %+v", name, value, p)
+				t.Fatalf("%s = %s resulted in the invalid policy %+v", name, value, p)
 			}
 		}
 	})
 }
 
-// A change decided on an old revision is refused, so that two operators do not
-// undo each other's.
+// A change that is based on an old revision must be refused, so that two operators do not undo each
+// other's changes.
 func TestStaleSettingIsRefused(t *testing.T) {
 	b := newTestNode(t)
 	b.watchPut(protocol.PolicyKey, DefaultPolicy())
@@ -159,7 +159,7 @@
 	}
 }
 
-// Lower layers never import higher ones, and decisions know nothing but formats.
+// Lower layers must not import higher ones, and the decision packages may depend on formats only.
 func TestLayers(t *testing.T) {
 	const module = "dapplestage.example/dapplestage/internal/"
 	above := map[string][]string{
--- a/internal/coordination/node/log_progress_test.go
+++ b/internal/coordination/node/log_progress_test.go
@@ -7,8 +7,8 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// flushes lets a share store what is new so many times.
-func (b *testNode) flushes(s *partition, times int) {
+// flushTimes flushes a partition's changes a number of times and waits for each to be stored.
+func (b *testNode) flushTimes(s *partition, times int) {
 	b.t.Helper()
 	go b.urgentCommitter.Run(b.t.Context())
 	go b.backgroundCommitter.Run(b.t.Context())
@@ -18,10 +18,10 @@
 	}
 }
 
-// fragmented makes a job of 200 tasks that the oldest entry of the share's log placed in one
-// range, every other one of which a later entry tells to be done: what is left of the range is
-// too much to be said again in one entry.
-func (b *testNode) fragmented(id string) *job {
+// addFragmentedJob adds a job of 200 tasks. The oldest entry of the partition's log placed them in one
+// range, and a later entry marks every other task as done. What is left of the range is too large to
+// be carried over in one entry.
+func (b *testNode) addFragmentedJob(id string) *job {
 	b.cfg.Params.State.ValueKB = 1
 	spec := &protocol.JobSpec{ID: id, Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 200, CPUs: 0.1, Image: "i"}
 	b.storePut(protocol.JobKey(id), protocol.JobRecord{Spec: spec, Next: 2})
@@ -35,13 +35,13 @@
 	return b.jobs[id]
 }
 
-// A job is over, and what the oldest entry says of it does not fit the next one: its end is
-// stored all the same, and so is what comes after it. (On a simulated day a share's log stood
-// still for six minutes: eleven jobs were over, none could be stored in a record of its own for
-// being over, and without them no entry could be written.)
-func TestJobThatIsOverDoesNotBlockTheLog(t *testing.T) {
+// A job has ended, and what the oldest entry contains of it does not fit into the next entry. Its end
+// and all later changes must still be stored. A partition's log once stalled for six minutes this
+// way: eleven jobs had ended, none was compacted into a record of its own because it had ended, and
+// so no further entry could be written.
+func TestEndedJobDoesNotBlockTheLog(t *testing.T) {
 	b, _ := newTestNodeWithLog(t)
-	over := b.fragmented("job-9")
+	over := b.addFragmentedJob("job-9")
 	for i := range over.tasks {
 		b.recordOutcome(over, i, outcomeFinished)
 	}
@@ -49,20 +49,20 @@
 		t.Fatalf("%d tasks are left", over.remainingTasks())
 	}
 	later := b.addProposedArray("job-2")
-	b.flushes(b.partitions[0], 8)
+	b.flushTimes(b.partitions[0], 8)
 	if b.jobs["job-9"] != nil {
-		t.Error("its end is not stored")
+		t.Error("the end of the job is not stored")
 	}
 	if later.tasks[0].phase != phasePlaced {
-		t.Error("nothing else is stored")
+		t.Error("the placement of the other job is not stored")
 	}
 	if f := newNodeFromStore(t, b.cfg, b.state); f.jobs["job-9"] != nil {
-		t.Error("a node that starts reads that it goes on")
+		t.Error("a node that starts still reads the job as open")
 	}
 }
 
-// What is new of a job does not fit beside what is said again: it is stored in its own record,
-// and others are not held up.
+// The changes of a job that do not fit beside what an entry carries over must be stored in the job's
+// own record, and must not delay other jobs.
 func TestJobTooLargeForAnEntryDoesNotBlockTheLog(t *testing.T) {
 	b, _ := newTestNodeWithLog(t)
 	b.cfg.Params.State.ValueKB = 1
@@ -76,7 +76,7 @@
 	}
 	b.proposePlacements(large, tasks, to, time.Now())
 	later := b.addProposedArray("job-2")
-	b.flushes(b.partitions[0], 8)
+	b.flushTimes(b.partitions[0], 8)
 	if large.tasks[0].phase != phasePlaced || later.tasks[0].phase != phasePlaced {
 		t.Errorf("stored: the large job %v, the other %v", large.tasks[0].phase == phasePlaced, later.tasks[0].phase == phasePlaced)
 	}
--- a/internal/coordination/node/packed_test.go
+++ b/internal/coordination/node/packed_test.go
@@ -17,14 +17,15 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-// storeOnlyEntries stores everything in entries, with few slots, until the test ends.
+// storeOnlyEntries makes nodes store everything in entries, with few slots, until the test ends.
 func storeOnlyEntries(t *testing.T, slots int) {
-	slotsWere := ringSlots
+	oldSlots := ringSlots
 	ringSlots, alwaysPack = slots, true
-	t.Cleanup(func() { ringSlots, alwaysPack = slotsWere, false })
+	t.Cleanup(func() { ringSlots, alwaysPack = oldSlots, false })
 }
 
-// facts are what is known of stored jobs: each task's phase, attempt and machine.
+// jobSummaries returns the stored state of each job that a node knows: each task's phase, attempt and
+// machine.
 func (n *Node) jobSummaries() map[string]string {
 	out := map[string]string{}
 	for id, j := range n.jobs {
@@ -46,8 +47,8 @@
 	return out
 }
 
-// readByTool is the same as operators read it.
-func readByTool(j *packed.Job) string {
+// summaryByTool returns the same summary from what the operators' tool reads.
+func summaryByTool(j *packed.Job) string {
 	var b strings.Builder
 	fmt.Fprint(&b, j.Spec.Tasks, j.Cancelled, j.Cancelled, " ")
 	out := make([]string, j.Spec.Tasks)
@@ -63,7 +64,7 @@
 	return b.String() + strings.Join(out, " ") + " "
 }
 
-// newNodeFromStore is what a node that starts now knows of the jobs.
+// newNodeFromStore returns a node that has just started and has read the stored state.
 func newNodeFromStore(t *testing.T, cfg *protocol.Settings, st *standin.State) *Node {
 	n := New(t.Context(), cfg, slog.New(slog.NewTextHandler(io.Discard, nil)), st, standin.NewFleet(t.Context()), nil, 1)
 	items, rev, _ := st.List(t.Context(), protocol.Root)
@@ -71,16 +72,16 @@
 	return n
 }
 
-// asks makes a node's actor answer.
+// onActor runs f on a node's actor and returns its result.
 func onActor[T any](n *Node, f func() T) T {
 	c := make(chan T)
 	n.post(func() { c <- f() })
 	return <-c
 }
 
-// sameAsStored holds what a living node knows of jobs to what one that starts now reads. What
-// differs must be the same again within seconds: changes are under way.
-func (w *simCluster) sameAsStored(name string) {
+// checkMatchesStored compares what a running node knows of jobs with what a node that starts now reads.
+// Changes in flight may make them differ, so they must agree within seconds.
+func (w *simCluster) checkMatchesStored(name string) {
 	var wrong []string
 	for range 40 {
 		n := w.node(name)
@@ -88,22 +89,22 @@
 			return
 		}
 		live := onActor(n, n.jobSummaries)
-		read := newNodeFromStore(w.t, w.cfg[name], w.state).jobSummaries()
+		stored := newNodeFromStore(w.t, w.cfg[name], w.state).jobSummaries()
 		items, _, _ := w.state.List(w.t.Context(), protocol.Root)
 		for id, j := range packed.Read(items, ringSlots).Jobs {
-			if told := readByTool(j); told != read[id] && !j.Ticket {
-				read[id] = fmt.Sprintf("%q by the tool, %q by a node", told, read[id])
+			if byTool := summaryByTool(j); byTool != stored[id] && !j.Ticket {
+				stored[id] = fmt.Sprintf("%q by the tool, %q by a node", byTool, stored[id])
 			}
 		}
 		wrong = wrong[:0]
 		for id := range live {
-			if live[id] != read[id] {
-				wrong = append(wrong, fmt.Sprintf("%s: known %q, read %q", id, live[id], read[id]))
+			if live[id] != stored[id] {
+				wrong = append(wrong, fmt.Sprintf("%s: known %q, read %q", id, live[id], stored[id]))
 			}
 		}
-		for id := range read {
+		for id := range stored {
 			if _, ok := live[id]; !ok {
-				wrong = append(wrong, fmt.Sprintf("%s: not known, read %q", id, read[id]))
+				wrong = append(wrong, fmt.Sprintf("%s: not known, read %q", id, stored[id]))
 			}
 		}
 		if len(wrong) == 0 {
@@ -115,10 +116,10 @@
 	w.t.Errorf("%s: %d jobs differ: %s", name, len(wrong), strings.Join(wrong[:min(3, len(wrong))], "; "))
 }
 
-// Random troubles while all that is new of jobs is stored in entries of few slots, and late
-// transactions come: the rules hold, every job ends, and what a node knows is what one that
-// starts reads.
-func TestTroublesWithEntries(t *testing.T) {
+// Runs random faults while all changes of jobs are stored in entries of few slots and transactions
+// are executed late. The rules must hold, every job must end, and what a node knows must match what a
+// node that starts reads.
+func TestRandomFaultsWithEntries(t *testing.T) {
 	storeOnlyEntries(t, 4)
 	for seed := range seedCount(10) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -130,7 +131,7 @@
 					w.withLock(func() { w.lossRate, w.lateTxnRate = 0, 0 })
 					time.Sleep(5 * time.Second)
 					for _, name := range w.names {
-						w.sameAsStored(name)
+						w.checkMatchesStored(name)
 					}
 				})
 				if it, _ := w.state.Get(ctx, protocol.FormatKey); it.Value == nil {
@@ -144,12 +145,12 @@
 	}
 }
 
-// tiny is a job of small tasks that runs long.
-func tiny(i, tasks int) *protocol.JobSpec {
+// tinyArray returns an array of small tasks that run long.
+func tinyArray(i, tasks int) *protocol.JobSpec {
 	return &protocol.JobSpec{ID: fmt.Sprintf("job-%06d", i), Team: []string{"red", "blue", "green"}[i%3], Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: tasks, CPUs: 1, GPUs: 0.01, MemoryGB: 1, Image: "i", EstimateS: 1000}
 }
 
-// withEntries plays with three nodes.
+// withEntries runs a test in a cluster of three nodes that may write entries.
 func withEntries(t *testing.T, seed uint64, day func(w *simCluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -168,7 +169,7 @@
 	})
 }
 
-// submitAll submits jobs all at once, by turns at each of the nodes.
+// submitAll submits jobs concurrently, distributed over the nodes.
 func (w *simCluster) submitAll(jobs []*protocol.JobSpec) (out []answer) {
 	out = make([]answer, len(jobs))
 	done := make(chan struct{}, len(jobs))
@@ -184,19 +185,19 @@
 	return out
 }
 
-// Two hundred and forty jobs that come within a second, and one of 2,000 tasks, are accepted within
-// seconds at 40 changes a second, in fewer changes than jobs, each value and transaction within
-// its limits; two nodes that accept one id at once accept one job.
-func TestAWaveIsAcceptedTogether(t *testing.T) {
+// Submits 240 jobs within a second, and one of 2,000 tasks, at 40 changes per second. They must be
+// accepted within seconds and in fewer changes than jobs, with each value and transaction within its
+// limits. If two nodes accept the same id at once, only one job may result.
+func TestBurstIsStoredInFewChanges(t *testing.T) {
 	withEntries(t, 1, func(w *simCluster) {
 		before := w.state.Changes()
-		var wave []answer
+		var answers []answer
 		open := map[int]bool{}
 		for i := range 240 {
-			w.fleet.Submitted(tiny(i, 1))
+			w.fleet.Submitted(tinyArray(i, 1))
 			open[i] = true
 		}
-		w.fleet.Submitted(tiny(240, 2000))
+		w.fleet.Submitted(tinyArray(240, 2000))
 		open[240] = true
 		from := time.Now()
 		for len(open) > 0 && time.Since(from) < time.Minute {
@@ -210,10 +211,10 @@
 				if id == 240 {
 					tasks = 2000
 				}
-				jobs = append(jobs, tiny(id, tasks))
+				jobs = append(jobs, tinyArray(id, tasks))
 			}
-			wave = w.submitAll(jobs)
-			for k, a := range wave {
+			answers = w.submitAll(jobs)
+			for k, a := range answers {
 				if a.status == 200 || a.status == 201 {
 					delete(open, ids[k])
 				}
@@ -229,7 +230,7 @@
 		}
 		time.Sleep(20 * time.Second)
 		for _, name := range w.names {
-			w.sameAsStored(name)
+			w.checkMatchesStored(name)
 			if k := onActor(w.node(name), func() int { return len(w.node(name).jobs) }); k != 241 {
 				t.Errorf("%s knows %d jobs", name, k)
 			}
@@ -243,15 +244,15 @@
 	})
 }
 
-// Where entries may not be written any more, since operators want to go back or an earlier
-// version lives, every job gets a record of its own and the entries become empty: who does
-// not know them reads the same.
-func TestEntriesAreGivenUp(t *testing.T) {
+// Entries may become disallowed because operators want to go back to an earlier version, or because
+// one is running. Then every job must get a record of its own and the entries must become empty, so
+// that a version which does not know entries reads the same jobs.
+func TestEntriesCanBeDisabled(t *testing.T) {
 	storeOnlyEntries(t, 8)
 	for _, early := range []bool{false, true} {
 		withEntries(t, 2, func(w *simCluster) {
 			for i := range 30 {
-				w.submit(tiny(i, 1+i%7*40))
+				w.submit(tinyArray(i, 1+i%7*40))
 			}
 			time.Sleep(20 * time.Second)
 			w.cancel("job-000004")
@@ -270,11 +271,11 @@
 			for _, it := range items {
 				if strings.HasPrefix(it.Key, protocol.LogRoot) || strings.HasPrefix(it.Key, protocol.InboxRoot) {
 					if strings.Contains(string(it.Value), "job-") {
-						t.Errorf("%s still tells of jobs: %.80s", it.Key, it.Value)
+						t.Errorf("%s still contains jobs: %.80s", it.Key, it.Value)
 					}
 				}
 			}
-			// An earlier version reads records alone.
+			// An earlier version reads only the records.
 			n := New(t.Context(), w.cfg["n-0"], slog.New(slog.NewTextHandler(io.Discard, nil)), w.state, standin.NewFleet(t.Context()), nil, 1)
 			n.applyListing(slices.DeleteFunc(items, func(it storage.Item) bool {
 				return strings.HasPrefix(it.Key, protocol.LogRoot) || strings.HasPrefix(it.Key, protocol.InboxRoot)
@@ -292,33 +293,33 @@
 	}
 }
 
-// An entry that is not understood is not skipped: its share decides nothing more, the others
-// do, and of a job that nobody knows it is not said that there is none.
-func TestEntryThatIsNotUnderstood(t *testing.T) {
+// An entry that can't be decoded must not be skipped: its partition makes no further decisions while
+// the others go on, and a query for an unknown job is not answered with "not found".
+func TestUndecodableEntryStopsItsPartition(t *testing.T) {
 	storeOnlyEntries(t, 8)
 	withEntries(t, 3, func(w *simCluster) {
 		for i := range 9 {
-			w.submit(tiny(i, 1))
+			w.submit(tinyArray(i, 1))
 		}
 		time.Sleep(10 * time.Second)
 		n := w.node("n-0")
 		slot := onActor(n, func() int { k, _ := n.partitions[0].log.Next(); return k })
 		w.state.Put(protocol.LogKey(0, slot), map[string]any{"v": 99, "s": 1})
 		time.Sleep(2 * time.Second)
-		w.submit(tiny(30, 1)) // of share 0
-		w.submit(tiny(31, 1)) // of another
+		w.submit(tinyArray(30, 1)) // of partition 0
+		w.submit(tinyArray(31, 1)) // of another partition
 		time.Sleep(20 * time.Second)
 		if w.isRunning("job-000030") || !w.isRunning("job-000031") {
-			t.Errorf("the share whose log is not understood started %v, another one %v", w.isRunning("job-000030"), w.isRunning("job-000031"))
+			t.Errorf("the partition with the undecodable log started its job: %v; another one: %v", w.isRunning("job-000030"), w.isRunning("job-000031"))
 		}
 		w.state.Put(protocol.InboxKey("n-1", 0), "what is this")
 		time.Sleep(2 * time.Second)
 		a, _ := w.pollAt(w.ctx, "n-2", "job-000999")
 		if a.status != 503 {
-			t.Errorf("of a job that nobody knows it is told %+v", a)
+			t.Errorf("the query for an unknown job is answered with %+v", a)
 		}
 		if a, _ = w.pollAt(w.ctx, "n-2", "job-000031"); a.status != 200 {
-			t.Errorf("of one that is known it is told %+v", a)
+			t.Errorf("the query for a known job is answered with %+v", a)
 		}
 	})
 }
--- a/internal/coordination/node/place_test.go
+++ b/internal/coordination/node/place_test.go
@@ -11,9 +11,9 @@
 	"dapplestage.example/dapplestage/internal/standin"
 )
 
-// A place with several types of machine in three zones, work that needs no GPU, few
-// changes a second, and machines that run before the first controller does.
-func place(cfg *protocol.Settings, f *standin.Fleet) {
+// configurePlace sets up a site with several machine types in three zones, jobs that need no GPU, few
+// changes per second, and machines that run before the first controller starts.
+func configurePlace(cfg *protocol.Settings, f *standin.Fleet) {
 	zones := standin.PlaceZones
 	p := &cfg.Params
 	p.Zones = zones
@@ -33,11 +33,11 @@
 	f.AtPlace(10 * time.Second)
 }
 
-// atPlace plays a day there.
+// atPlace runs a test in that site.
 func atPlace(t *testing.T, seed uint64, day func(w *simCluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		w := newWorldAt(t, ctx, seed, nil, place)
+		w := newWorldAt(t, ctx, seed, nil, configurePlace)
 		day(w)
 		for _, b := range w.fleet.Broken {
 			t.Errorf("rule broken: %s", b)
@@ -51,21 +51,21 @@
 	})
 }
 
-// service is an always-on job of a class that must not wait.
-func service(i, tasks int) *protocol.JobSpec {
+// pageService returns a service of a class whose jobs must not wait.
+func pageService(i, tasks int) *protocol.JobSpec {
 	return &protocol.JobSpec{ID: fmt.Sprintf("job-%06d", i), Team: []string{"red", "blue", "green"}[i%3], Class: "pages", Priority: "critical", Shape: protocol.Service,
 		Tasks: tasks, CPUs: 1, MemoryGB: 2.5, Image: fmt.Sprint("img-", i%4), ImageGB: 1.8, Spread: true}
 }
 
-// Machines that run before the first controller does are taken up within seconds, in few
-// changes, and used; none is returned as a stray, none rented beside them. (On simulated
-// days all 405 of them were returned after 30 s, and what was rented instead was not there
-// for two minutes: every day had less than half of the gangs served.)
-func TestFoundMachinesAreTakenUp(t *testing.T) {
+// Machines that run before the first controller starts must be adopted within seconds, in few changes,
+// and be used. None may be returned as unrecorded, and none rented in addition. Without adoption all
+// 405 machines were returned after 30 s and their replacements took two minutes, so every simulated
+// day had less than half of its gangs served.
+func TestUnrecordedMachinesAreAdopted(t *testing.T) {
 	atPlace(t, 3, func(w *simCluster) {
 		there := w.fleet.FoundAtPlace()
 		for i := range 12 {
-			go w.submit(service(i, 5))
+			go w.submit(pageService(i, 5))
 		}
 		time.Sleep(8 * time.Second)
 		names := w.fleet.Names()
@@ -83,9 +83,9 @@
 	})
 }
 
-// A rental whose answer was lost with whoever asked for it is taken up too, instead of
-// being returned after 30 s; and not before its answer has had time to come.
-func TestLostRentalsAreTakenUp(t *testing.T) {
+// If the answer to a rental is lost because the node that asked ended, its machines must be adopted
+// instead of being returned after 30 s, but not before the answer has had time to arrive.
+func TestMachinesOfLostRentalsAreAdopted(t *testing.T) {
 	atPlace(t, 4, func(w *simCluster) {
 		time.Sleep(20 * time.Second)
 		lost, err := w.fleet.Rent(w.ctx, protocol.RentRequest{Request: "of a node that ended", Type: "middle", Zone: "c", Count: 3})
@@ -94,7 +94,7 @@
 		}
 		time.Sleep(w.fleet.Boot + 4*time.Second)
 		if k := w.recorded(lost...); k != 0 {
-			t.Errorf("%d recorded within the patience", k)
+			t.Errorf("%d recorded before the answer had time to arrive", k)
 		}
 		time.Sleep(8 * time.Second)
 		if k := w.recorded(lost...); k != 3 {
@@ -103,7 +103,7 @@
 	})
 }
 
-// recorded is how many of some machines have a record, as a node knows it.
+// recorded returns how many of the named machines have a record, as seen by a node.
 func (w *simCluster) recorded(names ...string) int {
 	c := make(chan int)
 	n := w.node("n-1")
@@ -119,11 +119,10 @@
 	return <-c
 }
 
-// Placements of less urgent work that no change is being stored of yet do not keep a
-// place from a job that needs it now; what is being stored stays, and so do ends that
-// are not stored. (On simulated days with 20 changes a second arrays held places for
-// seconds like that.)
-func TestUnstoredPlacementsAreTakenBack(t *testing.T) {
+// Placements of less urgent jobs that are not being stored yet must give way to an urgent job.
+// Placements that are being stored stay, and so do outcomes that are not stored. With 20 changes per
+// second arrays held capacity this way for seconds.
+func TestUnstoredPlacementsAreRevoked(t *testing.T) {
 	b := newTestNode(t)
 	now := time.Now()
 	b.sendReport(7, 1)
@@ -141,28 +140,28 @@
 	low.writePending = true
 	b.place(b.view(b.partitions[0], now), urgent, now)
 	if urgent.nPlaced != 0 || low.nPlaced != 2 {
-		t.Fatalf("what is being stored was taken back: %d and %d placed", urgent.nPlaced, low.nPlaced)
+		t.Fatalf("a placement that is being stored was revoked: %d and %d placed", urgent.nPlaced, low.nPlaced)
 	}
 	low.writePending = false
 	b.place(b.view(b.partitions[0], now), urgent, now)
 	if urgent.nPlaced != 2 || low.nPlaced != 0 || b.dirty[low] {
 		t.Fatalf("%d placed of the urgent job, %d of the other one", urgent.nPlaced, low.nPlaced)
 	}
-	// Of a job with an end to be stored only the placements go.
+	// Of a job with an unstored outcome only the placements are taken back.
 	b.revertProposals(urgent)
 	ended := put("job-3", "standard", protocol.Placement{Task: 0, Attempt: 1, Machine: "host-1"})
 	b.recordOutcome(ended, 0, outcomeFinished)
 	b.proposePlacements(ended, []int{1}, []*machine{m}, now)
 	b.place(b.view(b.partitions[0], now), urgent, now)
 	if urgent.nPlaced != 2 || ended.tasks[0].outcome != outcomeFinished || !b.dirty[ended] {
-		t.Fatalf("%d placed of the urgent job, fact %v, to be stored %v", urgent.nPlaced, ended.tasks[0].outcome, b.dirty[ended])
+		t.Fatalf("%d placed of the urgent job, outcome %v, to be stored %v", urgent.nPlaced, ended.tasks[0].outcome, b.dirty[ended])
 	}
 }
 
-// A node that starts while the cloud is down knows the types from the store: it accepts
-// and places, and refuses nothing for ever by what it only remembers. (On a simulated day
-// all controllers ended within an outage of the cloud, and until that was over every
-// submission was answered 503 and nothing was placed.)
+// A node that starts while the cloud is down must know the machine types from the state service: it
+// accepts and places jobs, and rejects none for good on the basis of the stored catalogue. Before,
+// when all controllers ended during an outage of the cloud, every submission was answered with 503
+// and nothing was placed until the outage was over.
 func TestTypesAreKnownWithoutTheCloud(t *testing.T) {
 	atPlace(t, 5, func(w *simCluster) {
 		w.fleet.FoundAtPlace()
@@ -177,7 +176,7 @@
 			w.startNode(name)
 		}
 		time.Sleep(12 * time.Second)
-		s := service(1, 4)
+		s := pageService(1, 4)
 		ask := func(s *protocol.JobSpec) int {
 			w.fleet.Submitted(s)
 			a, _ := w.submitAt(w.ctx, "n-1", s)
@@ -186,10 +185,10 @@
 		if got := ask(s); got != 201 {
 			t.Fatalf("a submission is answered %d", got)
 		}
-		large := service(2, 1)
-		large.CPUs = 64 // of no type that is known
+		large := pageService(2, 1)
+		large.CPUs = 64 // fits no known type
 		if got := ask(large); got != 503 {
-			t.Errorf("one that fits no type is answered %d", got)
+			t.Errorf("a job that fits no type is answered %d", got)
 		}
 		time.Sleep(10 * time.Second)
 		if r := w.fleet.Running(); r != 4 {
--- a/internal/coordination/node/scale_test.go
+++ b/internal/coordination/node/scale_test.go
@@ -10,9 +10,8 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// addFleet gives share 0 as many machines in batches of 50, each with two tasks of
-// running services, heard and fenced, and as many waiting arrays of 30 tasks as
-// asked for. Every second machine has room.
+// addFleet adds machines to partition 0 in batches of 50, each with tasks of a running service, fenced
+// and reported, and as many waiting arrays of 30 tasks as asked for. Every second machine has room.
 func (b *testNode) addFleet(machines, waiting int) {
 	now := time.Now()
 	b.teams[0].Limit, b.teams[0].Guarantee = Resources{}, Resources{}
@@ -44,7 +43,7 @@
 
 var fleetSizes = []int{48, 400, 1600, 16000}
 
-// What one look at everything costs, by size of the fleet.
+// Measures one planning run over everything, by size of the fleet.
 func BenchmarkPlan(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprintf("machines=%d", size), func(b *testing.B) {
@@ -58,7 +57,7 @@
 				n.RecordContact(now)
 				n.partitions[0].nextRent = time.Time{}
 				n.plan(now)
-				for j := range n.dirty { // nothing is stored: the next look finds the same
+				for j := range n.dirty { // nothing is stored, so the next run finds the same state
 					n.revertProposals(j)
 				}
 				clear(n.dirty)
@@ -67,7 +66,7 @@
 	}
 }
 
-// What an event costs when nothing is due: it must not grow with the fleet.
+// Measures an event when nothing is due. Its cost must not grow with the fleet.
 func BenchmarkEvent(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprintf("machines=%d", size), func(b *testing.B) {
