--- a/internal/coordination/node/facts.go
+++ b/internal/coordination/node/facts.go
@@ -20,6 +20,7 @@
 	offer     = decide.Offer
 )
 
+// tolerance is the difference below which amounts of resources count as equal.
 const tolerance = decide.Tolerance
 
 // markStale marks a machine's facts for rebuilding.
@@ -72,11 +73,11 @@
 
 // buildMachineFacts builds a machine's facts from the actor's state.
 func (n *Node) buildMachineFacts(m *machine) decide.Machine {
-	t := n.machineTypes[m.rec.Type]
-	f := decide.Machine{Name: m.name, Type: m.rec.Type, Zone: m.rec.Zone, Spot: m.rec.Spot, Partition: m.rec.Share, Used: m.used, SecPerGB: decide.SecondsPerGB(t, m.secPerGB),
+	machineType := n.machineTypes[m.rec.Type]
+	facts := decide.Machine{Name: m.name, Type: m.rec.Type, Zone: m.rec.Zone, Spot: m.rec.Spot, Partition: m.rec.Share, Used: m.used, SecPerGB: decide.SecondsPerGB(machineType, m.secPerGB),
 		AvoidUntil: m.avoidUntil, LastReport: m.lastFencedReport, HasAddress: m.rec.Addr != "", EarmarkedUntil: m.earmarkedUntil, Reserved: m.gangReservation, Needed: m.needed}
-	if t != nil {
-		f.HasType, f.Size = true, decide.SizeOf(t)
+	if machineType != nil {
+		facts.HasType, facts.Size = true, decide.SizeOf(machineType)
 	}
 	for _, b := range [...]struct {
 		is  bool
@@ -84,26 +85,26 @@
 	}{{!m.recorded, decide.NotRecorded}, {!m.fenced, decide.Unfenced}, {m.spotNotice, decide.InterruptionNotice}, {m.returning, decide.Returning}, {m.returned, decide.Returned},
 		{m.moving, decide.Moving}, {m.heldBack, decide.Cordoned}, {len(m.unconfirmedStarts) > 0, decide.StartUnconfirmed}, {n.faulty(m), decide.Faulty}} {
 		if b.is {
-			f.Block |= b.bit
+			facts.Block |= b.bit
 		}
 	}
 	if m.reachableOnlyDirectly() {
-		f.LastReport = m.lastFencedReport.Add(-n.silenceTimeout()) // counts as silent at once: a task started now would end with the lease
+		facts.LastReport = m.lastFencedReport.Add(-n.silenceTimeout()) // counts as silent at once: a task started now would end with the lease
 	}
 	for _, im := range m.images {
-		f.Images = append(f.Images, im.Name)
+		facts.Images = append(facts.Images, im.Name)
 	}
 	for im := range m.fetchSince {
-		f.Images = append(f.Images, im)
+		facts.Images = append(facts.Images, im)
 	}
 	for k := range m.tasks {
 		t := &k.job.tasks[k.task]
-		f.Assignments = append(f.Assignments, decide.Assignment{Job: &k.job.facts, Task: k.task, Since: t.phaseSince, Active: t.phase == phasePlaced && t.outcome == outcomeNone, Stopping: n.shouldStop(k.job, t)})
+		facts.Assignments = append(facts.Assignments, decide.Assignment{Job: &k.job.facts, Task: k.task, Since: t.phaseSince, Active: t.phase == phasePlaced && t.outcome == outcomeNone, Stopping: n.shouldStop(k.job, t)})
 	}
 	if m.earmarkedFor != nil {
-		f.EarmarkedFor = &m.earmarkedFor.facts
+		facts.EarmarkedFor = &m.earmarkedFor.facts
 	}
-	return f
+	return facts
 }
 
 // jobFacts updates and returns a job's facts. Its counts of tasks are kept up to date by
--- a/internal/coordination/node/guards_test.go
+++ b/internal/coordination/node/guards_test.go
@@ -276,7 +276,7 @@
 }
 
 // When a zone becomes reachable again, its machines must get time to report before they count as
-// dead. Before, nine working machines were given up within two seconds of a partition's end.
+// dead. Before, nine working machines were given up within two seconds of the end of a network outage.
 func TestMachinesGetTimeAfterZoneOutage(t *testing.T) {
 	b := newTestNode(t)
 	b.sendReport(7, 1)
--- a/internal/coordination/node/jobs.go
+++ b/internal/coordination/node/jobs.go
@@ -144,18 +144,18 @@
 }
 
 // applyJob applies the head of a job, from its own record or from an inbox entry.
-func (n *Node) applyJob(id string, r *protocol.JobRecord, hasRecord bool) {
+func (n *Node) applyJob(id string, record *protocol.JobRecord, hasRecord bool) {
 	j := n.jobs[id]
 	isNew := j == nil
 	if isNew {
-		team, ok := n.teamIndex[r.Spec.Team]
+		team, ok := n.teamIndex[record.Spec.Team]
 		if !ok {
-			n.log.Error("job record names an unknown team", "job", id, "team", r.Spec.Team)
+			n.log.Error("job record names an unknown team", "job", id, "team", record.Spec.Team)
 			return
 		}
-		j = &job{id: id, spec: r.Spec, team: team, partition: n.teams[team].partition, rank: r.Spec.Rank(),
-			need:      decide.Need(r.Spec),
-			submitted: time.UnixMilli(r.SubmittedMS), tasks: make([]task, r.Spec.Tasks), step: r.Step,
+		j = &job{id: id, spec: record.Spec, team: team, partition: n.teams[team].partition, rank: record.Spec.Rank(),
+			need:      decide.Need(record.Spec),
+			submitted: time.UnixMilli(record.SubmittedMS), tasks: make([]task, record.Spec.Tasks), step: record.Step,
 			storedChunks: map[int]bool{}, dirtyChunks: map[int]bool{}}
 		now := time.Now()
 		j.firstSeen = now
@@ -179,14 +179,14 @@
 		}
 	}
 	j.hasRecord = j.hasRecord || hasRecord
-	if r.Claim > j.claim {
-		j.claim = r.Claim
-		n.forgetEarlierClaim(id, r.Claim)
-	}
-	j.history.mergeStored(r.Lost, r.LostMS)
-	j.failed = j.failed || r.Failed
-	j.cancelPending = r.Asked && !r.Cancelled
-	if (r.Cancelled || r.Asked || r.Failed) && !j.cancelled {
+	if record.Claim > j.claim {
+		j.claim = record.Claim
+		n.forgetEarlierClaim(id, record.Claim)
+	}
+	j.history.mergeStored(record.Lost, record.LostMS)
+	j.failed = j.failed || record.Failed
+	j.cancelPending = record.Asked && !record.Cancelled
+	if (record.Cancelled || record.Asked || record.Failed) && !j.cancelled {
 		j.cancelled, j.facts.Cancelled = true, true
 		n.cancelling[j] = true
 		j.history.addEvent(time.Now(), map[bool]string{true: "to end: it or its ticket failed", false: "cancelled"}[j.failed])
@@ -195,9 +195,9 @@
 		n.stopTasksDirectly(j)
 		n.dirty[j] = true
 	}
-	j.nextAttempt = max(j.nextAttempt, r.Next)
-	n.applyTries(j, r.Tries, time.Now())
-	n.applyTasks(j, 0, &r.Chunk)
+	j.nextAttempt = max(j.nextAttempt, record.Next)
+	n.applyTries(j, record.Tries, time.Now())
+	n.applyTasks(j, 0, &record.Chunk)
 	if isNew {
 		n.applyLogParts(j)
 	}
@@ -659,6 +659,7 @@
 	return protocol.JobRecord{Spec: j.spec, SubmittedMS: j.submitted.UnixMilli(), Cancelled: j.cancelled && !j.cancelPending, Asked: j.cancelPending, Next: j.nextAttempt, Tries: j.failures.tries, Claim: j.claim, Step: j.step, Failed: j.failed, Lost: j.history.lostRuns, LostMS: j.history.lastLostMS(), Chunk: n.chunkRecord(j, 0)}
 }
 
+// mustJSON marshals a record and panics if that fails.
 func mustJSON(v any) json.RawMessage {
 	b, err := json.Marshal(v)
 	if err != nil {
--- a/internal/coordination/node/metrics.go
+++ b/internal/coordination/node/metrics.go
@@ -29,6 +29,7 @@
 	classes         map[string]bool
 }
 
+// newMetrics creates and registers the metrics. classes are the values of the class label.
 func newMetrics(classes map[string]bool) *Metrics {
 	m := &Metrics{Registry: prometheus.NewRegistry(), classes: classes}
 	long := []float64{1, 2, 5, 10, 20, 40, 80, 160, 320, 640, 1280}
--- a/internal/coordination/node/packed.go
+++ b/internal/coordination/node/packed.go
@@ -78,22 +78,22 @@
 // the settings have been seen running a version that reads them; a node that goes down later does
 // not change that.
 func (n *Node) tickFormat(now time.Time) {
-	p := &n.packed
-	if !n.isLeader() || now.Sub(p.formatChangedAt) < time.Second {
+	state := &n.packed
+	if !n.isLeader() || now.Sub(state.formatChangedAt) < time.Second {
 		return
 	}
 	on := !n.recordsRequired()
-	if on && !p.format.Packed {
+	if on && !state.format.Packed {
 		for name := range n.peers {
 			if _, live := n.liveNodes[name]; !live {
 				return
 			}
 		}
 	}
-	if on == p.format.Packed {
+	if on == state.format.Packed {
 		return
 	}
-	p.formatChangedAt = now
+	state.formatChangedAt = now
 	n.log.Info("writing of packed entries changed", "on", on)
 	n.submit(&storage.Op{Conds: []storage.Cond{n.unchanged(protocol.HolderKey(0)), n.unchanged(protocol.FormatKey)},
 		Writes: []storage.Write{{Put: protocol.FormatKey, Value: mustJSON(protocol.FormatRecord{Packed: on})}}}, func(storage.Result) {})
@@ -719,19 +719,19 @@
 
 // flushInbox stores the waiting submissions in one entry.
 func (n *Node) flushInbox(now time.Time) {
-	p := &n.packed
+	state := &n.packed
 	n.expireSubmissions(now)
-	if write := p.lastInboxWrite; p.inboxWritePending && !write.resolved && now.Sub(write.sentAt) >= n.resendDelay() {
+	if write := state.lastInboxWrite; state.inboxWritePending && !write.resolved && now.Sub(write.sentAt) >= n.resendDelay() {
 		n.checkInboxWrite(write, storage.Result{Err: storage.ErrUnknown})
 	}
-	if p.inboxWritePending || len(p.submissions) == 0 {
+	if state.inboxWritePending || len(state.submissions) == 0 {
 		return
 	}
 	if !n.mayWriteEntries() || n.anyInboxUnreadable() {
-		for _, sub := range p.submissions {
+		for _, sub := range state.submissions {
 			sub.reply <- busyAnswer
 		}
-		p.submissions = nil
+		state.submissions = nil
 		return
 	}
 	own := n.inboxOf(n.cfg.Node)
@@ -743,7 +743,7 @@
 	op := &storage.Op{For: uint8(forSubmissions), Once: true, Conds: []storage.Cond{n.unchanged(protocol.InboxKey(n.cfg.Node, slot)), n.unchanged(protocol.FormatKey)}}
 	n.answerRepeated()
 	var batch []*submission
-	for _, sub := range p.submissions {
+	for _, sub := range state.submissions {
 		if len(op.Conds)+2 > 4*n.cfg.Params.State.TxnOps || !writer.Accept(protocol.Accepted{Spec: sub.spec, SubmittedMS: sub.receivedAt.UnixMilli()}) {
 			break
 		}
@@ -753,11 +753,11 @@
 	if len(batch) == 0 {
 		return
 	}
-	p.submissions = p.submissions[len(batch):]
+	state.submissions = state.submissions[len(batch):]
 	op.Writes = []storage.Write{{Put: protocol.InboxKey(n.cfg.Node, slot), Value: mustJSON(writer.Entry())}}
-	p.inboxWritePending = true
+	state.inboxWritePending = true
 	write := &inboxWrite{op: op, batch: batch, sentAt: now}
-	p.lastInboxWrite = write
+	state.lastInboxWrite = write
 	n.checkReplicaCurrent(write)
 	n.pendingUserChanges++
 	op.Done = func(r storage.Result) {
@@ -768,7 +768,7 @@
 	}
 	if !n.userCommitter.Submit(op) {
 		n.pendingUserChanges--
-		p.inboxWritePending = false
+		state.inboxWritePending = false
 		for _, sub := range batch {
 			sub.reply <- busyAnswer
 		}
@@ -778,8 +778,8 @@
 
 // expireSubmissions rejects submissions that have waited for an entry for too long.
 func (n *Node) expireSubmissions(now time.Time) {
-	p := &n.packed
-	p.submissions = slices.DeleteFunc(p.submissions, func(sub *submission) bool {
+	state := &n.packed
+	state.submissions = slices.DeleteFunc(state.submissions, func(sub *submission) bool {
 		if now.Sub(sub.receivedAt) < submissionTimeout {
 			return false
 		}
@@ -792,8 +792,8 @@
 // answerRepeated answers submissions of jobs that are stored by now as repeated ones: an earlier entry
 // with them was executed after all.
 func (n *Node) answerRepeated() {
-	p := &n.packed
-	p.submissions = slices.DeleteFunc(p.submissions, func(sub *submission) bool {
+	state := &n.packed
+	state.submissions = slices.DeleteFunc(state.submissions, func(sub *submission) bool {
 		if !n.inReplica(sub.spec.ID) {
 			return false
 		}
@@ -910,9 +910,9 @@
 // other inboxes. But during a burst, when all nodes keep writing entries, most would fail on these
 // conditions, and failed transactions count against the rate of changes.
 func (n *Node) confirmAccepted(now time.Time) {
-	p := &n.packed
-	kept := p.unconfirmed[:0]
-	for _, b := range p.unconfirmed {
+	state := &n.packed
+	kept := state.unconfirmed[:0]
+	for _, b := range state.unconfirmed {
 		safe := b.safeToConfirm(n.completeAt, n.completeRevision)
 		if !safe && now.Before(b.deadline) {
 			kept = append(kept, b)
@@ -922,8 +922,8 @@
 			n.confirmSubmission(sub, safe)
 		}
 	}
-	clear(p.unconfirmed[len(kept):])
-	p.unconfirmed = kept
+	clear(state.unconfirmed[len(kept):])
+	state.unconfirmed = kept
 }
 
 // confirmSubmission answers a stored submission: the job is accepted or, if another node accepted it
@@ -991,15 +991,15 @@
 // or too much is left. If entries may not be written any more, it also gives the jobs in them records
 // of their own and empties the slots.
 func (n *Node) removeLeftovers(now time.Time) {
-	p := &n.packed
-	if !n.loaded || n.sinceContact(now) > 2*time.Second || now.Sub(p.lastCleanup) < 200*time.Millisecond {
+	state := &n.packed
+	if !n.loaded || n.sinceContact(now) > 2*time.Second || now.Sub(state.lastCleanup) < 200*time.Millisecond {
 		return
 	}
-	p.lastCleanup = now
-	if ample := n.rateLimiter.Ample() && n.pendingUserChanges == 0; ample || len(p.endedRecords) > 3*ringSlots {
+	state.lastCleanup = now
+	if ample := n.rateLimiter.Ample() && n.pendingUserChanges == 0; ample || len(state.endedRecords) > 3*ringSlots {
 		n.removeEndedRecords()
 	}
-	if !p.format.Packed && n.mayHaveEntries() && n.pendingUserChanges == 0 {
+	if !state.format.Packed && n.mayHaveEntries() && n.pendingUserChanges == 0 {
 		n.unpackEntries(now)
 	}
 }
@@ -1021,7 +1021,7 @@
 
 // unpackEntries moves jobs out of entries that were written and may not be used any more.
 func (n *Node) unpackEntries(now time.Time) {
-	p := &n.packed
+	state := &n.packed
 	compacted := 0
 	for _, partition := range n.partitions {
 		if !n.owns(partition) || partition.pendingAppend != nil || !partition.log.Whole() {
@@ -1049,7 +1049,7 @@
 			return slices.ContainsFunc(e.Parts, func(x protocol.Part) bool { return x.End != "" && listed(x.Job) })
 		}, n.unchanged(protocol.HolderKey(partition.index)))
 	}
-	for node, r := range p.inboxes {
+	for node, r := range state.inboxes {
 		_, live := n.liveNodes[node]
 		if node != n.cfg.Node && (live || !n.isLeader()) || r.Empty() {
 			continue
--- a/internal/coordination/node/replica.go
+++ b/internal/coordination/node/replica.go
@@ -102,11 +102,11 @@
 // applyListing applies a full listing. first is the revision of its first page.
 func (n *Node) applyListing(items []storage.Item, first uint64) {
 	present := make(map[string]bool, len(items))
-	for _, it := range items {
-		present[it.Key] = true
+	for _, item := range items {
+		present[item.Key] = true
 	}
-	for _, it := range logsLast(items) {
-		n.applyItem(it)
+	for _, item := range logsLast(items) {
+		n.applyItem(item)
 	}
 	for key, revision := range n.revisions {
 		if !present[key] && revision <= first {
@@ -135,11 +135,11 @@
 // logsLast orders a listing: first jobs' own records and everything else, then inbox entries, then
 // the entries of the partitions' logs.
 func logsLast(items []storage.Item) []storage.Item {
-	rank := func(it storage.Item) int {
+	rank := func(item storage.Item) int {
 		switch {
-		case strings.HasPrefix(it.Key, protocol.LogRoot):
+		case strings.HasPrefix(item.Key, protocol.LogRoot):
 			return 2
-		case strings.HasPrefix(it.Key, protocol.InboxRoot):
+		case strings.HasPrefix(item.Key, protocol.InboxRoot):
 			return 1
 		}
 		return 0
@@ -153,8 +153,8 @@
 
 // applyWatch applies the changes of a watch response, up to its revision.
 func (n *Node) applyWatch(items []storage.Item, revision uint64) {
-	for _, it := range items {
-		n.applyItem(it)
+	for _, item := range items {
+		n.applyItem(item)
 	}
 	atomic.StoreUint64(&n.replicaRevision, revision)
 	n.advanceReplica(revision)
@@ -226,59 +226,59 @@
 
 // applyItem applies one stored value, or its absence, to the replica. A version older than the known
 // one is ignored, whichever way it came.
-func (n *Node) applyItem(it storage.Item) {
-	if it.Stamp <= n.revisions[it.Key] {
+func (n *Node) applyItem(item storage.Item) {
+	if item.Stamp <= n.revisions[item.Key] {
 		return
 	}
-	oldRevision, known := n.revisions[it.Key]
-	n.revisions[it.Key] = it.Stamp
-	delete(n.corruptKeys, it.Key)
-	if it.Value == nil {
-		n.tombstones[it.Key] = struct{}{}
+	oldRevision, known := n.revisions[item.Key]
+	n.revisions[item.Key] = item.Stamp
+	delete(n.corruptKeys, item.Key)
+	if item.Value == nil {
+		n.tombstones[item.Key] = struct{}{}
 	}
 	n.replan = true
 	corrupt := false
 	read := func(v any) bool {
-		if it.Value == nil {
+		if item.Value == nil {
 			return false
 		}
-		err := json.Unmarshal(it.Value, v)
+		err := json.Unmarshal(item.Value, v)
 		if record, ok := v.(checkedRecord); ok && err == nil {
 			err = record.Check()
 		}
 		if err != nil {
-			if n.revisions[it.Key] = oldRevision; !known {
-				delete(n.revisions, it.Key)
+			if n.revisions[item.Key] = oldRevision; !known {
+				delete(n.revisions, item.Key)
 			}
-			n.markCorrupt(it, err)
+			n.markCorrupt(item, err)
 			corrupt = true
 			return false
 		}
 		return true
 	}
 	switch {
-	case it.Key == protocol.CounterKey:
+	case item.Key == protocol.CounterKey:
 		var c protocol.CounterRecord
 		if read(&c) {
 			n.tokenCounter = c.Token
 		}
-	case it.Key == protocol.MovesKey:
+	case item.Key == protocol.MovesKey:
 		var mv protocol.Moves
 		if read(&mv) {
 			n.onMoves(mv)
 		}
-	case it.Key == protocol.ClassesKey:
+	case item.Key == protocol.ClassesKey:
 		var t ticket.Table
-		if it.Value == nil || read(&t) {
+		if item.Value == nil || read(&t) {
 			n.tickets.storedClasses = t
 		}
-	case it.Key == protocol.PolicyKey:
+	case item.Key == protocol.PolicyKey:
 		p := DefaultPolicy()
-		if it.Value == nil || read(&p) {
+		if item.Value == nil || read(&p) {
 			n.setPolicy(p)
 		}
-	case strings.HasPrefix(it.Key, protocol.JobPrefix):
-		id, chunk := splitJobKey(it.Key)
+	case strings.HasPrefix(item.Key, protocol.JobPrefix):
+		id, chunk := splitJobKey(item.Key)
 		if chunk == 0 {
 			var r protocol.JobRecord
 			switch ok := read(&r); {
@@ -301,20 +301,20 @@
 		if corrupt {
 			return
 		}
-		n.applyChunk(id, chunk, it.Key, c, present)
-	case strings.HasPrefix(it.Key, protocol.MachineRoot):
+		n.applyChunk(id, chunk, item.Key, c, present)
+	case strings.HasPrefix(item.Key, protocol.MachineRoot):
 		var r protocol.BatchRecord
 		if read(&r) && r.Share >= 0 && r.Share < len(n.partitions) {
-			n.setBatch(it.Key, r)
+			n.setBatch(item.Key, r)
 		} else if !corrupt {
-			n.dropBatch(it.Key)
+			n.dropBatch(item.Key)
 		}
-	case strings.HasPrefix(it.Key, protocol.NodeRoot):
-		name := strings.TrimPrefix(it.Key, protocol.NodeRoot)
+	case strings.HasPrefix(item.Key, protocol.NodeRoot):
+		name := strings.TrimPrefix(item.Key, protocol.NodeRoot)
 		delete(n.nodesWithoutEntries, name)
 		delete(n.olderNodes, name)
 		delete(n.packed.plainNodes, name)
-		if it.Value == nil {
+		if item.Value == nil {
 			delete(n.liveNodes, name)
 			n.applyNodeRecord(name, 0)
 			return
@@ -336,32 +336,32 @@
 			n.packed.plainNodes[name] = true
 		}
 		n.applyNodeRecord(name, r.Lease)
-	case strings.HasPrefix(it.Key, protocol.LogRoot):
-		n.applyLogEntry(it)
-	case strings.HasPrefix(it.Key, protocol.InboxRoot):
-		n.applyInboxEntry(it)
-	case it.Key == protocol.FormatKey:
+	case strings.HasPrefix(item.Key, protocol.LogRoot):
+		n.applyLogEntry(item)
+	case strings.HasPrefix(item.Key, protocol.InboxRoot):
+		n.applyInboxEntry(item)
+	case item.Key == protocol.FormatKey:
 		var f protocol.FormatRecord
 		if read(&f); !corrupt {
-			n.packed.format, n.packed.formatStored = f, it.Value != nil
+			n.packed.format, n.packed.formatStored = f, item.Value != nil
 		}
-	case it.Key == protocol.FenceKey:
+	case item.Key == protocol.FenceKey:
 		var f protocol.FenceRecord
 		if read(&f) || !corrupt {
 			n.rentalFence = f
 		}
-	case it.Key == protocol.CatalogKey:
+	case item.Key == protocol.CatalogKey:
 		var r protocol.CatalogRecord
 		if read(&r); !corrupt {
 			n.applyStoredCatalog(r.Types)
 		}
-	case it.Key == protocol.DoubtKey(n.cfg.Node):
+	case item.Key == protocol.DoubtKey(n.cfg.Node):
 		var d protocol.DoubtRecord
 		if read(&d) {
 			n.answerLivenessCheck(d.By)
 		}
-	case strings.HasPrefix(it.Key, protocol.HolderRoot):
-		if partition := n.partitionOfKey(it.Key); partition != nil {
+	case strings.HasPrefix(item.Key, protocol.HolderRoot):
+		if partition := n.partitionOfKey(item.Key); partition != nil {
 			var h protocol.HolderRecord
 			if read(&h); !corrupt {
 				n.applyOwnerRecord(partition, h)
@@ -377,19 +377,19 @@
 		var items []storage.Item
 		var failed error
 		for _, k := range keys {
-			it, err := n.store.Get(ctx, k)
+			item, err := n.store.Get(ctx, k)
 			if err != nil {
 				failed = err
 				break
 			}
-			items = append(items, it)
+			items = append(items, item)
 		}
 		n.post(func() {
-			for _, it := range items {
-				if strings.HasPrefix(it.Key, protocol.Root) {
-					n.applyItem(it)
+			for _, item := range items {
+				if strings.HasPrefix(item.Key, protocol.Root) {
+					n.applyItem(item)
 				} else {
-					n.applyFinal(it)
+					n.applyFinal(item)
 				}
 			}
 			done(items, failed)
