--- a/internal/coordination/node/packed.go
+++ b/internal/coordination/node/packed.go
@@ -690,7 +690,7 @@
 }
 
 // maxSingleSubmissions is how many changes for users may be in flight when one more submission is
-// stored alone. It is just below the number at which users are rejected (forWaiting). With 4 and with
+// stored alone. It is just below the number at which users are rejected (see users.go). With 4 and with
 // 10 a few more submissions of a quiet day took over 200 ms, as jobs in entries cost changes later.
 const maxSingleSubmissions = 14
 
