--- a/internal/coordination/node/lives.go
+++ b/internal/coordination/node/lives.go
@@ -10,25 +10,26 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-// Lives of a node: its processes, one after the other, and by mistake, or because one stood
-// still and was replaced, two at a time. What tells them apart is the lease that a process
-// was granted: the store grants none twice. A node's record names the lease of its present
-// life; it is stored on the condition that it is as this process knows it, so that a late
-// write of a former life fails. Whoever stores it first in its life is the present one, and
-// ends the lease of the one before: what that one still sends under its lease fails, and its
-// shares are free. A process that was the present one and learns that it is not stands back
-// until the other's record is gone, and does not fight for it. See docs/start.md.
+// A node can have several processes: one after the other, and by mistake two at a time, when a
+// process that stalled was replaced. Processes are told apart by their lease, since the state
+// service never grants a lease ID twice. The node's record names the lease of its present process.
+// It is stored on the condition that it has not changed since this process read it, so that a
+// delayed write of an earlier process fails. A process that stores the record becomes the present
+// one and releases the lease of the one before, whose later writes under that lease fail and whose
+// partitions become vacant. A process that learns that it has been superseded steps down until the
+// other's record is gone, and does not compete with it. See docs/start.md.
 
+// incarnations is what this node knows of the processes of all nodes.
 type incarnations struct {
-	ownLeases    map[uint64]bool   // leases that this process was granted
-	leaseOf      map[string]uint64 // leases that nodes' records name
-	registered   bool              // this process has been the present life
-	registering  bool              // its record is being stored
-	hintLease    atomic.Uint64     // the lease that hints name; read by other routines
-	supersededBy atomic.Uint64     // the lease of a later life; 0: none
+	ownLeases    map[uint64]bool   // leases granted to this process
+	leaseOf      map[string]uint64 // leases named by the nodes' records, by node
+	registered   bool              // this process has been the present one
+	registering  bool              // the node record is being stored
+	hintLease    atomic.Uint64     // the lease that hints name; read by other goroutines
+	supersededBy atomic.Uint64     // lease of a later process of this node; 0: none
 }
 
-// applyNodeRecord takes in what a node's record names, 0 if there is none.
+// applyNodeRecord applies the lease that a node's record names, 0 if there is no record.
 func (n *Node) applyNodeRecord(name string, lease uint64) {
 	l := &n.incarnations
 	l.leaseOf[name] = lease
@@ -40,8 +41,8 @@
 		l.registered = true
 		l.supersededBy.Store(0)
 	case lease == 0:
-		if was := l.supersededBy.Swap(0); was != 0 {
-			n.log.Info("the other process of this name is gone", "its_lease", was)
+		if successor := l.supersededBy.Swap(0); successor != 0 {
+			n.log.Info("the later process of this node has ended", "its_lease", successor)
 		}
 	case l.registered:
 		l.supersededBy.Store(lease)
@@ -49,18 +50,18 @@
 	}
 }
 
-// stepDown gives everything up for a later life.
-func (n *Node) stepDown(to uint64) {
-	mine := n.lease
-	n.log.Warn("another process of this name has begun: this one holds nothing until that one is gone", "lease", mine, "its_lease", to)
-	if mine == 0 {
+// stepDown gives up the lease and all partitions in favour of a later process of this node.
+func (n *Node) stepDown(successor uint64) {
+	own := n.lease
+	n.log.Warn("superseded by a later process of this node; owning no partitions until it has ended", "lease", own, "its_lease", successor)
+	if own == 0 {
 		return
 	}
 	n.setLease(0)
-	n.spawn(func(ctx context.Context) { n.releaseLease(ctx, mine) })
+	n.spawn(func(ctx context.Context) { n.releaseLease(ctx, own) })
 }
 
-// releaseLease ends a lease, and tries again until that is known.
+// releaseLease releases a lease, retrying until it is known to have ended.
 func (n *Node) releaseLease(ctx context.Context, lease uint64) {
 	for ctx.Err() == nil {
 		err := n.store.Release(ctx, lease)
@@ -75,10 +76,11 @@
 	}
 }
 
-// register makes this process the present life of its node, once it has read what is stored and
-// has a lease. The former one is over, or this one would not have started, and waiting for
-// its lease costs seconds in which nobody answers the workers. Should it live all the same,
-// it is as if its lease had run out: whoever takes its shares has a higher token.
+// register makes this process the present one of its node, once it has loaded the replica and has a
+// lease. It does not wait for the lease of an earlier process to expire, since for those seconds
+// nobody would answer the workers. Normally that process has ended, or this one would not have been
+// started. If it still runs, this is as if its lease had expired: the next owner of its partitions
+// has a higher token.
 func (n *Node) register() {
 	l := &n.incarnations
 	if n.lease == 0 || !n.loaded || l.registering {
@@ -90,12 +92,12 @@
 	n.storeNodeRecord()
 }
 
-// releaseFormerLeases ends the leases of this node's former lives that the records name.
+// releaseFormerLeases releases the leases of this node's earlier processes that the records name.
 func (n *Node) releaseFormerLeases() {
 	former := map[uint64]bool{n.incarnations.leaseOf[n.cfg.Node]: true}
-	for _, s := range n.partitions {
-		if s.owner.Token != 0 && s.owner.Node == n.cfg.Node {
-			former[s.owner.Lease] = true
+	for _, part := range n.partitions {
+		if part.owner.Token != 0 && part.owner.Node == n.cfg.Node {
+			former[part.owner.Lease] = true
 		}
 	}
 	delete(former, 0)
@@ -106,8 +108,8 @@
 	}
 }
 
-// storeNodeRecord writes this node's record, anew if it is there. If it is not stored, it is tried
-// again with the next look at the shares.
+// storeNodeRecord stores this node's record, also if it exists already. A failed write is repeated
+// by the next tickPartitions.
 func (n *Node) storeNodeRecord() {
 	l := &n.incarnations
 	lease := n.lease
@@ -121,12 +123,12 @@
 		func(r storage.Result) {
 			l.registering = false
 			if !r.OK && len(r.Failed) > 0 && n.lease == lease {
-				n.register() // by what is stored now
+				n.register() // retry with the record that is stored now
 			}
 		})
 }
 
-// nodeRecordStale says whether this node's record is not what it should be.
+// nodeRecordStale reports whether this node's stored record does not name its present lease.
 func (n *Node) nodeRecordStale() bool {
 	return n.lease != 0 && n.incarnations.leaseOf[n.cfg.Node] != n.lease
 }
--- a/internal/coordination/node/peers.go
+++ b/internal/coordination/node/peers.go
@@ -8,68 +8,69 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// HintInterval is how often controllers tell one another how they are.
+// HintInterval is the interval at which controllers send their state to one another.
 const HintInterval = time.Second
 
-// HintTimeout is after how long without one a connection is given up.
+// HintTimeout is the time without a hint after which a connection is closed.
 const HintTimeout = 4 * time.Second
 
-// peer is what is known of another controller by its own hints.
+// peer is the state of another controller, as its hints report it.
 type peer struct {
 	zone               string
 	lastHint           time.Time
 	connRefusedAt      time.Time // when its host last refused a connection
 	stateOK            bool
 	workersUnreachable bool      // it hears no workers
-	changeRate         float64   // changes a second that it would make
+	changeRate         float64   // rate of changes that it needs, per second
 	connLostAt         time.Time // when a connection to it last ended
 
-	incarnation, seq uint64         // of its last hint
-	sequenceGaps     int            // in their numbers, in that life
-	lastNewHint      time.Time      // when that hint came
-	refusedOffers    []refusedOffer // that the cloud refuses it
+	incarnation, seq uint64         // of its last new hint
+	sequenceGaps     int            // gaps in the sequence numbers of its hints; not reset for a new process
+	lastNewHint      time.Time      // when its last new hint arrived
+	refusedOffers    []refusedOffer // offers that the cloud refuses it
 }
 
-// Hint is what this node tells its siblings now. Any routine may call it.
+// Hint returns the encoded state that this node sends to its peers. It may be called from any
+// goroutine.
 func (n *Node) Hint() []byte {
-	h := protocol.Hint{Node: n.cfg.Node, StateOK: n.sinceContact(time.Now()) < stateServiceTimeout, Blind: n.reachability.workersUnreachable.Load(), Changes: float32(n.changeDemand.perSecond.Load()), Revision: atomic.LoadUint64(&n.replicaRevision), Caches: *n.cacheHints.caches.Load(), Life: n.incarnations.hintLease.Load()}
-	if w := n.standby.outgoing.Load(); w != nil {
-		h.Seq, h.Known, h.Refused, h.Cancelled = w.seq, w.machines, w.refused, w.cancelled
+	hint := protocol.Hint{Node: n.cfg.Node, StateOK: n.sinceContact(time.Now()) < stateServiceTimeout, Blind: n.reachability.workersUnreachable.Load(), Changes: float32(n.changeDemand.perSecond.Load()), Revision: atomic.LoadUint64(&n.replicaRevision), Caches: *n.cacheHints.caches.Load(), Life: n.incarnations.hintLease.Load()}
+	if payload := n.standby.outgoing.Load(); payload != nil {
+		hint.Seq, hint.Known, hint.Refused, hint.Cancelled = payload.seq, payload.machines, payload.refused, payload.cancelled
 	}
-	return h.Encode()
+	return hint.Encode()
 }
 
-// cachesPerHint is how many machines one hint tells of.
+// cachesPerHint is the number of machines whose caches one hint reports.
 const cachesPerHint = 80
 
-// prepareHints readies what the next hints tell of the caches of machines of the
-// shares held. A node that takes a share over, or gets a machine moved, then
-// knows where the images are; without it every take-over made all jobs fetch.
+// prepareHints prepares the image caches of the owned partitions' machines for the next hints. They
+// tell a node that takes over a partition, or to which a machine is moved, where images are cached;
+// without them every takeover made all jobs fetch their images again.
 func (n *Node) prepareHints(now time.Time) {
 	if now.Sub(n.cacheHints.lastUpdate) < HintInterval {
 		return
 	}
 	n.cacheHints.lastUpdate = now
-	var ours []*machine
-	for _, s := range n.partitions {
-		if n.owns(s) {
-			ours = append(ours, s.machines...)
+	var machines []*machine
+	for _, part := range n.partitions {
+		if n.owns(part) {
+			machines = append(machines, part.machines...)
 		}
 	}
-	told := []protocol.Cache{}
-	for range min(cachesPerHint, len(ours)) {
-		n.cacheHints.nextMachine = (n.cacheHints.nextMachine + 1) % len(ours)
-		if m := ours[n.cacheHints.nextMachine]; len(m.images) > 0 {
-			told = append(told, protocol.Cache{Machine: m.name, Images: slices.Clone(m.images)})
+	caches := []protocol.Cache{}
+	for range min(cachesPerHint, len(machines)) {
+		n.cacheHints.nextMachine = (n.cacheHints.nextMachine + 1) % len(machines)
+		if m := machines[n.cacheHints.nextMachine]; len(m.images) > 0 {
+			caches = append(caches, protocol.Cache{Machine: m.name, Images: slices.Clone(m.images)})
 		}
 	}
-	n.cacheHints.caches.Store(&told)
+	n.cacheHints.caches.Store(&caches)
 	n.prepareMachineHints(now)
 }
 
-// applyCacheHints takes in what a sibling tells of the machines that it commands.
-func (n *Node) applyCacheHints(told []protocol.Cache) {
-	for _, c := range told {
+// applyCacheHints applies the image caches that a peer reports for the machines that it owns.
+func (n *Node) applyCacheHints(caches []protocol.Cache) {
+	for _, c := range caches {
 		if m := n.machines[c.Machine]; m != nil && m.recorded && !n.owns(n.partitions[m.rec.Share]) {
 			m.images = c.Images
 			n.markStale(m)
@@ -77,34 +78,34 @@
 	}
 }
 
-// ReceiveHint takes in a sibling's hint; a malformed one is counted and refused.
+// ReceiveHint applies a peer's hint. A malformed one is counted and rejected.
 func (n *Node) ReceiveHint(data []byte) error {
-	h, err := protocol.DecodeHint(data)
+	hint, err := protocol.DecodeHint(data)
 	n.post(func() {
 		if err != nil {
 			n.metrics.guardRefusals.WithLabelValues("malformed_hint").Inc()
-		} else if s := n.peers[h.Node]; s != nil {
-			s.lastHint, s.stateOK, s.workersUnreachable, s.changeRate = time.Now(), h.StateOK, h.Blind, float64(h.Changes)
-			n.applyCacheHints(h.Caches)
-			n.applyMachineHints(h.Node, s, &h, s.lastHint)
+		} else if sender := n.peers[hint.Node]; sender != nil {
+			sender.lastHint, sender.stateOK, sender.workersUnreachable, sender.changeRate = time.Now(), hint.StateOK, hint.Blind, float64(hint.Changes)
+			n.applyCacheHints(hint.Caches)
+			n.applyMachineHints(hint.Node, sender, &hint, sender.lastHint)
 		}
 	})
 	return err
 }
 
-// stateServiceTimeout is after how long without an answer the state service counts as
-// lost to a node.
+// stateServiceTimeout is the time without an answer after which a node regards the state service as
+// lost.
 const stateServiceTimeout = 3 * time.Second
 
-// receivesHints says whether a sibling's hints arrive.
+// receivesHints reports whether hints from a peer arrive.
 func (n *Node) receivesHints(node string, now time.Time) bool {
-	s := n.peers[node]
-	return s != nil && now.Sub(latest(s.lastHint, n.reachability.stallEnded)) < 3500*time.Millisecond
+	sender := n.peers[node]
+	return sender != nil && now.Sub(latest(sender.lastHint, n.reachability.stallEnded)) < 3500*time.Millisecond
 }
 
-// ready says whether users should come here. A node that alone has lost the
-// state service sends them to the others; if nobody has it, turning away would
-// only leave users with nobody to tell them when to come back.
+// ready reports whether this node should serve users. A node that alone has lost the state service
+// sends them to the others. If no node has it, all stay ready: refusing users would only leave
+// nobody to tell them when to retry.
 func (n *Node) ready(now time.Time) bool {
 	if !n.loaded || n.incarnations.supersededBy.Load() != 0 {
 		return false
@@ -112,48 +113,48 @@
 	if n.sinceContact(now) < stateServiceTimeout {
 		return true
 	}
-	for name, s := range n.peers {
-		if n.receivesHints(name, now) && s.stateOK {
+	for name, other := range n.peers {
+		if n.receivesHints(name, now) && other.stateOK {
 			return false
 		}
 	}
 	return true
 }
 
-// peerReachable says whether a sibling is not beyond a cut: its hints arrive, or its host
-// at least refuses connections, as a packet filter between controllers does.
-// Without this workers that came to a wrong node while such a filter was there were
-// kept by it, and machines that had just booted got no starts.
+// peerReachable reports whether a peer's host is reachable: hints arrive from it, or it at least
+// refuses connections, as a packet filter between controllers does. Without the second case,
+// workers that came to a wrong node during such a filter were kept by it, and machines that had
+// just booted received no starts.
 func (n *Node) peerReachable(node string, now time.Time) bool {
-	s := n.peers[node]
-	return n.receivesHints(node, now) || s != nil && now.Sub(s.connRefusedAt) < 3500*time.Millisecond
+	other := n.peers[node]
+	return n.receivesHints(node, now) || other != nil && now.Sub(other.connRefusedAt) < 3500*time.Millisecond
 }
 
-// zoneUnreachable says whether a controller in a zone cannot be heard: the zone may be
-// cut off, and its machines working.
+// zoneUnreachable reports whether a controller in another zone is unreachable: the zone may be cut
+// off while its machines keep working.
 func (n *Node) zoneUnreachable(zone string, now time.Time) bool {
-	for name, s := range n.peers {
-		if s.zone == zone && zone != n.cfg.Zone && !n.peerReachable(name, now) {
+	for name, other := range n.peers {
+		if other.zone == zone && zone != n.cfg.Zone && !n.peerReachable(name, now) {
 			return true
 		}
 	}
 	return false
 }
 
-// answerForOwner answers for a holder that this node cannot reach but that still
-// holds its share: the leases of the machines on this side go on. That is safe
-// under the holder's own token, since the holder takes a task for gone only by
-// a report of its own or when the machine is returned, never for a lease's end.
-// No starts are given, or the holder could not tell that one is on its way. It may be
-// that another node holds the share by now, and this one cannot know for want of the
-// state service: that one does not take a lease's end as proof either. Without this
-// all machines of a holder that stood still in an outage lost their leases.
-func (n *Node) answerForOwner(m *machine, r *protocol.Report, now time.Time) (protocol.Orders, bool) {
-	s := n.partitions[m.rec.Share]
+// answerForOwner answers a worker's report in place of the partition's owner, which this node
+// cannot reach, so that the leases of the machines on this side of a network partition are
+// extended. This is safe under the owner's own token, since an owner regards a task as gone only
+// because of a report that it received itself or because the machine was returned, and never
+// because a lease ended. No starts are sent, since the owner could not know that one is on its way.
+// Another node may own the partition by now, which this one cannot know without the state service;
+// that owner does not take the end of a lease as proof either. Without this, all machines of an
+// owner that stalled during an outage lost their leases.
+func (n *Node) answerForOwner(m *machine, report *protocol.Report, now time.Time) (protocol.Orders, bool) {
+	part := n.partitions[m.rec.Share]
 	token := n.fencingToken(m)
-	sib := n.peers[s.owner.Node]
-	if s.owner.Token == 0 || n.peerReachable(s.owner.Node, now) && !sib.workersUnreachable || !n.mayExtendLeases(now) || r.Token > token {
+	owner := n.peers[part.owner.Node]
+	if part.owner.Token == 0 || n.peerReachable(part.owner.Node, now) && !owner.workersUnreachable || !n.mayExtendLeases(now) || report.Token > token {
 		return protocol.Orders{}, false
 	}
-	return protocol.Orders{Token: token, Commands: n.stopsForReport(r, now)}, true
+	return protocol.Orders{Token: token, Commands: n.stopsForReport(report, now)}, true
 }
--- a/internal/coordination/node/shares.go
+++ b/internal/coordination/node/shares.go
@@ -11,17 +11,18 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-// leaseTTL is how long a node's shares outlive its last renewal.
+// leaseTTL is the TTL of a node's lease: its partitions stay owned for this long after the last
+// renewal.
 const leaseTTL = 3 * time.Second
 
-// maintainLease holds a lease and renews it; every key that says what this node
-// holds hangs on it.
+// maintainLease acquires this node's lease and renews it. Every key that records this node as an
+// owner is attached to the lease and is deleted with it.
 func (n *Node) maintainLease(ctx context.Context) {
 	var lease uint64
 	for ctx.Err() == nil {
 		wait := leaseTTL / 4
 		if lease == 0 && n.incarnations.supersededBy.Load() != 0 {
-			wait = 300 * time.Millisecond // a later life of this node is there
+			wait = 300 * time.Millisecond // a later process of this node has registered
 		} else if lease == 0 {
 			id, err := n.store.Grant(ctx, leaseTTL)
 			if err == nil {
@@ -45,104 +46,107 @@
 	}
 }
 
+// setLease applies a newly granted lease, or the loss of the lease and of all owned partitions if id
+// is 0.
 func (n *Node) setLease(id uint64) {
-	var held []*partition
-	for _, s := range n.partitions {
-		if n.owns(s) {
-			held = append(held, s)
+	var owned []*partition
+	for _, part := range n.partitions {
+		if n.owns(part) {
+			owned = append(owned, part)
 		}
 	}
 	n.lease = id
 	n.incarnations.hintLease.Store(id)
 	if id == 0 {
-		for _, s := range held {
-			n.onPartitionLost(s)
+		for _, part := range owned {
+			n.onPartitionLost(part)
 		}
-		n.noteOverload(len(held), time.Now())
+		n.noteOverload(len(owned), time.Now())
 		return
 	}
 	n.incarnations.ownLeases[id] = true
 	n.register()
 }
 
-// owns says whether this node, in this life, holds a share.
-func (n *Node) owns(s *partition) bool {
-	return n.lease != 0 && s.owner.Token != 0 && s.owner.Node == n.cfg.Node && s.owner.Lease == n.lease
+// owns reports whether this process of the node owns a partition.
+func (n *Node) owns(part *partition) bool {
+	return n.lease != 0 && part.owner.Token != 0 && part.owner.Node == n.cfg.Node && part.owner.Lease == n.lease
 }
 
 func (n *Node) ownedPartitionCount() int {
-	c := 0
-	for _, s := range n.partitions {
-		if n.owns(s) {
-			c++
+	count := 0
+	for _, part := range n.partitions {
+		if n.owns(part) {
+			count++
 		}
 	}
-	return c
+	return count
 }
 
-// isLeader says whether this node makes the moves and returns strays: the holder
-// of the first share does.
+// isLeader reports whether this node is the leader, which plans moves of machines and returns
+// machines without a record. The leader is the owner of partition 0.
 func (n *Node) isLeader() bool { return n.owns(n.partitions[0]) }
 
-// applyOwnerRecord takes in the stored record of who holds a share. Of this node's own record the
-// answer to its change, or a read of that key alone, tells sooner than the watch does; it
-// counts only once the replica is complete up to its revision, so that everything earlier
-// holders stored is known by then, and nothing they try later can be stored. (A standby whose
-// watch was some seconds late started tasks again whose users had just been told that they
-// were cancelled.)
-func (n *Node) applyOwnerRecord(s *partition, h protocol.HolderRecord) {
-	s.unconfirmedOwner = nil
-	if h.Node == n.cfg.Node && h != s.owner && n.revisions[protocol.HolderKey(s.index)] > n.completeRevision {
-		s.unconfirmedOwner = &h
+// applyOwnerRecord applies the stored record of a partition's owner. A record that names this node
+// can arrive before the watch has delivered earlier changes: as the answer to this node's own write
+// or from a read of that key alone. It takes effect only once the replica is complete up to its
+// revision. By then everything that earlier owners stored is known, and their later writes fail.
+// Without this, a standby whose watch was some seconds behind restarted tasks whose users had just
+// been told that they were cancelled.
+func (n *Node) applyOwnerRecord(part *partition, record protocol.HolderRecord) {
+	part.unconfirmedOwner = nil
+	if record.Node == n.cfg.Node && record != part.owner && n.revisions[protocol.HolderKey(part.index)] > n.completeRevision {
+		part.unconfirmedOwner = &record
 		n.wakeWatch()
 		return
 	}
-	n.setOwner(s, h)
+	n.setOwner(part, record)
 }
 
-// advanceReplica takes note that the replica is complete up to a revision.
+// advanceReplica records that the replica is complete up to a revision, and applies owner records
+// that waited for it.
 func (n *Node) advanceReplica(revision uint64) {
 	n.completeRevision = max(n.completeRevision, revision)
-	for _, s := range n.partitions {
-		if s.unconfirmedOwner != nil && n.revisions[protocol.HolderKey(s.index)] <= n.completeRevision {
-			n.applyOwnerRecord(s, *s.unconfirmedOwner)
+	for _, part := range n.partitions {
+		if part.unconfirmedOwner != nil && n.revisions[protocol.HolderKey(part.index)] <= n.completeRevision {
+			n.applyOwnerRecord(part, *part.unconfirmedOwner)
 		}
 	}
 }
 
-// ownerChanging says whether a change of who holds a share is under way at this node.
-func (s *partition) ownerChanging() bool { return s.ownerChangePending || s.unconfirmedOwner != nil }
+// ownerChanging reports whether a change of the partition's owner is in progress at this node.
+func (p *partition) ownerChanging() bool { return p.ownerChangePending || p.unconfirmedOwner != nil }
 
-// setOwner changes who holds a share.
-func (n *Node) setOwner(s *partition, h protocol.HolderRecord) {
-	if h == s.owner {
+// setOwner changes the owner of a partition.
+func (n *Node) setOwner(part *partition, record protocol.HolderRecord) {
+	if record == part.owner {
 		return
 	}
-	was, earlier := n.owns(s), s.owner
-	s.owner = h
+	wasOwner, previous := n.owns(part), part.owner
+	part.owner = record
 	now := time.Now()
-	if h.Token == 0 {
-		s.vacantSince = now
+	if record.Token == 0 {
+		part.vacantSince = now
 	}
-	if earlier.Token != 0 {
-		s.previousOwner = earlier.Node
+	if previous.Token != 0 {
+		part.previousOwner = previous.Node
 	}
-	// What decisions see changes for its machines and the jobs on them, and for no
-	// others: a change of a holder costs the share and not the fleet.
-	for _, m := range s.machines {
+	// Only the decision facts of the partition's machines and of the jobs on them change, so the
+	// cost of an ownership change depends on the size of the partition and not of the fleet.
+	for _, m := range part.machines {
 		m.unfence()
 		n.markStale(m)
 	}
-	if was {
-		n.onPartitionLost(s)
+	if wasOwner {
+		n.onPartitionLost(part)
 	}
-	if n.owns(s) {
-		s.acquiredAt = now
-		n.recordTakeover(s, earlier, now)
-		n.log.Info("share taken", "share", s.index, "token", h.Token, "cause", s.takeover.cause, "gap_s", s.takeover.gap.Seconds())
-		for _, j := range s.jobs {
-			// A gang of which an earlier holder recorded only a part, or took a part
-			// back, cannot start: the rest must go before its next attempt.
+	if n.owns(part) {
+		part.acquiredAt = now
+		n.recordTakeover(part, previous, now)
+		n.log.Info("share taken", "share", part.index, "token", record.Token, "cause", part.takeover.cause, "gap_s", part.takeover.gap.Seconds())
+		for _, j := range part.jobs {
+			// If an earlier owner recorded or withdrew only part of a gang, the gang cannot start:
+			// its remaining tasks must end before the next attempt.
 			j.abortAttempt = j.spec.Shape == protocol.Gang && j.nPlaced > 0 && j.nWaiting() > 0
 			n.discardOutcomes(j)
 			if n.hasPendingUpdate(j) {
@@ -150,38 +154,39 @@
 			}
 			j.history.addEvent(now, "its share was taken by "+n.cfg.Node)
 		}
-		n.tickets.ownershipAcquired(s.index)
-		for _, m := range s.machines {
+		n.tickets.ownershipAcquired(part.index)
+		for _, m := range part.machines {
 			m.trackedSince, m.lastFencedReport = now, time.Time{}
 			m.moving, m.returning, m.spotNotice = false, false, false
 		}
-		n.beginReconciliation(s, now)
+		n.beginReconciliation(part, now)
 	}
 }
 
-// hasPendingUpdate says whether something stored of a job asks for a change by whoever holds
-// its share. All others have nothing to store when the share is taken: with all of them
-// looked at in each turn until their time had come, a start cost the jobs times the
-// events.
+// hasPendingUpdate reports whether the stored state of a job requires a change by the owner of its
+// partition. When a partition is taken over, only these jobs are marked for storing. Marking all of
+// them made a startup cost the number of jobs times the number of events, since each job was
+// examined in every turn until it was due.
 func (n *Node) hasPendingUpdate(j *job) bool {
 	return j.cancelled || j.failed || j.step != nil || j.nDone+j.nExhausted > 0 && (j.spec.Shape == protocol.Gang || j.nDone+j.nExhausted == len(j.tasks)) || len(j.dirtyChunks) > 0
 }
 
-// onPartitionLost drops what only a share's holder may have in hand.
-func (n *Node) onPartitionLost(s *partition) {
-	n.log.Info("share lost", "share", s.index)
-	s.reconciliation = nil
-	for _, m := range s.machines {
+// onPartitionLost drops the state that only a partition's owner may keep.
+func (n *Node) onPartitionLost(part *partition) {
+	n.log.Info("share lost", "share", part.index)
+	part.reconciliation = nil
+	for _, m := range part.machines {
 		n.rejectDeferred(m)
 	}
-	for _, j := range s.jobs {
+	for _, j := range part.jobs {
 		if !j.writePending {
 			n.revertProposals(j)
 		}
 	}
 }
 
-// tickPartitions takes vacant shares, hands some to idle nodes, and plans moves.
+// tickPartitions takes over partitions without an owner, releases one to a node that owns none, and
+// plans moves of machines.
 func (n *Node) tickPartitions(now time.Time) {
 	if n.lease == 0 || n.sinceContact(now) > 2*time.Second || n.standby.leaving {
 		return
@@ -191,14 +196,14 @@
 	}
 	n.assignStandbys(now)
 	n.checkSuspectedPeers(now)
-	held := n.ownedPartitionCount()
-	for _, s := range n.partitions {
-		if s.owner.Token != 0 || s.ownerChanging() || n.hasCorruptOwner(s) {
+	owned := n.ownedPartitionCount()
+	for _, part := range n.partitions {
+		if part.owner.Token != 0 || part.ownerChanging() || n.hasCorruptOwner(part) {
 			continue
 		}
-		if now.Sub(s.vacantSince) >= n.takeoverDelay(s, held, now) && n.mayTake(s, held, now) {
-			n.takePartition(s)
-			held++
+		if now.Sub(part.vacantSince) >= n.takeoverDelay(part, owned, now) && n.mayTake(part, owned, now) {
+			n.takePartition(part)
+			owned++
 		}
 	}
 	n.updateChangeRate(now)
@@ -209,159 +214,159 @@
 	}
 }
 
-// leastChanges is the rate of changes that every node counts for, so that it can
-// begin to make some.
-const leastChanges = 2
+// minChangeRate is the rate of changes that every node is credited with, so that an idle node can
+// begin to make changes.
+const minChangeRate = 2
 
-// updateChangeRate takes this node's part of the rate of changes: by what it would make and
-// what the others say that they would. With equal parts a swarm of single jobs used
-// up the part of the node that had just come back, to which the load balancer sent
-// all of it, and of the holder of their share, while the others had plenty.
+// updateChangeRate sets this node's fraction of the total rate of changes, from the rate that it
+// needs and the rates that its peers report. With equal fractions a burst of single jobs exhausted
+// the fraction of a node that had just come back, to which the load balancer sent all of them, and
+// that of the owner of their partition, while the other nodes had capacity left.
 func (n *Node) updateChangeRate(now time.Time) {
-	gone := now.Sub(n.changeDemand.lastUpdate).Seconds()
-	if gone < 1 {
+	elapsed := now.Sub(n.changeDemand.lastUpdate).Seconds()
+	if elapsed < 1 {
 		return
 	}
-	asked := n.rateLimiter.Asked()
-	behind := n.pendingUserChanges + n.totalPendingWrites()
+	requested := n.rateLimiter.Asked()
+	backlog := n.pendingUserChanges + n.totalPendingWrites()
 	dirty := map[int]bool{}
 	for j := range n.dirty {
-		// Those of a share are stored together, if they may be.
+		// With packed records the changes of one partition are stored together.
 		if !n.unguaranteed(j) && !(n.mayWriteEntries() && dirty[j.partition]) {
-			behind++
+			backlog++
 			dirty[j.partition] = true
 		}
 	}
-	would := float64(asked-n.changeDemand.lastRequested)/gone + float64(behind)/3
-	n.changeDemand.lastUpdate, n.changeDemand.lastRequested = now, asked
-	n.changeDemand.perSecond.Store((n.changeDemand.perSecond.Load() + min(would, n.rateLimiter.Total())) / 2)
-	own := leastChanges + n.changeDemand.perSecond.Load()
-	all := own
-	for name, s := range n.peers {
+	needed := float64(requested-n.changeDemand.lastRequested)/elapsed + float64(backlog)/3
+	n.changeDemand.lastUpdate, n.changeDemand.lastRequested = now, requested
+	n.changeDemand.perSecond.Store((n.changeDemand.perSecond.Load() + min(needed, n.rateLimiter.Total())) / 2)
+	ownRate := minChangeRate + n.changeDemand.perSecond.Load()
+	totalRate := ownRate
+	for name, other := range n.peers {
 		if n.receivesHints(name, now) {
-			all += leastChanges + s.changeRate
-		} else if _, lives := n.liveNodes[name]; lives {
-			all += leastChanges + n.rateLimiter.Total()/float64(len(n.liveNodes))
+			totalRate += minChangeRate + other.changeRate
+		} else if _, isLive := n.liveNodes[name]; isLive {
+			totalRate += minChangeRate + n.rateLimiter.Total()/float64(len(n.liveNodes))
 		}
 	}
-	n.rateLimiter.SetPart(own / all)
+	n.rateLimiter.SetPart(ownRate / totalRate)
 }
 
-// takeoverDelay staggers the nodes, so that a vacant share goes to its standby, or, when
-// nobody has held it since this node began, to the one with the fewest, and every share
-// has a first candidate.
-func (n *Node) takeoverDelay(s *partition, held int, now time.Time) time.Duration {
-	if s.previousOwner != "" && now.Sub(n.startedAt) > 6*time.Second {
-		d := n.standby.standbys[s.index].After(n.cfg.Node) + n.extraTakeDelay(held, now)
+// takeoverDelay returns how long this node waits before it takes over a partition without an owner.
+// The delays are staggered so that each partition has a first candidate: its standby, or, if the
+// partition has had no owner since this node started, the node that owns the fewest.
+func (n *Node) takeoverDelay(part *partition, owned int, now time.Time) time.Duration {
+	if part.previousOwner != "" && now.Sub(n.startedAt) > 6*time.Second {
+		delay := n.standby.standbys[part.index].After(n.cfg.Node) + n.extraTakeDelay(owned, now)
 		if n.reachability.workersUnreachable.Load() {
-			d += blindDelay
+			delay += noWorkersDelay
 		}
-		return d
+		return delay
 	}
 	names := []string{n.cfg.Node}
-	for _, sib := range n.cfg.Siblings {
-		names = append(names, sib.Node)
+	for _, other := range n.cfg.Siblings {
+		names = append(names, other.Node)
 	}
 	slices.Sort(names)
-	turn := (slices.Index(names, n.cfg.Node) + len(names) - s.index%len(names)) % len(names)
-	d := time.Duration(held)*500*time.Millisecond + time.Duration(turn)*150*time.Millisecond
-	if now.Sub(n.startedAt) < 6*time.Second && turn > 0 {
-		d += 1500 * time.Millisecond
+	rank := (slices.Index(names, n.cfg.Node) + len(names) - part.index%len(names)) % len(names)
+	delay := time.Duration(owned)*500*time.Millisecond + time.Duration(rank)*150*time.Millisecond
+	if now.Sub(n.startedAt) < 6*time.Second && rank > 0 {
+		delay += 1500 * time.Millisecond
 	}
 	if n.reachability.workersUnreachable.Load() {
-		d += blindDelay
+		delay += noWorkersDelay
 	}
-	return d + n.extraTakeDelay(held, now)
+	return delay + n.extraTakeDelay(owned, now)
 }
 
-// blindDelay is how much later a node that hears no workers takes a share: only
-// if no other node wants it.
-const blindDelay = 8 * time.Second
+// noWorkersDelay is the additional delay before a node that hears no workers takes over a
+// partition, so that it does so only if no other node wants the partition.
+const noWorkersDelay = 8 * time.Second
 
-// takePartition stores this node as the holder, with a token above all earlier ones, if what else
-// is asked for holds.
-func (n *Node) takePartition(s *partition, also ...storage.Cond) {
-	s.ownerChangePending = true
+// takePartition stores this node as the owner of a partition, with a token above all earlier ones,
+// provided that the additional conditions hold.
+func (n *Node) takePartition(part *partition, conditions ...storage.Cond) {
+	part.ownerChangePending = true
 	token := n.tokenCounter + 1
-	key := protocol.HolderKey(s.index)
+	key := protocol.HolderKey(part.index)
 	op := &storage.Op{
-		Conds: append([]storage.Cond{n.unchanged(key), n.unchanged(protocol.CounterKey)}, also...),
+		Conds: append([]storage.Cond{n.unchanged(key), n.unchanged(protocol.CounterKey)}, conditions...),
 		Writes: []storage.Write{
 			{Put: key, Value: mustJSON(protocol.HolderRecord{Node: n.cfg.Node, Token: token, Lease: n.lease}), Lease: n.lease},
 			{Put: protocol.CounterKey, Value: mustJSON(protocol.CounterRecord{Token: token})},
 		},
 	}
-	n.submit(op, func(storage.Result) { s.ownerChangePending = false })
+	n.submit(op, func(storage.Result) { part.ownerChangePending = false })
 }
 
-// submit queues a change that somebody waits for. Its outcome is in the replica when
-// then is called on the actor.
-func (n *Node) submit(op *storage.Op, then func(storage.Result)) {
-	n.submitTo(n.urgentCommitter, op, then)
+// submit queues a change that somebody waits for. Its outcome is in the replica when the callback
+// runs on the actor.
+func (n *Node) submit(op *storage.Op, callback func(storage.Result)) {
+	n.submitTo(n.urgentCommitter, op, callback)
 }
 
-// submitTo queues a change of a level.
-func (n *Node) submitTo(level *storage.Committer, op *storage.Op, then func(storage.Result)) {
+// submitTo queues a change at a priority level.
+func (n *Node) submitTo(level *storage.Committer, op *storage.Op, callback func(storage.Result)) {
 	op.Done = func(r storage.Result) {
 		n.post(func() {
 			if r.OK {
 				for _, w := range op.Writes {
 					n.applyOwnWrite(w, r.Epoch)
 				}
-				then(r)
+				callback(r)
 				return
 			}
-			n.resync(r.Failed, func([]storage.Item, error) { then(r) })
+			n.resync(r.Failed, func([]storage.Item, error) { callback(r) })
 		})
 	}
 	if !level.Submit(op) {
-		then(storage.Result{Err: storage.ErrRefused})
+		callback(storage.Result{Err: storage.ErrRefused})
 	}
 }
 
-// rebalance gives a share up if another live node holds none: the small
-// controllers have little processor time each.
+// rebalance releases a partition if another live node owns none, since controllers are small and
+// have little CPU time each.
 func (n *Node) rebalance(now time.Time) {
 	if now.Sub(n.lastRelease) < 5*time.Second {
 		return
 	}
-	var last *partition
-	holds := map[string]int{}
-	for _, s := range n.partitions {
-		if s.ownerChanging() || s.owner.Token == 0 {
+	var candidate *partition
+	owned := map[string]int{}
+	for _, part := range n.partitions {
+		if part.ownerChanging() || part.owner.Token == 0 {
 			return
 		}
-		if s.owner.Node == n.cfg.Node && !n.owns(s) {
-			return // held by this node's former self until its lease ends
+		if part.owner.Node == n.cfg.Node && !n.owns(part) {
+			return // owned by an earlier process of this node until its lease ends
 		}
-		holds[s.owner.Node]++
-		if n.owns(s) {
-			if now.Sub(s.acquiredAt) < 5*time.Second {
+		owned[part.owner.Node]++
+		if n.owns(part) {
+			if now.Sub(part.acquiredAt) < 5*time.Second {
 				return
 			}
-			last = s
+			candidate = part
 		}
 	}
-	if holds[n.cfg.Node] < 2 {
+	if owned[n.cfg.Node] < 2 {
 		return
 	}
 	for node, since := range n.liveNodes {
-		if node != n.cfg.Node && holds[node] == 0 && now.Sub(since) > 4*time.Second && n.canTakeOver(node, now) {
-			n.releasePartition(last, "another node holds none", now)
+		if node != n.cfg.Node && owned[node] == 0 && now.Sub(since) > 4*time.Second && n.canTakeOver(node, now) {
+			n.releasePartition(candidate, "another node owns none", now)
 			return
 		}
 	}
 }
 
-// releasePartition lets others take a share.
-func (n *Node) releasePartition(s *partition, why string, now time.Time) {
-	n.log.Info("share given up", "share", s.index, "why", why)
+// releasePartition gives up the ownership of a partition so that another node can take it over.
+func (n *Node) releasePartition(part *partition, reason string, now time.Time) {
+	n.log.Info("share given up", "share", part.index, "why", reason)
 	n.lastRelease = now
-	s.ownerChangePending = true
-	key := protocol.HolderKey(s.index)
+	part.ownerChangePending = true
+	key := protocol.HolderKey(part.index)
 	n.submit(&storage.Op{Conds: []storage.Cond{n.unchanged(key)}, Writes: []storage.Write{{Delete: key}}},
 		func(storage.Result) {
-			s.ownerChangePending = false
-			s.vacantSince = time.Now().Add(time.Second) // others first
+			part.ownerChangePending = false
+			part.vacantSince = time.Now().Add(time.Second) // let other nodes take it over first
 		})
 }
--- a/internal/coordination/node/standby.go
+++ b/internal/coordination/node/standby.go
@@ -12,88 +12,90 @@
 	"dapplestage.example/dapplestage/internal/transport"
 )
 
-// The actor's part in standing by: what a holder tells of what the store lacks, what a
-// standby keeps of it, when a share is taken, and what must hold before the first
-// decision. See docs/standby.md.
+// The actor's part of the standby protocol: the state that an owner sends to its peers because it
+// is not in the state service, what a standby keeps of it, when a partition is taken over, and what
+// must hold before the first decision. See docs/standby.md.
 
-// standbyState is what this node knows of who stands by for whom.
+// standbyState is this node's view of the standbys of each partition.
 type standbyState struct {
-	standbys      map[int]standby.Pair // by share
+	standbys      map[int]standby.Pair // by partition
 	suspicions    *standby.Doubts
-	presumedEnded map[string]time.Time        // siblings whose process has ended, by all evidence, since when
-	outgoing      atomic.Pointer[hintPayload] // what the next hints tell; read by other routines
-	nextMachine   int                         // of the machines of the shares held, whom to tell of next
+	presumedEnded map[string]time.Time        // peers whose process is presumed to have ended, and since when
+	outgoing      atomic.Pointer[hintPayload] // sent with the next hints; read by other goroutines
+	nextMachine   int                         // index of the owned machine that the last hint ended with
 	seq           uint64
-	leaving       bool // it hands over and ends
+	leaving       bool // this node is shutting down and hands its partitions over
 }
 
-// hintPayload is what a hint tells a standby.
+// hintPayload is the part of a hint that is meant for standbys.
 type hintPayload struct {
 	seq      uint64
 	machines []protocol.Known
 	refused  []protocol.RefusedOffer
-	// Jobs that are being cancelled: a holder that can't read that in the state service
-	// stops their tasks.
+	// Jobs that are being cancelled. An owner that cannot read the cancellation from the state
+	// service stops their tasks because of this.
 	cancelled []protocol.CancelledJob
 }
 
-// takeover is how the present holder came to a share, and when it first decided.
+// takeover records how the present owner came to own a partition and whether it has made its first
+// decision.
 type takeover struct {
 	cause     standby.Cause
-	gap       time.Duration // since the holder before was last heard of
-	blockedBy standby.Check // what its first decision waits for
+	gap       time.Duration // since the previous owner was last heard from
+	blockedBy standby.Check // what the first decision waits for
 	decided   bool
 }
 
-// machinesPerHint is how many machines one hint tells of: 1,372 of three holders go round
-// in four seconds, in 4 KB a second and sibling.
+// machinesPerHint is the number of machines in one hint. With it the 1,372 machines of three owners
+// are covered every four seconds, at 4 KB a second and peer.
 const machinesPerHint = 120
 
-// prepareMachineHints readies what the next hints tell of machines of the shares held.
+// prepareMachineHints prepares the machine data of the owned partitions for the next hints.
 func (n *Node) prepareMachineHints(now time.Time) {
-	s := &n.standby
-	s.seq++
-	w := &hintPayload{seq: s.seq}
-	var ours []*machine
-	for _, sh := range n.partitions {
-		if n.owns(sh) {
-			ours = append(ours, sh.machines...)
+	state := &n.standby
+	state.seq++
+	payload := &hintPayload{seq: state.seq}
+	var machines []*machine
+	for _, part := range n.partitions {
+		if n.owns(part) {
+			machines = append(machines, part.machines...)
 		}
 	}
-	for range min(machinesPerHint, len(ours)) {
-		s.nextMachine = (s.nextMachine + 1) % len(ours)
-		if m := ours[s.nextMachine]; !m.lastReport.IsZero() {
-			w.machines = append(w.machines, protocol.Known{Machine: m.name, SecPerGB: m.secPerGB, AgeS: now.Sub(m.lastReport).Seconds()})
+	for range min(machinesPerHint, len(machines)) {
+		state.nextMachine = (state.nextMachine + 1) % len(machines)
+		if m := machines[state.nextMachine]; !m.lastReport.IsZero() {
+			payload.machines = append(payload.machines, protocol.Known{Machine: m.name, SecPerGB: m.secPerGB, AgeS: now.Sub(m.lastReport).Seconds()})
 		}
 	}
-	w.cancelled = n.cancelledJobsForHint()
-	for o, till := range n.cloudState.refusedUntil {
-		if d := till.Sub(now); d > 0 {
-			w.refused = append(w.refused, protocol.RefusedOffer{Type: o.Type, Zone: o.Zone, Spot: o.Spot, ForS: d.Seconds()})
+	payload.cancelled = n.cancelledJobsForHint()
+	for refused, till := range n.cloudState.refusedUntil {
+		if remaining := till.Sub(now); remaining > 0 {
+			payload.refused = append(payload.refused, protocol.RefusedOffer{Type: refused.Type, Zone: refused.Zone, Spot: refused.Spot, ForS: remaining.Seconds()})
 		}
 	}
-	s.outgoing.Store(w)
+	state.outgoing.Store(payload)
 }
 
 const (
-	maxSecPerGB = 1000.0 // beyond that a hint is nonsense
+	maxSecPerGB = 1000.0 // a larger value in a hint is invalid
 	maxRefusalS = 30.0
 )
 
-// applyMachineHints takes in what a sibling tells of machines that it commands. All of it may be
-// old or wrong: it makes costs and the order of questions better, and proves nothing.
-func (n *Node) applyMachineHints(name string, s *peer, h *protocol.Hint, now time.Time) {
-	if h.Life == 0 || h.Life != n.incarnations.leaseOf[name] {
-		return // of a former life, or of one that is not recorded yet
+// applyMachineHints applies a peer's hint about machines that it owns. The data may be outdated or
+// wrong: it improves cost estimates and the order in which machines are polled, and is never proof
+// of anything.
+func (n *Node) applyMachineHints(name string, sender *peer, hint *protocol.Hint, now time.Time) {
+	if hint.Life == 0 || hint.Life != n.incarnations.leaseOf[name] {
+		return // from an earlier process, or from one whose node record has not been read yet
 	}
-	if h.Life == s.incarnation && h.Seq <= s.seq {
-		return // an older one, or the same again
+	if hint.Life == sender.incarnation && hint.Seq <= sender.seq {
+		return // outdated or a duplicate
 	}
-	if h.Life == s.incarnation && h.Seq > s.seq+1 {
-		s.sequenceGaps++
+	if hint.Life == sender.incarnation && hint.Seq > sender.seq+1 {
+		sender.sequenceGaps++
 	}
-	s.incarnation, s.seq, s.lastNewHint = h.Life, h.Seq, now
-	for _, k := range h.Known {
+	sender.incarnation, sender.seq, sender.lastNewHint = hint.Life, hint.Seq, now
+	for _, k := range hint.Known {
 		m := n.machines[k.Machine]
 		if m == nil || !m.recorded || n.owns(n.partitions[m.rec.Share]) || n.partitions[m.rec.Share].owner.Node != name {
 			continue
@@ -107,116 +109,119 @@
 		}
 		m.lastHint = now
 	}
-	n.applyCancelHints(name, h.Cancelled)
-	s.refusedOffers = s.refusedOffers[:0]
-	for _, r := range h.Refused {
+	n.applyCancelHints(name, hint.Cancelled)
+	sender.refusedOffers = sender.refusedOffers[:0]
+	for _, r := range hint.Refused {
 		if r.ForS > 0 && r.ForS <= maxRefusalS {
-			s.refusedOffers = append(s.refusedOffers, refusedOffer{offer{Type: r.Type, Zone: r.Zone, Spot: r.Spot}, now.Add(n.seconds(r.ForS))})
+			sender.refusedOffers = append(sender.refusedOffers, refusedOffer{offer{Type: r.Type, Zone: r.Zone, Spot: r.Spot}, now.Add(n.seconds(r.ForS))})
 		}
 	}
 }
 
-// refusedOffer is an offer that the cloud refused a sibling, and until when it is not asked
-// for. It counts for this node when it takes that sibling's share.
+// refusedOffer is an offer that the cloud refused a peer, and the time until which it is not
+// requested again. It applies to this node once it takes over that peer's partition.
 type refusedOffer struct {
 	offer
 	until time.Time
 }
 
-// StandbyFreshness is how much a standby knows of a share beyond the records.
+// StandbyFreshness is how much a standby knows of a partition beyond the stored records.
 type StandbyFreshness struct {
-	AgeS          float64 `json:"age_s"` // of the holder's last news; -1: none
-	SequenceGaps  int     `json:"gaps"`  // in the numbers of its hints, in its life
-	KnownFraction float64 `json:"known"` // part of the machines up that it told of lately
+	AgeS          float64 `json:"age_s"` // age of the owner's last hint; -1: none received
+	SequenceGaps  int     `json:"gaps"`  // gaps in the sequence numbers of its hints so far; not reset when its process is replaced
+	KnownFraction float64 `json:"known"` // fraction of the running machines that recent hints covered
 }
 
-// machineHintMaxAge is within which a machine must have been told of to count as known.
+// machineHintMaxAge is the age up to which a hint about a machine counts for the freshness of a
+// standby.
 const machineHintMaxAge = 20 * time.Second
 
-func (n *Node) standbyFreshness(sh *partition, now time.Time) StandbyFreshness {
-	w := StandbyFreshness{AgeS: -1}
-	s := n.peers[sh.owner.Node]
-	if s == nil || s.lastNewHint.IsZero() {
-		return w
+// standbyFreshness returns how much this node knows of a partition that another node owns.
+func (n *Node) standbyFreshness(part *partition, now time.Time) StandbyFreshness {
+	freshness := StandbyFreshness{AgeS: -1}
+	owner := n.peers[part.owner.Node]
+	if owner == nil || owner.lastNewHint.IsZero() {
+		return freshness
 	}
-	up, known := 0, 0
-	for _, m := range sh.machines {
+	running, known := 0, 0
+	for _, m := range part.machines {
 		if m.rec.Addr != "" {
-			up++
+			running++
 			if now.Sub(m.lastHint) < machineHintMaxAge {
 				known++
 			}
 		}
 	}
-	w.AgeS, w.SequenceGaps = roundToTenth(now.Sub(s.lastNewHint).Seconds()), s.sequenceGaps
-	if w.KnownFraction = 1; up > 0 {
-		w.KnownFraction = float64(known) / float64(up)
+	freshness.AgeS, freshness.SequenceGaps = roundToTenth(now.Sub(owner.lastNewHint).Seconds()), owner.sequenceGaps
+	if freshness.KnownFraction = 1; running > 0 {
+		freshness.KnownFraction = float64(known) / float64(running)
 	}
-	return w
+	return freshness
 }
 
-// OnConnEvent takes in what a sender of hints notices of a sibling. Its host refusing a
-// connection says that it can be reached, and so can, most likely, the workers on its
-// side.
-func (n *Node) OnConnEvent(node string, e transport.Event) {
+// OnConnEvent records a connection event from the sender of hints to a peer. A refused connection
+// shows that the peer's host is reachable, and so most likely are the workers on its side of the
+// network.
+func (n *Node) OnConnEvent(node string, event transport.Event) {
 	n.post(func() {
-		s := n.peers[node]
-		if s == nil {
+		other := n.peers[node]
+		if other == nil {
 			return
 		}
-		switch now := time.Now(); e {
+		switch now := time.Now(); event {
 		case transport.ConnEnded:
-			s.connLostAt = now
+			other.connLostAt = now
 		case transport.ConnRefused:
-			s.connRefusedAt = now
+			other.connRefusedAt = now
 		}
 	})
 }
 
-// assignStandbys makes anew who stands by for whom, from the records and what is heard.
+// assignStandbys recomputes the standbys of each partition from the stored records and the hints
+// received.
 func (n *Node) assignStandbys(now time.Time) {
-	var shares []standby.Share
-	held := map[string]int{}
-	for _, s := range n.partitions {
-		shares = append(shares, standby.Share{Index: s.index, Holder: s.owner.Node})
-		if s.owner.Token != 0 {
-			held[s.owner.Node]++
+	var partitions []standby.Share
+	owned := map[string]int{}
+	for _, part := range n.partitions {
+		partitions = append(partitions, standby.Share{Index: part.index, Holder: part.owner.Node})
+		if part.owner.Token != 0 {
+			owned[part.owner.Node]++
 		}
 	}
 	var nodes []standby.Node
 	for name := range n.liveNodes {
-		x := standby.Node{Name: name, Zone: n.cfg.Zone, Held: held[name]}
-		if s := n.peers[name]; s != nil {
-			x.Zone, x.Poor = s.zone, n.receivesHints(name, now) && (s.workersUnreachable || !s.stateOK)
+		candidate := standby.Node{Name: name, Zone: n.cfg.Zone, Held: owned[name]}
+		if other := n.peers[name]; other != nil {
+			candidate.Zone, candidate.Poor = other.zone, n.receivesHints(name, now) && (other.workersUnreachable || !other.stateOK)
 		} else if name == n.cfg.Node {
-			x.Poor = n.reachability.workersUnreachable.Load()
+			candidate.Poor = n.reachability.workersUnreachable.Load()
 		}
-		nodes = append(nodes, x)
+		nodes = append(nodes, candidate)
 	}
-	for i, p := range standby.Assign(shares, nodes, n.standby.standbys) {
-		if was := n.standby.standbys[i]; p != was && (p.First == n.cfg.Node || was.First == n.cfg.Node) {
+	for i, p := range standby.Assign(partitions, nodes, n.standby.standbys) {
+		if previous := n.standby.standbys[i]; p != previous && (p.First == n.cfg.Node || previous.First == n.cfg.Node) {
 			n.log.Info("standby", "share", i, "first", p.First, "second", p.Second)
 		}
 		n.standby.standbys[i] = p
 	}
 }
 
-// checkSuspectedPeers asks siblings that seem to have ended, through the store, whether they
-// live, and takes the shares of those that do not answer.
+// checkSuspectedPeers challenges peers that seem to have ended, through the state service, and
+// takes over the partitions of those that do not answer.
 func (n *Node) checkSuspectedPeers(now time.Time) {
 	mayAsk := n.lease != 0 && !n.standby.leaving && n.sinceContact(now) < time.Second && now.Sub(n.reachability.stallEnded) > stallThreshold
-	for name, s := range n.peers {
-		seen := standby.Seen{Heard: s.lastHint, Broke: s.connLostAt, Refused: s.connRefusedAt, Stamp: n.revisionOf(protocol.NodeKey(name))}
-		stands := false
-		for _, sh := range n.partitions {
-			if sh.owner.Token != 0 && sh.owner.Node == name {
-				seen.Holds = true
-				p := n.standby.standbys[sh.index]
-				stands = stands || p.First == n.cfg.Node || p.Second == n.cfg.Node
+	for name, suspect := range n.peers {
+		evidence := standby.Seen{Heard: suspect.lastHint, Broke: suspect.connLostAt, Refused: suspect.connRefusedAt, Stamp: n.revisionOf(protocol.NodeKey(name))}
+		isStandby := false
+		for _, part := range n.partitions {
+			if part.owner.Token != 0 && part.owner.Node == name {
+				evidence.Holds = true
+				pair := n.standby.standbys[part.index]
+				isStandby = isStandby || pair.First == n.cfg.Node || pair.Second == n.cfg.Node
 			}
 		}
-		seen.Holds = seen.Holds && stands
-		ask, ended := n.standby.suspicions.Look(name, seen, mayAsk, now)
+		evidence.Holds = evidence.Holds && isStandby
+		ask, ended := n.standby.suspicions.Look(name, evidence, mayAsk, now)
 		if ask {
 			n.log.Info("asked whether it lives", "sibling", name)
 			key := protocol.DoubtKey(name)
@@ -229,18 +234,18 @@
 		}
 		if _, known := n.standby.presumedEnded[name]; !known {
 			n.standby.presumedEnded[name] = now
-			n.log.Info("has ended, by all evidence", "sibling", name, "silent_s", roundToTenth(now.Sub(s.lastHint).Seconds()))
+			n.log.Info("has ended, by all evidence", "sibling", name, "silent_s", roundToTenth(now.Sub(suspect.lastHint).Seconds()))
 		}
-		for _, sh := range n.partitions {
-			if sh.owner.Token != 0 && sh.owner.Node == name && !sh.ownerChanging() && now.Sub(n.standby.presumedEnded[name]) >= n.standby.standbys[sh.index].After(n.cfg.Node) {
-				// If the holder answers after all before this is stored, it is not stored.
-				n.takePartition(sh, n.unchanged(protocol.NodeKey(name)))
+		for _, part := range n.partitions {
+			if part.owner.Token != 0 && part.owner.Node == name && !part.ownerChanging() && now.Sub(n.standby.presumedEnded[name]) >= n.standby.standbys[part.index].After(n.cfg.Node) {
+				// The condition makes the takeover fail if the owner answers before it is stored.
+				n.takePartition(part, n.unchanged(protocol.NodeKey(name)))
 			}
 		}
 	}
 }
 
-// answerLivenessCheck answers a sibling that doubts whether this node lives.
+// answerLivenessCheck answers a peer that suspects this node of having ended.
 func (n *Node) answerLivenessCheck(by string) {
 	if by == n.cfg.Node || n.lease == 0 || n.standby.leaving {
 		return
@@ -249,76 +254,77 @@
 	n.storeNodeRecord()
 }
 
-// recordTakeover notes how a share came to this node.
-func (n *Node) recordTakeover(s *partition, was protocol.HolderRecord, now time.Time) {
-	s.takeover = takeover{cause: standby.AtStart, blockedBy: standby.Check(math.MaxUint8)}
-	before := n.peers[s.previousOwner]
+// recordTakeover records how a partition came to this node.
+func (n *Node) recordTakeover(part *partition, previous protocol.HolderRecord, now time.Time) {
+	part.takeover = takeover{cause: standby.AtStart, blockedBy: standby.Check(math.MaxUint8)}
+	previousOwner := n.peers[part.previousOwner]
 	switch {
-	case was.Token != 0:
-		s.takeover.cause = standby.Ended
-	case before == nil || s.vacantSince.Sub(n.loadControl.followingSince) < leaseTTL:
-		return // what it found when it began: others begin too, and end their former lives
-	case s.vacantSince.Sub(before.lastHint) < leaseTTL*3/4:
-		s.takeover.cause = standby.HandedOn
+	case previous.Token != 0:
+		part.takeover.cause = standby.Ended
+	case previousOwner == nil || part.vacantSince.Sub(n.loadControl.followingSince) < leaseTTL:
+		return // vacant since this node started: the other nodes start too, and release the leases of their earlier processes
+	case part.vacantSince.Sub(previousOwner.lastHint) < leaseTTL*3/4:
+		part.takeover.cause = standby.HandedOn
 	default:
-		s.takeover.cause = standby.LeaseOver
+		part.takeover.cause = standby.LeaseOver
 	}
-	if before != nil {
-		for _, r := range before.refusedOffers {
+	if previousOwner != nil {
+		for _, r := range previousOwner.refusedOffers {
 			n.cloudState.refusedUntil[r.offer] = latest(n.cloudState.refusedUntil[r.offer], r.until)
 		}
 	}
-	if before != nil && !before.lastHint.IsZero() {
-		s.takeover.gap = now.Sub(before.lastHint)
-		if s.takeover.cause == standby.HandedOn {
-			s.takeover.gap = now.Sub(s.vacantSince)
+	if previousOwner != nil && !previousOwner.lastHint.IsZero() {
+		part.takeover.gap = now.Sub(previousOwner.lastHint)
+		if part.takeover.cause == standby.HandedOn {
+			part.takeover.gap = now.Sub(part.vacantSince)
 		}
 	}
-	n.metrics.takeover.WithLabelValues(s.takeover.cause.String()).Observe(s.takeover.gap.Seconds())
+	n.metrics.takeover.WithLabelValues(part.takeover.cause.String()).Observe(part.takeover.gap.Seconds())
 }
 
-// mayDecide holds a share's first decision up until all that must hold does.
-func (n *Node) mayDecide(s *partition, now time.Time) bool {
-	if !n.logReadable(s) {
+// mayDecide delays a partition's first decision until all conditions hold.
+func (n *Node) mayDecide(part *partition, now time.Time) bool {
+	if !n.logReadable(part) {
 		return false
 	}
-	if s.takeover.decided {
+	if part.takeover.decided {
 		return true
 	}
-	f := standby.Facts{Held: n.owns(s), Contact: n.sinceContact(now), Awake: now.Sub(n.reachability.stallEnded), Types: len(n.machineTypes), Squared: s.reconciliation != nil}
-	if s.reconciliation != nil {
-		f.Machines, f.Heard, _ = s.reconciliation.Counts()
-		if s.reconciliation.MayDisplace() {
-			f.Machines = 0 // the rest had time enough
+	facts := standby.Facts{Held: n.owns(part), Contact: n.sinceContact(now), Awake: now.Sub(n.reachability.stallEnded), Types: len(n.machineTypes), Squared: part.reconciliation != nil}
+	if part.reconciliation != nil {
+		facts.Machines, facts.Heard, _ = part.reconciliation.Counts()
+		if part.reconciliation.MayDisplace() {
+			facts.Machines = 0 // the remaining machines had enough time to report
 		}
 	}
-	c, ok := standby.First(f)
-	if ok {
-		s.takeover.decided = true
-		n.log.Info("first decision", "share", s.index, "cause", s.takeover.cause, "gap_s", s.takeover.gap.Seconds(), "after_s", now.Sub(s.acquiredAt).Seconds())
+	check, decided := standby.First(facts)
+	if decided {
+		part.takeover.decided = true
+		n.log.Info("first decision", "share", part.index, "cause", part.takeover.cause, "gap_s", part.takeover.gap.Seconds(), "after_s", now.Sub(part.acquiredAt).Seconds())
 		return true
 	}
-	if c != s.takeover.blockedBy {
-		s.takeover.blockedBy = c
-		n.log.Info("first decision waits", "share", s.index, "for", c, "guards_against", c.Guards())
+	if check != part.takeover.blockedBy {
+		part.takeover.blockedBy = check
+		n.log.Info("first decision waits", "share", part.index, "for", check, "guards_against", check.Guards())
 	}
 	return false
 }
 
 const (
-	// leaveTime is how long an orderly end may take.
-	leaveTime = 900 * time.Millisecond
-	// settleTime is how long it waits for changes under way.
-	settleTime = 250 * time.Millisecond
+	// shutdownTimeout is the time limit of an orderly shutdown.
+	shutdownTimeout = 900 * time.Millisecond
+	// settleTimeout is how long a shutdown waits for changes in progress.
+	settleTimeout = 250 * time.Millisecond
 )
 
-// Leave hands over what this node holds: it decides nothing more, waits a moment for
-// what is being stored, and ends its lease, so that the standbys take its shares at
-// once. Any routine may call it; the node's context is to be ended after.
+// Leave hands over the partitions of this node: it stops making decisions, waits briefly for
+// changes that are being stored and releases its lease, so that the standbys take its partitions
+// over at once. It may be called from any goroutine; the caller cancels the node's context
+// afterwards.
 func (n *Node) Leave() {
-	ctx, cancel := context.WithTimeout(n.ctx, leaveTime)
+	ctx, cancel := context.WithTimeout(n.ctx, shutdownTimeout)
 	defer cancel()
-	ask := func(f func()) {
+	runOnActor := func(f func()) {
 		done := make(chan struct{})
 		go n.post(func() { f(); close(done) })
 		select {
@@ -327,13 +333,13 @@
 		}
 	}
 	var lease uint64
-	ask(func() {
+	runOnActor(func() {
 		n.standby.leaving = true
 		n.log.Info("leaving", "shares", n.ownedPartitionCount())
 	})
-	for end := time.Now().Add(settleTime); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(settleTimeout); time.Now().Before(deadline) && ctx.Err() == nil; time.Sleep(10 * time.Millisecond) {
 		busy := false
-		ask(func() { busy, lease = n.totalPendingWrites() > 0, n.lease })
+		runOnActor(func() { busy, lease = n.totalPendingWrites() > 0, n.lease })
 		if !busy {
 			break
 		}
