--- a/internal/coordination/node/account.go
+++ b/internal/coordination/node/account.go
@@ -21,21 +21,21 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-// The account of a site's jobs (docs/report.md). A share's holder tells of its open jobs
-// from memory; of shares whose holder does not answer this node tells what is stored,
-// as not known. What ended every node hears by the watch, and remembers; with settings
-// for it the leader also stores it, in few changes, so that it outlives all of them.
-// This file may read all of the actor's state, and writes account, story and nothing
-// else.
-
-// AccountSettings say how much is remembered of what ended.
+// The account of a site's jobs (docs/report.md). The owner of a partition reports its open jobs
+// from memory. For partitions whose owner does not answer, a node reports the stored state and
+// marks it as unknown. Every node learns from the watch which jobs ended and keeps them in memory;
+// if configured, the leader also stores them, batched into few changes, so that they survive a
+// restart of all nodes. The code in this file may read all state of the actor and writes only
+// account and the jobs' histories.
+
+// AccountSettings configures how much is kept of ended jobs.
 type AccountSettings struct {
-	Entries       int           // jobs; 0: a thousand, and nothing stored
-	Retention     time.Duration // for so long
-	StoreInterval time.Duration // stored so often; 0: never
+	Entries       int           // maximum number of jobs; 0: 1000, and nothing is stored
+	Retention     time.Duration // how long they are kept
+	StoreInterval time.Duration // how often they are stored; 0: never
 }
 
-// ReadAccountSettings reads a file such as deploy/account.toml.
+// ReadAccountSettings reads a settings file such as deploy/account.toml.
 func ReadAccountSettings(path string) (AccountSettings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -60,7 +60,7 @@
 	return AccountSettings{f.Entries, time.Duration(f.KeepH * float64(time.Hour)), time.Duration(f.StoreS * float64(time.Second))}, nil
 }
 
-// account is what a node remembers.
+// account is what a node remembers of ended jobs and past runs.
 type account struct {
 	settings   AccountSettings
 	history    *ledger.Book
@@ -69,40 +69,42 @@
 	lostRuns   int // since the last sample
 	endedCount int
 	storing    bool
-	wasLeader  bool // this node was the leader when it last looked
+	wasLeader  bool // whether this node was the leader at the last check
 	loaded     bool
 	lastStore  time.Time
-	segments   []string  // stored, the oldest first, while this node is the leader
-	lastSample time.Time // of samples
+	segments   []string  // stored segments, oldest first; valid while this node is the leader
+	lastSample time.Time // when the last sample was taken
 }
 
-// mostClasses bounds the classes whose runs are remembered.
-const mostClasses = 200
+// maxClasses limits the number of classes whose run times are kept.
+const maxClasses = 200
 
-func newAccount(s AccountSettings, now time.Time) account {
-	if s.Entries == 0 {
-		s.Entries, s.Retention, s.StoreInterval = 1000, 24*time.Hour, 0
+func newAccount(settings AccountSettings, now time.Time) account {
+	if settings.Entries == 0 {
+		settings.Entries, settings.Retention, settings.StoreInterval = 1000, 24*time.Hour, 0
 	}
-	return account{settings: s, history: ledger.NewBook(s.Entries, s.Retention, now), runTimes: map[string]*ledger.Runs{}}
+	return account{settings: settings, history: ledger.NewBook(settings.Entries, settings.Retention, now), runTimes: map[string]*ledger.Runs{}}
 }
 
-// SetAccountSettings sets how much is remembered of what ended. It is called before Run.
-func (n *Node) SetAccountSettings(s AccountSettings) { n.account = newAccount(s, time.Now()) }
+// SetAccountSettings sets how much is kept of ended jobs. It must be called before Run.
+func (n *Node) SetAccountSettings(settings AccountSettings) {
+	n.account = newAccount(settings, time.Now())
+}
 
-// jobHistory is what this node saw of a job's runs while it held it.
+// jobHistory is what this node observed of a job while it owned the job's partition.
 type jobHistory struct {
 	lostRuns     int
 	lastLostAt   time.Time
-	failedStarts int // starts in a row that came to nothing
+	failedStarts int // consecutive starts that failed
 	state        string
-	stateSince   time.Time // when that state was first seen
+	stateSince   time.Time // when that state was first observed
 	events       []ledger.Event
 }
 
-// addEvent remembers something of a job; of the same thing again and again the last time.
+// addEvent appends an event. A repetition of the last event only updates its time.
 func (s *jobHistory) addEvent(now time.Time, text string) {
-	if l := len(s.events); l > 0 && s.events[l-1].Text == text {
-		s.events[l-1].AtMS = now.UnixMilli()
+	if last := len(s.events); last > 0 && s.events[last-1].Text == text {
+		s.events[last-1].AtMS = now.UnixMilli()
 		return
 	}
 	if s.events = append(s.events, ledger.Event{AtMS: now.UnixMilli(), Text: text}); len(s.events) > ledger.MostEvents {
@@ -110,7 +112,7 @@
 	}
 }
 
-// lastLostMS is when the last run was lost; 0: none was.
+// lastLostMS returns when the last run was lost, or 0 if none was.
 func (s *jobHistory) lastLostMS() int64 {
 	if s.lastLostAt.IsZero() {
 		return 0
@@ -118,50 +120,52 @@
 	return s.lastLostAt.UnixMilli()
 }
 
-// mergeStored takes in what earlier holders, or the present one, stored of losses.
+// mergeStored merges the losses that the present or an earlier owner stored.
 func (s *jobHistory) mergeStored(lost int, lostMS int64) {
 	if s.lostRuns = max(s.lostRuns, lost); lostMS > s.lastLostMS() {
 		s.lastLostAt = time.UnixMilli(lostMS)
 	}
 }
 
-// countFailedStart counts a start that came to nothing, unless somebody wanted it so.
+// countFailedStart counts a start that failed, unless the task was stopped on purpose.
 func (s *jobHistory) countFailedStart(cause string) {
 	if cause != protocol.CauseStopped {
 		s.failedStarts++
 	}
 }
 
+// runStarted records that a task runs.
 func (n *Node) runStarted(j *job, i int, now time.Time) {
 	t := &j.tasks[i]
 	j.history.addEvent(now, "a task runs on "+t.machine.name)
 	switch {
 	case !t.runningSince.IsZero():
 	case t.startSentAt.IsZero():
-		// An earlier holder started it. Every node heard when it was recorded, and a
-		// stall must not begin anew with each take-over. (Found by the lab.)
+		// An earlier owner started it, and every node knows since when that is recorded. Using the
+		// present time would make a stalled task look new after each takeover.
 		t.runningSince = t.phaseSince
 	default:
 		t.runningSince = now
 	}
 }
 
+// runEnded adds the run time of a completed task to the statistics of its class.
 func (n *Node) runEnded(j *job, t *task, now time.Time) {
 	j.history.failedStarts = 0
 	if t.runningSince.IsZero() || t.outcome != outcomeNone {
 		return
 	}
-	r := n.account.runTimes[j.spec.Class]
-	if r == nil && len(n.account.runTimes) < mostClasses {
-		r = &ledger.Runs{}
-		n.account.runTimes[j.spec.Class] = r
+	runs := n.account.runTimes[j.spec.Class]
+	if runs == nil && len(n.account.runTimes) < maxClasses {
+		runs = &ledger.Runs{}
+		n.account.runTimes[j.spec.Class] = runs
 	}
-	if r != nil {
-		r.Saw(now.Sub(t.runningSince))
+	if runs != nil {
+		runs.Saw(now.Sub(t.runningSince))
 	}
 }
 
-// runLost notes that a task that ran was lost with its machine or its lease.
+// runLost records that a running task was lost with its machine or its lease.
 func (n *Node) runLost(j *job, t *task, now time.Time) {
 	if t.phase != phasePlaced || t.outcome != outcomeNone || t.reportedState < reportedRunning || t.reportedState == reportedExited || j.cancelled || t.stopRequested {
 		return
@@ -172,10 +176,10 @@
 	n.account.lostRuns++
 }
 
-// recordJobEnd remembers a job whose record is gone: it is over. Every node hears of it.
+// recordJobEnd records the end of a job whose record has been deleted. Every node does this.
 func (n *Node) recordJobEnd(j *job) {
 	if j.step != nil {
-		return // its ticket is what people ask for
+		return // users ask for its ticket
 	}
 	state := ledger.Done
 	if f, ok := n.finalJobs.byID[j.id]; ok && f.Status == protocol.JobCancelled || j.cancelled {
@@ -184,12 +188,13 @@
 	n.addToHistory(ledger.Entry{Job: j.id, Team: j.spec.Team, Class: j.spec.Class, Shape: j.spec.Shape, State: state, Submitted: j.submitted.UnixMilli(), Tasks: j.spec.Tasks, Lost: j.history.lostRuns})
 }
 
+// recordTicketEnd records the end of a ticket.
 func (n *Node) recordTicketEnd(t *openTicket) {
 	state := ledger.Done
-	f, known := n.finalJobs.byID[t.id]
+	final, isFinal := n.finalJobs.byID[t.id]
 	switch {
-	case known:
-		state = f.Status // the same words
+	case isFinal:
+		state = final.Status // the account uses the same status names
 	case t.rec.Failing != "":
 		state = ledger.Failed
 	case t.cancelled:
@@ -197,8 +202,8 @@
 	case slices.ContainsFunc(t.rec.Steps, func(s protocol.TicketStep) bool { return s.State == protocol.JobFailed }):
 		state = ledger.Failed
 	}
-	b := t.rec.Base
-	n.addToHistory(ledger.Entry{Job: t.id, Team: b.Team, Class: b.Class, Shape: b.Shape, State: state, Submitted: t.submitted.UnixMilli(), Tasks: b.Tasks})
+	base := t.rec.Base
+	n.addToHistory(ledger.Entry{Job: t.id, Team: base.Team, Class: base.Class, Shape: base.Shape, State: state, Submitted: t.submitted.UnixMilli(), Tasks: base.Tasks})
 }
 
 func (n *Node) addToHistory(e ledger.Entry) {
@@ -207,7 +212,7 @@
 	n.account.endedCount++
 }
 
-// tickAccount samples, stores and forgets, each now and then.
+// tickAccount takes samples, stores ended jobs and expires old ones.
 func (n *Node) tickAccount(now time.Time) {
 	a := &n.account
 	if now.Sub(a.lastSample) >= ledger.SamplePause {
@@ -225,11 +230,11 @@
 		a.loaded = true
 		n.loadHistory()
 	}
-	if leads := n.isLeader(); !leads || !a.wasLeader {
-		if a.wasLeader = leads; leads && !a.storing {
+	if isLeader := n.isLeader(); !isLeader || !a.wasLeader {
+		if a.wasLeader = isLeader; isLeader && !a.storing {
 			n.beginStoring(now)
-		} else if leads {
-			a.wasLeader = false // a change of an earlier time is still under way
+		} else if isLeader {
+			a.wasLeader = false // a write from an earlier term as leader is still in progress
 		}
 		return
 	}
@@ -240,28 +245,28 @@
 	n.storeHistory(now)
 }
 
-// storeHistory stores what ended since the last time in one change, and with it removes
-// the oldest segment if that is too old.
+// storeHistory stores the jobs that ended since the last call in one change, which also deletes the
+// oldest segments that have expired, two at most.
 func (n *Node) storeHistory(now time.Time) {
 	a := &n.account
-	key, data, done := a.history.Unstored(now, int(n.cfg.Params.State.ValueKB*1024)-64)
+	key, data, markStored := a.history.Unstored(now, int(n.cfg.Params.State.ValueKB*1024)-64)
 	if key == "" {
 		return
 	}
 	key = protocol.BookRoot + key
 	op := &storage.Op{Conds: []storage.Cond{n.unchanged(protocol.HolderKey(0))}, Writes: []storage.Write{{Put: key, Value: data}}}
-	oldest := protocol.BookRoot + ledger.SegmentKey(now.Add(-a.settings.Retention).UnixMilli())
-	trimmed := a.segments
-	for len(trimmed) > 0 && trimmed[0] < oldest && len(op.Writes) < 3 {
-		op.Writes = append(op.Writes, storage.Write{Delete: trimmed[0]})
-		trimmed = trimmed[1:]
+	expiry := protocol.BookRoot + ledger.SegmentKey(now.Add(-a.settings.Retention).UnixMilli())
+	remaining := a.segments
+	for len(remaining) > 0 && remaining[0] < expiry && len(op.Writes) < 3 {
+		op.Writes = append(op.Writes, storage.Write{Delete: remaining[0]})
+		remaining = remaining[1:]
 	}
 	a.storing = true
 	op.Done = func(r storage.Result) {
 		n.post(func() {
 			if a.storing = false; r.OK {
-				done()
-				a.segments = append(trimmed, key)
+				markStored()
+				a.segments = append(remaining, key)
 			}
 		})
 	}
@@ -270,8 +275,8 @@
 	}
 }
 
-// beginStoring makes this node the one that stores. Which segments there are is read once: then
-// only this node adds and removes any.
+// beginStoring makes this node the one that stores ended jobs. The list of stored segments is read
+// once, since from then on only this node adds and removes segments.
 func (n *Node) beginStoring(now time.Time) {
 	a := &n.account
 	a.history.Begin(now, 2*a.settings.StoreInterval)
@@ -280,7 +285,7 @@
 		items, _, err := n.store.List(ctx, protocol.BookRoot)
 		n.post(func() {
 			if a.storing = false; err != nil {
-				a.wasLeader = false // again, later
+				a.wasLeader = false // retried later
 				return
 			}
 			for _, it := range items {
@@ -290,19 +295,19 @@
 	})
 }
 
-// loadHistory takes in what earlier nodes stored.
+// loadHistory loads the ended jobs that earlier processes stored.
 func (n *Node) loadHistory() {
 	n.spawn(func(ctx context.Context) {
 		items, _, err := n.store.List(ctx, protocol.BookRoot)
 		n.post(func() {
 			now := time.Now()
 			if err != nil {
-				n.account.loaded = false // again, later
+				n.account.loaded = false // retried later
 				return
 			}
 			for _, it := range items {
 				if err := n.account.history.Load(it.Value, now); err != nil {
-					n.log.Error("segment of the account not understood", "key", it.Key, "why", err)
+					n.log.Error("account segment could not be decoded", "key", it.Key, "why", err)
 				}
 			}
 			n.account.history.Loaded(now)
@@ -311,296 +316,297 @@
 	})
 }
 
-// takeSample is how the shares held are now.
+// takeSample returns the present state of the owned partitions.
 func (n *Node) takeSample(now time.Time) ledger.Sample {
-	s := ledger.Sample{AtMS: now.UnixMilli(), Lost: n.account.lostRuns}
+	sample := ledger.Sample{AtMS: now.UnixMilli(), Lost: n.account.lostRuns}
 	if n.isLeader() {
-		s.Ended = n.account.endedCount // every node hears of each
+		sample.Ended = n.account.endedCount // counted by the leader only, since every node sees each end
 	}
 	n.account.lostRuns, n.account.endedCount = 0, 0
-	for _, sh := range n.partitions {
-		if !n.owns(sh) {
+	for _, part := range n.partitions {
+		if !n.owns(part) {
 			continue
 		}
-		for _, m := range sh.machines {
+		for _, m := range part.machines {
 			if !m.lastFencedReport.IsZero() {
-				if s.Machines++; n.silent(m, now) {
-					s.Silent++
+				if sample.Machines++; n.silent(m, now) {
+					sample.Silent++
 				}
 			}
 		}
-		for _, j := range sh.jobs {
+		for _, j := range part.jobs {
 			if !j.cancelled {
-				s.Waiting += j.nWaiting()
+				sample.Waiting += j.nWaiting()
 			}
-			r := n.jobRow(j, now)
-			s.Running += r.Running
-			if r.State == ledger.Stuck {
-				s.Stuck++
+			row := n.jobRow(j, now)
+			sample.Running += row.Running
+			if row.State == ledger.Stuck {
+				sample.Stuck++
 			}
 		}
 	}
-	return s
+	return sample
 }
 
-// jobRow is one open job of a share held by this node.
+// jobRow returns the account row of an open job in an owned partition.
 func (n *Node) jobRow(j *job, now time.Time) ledger.Row {
-	r := n.storedRow(j, now)
-	f := n.stuckFacts(j, now, &r)
+	row := n.storedRow(j, now)
+	facts := n.stuckFacts(j, now, &row)
 	binding := n.bindingCause(j, now)
-	busy := r.Running + r.Starting
+	active := row.Running + row.Starting
 	switch {
 	case j.cancelled:
-		r.State = ledger.Stopping
-	case busy > 0 && n.tasksAwaitingReport(j) >= busy:
-		r.State, r.Why = ledger.Unknown, fmt.Sprintf("none of its machines has spoken since %s took its share, %.0f s ago", n.cfg.Node, now.Sub(n.partitions[j.partition].acquiredAt).Seconds())
-	case busy > 0 && r.Silent == busy:
-		r.State, r.Why = ledger.Unknown, fmt.Sprintf("all of its machines are silent, for %.0f s", f.Silent.Seconds())
+		row.State = ledger.Stopping
+	case active > 0 && n.tasksAwaitingReport(j) >= active:
+		row.State, row.Why = ledger.Unknown, fmt.Sprintf("none of its machines has spoken since %s took its share, %.0f s ago", n.cfg.Node, now.Sub(n.partitions[j.partition].acquiredAt).Seconds())
+	case active > 0 && row.Silent == active:
+		row.State, row.Why = ledger.Unknown, fmt.Sprintf("all of its machines are silent, for %.0f s", facts.Silent.Seconds())
 	default:
-		if r.Why = ledger.Judge(f); r.Why != "" {
-			r.State = ledger.Stuck
+		if row.Why = ledger.Judge(facts); row.Why != "" {
+			row.State = ledger.Stuck
 			break
 		}
 		switch {
-		case r.Running > 0:
-			r.State = ledger.Running
-		case r.Starting > 0:
-			r.State = ledger.Starting
+		case row.Running > 0:
+			row.State = ledger.Running
+		case row.Starting > 0:
+			row.State = ledger.Starting
 		default:
-			r.State = ledger.Waiting
+			row.State = ledger.Waiting
 		}
-		if r.Waiting > 0 {
-			r.Why = binding.Text()
+		if row.Waiting > 0 {
+			row.Why = binding.Text()
 		}
 	}
-	if j.history.state != r.State {
-		text := r.State
-		if r.Why != "" {
-			text += ": " + r.Why
+	if j.history.state != row.State {
+		text := row.State
+		if row.Why != "" {
+			text += ": " + row.Why
 		}
 		j.history.addEvent(now, text)
-		if j.history.state != "" && (r.State == ledger.Stuck || j.history.state == ledger.Stuck) {
-			n.log.Info("job is "+r.State, "job", j.id, "was", j.history.state, "why", r.Why)
+		if j.history.state != "" && (row.State == ledger.Stuck || j.history.state == ledger.Stuck) {
+			n.log.Info("job is "+row.State, "job", j.id, "was", j.history.state, "why", row.Why)
 		}
-		j.history.state, j.history.stateSince = r.State, now
+		j.history.state, j.history.stateSince = row.State, now
 	}
-	r.Since = j.history.stateSince.UnixMilli()
-	return r
+	row.Since = j.history.stateSince.UnixMilli()
+	return row
 }
 
-// addJobEvents adds a job's story to its row, where it alone was asked for.
-func (n *Node) addJobEvents(p *ledger.Page, q *ledger.Query) {
-	for i := range p.Rows {
-		if j := n.jobs[p.Rows[i].Job]; j != nil && j.id == q.Text {
-			p.Rows[i].Story = j.history.events
+// addJobEvents adds a job's events to its row if the query asked for that job alone.
+func (n *Node) addJobEvents(page *ledger.Page, query *ledger.Query) {
+	for i := range page.Rows {
+		if j := n.jobs[page.Rows[i].Job]; j != nil && j.id == query.Text {
+			page.Rows[i].Story = j.history.events
 		}
 	}
 }
 
-// storedRow is what any node can tell of a job: what is stored.
+// storedRow returns the part of a row that any node knows: the stored state.
 func (n *Node) storedRow(j *job, now time.Time) ledger.Row {
-	r := ledger.Row{Job: j.id, Team: j.spec.Team, Class: j.spec.Class, Shape: j.spec.Shape, Image: j.spec.Image, Tasks: len(j.tasks), Done: j.nDone, Failed: j.nExhausted,
+	row := ledger.Row{Job: j.id, Team: j.spec.Team, Class: j.spec.Class, Shape: j.spec.Shape, Image: j.spec.Image, Tasks: len(j.tasks), Done: j.nDone, Failed: j.nExhausted,
 		Waiting: j.nWaiting(), Lost: j.history.lostRuns, LostMS: j.history.lastLostMS(), Submitted: j.submitted.UnixMilli(), AsOf: now.UnixMilli(), Node: n.cfg.Node}
 	if j.step != nil {
-		r.Ticket = j.step.Ticket
+		row.Ticket = j.step.Ticket
 	}
-	return r
+	return row
 }
 
-// mostTold bounds the machines that a row names.
-const mostTold = 4
+// maxRowMachines limits the number of machines that a row names.
+const maxRowMachines = 4
 
-// stuckFacts gathers what a job is judged by, and fills in a row's tasks.
-func (n *Node) stuckFacts(j *job, now time.Time, r *ledger.Row) *ledger.Facts {
-	f := &ledger.Facts{Service: j.spec.Shape == protocol.Service, Gang: j.spec.Shape == protocol.Gang, Expect: n.seconds(j.spec.EstimateS), Class: n.account.runTimes[j.spec.Class],
+// stuckFacts collects the facts from which a job is judged to be stuck, and fills in the task
+// counts of its row.
+func (n *Node) stuckFacts(j *job, now time.Time, row *ledger.Row) *ledger.Facts {
+	facts := &ledger.Facts{Service: j.spec.Shape == protocol.Service, Gang: j.spec.Shape == protocol.Gang, Expect: n.seconds(j.spec.EstimateS), Class: n.account.runTimes[j.spec.Class],
 		GangWait: n.seconds(n.cfg.Params.Workers.GangWaitS), Restarts: j.history.failedStarts}
 	if j.failures.failsEverywhere {
-		f.Restarts = max(f.Restarts, j.failures.tries+2)
+		facts.Restarts = max(facts.Restarts, j.failures.tries+2)
 	}
 	if j.step != nil {
-		f.Restarts = 0 // its retries are limited, and end it
+		facts.Restarts = 0 // its retries are limited, and the job ends with the last one
 	}
-	longest := func(d *time.Duration, since time.Time) { *d = max(*d, now.Sub(since)) }
-	mine := n.owns(n.partitions[j.partition])
+	longest := func(total *time.Duration, since time.Time) { *total = max(*total, now.Sub(since)) }
+	owned := n.owns(n.partitions[j.partition])
 	firstSilent := true
 	for i := range j.tasks {
 		t := &j.tasks[i]
 		switch {
 		case t.phase == phaseWaiting:
-			longest(&f.Waits, t.phaseSince)
-			longest(&f.Missing, t.phaseSince)
+			longest(&facts.Waits, t.phaseSince)
+			longest(&facts.Missing, t.phaseSince)
 			continue
 		case t.phase != phasePlaced && t.phase != phaseProposed:
 			continue
 		case t.outcome != outcomeNone:
 			if !j.dirtySince.IsZero() {
-				longest(&f.Untold, j.dirtySince)
+				longest(&facts.Untold, j.dirtySince)
 			}
 			if t.outcome == outcomeFinished {
-				r.Done++
+				row.Done++
 				continue
 			}
 		}
 		m := t.machine
-		if m.recorded && !slices.Contains(r.Zones, m.rec.Zone) {
-			r.Zones = append(r.Zones, m.rec.Zone)
+		if m.recorded && !slices.Contains(row.Zones, m.rec.Zone) {
+			row.Zones = append(row.Zones, m.rec.Zone)
 		}
-		if len(r.Machines) < mostTold && !slices.Contains(r.Machines, m.name) {
-			r.Machines = append(r.Machines, m.name)
+		if len(row.Machines) < maxRowMachines && !slices.Contains(row.Machines, m.name) {
+			row.Machines = append(row.Machines, m.name)
 		}
-		silent := mine && m.recorded && m.hasBooted() && n.silent(m, now)
+		silent := owned && m.recorded && m.hasBooted() && n.silent(m, now)
 		if silent {
-			r.Silent++
-			if d := now.Sub(n.silentSince(m)); firstSilent || d < f.Silent {
-				f.Silent, firstSilent = d, false
+			row.Silent++
+			if silence := now.Sub(n.silentSince(m)); firstSilent || silence < facts.Silent {
+				facts.Silent, firstSilent = silence, false
 			}
 		}
 		switch t.reportedState {
 		case reportedRunning, reportedSaving:
-			r.Running++
+			row.Running++
 			began := t.runningSince
 			if began.IsZero() {
 				began = t.phaseSince
 			}
 			if !silent {
-				longest(&f.Longest, began)
+				longest(&facts.Longest, began)
 			}
 			if s := j.spec.CheckpointS; s > 0 {
-				r.SavedS = max(r.SavedS, s*float64(int(now.Sub(began).Seconds()/s)))
+				row.SavedS = max(row.SavedS, s*float64(int(now.Sub(began).Seconds()/s)))
 			}
 		default:
-			r.Starting++
-			longest(&f.Missing, t.phaseSince)
+			row.Starting++
+			longest(&facts.Missing, t.phaseSince)
 			if t.reportedState == reportedFetching && !silent {
-				longest(&f.Fetching, t.phaseSince)
-				f.FetchDue = max(f.FetchDue, n.seconds(n.currentFacts(m).SecPerGB*j.spec.ImageGB))
+				longest(&facts.Fetching, t.phaseSince)
+				facts.FetchDue = max(facts.FetchDue, n.seconds(n.currentFacts(m).SecPerGB*j.spec.ImageGB))
 			}
 			if t.reportedState == reportedWaiting && !silent {
-				longest(&f.Gather, t.phaseSince)
+				longest(&facts.Gather, t.phaseSince)
 			}
 		}
 	}
-	if j.nWaiting() > 0 && mine && !j.writePending {
-		f.Free = j.waitCause == decide.NoReason
+	if j.nWaiting() > 0 && owned && !j.writePending {
+		facts.Free = j.waitCause == decide.NoReason
 	}
-	slices.Sort(r.Zones)
-	return f
+	slices.Sort(row.Zones)
+	return facts
 }
 
-// unknownRow is a job of a share whose holder does not answer: what is stored, and no
-// more.
+// unknownRow returns the row of a job whose partition's owner does not answer: only the stored
+// state.
 func (n *Node) unknownRow(j *job, why string, since, now time.Time) ledger.Row {
-	r := n.storedRow(j, now)
-	r.State, r.Why, r.Since = ledger.Unknown, why, since.UnixMilli()
+	row := n.storedRow(j, now)
+	row.State, row.Why, row.Since = ledger.Unknown, why, since.UnixMilli()
 	for i := range j.tasks {
 		if t := &j.tasks[i]; t.phase == phasePlaced {
-			r.Starting++ // recorded there: whether it runs is not known
-			if m := t.machine; m.recorded && !slices.Contains(r.Zones, m.rec.Zone) {
-				r.Zones = append(r.Zones, m.rec.Zone)
+			row.Starting++ // recorded as placed; whether it runs is not known
+			if m := t.machine; m.recorded && !slices.Contains(row.Zones, m.rec.Zone) {
+				row.Zones = append(row.Zones, m.rec.Zone)
 			}
 		}
 	}
-	return r
+	return row
 }
 
-// accountOfOwned is the part of the account that this node tells: jobs and machines of the
-// shares that it holds.
-func (n *Node) accountOfOwned(q *ledger.Query, now time.Time) *ledger.Page {
-	p := ledger.NewPage(n.cfg.Node, now)
-	p.StateAge = roundToTenth(min(n.sinceContact(now), now.Sub(n.startedAt)).Seconds())
-	for _, s := range n.partitions {
-		if !n.owns(s) {
+// accountOfOwned returns this node's part of the account: the jobs and machines of the partitions
+// that it owns.
+func (n *Node) accountOfOwned(query *ledger.Query, now time.Time) *ledger.Page {
+	page := ledger.NewPage(n.cfg.Node, now)
+	page.StateAge = roundToTenth(min(n.sinceContact(now), now.Sub(n.startedAt)).Seconds())
+	for _, part := range n.partitions {
+		if !n.owns(part) {
 			continue
 		}
-		for _, j := range s.jobs {
-			p.Add(q, n.jobRow(j, now))
+		for _, j := range part.jobs {
+			page.Add(query, n.jobRow(j, now))
 		}
-		for _, m := range s.machines {
-			z := ledger.ZoneSums{}
+		for _, m := range part.machines {
+			sums := ledger.ZoneSums{}
 			switch {
 			case m.returned:
 				continue
 			case m.lastFencedReport.IsZero() && !m.hasBooted():
-				z.Booting = 1
+				sums.Booting = 1
 			case n.silent(m, now):
-				z.Silent = 1
+				sums.Silent = 1
 			case m.heldBack || m.spotNotice:
-				z.Drained = 1
+				sums.Drained = 1
 			default:
-				z.Up = 1
+				sums.Up = 1
 			}
-			if t := n.machineTypes[m.rec.Type]; t != nil && z.Booting == 0 {
-				z.GPUs, z.Used = t.GPUs, m.used.GPUs
+			if t := n.machineTypes[m.rec.Type]; t != nil && sums.Booting == 0 {
+				sums.GPUs, sums.Used = t.GPUs, m.used.GPUs
 			}
-			p.Zones[m.rec.Zone] = p.Zones[m.rec.Zone].Add(z)
+			page.Zones[m.rec.Zone] = page.Zones[m.rec.Zone].Add(sums)
 		}
 	}
-	p.Finish(q)
-	n.addJobEvents(p, q)
-	return p
+	page.Finish(query)
+	n.addJobEvents(page, query)
+	return page
 }
 
-// addUnknown adds what is stored of shares whose holder did not answer.
-func (n *Node) addUnknown(p *ledger.Page, q *ledger.Query, shares []*partition, why string, since, now time.Time) {
-	for _, s := range shares {
-		for _, j := range s.jobs {
-			p.Add(q, n.unknownRow(j, why, since, now))
+// addUnknown adds the stored state of partitions whose owner did not answer.
+func (n *Node) addUnknown(page *ledger.Page, query *ledger.Query, partitions []*partition, why string, since, now time.Time) {
+	for _, part := range partitions {
+		for _, j := range part.jobs {
+			page.Add(query, n.unknownRow(j, why, since, now))
 		}
-		for _, m := range s.machines {
-			p.Zones[m.rec.Zone] = p.Zones[m.rec.Zone].Add(ledger.ZoneSums{Unknown: 1})
+		for _, m := range part.machines {
+			page.Zones[m.rec.Zone] = page.Zones[m.rec.Zone].Add(ledger.ZoneSums{Unknown: 1})
 		}
 	}
-	p.Unknown = append(p.Unknown, why)
+	page.Unknown = append(page.Unknown, why)
 }
 
-// onAccount puts the account together: own shares, those of the other holders, what
-// ended.
-func (n *Node) onAccount(q ledger.Query, now time.Time, reply chan<- answer) {
+// onAccount assembles the account from the owned partitions, those of the other owners, and the
+// ended jobs.
+func (n *Node) onAccount(query ledger.Query, now time.Time, reply chan<- answer) {
 	if !n.loaded {
 		reply <- busyAnswer
 		return
 	}
-	p := n.accountOfOwned(&q, now)
+	page := n.accountOfOwned(&query, now)
 	n.account.history.Age(now)
-	p.Since = n.account.history.Since()
+	page.Since = n.account.history.Since()
 	n.account.history.Each(func(e *ledger.Entry) {
-		if n.jobs[e.Job] == nil { // claimed anew, it is open again
-			p.Add(&q, e.Row(n.cfg.Node))
+		if n.jobs[e.Job] == nil { // a claimed job that was submitted again is open
+			page.Add(&query, e.Row(n.cfg.Node))
 		}
 	})
-	if p.StateAge > stateServiceTimeout.Seconds() {
-		p.Unknown = append(p.Unknown, fmt.Sprintf("the state service last answered %s %.0f s ago: what others accepted or ended since is not known", n.cfg.Node, p.StateAge))
+	if page.StateAge > stateServiceTimeout.Seconds() {
+		page.Unknown = append(page.Unknown, fmt.Sprintf("the state service last answered %s %.0f s ago: what others accepted or ended since is not known", n.cfg.Node, page.StateAge))
 	}
-	held, vacant := n.peerPartitions()
-	for _, s := range vacant {
-		n.addUnknown(p, &q, []*partition{s}, fmt.Sprintf("share %d has no holder since %.0f s", s.index, now.Sub(s.vacantSince).Seconds()), s.vacantSince, now)
+	byOwner, vacant := n.peerPartitions()
+	for _, part := range vacant {
+		n.addUnknown(page, &query, []*partition{part}, fmt.Sprintf("share %d has no holder since %.0f s", part.index, now.Sub(part.vacantSince).Seconds()), part.vacantSince, now)
 	}
-	ask := protocol.Ask{Kind: protocol.AskAccount, State: q.State, Team: q.Team, Class: q.Class, Zone: q.Zone, Image: q.Image, Text: q.Text, SinceMS: q.Since, After: q.After, Most: q.Most}
-	askOwners(n, held, ask, func(holder string, part ledger.Page, unknown string) {
+	question := protocol.Ask{Kind: protocol.AskAccount, State: query.State, Team: query.Team, Class: query.Class, Zone: query.Zone, Image: query.Image, Text: query.Text, SinceMS: query.Since, After: query.After, Most: query.Most}
+	askOwners(n, byOwner, question, func(owner string, part ledger.Page, unknown string) {
 		if unknown == "" && part.Sums == nil {
-			unknown = unexpectedAnswer(holder, http.StatusOK)
+			unknown = unexpectedAnswer(owner, http.StatusOK)
 		}
 		if unknown == "" {
-			p.Join(&part)
+			page.Join(&part)
 			return
 		}
 		since := now
-		if sib := n.peers[holder]; sib != nil && !sib.lastHint.IsZero() {
-			since = sib.lastHint
+		if peer := n.peers[owner]; peer != nil && !peer.lastHint.IsZero() {
+			since = peer.lastHint
 		}
-		n.addUnknown(p, &q, held[holder], unknown, since, time.Now())
+		n.addUnknown(page, &query, byOwner[owner], unknown, since, time.Now())
 	}, func() {
-		p.Finish(&q)
-		reply <- answer{status: 200, body: p}
+		page.Finish(&query)
+		reply <- answer{status: 200, body: page}
 	})
 }
 
-// onSamples adds up how all nodes' shares were.
+// onSamples adds up the samples of all nodes.
 func (n *Node) onSamples(reply chan<- answer) {
 	all := [][]ledger.Sample{n.account.samples}
-	held, _ := n.peerPartitions()
+	byOwner, _ := n.peerPartitions()
 	var unknown []string
-	askOwners(n, held, protocol.Ask{Kind: protocol.AskSamples}, func(_ string, part []ledger.Sample, why string) {
+	askOwners(n, byOwner, protocol.Ask{Kind: protocol.AskSamples}, func(_ string, part []ledger.Sample, why string) {
 		if why != "" {
 			unknown = append(unknown, why)
 		}
@@ -610,19 +616,20 @@
 	})
 }
 
-// SamplesView is how the site was, a minute a row.
+// SamplesView is the state of the site over time, one sample a minute.
 type SamplesView struct {
 	Samples []ledger.Sample `json:"samples"`
 	Unknown []string        `json:"unknown,omitempty"`
 }
 
-func accountQuery(q protocol.Ask) ledger.Query {
-	return ledger.Query{State: q.State, Team: q.Team, Class: q.Class, Zone: q.Zone, Image: q.Image, Text: q.Text, Since: q.SinceMS, After: q.After, Most: max(1, min(q.Most, ledger.MostRows))}
+// accountQuery returns the query that a peer's question contains.
+func accountQuery(question protocol.Ask) ledger.Query {
+	return ledger.Query{State: question.State, Team: question.Team, Class: question.Class, Zone: question.Zone, Image: question.Image, Text: question.Text, Since: question.SinceMS, After: question.After, Most: max(1, min(question.Most, ledger.MostRows))}
 }
 
 func (n *Node) routeAccount(r *httprouter.Router) {
 	r.GET("/admin/account", func(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-		q, err := parseQuery(r)
+		q, err := parseAccountQuery(r)
 		if err != nil {
 			writeAnswer(w, answer{status: 400, body: errorBody{err.Error()}})
 			return
@@ -635,13 +642,13 @@
 	})
 }
 
-// mostReported bounds the rows of the page that a node makes itself; the command line
-// makes longer ones.
-const mostReported = 2000
+// maxReportRows limits the rows of the report page that a node renders itself; the command line can
+// produce longer reports.
+const maxReportRows = 2000
 
-// getReport is the report as a page, for who has no command line at hand.
+// getReport serves the report as an HTML page, for users without the command line.
 func (n *Node) getReport(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	ask := func(f func(reply chan<- answer)) (answer, error) {
+	request := func(f func(reply chan<- answer)) (answer, error) {
 		reply := make(chan answer, 1)
 		n.post(func() { f(reply) })
 		select {
@@ -655,53 +662,53 @@
 	}
 	var samples []ledger.Sample
 	var unknown []string
-	if a, err := ask(n.onSamples); err == nil {
+	if a, err := request(n.onSamples); err == nil {
 		if v, ok := a.body.(SamplesView); ok {
 			samples, unknown = v.Samples, v.Unknown
 		}
 	}
-	d, err := report.Gather(func(after string) (*ledger.Page, error) {
-		a, err := ask(func(reply chan<- answer) {
+	data, err := report.Gather(func(after string) (*ledger.Page, error) {
+		a, err := request(func(reply chan<- answer) {
 			n.onAccount(ledger.Query{After: after, Most: ledger.MostRows}, time.Now(), reply)
 		})
 		if p, ok := a.body.(*ledger.Page); ok {
 			return p, nil
 		}
-		return nil, cmp.Or(err, errNotReady)
-	}, samples, mostReported)
+		return nil, cmp.Or(err, errNotLoaded)
+	}, samples, maxReportRows)
 	if err != nil {
 		writeAnswer(w, busyAnswer)
 		return
 	}
 	for _, u := range unknown {
-		if !slices.Contains(d.Unknown, u) {
-			d.Unknown = append(d.Unknown, u)
+		if !slices.Contains(data.Unknown, u) {
+			data.Unknown = append(data.Unknown, u)
 		}
 	}
 	w.Header().Set("Content-Type", "text/html; charset=utf-8")
-	d.HTML(w)
+	data.HTML(w)
 }
 
-var errNotReady = errors.New("nothing has been read yet")
+var errNotLoaded = errors.New("replica not loaded yet")
 
-// parseQuery reads ?state=&team=&class=&zone=&image=&q=&since=&after=&limit=; since is
-// in seconds before now.
-func parseQuery(r *http.Request) (ledger.Query, error) {
-	v := r.URL.Query()
-	q := ledger.Query{State: v.Get("state"), Team: v.Get("team"), Class: v.Get("class"), Zone: v.Get("zone"), Image: v.Get("image"), Text: v.Get("q"), After: v.Get("after"), Most: 50}
-	if s := v.Get("limit"); s != "" {
-		n, err := strconv.Atoi(s)
+// parseAccountQuery parses ?state=&team=&class=&zone=&image=&q=&since=&after=&limit=, where since
+// is in seconds before now.
+func parseAccountQuery(r *http.Request) (ledger.Query, error) {
+	values := r.URL.Query()
+	query := ledger.Query{State: values.Get("state"), Team: values.Get("team"), Class: values.Get("class"), Zone: values.Get("zone"), Image: values.Get("image"), Text: values.Get("q"), After: values.Get("after"), Most: 50}
+	if text := values.Get("limit"); text != "" {
+		n, err := strconv.Atoi(text)
 		if err != nil {
 			n = 0
 		}
-		q.Most = n
+		query.Most = n
 	}
-	if s := v.Get("since"); s != "" {
-		x, err := strconv.ParseFloat(s, 64)
-		if err != nil || !(x >= 0 && x <= 1e9) {
-			return q, fmt.Errorf("since: must be seconds, 0 to 1000000000")
+	if text := values.Get("since"); text != "" {
+		seconds, err := strconv.ParseFloat(text, 64)
+		if err != nil || !(seconds >= 0 && seconds <= 1e9) {
+			return query, fmt.Errorf("since: must be seconds, 0 to 1000000000")
 		}
-		q.Since = time.Now().UnixMilli() - int64(x*1000)
+		query.Since = time.Now().UnixMilli() - int64(seconds*1000)
 	}
-	return q, q.Check()
+	return query, query.Check()
 }
--- a/internal/coordination/node/status.go
+++ b/internal/coordination/node/status.go
@@ -8,46 +8,46 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// Status answers what ran and what did not, and whose work is stuck. It is
-// bounded, made from memory alone, and says how old what it tells is.
+// Status reports what runs, what does not, and whose work is stuck. It is bounded in size, made
+// from memory alone, and includes the age of its data.
 type Status struct {
 	Node      string            `json:"node"`
 	Version   string            `json:"version"`
-	StateAgeS float64           `json:"state_age_s"` // since the state service last answered
+	StateAgeS float64           `json:"state_age_s"` // time since the state service last answered
 	Loaded    bool              `json:"loaded"`
 	Jobs      int               `json:"jobs"`
 	Shares    []PartitionStatus `json:"shares"`
 	Teams     []TeamStatus      `json:"teams"`
 	Stuck     []StuckJob        `json:"stuck"`      // longest waiting first
-	StuckMore int               `json:"stuck_more"` // not shown
-	Ended     []EndedJob        `json:"ended"`      // that this node finished, latest first
+	StuckMore int               `json:"stuck_more"` // number of stuck jobs that are not listed
+	Ended     []EndedJob        `json:"ended"`      // ended jobs that this node finished, latest first
 }
 
-// PartitionStatus is one share.
+// PartitionStatus is the status of one partition.
 type PartitionStatus struct {
 	Share    int    `json:"share"`
 	Holder   string `json:"holder"`
 	Machines int    `json:"machines"`
 	Empty    int    `json:"empty"`
-	// Of the machines up: what is free for tasks. Known to the holder only.
+	// Free resources of the running machines, known to the owner only.
 	FreeGPUs float64 `json:"free_gpus"`
 	FreeCPUs float64 `json:"free_cpus"`
 	Silent   int     `json:"silent"`
-	// How far the holder has got since it took the share: taken, squaring, serving; how
-	// many machines have not spoken since, and how many it had to ask. Known to it only.
+	// Phase of the takeover: taken, squaring, serving; the number of machines that have not
+	// reported since, and of those that had to be polled. Known to the owner only.
 	Phase   string `json:"phase,omitempty"`
 	Unheard int    `json:"unheard,omitempty"`
 	Polled  int    `json:"asked,omitempty"`
-	// How it came to this holder, and the seconds for which nobody served it.
+	// How the owner came to own the partition, and the seconds for which no node served it.
 	Cause string  `json:"cause,omitempty"`
 	GapS  float64 `json:"gap_s,omitempty"`
-	// Who stands by, and, if this node does, how warm it is.
+	// The standbys and, if this node is one of them, how fresh its view is.
 	FirstStandby  string            `json:"first_standby,omitempty"`
 	SecondStandby string            `json:"second_standby,omitempty"`
 	Freshness     *StandbyFreshness `json:"warmth,omitempty"`
 }
 
-// TeamStatus is one team.
+// TeamStatus is the status of one team.
 type TeamStatus struct {
 	Team    string  `json:"team"`
 	Share   int     `json:"share"`
@@ -61,7 +61,7 @@
 // StuckJob is a job with tasks that do not run.
 type StuckJob struct {
 	Job      string  `json:"job"`
-	Ticket   string  `json:"ticket,omitempty"` // whose step the job is
+	Ticket   string  `json:"ticket,omitempty"` // ticket of which the job is a step
 	Class    string  `json:"class"`
 	Team     string  `json:"team"`
 	Shape    string  `json:"shape"`
@@ -71,7 +71,7 @@
 	Why      string  `json:"why"`
 }
 
-// EndedJob is a job that is over.
+// EndedJob is a job that has ended.
 type EndedJob struct {
 	Job    string  `json:"job"`
 	Class  string  `json:"class"`
@@ -83,90 +83,91 @@
 }
 
 const (
-	mostStuck = 50
-	mostTeams = 200
-	mostEnded = 20
+	maxStuckJobs = 50
+	maxTeams     = 200
+	maxEndedJobs = 20
 )
 
-// Version is the release, set by the program.
+// Version is the release version, set by the program.
 var Version = "dev"
 
 func (n *Node) status(now time.Time) Status {
-	s := Status{Node: n.cfg.Node, Version: Version, StateAgeS: roundToTenth(min(n.sinceContact(now), now.Sub(n.startedAt)).Seconds()), Loaded: n.loaded, Jobs: len(n.jobs),
+	status := Status{Node: n.cfg.Node, Version: Version, StateAgeS: roundToTenth(min(n.sinceContact(now), now.Sub(n.startedAt)).Seconds()), Loaded: n.loaded, Jobs: len(n.jobs),
 		Shares: []PartitionStatus{}, Teams: []TeamStatus{}, Stuck: []StuckJob{}, Ended: []EndedJob{}}
-	for _, sh := range n.partitions {
-		v := PartitionStatus{Share: sh.index, Holder: sh.owner.Node}
-		if sh.reconciliation != nil {
-			all, heard, asked := sh.reconciliation.Counts()
-			v.Phase, v.Unheard, v.Polled = sh.reconciliation.Phase().String(), all-heard, asked
-			v.Cause, v.GapS = sh.takeover.cause.String(), roundToTenth(sh.takeover.gap.Seconds())
+	for _, part := range n.partitions {
+		row := PartitionStatus{Share: part.index, Holder: part.owner.Node}
+		if part.reconciliation != nil {
+			all, heard, asked := part.reconciliation.Counts()
+			row.Phase, row.Unheard, row.Polled = part.reconciliation.Phase().String(), all-heard, asked
+			row.Cause, row.GapS = part.takeover.cause.String(), roundToTenth(part.takeover.gap.Seconds())
 		}
-		p := n.standby.standbys[sh.index]
-		v.FirstStandby, v.SecondStandby = p.First, p.Second
-		if p.First == n.cfg.Node || p.Second == n.cfg.Node {
-			w := n.standbyFreshness(sh, now)
-			v.Freshness = &w
+		pair := n.standby.standbys[part.index]
+		row.FirstStandby, row.SecondStandby = pair.First, pair.Second
+		if pair.First == n.cfg.Node || pair.Second == n.cfg.Node {
+			freshness := n.standbyFreshness(part, now)
+			row.Freshness = &freshness
 		}
 		for _, m := range n.machines {
-			if !m.recorded || m.rec.Share != sh.index {
+			if !m.recorded || m.rec.Share != part.index {
 				continue
 			}
-			v.Machines++
+			row.Machines++
 			if len(m.tasks) == 0 {
-				v.Empty++
+				row.Empty++
 			}
 			if n.usable(m, now) {
-				f := n.available(m)
-				v.FreeGPUs, v.FreeCPUs = v.FreeGPUs+f.GPUs, v.FreeCPUs+f.CPUs
+				free := n.available(m)
+				row.FreeGPUs, row.FreeCPUs = row.FreeGPUs+free.GPUs, row.FreeCPUs+free.CPUs
 			} else if !m.lastFencedReport.IsZero() && n.silent(m, now) {
-				v.Silent++
+				row.Silent++
 			}
 		}
-		s.Shares = append(s.Shares, v)
+		status.Shares = append(status.Shares, row)
 	}
-	for _, t := range n.teams[:min(len(n.teams), mostTeams)] {
-		s.Teams = append(s.Teams, TeamStatus{Team: t.Name, Share: t.partition, GPUs: t.Used.GPUs, MaxGPUs: t.Limit.GPUs})
+	for _, team := range n.teams[:min(len(n.teams), maxTeams)] {
+		status.Teams = append(status.Teams, TeamStatus{Team: team.Name, Share: team.partition, GPUs: team.Used.GPUs, MaxGPUs: team.Limit.GPUs})
 	}
 	for _, j := range n.jobs {
-		if j.team < len(s.Teams) {
-			t := &s.Teams[j.team]
-			t.Jobs++
-			t.Running += j.nPlaced
+		if j.team < len(status.Teams) {
+			team := &status.Teams[j.team]
+			team.Jobs++
+			team.Running += j.nPlaced
 			if !j.cancelled {
-				t.Waiting += j.nWaiting()
+				team.Waiting += j.nWaiting()
 			}
 		}
-		if k, stuck := n.stuckJob(j, now); stuck {
-			s.Stuck = append(s.Stuck, k)
+		if job, stuck := n.stuckJob(j, now); stuck {
+			status.Stuck = append(status.Stuck, job)
 		}
 	}
-	slices.SortFunc(s.Stuck, func(a, b StuckJob) int {
+	slices.SortFunc(status.Stuck, func(a, b StuckJob) int {
 		if a.SinceS != b.SinceS {
 			return int(b.SinceS*1000) - int(a.SinceS*1000)
 		}
 		return compareNames(a.Job, b.Job)
 	})
-	if more := len(s.Stuck) - mostStuck; more > 0 {
-		s.Stuck, s.StuckMore = s.Stuck[:mostStuck], more
+	if more := len(status.Stuck) - maxStuckJobs; more > 0 {
+		status.Stuck, status.StuckMore = status.Stuck[:maxStuckJobs], more
 	}
 	for i := len(n.endedJobs) - 1; i >= 0; i-- {
 		e := n.endedJobs[i]
 		e.AgoS = roundToTenth(now.Sub(e.at).Seconds())
-		s.Ended = append(s.Ended, e)
+		status.Ended = append(status.Ended, e)
 	}
-	return s
+	return status
 }
 
+// roundToTenth cuts off all digits after the first decimal place.
 func roundToTenth(x float64) float64 { return float64(int(x*10)) / 10 }
 
-// stuckJob says whether a job has tasks that do not run, and why not.
+// stuckJob reports whether a job has tasks that do not run, and why not.
 func (n *Node) stuckJob(j *job, now time.Time) (StuckJob, bool) {
-	k := StuckJob{Job: j.id, Class: j.spec.Class, Team: j.spec.Team, Shape: j.spec.Shape}
+	result := StuckJob{Job: j.id, Class: j.spec.Class, Team: j.spec.Team, Shape: j.spec.Shape}
 	if j.step != nil {
-		k.Ticket = j.step.Ticket
+		result.Ticket = j.step.Ticket
 	}
 	since := now
-	fetching, quiet, gangWait := 0, 0, 0
+	fetching, unreachable, gangWait := 0, 0, 0
 	for i := range j.tasks {
 		t := &j.tasks[i]
 		switch {
@@ -176,12 +177,12 @@
 			if j.cancelled {
 				continue
 			}
-			k.Waiting++
+			result.Waiting++
 		default:
-			k.Starting++
+			result.Starting++
 			switch {
 			case t.machine.recorded && !t.machine.lastFencedReport.IsZero() && n.silent(t.machine, now):
-				quiet++
+				unreachable++
 			case t.reportedState == reportedFetching:
 				fetching++
 			case t.reportedState == reportedWaiting:
@@ -192,43 +193,43 @@
 			since = t.phaseSince
 		}
 	}
-	if k.Waiting+k.Starting == 0 {
-		return k, false
+	if result.Waiting+result.Starting == 0 {
+		return result, false
 	}
-	k.SinceS = roundToTenth(now.Sub(since).Seconds())
-	sh := n.partitions[j.partition]
+	result.SinceS = roundToTenth(now.Sub(since).Seconds())
+	part := n.partitions[j.partition]
 	switch {
 	case n.sinceContact(now) > stateServiceTimeout:
-		k.Why = "state service down"
-	case sh.owner.Token == 0:
-		k.Why = "its share has no holder"
-	case !n.owns(sh):
-		k.Why = "see " + sh.owner.Node
+		result.Why = "state service down"
+	case part.owner.Token == 0:
+		result.Why = "its share has no holder"
+	case !n.owns(part):
+		result.Why = "see " + part.owner.Node
 	case j.failed:
-		k.Why = "its ticket failed, being stopped"
+		result.Why = "its ticket failed, being stopped"
 	case j.cancelled:
-		k.Why = "cancelled, being stopped"
-	case quiet > 0:
-		k.Why = "machine unreachable"
-	case k.Waiting > 0 && j.abortAttempt:
-		k.Why = "gang being stopped"
-	case k.Waiting > 0 && j.failures.failsEverywhere:
-		k.Why = j.describeFailures(now)
-	case k.Waiting > 0 && j.waitCause != decide.NoReason:
-		if k.Why = j.waitCause.Text(); j.step != nil {
-			k.Why += n.drainNote(sh, j)
+		result.Why = "cancelled, being stopped"
+	case unreachable > 0:
+		result.Why = "machine unreachable"
+	case result.Waiting > 0 && j.abortAttempt:
+		result.Why = "gang being stopped"
+	case result.Waiting > 0 && j.failures.failsEverywhere:
+		result.Why = j.describeFailures(now)
+	case result.Waiting > 0 && j.waitCause != decide.NoReason:
+		if result.Why = j.waitCause.Text(); j.step != nil {
+			result.Why += n.drainNote(part, j)
 		}
 	case fetching > 0:
-		k.Why = "image being fetched"
+		result.Why = "image being fetched"
 	case gangWait > 0:
-		k.Why = "waiting for its gang"
+		result.Why = "waiting for its gang"
 	default:
-		k.Why = "being started"
+		result.Why = "being started"
 	}
-	return k, true
+	return result, true
 }
 
-// recordEndedJob keeps the last jobs that ended here.
+// recordEndedJob keeps the last jobs that ended on this node.
 func (n *Node) recordEndedJob(j *job, now time.Time) {
 	status := protocol.JobDone
 	if j.cancelled {
@@ -236,7 +237,7 @@
 	}
 	n.endedJobs = append(n.endedJobs, EndedJob{Job: j.id, Class: j.spec.Class, Team: j.spec.Team, Status: status,
 		TookS: roundToTenth(now.Sub(j.submitted).Seconds()), at: now})
-	if len(n.endedJobs) > mostEnded {
+	if len(n.endedJobs) > maxEndedJobs {
 		n.endedJobs = n.endedJobs[1:]
 	}
 }
--- a/internal/coordination/node/why.go
+++ b/internal/coordination/node/why.go
@@ -16,21 +16,21 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// Why jobs wait, told by any node. The holder of a job's share explains it from its
-// own memory at one moment; another node asks the holder, for as long as AskPatience,
-// and says "unknown" rather than guess. Nothing here changes anything, and it costs
-// nothing when nobody asks. This file reads the actor's state and writes none.
+// Explains why jobs wait; any node can be asked. The owner of a job's partition explains it from a
+// single consistent view of its memory. Another node asks the owner, for at most AskTimeout, and
+// answers "unknown" rather than guess. The code in this file only reads the actor's state, and
+// costs nothing unless somebody asks.
 
-// AskTimeout is how long a node waits for the holder of a share to answer.
+// AskTimeout is how long a node waits for the owner of a partition to answer.
 const AskTimeout = time.Second
 
-// ExplainedCause is one cause with its words.
+// ExplainedCause is a cause with its description.
 type ExplainedCause struct {
 	decide.Cause
 	Text string `json:"text"`
 }
 
-// Explanation explains one job.
+// Explanation explains why a job waits.
 type Explanation struct {
 	Job        string           `json:"job"`
 	Ticket     string           `json:"ticket,omitempty"`
@@ -40,21 +40,21 @@
 	Starting   int              `json:"starting_tasks"`
 	Running    int              `json:"running_tasks"`
 	SinceS     float64          `json:"since_s"`
-	Causes     []ExplainedCause `json:"causes"`            // all that hold it; the one that binds first first
-	Release    []string         `json:"release,omitempty"` // what would let it start
-	Sufficient bool             `json:"enough"`            // whether that alone is known to
+	Causes     []ExplainedCause `json:"causes"`            // everything that blocks the job; the binding cause first
+	Release    []string         `json:"release,omitempty"` // changes that would let it start
+	Sufficient bool             `json:"enough"`            // whether those changes are known to suffice
 	Owner      string           `json:"holder"`
-	Unknown    string           `json:"unknown,omitempty"` // why it is not known
-	StateAge   float64          `json:"state_age_s"`       // since the state service last answered the holder
+	Unknown    string           `json:"unknown,omitempty"` // why the causes are not known
+	StateAge   float64          `json:"state_age_s"`       // time since the state service last answered the owner
 }
 
-// ExplanationPage is many waiting jobs with the cause that binds each.
+// ExplanationPage lists waiting jobs with the binding cause of each.
 type ExplanationPage struct {
 	Node         string            `json:"node"`
-	TasksByCause map[string]int    `json:"waiting_tasks_by_cause"` // all that wait, on the page or not
+	TasksByCause map[string]int    `json:"waiting_tasks_by_cause"` // of all waiting jobs, also those not on this page
 	Jobs         []ExplanationLine `json:"jobs"`
-	After        string            `json:"after,omitempty"`   // ask with it for more
-	Unknown      []string          `json:"unknown,omitempty"` // shares of which nothing is known, and why
+	After        string            `json:"after,omitempty"`   // cursor of the next page
+	Unknown      []string          `json:"unknown,omitempty"` // partitions of which nothing is known, and why
 }
 
 // ExplanationLine is one job of a page.
@@ -68,8 +68,8 @@
 	Text    string  `json:"text"`
 }
 
-// mostLines bounds a page.
-const mostLines = 200
+// maxPageLines limits the number of jobs on a page.
+const maxPageLines = 200
 
 func (n *Node) routeExplanations(r *httprouter.Router) {
 	r.GET("/admin/why", n.getExplanationPage)
@@ -83,7 +83,7 @@
 	})
 }
 
-// onExplain explains a job, or has its holder do so.
+// onExplain explains a job, or forwards the question to the owner of its partition.
 func (n *Node) onExplain(id string, now time.Time, reply chan<- answer) {
 	j := n.jobs[id]
 	switch {
@@ -92,8 +92,9 @@
 	case j == nil && n.tickets.byID[id] != nil:
 		reply <- answer{status: 404, body: errorBody{"a ticket: ask for its steps' jobs, which /tickets/" + id + " names"}}
 	case j == nil:
-		// What this node has not heard of may be new: only the store can say that there
-		// is none. (Found by the lab: a node told of no such job in an outage.)
+		// A job that this node does not know may be new: only the state service can show that it
+		// does not exist. Without this read a node answered "no such job" during an outage of the
+		// state service for a job that had been accepted.
 		n.readJobStatus(id, func(known bool, _ protocol.JobStatus, err error) {
 			_, over := n.finalJobs.byID[id]
 			switch {
@@ -114,10 +115,10 @@
 	default:
 		n.askOwner(n.partitions[j.partition], protocol.Ask{Job: id}, func(t protocol.Told, unknown string) {
 			if unknown != "" {
-				w := n.baseExplanation(j, time.Now())
-				w.Unknown = unknown
-				w.Causes = []ExplainedCause{unknownCause(n.partitions[j.partition])}
-				reply <- answer{status: 200, body: w}
+				explanation := n.baseExplanation(j, time.Now())
+				explanation.Unknown = unknown
+				explanation.Causes = []ExplainedCause{unknownCause(n.partitions[j.partition])}
+				reply <- answer{status: 200, body: explanation}
 				return
 			}
 			reply <- answer{status: t.Status, body: json.RawMessage(t.Body)}
@@ -125,137 +126,141 @@
 	}
 }
 
-func unknownCause(s *partition) ExplainedCause {
-	k := decide.OwnerUnresponsive
-	if s.owner.Token == 0 {
-		k = decide.NoOwner
+// unknownCause is the cause given if the owner of a partition does not answer.
+func unknownCause(part *partition) ExplainedCause {
+	kind := decide.OwnerUnresponsive
+	if part.owner.Token == 0 {
+		kind = decide.NoOwner
 	}
-	return ExplainedCause{decide.Cause{Reason: k}, k.Text()}
+	return ExplainedCause{decide.Cause{Reason: kind}, kind.Text()}
 }
 
-// askOwner asks the holder of a share; then is told its answer, or why there is none.
-func (n *Node) askOwner(s *partition, q protocol.Ask, then func(t protocol.Told, unknown string)) {
-	holder := s.owner.Node
+// askOwner asks the owner of a partition and passes its answer, or the reason why there is
+// none, to callback.
+func (n *Node) askOwner(part *partition, question protocol.Ask, callback func(reply protocol.Told, unknown string)) {
+	owner := part.owner.Node
 	switch {
-	case s.owner.Token == 0:
-		then(protocol.Told{}, "its share has no holder")
+	case part.owner.Token == 0:
+		callback(protocol.Told{}, "its share has no holder")
 		return
-	case holder == n.cfg.Node || n.AskPeer == nil || n.peers[holder] == nil:
-		then(protocol.Told{}, "unknown: its share is held by "+holder+", which can't be asked")
+	case owner == n.cfg.Node || n.AskPeer == nil || n.peers[owner] == nil:
+		callback(protocol.Told{}, "unknown: its share is held by "+owner+", which can't be asked")
 		return
 	}
 	asked := time.Now()
 	n.spawn(func(ctx context.Context) {
-		data, err := n.AskPeer(ctx, holder, q.Encode())
-		var t protocol.Told
+		data, err := n.AskPeer(ctx, owner, question.Encode())
+		var reply protocol.Told
 		if err == nil {
-			t, err = protocol.DecodeTold(data)
+			reply, err = protocol.DecodeTold(data)
 		}
 		n.post(func() {
 			unknown := ""
 			if err != nil {
-				unknown = fmt.Sprintf("unknown: %s, which holds its share, did not answer for %.1f s", holder, time.Since(asked).Seconds())
-				if sib := n.peers[holder]; !sib.lastHint.IsZero() {
-					unknown += fmt.Sprintf("; last heard %.1f s ago", time.Since(sib.lastHint).Seconds())
+				unknown = fmt.Sprintf("unknown: %s, which holds its share, did not answer for %.1f s", owner, time.Since(asked).Seconds())
+				if other := n.peers[owner]; !other.lastHint.IsZero() {
+					unknown += fmt.Sprintf("; last heard %.1f s ago", time.Since(other.lastHint).Seconds())
 				}
 			}
-			then(t, unknown)
+			callback(reply, unknown)
 		})
 	})
 }
 
-// peerPartitions is the shares that other controllers hold, by holder, and those without
-// one.
-func (n *Node) peerPartitions() (held map[string][]*partition, vacant []*partition) {
-	held = map[string][]*partition{}
-	for _, s := range n.partitions {
+// peerPartitions returns the partitions that other controllers own, by owner, and those without an
+// owner.
+func (n *Node) peerPartitions() (byOwner map[string][]*partition, vacant []*partition) {
+	byOwner = map[string][]*partition{}
+	for _, part := range n.partitions {
 		switch {
-		case n.owns(s):
-		case s.owner.Token == 0:
-			vacant = append(vacant, s)
+		case n.owns(part):
+		case part.owner.Token == 0:
+			vacant = append(vacant, part)
 		default:
-			held[s.owner.Node] = append(held[s.owner.Node], s)
+			byOwner[part.owner.Node] = append(byOwner[part.owner.Node], part)
 		}
 	}
-	return held, vacant
+	return byOwner, vacant
 }
 
-// askOwners asks each holder the same, hands over each one's part or why it is unknown,
-// and calls done after the last; at once where there is none.
-func askOwners[T any](n *Node, held map[string][]*partition, q protocol.Ask, add func(holder string, part T, unknown string), done func()) {
-	open := len(held)
-	if open == 0 {
+// askOwners asks each owner the same question, passes each part, or the reason why it is unknown,
+// to add, and calls done after the last one; immediately if there are no owners.
+func askOwners[T any](n *Node, byOwner map[string][]*partition, question protocol.Ask, add func(owner string, part T, unknown string), done func()) {
+	pending := len(byOwner)
+	if pending == 0 {
 		done()
 		return
 	}
-	for _, holder := range slices.Sorted(maps.Keys(held)) {
-		n.askOwner(held[holder][0], q, func(t protocol.Told, unknown string) {
+	for _, owner := range slices.Sorted(maps.Keys(byOwner)) {
+		n.askOwner(byOwner[owner][0], question, func(reply protocol.Told, unknown string) {
 			var part T
-			if unknown == "" && (t.Status != http.StatusOK || json.Unmarshal(t.Body, &part) != nil) {
-				unknown = unexpectedAnswer(holder, t.Status)
+			if unknown == "" && (reply.Status != http.StatusOK || json.Unmarshal(reply.Body, &part) != nil) {
+				unknown = unexpectedAnswer(owner, reply.Status)
 			}
-			add(holder, part, unknown)
-			if open--; open == 0 {
+			add(owner, part, unknown)
+			if pending--; pending == 0 {
 				done()
 			}
 		})
 	}
 }
 
-func unexpectedAnswer(holder string, status int) string {
-	return fmt.Sprintf("unknown: %s answered %d", holder, status)
+func unexpectedAnswer(owner string, status int) string {
+	return fmt.Sprintf("unknown: %s answered %d", owner, status)
 }
 
-// AnswerPeer answers another controller's question. Any routine may call it.
+// AnswerPeer answers a question of another controller. It may be called from any goroutine.
 func (n *Node) AnswerPeer(data []byte) ([]byte, bool) {
 	if !protocol.IsAsk(data) {
 		return nil, false
 	}
-	out := make(chan protocol.Told, 1)
-	q, err := protocol.DecodeAsk(data)
+	replies := make(chan protocol.Told, 1)
+	question, err := protocol.DecodeAsk(data)
 	if err != nil {
 		return protocol.Told{Node: n.cfg.Node, Status: 400, Body: []byte("{}")}.Encode(), true
 	}
-	n.post(func() { out <- n.answerAsk(q, time.Now()) })
+	n.post(func() { replies <- n.answerQuestion(question, time.Now()) })
 	select {
-	case t := <-out:
-		return t.Encode(), true
+	case reply := <-replies:
+		return reply.Encode(), true
 	case <-time.After(AskTimeout):
 	case <-n.ctx.Done():
 	}
 	return protocol.Told{Node: n.cfg.Node, Status: 503, Body: []byte("{}")}.Encode(), true
 }
 
-func (n *Node) answerAsk(q protocol.Ask, now time.Time) protocol.Told {
-	t := protocol.Told{Node: n.cfg.Node, Status: 200}
-	if q.Kind == protocol.AskAccount {
-		query := accountQuery(q)
-		for t.Body = mustJSON(n.accountOfOwned(&query, now)); len(t.Body) > protocol.MaxAnswer && query.Most > 1; {
-			query.Most /= 2 // long names: fewer rows, and the cursor says so
-			t.Body = mustJSON(n.accountOfOwned(&query, now))
+// answerQuestion answers a peer's question about the partitions that this node owns.
+func (n *Node) answerQuestion(question protocol.Ask, now time.Time) protocol.Told {
+	reply := protocol.Told{Node: n.cfg.Node, Status: 200}
+	if question.Kind == protocol.AskAccount {
+		query := accountQuery(question)
+		for reply.Body = mustJSON(n.accountOfOwned(&query, now)); len(reply.Body) > protocol.MaxAnswer && query.Most > 1; {
+			query.Most /= 2 // with long names fewer rows fit; the cursor accounts for that
+			reply.Body = mustJSON(n.accountOfOwned(&query, now))
 		}
-	} else if q.Kind == protocol.AskSamples {
-		t.Body = mustJSON(n.account.samples)
-	} else if q.Job == "" {
-		t.Body = mustJSON(n.explanationPage(q, now))
-	} else if j := n.jobs[q.Job]; j == nil {
-		t.Status, t.Body = 404, mustJSON(errorBody{"no such job, or it is over"})
+	} else if question.Kind == protocol.AskSamples {
+		reply.Body = mustJSON(n.account.samples)
+	} else if question.Job == "" {
+		reply.Body = mustJSON(n.explanationPage(question, now))
+	} else if j := n.jobs[question.Job]; j == nil {
+		reply.Status, reply.Body = 404, mustJSON(errorBody{"no such job, or it is over"})
 	} else if !n.owns(n.partitions[j.partition]) {
-		t.Status, t.Body = 503, mustJSON(errorBody{"its share has just gone to another node"})
+		reply.Status, reply.Body = 503, mustJSON(errorBody{"its share has just gone to another node"})
 	} else {
-		t.Body = mustJSON(n.explain(j, now))
+		reply.Body = mustJSON(n.explain(j, now))
 	}
-	if len(t.Body) > protocol.MaxAnswer {
-		t.Status, t.Body = 503, mustJSON(errorBody{"the answer is too long: ask for less"})
+	if len(reply.Body) > protocol.MaxAnswer {
+		reply.Status, reply.Body = 503, mustJSON(errorBody{"the answer is too long: ask for less"})
 	}
-	return t
+	return reply
 }
 
+// baseExplanation returns the part of an explanation that any node knows: the stored state.
 func (n *Node) baseExplanation(j *job, now time.Time) *Explanation {
-	w := &Explanation{Job: j.id, Team: j.spec.Team, Class: j.spec.Class, Waiting: j.nWaiting(), Owner: n.partitions[j.partition].owner.Node, Causes: []ExplainedCause{},
+	explanation := &Explanation{Job: j.id, Team: j.spec.Team, Class: j.spec.Class, Waiting: j.nWaiting(), Owner: n.partitions[j.partition].owner.Node, Causes: []ExplainedCause{},
 		StateAge: roundToTenth(min(n.sinceContact(now), now.Sub(n.startedAt)).Seconds())}
 	if j.step != nil {
-		w.Ticket = j.step.Ticket
+		explanation.Ticket = j.step.Ticket
 	}
 	since := now
 	for i := range j.tasks {
@@ -264,92 +269,96 @@
 		case t.phase == phaseDone || t.phase == phaseExhausted:
 			continue
 		case t.phase == phasePlaced && t.reportedState >= reportedRunning:
-			w.Running++
+			explanation.Running++
 			continue
 		case t.phase != phaseWaiting:
-			w.Starting++
+			explanation.Starting++
 		}
 		if t.phaseSince.Before(since) {
 			since = t.phaseSince
 		}
 	}
-	w.SinceS = roundToTenth(now.Sub(since).Seconds())
-	return w
+	explanation.SinceS = roundToTenth(now.Sub(since).Seconds())
+	return explanation
 }
 
-// explain explains a job of a share held by this node.
+// explain explains a job of a partition that this node owns.
 func (n *Node) explain(j *job, now time.Time) *Explanation {
-	w := n.baseExplanation(j, now)
-	s := n.partitions[j.partition]
-	a := n.decisionContext(s, j, now)
-	v := n.view(s, now)
-	f := n.jobFactsWithZones(j, now)
-	add := func(c decide.Cause) { w.Causes = append(w.Causes, ExplainedCause{c, c.String()}) }
-	for _, c := range v.Explain(f, a) {
-		add(c)
+	explanation := n.baseExplanation(j, now)
+	part := n.partitions[j.partition]
+	conditions := n.decisionContext(part, j, now)
+	view := n.view(part, now)
+	facts := n.jobFactsWithZones(j, now)
+	add := func(cause decide.Cause) {
+		explanation.Causes = append(explanation.Causes, ExplainedCause{cause, cause.String()})
 	}
-	if len(w.Causes) == 0 && w.Waiting > 0 {
-		// A decision would start it at this moment: the next look does.
-		add(decide.Cause{Reason: decide.Starting, Count: w.Waiting})
+	for _, cause := range view.Explain(facts, conditions) {
+		add(cause)
 	}
-	if len(w.Causes) > 0 && w.Waiting > 0 {
-		changes, ok := v.ChangesToStart(f, a)
-		for _, c := range changes {
-			w.Release = append(w.Release, c.String())
+	if len(explanation.Causes) == 0 && explanation.Waiting > 0 {
+		// Nothing blocks it at this moment, so the next planning round starts it.
+		add(decide.Cause{Reason: decide.Starting, Count: explanation.Waiting})
+	}
+	if len(explanation.Causes) > 0 && explanation.Waiting > 0 {
+		changes, ok := view.ChangesToStart(facts, conditions)
+		for _, cause := range changes {
+			explanation.Release = append(explanation.Release, cause.String())
 		}
-		w.Sufficient = ok
+		explanation.Sufficient = ok
 	}
 	starting := n.startingCauses(j, now)
-	for _, k := range slices.Sorted(maps.Keys(starting)) {
-		c := starting[k]
-		c.Reason = k
-		add(c)
+	for _, kind := range slices.Sorted(maps.Keys(starting)) {
+		cause := starting[kind]
+		cause.Reason = kind
+		add(cause)
 	}
-	return w
+	return explanation
 }
 
-// startingCauses are what tasks wait for that have a machine.
+// startingCauses returns what the tasks that have a machine but do not run yet wait for.
 func (n *Node) startingCauses(j *job, now time.Time) map[decide.Reason]decide.Cause {
-	out := map[decide.Reason]decide.Cause{}
+	causes := map[decide.Reason]decide.Cause{}
 	for i := range j.tasks {
 		t := &j.tasks[i]
 		if t.phase != phasePlaced && t.phase != phaseProposed || t.reportedState >= reportedRunning && t.phase == phasePlaced {
 			continue
 		}
-		k := decide.Starting
+		kind := decide.Starting
 		switch {
 		case t.machine.recorded && !t.machine.lastFencedReport.IsZero() && n.silent(t.machine, now):
-			k = decide.Unreachable
+			kind = decide.Unreachable
 		case t.reportedState == reportedFetching:
-			k = decide.Fetching
+			kind = decide.Fetching
 		case t.reportedState == reportedWaiting:
-			k = decide.WaitingForGang
+			kind = decide.WaitingForGang
 		}
-		c := out[k]
-		c.Count++
-		if len(c.Machines) < 5 && !slices.Contains(c.Machines, t.machine.name) {
-			c.Machines = append(c.Machines, t.machine.name)
+		cause := causes[kind]
+		cause.Count++
+		if len(cause.Machines) < 5 && !slices.Contains(cause.Machines, t.machine.name) {
+			cause.Machines = append(cause.Machines, t.machine.name)
 		}
-		out[k] = c
+		causes[kind] = cause
 	}
-	return out
+	return causes
 }
 
-// decisionContext is what holds a job beside its share's machines and its team.
-func (n *Node) decisionContext(s *partition, j *job, now time.Time) *decide.ExplainContext {
-	a := &decide.ExplainContext{SinceStateAnswer: min(n.sinceContact(now), now.Sub(n.startedAt)), RentalsStopped: n.policy.StopRentals, GuaranteedWaiting: n.anyGuaranteedWorkWaits(now), Market: &decide.Market{RefusedUntil: n.cloudState.refusedUntil}}
-	for _, o := range s.jobs {
-		if o == j {
+// decisionContext returns the circumstances that affect a job's start, besides the machines of its
+// partition and its team's limits.
+func (n *Node) decisionContext(part *partition, j *job, now time.Time) *decide.ExplainContext {
+	conditions := &decide.ExplainContext{SinceStateAnswer: min(n.sinceContact(now), now.Sub(n.startedAt)), RentalsStopped: n.policy.StopRentals, GuaranteedWaiting: n.anyGuaranteedWorkWaits(now), Market: &decide.Market{RefusedUntil: n.cloudState.refusedUntil}}
+	for _, other := range part.jobs {
+		if other == j {
 			break
 		}
-		if n.preemptionDemand(o, now) > 0 {
-			a.JobsAhead = append(a.JobsAhead, &o.facts)
+		if n.preemptionDemand(other, now) > 0 {
+			conditions.JobsAhead = append(conditions.JobsAhead, &other.facts)
 		}
 	}
-	return a
+	return conditions
 }
 
-// bindingCause is the cause that binds a waiting job, as the last look found it.
+// bindingCause returns the binding cause of a waiting job, as the last planning round determined
+// it.
 func (n *Node) bindingCause(j *job, now time.Time) decide.Reason {
 	switch {
 	case n.sinceContact(now) > stateServiceTimeout:
@@ -366,100 +375,102 @@
 	return j.waitCause
 }
 
-// explanationPage lists waiting jobs of the shares held, by id, and adds up all of them.
-func (n *Node) explanationPage(q protocol.Ask, now time.Time) *ExplanationPage {
-	p := &ExplanationPage{Node: n.cfg.Node, TasksByCause: map[string]int{}, Jobs: []ExplanationLine{}}
-	var all []ExplanationLine
-	for _, s := range n.partitions {
-		if !n.owns(s) {
+// explanationPage lists the waiting jobs of the owned partitions by ID, with the sums over all of
+// them.
+func (n *Node) explanationPage(question protocol.Ask, now time.Time) *ExplanationPage {
+	page := &ExplanationPage{Node: n.cfg.Node, TasksByCause: map[string]int{}, Jobs: []ExplanationLine{}}
+	var lines []ExplanationLine
+	for _, part := range n.partitions {
+		if !n.owns(part) {
 			continue
 		}
-		for _, j := range s.jobs {
+		for _, j := range part.jobs {
 			if j.nWaiting() == 0 || j.cancelled {
 				continue
 			}
-			k := n.bindingCause(j, now)
-			p.TasksByCause[k.String()] += j.nWaiting()
+			kind := n.bindingCause(j, now)
+			page.TasksByCause[kind.String()] += j.nWaiting()
 			since := now.Sub(j.submitted).Seconds()
-			if q.Team != "" && q.Team != j.spec.Team || q.Cause != "" && q.Cause != k.String() || since < q.SinceS || j.id <= q.After {
+			if question.Team != "" && question.Team != j.spec.Team || question.Cause != "" && question.Cause != kind.String() || since < question.SinceS || j.id <= question.After {
 				continue
 			}
-			all = append(all, ExplanationLine{Job: j.id, Team: j.spec.Team, Class: j.spec.Class, Waiting: j.nWaiting(), SinceS: roundToTenth(since), Cause: k.String(), Text: k.Text()})
+			lines = append(lines, ExplanationLine{Job: j.id, Team: j.spec.Team, Class: j.spec.Class, Waiting: j.nWaiting(), SinceS: roundToTenth(since), Cause: kind.String(), Text: kind.Text()})
 		}
 	}
-	slices.SortFunc(all, func(a, b ExplanationLine) int { return compareNames(a.Job, b.Job) })
-	p.Jobs = append(p.Jobs, all[:min(len(all), q.Most)]...)
-	if len(all) > q.Most {
-		p.After = p.Jobs[q.Most-1].Job
+	slices.SortFunc(lines, func(a, b ExplanationLine) int { return compareNames(a.Job, b.Job) })
+	page.Jobs = append(page.Jobs, lines[:min(len(lines), question.Most)]...)
+	if len(lines) > question.Most {
+		page.After = page.Jobs[question.Most-1].Job
 	}
-	return p
+	return page
 }
 
-// getExplanationPage adds up what all holders tell.
+// getExplanationPage serves the waiting jobs of all owners.
 func (n *Node) getExplanationPage(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	q := r.URL.Query()
-	ask := protocol.Ask{Team: q.Get("team"), Cause: q.Get("cause"), After: q.Get("after"), Most: 50}
-	if v := q.Get("limit"); v != "" {
-		most, err := strconv.Atoi(v)
-		if err != nil || most < 1 || most > mostLines {
-			writeAnswer(w, answer{status: 400, body: errorBody{fmt.Sprintf("limit: must be 1 to %d", mostLines)}})
+	query := r.URL.Query()
+	question := protocol.Ask{Team: query.Get("team"), Cause: query.Get("cause"), After: query.Get("after"), Most: 50}
+	if value := query.Get("limit"); value != "" {
+		limit, err := strconv.Atoi(value)
+		if err != nil || limit < 1 || limit > maxPageLines {
+			writeAnswer(w, answer{status: 400, body: errorBody{fmt.Sprintf("limit: must be 1 to %d", maxPageLines)}})
 			return
 		}
-		ask.Most = most
+		question.Most = limit
 	}
-	if v := q.Get("since"); v != "" {
-		s, err := strconv.ParseFloat(v, 64)
-		if err != nil || !(s >= 0 && s <= 1e9) {
+	if value := query.Get("since"); value != "" {
+		seconds, err := strconv.ParseFloat(value, 64)
+		if err != nil || !(seconds >= 0 && seconds <= 1e9) {
 			writeAnswer(w, answer{status: 400, body: errorBody{"since: must be seconds, 0 to 1000000000"}})
 			return
 		}
-		ask.SinceS = s
+		question.SinceS = seconds
 	}
-	if ask.Cause != "" && !slices.Contains(decide.ReasonNames(), ask.Cause) {
+	if question.Cause != "" && !slices.Contains(decide.ReasonNames(), question.Cause) {
 		writeAnswer(w, answer{status: 400, body: errorBody{fmt.Sprintf("cause: must be one of %v", decide.ReasonNames())}})
 		return
 	}
-	n.serve(w, r, n.withLoadShedding(func(reply chan<- answer) { n.onExplanationPage(ask, time.Now(), reply) }))
+	n.serve(w, r, n.withLoadShedding(func(reply chan<- answer) { n.onExplanationPage(question, time.Now(), reply) }))
 }
 
-func (n *Node) onExplanationPage(ask protocol.Ask, now time.Time, reply chan<- answer) {
+// onExplanationPage collects the waiting jobs of all owners.
+func (n *Node) onExplanationPage(question protocol.Ask, now time.Time, reply chan<- answer) {
 	if !n.loaded {
 		reply <- busyAnswer
 		return
 	}
-	sum := n.explanationPage(ask, now)
-	held, vacant := n.peerPartitions()
-	for _, s := range vacant {
-		sum.Unknown = append(sum.Unknown, fmt.Sprintf("share %d has no holder", s.index))
+	total := n.explanationPage(question, now)
+	byOwner, vacant := n.peerPartitions()
+	for _, part := range vacant {
+		total.Unknown = append(total.Unknown, fmt.Sprintf("share %d has no holder", part.index))
 	}
-	askOwners(n, held, ask, func(_ string, part ExplanationPage, unknown string) {
+	askOwners(n, byOwner, question, func(_ string, part ExplanationPage, unknown string) {
 		if unknown != "" {
-			sum.Unknown = append(sum.Unknown, unknown)
+			total.Unknown = append(total.Unknown, unknown)
 			return
 		}
 		for k, c := range part.TasksByCause {
-			sum.TasksByCause[k] += c
+			total.TasksByCause[k] += c
 		}
-		sum.Jobs = append(sum.Jobs, part.Jobs...)
-		if part.After != "" && (sum.After == "" || part.After < sum.After) {
-			sum.After = part.After
+		total.Jobs = append(total.Jobs, part.Jobs...)
+		if part.After != "" && (total.After == "" || part.After < total.After) {
+			total.After = part.After
 		}
 	}, func() {
-		slices.SortFunc(sum.Jobs, func(a, b ExplanationLine) int { return compareNames(a.Job, b.Job) })
-		if len(sum.Jobs) > ask.Most {
-			sum.Jobs = sum.Jobs[:ask.Most]
-			sum.After = sum.Jobs[ask.Most-1].Job
+		slices.SortFunc(total.Jobs, func(a, b ExplanationLine) int { return compareNames(a.Job, b.Job) })
+		if len(total.Jobs) > question.Most {
+			total.Jobs = total.Jobs[:question.Most]
+			total.After = total.Jobs[question.Most-1].Job
 		}
-		reply <- answer{status: 200, body: sum}
+		reply <- answer{status: 200, body: total}
 	})
 }
 
-// updateWaitingMetric keeps the metric of waiting tasks by cause.
+// updateWaitingMetric updates the metric of waiting tasks by cause.
 func (n *Node) updateWaitingMetric(now time.Time) {
 	sums := map[decide.Reason]int{}
-	for _, s := range n.partitions {
-		if n.owns(s) {
-			for _, j := range s.jobs {
+	for _, part := range n.partitions {
+		if n.owns(part) {
+			for _, j := range part.jobs {
 				if !j.cancelled && j.nWaiting() > 0 {
 					sums[n.bindingCause(j, now)] += j.nWaiting()
 				}
@@ -467,7 +478,7 @@
 		}
 	}
 	n.metrics.waiting.Reset()
-	for k, c := range sums {
-		n.metrics.waiting.WithLabelValues(k.String()).Set(float64(c))
+	for kind, c := range sums {
+		n.metrics.waiting.WithLabelValues(kind.String()).Set(float64(c))
 	}
 }
