--- a/internal/coordination/node/account_test.go
+++ b/internal/coordination/node/account_test.go
@@ -13,70 +13,70 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// readAccount is the whole account as a node tells it, page by page.
+// readAccount reads the whole account from a node, page by page.
 func (w *simCluster) readAccount(name string) (rows map[string]ledger.Row, last *ledger.Page) {
 	rows = map[string]ledger.Row{}
-	q := ledger.Query{Most: 3}
+	query := ledger.Query{Most: 3}
 	defer func() {
-		for id, r := range rows { // a job's story is told when it is asked for alone
-			if r.Story != nil {
-				w.t.Errorf("%s: a story in a list", id)
+		for id, row := range rows { // a job's events are included only if it is queried alone
+			if row.Story != nil {
+				w.t.Errorf("%s: a list contains the events of a job", id)
 			}
 		}
 	}()
 	for {
 		ctx, cancel := context.WithTimeout(w.ctx, 10*time.Second)
-		a, err := w.userRequest(ctx, name, func(n *Node, reply chan<- answer) { n.onAccount(q, time.Now(), reply) })
+		response, err := w.userRequest(ctx, name, func(n *Node, reply chan<- answer) { n.onAccount(query, time.Now(), reply) })
 		cancel()
-		p, ok := a.body.(*ledger.Page)
+		page, ok := response.body.(*ledger.Page)
 		if err != nil || !ok {
 			return rows, nil
 		}
-		for _, r := range p.Rows {
-			if _, twice := rows[r.Job]; twice {
-				w.t.Errorf("%s is on two pages", r.Job)
+		for _, row := range page.Rows {
+			if _, twice := rows[row.Job]; twice {
+				w.t.Errorf("%s is on two pages", row.Job)
 			}
-			rows[r.Job] = r
+			rows[row.Job] = row
 		}
-		if last = p; p.After == "" {
-			return rows, p
+		if last = page; page.After == "" {
+			return rows, page
 		}
-		q.After = p.After
+		query.After = page.After
 	}
 }
 
-// rowsNode is the node that tells a job's row.
-func rowsNode(w *simCluster, id string) string {
+// nodeOfRow returns the node that reports a job's row.
+func nodeOfRow(w *simCluster, id string) string {
 	rows, _ := w.readAccount(w.names[0])
 	return rows[id].Node
 }
 
-func albumOf(id string, tasks int, seconds float64) *protocol.JobSpec {
+func albumJob(id string, tasks int, seconds float64) *protocol.JobSpec {
 	return &protocol.JobSpec{ID: id, Team: "red", Class: "album", Shape: protocol.Array, Priority: "standard", Tasks: tasks, CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img", ImageGB: 1, EstimateS: seconds, Spot: true}
 }
 
-// inWorld runs a test among three nodes that ask one another.
-func inWorld(t *testing.T, set func(n *Node), f func(w *simCluster)) {
+// runWithPeers runs a test in a cluster of three nodes that can query one another.
+func runWithPeers(t *testing.T, configure func(n *Node), test func(w *simCluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		configureAccount = set
+		configureAccount = configure
 		defer func() { configureAccount = nil }()
 		w := newWorld(t, ctx, 11, defaultSettings)
 		time.Sleep(6 * time.Second)
 		w.connectPeers()
-		f(w)
+		test(w)
 		cancel()
 		time.Sleep(2 * time.Minute)
 		synctest.Wait()
 	})
 }
 
-// A worker whose machine reports on while its task does not move: the job is shown as
-// stuck within a minute, by every node, and is not when it moves again.
+// A task may stall while its machine keeps reporting. Every node must show the job as stuck within
+// a minute, and no longer once the task continues.
 func TestStalledWorkerIsShownWithinAMinute(t *testing.T) {
-	inWorld(t, nil, func(w *simCluster) {
-		w.submit(albumOf("job-1", 2, 8))
-		w.submit(albumOf("job-2", 2, 8))
+	runWithPeers(t, nil, func(w *simCluster) {
+		w.submit(albumJob("job-1", 2, 8))
+		w.submit(albumJob("job-2", 2, 8))
 		for !w.isRunning("job-1") {
 			time.Sleep(time.Second)
 		}
@@ -91,7 +91,7 @@
 		if took := time.Since(from); took > time.Minute {
 			t.Errorf("shown after %v", took)
 		}
-		a, _ := w.userRequest(w.ctx, rowsNode(w, "job-1"), func(n *Node, reply chan<- answer) {
+		a, _ := w.userRequest(w.ctx, nodeOfRow(w, "job-1"), func(n *Node, reply chan<- answer) {
 			n.onAccount(ledger.Query{Text: "job-1", Most: 3}, time.Now(), reply)
 		})
 		var story []string
@@ -99,7 +99,7 @@
 			story = append(story, e.Text)
 		}
 		if s := strings.Join(story, "; "); !strings.HasPrefix(s, "accepted; ") || !strings.Contains(s, "a task runs on host-") || !strings.Contains(s, "stuck: a task runs for") {
-			t.Errorf("its story: %s", s)
+			t.Errorf("events of the job: %s", s)
 		}
 		for _, name := range w.names {
 			rows, p := w.readAccount(name)
@@ -110,16 +110,16 @@
 		w.fleet.Stall("job-1", false)
 		time.Sleep(30 * time.Second)
 		if rows, _ := w.readAccount("n-0"); rows["job-1"].State != ledger.Done {
-			t.Errorf("after it moved: %+v", rows["job-1"])
+			t.Errorf("after it continued: %+v", rows["job-1"])
 		}
 	})
 }
 
-// A stall that began under an earlier holder is not young again with each take-over.
-// (Found by the lab: with a controller that stood still twice a stall was never shown.)
-func TestStallIsAsOldAsItIs(t *testing.T) {
-	inWorld(t, nil, func(w *simCluster) {
-		w.submit(albumOf("job-1", 2, 8))
+// A stall that began under an earlier owner must not be dated from the takeover: with an owner that
+// stalled twice it was never shown.
+func TestStallAgeSurvivesTakeover(t *testing.T) {
+	runWithPeers(t, nil, func(w *simCluster) {
+		w.submit(albumJob("job-1", 2, 8))
 		for !w.isRunning("job-1") {
 			time.Sleep(time.Second)
 		}
@@ -143,12 +143,13 @@
 	})
 }
 
-// A share whose holder stands still, a holder without the state service, machines that
-// are not heard: not known, never fine, and each job still in one row.
-func TestUnknownIsNotFine(t *testing.T) {
-	inWorld(t, nil, func(w *simCluster) {
+// When a partition's owner stalls, an owner has lost the state service or machines are silent, the
+// account must say that the state is unknown and never that all is well, with each job in exactly
+// one row.
+func TestUnreachableIsReportedAsUnknown(t *testing.T) {
+	runWithPeers(t, nil, func(w *simCluster) {
 		for i := range 7 {
-			s := albumOf(fmt.Sprintf("job-%d", i), 1, 10000)
+			s := albumJob(fmt.Sprintf("job-%d", i), 1, 10000)
 			s.Team = []string{"red", "blue", "green"}[i%3]
 			w.submit(s)
 		}
@@ -157,33 +158,33 @@
 		if p.Sums[ledger.Running] != 7 || len(p.Unknown) != 0 {
 			t.Fatalf("%v %v", p.Sums, p.Unknown)
 		}
-		holder := rows["job-0"].Node
-		go w.freeze(holder, 20*time.Second)
+		owner := rows["job-0"].Node
+		go w.freeze(owner, 20*time.Second)
 		time.Sleep(100 * time.Millisecond)
 		asked := w.names[0]
-		if holder == asked {
+		if owner == asked {
 			asked = w.names[1]
 		}
 		rows, p = w.readAccount(asked)
-		if len(rows) != 7 || rows["job-0"].State != ledger.Unknown || p.Sums[ledger.Unknown] == 0 || len(p.Unknown) == 0 || !strings.Contains(strings.Join(p.Unknown, " "), holder) {
-			t.Errorf("with %s standing still: %+v; %v %v", holder, rows["job-0"], p.Sums, p.Unknown)
+		if len(rows) != 7 || rows["job-0"].State != ledger.Unknown || p.Sums[ledger.Unknown] == 0 || len(p.Unknown) == 0 || !strings.Contains(strings.Join(p.Unknown, " "), owner) {
+			t.Errorf("with %s stalled: %+v; %v %v", owner, rows["job-0"], p.Sums, p.Unknown)
 		}
 		if p.Zones["a"].Unknown+p.Zones["b"].Unknown == 0 {
 			t.Errorf("its machines are shown as known: %v", p.Zones)
 		}
-		time.Sleep(40 * time.Second) // taken over, and it is back
+		time.Sleep(40 * time.Second) // taken over, and the stalled node is back
 		if rows, p = w.readAccount(asked); rows["job-0"].State != ledger.Running || len(p.Unknown) != 0 {
 			t.Errorf("afterwards: %+v %v", rows["job-0"], p.Unknown)
 		}
 		w.withLock(func() {
-			w.noLateReports = true // one that came late would count as heard
+			w.noLateReports = true // a report that arrives late would count as heard
 			for _, n := range w.names {
 				w.workersUnreachable[n] = true
 			}
 		})
 		time.Sleep(8 * time.Second)
 		if rows, p = w.readAccount(asked); rows["job-0"].State != ledger.Unknown || p.Zones["a"].Silent+p.Zones["b"].Silent+p.Zones["a"].Unknown+p.Zones["b"].Unknown == 0 {
-			t.Errorf("machines not heard: %+v %v", rows["job-0"], p.Zones)
+			t.Errorf("with silent machines: %+v %v", rows["job-0"], p.Zones)
 		}
 		w.withLock(func() { clear(w.workersUnreachable); w.outage = true })
 		time.Sleep(5 * time.Second)
@@ -195,12 +196,12 @@
 	})
 }
 
-// Many machines lost at once: every accepted job is in exactly one column, and those
-// that lost something say so, before and after they run again.
-func TestAccountOfAMassLoss(t *testing.T) {
-	inWorld(t, nil, func(w *simCluster) {
+// After the loss of many machines every accepted job must be counted in exactly one state, and the
+// lost runs must be reported before and after the jobs run again.
+func TestAccountAfterMassMachineLoss(t *testing.T) {
+	runWithPeers(t, nil, func(w *simCluster) {
 		for i := range 6 {
-			s := albumOf(fmt.Sprintf("job-%d", i), 2, 60)
+			s := albumJob(fmt.Sprintf("job-%d", i), 2, 60)
 			s.Team = []string{"red", "blue", "green"}[i%3]
 			w.submit(s)
 		}
@@ -236,17 +237,17 @@
 	})
 }
 
-// What ended is remembered by every node, also by one that starts later, and, stored,
-// over the end of all of them.
-func TestEndsOutliveAllNodes(t *testing.T) {
+// Ended jobs are remembered by every node, also by one that starts later, and if stored they
+// survive a restart of all nodes.
+func TestEndedJobsSurviveRestartOfAllNodes(t *testing.T) {
 	settings := func(n *Node) {
 		n.SetAccountSettings(AccountSettings{Entries: 1000, Retention: 24 * time.Hour, StoreInterval: 10 * time.Second})
 	}
-	inWorld(t, settings, func(w *simCluster) {
+	runWithPeers(t, settings, func(w *simCluster) {
 		for i := range 5 {
-			w.submit(albumOf(fmt.Sprintf("job-%d", i), 1, 5))
+			w.submit(albumJob(fmt.Sprintf("job-%d", i), 1, 5))
 		}
-		w.submit(albumOf("job-9", 1, 1000))
+		w.submit(albumJob("job-9", 1, 1000))
 		time.Sleep(40 * time.Second)
 		w.cancel("job-9")
 		time.Sleep(30 * time.Second)
@@ -281,15 +282,15 @@
 	})
 }
 
-// Segments that are too old go with the changes that store new ones, also those that an
-// earlier leader stored; nothing else of the state service is touched.
-func TestOldEndsAreRemoved(t *testing.T) {
+// Expired segments are deleted along with the storing of new ones, also those that an earlier
+// leader stored. Nothing else in the state service is touched.
+func TestExpiredSegmentsAreDeleted(t *testing.T) {
 	settings := func(n *Node) {
 		n.SetAccountSettings(AccountSettings{Entries: 1000, Retention: 3 * time.Minute, StoreInterval: 10 * time.Second})
 	}
-	inWorld(t, settings, func(w *simCluster) {
+	runWithPeers(t, settings, func(w *simCluster) {
 		for i := range 40 {
-			w.submit(albumOf(fmt.Sprintf("job-%d", i), 1, 2))
+			w.submit(albumJob(fmt.Sprintf("job-%d", i), 1, 2))
 			time.Sleep(10 * time.Second)
 			if i == 12 {
 				w.crash("n-0")
@@ -307,7 +308,7 @@
 	})
 }
 
-// Ten thousand open jobs: a page costs what it shows and one pass over the jobs.
+// Ten thousand open jobs: a page must cost no more than its rows and one pass over the jobs.
 func BenchmarkAccountPage(b *testing.B) {
 	n := newTestNode(b)
 	n.addFleet(1600, 8400)
@@ -322,14 +323,14 @@
 	}
 }
 
-// A job of more tasks than one value holds leaves nothing behind in what every node
-// reads at its start: the chunks beyond its head go when there is time for it.
+// A job with more tasks than fit into one value has additional chunks. They must be deleted after
+// its end, or they would accumulate in what every node reads when it starts.
 func TestChunksOfEndedJobsAreRemoved(t *testing.T) {
-	inWorld(t, nil, func(w *simCluster) {
-		big := albumOf("job-1", 300, 1)
+	runWithPeers(t, nil, func(w *simCluster) {
+		big := albumJob("job-1", 300, 1)
 		big.CPUs, big.GPUs, big.MemoryGB = 0.5, 0.1, 1
 		w.submit(big)
-		open := albumOf("job-2", 200, 10000) // goes on, and keeps its own
+		open := albumJob("job-2", 200, 10000) // continues to run and keeps its chunks
 		open.Team, open.CPUs, open.GPUs, open.MemoryGB = "blue", 0.25, 0.02, 0.5
 		w.submit(open)
 		chunks := func(id string) (n int) {
@@ -337,14 +338,14 @@
 			return len(items)
 		}
 		time.Sleep(60 * time.Second)
-		w.crash("n-0") // who leads next must know of them too
+		w.crash("n-0") // the next leader must know of the chunks too
 		time.Sleep(2 * time.Minute)
 		if rows, _ := w.readAccount("n-1"); rows["job-1"].State != ledger.Done {
 			t.Fatalf("%+v", rows["job-1"])
 		}
 		time.Sleep(3 * time.Minute)
 		if a, b := chunks("job-1"), chunks("job-2"); a != 0 || b != 2 {
-			t.Errorf("%d keys are left of a job that is over, %d of one that is not", a, b)
+			t.Errorf("%d keys are left of an ended job, %d of an open one", a, b)
 		}
 		if rows, _ := w.readAccount("n-2"); rows["job-2"].Running == 0 {
 			t.Errorf("%+v", rows["job-2"])
--- a/internal/coordination/node/leadership_meetings_test.go
+++ b/internal/coordination/node/leadership_meetings_test.go
@@ -11,9 +11,9 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-// Meetings of a change of a share's owner with other troubles.
+// Scenarios in which a partition's owner changes while other faults occur.
 
-// nextJobNumber is a new number for a job's name.
+// nextJobNumber returns a new number for a job ID.
 func (w *simCluster) nextJobNumber() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -21,12 +21,12 @@
 	return w.lastJob
 }
 
-// workerLease is how long a worker's tasks outlive its last answered report.
+// workerLease is the time for which a worker's tasks outlive its last answered report.
 func (w *simCluster) workerLease() time.Duration {
 	return time.Duration(w.fleet.Workers.LeaseS * float64(time.Second))
 }
 
-// addUser lets one more user submit a job and ask about it until the end of the day.
+// addUser adds a user who submits a job and polls it until the end of the workload.
 func (w *simCluster) addUser(spec *protocol.JobSpec) *user {
 	u := &user{w: w, spec: spec}
 	w.withLock(func() { w.users = append(slices.Clone(w.users), u) })
@@ -34,11 +34,11 @@
 	return u
 }
 
-// addUserPerTeam lets users submit one job for each team, of so many tasks that run for so long.
-func (w *simCluster) addUserPerTeam(tasks int, estimate float64) (users []*user) {
+// addUserPerTeam adds one user for each team, with jobs of the given number of tasks and run time.
+func (w *simCluster) addUserPerTeam(tasks int, seconds float64) (users []*user) {
 	for _, team := range []string{"red", "blue", "green"} {
 		users = append(users, w.addUser(&protocol.JobSpec{ID: fmt.Sprintf("job-93%04d", w.nextJobNumber()), Team: team, Class: "c", Shape: protocol.Array, Priority: "high",
-			Tasks: tasks, CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "i", ImageGB: 1, EstimateS: estimate, Spot: true}))
+			Tasks: tasks, CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "i", ImageGB: 1, EstimateS: seconds, Spot: true}))
 	}
 	return users
 }
@@ -46,16 +46,16 @@
 // keepReport keeps a copy of a report for releaseReports.
 func (w *simCluster) keepReport(r protocol.Report) { w.withLock(func() { w.kept = append(w.kept, r) }) }
 
-// holdsBackReport says whether a report reaches nobody for now. Where none is held it draws no random
-// number, so that other tests' seeds mean what they did.
+// holdsBackReport reports whether a report is held back. If none are to be held back it draws no
+// random number, so that the seeds of other tests keep their meaning.
 func (w *simCluster) holdsBackReport() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.heldReportRate > 0 && w.rng.Float64() < w.heldReportRate
 }
 
-// onOwnerChange is told by watchHolders of each new owner of a share.
-func (w *simCluster) onOwnerChange(share int, owner string) {
+// onOwnerChange is called by watchOwners for each new owner of a partition.
+func (w *simCluster) onOwnerChange(index int, owner string) {
 	w.mu.Lock()
 	release, wait := w.releaseOnOwnerChange && len(w.kept) > 0, time.Duration(0)
 	w.mu.Unlock()
@@ -73,16 +73,16 @@
 	switch {
 	case n == nil:
 	case w.disabledGuard == "unheard":
-		n.post(func() { takeUnheardForGone(n, share) })
+		n.post(func() { assumeUnheardGone(n, index) })
 	case w.disabledGuard == "replica":
-		n.post(func() { ownBeforeReplica(n, share) })
+		n.post(func() { ownBeforeReplica(n, index) })
 	}
 }
 
-// disruptOwner makes a share lose its owner in one of the ways in which that happens, and
-// returns when all processes are there again.
-func (w *simCluster) disruptOwner(share int) {
-	owner := w.partitionOwner(share)
+// disruptOwner takes a partition's owner down in one of several ways and returns when all processes
+// are back: a restart, an orderly shutdown, a stall, or a loss of its connections.
+func (w *simCluster) disruptOwner(index int) {
+	owner := w.partitionOwner(index)
 	if owner == "" {
 		owner = w.randomNode()
 	}
@@ -109,11 +109,11 @@
 			users := w.addUserPerTeam(2, 90)
 			time.Sleep(w.randDuration(8*time.Second, 12*time.Second))
 			changes := w.eventCount("handed over")
-			ends := make(chan bool)
+			ownerBack := make(chan bool)
 			go func() {
 				time.Sleep(w.randDuration(0, 2*time.Second))
 				w.disruptOwner(w.randInt(3))
-				ends <- true
+				ownerBack <- true
 			}()
 			time.Sleep(w.randDuration(0, 4*time.Second))
 			var hang time.Duration
@@ -121,12 +121,12 @@
 				hang = w.randDuration(2*time.Second, 15*time.Second)
 			}
 			called := w.cancelRunningJobs(4, hang)
-			<-ends
+			<-ownerBack
 			time.Sleep(time.Second)
 			if w.eventCount("handed over") > changes && len(called) > 0 {
 				w.recordEvent("cancelled as owners change")
 			}
-			for _, u := range users { // the rest are cancelled amid the next round
+			for _, u := range users { // the others are cancelled during the next round
 				go u.cancelUntilConfirmed(w.randDuration(5*time.Second, 20*time.Second))
 			}
 		}
@@ -143,7 +143,7 @@
 			}
 			before := w.fleet.Names()
 			users := w.addUserPerTeam(4, 10)
-			if w.newMachineWorks(before, 15*time.Second) {
+			if w.waitForNewBusyMachine(before, 15*time.Second) {
 				changes := w.eventCount("handed over")
 				w.disruptOwner(w.randInt(3))
 				if w.eventCount("handed over") > changes {
@@ -205,7 +205,7 @@
 			w.recordEvent("ten changes within two minutes")
 		}
 	}},
-	{name: "the next owner's watch lags", mustOccur: []string{"told just before the owner ended", "taken over with a watch that lags"}, inject: func(w *simCluster) {
+	{name: "the next owner's watch lags", mustOccur: []string{"cancellation confirmed just before the owner ended", "taken over with a stalled watch"}, inject: func(w *simCluster) {
 		for range 8 {
 			users := w.addUserPerTeam(2, 60)
 			time.Sleep(w.randDuration(9*time.Second, 13*time.Second))
@@ -213,21 +213,21 @@
 			if owner == "" {
 				owner = w.randomNode()
 			}
-			lags := make(chan bool)
-			go func() { w.lagBehind(owner, w.randDuration(4*time.Second, 12*time.Second)); lags <- true }()
+			lagOver := make(chan bool)
+			go func() { w.stallWatches(owner, w.randDuration(4*time.Second, 12*time.Second)); lagOver <- true }()
 			time.Sleep(100 * time.Millisecond)
 			before := w.eventCount("handed over")
 			called := w.cancelRunningJobs(4, 0)
 			time.Sleep(w.randDuration(500*time.Millisecond, 1500*time.Millisecond))
 			for _, u := range called {
 				if u.knownFinalStatus() != "" {
-					w.recordEvent("told just before the owner ended")
+					w.recordEvent("cancellation confirmed just before the owner ended")
 				}
 			}
 			w.stopNode(owner)
-			<-lags
+			<-lagOver
 			if w.eventCount("handed over") > before {
-				w.recordEvent("taken over with a watch that lags")
+				w.recordEvent("taken over with a stalled watch")
 			}
 			time.Sleep(w.randDuration(0, 2*time.Second))
 			w.startIfStopped(owner)
@@ -236,41 +236,41 @@
 			}
 		}
 	}},
-	{name: "all controllers away", mustOccur: []string{"leases ran out", "runs again"}, inject: func(w *simCluster) {
+	{name: "all controllers away", mustOccur: []string{"worker leases expired", "tasks run again"}, inject: func(w *simCluster) {
 		for way := range 4 {
 			w.addUserPerTeam(2, 25)
 			time.Sleep(w.randDuration(8*time.Second, 12*time.Second))
 			_, before := w.fleet.Ended()
 			w.cancelRunningJobs(2, 0)
 			time.Sleep(w.randDuration(0, time.Second))
-			w.allAway(way, w.workerLease()+w.randDuration(2*time.Second, 15*time.Second))
+			w.takeControllersDown(way, w.workerLease()+w.randDuration(2*time.Second, 15*time.Second))
 			if _, expired := w.fleet.Ended(); expired > before {
-				w.recordEvent("leases ran out")
+				w.recordEvent("worker leases expired")
 			}
 			time.Sleep(w.randDuration(10*time.Second, 15*time.Second))
 			if w.fleet.Running() > 0 {
-				w.recordEvent("runs again")
+				w.recordEvent("tasks run again")
 			}
 		}
 	}},
 }
 
-// lagBehind holds up what the watch tells all controllers but one for a while.
-func (w *simCluster) lagBehind(but string, lasts time.Duration) {
+// stallWatches stalls the watches of all controllers but one for a while.
+func (w *simCluster) stallWatches(except string, duration time.Duration) {
 	for _, name := range w.names {
-		if name != but {
+		if name != except {
 			w.withLock(func() { w.watchStalled[name] = true })
 		}
 	}
-	time.Sleep(lasts)
+	time.Sleep(duration)
 	w.withLock(func() { clear(w.watchStalled) })
 }
 
-// newMachineWorks waits until a machine that is not among some runs something.
-func (w *simCluster) newMachineWorks(than []string, within time.Duration) bool {
+// waitForNewBusyMachine waits until a machine outside a given set runs a task.
+func (w *simCluster) waitForNewBusyMachine(known []string, within time.Duration) bool {
 	for from := time.Now(); time.Since(from) < within; time.Sleep(100 * time.Millisecond) {
 		for _, m := range w.busyMachines() {
-			if !slices.Contains(than, m) {
+			if !slices.Contains(known, m) {
 				return true
 			}
 		}
@@ -278,18 +278,18 @@
 	return false
 }
 
-// allAway takes all controllers away for a while: they end and come back together, or one by
-// one; are cut off from everything; or stand still.
-func (w *simCluster) allAway(way int, lasts time.Duration) {
-	switch way {
+// takeControllersDown takes all controllers down for a while: they end and come back together or
+// one by one, lose all connections, or stall.
+func (w *simCluster) takeControllersDown(mode int, duration time.Duration) {
+	switch mode {
 	case 0, 1:
 		for _, name := range w.names {
 			w.stopNode(name)
 		}
-		time.Sleep(lasts)
+		time.Sleep(duration)
 		for _, name := range w.names {
 			w.startIfStopped(name)
-			if way == 1 {
+			if mode == 1 {
 				time.Sleep(w.randDuration(0, 6*time.Second))
 			}
 		}
@@ -297,42 +297,43 @@
 		for _, name := range w.names {
 			w.withLock(func() { w.isolated[name] = true })
 		}
-		time.Sleep(lasts)
+		time.Sleep(duration)
 		for _, name := range w.names {
 			w.withLock(func() { delete(w.isolated, name) })
 			time.Sleep(w.randDuration(0, 4*time.Second))
 		}
 	case 3:
 		for _, name := range w.names {
-			go w.freeze(name, lasts+w.randDuration(0, 4*time.Second))
+			go w.freeze(name, duration+w.randDuration(0, 4*time.Second))
 		}
-		time.Sleep(lasts + 4*time.Second)
+		time.Sleep(duration + 4*time.Second)
 	}
 }
 
-// The own record as owner, known before all that was stored earlier, entitles to nothing yet,
-// whether the share had an owner before or none.
+// A node may learn its own owner record before it has read everything that was stored earlier.
+// Acting as owner at that point would miss changes of earlier owners, so ownership must wait for
+// the replica, whether the partition had an owner before or not.
 func TestOwnershipWaitsForTheReplica(t *testing.T) {
 	for _, before := range []protocol.HolderRecord{{}, {Node: "n-1", Token: 8, Lease: 9}} {
-		b := newTestNode(t)
-		b.watchPut(protocol.HolderKey(0), before)
+		node := newTestNode(t)
+		node.watchPut(protocol.HolderKey(0), before)
 		own := storage.Write{Put: protocol.HolderKey(0), Value: mustJSON(protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})}
-		b.applyOwnWrite(own, b.revision+5)
-		if s := b.partitions[0]; b.owns(s) || !s.ownerChanging() {
-			t.Fatalf("after %+v the share counts as owned: %+v", before, s.owner)
+		node.applyOwnWrite(own, node.revision+5)
+		if s := node.partitions[0]; node.owns(s) || !s.ownerChanging() {
+			t.Fatalf("after %+v the partition counts as owned: %+v", before, s.owner)
 		}
-		b.applyWatch(nil, b.revision+4)
-		if b.owns(b.partitions[0]) {
-			t.Fatalf("after %+v the share counts as owned one revision too early", before)
+		node.applyWatch(nil, node.revision+4)
+		if node.owns(node.partitions[0]) {
+			t.Fatalf("after %+v the partition counts as owned one revision too early", before)
 		}
-		b.applyWatch([]storage.Item{{Key: own.Put, Value: own.Value, Stamp: b.revision + 5}}, b.revision+5)
-		if s := b.partitions[0]; !b.owns(s) || s.ownerChanging() || b.revisionOf(own.Put) != b.revision+5 {
-			t.Fatalf("after %+v the share is not owned when all is known: %+v", before, s.owner)
+		node.applyWatch([]storage.Item{{Key: own.Put, Value: own.Value, Stamp: node.revision + 5}}, node.revision+5)
+		if s := node.partitions[0]; !node.owns(s) || s.ownerChanging() || node.revisionOf(own.Put) != node.revision+5 {
+			t.Fatalf("after %+v the partition is not owned with a complete replica: %+v", before, s.owner)
 		}
 	}
 }
 
-// detachOwnerLeases makes the records of owners outlive their leases, for tests of tests.
+// detachOwnerLeases makes owner records outlive their leases, for tests of disabled guards.
 func detachOwnerLeases(writes []storage.Write) []storage.Write {
 	writes = slices.Clone(writes)
 	for i := range writes {
@@ -343,11 +344,11 @@
 	return writes
 }
 
-// takeUnheardForGone makes a node take the tasks of cancelled jobs of a share for gone before
-// their machines have spoken, for tests of tests.
-func takeUnheardForGone(n *Node, share int) {
-	for _, j := range n.partitions[share].jobs {
-		if !j.cancelled || !n.owns(n.partitions[share]) {
+// assumeUnheardGone makes a node regard the tasks of cancelled jobs of a partition as gone before
+// their machines have reported, for tests of disabled guards.
+func assumeUnheardGone(n *Node, index int) {
+	for _, j := range n.partitions[index].jobs {
+		if !j.cancelled || !n.owns(n.partitions[index]) {
 			continue
 		}
 		for i := range j.tasks {
@@ -356,14 +357,15 @@
 	}
 }
 
-// ownBeforeReplica makes a node own a share before its replica is complete, for tests of tests.
-func ownBeforeReplica(n *Node, share int) {
-	if s := n.partitions[share]; s.unconfirmedOwner != nil {
+// ownBeforeReplica makes a node own a partition before its replica is complete, for tests of
+// disabled guards.
+func ownBeforeReplica(n *Node, index int) {
+	if s := n.partitions[index]; s.unconfirmedOwner != nil {
 		n.setOwner(s, *s.unconfirmedOwner)
 	}
 }
 
-// The guards that are left out here are those of a change of owner and of who may answer.
+// Disabled guards of ownership changes and of the rule on who may answer.
 var leadershipDefects = []guardDefect{
 	{"lease", "hand over and back"},
 	{"read barrier", "a slow state service, then none"},
--- a/internal/coordination/node/lives_test.go
+++ b/internal/coordination/node/lives_test.go
@@ -12,73 +12,74 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-// restart ends a process and begins the next one after a while, perhaps none.
+// restart ends a process and starts the next one after a delay, which may be zero.
 func (w *simCluster) restart(name string, after time.Duration) {
 	w.stopNode(name)
 	time.Sleep(after)
 	w.startIfStopped(name)
 }
 
-// fastRestarts are processes that end at any time and are back after none to a second:
-// twice within one lease, all at once, one after the other, amid hand-overs, and while the
-// state service is away, loses answers, or executes late what it did not answer.
+// fastRestarts restarts processes at any time after a delay of zero to one second: twice within one
+// lease, all at once, one after the other, during handovers, and while the state service is down,
+// loses answers, or executes unanswered writes late.
 func fastRestarts(w *simCluster) {
 	w.withLock(func() { w.lateTxnRate = 0.5 })
-	back := func() time.Duration { return time.Duration(w.plan.IntN(3)) * w.randDuration(0, 500*time.Millisecond) }
+	delay := func() time.Duration { return time.Duration(w.plan.IntN(3)) * w.randDuration(0, 500*time.Millisecond) }
 	for range 10 {
 		name := w.names[w.plan.IntN(3)]
 		switch w.plan.IntN(7) {
 		case 0:
-			w.restart(name, back())
+			w.restart(name, delay())
 		case 1: // twice within one lease
-			w.restart(name, back())
+			w.restart(name, delay())
 			time.Sleep(w.randDuration(time.Millisecond, 1200*time.Millisecond))
-			w.restart(name, back())
+			w.restart(name, delay())
 		case 2: // all at once
-			for _, x := range w.names {
-				w.stop[x]()
-				w.withLock(func() { w.nodes[x] = nil })
+			for _, each := range w.names {
+				w.stop[each]()
+				w.withLock(func() { w.nodes[each] = nil })
 			}
-			time.Sleep(back())
-			for _, x := range w.names {
-				w.startNode(x)
+			time.Sleep(delay())
+			for _, each := range w.names {
+				w.startNode(each)
 				time.Sleep(w.randDuration(0, 300*time.Millisecond))
 			}
-		case 3: // one after the other, each before the one before is done
-			for _, x := range w.names {
-				w.restart(x, back())
+		case 3: // one after the other, each before the previous restart is complete
+			for _, each := range w.names {
+				w.restart(each, delay())
 				time.Sleep(w.randDuration(0, 1500*time.Millisecond))
 			}
-		case 4: // in the middle of its hand-over
+		case 4: // during its handover
 			if n := w.node(name); n != nil {
 				go n.Leave()
 				time.Sleep(w.randDuration(0, 500*time.Millisecond))
 			}
-			w.restart(name, back())
+			w.restart(name, delay())
 		case 5:
 			w.withLock(func() { w.outage = true })
-			w.restart(name, back())
+			w.restart(name, delay())
 			time.Sleep(w.randDuration(0, 4*time.Second))
 			w.withLock(func() { w.outage = false })
 		case 6:
 			w.withLock(func() { w.lossRate = 0.2 })
-			w.restart(name, back())
+			w.restart(name, delay())
 			time.Sleep(w.randDuration(0, 3*time.Second))
-			w.restart(name, back())
+			w.restart(name, delay())
 			w.withLock(func() { w.lossRate = 0 })
 		}
 		time.Sleep(w.randDuration(time.Millisecond, 5*time.Second))
 	}
 }
 
-// Processes that are back before anyone has missed them: no rule breaks, and every job ends.
+// A process that is back before its lease has expired meets the records of the previous process. No
+// rule may be violated, and every job ends.
 func TestFastRestarts(t *testing.T) {
 	for seed := range seedCount(8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { simulate(t, 900+seed, 16, defaultSettings, fastRestarts) })
 	}
 }
 
-// The same while all that is new of jobs is stored in entries of few slots.
+// The same with new jobs and their changes stored in packed entries of few slots.
 func TestFastRestartsWithEntries(t *testing.T) {
 	storeOnlyEntries(t, 4)
 	for seed := range seedCount(8) {
@@ -86,9 +87,9 @@
 	}
 }
 
-// A process that ends again and again, every fraction of a second, leaves nothing behind that
-// grows, costs no share of another, and its own shares are served soon after the last time.
-func TestEndingAgainAndAgain(t *testing.T) {
+// A process in a restart loop must not leave stored data that accumulates, must not cost another
+// node its partitions, and its own partitions are served soon after the last restart.
+func TestRestartLoop(t *testing.T) {
 	idleWorld(t, 31, func(w *simCluster) {
 		count := func() int {
 			items, _, _ := w.state.List(t.Context(), "")
@@ -96,23 +97,23 @@
 		}
 		name := w.names[1]
 		others := func() []protocol.HolderRecord {
-			return slices.DeleteFunc(append([]protocol.HolderRecord{}, sliceOf(w.partitionOwners())...), func(h protocol.HolderRecord) bool { return h.Node == name || h.Token == 0 })
+			return slices.DeleteFunc(append([]protocol.HolderRecord{}, asSlice(w.partitionOwners())...), func(h protocol.HolderRecord) bool { return h.Node == name || h.Token == 0 })
 		}
-		before, was := count(), others()
+		before, ownedBefore := count(), others()
 		for range 40 {
 			w.restart(name, w.randDuration(0, 400*time.Millisecond))
 			time.Sleep(w.randDuration(0, 400*time.Millisecond))
 		}
 		began := time.Now()
-		for time.Since(began) < 10*time.Second && slices.ContainsFunc(sliceOf(w.partitionOwners()), func(h protocol.HolderRecord) bool { return h.Token == 0 }) {
+		for time.Since(began) < 10*time.Second && slices.ContainsFunc(asSlice(w.partitionOwners()), func(h protocol.HolderRecord) bool { return h.Token == 0 }) {
 			time.Sleep(10 * time.Millisecond)
 		}
 		if took := time.Since(began); took > 2*time.Second {
-			t.Errorf("a share has nobody for %v after the last end", took)
+			t.Errorf("a partition has no owner for %v after the last restart", took)
 		}
-		for _, h := range was {
+		for _, h := range ownedBefore {
 			if !slices.Contains(others(), h) {
-				t.Errorf("%s held a share with token %d, and then not: %v", h.Node, h.Token, others())
+				t.Errorf("%s owned a partition with token %d and has lost it: %v", h.Node, h.Token, others())
 			}
 		}
 		time.Sleep(20 * time.Second)
@@ -122,18 +123,18 @@
 	})
 }
 
-func sliceOf(h [3]protocol.HolderRecord) []protocol.HolderRecord { return h[:] }
+func asSlice(h [3]protocol.HolderRecord) []protocol.HolderRecord { return h[:] }
 
-// Two processes of one name at a time, as after one that stood still was replaced: the later
-// one is believed, by all and by the earlier one, which holds nothing while the later one
-// lives, and serves again once it has ended.
-func TestTwoLivesOfOneNode(t *testing.T) {
+// Two processes of one node run at a time, as after a stalled one was replaced. All nodes accept
+// the later one. The earlier one owns nothing while the later one lives, and serves again after the
+// later one has ended.
+func TestTwoProcessesOfOneNode(t *testing.T) {
 	for seed := range seedCount(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			simulate(t, 990+seed, 12, defaultSettings, func(w *simCluster) {
 				time.Sleep(w.randDuration(5*time.Second, 9*time.Second))
 				name := w.names[w.plan.IntN(3)]
-				first, end := w.node(name), w.stop[name]
+				first, stopFirst := w.node(name), w.stop[name]
 				w.startNode(name)
 				second := w.node(name)
 				time.Sleep(w.randDuration(4*time.Second, 6*time.Second))
@@ -142,57 +143,56 @@
 					t.Errorf("the earlier process has lease %d, the later one %d", a, b)
 				}
 				if onActor(first, func() bool { return first.ready(time.Now()) }) {
-					t.Error("the earlier process says that it is ready")
+					t.Error("the earlier process is ready")
 				}
 				for i, h := range w.partitionOwners() {
 					if h.Node == name && h.Lease != lease(second) {
-						t.Errorf("share %d is held with lease %d", i, h.Lease)
+						t.Errorf("partition %d is owned with lease %d", i, h.Lease)
 					}
 				}
 				w.stop[name]()
-				w.withLock(func() { w.nodes[name], w.stop[name] = first, end })
+				w.withLock(func() { w.nodes[name], w.stop[name] = first, stopFirst })
 				time.Sleep(leaseTTL + 1500*time.Millisecond)
 				if lease(first) == 0 || !onActor(first, func() bool { return first.ready(time.Now()) }) {
-					t.Error("the earlier process does not come back when the later one has ended")
+					t.Error("the earlier process does not serve after the later one has ended")
 				}
 			})
 		})
 	}
 }
 
-// What a former life sent and what arrives late changes nothing: its record of itself, and a
-// share that it takes. The record that is stored without a condition, as before there was
-// one, is found.
-func TestLateRecordOfAFormerLife(t *testing.T) {
+// A delayed write of an earlier process must not replace the node record. Without the condition on
+// the stored version it does, and the test must detect that.
+func TestDelayedRecordOfEarlierProcess(t *testing.T) {
 	for _, sabotaged := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			w := newWorld(t, ctx, 5, defaultSettings)
 			time.Sleep(5 * time.Second)
 			key := protocol.NodeKey("n-1")
-			was, _ := w.state.Get(ctx, key)
-			n := w.node("n-1")
-			former := onActor(n, func() uint64 { return n.lease })
-			// Its last write is on its way when it ends: the state service executes it when the
-			// next life has stored its own.
+			before, _ := w.state.Get(ctx, key)
+			node := w.node("n-1")
+			former := onActor(node, func() uint64 { return node.lease })
+			// The last write of the earlier process is in flight when it ends, and the state
+			// service executes it after the next process has stored its record.
 			w.restart("n-1", 0)
 			time.Sleep(time.Second)
-			if now, _ := w.state.Get(ctx, key); now.Stamp == was.Stamp {
-				t.Fatal("the next life has stored nothing")
+			if now, _ := w.state.Get(ctx, key); now.Stamp == before.Stamp {
+				t.Fatal("the next process has stored nothing")
 			}
-			cond := []storage.Cond{{Key: key, Stamp: was.Stamp}}
+			cond := []storage.Cond{{Key: key, Stamp: before.Stamp}}
 			if sabotaged {
 				cond = nil
 			}
 			lease := former
 			if sabotaged {
-				lease, _ = w.state.Grant(ctx, leaseTTL) // one that nobody could end
+				lease, _ = w.state.Grant(ctx, leaseTTL) // a lease that is never released
 			}
 			ok, _, _, err := w.state.Txn(ctx, cond, []storage.Write{{Put: key, Value: mustJSON(protocol.NodeRecord{Lease: lease, Version: protocol.RecordVersion}), Lease: lease}})
 			time.Sleep(500 * time.Millisecond)
-			stoodBack := onActor(w.node("n-1"), func() bool { return w.node("n-1").lease == 0 })
-			if (ok && err == nil || stoodBack) != sabotaged {
-				t.Errorf("a late record of a former life (without its condition: %v): stored %v, %v; the present one stood back: %v", sabotaged, ok, err, stoodBack)
+			steppedDown := onActor(w.node("n-1"), func() bool { return w.node("n-1").lease == 0 })
+			if (ok && err == nil || steppedDown) != sabotaged {
+				t.Errorf("a delayed record of an earlier process (without its condition: %v): stored %v, %v; the present one stepped down: %v", sabotaged, ok, err, steppedDown)
 			}
 			for _, stop := range w.stop {
 				stop()
--- a/internal/coordination/node/meetings_test.go
+++ b/internal/coordination/node/meetings_test.go
@@ -15,65 +15,67 @@
 	"dapplestage.example/dapplestage/internal/standin"
 )
 
-// Meetings of two troubles; see docs/meetings.md. Each is brought about amid users who submit,
-// ask and cancel, in jobs' own records and in entries of few slots, and is asserted to have
-// taken place. In pairs two go on at once, while processes end and are back at once.
+// Scenarios in which two faults coincide; see docs/meetings.md. Each runs amid users who submit,
+// poll and cancel jobs, once with job records and once with packed entries of few slots, and
+// asserts that the intended coincidence occurred. In the pair tests two scenarios run at once while
+// processes are restarted quickly.
 
-// faultScenario is one of them: what brings it about, and what must have been noted then.
+// faultScenario is a scenario: the faults that it injects and the events that must occur.
 type faultScenario struct {
 	name      string
 	inject    func(w *simCluster)
 	mustOccur []string
-	// configure changes the place, before anything runs.
+	// configure changes the settings before anything runs.
 	configure func(p *protocol.WorkerSettings, w *simCluster)
-	// zones are those of the controllers; without it all are in one.
+	// zones are the zones of the controllers; if unset all are in one zone.
 	zones map[string]string
 }
 
-// faultScenarios are those of all files.
-var faultScenarios = slices.Concat(firstMeetings, leadershipScenarios, zoneScenarios)
+// faultScenarios are the scenarios of all files that TestFaultScenarios runs one at a time.
+var faultScenarios = slices.Concat(baseScenarios, leadershipScenarios, zoneScenarios)
 
-// randInt is a number below n.
+// randInt returns a random integer in [0, n).
 func (w *simCluster) randInt(n int) int { return int(w.randDuration(0, time.Duration(n))) }
 
 func (w *simCluster) randomNode() string { return w.names[w.randInt(3)] }
 
-// partitionOwner is who holds a share, as the state service has it; "" if nobody does.
-func (w *simCluster) partitionOwner(share int) string {
-	it, _ := w.state.Get(w.ctx, protocol.HolderKey(share))
-	var h protocol.HolderRecord
+// partitionOwner returns the owner of a partition as stored in the state service, or "" if there is
+// none.
+func (w *simCluster) partitionOwner(index int) string {
+	it, _ := w.state.Get(w.ctx, protocol.HolderKey(index))
+	var record protocol.HolderRecord
 	if it.Value == nil {
 		return ""
 	}
-	if err := json.Unmarshal(it.Value, &h); err != nil {
+	if err := json.Unmarshal(it.Value, &record); err != nil {
 		panic(err)
 	}
-	return h.Node
+	return record.Node
 }
 
-// watchOwners notes when a share comes back to a node that held it before another did.
+// watchOwners counts changes of owners, and those by which a partition returns to an earlier owner.
 func (w *simCluster) watchOwners(ctx context.Context) {
-	were := map[int][]string{}
+	history := map[int][]string{}
 	for ctx.Err() == nil {
 		for i := range 3 {
-			if h := w.partitionOwner(i); h != "" && (len(were[i]) == 0 || were[i][len(were[i])-1] != h) {
-				for _, before := range were[i] {
-					if before == h {
-						w.recordEvent("held again")
+			if owner := w.partitionOwner(i); owner != "" && (len(history[i]) == 0 || history[i][len(history[i])-1] != owner) {
+				for _, before := range history[i] {
+					if before == owner {
+						w.recordEvent("partition returned to an earlier owner")
 					}
 				}
-				if len(were[i]) > 0 {
+				if len(history[i]) > 0 {
 					w.recordEvent("handed over")
 				}
-				were[i] = append(were[i], h)
-				w.onOwnerChange(i, h)
+				history[i] = append(history[i], owner)
+				w.onOwnerChange(i, owner)
 			}
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// busyMachines are machines on which something runs.
+// busyMachines returns the machines on which tasks run.
 func (w *simCluster) busyMachines() (out []string) {
 	for _, m := range w.fleet.Names() {
 		if w.fleet.Busy(m) {
@@ -83,8 +85,8 @@
 	return out
 }
 
-var firstMeetings = []faultScenario{
-	{name: "hand over and back", mustOccur: []string{"held again"}, inject: func(w *simCluster) {
+var baseScenarios = []faultScenario{
+	{name: "hand over and back", mustOccur: []string{"partition returned to an earlier owner"}, inject: func(w *simCluster) {
 		for range 6 {
 			name := w.partitionOwner(0)
 			if name == "" {
@@ -98,7 +100,7 @@
 			w.startIfStopped(name)
 			time.Sleep(w.randDuration(time.Second, 8*time.Second))
 		}
-		// All end, and one returns.
+		// All processes end and one comes back.
 		for _, name := range w.names {
 			w.stopNode(name)
 		}
@@ -109,7 +111,7 @@
 		w.startIfStopped(w.names[2])
 		time.Sleep(15 * time.Second)
 	}},
-	{name: "late writes", mustOccur: []string{"write late"}, inject: func(w *simCluster) {
+	{name: "late writes", mustOccur: []string{"delayed write"}, inject: func(w *simCluster) {
 		w.withLock(func() { w.delayedTxnRate = 0.25 })
 		time.Sleep(30 * time.Second)
 		w.crash(w.randomNode())
@@ -119,7 +121,7 @@
 		w.withLock(func() { w.delayedTxnRate = 0 })
 		time.Sleep(12 * time.Second)
 	}},
-	{name: "ends far apart", mustOccur: []string{"ended before and after a change"}, configure: func(_ *protocol.WorkerSettings, w *simCluster) {
+	{name: "ends far apart", mustOccur: []string{"tasks ended before and after an owner change"}, configure: func(_ *protocol.WorkerSettings, w *simCluster) {
 		w.fleet.Takes = func(j *protocol.JobSpec, task int) time.Duration {
 			if j.Shape != protocol.Array || j.Tasks > 3 {
 				return time.Duration(j.EstimateS * float64(time.Second))
@@ -132,21 +134,21 @@
 				w.submit(&protocol.JobSpec{ID: fmt.Sprintf("job-92%02d%02d", round, i), Team: []string{"red", "blue", "green"}[i], Class: "c", Shape: protocol.Array, Priority: "high", Tasks: 2 + i%2, CPUs: 4, GPUs: 1, Image: "i", ImageGB: 1, EstimateS: 40})
 			}
 			time.Sleep(w.randDuration(12*time.Second, 20*time.Second))
-			apart, changes := w.halfDone(), w.eventCount("handed over")
+			partlyDone, changes := w.partlyDoneJobs(), w.eventCount("handed over")
 			if name := w.partitionOwner(w.randInt(3)); name != "" {
 				w.stopNode(name)
-				time.Sleep(4 * time.Second) // until another has its share
+				time.Sleep(4 * time.Second) // until another node owns its partition
 				w.startIfStopped(name)
 			}
-			still := w.halfDone()
-			for _, id := range apart {
-				if slices.Contains(still, id) && w.eventCount("handed over") > changes {
-					w.recordEvent("ended before and after a change")
+			stillPartlyDone := w.partlyDoneJobs()
+			for _, id := range partlyDone {
+				if slices.Contains(stillPartlyDone, id) && w.eventCount("handed over") > changes {
+					w.recordEvent("tasks ended before and after an owner change")
 				}
 			}
 		}
-		// They are all done in the end, and not before; with other meetings at once, within as
-		// long after those.
+		// All jobs must be done in the end, and not before. If other scenarios run at once, the
+		// time limit begins after they have ended.
 		open := 15
 		for from := time.Now(); open > 0 && time.Since(from) < 4*time.Minute; time.Sleep(time.Second) {
 			if w.otherScenariosActive() {
@@ -169,12 +171,12 @@
 			w.violation("%d of 15 jobs whose tasks end far apart were not done", open)
 		}
 	}},
-	{name: "machines out of reach of the next leader", mustOccur: []string{"deaf and busy", "handed over"}, configure: infrequentReports, inject: func(w *simCluster) {
+	{name: "machines out of reach of the next leader", mustOccur: []string{"busy machine without inbound traffic", "handed over"}, configure: infrequentReports, inject: func(w *simCluster) {
 		for range 3 {
 			for i, m := range w.busyMachines() {
 				if i%2 == 0 {
 					w.withLock(func() { w.noInbound[m] = true })
-					w.recordEvent("deaf and busy")
+					w.recordEvent("busy machine without inbound traffic")
 				}
 			}
 			if name := w.partitionOwner(w.randInt(3)); name != "" {
@@ -187,7 +189,7 @@
 			time.Sleep(w.randDuration(2*time.Second, 10*time.Second))
 		}
 	}},
-	{name: "a slow state service, then none", mustOccur: []string{"asked meanwhile"}, inject: func(w *simCluster) {
+	{name: "a slow state service, then none", mustOccur: []string{"users polled during the outage"}, inject: func(w *simCluster) {
 		w.withLock(func() { w.stateDelay = 900 * time.Millisecond })
 		time.Sleep(20 * time.Second)
 		leader := w.partitionOwner(0)
@@ -195,9 +197,9 @@
 		time.Sleep(w.randDuration(500*time.Millisecond, 12*time.Second))
 		w.withLock(func() { w.outage = true })
 		before := w.eventCount("asked")
-		time.Sleep(50 * time.Second) // cancel_s is 40
+		time.Sleep(50 * time.Second) // longer than cancel_s, which is 40
 		if w.eventCount("asked") > before {
-			w.recordEvent("asked meanwhile")
+			w.recordEvent("users polled during the outage")
 		}
 		w.withLock(func() { w.outage, w.stateDelay = false, 0 })
 		w.state.Refill()
@@ -205,7 +207,7 @@
 		w.withLock(func() { w.stateRefused[leader] = false })
 		time.Sleep(10 * time.Second)
 	}},
-	{name: "a leader cut from store and siblings", mustOccur: []string{"answered by the leader cut off", "told by another"}, inject: func(w *simCluster) {
+	{name: "a leader cut from store and siblings", mustOccur: []string{"report answered by the isolated leader", "cancellation confirmed by another node"}, inject: func(w *simCluster) {
 		var ids []string
 		for i := range 3 {
 			s := &protocol.JobSpec{ID: fmt.Sprintf("job-9000%02d", i), Team: []string{"red", "blue", "green"}[i], Class: "c", Shape: protocol.Service, Priority: "critical", Tasks: 1, CPUs: 4, GPUs: 1, Image: "i", ImageGB: 1}
@@ -224,7 +226,7 @@
 				if a := w.cancelOnce(by, id); a.status == 200 && w.eventCount(id) == 0 {
 					w.recordEvent(id)
 					if by != leader {
-						w.recordEvent("told by another")
+						w.recordEvent("cancellation confirmed by another node")
 					}
 				}
 			}
@@ -235,13 +237,13 @@
 			}
 		}
 		if w.eventCount("answered by "+leader) > before {
-			w.recordEvent("answered by the leader cut off")
+			w.recordEvent("report answered by the isolated leader")
 		}
 		w.withLock(func() { clear(w.stateSilent); clear(w.peersUnreachable) })
 		time.Sleep(10 * time.Second)
 		asks(w.randomNode())
 	}},
-	{name: "held commands", mustOccur: []string{"held command executed"}, configure: infrequentReports, inject: func(w *simCluster) {
+	{name: "held commands", mustOccur: []string{"delayed command executed"}, configure: infrequentReports, inject: func(w *simCluster) {
 		w.withLock(func() { w.delayedCommandRate = 0.4 })
 		for round := range 6 {
 			for i, m := range w.fleet.Names() {
@@ -262,10 +264,10 @@
 	{name: "old reports", mustOccur: []string{"old report", "report of an earlier session"}, inject: func(w *simCluster) {
 		w.withLock(func() { w.duplicateReportRate = 0.6 })
 		for round := range 6 {
-			were := map[string]protocol.Report{}
+			earlierReports := map[string]protocol.Report{}
 			for i, m := range w.fleet.Names() {
 				if r, err := w.fleet.Inspect(w.ctx, m+":9000"); i%2 == 0 && err == nil {
-					were[m] = *r
+					earlierReports[m] = *r
 					w.withLock(func() { w.noInbound[m] = true })
 				}
 			}
@@ -273,7 +275,7 @@
 			w.withLock(func() { clear(w.noInbound) })
 			w.submitAndCancel(round, 15*time.Second)
 			time.Sleep(w.randDuration(4*time.Second, 8*time.Second))
-			for _, r := range were { // what they reported in the session before comes now
+			for _, r := range earlierReports { // reports of the previous session arrive now
 				for _, name := range w.names {
 					go w.redeliverLater(name, r)
 				}
@@ -287,22 +289,22 @@
 	}},
 }
 
-// otherScenariosActive says whether another meeting goes on beside the one that asks.
+// otherScenariosActive reports whether another scenario runs besides the calling one.
 func (w *simCluster) otherScenariosActive() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.activeScenarios > 1
 }
 
-// submitAndCancel submits jobs that are cancelled while their starts may be on their way.
+// submitAndCancel submits jobs that are cancelled while their starts may be in flight.
 func (w *simCluster) submitAndCancel(round int, within time.Duration) {
 	for i := range 3 {
-		s := &protocol.JobSpec{ID: fmt.Sprintf("job-91%02d%02d", round, i), Team: []string{"red", "blue", "green"}[i], Class: "c", Shape: protocol.Array, Priority: "critical", Tasks: 2, CPUs: 4, GPUs: 1, Image: "i", ImageGB: 1, EstimateS: 20}
-		w.submit(s)
+		spec := &protocol.JobSpec{ID: fmt.Sprintf("job-91%02d%02d", round, i), Team: []string{"red", "blue", "green"}[i], Class: "c", Shape: protocol.Array, Priority: "critical", Tasks: 2, CPUs: 4, GPUs: 1, Image: "i", ImageGB: 1, EstimateS: 20}
+		w.submit(spec)
 		go func() {
 			time.Sleep(w.randDuration(200*time.Millisecond, within))
 			for range 60 {
-				if a := w.cancelOnce(w.randomNode(), s.ID); a.status == 200 {
+				if response := w.cancelOnce(w.randomNode(), spec.ID); response.status == 200 {
 					return
 				}
 				time.Sleep(time.Second)
@@ -315,8 +317,8 @@
 	p.ReportS, p.LeaseS, p.CancelS = 6, 36, 56
 }
 
-// halfDone are jobs of which some tasks have completed, and others not.
-func (w *simCluster) halfDone() (out []string) {
+// partlyDoneJobs returns the jobs of which some tasks have completed and others have not.
+func (w *simCluster) partlyDoneJobs() (out []string) {
 	for round := range 5 {
 		for i := range 3 {
 			if id := fmt.Sprintf("job-92%02d%02d", round, i); w.fleet.Finished(id) > 0 && w.fleet.Left(id) > 0 {
@@ -327,59 +329,59 @@
 	return out
 }
 
-// missingEvents is what should have taken place in a meeting and did not.
-func (w *simCluster) missingEvents(m faultScenario) (out []string) {
-	for _, what := range m.mustOccur {
-		if w.eventCount(what) == 0 {
-			out = append(out, what)
+// missingEvents returns the events that should have occurred in a scenario and did not.
+func (w *simCluster) missingEvents(scenario faultScenario) (out []string) {
+	for _, event := range scenario.mustOccur {
+		if w.eventCount(event) == 0 {
+			out = append(out, event)
 		}
 	}
 	return out
 }
 
-// runScenarios plays a day on which some meetings take place, one or several at a time; leftOut is a
-// guard that is left out. It returns what broke, if that is wanted, and else fails.
-func runScenarios(t *testing.T, seed uint64, leftOut string, ms ...faultScenario) (broken []string) {
+// runScenarios runs a workload with one or several scenarios at a time. If a guard is given it is
+// disabled; violations are then returned and do not fail the test.
+func runScenarios(t *testing.T, seed uint64, disabledGuard string, scenarios ...faultScenario) (broken []string) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		w := newWorldAt(t, ctx, seed, nil, func(cfg *protocol.Settings, f *standin.Fleet) {
-			for _, m := range ms {
-				if m.configure != nil {
-					m.configure(&cfg.Params.Workers, &simCluster{fleet: f})
+			for _, scenario := range scenarios {
+				if scenario.configure != nil {
+					scenario.configure(&cfg.Params.Workers, &simCluster{fleet: f})
 				}
-				if m.zones != nil {
-					assignZones(cfg, m.zones)
+				if scenario.zones != nil {
+					assignZones(cfg, scenario.zones)
 				}
 			}
 		})
-		w.disabledGuard, w.fleet.IgnoreTokens = leftOut, leftOut == "tokens"
-		w.collectOnly = leftOut != ""
+		w.disabledGuard, w.fleet.IgnoreTokens = disabledGuard, disabledGuard == "tokens"
+		w.collectOnly = disabledGuard != ""
 		go w.watchOwners(ctx)
 		w.runWorkload(16, func(w *simCluster) {
 			time.Sleep(10 * time.Second)
-			ends := make(chan bool)
-			w.withLock(func() { w.activeScenarios = len(ms) })
-			for _, m := range ms[1:] {
+			finished := make(chan bool)
+			w.withLock(func() { w.activeScenarios = len(scenarios) })
+			for _, scenario := range scenarios[1:] {
 				go func() {
-					m.inject(w)
+					scenario.inject(w)
 					w.withLock(func() { w.activeScenarios-- })
-					ends <- true
+					finished <- true
 				}()
 			}
-			ms[0].inject(w)
+			scenarios[0].inject(w)
 			w.withLock(func() { w.activeScenarios-- })
-			for range ms[1:] {
-				<-ends
+			for range scenarios[1:] {
+				<-finished
 			}
-			for range 2 { // until it has taken place
-				if len(ms) == 1 && len(w.missingEvents(ms[0])) > 0 {
-					ms[0].inject(w)
+			for range 2 { // repeat until the events have occurred
+				if len(scenarios) == 1 && len(w.missingEvents(scenarios[0])) > 0 {
+					scenarios[0].inject(w)
 				}
 			}
 		})
-		for _, m := range ms {
-			if missing := w.missingEvents(m); len(missing) > 0 && leftOut == "" {
-				w.violation("%s: did not take place: %q", m.name, missing)
+		for _, scenario := range scenarios {
+			if missing := w.missingEvents(scenario); len(missing) > 0 && disabledGuard == "" {
+				w.violation("%s: events did not occur: %q", scenario.name, missing)
 			}
 		}
 		cancel()
@@ -390,32 +392,33 @@
 	return broken
 }
 
-func TestMeetings(t *testing.T) {
-	for _, m := range faultScenarios {
+func TestFaultScenarios(t *testing.T) {
+	for _, scenario := range faultScenarios {
 		for seed := range seedCount(2) {
-			t.Run(fmt.Sprintf("%s/%d", m.name, seed), func(t *testing.T) { runScenarios(t, 2000+seed, "", m) })
-			t.Run(fmt.Sprintf("%s/entries/%d", m.name, seed), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s/%d", scenario.name, seed), func(t *testing.T) { runScenarios(t, 2000+seed, "", scenario) })
+			t.Run(fmt.Sprintf("%s/entries/%d", scenario.name, seed), func(t *testing.T) {
 				storeOnlyEntries(t, 4)
-				runScenarios(t, 3000+seed, "", m)
+				runScenarios(t, 3000+seed, "", scenario)
 			})
 		}
 	}
 }
 
-// pairableScenarios are the meetings that are played in pairs: all but those that assert how soon
-// something happens, which another meeting may delay for as long as it lasts.
+// pairableScenarios returns the scenarios that are run in pairs: all but those that assert a time
+// limit, since another scenario may delay them for as long as it lasts.
 func pairableScenarios() []faultScenario {
-	asserted := []string{"many small jobs", "odd requests", "more work than room, urgent and not, over slow links"}
+	timed := []string{"many small jobs", "odd requests", "more work than room, urgent and not, over slow links"}
 	return slices.DeleteFunc(slices.Concat(faultScenarios, userScenarios, machineScenarios), func(m faultScenario) bool {
-		return slices.Contains(asserted, m.name)
+		return slices.Contains(timed, m.name)
 	})
 }
 
-// ciPairs is about how many pairs are played without -seeds: each run in CI the same ones.
+// ciPairs is the approximate number of pairs that run without -seeds; CI runs the same ones each
+// time.
 const ciPairs = 6
 
-// pairsBaseSeed is what the seeds of pairs begin with: fixed in CI (CI=true), or if set by hand, as a
-// failed run printed it (PAIRS_SEED); else another one each time.
+// pairsBaseSeed returns the first seed of the pairs. It is fixed in CI (CI=true), can be set to
+// reproduce a failed run that printed it (PAIRS_SEED), and is random otherwise.
 func pairsBaseSeed(t *testing.T) uint64 {
 	if set := os.Getenv("PAIRS_SEED"); set != "" {
 		seed, err := strconv.ParseUint(set, 10, 64)
@@ -430,10 +433,10 @@
 	return uint64(time.Now().UnixNano() % 1e9)
 }
 
-// Two meetings at once, with processes that end and are back within a second.
-func TestPairsOfMeetings(t *testing.T) {
+// Rules hold when two scenarios run at once while processes restart within a second.
+func TestFaultScenarioPairs(t *testing.T) {
 	base := pairsBaseSeed(t)
-	t.Logf("the same again: PAIRS_SEED=%d", base)
+	t.Logf("to reproduce: PAIRS_SEED=%d", base)
 	var pairs [][2]faultScenario
 	all := pairableScenarios()
 	for i, a := range all {
@@ -445,19 +448,19 @@
 	if *moreSeeds > 0 {
 		every = 1
 	}
-	for i, p := range pairs {
+	for i, pair := range pairs {
 		for k := range seedCount(1) {
 			seed := base + 1000*k + uint64(i)
 			if (uint64(i)+k+base)%uint64(every) != 0 {
 				continue
 			}
-			t.Run(fmt.Sprintf("%s, %s/%d", p[0].name, p[1].name, seed), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, %s/%d", pair[0].name, pair[1].name, seed), func(t *testing.T) {
 				if i%2 == 0 {
 					storeOnlyEntries(t, 4)
 				}
-				// What must have taken place is asserted of each alone.
-				p[0].mustOccur, p[1].mustOccur = nil, nil
-				runScenarios(t, seed, "", p[0], p[1], faultScenario{name: "fast restarts", inject: func(w *simCluster) {
+				// The events are asserted only where each scenario runs alone.
+				pair[0].mustOccur, pair[1].mustOccur = nil, nil
+				runScenarios(t, seed, "", pair[0], pair[1], faultScenario{name: "fast restarts", inject: func(w *simCluster) {
 					for range 5 {
 						time.Sleep(w.randDuration(time.Second, 12*time.Second))
 						w.restart(w.randomNode(), w.randDuration(0, time.Second))
@@ -468,40 +471,41 @@
 	}
 }
 
-// guardDefect is a guard that is left out, and the meeting that finds it.
+// guardDefect is a guard to disable and the scenario that must detect its absence.
 type guardDefect struct{ guard, foundBy string }
 
 // guardDefects are those of all files.
-var guardDefects = slices.Concat(firstDefects, leadershipDefects)
+var guardDefects = slices.Concat(baseDefects, leadershipDefects)
 
-var firstDefects = []guardDefect{
+var baseDefects = []guardDefect{
 	{"tokens", "held commands"}, {"conditions", "late writes"}, {"conditions", "ends far apart"},
 	{"return", "machines out of reach of the next leader"}, {"doubt", "held commands"}, {"newest", "old reports"},
 }
 
-// A guard that is left out is found by its meeting.
-func TestMeetingsFindWhatIsLeftOut(t *testing.T) {
-	for _, d := range guardDefects {
-		t.Run(d.guard+"/"+d.foundBy, func(t *testing.T) {
-			i := slices.IndexFunc(faultScenarios, func(m faultScenario) bool { return m.name == d.foundBy })
+// A scenario that passes with a guard disabled tests nothing: each disabled guard must be detected
+// by its scenario within a limited number of seeds.
+func TestScenariosDetectDisabledGuards(t *testing.T) {
+	for _, defect := range guardDefects {
+		t.Run(defect.guard+"/"+defect.foundBy, func(t *testing.T) {
+			i := slices.IndexFunc(faultScenarios, func(scenario faultScenario) bool { return scenario.name == defect.foundBy })
 			if i < 0 {
-				t.Fatal("there is no such meeting")
+				t.Fatal("no such scenario")
 			}
-			m := faultScenarios[i]
-			if d.guard == "conditions" && d.foundBy == "ends far apart" {
-				faults := m.inject
-				m.inject = func(w *simCluster) {
+			scenario := faultScenarios[i]
+			if defect.guard == "conditions" && defect.foundBy == "ends far apart" {
+				faults := scenario.inject
+				scenario.inject = func(w *simCluster) {
 					w.withLock(func() { w.delayedTxnRate = 0.2 })
 					faults(w)
 				}
 			}
 			for seed := range seedCount(40) {
-				if broken := runScenarios(t, 5000+seed, d.guard, m); len(broken) > 0 {
-					t.Logf("found with seed %d: %s", 5000+seed, broken[0])
+				if broken := runScenarios(t, 5000+seed, defect.guard, scenario); len(broken) > 0 {
+					t.Logf("detected with seed %d: %s", 5000+seed, broken[0])
 					return
 				}
 			}
-			t.Error("not found")
+			t.Error("not detected")
 		})
 	}
 }
--- a/internal/coordination/node/sim_test.go
+++ b/internal/coordination/node/sim_test.go
@@ -23,12 +23,13 @@
 	"dapplestage.example/dapplestage/internal/transport"
 )
 
-// simCluster is three controllers amid stand-ins, in simulated time.
+// simCluster is a simulated cluster of three controllers, with stand-ins for the state service, the
+// cloud and the machines, in simulated time.
 type simCluster struct {
 	t     *testing.T
-	rng   *rand.Rand // of everything that happens by itself; guarded by mu
-	plan  *rand.Rand // of the test's routine alone
-	mu    sync.Mutex // guards rng and the fault switches
+	rng   *rand.Rand // of all random events; guarded by mu
+	plan  *rand.Rand // used by the test's goroutine alone
+	mu    sync.Mutex // guards rng and the fault settings
 	cfg   map[string]*protocol.Settings
 	names []string
 	state *standin.State
@@ -38,55 +39,55 @@
 	ctx   context.Context
 
 	outage             bool
-	noLateReports      bool                 // reports that are lost never arrive late
-	cloudDown          bool                 // the cloud's interface is down
-	stateRefused       map[string]bool      // nodes that the state service refuses
+	noLateReports      bool                 // lost reports are never delivered late
+	cloudDown          bool                 // the cloud API is down
+	stateRefused       map[string]bool      // nodes whose calls the state service refuses
 	isolated           map[string]bool      // nodes cut off from everything
 	workersUnreachable map[string]bool      // nodes that hear no workers
-	lossRate           float64              // part of store answers, reports and answers lost
-	lateTxnRate        float64              // part of unanswered transactions applied much later
-	frozenUntil        map[string]time.Time // until when a node stands still
+	lossRate           float64              // fraction of state service answers, reports and their answers that are lost
+	lateTxnRate        float64              // fraction of unanswered transactions that are executed much later
+	frozenUntil        map[string]time.Time // until when a node is stalled
 	refusePeerConns    bool                 // connections between controllers are refused
 
-	// Troubles that meet others; see meetings_test.go.
-	delayedTxnRate       float64              // part of transactions without an answer, executed 2 to 12 s later
-	duplicateReportRate  float64              // part of reports of which a copy arrives again, 2 s to two leases later
-	delayedCommandRate   float64              // part of direct commands held up for 2 to 12 s
-	stateSilent          map[string]bool      // nodes that the state service does not answer at all
+	// Faults of the scenarios; see meetings_test.go.
+	delayedTxnRate       float64              // fraction of transactions that are not answered and are executed 2 to 12 s later
+	duplicateReportRate  float64              // fraction of reports of which a copy arrives again, 2 s to two leases later
+	delayedCommandRate   float64              // fraction of direct commands that are delayed by 2 to 12 s
+	stateSilent          map[string]bool      // nodes whose calls the state service does not answer
 	peersUnreachable     map[string]bool      // nodes cut off from the other controllers
-	watchStalled         map[string]bool      // nodes that the watch tells nothing
-	noInbound            map[string]bool      // machines that hear nothing: their reports arrive
-	stateDelay           time.Duration        // what the state service takes beyond what it usually does
-	cutPairs             map[string]bool      // "node host": of that machine the node hears nothing, nor it of the node
-	hungUntil            map[string]time.Time // until when a machine stands still
-	lostAnswerRate       float64              // part of transactions that are executed at once and whose answer is lost
-	noOutbound           map[string]bool      // machines whose reports reach no node: direct commands reach them
-	keptReportRate       float64              // part of reports of which a copy is kept, for releaseReports
-	kept                 []protocol.Report    // those copies
-	heldReportRate       float64              // part of reports that reach nobody before releaseReports
-	releaseOnOwnerChange bool                 // kept reports arrive just as a share's owner changes, or soon after
+	watchStalled         map[string]bool      // nodes whose watch delivers nothing
+	noInbound            map[string]bool      // machines that receive nothing; their reports still arrive
+	stateDelay           time.Duration        // additional latency of the state service
+	cutPairs             map[string]bool      // "node host": this node and this machine cannot reach each other
+	hungUntil            map[string]time.Time // until when a machine is stalled
+	lostAnswerRate       float64              // fraction of transactions that are executed at once and whose answer is lost
+	noOutbound           map[string]bool      // machines whose reports reach no node; direct commands reach them
+	keptReportRate       float64              // fraction of reports of which a copy is kept for releaseReports
+	kept                 []protocol.Report    // the kept copies
+	heldReportRate       float64              // fraction of reports that are held back until releaseReports
+	releaseOnOwnerChange bool                 // kept reports arrive when a partition's owner changes, or soon after
 	isolatedZone         string               // the zone that is cut off from everything outside; see zone_cut_test.go
-	users                []*user              // of the day under way
-	userOf               map[string]*user     // users by the ids of their jobs
-	answers              *answerChecker       // of all that users are told
-	submitted            []*protocol.JobSpec  // what was submitted by no user of the day, see submit
-	activeScenarios      int                  // meetings that are being played
-	lastJob              int                  // number of the last job of those who joined within the day
-	collectOnly          bool                 // what is broken is only listed
+	users                []*user              // of the running workload
+	userOf               map[string]*user     // users by the IDs of their jobs
+	answers              *answerChecker       // checks all answers to users
+	submitted            []*protocol.JobSpec  // jobs submitted by the test itself and not by a user of the workload, see submit
+	activeScenarios      int                  // number of scenarios in progress
+	lastJob              int                  // number of the last job of a user who was added during the workload
+	collectOnly          bool                 // violations are only collected and do not fail the test
 	violations           []string
-	disabledGuard        string         // a guard that is left out: the tests of meetings find it
-	eventCounts          map[string]int // how often something took place
-	answeredTxns         map[string]int // transactions that a node has had answered
-	stateCalls           map[int64]int  // calls of the state service in a second of simulated time
+	disabledGuard        string         // a guard that is disabled, to check that a scenario detects its absence
+	eventCounts          map[string]int // how often each event occurred
+	answeredTxns         map[string]int // answered transactions by node
+	stateCalls           map[int64]int  // calls of the state service by second of simulated time
 
-	// size, if set, makes a fleet of many machines, controllers of little processor time,
+	// size, if set, makes a fleet of many machines and controllers with little CPU time, and limits
 	// and counts their sockets and requests; see scaled_test.go.
 	size *scaledFleet
 
-	// classes, if set, are those of tickets that the nodes take.
+	// classes, if set, are the ticket classes that the nodes accept.
 	classes ticket.Table
 
-	// lease, if set, is the site's daemon as the nodes ask it.
+	// daemonLease, if set, answers the nodes' lease requests to the site's daemon.
 	daemonLease func(ctx context.Context, node string) ([]byte, error)
 }
 
@@ -119,7 +120,7 @@
 	})
 }
 
-// newWorldAt is a world whose settings and fleet shape may change, for each node.
+// newWorldAt makes a cluster whose settings and fleet the caller may change, once for each node.
 func newWorldAt(t *testing.T, ctx context.Context, seed uint64, size *scaledFleet, shape func(cfg *protocol.Settings, f *standin.Fleet)) *simCluster {
 	w := &simCluster{size: size, t: t, rng: rand.New(rand.NewPCG(seed, 7)), plan: rand.New(rand.NewPCG(seed, 8)), cfg: map[string]*protocol.Settings{}, names: []string{"n-0", "n-1", "n-2"},
 		state: standin.NewState(), nodes: map[string]*Node{}, stop: map[string]context.CancelFunc{},
@@ -147,11 +148,11 @@
 	return w
 }
 
-// chance is true with the probability that p holds now.
-func (w *simCluster) chance(p *float64) bool {
+// chance returns true with probability *p, as it is now.
+func (w *simCluster) chance(probability *float64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.rng.Float64() < *p
+	return w.rng.Float64() < *probability
 }
 
 func (w *simCluster) randDuration(a, b time.Duration) time.Duration {
@@ -205,15 +206,16 @@
 	})
 }
 
-// sendHints tells the other nodes every second how a node is, if both are reached.
+// sendHints sends the node's hints to the other nodes every second, as far as they are reachable,
+// and reports connection events to it.
 func (w *simCluster) sendHints(ctx context.Context, n *Node) {
-	was := map[string]*Node{} // whom it is connected to
-	var told time.Time
+	connected := map[string]*Node{} // nodes that it is connected to
+	var lastSent time.Time
 	for ctx.Err() == nil {
 		w.waitUntilThawed(n.cfg.Node)
-		say := time.Since(told) >= HintInterval
-		if say {
-			told = time.Now()
+		due := time.Since(lastSent) >= HintInterval
+		if due {
+			lastSent = time.Now()
 		}
 		for _, name := range w.names {
 			other := w.node(name)
@@ -223,20 +225,20 @@
 			switch {
 			case other == n || w.isSet(w.isolated, name) || w.isSet(w.isolated, n.cfg.Node) || w.isSet(w.peersUnreachable, name) || w.isSet(w.peersUnreachable, n.cfg.Node) || w.inCutZone(name) != w.inCutZone(n.cfg.Node):
 			case other == nil || filter:
-				// Its host ends what was open, and refuses what is new.
-				if was[name] != nil {
+				// The other host closes the open connection and refuses new ones.
+				if connected[name] != nil {
 					n.OnConnEvent(name, transport.ConnEnded)
 					n.OnConnEvent(name, transport.ConnRefused)
-				} else if say {
+				} else if due {
 					n.OnConnEvent(name, transport.ConnRefused)
 				}
-				was[name] = nil
+				connected[name] = nil
 			default:
-				if was[name] != nil && was[name] != other {
-					n.OnConnEvent(name, transport.ConnEnded) // it is a new process
+				if connected[name] != nil && connected[name] != other {
+					n.OnConnEvent(name, transport.ConnEnded) // a new process
 				}
-				was[name] = other
-				if say {
+				connected[name] = other
+				if due {
 					other.ReceiveHint(n.Hint())
 				}
 			}
@@ -248,8 +250,8 @@
 	}
 }
 
-// freeze makes a node stand still while its clocks run on: nothing that it does
-// begins, and nothing that comes reaches it, before it goes on.
+// freeze stalls a node while its clocks run on: it starts no calls and handles none that arrive
+// until the stall is over.
 func (w *simCluster) freeze(name string, lasts time.Duration) {
 	w.withLock(func() { w.frozenUntil[name] = time.Now().Add(lasts) })
 	if n := w.node(name); n != nil {
@@ -258,10 +260,10 @@
 	time.Sleep(lasts)
 }
 
-// waitUntilThawed waits until a node goes on.
+// waitUntilThawed waits until a node's stall is over.
 func (w *simCluster) waitUntilThawed(name string) { w.waitUntil(w.frozenUntil, name) }
 
-// waitWhileHung waits until a machine goes on.
+// waitWhileHung waits until a machine's stall is over.
 func (w *simCluster) waitWhileHung(machine string) { w.waitUntil(w.hungUntil, machine) }
 
 func (w *simCluster) waitUntil(till map[string]time.Time, name string) {
@@ -275,7 +277,7 @@
 
 func (w *simCluster) crash(name string) { w.restart(name, 3*time.Second) }
 
-// stopNode ends a process, if there is one.
+// stopNode ends a node's process, if there is one.
 func (w *simCluster) stopNode(name string) {
 	w.withLock(func() {
 		w.stop[name]()
@@ -283,7 +285,7 @@
 	})
 }
 
-// startIfStopped starts a process that has ended, unless somebody has.
+// startIfStopped starts a node unless it runs.
 func (w *simCluster) startIfStopped(name string) {
 	if w.node(name) == nil {
 		w.startNode(name)
@@ -300,13 +302,13 @@
 
 var errNoAnswer = errors.New("no answer")
 
-// takenClasses, if a test sets them, are the classes of tickets that new worlds' nodes take.
+// nodeTicketClasses, if a test sets it, are the ticket classes that the nodes of new clusters accept.
 var nodeTicketClasses ticket.Table
 
-// setAccount, if a test sets it, gives each node that starts its settings.
+// configureAccount, if a test sets it, configures each node before it starts.
 var configureAccount func(n *Node)
 
-// isRunning says whether a task of a job has started.
+// isRunning reports whether a task of a job runs.
 func (w *simCluster) isRunning(job string) bool {
 	for _, m := range w.fleet.Names() {
 		if w.fleet.Runs(m, job) {
@@ -316,7 +318,7 @@
 	return false
 }
 
-// userRequest runs one request of a user on a node's actor.
+// userRequest runs a user's request on a node's actor.
 func (w *simCluster) userRequest(ctx context.Context, name string, f func(n *Node, reply chan<- answer)) (answer, error) {
 	if w.inCutZone(name) {
 		return answer{}, errNoAnswer
@@ -324,7 +326,7 @@
 	return w.nodeRequest(ctx, name, f)
 }
 
-// nodeRequest runs one request, of whomever, on a node's actor.
+// nodeRequest runs a request of any client on a node's actor.
 func (w *simCluster) nodeRequest(ctx context.Context, name string, f func(n *Node, reply chan<- answer)) (answer, error) {
 	n := w.node(name)
 	if n == nil || w.isSet(w.isolated, name) {
@@ -337,8 +339,8 @@
 	defer w.size.endRequest(name)
 	n.post(func() { w.size.spendCPU(name, turnCost); f(n, reply) })
 	select {
-	case a := <-reply:
-		return a, nil
+	case response := <-reply:
+		return response, nil
 	case <-n.ctx.Done():
 		return answer{}, errNoAnswer
 	case <-ctx.Done():
@@ -346,8 +348,8 @@
 	}
 }
 
-// deliverReport is the workers' link to the nodes, with everything a network may do.
-func (w *simCluster) deliverReport(ctx context.Context, node string, r protocol.Report) (int, protocol.Orders, string, error) {
+// deliverReport delivers a worker's report to a node, subject to the configured network faults.
+func (w *simCluster) deliverReport(ctx context.Context, node string, report protocol.Report) (int, protocol.Orders, string, error) {
 	if w.isSet(w.workersUnreachable, node) || w.chance(&w.lossRate) {
 		w.mu.Lock()
 		gone := w.noLateReports
@@ -355,43 +357,43 @@
 		if !gone && w.chance(&half) {
 			go func() { // the report arrives late, after the worker has given up
 				time.Sleep(w.randDuration(5*time.Second, 40*time.Second))
-				w.nodeRequest(w.ctx, node, func(n *Node, reply chan<- answer) { n.onReport(&r, time.Now(), reply) })
+				w.nodeRequest(w.ctx, node, func(n *Node, reply chan<- answer) { n.onReport(&report, time.Now(), reply) })
 			}()
 		}
 		<-ctx.Done()
 		return 0, protocol.Orders{}, "", errNoAnswer
 	}
-	w.waitWhileHung(r.Machine)
-	if w.isSet(w.cutPairs, node+" "+r.Machine) || w.isSet(w.noOutbound, r.Machine) || w.cutBetween(node, r.Zone) {
+	w.waitWhileHung(report.Machine)
+	if w.isSet(w.cutPairs, node+" "+report.Machine) || w.isSet(w.noOutbound, report.Machine) || w.cutBetween(node, report.Zone) {
 		<-ctx.Done()
 		return 0, protocol.Orders{}, "", errNoAnswer
 	}
 	if w.holdsBackReport() {
-		w.keepReport(r)
+		w.keepReport(report)
 		<-ctx.Done()
 		return 0, protocol.Orders{}, "", errNoAnswer
 	}
 	time.Sleep(w.randDuration(time.Millisecond, 5*time.Millisecond))
 	if w.chance(&w.duplicateReportRate) {
-		go w.redeliverLater(node, r)
+		go w.redeliverLater(node, report)
 	}
 	if w.chance(&w.keptReportRate) {
-		w.keepReport(r)
+		w.keepReport(report)
 	}
-	a, err := w.nodeRequest(ctx, node, func(n *Node, reply chan<- answer) {
-		if m := n.machines[r.Machine]; m != nil && m.recorded && w.disabledGuard == "tokens" {
-			r.Token = n.fencingToken(m)
+	response, err := w.nodeRequest(ctx, node, func(n *Node, reply chan<- answer) {
+		if m := n.machines[report.Machine]; m != nil && m.recorded && w.disabledGuard == "tokens" {
+			report.Token = n.fencingToken(m)
 		}
-		n.onReport(&r, time.Now(), reply)
+		n.onReport(&report, time.Now(), reply)
 	})
 	if err == nil {
 		w.recordEvent("reported to " + node)
 	}
-	if err == nil && a.status == 200 {
+	if err == nil && response.status == 200 {
 		w.recordEvent("answered by " + node)
 	}
-	w.waitWhileHung(r.Machine)
-	if err == nil && (w.chance(&w.lossRate) || w.isSet(w.noInbound, r.Machine) || w.cutBetween(node, r.Zone)) {
+	w.waitWhileHung(report.Machine)
+	if err == nil && (w.chance(&w.lossRate) || w.isSet(w.noInbound, report.Machine) || w.cutBetween(node, report.Zone)) {
 		<-ctx.Done()
 		return 0, protocol.Orders{}, "", errNoAnswer
 	}
@@ -399,83 +401,83 @@
 		<-ctx.Done()
 		return 0, protocol.Orders{}, "", err
 	}
-	switch b := a.body.(type) {
+	switch b := response.body.(type) {
 	case protocol.Orders:
-		return a.status, b, "", nil
+		return response.status, b, "", nil
 	case protocol.Redirect:
-		return a.status, protocol.Orders{}, b.ReportTo, nil
+		return response.status, protocol.Orders{}, b.ReportTo, nil
 	}
-	return a.status, protocol.Orders{}, "", nil
+	return response.status, protocol.Orders{}, "", nil
 }
 
-// redeliverLater delivers a copy of a report, long after.
-func (w *simCluster) redeliverLater(node string, r protocol.Report) {
+// redeliverLater delivers a copy of a report much later.
+func (w *simCluster) redeliverLater(node string, report protocol.Report) {
 	lease := time.Duration(w.cfg[node].Params.Workers.LeaseS * float64(time.Second))
 	time.Sleep(w.randDuration(2*time.Second, 2*lease))
-	w.redeliver(node, r)
+	w.redeliver(node, report)
 }
 
-// redeliver delivers a copy of a report that was sent before.
-func (w *simCluster) redeliver(node string, r protocol.Report) {
+// redeliver delivers a copy of an earlier report.
+func (w *simCluster) redeliver(node string, report protocol.Report) {
 	w.nodeRequest(w.ctx, node, func(n *Node, reply chan<- answer) {
-		switch m := n.machines[r.Machine]; {
+		switch m := n.machines[report.Machine]; {
 		case m == nil:
-		case w.disabledGuard == "newest": // as if it were the newest
-			r.Session, r.Seq = m.session, m.seq+1
-		case w.disabledGuard == "old token": // as if it were also made under the present token
-			r.Session, r.Seq, r.Token = m.session, m.seq+1, n.fencingToken(m)
+		case w.disabledGuard == "newest": // disabled guard: pretend that it is the newest
+			report.Session, report.Seq = m.session, m.seq+1
+		case w.disabledGuard == "old token": // disabled guard: pretend that it was also made under the present token
+			report.Session, report.Seq, report.Token = m.session, m.seq+1, n.fencingToken(m)
 		case m.session == 0 && m.recorded && n.owns(n.partitions[m.rec.Share]):
 			w.recordEvent("old report comes first")
-		case r.Session < m.session:
+		case report.Session < m.session:
 			w.recordEvent("report of an earlier session")
-		case r.Session == m.session && r.Seq < m.seq:
+		case report.Session == m.session && report.Seq < m.seq:
 			w.recordEvent("old report")
 		}
-		n.onReport(&r, time.Now(), reply)
+		n.onReport(&report, time.Now(), reply)
 	})
 }
 
-// violation tells that something is broken.
-func (w *simCluster) violation(format string, a ...any) {
+// violation records a violation and, unless violations are only collected, fails the test.
+func (w *simCluster) violation(format string, args ...any) {
 	w.mu.Lock()
-	w.violations = append(w.violations, fmt.Sprintf(format, a...))
+	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 	w.mu.Unlock()
 	if !w.collectOnly {
-		w.t.Errorf(format, a...)
+		w.t.Errorf(format, args...)
 	}
 }
 
-// recordEvent notes that something took place: a test of a meeting asserts that it did.
+// recordEvent counts an event. A scenario asserts that its events occurred.
 func (w *simCluster) recordEvent(what string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.eventCounts[what]++
 }
 
-// eventCount is how often something took place.
+// eventCount returns how often an event occurred.
 func (w *simCluster) eventCount(what string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.eventCounts[what]
 }
 
-// faultyWorkers are direct calls to workers as one node makes them: some are held
-// on their way and executed much later, some answers are lost.
+// faultyWorkers makes a node's direct calls to workers, subject to faults: some are delayed and
+// executed much later, some answers are lost.
 type faultyWorkers struct {
 	w    *simCluster
 	node string
 }
 
-func (f *faultyWorkers) Command(ctx context.Context, addr string, o protocol.Orders) (r *protocol.Report, ok bool, err error) {
+func (f *faultyWorkers) Command(ctx context.Context, addr string, orders protocol.Orders) (r *protocol.Report, ok bool, err error) {
 	f.w.waitUntilThawed(f.node)
 	defer f.w.waitUntilThawed(f.node)
-	f.w.size.noteDirectCall(f.node, o)
+	f.w.size.noteDirectCall(f.node, orders)
 	time.Sleep(f.w.randDuration(time.Millisecond, 5*time.Millisecond))
 	if f.w.isSet(f.w.isolated, f.node) || f.w.isSet(f.w.workersUnreachable, f.node) || f.w.chance(&f.w.lossRate) {
 		if f.w.chance(&half) {
 			go func() {
 				time.Sleep(f.w.randDuration(2*time.Second, 70*time.Second))
-				f.w.fleet.Command(f.w.ctx, addr, o)
+				f.w.fleet.Command(f.w.ctx, addr, orders)
 			}()
 		}
 		time.Sleep(2 * time.Second)
@@ -483,30 +485,30 @@
 	}
 	host, _, _ := strings.Cut(addr, ":")
 	f.w.mu.Lock()
-	still := time.Until(f.w.hungUntil[host])
+	delay := time.Until(f.w.hungUntil[host])
 	f.w.mu.Unlock()
-	switch held := f.w.chance(&f.w.delayedCommandRate); {
+	switch delayed := f.w.chance(&f.w.delayedCommandRate); {
 	case f.w.isSet(f.w.noInbound, host), f.w.isSet(f.w.cutPairs, f.node+" "+host), f.w.cutFrom(f.node, host):
 		time.Sleep(2 * time.Second)
 		return nil, false, errNoAnswer
-	case held, still > 0:
+	case delayed, delay > 0:
 		before, _ := f.w.fleet.Inspect(ctx, addr)
-		if held {
-			still = max(still, f.w.randDuration(2*time.Second, 12*time.Second))
+		if delayed {
+			delay = max(delay, f.w.randDuration(2*time.Second, 12*time.Second))
 		}
-		if f.w.disabledGuard == "doubt" { // as if what is not answered were refused
+		if f.w.disabledGuard == "doubt" { // disabled guard: treat an unanswered command as refused
 			defer func() { r, ok, err = before, false, nil }()
 		}
-		go func() { // the machine, or the command, goes on
-			time.Sleep(still)
-			if r, ok, _ := f.w.fleet.Command(f.w.ctx, addr, o); ok && r != nil && len(o.Commands) > 0 {
-				f.w.recordEvent("held command executed")
+		go func() { // the machine or the command continues after the delay
+			time.Sleep(delay)
+			if r, ok, _ := f.w.fleet.Command(f.w.ctx, addr, orders); ok && r != nil && len(orders.Commands) > 0 {
+				f.w.recordEvent("delayed command executed")
 			}
 		}()
 		time.Sleep(2 * time.Second)
 		return nil, false, errNoAnswer
 	}
-	r, ok, err = f.w.fleet.Command(ctx, addr, o)
+	r, ok, err = f.w.fleet.Command(ctx, addr, orders)
 	if f.w.chance(&f.w.lossRate) {
 		time.Sleep(2 * time.Second)
 		return nil, false, errNoAnswer // executed, but the answer is lost
@@ -526,7 +528,7 @@
 	return f.w.fleet.Inspect(ctx, addr)
 }
 
-// faultyCloud is the cloud as one node meets it.
+// faultyCloud is the cloud API as one node sees it, subject to faults.
 type faultyCloud struct {
 	CloudService
 	w    *simCluster
@@ -571,13 +573,13 @@
 	}
 	defer f.w.waitUntilThawed(f.node)
 	f.w.size.noteReturns(len(names))
-	if f.w.disabledGuard == "return" { // as if silence proved that a machine is gone
+	if f.w.disabledGuard == "return" { // disabled guard: treat silence as proof that a machine is gone
 		return nil
 	}
 	return f.CloudService.Return(ctx, names)
 }
 
-// faultyState is the state service as one node meets it.
+// faultyState is the state service as one node sees it, subject to faults.
 type faultyState struct {
 	w       *simCluster
 	node    string
@@ -632,11 +634,11 @@
 func (f *faultyState) Txn(ctx context.Context, conds []storage.Cond, writes []storage.Write) (bool, uint64, []string, error) {
 	defer f.w.waitUntilThawed(f.node)
 	if err := f.injectFaults(ctx); err != nil {
-		if f.w.disabledGuard == "read barrier" && len(writes) == 0 { // as if memory were up to date
+		if f.w.disabledGuard == "read barrier" && len(writes) == 0 { // disabled guard: pretend that memory is up to date
 			return true, 0, nil, nil
 		}
 		if errors.Is(err, storage.ErrUnknown) && f.w.chance(&f.w.lateTxnRate) {
-			go func() { // held on its way, and applied long after
+			go func() { // delayed, and executed much later
 				time.Sleep(f.w.randDuration(2*time.Second, 30*time.Second))
 				f.w.state.Txn(f.w.ctx, conds, writes)
 			}()
@@ -648,18 +650,18 @@
 		writes = detachOwnerLeases(writes)
 	}
 	if f.w.chance(&f.w.delayedTxnRate) {
-		sent := f.w.countAnsweredTxns(f.node, 0)
+		answeredBefore := f.w.countAnsweredTxns(f.node, 0)
 		go func() {
 			time.Sleep(f.w.randDuration(2*time.Second, 12*time.Second))
-			newer := f.w.countAnsweredTxns(f.node, 0) > sent
+			newer := f.w.countAnsweredTxns(f.node, 0) > answeredBefore
 			if f.w.disabledGuard == "conditions" {
 				conds = nil
 			}
 			ok, _, _, _ := f.w.state.Txn(f.w.ctx, conds, writes)
 			if newer && len(writes) > 0 {
-				f.w.recordEvent("write late")
+				f.w.recordEvent("delayed write")
 				if ok {
-					f.w.recordEvent("write late executed")
+					f.w.recordEvent("delayed write executed")
 				}
 			}
 		}()
@@ -683,7 +685,7 @@
 	return ok, rev, failed, err
 }
 
-// countAnsweredTxns counts the transactions that a node has had answered.
+// countAnsweredTxns adds to the count of a node's answered transactions and returns it.
 func (w *simCluster) countAnsweredTxns(node string, more int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -722,7 +724,7 @@
 	}
 	items, rev, err := f.w.state.Watch(ctx, prefix, since, hold)
 	f.w.size.spendReads(f.node, len(items))
-	for err == nil { // an open watch waits during an outage
+	for err == nil { // an open watch blocks during an outage
 		cutOff := f.w.inCutZone(f.node)
 		f.w.mu.Lock()
 		dark := cutOff || f.w.outage || f.w.stateRefused[f.node] || f.w.isolated[f.node] || f.w.stateSilent[f.node] || f.w.watchStalled[f.node]
@@ -735,12 +737,12 @@
 	return f.w.readableItems(items, true), rev, err
 }
 
-// user submits a job, polls it and perhaps cancels it.
+// user submits a job, polls it and in some cases cancels it.
 type user struct {
 	w           *simCluster
 	spec        *protocol.JobSpec
-	accepted    bool   // guarded by the world's mu
-	finalStatus string // guarded by the world's mu
+	accepted    bool   // guarded by the cluster's mu
+	finalStatus string // guarded by the cluster's mu
 	cancelAt    time.Duration
 }
 
@@ -754,11 +756,11 @@
 	w.withLock(func() { w.userOf[u.spec.ID] = u })
 	for !u.accepted {
 		ctx, cancel := context.WithTimeout(w.ctx, 5*time.Second)
-		a, err := w.submitAt(ctx, u.randomNode(), u.spec)
+		response, err := w.submitAt(ctx, u.randomNode(), u.spec)
 		cancel()
-		w.withLock(func() { u.accepted = err == nil && (a.status == 200 || a.status == 201) })
-		if err == nil && (a.status == 400 || a.status == 422) {
-			w.violation("%s refused with %d", u.spec.ID, a.status)
+		w.withLock(func() { u.accepted = err == nil && (response.status == 200 || response.status == 201) })
+		if err == nil && (response.status == 400 || response.status == 422) {
+			w.violation("%s refused with %d", u.spec.ID, response.status)
 			return
 		}
 		if w.ctx.Err() != nil {
@@ -777,19 +779,19 @@
 	}
 }
 
-// knownFinalStatus is what the user was told in the end, if anything.
+// knownFinalStatus returns the final status that the user has received, or "" if none.
 func (u *user) knownFinalStatus() string {
 	u.w.mu.Lock()
 	defer u.w.mu.Unlock()
 	return u.finalStatus
 }
 
-// checkAnswer compares what somebody was told of the user's job with the machines; whether it is
-// older than an earlier answer is the answerChecker's.
+// checkAnswer compares a status that a user received with the state of the machines. The
+// answerChecker checks that it is not older than an earlier answer.
 func (u *user) checkAnswer(status string) {
-	var wrong []string
+	var violations []string
 	defer func() {
-		for _, x := range wrong {
+		for _, x := range violations {
 			u.w.violation("%s", x)
 		}
 	}()
@@ -799,82 +801,82 @@
 	switch status {
 	case protocol.JobDone:
 		if n, of := u.w.fleet.Finished(u.spec.ID), u.spec.Tasks; u.finalStatus == "" && n < of && (u.spec.Shape != protocol.Gang || n == 0) {
-			wrong = append(wrong, fmt.Sprintf("%s is called done with %d of %d tasks completed", u.spec.ID, n, of))
+			violations = append(violations, fmt.Sprintf("%s is called done with %d of %d tasks completed", u.spec.ID, n, of))
 		}
 		u.finalStatus = status
 	case protocol.JobCancelled:
 		if left := u.w.fleet.Left(u.spec.ID); u.finalStatus == "" && left > 0 {
-			wrong = append(wrong, fmt.Sprintf("%s is called cancelled with %d tasks left", u.spec.ID, left))
+			violations = append(violations, fmt.Sprintf("%s is called cancelled with %d tasks left", u.spec.ID, left))
 		}
 		u.finalStatus = status
 	}
 }
 
-// describeJob is all that is known of a job that should have ended: what is stored, what each node
-// says, who holds what.
+// describeJob returns all that is known of a job that should have ended, for diagnosis: what is
+// stored, what each node says of it, and who owns which partition.
 func (w *simCluster) describeJob(id string) string {
-	var b strings.Builder
+	var out strings.Builder
 	items, _, _ := w.state.List(w.t.Context(), protocol.Root)
 	if j := packed.Read(items, ringSlots).Jobs[id]; j != nil {
-		fmt.Fprintf(&b, "stored %s", mustJSON(j))
+		fmt.Fprintf(&out, "stored %s", mustJSON(j))
 	}
 	for _, it := range items {
 		if strings.HasPrefix(it.Key, protocol.JobKey(id)) || strings.HasPrefix(it.Key, protocol.HolderRoot) {
-			fmt.Fprintf(&b, "\n%s %s", it.Key, it.Value)
+			fmt.Fprintf(&out, "\n%s %s", it.Key, it.Value)
 		}
 	}
 	for _, name := range w.names {
 		if n := w.node(name); n != nil {
-			fmt.Fprintf(&b, "\n%s: %s; %s", name, mustJSON(w.explanation(name, id)), onActor(n, func() string {
-				held := fmt.Sprintf("lease %d", n.lease)
+			fmt.Fprintf(&out, "\n%s: %s; %s", name, mustJSON(w.explanation(name, id)), onActor(n, func() string {
+				owned := fmt.Sprintf("lease %d", n.lease)
 				for _, s := range n.partitions {
-					held += fmt.Sprintf(", share %d %+v pending %v taking %+v mine %v", s.index, s.owner, s.ownerChangePending, s.takeover, n.owns(s))
+					owned += fmt.Sprintf(", partition %d %+v pending %v takeover %+v owned %v", s.index, s.owner, s.ownerChangePending, s.takeover, n.owns(s))
 				}
-				return held
+				return owned
 			}))
 		}
 	}
-	fmt.Fprintf(&b, "\n%d machines", len(w.fleet.Names()))
-	return b.String()
+	fmt.Fprintf(&out, "\n%d machines", len(w.fleet.Names()))
+	return out.String()
 }
 
 func (w *simCluster) randomUsers(count int) []*user {
-	var us []*user
+	var users []*user
 	teams := []string{"red", "blue", "green"}
 	for i := range count {
-		s := &protocol.JobSpec{ID: fmt.Sprintf("job-%06d", i), Team: teams[i%3], Class: "c", Priority: "standard", Shape: protocol.Array,
+		spec := &protocol.JobSpec{ID: fmt.Sprintf("job-%06d", i), Team: teams[i%3], Class: "c", Priority: "standard", Shape: protocol.Array,
 			Tasks: 1 + w.plan.IntN(6), CPUs: 4, GPUs: 1, MemoryGB: 20, Image: fmt.Sprint("img-", w.plan.IntN(3)), ImageGB: 2, EstimateS: 5 + 10*w.plan.Float64(), Spot: w.plan.IntN(2) == 0}
 		switch w.plan.IntN(4) {
 		case 0:
-			s.Shape, s.Priority, s.Tasks = protocol.Service, "critical", 1+w.plan.IntN(2)
-			s.Spread = w.plan.IntN(2) == 0
+			spec.Shape, spec.Priority, spec.Tasks = protocol.Service, "critical", 1+w.plan.IntN(2)
+			spec.Spread = w.plan.IntN(2) == 0
 		case 1:
-			s.Shape, s.Priority, s.Tasks = protocol.Gang, "high", 1+w.plan.IntN(4)
-			s.OneZone = w.plan.IntN(2) == 0
+			spec.Shape, spec.Priority, spec.Tasks = protocol.Gang, "high", 1+w.plan.IntN(4)
+			spec.OneZone = w.plan.IntN(2) == 0
 		}
 		if w.plan.IntN(6) == 0 {
-			s.Team = "guest" // without a guarantee
+			spec.Team = "guest" // a team without a guarantee
 		}
-		u := &user{w: w, spec: s}
+		u := &user{w: w, spec: spec}
 		if w.plan.IntN(8) == 0 {
-			w.fleet.Mistaken(s.ID) // until its user cancels it
+			w.fleet.Mistaken(spec.ID) // fails until its user cancels it
 			u.cancelAt = time.Duration(20+w.plan.IntN(90)) * time.Second
 		}
-		if u.cancelAt == 0 && (w.plan.IntN(4) == 0 || s.Shape == protocol.Service) {
+		if u.cancelAt == 0 && (w.plan.IntN(4) == 0 || spec.Shape == protocol.Service) {
 			u.cancelAt = time.Duration(10+w.plan.IntN(60)) * time.Second
 		}
-		us = append(us, u)
+		users = append(users, u)
 	}
-	return us
+	return users
 }
 
-// runWorkload lets the users come one after the other while faults happens, then heals
-// everything and waits for the end of all jobs.
+// runWorkload starts the users one after the other while faults are injected, then removes all
+// faults and waits for all jobs to end.
 func (w *simCluster) runWorkload(count int, faults func(w *simCluster)) {
-	us := w.randomUsers(count)
-	w.withLock(func() { w.users = us })
+	users := w.randomUsers(count)
+	w.withLock(func() { w.users = users })
 	var wg sync.WaitGroup
-	for _, u := range us {
+	for _, u := range users {
 		wg.Add(1)
 		go u.run(wg.Done)
 		time.Sleep(w.randDuration(time.Millisecond, 2*time.Second))
@@ -905,19 +907,19 @@
 		w := newWorld(t, ctx, seed, change)
 		w.runWorkload(count, faults)
 		cancel()
-		time.Sleep(2 * time.Minute) // until all that was held has come
+		time.Sleep(2 * time.Minute) // until all delayed messages have arrived
 		synctest.Wait()
 	})
 }
 
-func TestQuietDay(t *testing.T) {
+func TestWorkloadWithoutFaults(t *testing.T) {
 	simulate(t, 1, 20, defaultSettings, func(*simCluster) { time.Sleep(30 * time.Second) })
 }
 
-// moreSeeds is for long runs by hand: go test -run Troubles -seeds 500 -timeout 3h.
+// moreSeeds is for long manual runs: go test -run Troubles -seeds 500 -timeout 3h.
 var moreSeeds = flag.Uint64("seeds", 0, "seeds of the simulated troubles, instead of a few")
 
-// seedCount are so many, or as many as were asked for by hand.
+// seedCount returns the number of seeds to run: the default, or that of the -seeds flag.
 func seedCount(few uint64) uint64 {
 	if *moreSeeds > 0 {
 		return *moreSeeds
@@ -925,7 +927,7 @@
 	return few
 }
 
-// Random troubles, one after the other and overlapping.
+// Rules hold and jobs end under random faults, sequential and overlapping.
 func TestTroubles(t *testing.T) {
 	for seed := range seedCount(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -934,7 +936,7 @@
 	}
 }
 
-// The same where workers report rarely, so that starts go out directly.
+// The same with workers that report rarely, so that starts are sent by direct commands.
 func TestTroublesWithDirectStarts(t *testing.T) {
 	for seed := range seedCount(8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -949,30 +951,30 @@
 	w.withLock(func() { w.lateTxnRate = 0.5 })
 	for range 8 {
 		name := w.names[w.plan.IntN(3)]
-		lasts := w.randDuration(2*time.Second, 35*time.Second)
+		duration := w.randDuration(2*time.Second, 35*time.Second)
 		switch w.plan.IntN(9) {
 		case 7:
-			w.freeze(name, lasts)
-		case 8: // while something else goes wrong
-			go w.freeze(name, lasts)
+			w.freeze(name, duration)
+		case 8: // overlapping with the next fault
+			go w.freeze(name, duration)
 		case 0:
 			w.crash(name)
 		case 1:
 			w.withLock(func() { w.outage = true })
-			time.Sleep(lasts)
+			time.Sleep(duration)
 			w.withLock(func() { w.outage = false })
 			w.state.Refill()
 		case 2:
 			w.withLock(func() { w.stateRefused[name] = true })
-			time.Sleep(lasts)
+			time.Sleep(duration)
 			w.withLock(func() { w.stateRefused[name] = false })
 		case 3:
 			w.withLock(func() { w.isolated[name] = true })
-			time.Sleep(lasts)
+			time.Sleep(duration)
 			w.withLock(func() { w.isolated[name] = false })
 		case 4:
 			w.withLock(func() { w.workersUnreachable[name] = true })
-			time.Sleep(lasts)
+			time.Sleep(duration)
 			w.withLock(func() { w.workersUnreachable[name] = false })
 		case 5:
 			if ms := w.fleet.Names(); len(ms) > 0 {
@@ -980,32 +982,32 @@
 			}
 		case 6:
 			w.withLock(func() { w.lossRate = 0.2 })
-			time.Sleep(lasts)
+			time.Sleep(duration)
 			w.withLock(func() { w.lossRate = 0 })
 		}
 		time.Sleep(w.randDuration(time.Millisecond, 8*time.Second))
 	}
 }
 
-// submit submits a job until it is accepted.
-func (w *simCluster) submit(s *protocol.JobSpec) {
-	w.fleet.Submitted(s)
-	w.withLock(func() { w.submitted = append(w.submitted, s) })
+// submit submits a job, retrying until it is accepted.
+func (w *simCluster) submit(spec *protocol.JobSpec) {
+	w.fleet.Submitted(spec)
+	w.withLock(func() { w.submitted = append(w.submitted, spec) })
 	for k := range 60 {
-		a, err := w.submitAt(w.ctx, w.names[k%3], s)
-		if err == nil && a.status < 300 {
+		response, err := w.submitAt(w.ctx, w.names[k%3], spec)
+		if err == nil && response.status < 300 {
 			return
 		}
 		time.Sleep(time.Second)
 	}
-	w.t.Errorf("%s not accepted", s.ID)
+	w.t.Errorf("%s not accepted", spec.ID)
 }
 
-// cancel cancels a job.
+// cancel cancels a job, retrying until that is accepted.
 func (w *simCluster) cancel(id string) {
 	for range 60 {
-		a, err := w.cancelAt(w.ctx, w.names[0], id)
-		if err == nil && a.status == 200 {
+		response, err := w.cancelAt(w.ctx, w.names[0], id)
+		if err == nil && response.status == 200 {
 			return
 		}
 		time.Sleep(time.Second)
--- a/internal/coordination/node/standby_test.go
+++ b/internal/coordination/node/standby_test.go
@@ -16,7 +16,7 @@
 	"dapplestage.example/dapplestage/internal/transport"
 )
 
-// partitionOwners are who holds each share, by the store.
+// partitionOwners returns the stored owner records of all partitions.
 func (w *simCluster) partitionOwners() [3]protocol.HolderRecord {
 	var out [3]protocol.HolderRecord
 	for i := range out {
@@ -27,7 +27,7 @@
 	return out
 }
 
-// ownedBy are the shares that a node holds.
+// ownedBy returns the partitions that a node owns.
 func (w *simCluster) ownedBy(name string) []int {
 	var out []int
 	for i, h := range w.partitionOwners() {
@@ -38,24 +38,25 @@
 	return out
 }
 
-// timeWithoutOwner is how long until all of some shares have another holder than a node.
-func (w *simCluster) timeWithoutOwner(from string, shares []int, within time.Duration) time.Duration {
-	began := time.Now()
-	for time.Since(began) < within {
+// timeWithoutOwner returns how long it takes until each of the partitions has an owner other than a
+// given node.
+func (w *simCluster) timeWithoutOwner(previous string, partitions []int, within time.Duration) time.Duration {
+	start := time.Now()
+	for time.Since(start) < within {
 		all := true
-		for _, i := range shares {
-			h := w.partitionOwners()[i]
-			all = all && h.Token != 0 && h.Node != from
+		for _, i := range partitions {
+			record := w.partitionOwners()[i]
+			all = all && record.Token != 0 && record.Node != previous
 		}
 		if all {
-			return time.Since(began)
+			return time.Since(start)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	return within
 }
 
-// idleWorld is a world with nothing to do, in which a test makes holders end.
+// idleWorld runs a test in a cluster without jobs.
 func idleWorld(t *testing.T, seed uint64, f func(w *simCluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -71,19 +72,19 @@
 	})
 }
 
-// How long a share has nobody, by cause: a process that ended is found out through the
-// store in less than its lease; an orderly end hands over; a stall waits for the lease,
+// Limits how long a partition has no owner, by cause. The end of a process is detected through the
+// state service in less than its lease, an orderly shutdown hands over, and a stall takes the lease
 // and no longer.
-func TestTakeOverTimes(t *testing.T) {
+func TestTakeoverTimes(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			idleWorld(t, seed, func(w *simCluster) {
 				for _, c := range []struct {
-					name string
-					most time.Duration
-					end  func(name string)
+					name  string
+					limit time.Duration
+					end   func(name string)
 				}{
-					{"ended", 1300 * time.Millisecond, // if the first standby is not there, the second takes it 0.3 s later
+					{"ended", 1300 * time.Millisecond, // if the first standby is gone too, the second takes over 0.3 s later
 						func(name string) {
 							w.stop[name]()
 							w.withLock(func() { w.nodes[name] = nil })
@@ -94,19 +95,19 @@
 						w.stop[name]()
 						w.withLock(func() { w.nodes[name] = nil })
 					}},
-					{"stood still", leaseTTL + 600*time.Millisecond, func(name string) { go w.freeze(name, 20*time.Second) }},
+					{"stalled", leaseTTL + 600*time.Millisecond, func(name string) { go w.freeze(name, 20*time.Second) }},
 				} {
 					time.Sleep(w.randDuration(8*time.Second, 9*time.Second))
 					name := w.names[w.plan.IntN(3)]
-					held := w.ownedBy(name)
-					if len(held) == 0 {
+					owned := w.ownedBy(name)
+					if len(owned) == 0 {
 						continue // it has just come back
 					}
 					c.end(name)
-					took := w.timeWithoutOwner(name, held, 10*time.Second)
-					t.Logf("%s %s: %d shares had nobody for %v", name, c.name, len(held), took)
-					if took > c.most {
-						t.Errorf("that is more than %v", c.most)
+					took := w.timeWithoutOwner(name, owned, 10*time.Second)
+					t.Logf("%s %s: %d partitions had no owner for %v", name, c.name, len(owned), took)
+					if took > c.limit {
+						t.Errorf("that is more than %v", c.limit)
 					}
 					time.Sleep(21 * time.Second)
 					if w.node(name) == nil {
@@ -119,28 +120,28 @@
 	}
 }
 
-// What looks like an end and is none makes no share change hands: controllers that
-// refuse one another's connections, hints lost, a process that is back at once.
-func TestNoShareChangesHandsWithoutCause(t *testing.T) {
+// A network fault between controllers looks like the end of a process. No partition may change its
+// owner when controllers refuse each other's connections or hints are lost.
+func TestNoOwnerChangeWithoutCause(t *testing.T) {
 	for seed := range uint64(4) {
 		idleWorld(t, 20+seed, func(w *simCluster) {
 			time.Sleep(5 * time.Second)
-			was := w.partitionOwners()
+			before := w.partitionOwners()
 			for range 3 {
 				w.withLock(func() { w.refusePeerConns = true })
 				time.Sleep(w.randDuration(2*time.Second, 30*time.Second))
 				w.withLock(func() { w.refusePeerConns = false })
 				time.Sleep(w.randDuration(time.Second, 8*time.Second))
 			}
-			if now := w.partitionOwners(); now != was {
-				t.Errorf("seed %d: %v, then %v", seed, was, now)
+			if now := w.partitionOwners(); now != before {
+				t.Errorf("seed %d: %v, then %v", seed, before, now)
 			}
 		})
 	}
 }
 
-// A rolling restart: each share moves to a standby when its holder leaves, and nobody is
-// without for long, also if two leave at once by mistake.
+// Rolling restart: when a node leaves, each of its partitions moves to a standby without a long
+// gap, also if two nodes leave at once by mistake.
 func TestRollingRestart(t *testing.T) {
 	for seed := range uint64(3) {
 		simulate(t, 40+seed, 16, defaultSettings, func(w *simCluster) {
@@ -153,39 +154,39 @@
 				w.startNode(name)
 			}
 			for _, name := range w.names {
-				held := w.ownedBy(name)
+				owned := w.ownedBy(name)
 				go leave(name)
-				if took := w.timeWithoutOwner(name, held, 10*time.Second); took > time.Second {
-					w.t.Errorf("%s left, and its shares had nobody for %v", name, took)
+				if took := w.timeWithoutOwner(name, owned, 10*time.Second); took > time.Second {
+					w.t.Errorf("%s left, and its partitions had no owner for %v", name, took)
 				}
 				time.Sleep(15 * time.Second)
 			}
 			go leave("n-0")
 			go leave("n-1")
 			if took := w.timeWithoutOwner("n-0", w.ownedBy("n-0"), 10*time.Second); took > 3*time.Second {
-				w.t.Errorf("two left at once, and shares had nobody for %v", took)
+				w.t.Errorf("two nodes left at once, and partitions had no owner for %v", took)
 			}
 			time.Sleep(20 * time.Second)
 		})
 	}
 }
 
-// Holders that end, leave, stall and are filtered in every phase of one another's
-// take-overs, with lost and late messages: no rule breaks.
-func TestTakeOversAmidTroubles(t *testing.T) {
+// Owners end, leave, stall and lose connections during every phase of each other's takeovers, with
+// lost and delayed messages. No rule may be violated.
+func TestTakeoversUnderFaults(t *testing.T) {
 	for seed := range uint64(10) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { simulate(t, 60+seed, 16, defaultSettings, handChanges) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { simulate(t, 60+seed, 16, defaultSettings, takeoverFaults) })
 	}
 }
 
-func handChanges(w *simCluster) {
+func takeoverFaults(w *simCluster) {
 	w.withLock(func() { w.lateTxnRate = 0.5 })
 	for range 7 {
 		name := w.names[w.plan.IntN(3)]
 		switch w.plan.IntN(6) {
 		case 0:
 			w.crash(name)
-		case 1: // and the next one right after
+		case 1: // and the next node right after
 			go w.crash(name)
 			time.Sleep(w.randDuration(time.Millisecond, 1500*time.Millisecond))
 			w.freeze(w.names[(slices.Index(w.names, name)+1)%3], w.randDuration(500*time.Millisecond, 6*time.Second))
@@ -211,16 +212,16 @@
 	}
 }
 
-// What hints say may be old, repeated, in another order or plain wrong: costs change, and
+// Hints may be outdated, repeated, reordered or invalid. They may change cost estimates, and
 // nothing that a rule depends on.
 func TestHintsProveNothing(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		b := newTestNode(t)
-		b.addFleet(3, 1)
-		b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
-		b.refreshIndex(time.Now())
-		used := b.teams[0].Used
-		b.watchPut(protocol.NodeKey("n-1"), protocol.NodeRecord{Lease: 2})
+		node := newTestNode(t)
+		node.addFleet(3, 1)
+		node.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
+		node.refreshIndex(time.Now())
+		used := node.teams[0].Used
+		node.watchPut(protocol.NodeKey("n-1"), protocol.NodeRecord{Lease: 2})
 		last := uint64(0)
 		for range rapid.IntRange(1, 20).Draw(rt, "hints") {
 			h := protocol.Hint{Node: rapid.SampledFrom([]string{"n-1", "n-2", "n-9"}).Draw(rt, "from"), Life: rapid.Uint64Range(0, 2).Draw(rt, "life"), Seq: rapid.Uint64Range(0, 9).Draw(rt, "seq")}
@@ -229,67 +230,68 @@
 					AgeS: rapid.SampledFrom([]float64{0, 3, -5, 1e9, math.NaN()}).Draw(rt, "age")})
 			}
 			h.Refused = []protocol.RefusedOffer{{Type: "g4", Zone: "a", ForS: rapid.SampledFrom([]float64{5, 1e9, math.NaN(), -1}).Draw(rt, "for")}}
-			if b.ReceiveHint(h.Encode()) != nil {
-				rt.Fatal("not decoded")
+			if node.ReceiveHint(h.Encode()) != nil {
+				rt.Fatal("hint rejected")
 			}
-			(<-b.mailbox)()
-			if s := b.peers["n-1"]; h.Node == "n-1" {
+			(<-node.mailbox)()
+			if s := node.peers["n-1"]; h.Node == "n-1" {
 				if s.seq != last && (s.incarnation != 2 || s.seq < last) {
-					rt.Fatalf("a hint counts that is older, or of another life: %d of %d after %d", s.seq, s.incarnation, last)
+					rt.Fatalf("accepted an outdated hint or one of another process: %d of %d after %d", s.seq, s.incarnation, last)
 				}
 				last = s.seq
 			}
 		}
 		now := time.Now()
-		for _, m := range b.partitions[0].machines {
+		for _, m := range node.partitions[0].machines {
 			if m.fenced || m.secPerGB < 0 || m.secPerGB > maxSecPerGB || math.IsNaN(m.secPerGB) || m.lastReport.After(now.Add(time.Second)) {
 				rt.Fatalf("%s: %+v", m.name, m)
 			}
 		}
-		if b.teams[0].Used != used || len(b.cloudState.refusedUntil) > 0 {
+		if node.teams[0].Used != used || len(node.cloudState.refusedUntil) > 0 {
 			rt.Fatal("a hint changed a quota, or what this node asks the cloud for")
 		}
-		b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{})
-		b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
-		for _, till := range b.cloudState.refusedUntil {
+		node.watchPut(protocol.HolderKey(0), protocol.HolderRecord{})
+		node.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
+		for _, till := range node.cloudState.refusedUntil {
 			if till.After(now.Add(time.Minute)) {
-				rt.Fatal("a refusal for ever")
+				rt.Fatal("a refused offer is kept for too long")
 			}
 		}
 	})
 }
 
-// A node that is asked whether it lives answers; the first decision waits for what must
-// hold, and is told.
-func TestFirstDecisionWaits(t *testing.T) {
-	b := newTestNode(t)
-	b.addFleet(4, 1)
-	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
-	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
-	s, now := b.partitions[0], time.Now()
-	b.RecordContact(now)
-	if b.mayDecide(s, now) {
-		t.Fatal("decides before any machine has spoken under its token")
+// The first decision of a new owner waits until a machine has reported under its token, for a
+// moment after a stall, and for machine types. An owner that decides earlier may act on incomplete
+// state.
+func TestFirstDecisionWaitsForChecks(t *testing.T) {
+	node := newTestNode(t)
+	node.addFleet(4, 1)
+	node.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
+	node.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
+	part, now := node.partitions[0], time.Now()
+	node.RecordContact(now)
+	if node.mayDecide(part, now) {
+		t.Fatal("decides before any machine has reported under its token")
 	}
-	m := s.machines[1]
-	b.acceptWorkerReport(m, &protocol.Report{Machine: m.name, Session: 1, Seq: 1, Token: 9}, 9, now)
-	b.reachability.stallEnded = now
-	if b.mayDecide(s, now) {
-		t.Fatal("decides right after it stood still")
+	m := part.machines[1]
+	node.acceptWorkerReport(m, &protocol.Report{Machine: m.name, Session: 1, Seq: 1, Token: 9}, 9, now)
+	node.reachability.stallEnded = now
+	if node.mayDecide(part, now) {
+		t.Fatal("decides right after a stall")
 	}
 	now = now.Add(time.Second)
-	types := b.machineTypes
-	b.machineTypes = nil
-	if b.mayDecide(s, now) {
+	types := node.machineTypes
+	node.machineTypes = nil
+	if node.mayDecide(part, now) {
 		t.Fatal("decides without machine types")
 	}
-	b.machineTypes = types
-	if !b.mayDecide(s, now) || !s.takeover.decided {
-		t.Fatalf("does not decide: waits for %v", s.takeover.blockedBy)
+	node.machineTypes = types
+	if !node.mayDecide(part, now) || !part.takeover.decided {
+		t.Fatalf("does not decide: waits for %v", part.takeover.blockedBy)
 	}
-	if b.mayDecide(b.partitions[1], now) {
-		t.Error("decides for a share that it does not hold")
+	if node.mayDecide(node.partitions[1], now) {
+		t.Error("decides for a partition that it does not own")
 	}
-	b.OnConnEvent("n-9", transport.ConnEnded) // nobody that it knows
-	(<-b.mailbox)()
+	node.OnConnEvent("n-9", transport.ConnEnded) // an unknown node is ignored
+	(<-node.mailbox)()
 }
--- a/internal/coordination/node/unreachable_controllers_test.go
+++ b/internal/coordination/node/unreachable_controllers_test.go
@@ -14,7 +14,7 @@
 	"dapplestage.example/dapplestage/internal/standin"
 )
 
-// Machines whose workers reach no controller, while direct calls reach them.
+// Machines whose reports reach no controller, while direct calls from controllers reach them.
 
 const (
 	savingJob  = "job-000201"
@@ -22,13 +22,13 @@
 	replicaJob = "job-000203"
 )
 
-// runEvent is a start or an end of a task on a machine.
+// runEvent is the start or the end of a task on a machine.
 type runEvent struct {
 	event, task, machine string
 	at                   time.Time
 }
 
-// runLog records what runs on a fleet.
+// runLog records the starts and ends of tasks on a fleet.
 type runLog struct {
 	mu     sync.Mutex
 	events []runEvent
@@ -40,7 +40,7 @@
 	l.events = append(l.events, runEvent{event, task, machine, at})
 }
 
-// eventsOf are the events of a job's tasks since a time, in their order.
+// eventsOf returns the events of a job's tasks since a time, in order.
 func (l *runLog) eventsOf(job string, since time.Time) (out []runEvent) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -52,7 +52,7 @@
 	return out
 }
 
-// machinesRunning are the machines on which a job runs.
+// machinesRunning returns the machines on which a job runs.
 func (w *simCluster) machinesRunning(job string) (machines []string) {
 	for _, m := range w.fleet.Names() {
 		if w.fleet.Runs(m, job) {
@@ -62,26 +62,26 @@
 	return machines
 }
 
-// unreportedWorld is a world with workers that report every 6 s under leases of 36 s, in which
-// the jobs given run, and enough else on other machines for the silence of a few to mean
-// something.
-func unreportedWorld(t *testing.T, ctx context.Context, specs ...*protocol.JobSpec) (*simCluster, *runLog) {
+// newUnreportedCluster makes a cluster with workers that report every 6 s under leases of 36 s. It
+// runs the given jobs, and enough others on other machines that the silence of a few machines
+// counts as evidence.
+func newUnreportedCluster(t *testing.T, ctx context.Context, specs ...*protocol.JobSpec) (*simCluster, *runLog) {
 	log := &runLog{}
 	w := newWorldAt(t, ctx, 5, nil, func(cfg *protocol.Settings, f *standin.Fleet) {
-		p := &cfg.Params
-		p.Workers.ReportS, p.Workers.LeaseS, p.Workers.CancelS = 6, 36, 56
-		p.Zones = []string{"a"}
-		for i := range p.Teams {
-			p.Teams[i].GPUs, p.Teams[i].GPUsMax = 28, 40
+		params := &cfg.Params
+		params.Workers.ReportS, params.Workers.LeaseS, params.Workers.CancelS = 6, 36, 56
+		params.Zones = []string{"a"}
+		for i := range params.Teams {
+			params.Teams[i].GPUs, params.Teams[i].GPUsMax = 28, 40
 		}
-		f.Types[0].Zones = p.Zones
+		f.Types[0].Zones = params.Zones
 		f.Most, f.Log = 20, log.add
 	})
 	for i, team := range []string{"red", "blue", "green"} {
 		w.submit(&protocol.JobSpec{ID: fmt.Sprint("job-00010", i), Team: team, Class: "c", Priority: "critical", Shape: protocol.Service, Tasks: 12, CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "i", ImageGB: 2})
 	}
-	for _, s := range specs {
-		w.submitRed(s)
+	for _, spec := range specs {
+		w.submitRed(spec)
 	}
 	time.Sleep(45 * time.Second)
 	return w, log
@@ -93,7 +93,7 @@
 	w.submit(s)
 }
 
-// setNoOutbound makes machines reach no controller, or reach them again.
+// setNoOutbound cuts or restores the path of machines' reports to all controllers.
 func (w *simCluster) setNoOutbound(is bool, machines ...string) {
 	w.withLock(func() {
 		for _, m := range machines {
@@ -102,7 +102,7 @@
 	})
 }
 
-// checkAndStop checks the rules and ends the world.
+// checkAndStop checks the rules and stops the cluster.
 func (w *simCluster) checkAndStop(cancel context.CancelFunc) {
 	for _, b := range w.fleet.Broken {
 		w.t.Errorf("rule broken: %s", b)
@@ -115,9 +115,9 @@
 	synctest.Wait()
 }
 
-// movedFrom checks that each task of a job that ran on a silent machine, or was in a gang with
-// one, has ended and been started again on another machine.
-func (l *runLog) movedFrom(t *testing.T, job string, tasks int, since time.Time, silent []string) {
+// checkMoved checks that each task of a job that ran on a silent machine, or in a gang with a task
+// on one, has ended and was started again on another machine.
+func (l *runLog) checkMoved(t *testing.T, job string, tasks int, since time.Time, silent []string) {
 	t.Helper()
 	ended := map[string]bool{}
 	started := 0
@@ -136,15 +136,16 @@
 	}
 }
 
-// Tasks that can save are told to before their machine's lease ends, and go on elsewhere once
-// that can be stored. A replica runs until the lease ends and starts again there, also in an
-// outage of the state service; when the silence lasts it moves.
+// When reports of a machine are lost, tasks with checkpoints are told to save before the machine's
+// lease ends and continue elsewhere once that can be stored. A service replica runs until the lease
+// ends and is restarted on the same machine, also during an outage of the state service; if the
+// silence lasts it moves.
 func TestTasksOfUnreportedMachinesSaveAndMove(t *testing.T) {
 	for name, outage := range map[string]bool{"with the state service": false, "in an outage": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(context.Background())
-				w, log := unreportedWorld(t, ctx,
+				w, log := newUnreportedCluster(t, ctx,
 					&protocol.JobSpec{ID: savingJob, Priority: "high", Shape: protocol.Array, Tasks: 1, GPUs: 1, EstimateS: 300, CheckpointS: 100, SaveS: 3},
 					&protocol.JobSpec{ID: gangJob, Priority: "high", Shape: protocol.Gang, Tasks: 2, GPUs: 4, EstimateS: 300, CheckpointS: 100, SaveS: 3},
 					&protocol.JobSpec{ID: replicaJob, Priority: "critical", Shape: protocol.Service, Tasks: 1, GPUs: 1})
@@ -160,13 +161,13 @@
 				if stopped, expired := w.fleet.Ended(); stopped != 3 || expired != 1 {
 					t.Errorf("%d tasks were stopped, %d ended with a lease; expected 3 and 1", stopped, expired)
 				}
-				log.replicaRestarted(t, began, silent, 1)
+				log.checkReplicaRestarted(t, began, silent, 1)
 				w.withLock(func() { w.outage = false })
 				time.Sleep(70 * time.Second)
-				log.movedFrom(t, savingJob, 1, began, silent)
-				log.movedFrom(t, gangJob, 2, began, silent)
-				if !outage { // after one, shares may change hands, and the silence counts anew
-					log.replicaRestarted(t, began, silent, 2)
+				log.checkMoved(t, savingJob, 1, began, silent)
+				log.checkMoved(t, gangJob, 2, began, silent)
+				if !outage { // after an outage partitions may change owners, and the silence is counted from then on
+					log.checkReplicaRestarted(t, began, silent, 2)
 				}
 				if on := w.machinesRunning(replicaJob); !outage && slices.Equal(on, silent[2:]) {
 					t.Errorf("the replica still runs on %v", on)
@@ -180,9 +181,9 @@
 	}
 }
 
-// replicaRestarted checks that the replica started again on its silent machine soon after so
-// many ends of leases, and nowhere else before that.
-func (l *runLog) replicaRestarted(t *testing.T, since time.Time, silent []string, times int) {
+// checkReplicaRestarted checks that the replica was restarted on its silent machine soon after each
+// of the given number of lease ends, and nowhere else in between.
+func (l *runLog) checkReplicaRestarted(t *testing.T, since time.Time, silent []string, times int) {
 	t.Helper()
 	events := l.eventsOf(replicaJob, since)
 	if len(events) < 2*times {
@@ -197,21 +198,23 @@
 	}
 }
 
-// startTakes is what a simulated machine takes to start a task, whether it has the image or not.
+// startTakes is the time in which a simulated machine starts a task, with or without the image in
+// its cache.
 const startTakes = 2 * time.Second
 
-// While machines report to nobody for a moment, what completes there is known, nothing new is
-// placed there and nothing is stopped. As soon as they report they are used again.
+// While the reports of machines are lost for a short time, tasks that complete there are
+// recognised, nothing new is placed there and nothing is stopped. Once they report, they are used
+// again.
 func TestUnreportedMachinesAreUsedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		const waits = "job-000204"
-		w, log := unreportedWorld(t, ctx, &protocol.JobSpec{ID: gangJob, Priority: "high", Shape: protocol.Gang, Tasks: 2, GPUs: 4, EstimateS: 38})
+		w, log := newUnreportedCluster(t, ctx, &protocol.JobSpec{ID: gangJob, Priority: "high", Shape: protocol.Gang, Tasks: 2, GPUs: 4, EstimateS: 38})
 		silent := w.machinesRunning(gangJob)
 		if len(silent) != 2 {
 			t.Fatalf("the gang runs on %v", silent)
 		}
-		w.fleet.Limit(len(w.fleet.Names())) // no others can be rented
+		w.fleet.Limit(len(w.fleet.Names())) // no other machines can be rented
 		w.setNoOutbound(true, silent...)
 		time.Sleep(6 * time.Second)
 		if n := w.fleet.Finished(gangJob); n != 2 {
@@ -224,7 +227,7 @@
 		time.Sleep(2 * time.Second)
 		for _, name := range w.names {
 			if n := onActor(w.node(name), func() int { return w.node(name).jobs[waits].storedPlacements() }); n != 0 {
-				t.Errorf("%s placed %d tasks where nobody reports", name, n)
+				t.Errorf("%s placed %d tasks on machines whose reports are lost", name, n)
 			}
 		}
 		time.Sleep(5 * time.Second)
@@ -240,12 +243,12 @@
 	})
 }
 
-// A controller to which no machine reports, while all answer it, does not stop their work: the
-// cause is most likely its own.
-func TestOwnerThatHearsNobodyStopsNothing(t *testing.T) {
+// If no machine reports to a controller while all answer its calls, the fault is most likely its
+// own, and it must not stop their work.
+func TestOwnerWithoutReportsStopsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w, _ := unreportedWorld(t, ctx, &protocol.JobSpec{ID: savingJob, Priority: "high", Shape: protocol.Array, Tasks: 4, GPUs: 1, EstimateS: 300, CheckpointS: 100, SaveS: 3})
+		w, _ := newUnreportedCluster(t, ctx, &protocol.JobSpec{ID: savingJob, Priority: "high", Shape: protocol.Array, Tasks: 4, GPUs: 1, EstimateS: 300, CheckpointS: 100, SaveS: 3})
 		all := w.fleet.Names()
 		w.setNoOutbound(true, all...)
 		time.Sleep(30 * time.Second)
@@ -272,8 +275,8 @@
 	})
 }
 
-// Random troubles while machines reach no controller for a while, commands are held up and
-// copies of reports come late.
+// Random faults while machines cannot report for some time, commands are delayed and copies of
+// reports arrive late.
 func TestTroublesWithUnreportedMachines(t *testing.T) {
 	answered := 0
 	for seed := range seedCount(4) {
@@ -281,7 +284,7 @@
 			simulate(t, 300+seed, 16, func(p *protocol.WorkerSettings) { p.ReportS, p.LeaseS, p.CancelS = 4, 20, 56 }, func(w *simCluster) {
 				w.withLock(func() { w.delayedCommandRate, w.duplicateReportRate = 0.2, 0.2 })
 				ctx, cancel := context.WithCancel(w.ctx)
-				go w.silenceAtRandom(ctx)
+				go w.silenceRandomMachines(ctx)
 				randomFaults(w)
 				cancel()
 				answered += w.eventCount("silent machine answers")
@@ -293,8 +296,9 @@
 	}
 }
 
-// silenceAtRandom makes some machines reach no controller, others every 5 to 40 s.
-func (w *simCluster) silenceAtRandom(ctx context.Context) {
+// silenceRandomMachines cuts the reports of a random set of machines, and changes the set every 5
+// to 40 s.
+func (w *simCluster) silenceRandomMachines(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, m := range w.fleet.Names() {
 			w.setNoOutbound(w.randInt(5) < 2, m)
@@ -314,9 +318,9 @@
 	}
 }
 
-// What a poll's answer proves: a task is gone if it is not listed and was never sent, or if
-// the worker's session has expired; not by an answer that is old or under an earlier token,
-// and not if its start may still be executed.
+// What a poll's answer proves: a task is gone if it is not listed and its start was never sent, or
+// if the worker's session has expired. An outdated answer or one under an earlier token proves
+// nothing, and neither does an unlisted task whose start may still be executed.
 func TestWhatAPollProves(t *testing.T) {
 	listed := protocol.TaskReport{Task: "job-1/0", Attempt: 1, State: protocol.TaskRunning}
 	for _, c := range []struct {
@@ -359,7 +363,7 @@
 			w.answers <- &c.report
 			(<-b.mailbox)()
 			if f := j.tasks[0].outcome; f != c.want {
-				t.Errorf("the task's fact is %v, not %v", f, c.want)
+				t.Errorf("the task's outcome is %v, not %v", f, c.want)
 			}
 			if !m.lastFencedReport.Equal(heard) || m.pollInFlight {
 				t.Errorf("heard at %v, before the poll at %v; polling %v", m.lastFencedReport, heard, m.pollInFlight)
--- a/internal/coordination/node/warm_test.go
+++ b/internal/coordination/node/warm_test.go
@@ -9,9 +9,10 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// The first decisions after a take-over beside those of a holder that never fell, on the
-// same views: one that followed makes the same, one that read the records alone does not.
-func TestWarmthIsWorthSomething(t *testing.T) {
+// Compares the first decisions after a takeover with those of the previous owner on the same state.
+// A standby that received hints must make the same ones. The test also checks that a node with the
+// stored records alone does not, so that the comparison means something.
+func TestWarmStandbyDecidesLikeOwner(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 7))
 	type arrivalOf struct {
 		id string
@@ -25,46 +26,47 @@
 	spec := func(a arrivalOf) *protocol.JobSpec {
 		return &protocol.JobSpec{ID: a.id, Team: "red", Class: "a", Shape: protocol.Array, Priority: "standard", Tasks: 6, CPUs: 5, GPUs: 1, MemoryGB: 36, Image: a.id, ImageGB: a.gb, EstimateS: 40}
 	}
-	// make gives a node with the fleet; one that follows sees the arrivals come and go.
-	make := func(follows bool) *testNode {
+	// newNode returns a node with the fleet. If it follows, it has seen the earlier jobs arrive and
+	// end.
+	newNode := func(follows bool) *testNode {
 		b := newTestNode(t)
 		b.addFleet(60, 0)
 		for _, a := range arrivals[:40] {
 			if follows {
 				b.watchPut(protocol.JobKey(a.id), protocol.JobRecord{Spec: spec(a), SubmittedMS: time.Now().UnixMilli(), Next: 1})
 				b.countArrivals(b.partitions[0])
-				b.dropJob(a.id) // it is over by the time of the take-over
+				b.dropJob(a.id) // ended by the time of the takeover
 			}
 		}
 		return b
 	}
-	holder, warm, cold := make(true), make(true), make(false)
+	owner, warm, cold := newNode(true), newNode(true), newNode(false)
 	now := time.Now()
-	for _, m := range holder.partitions[0].machines {
+	for _, m := range owner.partitions[0].machines {
 		m.secPerGB, m.lastReport = 0.5+3.5*rng.Float64(), now
 		costs[m.name] = m.secPerGB
-		holder.markStale(m)
+		owner.markStale(m)
 	}
-	// The holder's hints reach the standby in turn, some lost, some twice.
+	// The owner's hints arrive at the standby in order, some lost and some repeated.
 	warm.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
 	warm.watchPut(protocol.NodeKey("n-1"), protocol.NodeRecord{Lease: 9})
-	holder.cfg.Node = "n-1"
-	holder.incarnations.hintLease.Store(9)
-	holder.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 3})
+	owner.cfg.Node = "n-1"
+	owner.incarnations.hintLease.Store(9)
+	owner.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 3})
 	for i := range 8 {
-		holder.prepareMachineHints(now)
+		owner.prepareMachineHints(now)
 		for range i % 3 {
-			if warm.ReceiveHint(holder.Hint()) != nil {
-				t.Fatal("a hint not understood")
+			if warm.ReceiveHint(owner.Hint()) != nil {
+				t.Fatal("hint rejected")
 			}
 			(<-warm.mailbox)()
 		}
 	}
-	if w := warm.standbyFreshness(warm.partitions[0], time.Now()); w.KnownFraction < 0.95 || w.AgeS < 0 || w.SequenceGaps == 0 {
-		t.Errorf("warmth %+v, with hints lost", w)
+	if freshness := warm.standbyFreshness(warm.partitions[0], time.Now()); freshness.KnownFraction < 0.95 || freshness.AgeS < 0 || freshness.SequenceGaps == 0 {
+		t.Errorf("standby freshness %+v, with hints lost", freshness)
 	}
 	warm.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
-	placings := func(b *testNode) (out []string) {
+	placements := func(b *testNode) (out []string) {
 		for _, m := range b.partitions[0].machines {
 			m.fenced, m.lastFencedReport = true, now
 			b.markStale(m)
@@ -72,33 +74,33 @@
 		for _, a := range arrivals[40:] {
 			b.watchPut(protocol.JobKey(a.id), protocol.JobRecord{Spec: spec(a), SubmittedMS: now.UnixMilli(), Next: 1})
 		}
-		s := b.partitions[0]
-		b.countArrivals(s)
+		part := b.partitions[0]
+		b.countArrivals(part)
 		for _, a := range arrivals[40:] {
-			p := b.view(s, now).Place(b.jobFactsWithZones(b.jobs[a.id], now))
+			p := b.view(part, now).Place(b.jobFactsWithZones(b.jobs[a.id], now))
 			for _, m := range p.Machines {
 				out = append(out, a.id+" on "+m.Name)
 			}
 		}
 		return out
 	}
-	want := placings(holder)
-	equal := func(b *testNode) float64 {
+	want := placements(owner)
+	matchingFraction := func(b *testNode) float64 {
 		got := map[string]bool{}
-		for _, p := range placings(b) {
+		for _, p := range placements(b) {
 			got[p] = true
 		}
-		n := 0
+		matches := 0
 		for _, p := range want {
 			if got[p] {
-				n++
+				matches++
 			}
 		}
-		return float64(n) / float64(len(want))
+		return float64(matches) / float64(len(want))
 	}
-	w, c := equal(warm), equal(cold)
-	t.Logf("of %d placements equal to the holder's: warm %.2f, cold %.2f", len(want), w, c)
-	if len(want) < 60 || w < 0.95 || c > 0.8 {
-		t.Errorf("of %d placements equal to the holder's: warm %.2f, cold %.2f", len(want), w, c)
+	warmFraction, coldFraction := matchingFraction(warm), matchingFraction(cold)
+	t.Logf("of %d placements equal to the owner's: warm %.2f, cold %.2f", len(want), warmFraction, coldFraction)
+	if len(want) < 60 || warmFraction < 0.95 || coldFraction > 0.8 {
+		t.Errorf("of %d placements equal to the owner's: warm %.2f, cold %.2f", len(want), warmFraction, coldFraction)
 	}
 }
--- a/internal/coordination/node/why_test.go
+++ b/internal/coordination/node/why_test.go
@@ -14,29 +14,29 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// connectPeers lets the nodes of a world ask one another, unless one is cut off or stands
-// still.
+// connectPeers lets the nodes of a cluster query one another, except nodes that are cut off or
+// stalled.
 func (w *simCluster) connectPeers() {
 	for _, name := range w.names {
 		n := w.node(name)
 		n.post(func() {
-			n.AskPeer = func(ctx context.Context, to string, q []byte) ([]byte, error) {
+			n.AskPeer = func(ctx context.Context, to string, question []byte) ([]byte, error) {
 				ctx, cancel := context.WithTimeout(ctx, AskTimeout)
 				defer cancel()
-				out := make(chan []byte, 1)
+				answers := make(chan []byte, 1)
 				go func() {
 					other := w.node(to)
 					if other == nil || w.isSet(w.isolated, to) || w.isSet(w.isolated, n.cfg.Node) {
 						return
 					}
 					w.waitUntilThawed(to)
-					if a, ok := other.AnswerPeer(q); ok {
-						out <- a
+					if response, ok := other.AnswerPeer(question); ok {
+						answers <- response
 					}
 				}()
 				select {
-				case a := <-out:
-					return a, nil
+				case response := <-answers:
+					return response, nil
 				case <-ctx.Done():
 					return nil, ctx.Err()
 				}
@@ -45,37 +45,37 @@
 	}
 }
 
-// explanation is what a node says of a job.
+// explanation returns a node's explanation of a job, or nil if it gives none.
 func (w *simCluster) explanation(name, id string) *Explanation {
 	ctx, cancel := context.WithTimeout(w.ctx, 5*time.Second)
 	defer cancel()
-	a, err := w.userRequest(ctx, name, func(n *Node, reply chan<- answer) { n.onExplain(id, time.Now(), reply) })
-	if err != nil || a.status != 200 {
+	response, err := w.userRequest(ctx, name, func(n *Node, reply chan<- answer) { n.onExplain(id, time.Now(), reply) })
+	if err != nil || response.status != 200 {
 		return nil
 	}
-	if why, ok := a.body.(*Explanation); ok {
+	if why, ok := response.body.(*Explanation); ok {
 		return why
 	}
 	var why Explanation
-	if err := json.Unmarshal(mustJSON(a.body), &why); err != nil {
+	if err := json.Unmarshal(mustJSON(response.body), &why); err != nil {
 		w.t.Fatal(err)
 	}
 	return &why
 }
 
-// causesOf are the names of causes.
-func causesOf(w *Explanation) string {
+// causeNames returns the names of an explanation's causes.
+func causeNames(explanation *Explanation) string {
 	var out []string
-	for _, c := range w.Causes {
+	for _, c := range explanation.Causes {
 		out = append(out, c.Reason.String())
 	}
 	return strings.Join(out, " ")
 }
 
-// waitUntilRunning waits until a task of a job runs, and says how long that took.
-func (w *simCluster) waitUntilRunning(id string, most time.Duration) (time.Duration, bool) {
+// waitUntilRunning waits until a task of a job runs and returns how long that took.
+func (w *simCluster) waitUntilRunning(id string, limit time.Duration) (time.Duration, bool) {
 	from := time.Now()
-	for time.Since(from) < most {
+	for time.Since(from) < limit {
 		for _, name := range w.names {
 			if why := w.explanation(name, id); why != nil && (why.Running > 0 || why.Waiting+why.Starting == 0) {
 				return time.Since(from), true
@@ -86,9 +86,9 @@
 	return 0, false
 }
 
-// Each waiting condition is built with three nodes and stand-in machines, told by all
-// of them, released, and the job starts within seconds.
-func TestWhyAndRelease(t *testing.T) {
+// Creates each waiting condition with three nodes and stand-in machines. All nodes must name it,
+// and the job must start within seconds after it is removed.
+func TestExplanationAndRelease(t *testing.T) {
 	spec := func(id, team string, tasks int) *protocol.JobSpec {
 		return &protocol.JobSpec{ID: id, Team: team, Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: tasks, CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img", ImageGB: 1, EstimateS: 10000, Spot: true}
 	}
@@ -101,7 +101,7 @@
 	}
 	for _, c := range []struct {
 		cause   decide.Reason
-		before  func(w *simCluster) // the condition
+		before  func(w *simCluster) // creates the condition
 		spec    func(s *protocol.JobSpec)
 		release func(w *simCluster)
 		within  time.Duration
@@ -153,16 +153,16 @@
 				}
 				for _, name := range w.names {
 					why := w.explanation(name, s.ID)
-					for try := 0; why != nil && why.Unknown == "" && c.cause == decide.FailsEverywhere && !strings.Contains(causesOf(why), c.cause.String()) && try < 40; try++ {
-						time.Sleep(500 * time.Millisecond) // a try is under way
+					for try := 0; why != nil && why.Unknown == "" && c.cause == decide.FailsEverywhere && !strings.Contains(causeNames(why), c.cause.String()) && try < 40; try++ {
+						time.Sleep(500 * time.Millisecond) // an attempt is in progress
 						why = w.explanation(name, s.ID)
 					}
-					if why == nil || !strings.Contains(causesOf(why), c.cause.String()) {
+					if why == nil || !strings.Contains(causeNames(why), c.cause.String()) {
 						t.Errorf("%s says %+v, want %s", name, why, c.cause)
 					} else if len(why.Release) == 0 || why.Owner == "" {
 						t.Errorf("%s names no release: %+v", name, why)
 					} else if c.cause == decide.StateServiceDown && why.StateAge < 3 {
-						t.Errorf("%s does not tell how old what it says is: %v s", name, why.StateAge)
+						t.Errorf("%s reports a state age of only %v s", name, why.StateAge)
 					}
 				}
 				if c.cause == decide.StateServiceDown {
@@ -180,9 +180,9 @@
 	}
 }
 
-// A holder that stands still while it is asked is not guessed for: the answer comes
-// within seconds, says unknown, and names what is known of its age.
-func TestWhyOfASilentHolder(t *testing.T) {
+// If the owner of a job's partition stalls, other nodes must not guess the cause: they answer
+// within seconds with "unknown" and when they last heard from the owner.
+func TestExplanationWithStalledOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		w := newWorld(t, ctx, 4, defaultSettings)
@@ -192,47 +192,47 @@
 		w.fleet.Most = 0
 		w.submit(&protocol.JobSpec{ID: "job-1", Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 2, CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img", ImageGB: 1, EstimateS: 10})
 		time.Sleep(2 * time.Second)
-		holder := w.explanation("n-0", "job-1").Owner
-		go w.freeze(holder, 30*time.Second)
+		owner := w.explanation("n-0", "job-1").Owner
+		go w.freeze(owner, 30*time.Second)
 		time.Sleep(100 * time.Millisecond)
-		var wg sync.WaitGroup // both at once: after three seconds one of them has the share
+		var wg sync.WaitGroup // in parallel: after three seconds one of them owns the partition
 		for _, name := range w.names {
-			if name == holder {
+			if name == owner {
 				continue
 			}
 			wg.Go(func() {
 				from := time.Now()
 				why := w.explanation(name, "job-1")
-				if why == nil || !strings.Contains(why.Unknown, holder) || causesOf(why) != "holder_silent" && causesOf(why) != "no_holder" || time.Since(from) > 2*AskTimeout {
+				if why == nil || !strings.Contains(why.Unknown, owner) || causeNames(why) != "holder_silent" && causeNames(why) != "no_holder" || time.Since(from) > 2*AskTimeout {
 					t.Errorf("%s says %+v after %v", name, why, time.Since(from))
 				}
 				a, err := w.userRequest(ctx, name, func(n *Node, reply chan<- answer) { n.onExplanationPage(protocol.Ask{Most: 50}, time.Now(), reply) })
 				if page, ok := a.body.(*ExplanationPage); err != nil || !ok || len(page.Unknown) == 0 {
-					t.Errorf("%s: a page without what is unknown: %+v", name, a.body)
+					t.Errorf("%s: a page that lists nothing as unknown: %+v", name, a.body)
 				}
 			})
 		}
 		wg.Wait()
-		time.Sleep(20 * time.Second) // others have taken its share meanwhile
-		if why := w.explanation("n-0", "job-1"); why == nil && holder != "n-0" {
-			t.Error("nothing is said after the take-over")
+		time.Sleep(20 * time.Second) // other nodes have taken over its partition
+		if why := w.explanation("n-0", "job-1"); why == nil && owner != "n-0" {
+			t.Error("no explanation after the takeover")
 		}
 	})
 }
 
-// Thousands of jobs with one cause: pages with a cursor, sums over all.
-func TestWhyOfThousands(t *testing.T) {
-	b := newTestNode(t)
+// Thousands of jobs with one cause are listed in pages with a cursor, with sums over all of them.
+func TestExplanationPages(t *testing.T) {
+	node := newTestNode(t)
 	for i := range 3000 {
 		spec := &protocol.JobSpec{ID: fmt.Sprintf("job-%06d", i), Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 2, CPUs: 4, GPUs: 1, Image: "i", Types: []string{"none"}}
-		b.watchPut(protocol.JobKey(spec.ID), protocol.JobRecord{Spec: spec, SubmittedMS: int64(i), Next: 1})
+		node.watchPut(protocol.JobKey(spec.ID), protocol.JobRecord{Spec: spec, SubmittedMS: int64(i), Next: 1})
 	}
 	now := time.Now()
-	b.RecordContact(now)
-	b.plan(now)
+	node.RecordContact(now)
+	node.plan(now)
 	seen, after := 0, ""
 	for {
-		p := b.explanationPage(protocol.Ask{Team: "red", After: after, Most: 200}, now)
+		p := node.explanationPage(protocol.Ask{Team: "red", After: after, Most: 200}, now)
 		if p.TasksByCause["no_capacity"]+p.TasksByCause["team_limit"] != 6000 {
 			t.Fatalf("%v", p.TasksByCause)
 		}
@@ -248,14 +248,14 @@
 	if seen != 3000 {
 		t.Errorf("%d jobs on all pages", seen)
 	}
-	if p := b.explanationPage(protocol.Ask{Cause: "drained", Most: 50}, now); len(p.Jobs) != 0 {
-		t.Error("another cause's jobs")
+	if p := node.explanationPage(protocol.Ask{Cause: "drained", Most: 50}, now); len(p.Jobs) != 0 {
+		t.Error("jobs with another cause are listed")
 	}
 }
 
-// A node that has not heard of a job must not say that there is none while it can't
-// ask the state service. (Found by the lab: 404 for a job accepted a moment before.)
-func TestNoSuchJobIsNotGuessed(t *testing.T) {
+// A node that does not know a job must not answer that it does not exist while the state service
+// cannot be asked: a node answered 404 for a job accepted a moment before.
+func TestUnknownJobDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		w := newWorld(t, ctx, 4, defaultSettings)
@@ -267,7 +267,7 @@
 			return a.status
 		}
 		if got := status(); got != 404 {
-			t.Errorf("%d for a job that there is not", got)
+			t.Errorf("%d for a job that does not exist", got)
 		}
 		w.withLock(func() { w.outage = true })
 		time.Sleep(time.Second)
