--- a/internal/coordination/node/account.go
+++ b/internal/coordination/node/account.go
@@ -102,35 +102,35 @@
 }
 
 // addEvent appends an event. A repetition of the last event only updates its time.
-func (s *jobHistory) addEvent(now time.Time, text string) {
-	if last := len(s.events); last > 0 && s.events[last-1].Text == text {
-		s.events[last-1].AtMS = now.UnixMilli()
+func (h *jobHistory) addEvent(now time.Time, text string) {
+	if last := len(h.events); last > 0 && h.events[last-1].Text == text {
+		h.events[last-1].AtMS = now.UnixMilli()
 		return
 	}
-	if s.events = append(s.events, ledger.Event{AtMS: now.UnixMilli(), Text: text}); len(s.events) > ledger.MostEvents {
-		s.events = s.events[1:]
+	if h.events = append(h.events, ledger.Event{AtMS: now.UnixMilli(), Text: text}); len(h.events) > ledger.MostEvents {
+		h.events = h.events[1:]
 	}
 }
 
 // lastLostMS returns when the last run was lost, or 0 if none was.
-func (s *jobHistory) lastLostMS() int64 {
-	if s.lastLostAt.IsZero() {
+func (h *jobHistory) lastLostMS() int64 {
+	if h.lastLostAt.IsZero() {
 		return 0
 	}
-	return s.lastLostAt.UnixMilli()
+	return h.lastLostAt.UnixMilli()
 }
 
 // mergeStored merges the losses that the present or an earlier owner stored.
-func (s *jobHistory) mergeStored(lost int, lostMS int64) {
-	if s.lostRuns = max(s.lostRuns, lost); lostMS > s.lastLostMS() {
-		s.lastLostAt = time.UnixMilli(lostMS)
+func (h *jobHistory) mergeStored(lost int, lostMS int64) {
+	if h.lostRuns = max(h.lostRuns, lost); lostMS > h.lastLostMS() {
+		h.lastLostAt = time.UnixMilli(lostMS)
 	}
 }
 
 // countFailedStart counts a start that failed, unless the task was stopped on purpose.
-func (s *jobHistory) countFailedStart(cause string) {
+func (h *jobHistory) countFailedStart(cause string) {
 	if cause != protocol.CauseStopped {
-		s.failedStarts++
+		h.failedStarts++
 	}
 }
 
--- a/internal/coordination/node/account_test.go
+++ b/internal/coordination/node/account_test.go
@@ -51,6 +51,7 @@
 	return rows[id].Node
 }
 
+// albumJob returns an array job of class album.
 func albumJob(id string, tasks int, seconds float64) *protocol.JobSpec {
 	return &protocol.JobSpec{ID: id, Team: "red", Class: "album", Shape: protocol.Array, Priority: "standard", Tasks: tasks, CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img", ImageGB: 1, EstimateS: seconds, Spot: true}
 }
--- a/internal/coordination/node/leadership_meetings_test.go
+++ b/internal/coordination/node/leadership_meetings_test.go
@@ -34,7 +34,7 @@
 	return u
 }
 
-// addUserPerTeam adds one user for each team, with jobs of the given number of tasks and run time.
+// addUserPerTeam adds one user for each team, with a job of the given number of tasks and run time.
 func (w *simCluster) addUserPerTeam(tasks int, seconds float64) (users []*user) {
 	for _, team := range []string{"red", "blue", "green"} {
 		users = append(users, w.addUser(&protocol.JobSpec{ID: fmt.Sprintf("job-93%04d", w.nextJobNumber()), Team: team, Class: "c", Shape: protocol.Array, Priority: "high",
@@ -120,10 +120,10 @@
 			if w.chance(&half) {
 				hang = w.randDuration(2*time.Second, 15*time.Second)
 			}
-			called := w.cancelRunningJobs(4, hang)
+			cancelled := w.cancelRunningJobs(4, hang)
 			<-ownerBack
 			time.Sleep(time.Second)
-			if w.eventCount("handed over") > changes && len(called) > 0 {
+			if w.eventCount("handed over") > changes && len(cancelled) > 0 {
 				w.recordEvent("cancelled as owners change")
 			}
 			for _, u := range users { // the others are cancelled during the next round
@@ -217,9 +217,9 @@
 			go func() { w.stallWatches(owner, w.randDuration(4*time.Second, 12*time.Second)); lagOver <- true }()
 			time.Sleep(100 * time.Millisecond)
 			before := w.eventCount("handed over")
-			called := w.cancelRunningJobs(4, 0)
+			cancelled := w.cancelRunningJobs(4, 0)
 			time.Sleep(w.randDuration(500*time.Millisecond, 1500*time.Millisecond))
-			for _, u := range called {
+			for _, u := range cancelled {
 				if u.knownFinalStatus() != "" {
 					w.recordEvent("cancellation confirmed just before the owner ended")
 				}
--- a/internal/coordination/node/meetings_test.go
+++ b/internal/coordination/node/meetings_test.go
@@ -313,6 +313,7 @@
 	}
 }
 
+// infrequentReports makes workers report every 6 s, so that starts are sent by direct commands.
 func infrequentReports(p *protocol.WorkerSettings, _ *simCluster) {
 	p.ReportS, p.LeaseS, p.CancelS = 6, 36, 56
 }
@@ -392,6 +393,7 @@
 	return broken
 }
 
+// Runs each scenario alone, with job records and with packed entries.
 func TestFaultScenarios(t *testing.T) {
 	for _, scenario := range faultScenarios {
 		for seed := range seedCount(2) {
--- a/internal/coordination/node/shares.go
+++ b/internal/coordination/node/shares.go
@@ -83,8 +83,9 @@
 	return count
 }
 
-// isLeader reports whether this node is the leader, which plans moves of machines and returns
-// machines without a record. The leader is the owner of partition 0.
+// isLeader reports whether this node is the leader, that is, the owner of partition 0. The leader
+// does what one node must do for all, such as planning moves of machines and adopting or returning
+// machines without a record.
 func (n *Node) isLeader() bool { return n.owns(n.partitions[0]) }
 
 // applyOwnerRecord applies the stored record of a partition's owner. A record that names this node
--- a/internal/coordination/node/sim_test.go
+++ b/internal/coordination/node/sim_test.go
@@ -91,6 +91,7 @@
 	daemonLease func(ctx context.Context, node string) ([]byte, error)
 }
 
+// settingsFor returns the settings of one of the named controllers.
 func settingsFor(names []string, i int) *protocol.Settings {
 	s := &protocol.Settings{Node: names[i], Zone: "a"}
 	for k, name := range names {
@@ -109,10 +110,12 @@
 	return s
 }
 
+// newWorld makes a cluster with changed worker settings.
 func newWorld(t *testing.T, ctx context.Context, seed uint64, change func(p *protocol.WorkerSettings)) *simCluster {
 	return newWorldOf(t, ctx, seed, change, nil)
 }
 
+// newWorldOf makes a cluster with changed worker settings and, if size is set, a large fleet.
 func newWorldOf(t *testing.T, ctx context.Context, seed uint64, change func(p *protocol.WorkerSettings), size *scaledFleet) *simCluster {
 	return newWorldAt(t, ctx, seed, size, func(cfg *protocol.Settings, f *standin.Fleet) {
 		change(&cfg.Params.Workers)
@@ -155,24 +158,28 @@
 	return w.rng.Float64() < *probability
 }
 
-func (w *simCluster) randDuration(a, b time.Duration) time.Duration {
+// randDuration returns a random duration of at least from and below to.
+func (w *simCluster) randDuration(from, to time.Duration) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return a + time.Duration(w.rng.Int64N(int64(b-a)))
+	return from + time.Duration(w.rng.Int64N(int64(to-from)))
 }
 
+// isSet reports whether a fault is set for a node or machine.
 func (w *simCluster) isSet(m map[string]bool, name string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return m[name]
 }
 
+// withLock changes the faults or other state that mu guards.
 func (w *simCluster) withLock(f func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	f()
 }
 
+// startNode starts a process of a node.
 func (w *simCluster) startNode(name string) {
 	ctx, cancel := context.WithCancel(w.ctx)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -266,6 +273,7 @@
 // waitWhileHung waits until a machine's stall is over.
 func (w *simCluster) waitWhileHung(machine string) { w.waitUntil(w.hungUntil, machine) }
 
+// waitUntil sleeps until the time given for a node or machine, if it is in the future.
 func (w *simCluster) waitUntil(till map[string]time.Time, name string) {
 	w.mu.Lock()
 	until := till[name]
@@ -275,6 +283,7 @@
 	}
 }
 
+// crash ends a node's process without a handover and restarts it 3 s later.
 func (w *simCluster) crash(name string) { w.restart(name, 3*time.Second) }
 
 // stopNode ends a node's process, if there is one.
@@ -292,6 +301,7 @@
 	}
 }
 
+// node returns the running process of a node, or nil.
 func (w *simCluster) node(name string) *Node {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -586,6 +596,7 @@
 	contact func(time.Time)
 }
 
+// injectFaults delays a call and returns the error that the present faults cause, if any.
 func (f *faultyState) injectFaults(ctx context.Context) error {
 	f.w.waitUntilThawed(f.node)
 	f.w.withLock(func() { f.w.stateCalls[time.Now().Unix()]++ })
@@ -693,12 +704,12 @@
 	return w.answeredTxns[node]
 }
 
-func (f *faultyState) Grant(ctx context.Context, life time.Duration) (uint64, error) {
+func (f *faultyState) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
 	defer f.w.waitUntilThawed(f.node)
 	if err := f.injectFaults(ctx); err != nil {
 		return 0, err
 	}
-	return f.w.state.Grant(ctx, life)
+	return f.w.state.Grant(ctx, ttl)
 }
 
 func (f *faultyState) Renew(ctx context.Context, id uint64) error {
@@ -717,12 +728,12 @@
 	return f.w.state.Release(ctx, id)
 }
 
-func (f *faultyState) Watch(ctx context.Context, prefix string, since uint64, hold time.Duration) ([]storage.Item, uint64, error) {
+func (f *faultyState) Watch(ctx context.Context, prefix string, since uint64, timeout time.Duration) ([]storage.Item, uint64, error) {
 	defer f.w.waitUntilThawed(f.node)
 	if err := f.injectFaults(ctx); err != nil {
 		return nil, 0, err
 	}
-	items, rev, err := f.w.state.Watch(ctx, prefix, since, hold)
+	items, rev, err := f.w.state.Watch(ctx, prefix, since, timeout)
 	f.w.size.spendReads(f.node, len(items))
 	for err == nil { // an open watch blocks during an outage
 		cutOff := f.w.inCutZone(f.node)
@@ -748,6 +759,7 @@
 
 func (u *user) randomNode() string { return u.w.names[u.w.randDuration(0, 3*time.Second)/time.Second] }
 
+// run submits the job until it is accepted, then polls it, and cancels it if it is to be cancelled.
 func (u *user) run(done func()) {
 	defer done()
 	w := u.w
@@ -840,6 +852,7 @@
 	return out.String()
 }
 
+// randomUsers returns users with random jobs of all shapes, some of which are cancelled.
 func (w *simCluster) randomUsers(count int) []*user {
 	var users []*user
 	teams := []string{"red", "blue", "green"}
@@ -901,6 +914,7 @@
 	}
 }
 
+// simulate runs a workload with faults in a new cluster.
 func simulate(t *testing.T, seed uint64, count int, change func(p *protocol.WorkerSettings), faults func(w *simCluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -912,6 +926,7 @@
 	})
 }
 
+// Rules hold and jobs end if there are no faults.
 func TestWorkloadWithoutFaults(t *testing.T) {
 	simulate(t, 1, 20, defaultSettings, func(*simCluster) { time.Sleep(30 * time.Second) })
 }
@@ -945,8 +960,10 @@
 	}
 }
 
+// defaultSettings leaves the worker settings unchanged.
 func defaultSettings(*protocol.WorkerSettings) {}
 
+// randomFaults injects eight random faults, some of which overlap.
 func randomFaults(w *simCluster) {
 	w.withLock(func() { w.lateTxnRate = 0.5 })
 	for range 8 {
--- a/internal/coordination/node/standby_test.go
+++ b/internal/coordination/node/standby_test.go
@@ -179,6 +179,7 @@
 	}
 }
 
+// takeoverFaults injects faults around changes of owners.
 func takeoverFaults(w *simCluster) {
 	w.withLock(func() { w.lateTxnRate = 0.5 })
 	for range 7 {
--- a/internal/coordination/node/unreachable_controllers_test.go
+++ b/internal/coordination/node/unreachable_controllers_test.go
@@ -192,15 +192,15 @@
 	}
 	for i := range times {
 		end, next := events[2*i], events[2*i+1]
-		if down := next.at.Sub(end.at); end.event != "end" || next.event != "start" || next.machine != silent[2] || down > startTakes+3*time.Second/2 {
+		if down := next.at.Sub(end.at); end.event != "end" || next.event != "start" || next.machine != silent[2] || down > taskStartTime+3*time.Second/2 {
 			t.Errorf("the replica ended after %v and started %v later on %s", end.at.Sub(since), down, next.machine)
 		}
 	}
 }
 
-// startTakes is the time in which a simulated machine starts a task, with or without the image in
+// taskStartTime is the time in which a simulated machine starts a task, with or without the image in
 // its cache.
-const startTakes = 2 * time.Second
+const taskStartTime = 2 * time.Second
 
 // While the reports of machines are lost for a short time, tasks that complete there are
 // recognised, nothing new is placed there and nothing is stopped. Once they report, they are used
