--- a/internal/coordination/node/bad_input_test.go
+++ b/internal/coordination/node/bad_input_test.go
@@ -24,21 +24,21 @@
 	}
 }}
 
-// corruptValue is a value that is not a valid record of any kind.
-var corruptValue = json.RawMessage(`"spoiled"`)
+// undecodableValue is a value that is not a valid record of any kind.
+var undecodableValue = json.RawMessage(`"spoiled"`)
 
 // corruptOne makes a random stored value unreadable for a while, unless it changes meanwhile.
 func (w *simCluster) corruptOne() {
 	items, _, _ := w.state.List(w.ctx, protocol.Root)
 	items = slices.DeleteFunc(items, func(it storage.Item) bool {
 		return !slices.ContainsFunc([]string{protocol.JobPrefix, protocol.MachineRoot, protocol.LogRoot, protocol.InboxRoot, protocol.MovesKey}, func(root string) bool { return strings.HasPrefix(it.Key, root) }) ||
-			string(it.Value) == string(corruptValue)
+			string(it.Value) == string(undecodableValue)
 	})
 	if len(items) == 0 {
 		return
 	}
 	it := items[w.randInt(len(items))]
-	ok, stamp, _, _ := w.state.Txn(w.ctx, []storage.Cond{{Key: it.Key, Stamp: it.Stamp}}, []storage.Write{{Put: it.Key, Value: corruptValue}})
+	ok, stamp, _, _ := w.state.Txn(w.ctx, []storage.Cond{{Key: it.Key, Stamp: it.Stamp}}, []storage.Write{{Put: it.Key, Value: undecodableValue}})
 	if !ok {
 		return
 	}
@@ -58,7 +58,7 @@
 	}
 	var out []storage.Item
 	for _, it := range items {
-		if string(it.Value) == string(corruptValue) && strings.HasPrefix(it.Key, protocol.JobPrefix) {
+		if string(it.Value) == string(undecodableValue) && strings.HasPrefix(it.Key, protocol.JobPrefix) {
 			if !deleted {
 				continue
 			}
