--- a/internal/coordination/decide/place.go
+++ b/internal/coordination/decide/place.go
@@ -15,7 +15,7 @@
 // Placement is the result of Place.
 type Placement struct {
 	Machines   []*Machine  // one for each placed task
-	MaxFetchS  float64     // seconds to fetch the image on the last of the chosen machines
+	LastFetchS float64     // seconds to fetch the image on the last of the chosen machines
 	Preemption *Preemption // tasks to preempt for machines with the image or without GPUs
 	IdlesGPUs  bool        // some tasks of a service would leave GPUs idle for as long as it runs
 	Reason     Reason      // why not all waiting tasks are placed; NoReason if they are
@@ -81,7 +81,7 @@
 	case len(picked) == 0:
 		return Placement{Reason: NoFreeMachine, BlockedByReservation: v.blockedByReservations(j, 0)}
 	}
-	p := Placement{MaxFetchS: picked[len(picked)-1].Cost}
+	p := Placement{LastFetchS: picked[len(picked)-1].Cost}
 	isService := j.Spec.Shape == protocol.Service // tasks of other jobs end and release the GPUs
 	idlingTasks := 0
 	for _, s := range picked {
--- a/internal/coordination/node/account.go
+++ b/internal/coordination/node/account.go
@@ -530,7 +530,7 @@
 				sums.Booting = 1
 			case n.silent(m, now):
 				sums.Silent = 1
-			case m.heldBack || m.spotNotice:
+			case m.cordoned || m.spotNotice:
 				sums.Drained = 1
 			default:
 				sums.Up = 1
--- a/internal/coordination/node/account_test.go
+++ b/internal/coordination/node/account_test.go
@@ -62,7 +62,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		configureAccount = configure
 		defer func() { configureAccount = nil }()
-		w := newWorld(t, ctx, 11, defaultSettings)
+		w := newSimCluster(t, ctx, 11, defaultSettings)
 		time.Sleep(6 * time.Second)
 		w.connectPeers()
 		test(w)
--- a/internal/coordination/node/facts.go
+++ b/internal/coordination/node/facts.go
@@ -83,7 +83,7 @@
 		is  bool
 		bit decide.Block
 	}{{!m.recorded, decide.NotRecorded}, {!m.fenced, decide.Unfenced}, {m.spotNotice, decide.InterruptionNotice}, {m.returning, decide.Returning}, {m.returned, decide.Returned},
-		{m.moving, decide.Moving}, {m.heldBack, decide.Cordoned}, {len(m.unconfirmedStarts) > 0, decide.StartUnconfirmed}, {n.faulty(m), decide.Faulty}} {
+		{m.moving, decide.Moving}, {m.cordoned, decide.Cordoned}, {len(m.unconfirmedStarts) > 0, decide.StartUnconfirmed}, {n.faulty(m), decide.Faulty}} {
 		if b.is {
 			facts.Block |= b.bit
 		}
@@ -94,7 +94,7 @@
 	for _, im := range m.images {
 		facts.Images = append(facts.Images, im.Name)
 	}
-	for im := range m.fetchSince {
+	for im := range m.fetchStartedAt {
 		facts.Images = append(facts.Images, im)
 	}
 	for k := range m.tasks {
--- a/internal/coordination/node/gap_test.go
+++ b/internal/coordination/node/gap_test.go
@@ -52,7 +52,7 @@
 func (g leaderLoss) run(t *testing.T) (result leaderLossResult) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, g.seed, func(p *protocol.WorkerSettings) { p.ReportS, p.LeaseS, p.CancelS = 3, 20, 40 })
+		w := newSimCluster(t, ctx, g.seed, func(p *protocol.WorkerSettings) { p.ReportS, p.LeaseS, p.CancelS = 3, 20, 40 })
 		w.disabledGuard, w.collectOnly = g.disabledGuard, g.disabledGuard != ""
 		if g.earlierVersion {
 			w.fleet.ToldLate = false
--- a/internal/coordination/node/guards_test.go
+++ b/internal/coordination/node/guards_test.go
@@ -219,7 +219,7 @@
 func TestFinalIDIsNotReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, 1, defaultSettings)
+		w := newSimCluster(t, ctx, 1, defaultSettings)
 		w.state.Put(protocol.FinalKey("job-000001"), protocol.FinalRecord{Status: protocol.JobDone, Tasks: 1})
 		time.Sleep(5 * time.Second)
 		s := &protocol.JobSpec{ID: "job-000001", Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 1, CPUs: 4, GPUs: 1, Image: "i"}
@@ -237,7 +237,7 @@
 func TestTakeoverRaisesToken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, 1, defaultSettings)
+		w := newSimCluster(t, ctx, 1, defaultSettings)
 		w.state.Put(protocol.CounterKey, protocol.CounterRecord{Token: 41})
 		time.Sleep(8 * time.Second)
 		synctest.Wait()
--- a/internal/coordination/node/guests_test.go
+++ b/internal/coordination/node/guests_test.go
@@ -67,7 +67,7 @@
 func TestGuestsAreStoredLast(t *testing.T) {
 	lost, _ := storePriority(storeStart, false, 0, true, false)
 	for urgency := storeEnd; urgency <= storeOutcomes; urgency++ {
-		for _, waits := range []time.Duration{0, outcomeBatchDelay, guestPatience - 1} {
+		for _, waits := range []time.Duration{0, outcomeBatchDelay, unguaranteedDelay - 1} {
 			if u, now := storePriority(urgency, true, waits, false, false); u <= lost || now != (waits >= outcomeBatchDelay) {
 				t.Errorf("a guest's change %d after %v: urgency %d, now %v", urgency, waits, u, now)
 			}
@@ -78,7 +78,7 @@
 				t.Error("a guest waits though the rate is ample")
 			}
 		}
-		if u, now := storePriority(urgency, true, guestPatience, true, false); u != urgency || !now {
+		if u, now := storePriority(urgency, true, unguaranteedDelay, true, false); u != urgency || !now {
 			t.Errorf("a guest's change %d never has its turn", urgency)
 		}
 	}
--- a/internal/coordination/node/jobs.go
+++ b/internal/coordination/node/jobs.go
@@ -583,15 +583,15 @@
 // scarce. The end of the job itself is not delayed.
 const outcomeBatchDelay = 3 * time.Second
 
-// guestPatience is how long changes of a job whose team has no guarantee give way to others. With
+// unguaranteedDelay is how long changes of a job whose team has no guarantee give way to others. With
 // 25,000 tasks and 800 jobs such a team used up the rate of changes: the loss of a task of a
 // guaranteed job was not stored for 300 s, so the task did not run again.
-const guestPatience = 20 * time.Second
+const unguaranteedDelay = 20 * time.Second
 
 // storePriority returns how urgent it is to store a job that has waited for so long with something
 // new, and reports whether it may be stored now.
 func storePriority(urgency int, unguaranteed bool, waited time.Duration, usersWait, ample bool) (int, bool) {
-	unguaranteed = unguaranteed && waited < guestPatience
+	unguaranteed = unguaranteed && waited < unguaranteedDelay
 	if unguaranteed {
 		urgency += storeOutcomes // after nearly everything else
 	}
--- a/internal/coordination/node/jobs_test.go
+++ b/internal/coordination/node/jobs_test.go
@@ -78,7 +78,7 @@
 func TestManyTasks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, 3, defaultSettings)
+		w := newSimCluster(t, ctx, 3, defaultSettings)
 		time.Sleep(5 * time.Second)
 		big := &protocol.JobSpec{ID: "job-000001", Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 400, CPUs: 0.2, GPUs: 0.02, MemoryGB: 0.5, Image: "i", EstimateS: 3}
 		huge := &protocol.JobSpec{ID: "job-000002", Team: "blue", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: protocol.MaxTasks, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "i", EstimateS: 30}
--- a/internal/coordination/node/lives_test.go
+++ b/internal/coordination/node/lives_test.go
@@ -90,7 +90,7 @@
 // A process in a restart loop must not leave stored data that accumulates, must not cost another
 // node its partitions, and its own partitions are served soon after the last restart.
 func TestRestartLoop(t *testing.T) {
-	idleWorld(t, 31, func(w *simCluster) {
+	runIdleCluster(t, 31, func(w *simCluster) {
 		count := func() int {
 			items, _, _ := w.state.List(t.Context(), "")
 			return len(items)
@@ -167,7 +167,7 @@
 	for _, sabotaged := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
-			w := newWorld(t, ctx, 5, defaultSettings)
+			w := newSimCluster(t, ctx, 5, defaultSettings)
 			time.Sleep(5 * time.Second)
 			key := protocol.NodeKey("n-1")
 			before, _ := w.state.Get(ctx, key)
--- a/internal/coordination/node/meetings_test.go
+++ b/internal/coordination/node/meetings_test.go
@@ -345,7 +345,7 @@
 func runScenarios(t *testing.T, seed uint64, disabledGuard string, scenarios ...faultScenario) (broken []string) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorldAt(t, ctx, seed, nil, func(cfg *protocol.Settings, f *standin.Fleet) {
+		w := newConfiguredSimCluster(t, ctx, seed, nil, func(cfg *protocol.Settings, f *standin.Fleet) {
 			for _, scenario := range scenarios {
 				if scenario.configure != nil {
 					scenario.configure(&cfg.Params.Workers, &simCluster{fleet: f})
--- a/internal/coordination/node/odd_requests_test.go
+++ b/internal/coordination/node/odd_requests_test.go
@@ -173,7 +173,7 @@
 func TestInvalidJobsBeforeCatalogIsKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, 1, defaultSettings)
+		w := newSimCluster(t, ctx, 1, defaultSettings)
 		w.restartWithoutCatalog()
 		for i, invalid := range invalidJobs {
 			status, why := w.postAt(w.names[i%3], submissionBody(fmt.Sprintf("job-97%05d", i), invalid.change))
--- a/internal/coordination/node/packed_test.go
+++ b/internal/coordination/node/packed_test.go
@@ -125,7 +125,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(context.Background())
-				w := newWorld(t, ctx, 500+seed, defaultSettings)
+				w := newSimCluster(t, ctx, 500+seed, defaultSettings)
 				w.runWorkload(16, func(w *simCluster) {
 					randomFaults(w)
 					w.withLock(func() { w.lossRate, w.lateTxnRate = 0, 0 })
@@ -154,7 +154,7 @@
 func withEntries(t *testing.T, seed uint64, day func(w *simCluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, seed, defaultSettings)
+		w := newSimCluster(t, ctx, seed, defaultSettings)
 		time.Sleep(10 * time.Second) // until entries may be written
 		day(w)
 		for _, b := range w.fleet.Broken {
--- a/internal/coordination/node/place_test.go
+++ b/internal/coordination/node/place_test.go
@@ -37,7 +37,7 @@
 func atPlace(t *testing.T, seed uint64, day func(w *simCluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		w := newWorldAt(t, ctx, seed, nil, configurePlace)
+		w := newConfiguredSimCluster(t, ctx, seed, nil, configurePlace)
 		day(w)
 		for _, b := range w.fleet.Broken {
 			t.Errorf("rule broken: %s", b)
--- a/internal/coordination/node/policyset.go
+++ b/internal/coordination/node/policyset.go
@@ -95,7 +95,7 @@
 		partition.window.Resize(policy.Window)
 	}
 	for _, m := range n.machines {
-		m.heldBack = slices.Contains(policy.HeldBack, m.name)
+		m.cordoned = slices.Contains(policy.HeldBack, m.name)
 		n.markStale(m)
 	}
 	if n.SetLogLevel != nil {
--- a/internal/coordination/node/reads_test.go
+++ b/internal/coordination/node/reads_test.go
@@ -188,7 +188,7 @@
 func runLoadAmid(t *testing.T, seed uint64, duration time.Duration, fault func(w *simCluster), check func(t *testing.T, load *userLoad)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, seed, defaultSettings)
+		w := newSimCluster(t, ctx, seed, defaultSettings)
 		l := &userLoad{cluster: w}
 		w.runWorkload(10, func(w *simCluster) {
 			w.withLock(func() { clear(w.stateCalls); fault(w) })
--- a/internal/coordination/node/scaled_test.go
+++ b/internal/coordination/node/scaled_test.go
@@ -201,7 +201,7 @@
 	checkPlacement = nil
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w = newWorldOf(t, ctx, seed, func(p *protocol.WorkerSettings) { p.ReportS, p.LeaseS, p.CancelS, p.GangWaitS = 6, 36, 56, 50 }, z)
+		w = newSimClusterOfSize(t, ctx, seed, func(p *protocol.WorkerSettings) { p.ReportS, p.LeaseS, p.CancelS, p.GangWaitS = 6, 36, 56, 50 }, z)
 		w.fleet.Boot = 10 * time.Second
 		teams := []string{"red", "blue", "green"}
 		var services, arrays []*user
--- a/internal/coordination/node/schedule.go
+++ b/internal/coordination/node/schedule.go
@@ -168,7 +168,7 @@
 	n.proposePlacements(j, tasks, machines, now)
 	n.refreshIndex(now)
 	n.metrics.placed.Add(float64(len(tasks)))
-	n.log.Debug("placing", "job", j.id, "class", j.spec.Class, "tasks", len(tasks), "heavy", j.heavy, "waiting", j.nWaiting(), "fetch_s", placement.MaxFetchS, "after_s", now.Sub(j.firstSeen).Seconds())
+	n.log.Debug("placing", "job", j.id, "class", j.spec.Class, "tasks", len(tasks), "heavy", j.heavy, "waiting", j.nWaiting(), "fetch_s", placement.LastFetchS, "after_s", now.Sub(j.firstSeen).Seconds())
 }
 
 // updateReservation reserves for a gang exactly the machines that were decided for it.
--- a/internal/coordination/node/sim_test.go
+++ b/internal/coordination/node/sim_test.go
@@ -110,21 +110,21 @@
 	return s
 }
 
-// newWorld makes a cluster with changed worker settings.
-func newWorld(t *testing.T, ctx context.Context, seed uint64, change func(p *protocol.WorkerSettings)) *simCluster {
-	return newWorldOf(t, ctx, seed, change, nil)
+// newSimCluster makes a cluster with changed worker settings.
+func newSimCluster(t *testing.T, ctx context.Context, seed uint64, change func(p *protocol.WorkerSettings)) *simCluster {
+	return newSimClusterOfSize(t, ctx, seed, change, nil)
 }
 
-// newWorldOf makes a cluster with changed worker settings and, if size is set, a large fleet.
-func newWorldOf(t *testing.T, ctx context.Context, seed uint64, change func(p *protocol.WorkerSettings), size *scaledFleet) *simCluster {
-	return newWorldAt(t, ctx, seed, size, func(cfg *protocol.Settings, f *standin.Fleet) {
+// newSimClusterOfSize makes a cluster with changed worker settings and, if size is set, a large fleet.
+func newSimClusterOfSize(t *testing.T, ctx context.Context, seed uint64, change func(p *protocol.WorkerSettings), size *scaledFleet) *simCluster {
+	return newConfiguredSimCluster(t, ctx, seed, size, func(cfg *protocol.Settings, f *standin.Fleet) {
 		change(&cfg.Params.Workers)
 		size.configure(cfg, f)
 	})
 }
 
-// newWorldAt makes a cluster whose settings and fleet the caller may change, once for each node.
-func newWorldAt(t *testing.T, ctx context.Context, seed uint64, size *scaledFleet, shape func(cfg *protocol.Settings, f *standin.Fleet)) *simCluster {
+// newConfiguredSimCluster makes a cluster whose settings and fleet the caller may change, once for each node.
+func newConfiguredSimCluster(t *testing.T, ctx context.Context, seed uint64, size *scaledFleet, shape func(cfg *protocol.Settings, f *standin.Fleet)) *simCluster {
 	w := &simCluster{size: size, t: t, rng: rand.New(rand.NewPCG(seed, 7)), plan: rand.New(rand.NewPCG(seed, 8)), cfg: map[string]*protocol.Settings{}, names: []string{"n-0", "n-1", "n-2"},
 		state: standin.NewState(), nodes: map[string]*Node{}, stop: map[string]context.CancelFunc{},
 		stateRefused: map[string]bool{}, isolated: map[string]bool{}, workersUnreachable: map[string]bool{}, frozenUntil: map[string]time.Time{},
@@ -918,7 +918,7 @@
 func simulate(t *testing.T, seed uint64, count int, change func(p *protocol.WorkerSettings), faults func(w *simCluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, seed, change)
+		w := newSimCluster(t, ctx, seed, change)
 		w.runWorkload(count, faults)
 		cancel()
 		time.Sleep(2 * time.Minute) // until all delayed messages have arrived
--- a/internal/coordination/node/sitejobs_test.go
+++ b/internal/coordination/node/sitejobs_test.go
@@ -176,7 +176,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		w := newWorld(t, ctx, 1, defaultSettings)
+		w := newSimCluster(t, ctx, 1, defaultSettings)
 		w.withLock(func() {
 			w.daemonLease = func(context.Context, string) ([]byte, error) {
 				return wire.EncodeLease(&wire.Lease{LeftMS: 3000}), nil
@@ -248,7 +248,7 @@
 				ctx, cancel := context.WithCancel(context.Background())
 				defer cancel()
 				direct := seed%2 == 1
-				w := newWorld(t, ctx, 500+seed, func(p *protocol.WorkerSettings) {
+				w := newSimCluster(t, ctx, 500+seed, func(p *protocol.WorkerSettings) {
 					if direct { // workers report rarely, so that the site's own jobs are started directly
 						p.ReportS, p.LeaseS, p.CancelS = 6, 36, 56
 					}
@@ -390,7 +390,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(context.Background())
-				w := newWorld(t, ctx, 1, defaultSettings)
+				w := newSimCluster(t, ctx, 1, defaultSettings)
 				time.Sleep(5 * time.Second)
 				n := w.node("n-0")
 				n.post(func() { n.LookUpGatewayJob = c.known })
--- a/internal/coordination/node/square_test.go
+++ b/internal/coordination/node/square_test.go
@@ -162,7 +162,7 @@
 // at once, for itself too.
 func TestFormerLeaseEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, t.Context(), 3, defaultSettings)
+		w := newSimCluster(t, t.Context(), 3, defaultSettings)
 		time.Sleep(5 * time.Second)
 		held := func() string { // by n-0, as the store has it
 			for i := range 3 {
--- a/internal/coordination/node/standby_test.go
+++ b/internal/coordination/node/standby_test.go
@@ -56,11 +56,11 @@
 	return within
 }
 
-// idleWorld runs a test in a cluster without jobs.
-func idleWorld(t *testing.T, seed uint64, f func(w *simCluster)) {
+// runIdleCluster runs a test in a cluster without jobs.
+func runIdleCluster(t *testing.T, seed uint64, f func(w *simCluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, seed, defaultSettings)
+		w := newSimCluster(t, ctx, seed, defaultSettings)
 		time.Sleep(10 * time.Second)
 		f(w)
 		for _, stop := range w.stop {
@@ -78,7 +78,7 @@
 func TestTakeoverTimes(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			idleWorld(t, seed, func(w *simCluster) {
+			runIdleCluster(t, seed, func(w *simCluster) {
 				for _, c := range []struct {
 					name  string
 					limit time.Duration
@@ -124,7 +124,7 @@
 // owner when controllers refuse each other's connections or hints are lost.
 func TestNoOwnerChangeWithoutCause(t *testing.T) {
 	for seed := range uint64(4) {
-		idleWorld(t, 20+seed, func(w *simCluster) {
+		runIdleCluster(t, 20+seed, func(w *simCluster) {
 			time.Sleep(5 * time.Second)
 			before := w.partitionOwners()
 			for range 3 {
--- a/internal/coordination/node/tickets.go
+++ b/internal/coordination/node/tickets.go
@@ -363,7 +363,7 @@
 func (n *Node) drainNote(owned *partition, j *job) string {
 	draining := 0
 	for _, m := range owned.machines {
-		if (m.heldBack || m.spotNotice || m.returning) && decide.Allowed(j.spec, offer{Type: m.rec.Type, Zone: m.rec.Zone, Spot: m.rec.Spot}) {
+		if (m.cordoned || m.spotNotice || m.returning) && decide.Allowed(j.spec, offer{Type: m.rec.Type, Zone: m.rec.Zone, Spot: m.rec.Spot}) {
 			draining++
 		}
 	}
--- a/internal/coordination/node/tickets_test.go
+++ b/internal/coordination/node/tickets_test.go
@@ -320,7 +320,7 @@
 	defer func() { nodeTicketClasses = nil }()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, seed, defaultSettings)
+		w := newSimCluster(t, ctx, seed, defaultSettings)
 		log := recordTasks(w)
 		users := w.ticketUsers(8)
 		var wg sync.WaitGroup
@@ -382,7 +382,7 @@
 	defer func() { nodeTicketClasses = nil }()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, 3, defaultSettings)
+		w := newSimCluster(t, ctx, 3, defaultSettings)
 		log := recordTasks(w)
 		u := newTicketUser(w, body)
 		prepare(w, u)
@@ -502,7 +502,7 @@
 func TestConcurrentSubmissionsMakeOneTicket(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, 5, defaultSettings)
+		w := newSimCluster(t, ctx, 5, defaultSettings)
 		time.Sleep(5 * time.Second)
 		u := newTicketUser(w, ticketBody("job-96", "render", "red", "", "a 2", "b 1"))
 		var wg sync.WaitGroup
@@ -545,7 +545,7 @@
 func TestStepJobsAreHiddenFromUsers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, 6, defaultSettings)
+		w := newSimCluster(t, ctx, 6, defaultSettings)
 		time.Sleep(5 * time.Second)
 		u := newTicketUser(w, ticketBody("job-97", "render", "red", "", "a 2"))
 		u.submit("n-0")
@@ -576,7 +576,7 @@
 func testTicketWaitsWhileHeldBack(t *testing.T, heldAfterAcceptance bool) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, 8, defaultSettings)
+		w := newSimCluster(t, ctx, 8, defaultSettings)
 		log := recordTasks(w)
 		time.Sleep(5 * time.Second)
 		warm := newTicketUser(w, ticketBody("job-98", "render", "red", "", "a 4"))
@@ -631,7 +631,7 @@
 func TestTicketsBeyondMemoryAreRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, 9, func(*protocol.WorkerSettings) {})
+		w := newSimCluster(t, ctx, 9, func(*protocol.WorkerSettings) {})
 		for _, name := range w.names {
 			w.cfg[name].Params.Quota.MemoryMB = 1.3 // room for some 2,000 tasks
 		}
--- a/internal/coordination/node/unreachable_controllers_test.go
+++ b/internal/coordination/node/unreachable_controllers_test.go
@@ -67,7 +67,7 @@
 // counts as evidence.
 func newUnreportedCluster(t *testing.T, ctx context.Context, specs ...*protocol.JobSpec) (*simCluster, *runLog) {
 	log := &runLog{}
-	w := newWorldAt(t, ctx, 5, nil, func(cfg *protocol.Settings, f *standin.Fleet) {
+	w := newConfiguredSimCluster(t, ctx, 5, nil, func(cfg *protocol.Settings, f *standin.Fleet) {
 		params := &cfg.Params
 		params.Workers.ReportS, params.Workers.LeaseS, params.Workers.CancelS = 6, 36, 56
 		params.Zones = []string{"a"}
--- a/internal/coordination/node/why_test.go
+++ b/internal/coordination/node/why_test.go
@@ -136,7 +136,7 @@
 		t.Run(c.cause.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(context.Background())
-				w := newWorld(t, ctx, 4, defaultSettings)
+				w := newSimCluster(t, ctx, 4, defaultSettings)
 				defer func() { cancel(); time.Sleep(2 * time.Minute); synctest.Wait() }()
 				time.Sleep(6 * time.Second)
 				w.connectPeers()
@@ -185,7 +185,7 @@
 func TestExplanationWithStalledOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, 4, defaultSettings)
+		w := newSimCluster(t, ctx, 4, defaultSettings)
 		defer func() { cancel(); time.Sleep(2 * time.Minute); synctest.Wait() }()
 		time.Sleep(6 * time.Second)
 		w.connectPeers()
@@ -258,7 +258,7 @@
 func TestUnknownJobDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, 4, defaultSettings)
+		w := newSimCluster(t, ctx, 4, defaultSettings)
 		defer func() { cancel(); time.Sleep(2 * time.Minute); synctest.Wait() }()
 		time.Sleep(6 * time.Second)
 		w.connectPeers()
--- a/internal/coordination/node/workers.go
+++ b/internal/coordination/node/workers.go
@@ -56,8 +56,8 @@
 	deferred          *deferredReport
 	images            []protocol.CachedImage // most recently used last
 	secPerGB          float64                // learned seconds per GB fetched; 0: unknown
-	fetchSince        map[string]time.Time
-	heldBack          bool
+	fetchStartedAt    map[string]time.Time
+	cordoned          bool
 	earmarkedFor      *job // a gang that room is being gathered for
 	earmarkedUntil    time.Time
 	gangReservation   bool           // the earmark is a reservation
@@ -87,7 +87,7 @@
 	m := n.machines[name]
 	if m == nil {
 		now := time.Now()
-		m = &machine{name: name, heldBack: slices.Contains(n.policy.HeldBack, name), tasks: map[taskKey]struct{}{}, trackedSince: now, idleSince: now, idleSinceUnknown: !n.loaded, fetchSince: map[string]time.Time{}}
+		m = &machine{name: name, cordoned: slices.Contains(n.policy.HeldBack, name), tasks: map[taskKey]struct{}{}, trackedSince: now, idleSince: now, idleSinceUnknown: !n.loaded, fetchStartedAt: map[string]time.Time{}}
 		n.machines[name] = m
 		n.markStale(m)
 	}
@@ -377,8 +377,8 @@
 	t.reportedState = reportedStates[tr.State]
 	switch tr.State {
 	case protocol.TaskFetching:
-		if _, ok := m.fetchSince[j.spec.Image]; !ok {
-			m.fetchSince[j.spec.Image] = now
+		if _, ok := m.fetchStartedAt[j.spec.Image]; !ok {
+			m.fetchStartedAt[j.spec.Image] = now
 		}
 	case protocol.TaskWaiting, protocol.TaskRunning:
 		if was != reportedRunning && t.reportedState == reportedRunning {
@@ -428,8 +428,8 @@
 // fetched learns that a machine has an image: what fetching it cost, and that
 // it is cached now.
 func (m *machine) fetched(image string, gb float64, t *protocol.MachineType, now time.Time) {
-	if since, ok := m.fetchSince[image]; ok {
-		delete(m.fetchSince, image)
+	if since, ok := m.fetchStartedAt[image]; ok {
+		delete(m.fetchStartedAt, image)
 		if gb > 0 {
 			if took := now.Sub(since).Seconds() / gb; m.secPerGB == 0 {
 				m.secPerGB = took
@@ -455,7 +455,7 @@
 
 // hasImage says whether a machine holds an image or is fetching it.
 func (m *machine) hasImage(image string) bool {
-	if _, ok := m.fetchSince[image]; ok {
+	if _, ok := m.fetchStartedAt[image]; ok {
 		return true
 	}
 	for _, im := range m.images {
