--- a/internal/coordination/decide/why.go
+++ b/internal/coordination/decide/why.go
@@ -78,10 +78,10 @@
 }
 
 // String returns the reason's name, for metrics and programs.
-func (k Reason) String() string { return reasonTexts[k].name }
+func (r Reason) String() string { return reasonTexts[r].name }
 
 // Text describes the reason for users.
-func (k Reason) Text() string { return reasonTexts[k].text }
+func (r Reason) Text() string { return reasonTexts[r].text }
 
 // ReasonNames returns the names of all reasons.
 func ReasonNames() []string {
