--- a/internal/coordination/node/account.go
+++ b/internal/coordination/node/account.go
@@ -63,8 +63,8 @@
 // account is what a node remembers of ended jobs and past runs.
 type account struct {
 	settings   AccountSettings
-	history    *ledger.Book
-	runTimes   map[string]*ledger.Runs // by class
+	history    *ledger.History
+	runTimes   map[string]*ledger.RunTimes // by class
 	samples    []ledger.Sample
 	lostRuns   int // since the last sample
 	endedCount int
@@ -83,7 +83,7 @@
 	if settings.Entries == 0 {
 		settings.Entries, settings.Retention, settings.StoreInterval = 1000, 24*time.Hour, 0
 	}
-	return account{settings: settings, history: ledger.NewBook(settings.Entries, settings.Retention, now), runTimes: map[string]*ledger.Runs{}}
+	return account{settings: settings, history: ledger.NewHistory(settings.Entries, settings.Retention, now), runTimes: map[string]*ledger.RunTimes{}}
 }
 
 // SetAccountSettings sets how much is kept of ended jobs. It must be called before Run.
@@ -107,7 +107,7 @@
 		h.events[last-1].AtMS = now.UnixMilli()
 		return
 	}
-	if h.events = append(h.events, ledger.Event{AtMS: now.UnixMilli(), Text: text}); len(h.events) > ledger.MostEvents {
+	if h.events = append(h.events, ledger.Event{AtMS: now.UnixMilli(), Text: text}); len(h.events) > ledger.MaxEvents {
 		h.events = h.events[1:]
 	}
 }
@@ -157,11 +157,11 @@
 	}
 	runs := n.account.runTimes[j.spec.Class]
 	if runs == nil && len(n.account.runTimes) < maxClasses {
-		runs = &ledger.Runs{}
+		runs = &ledger.RunTimes{}
 		n.account.runTimes[j.spec.Class] = runs
 	}
 	if runs != nil {
-		runs.Saw(now.Sub(t.runningSince))
+		runs.Observe(now.Sub(t.runningSince))
 	}
 }
 
@@ -185,7 +185,7 @@
 	if f, ok := n.finalJobs.byID[j.id]; ok && f.Status == protocol.JobCancelled || j.cancelled {
 		state = ledger.Withdrawn
 	}
-	n.addToHistory(ledger.Entry{Job: j.id, Team: j.spec.Team, Class: j.spec.Class, Shape: j.spec.Shape, State: state, Submitted: j.submitted.UnixMilli(), Tasks: j.spec.Tasks, Lost: j.history.lostRuns})
+	n.addToHistory(ledger.Entry{Job: j.id, Team: j.spec.Team, Class: j.spec.Class, Shape: j.spec.Shape, State: state, Submitted: j.submitted.UnixMilli(), Tasks: j.spec.Tasks, LostRuns: j.history.lostRuns})
 }
 
 // recordTicketEnd records the end of a ticket.
@@ -195,7 +195,7 @@
 	switch {
 	case isFinal:
 		state = final.Status // the account uses the same status names
-	case t.rec.Failing != "":
+	case t.rec.FailureReason != "":
 		state = ledger.Failed
 	case t.cancelled:
 		state = ledger.Withdrawn
@@ -215,11 +215,11 @@
 // tickAccount takes samples, stores ended jobs and expires old ones.
 func (n *Node) tickAccount(now time.Time) {
 	a := &n.account
-	if now.Sub(a.lastSample) >= ledger.SamplePause {
+	if now.Sub(a.lastSample) >= ledger.SampleInterval {
 		a.lastSample = now
-		a.history.Age(now)
+		a.history.DropExpired(now)
 		a.samples = append(a.samples, n.takeSample(now))
-		if len(a.samples) > ledger.MostSamples {
+		if len(a.samples) > ledger.MaxSamples {
 			a.samples = a.samples[1:]
 		}
 	}
@@ -249,13 +249,13 @@
 // oldest segments that have expired, two at most.
 func (n *Node) storeHistory(now time.Time) {
 	a := &n.account
-	key, data, markStored := a.history.Unstored(now, int(n.cfg.Params.State.ValueKB*1024)-64)
+	key, data, markStored := a.history.NextSegment(now, int(n.cfg.Params.State.ValueKB*1024)-64)
 	if key == "" {
 		return
 	}
-	key = protocol.BookRoot + key
-	op := &storage.Op{Conds: []storage.Cond{n.unchanged(protocol.HolderKey(0))}, Writes: []storage.Write{{Put: key, Value: data}}}
-	expiry := protocol.BookRoot + ledger.SegmentKey(now.Add(-a.settings.Retention).UnixMilli())
+	key = protocol.HistoryRoot + key
+	op := &storage.Op{Conds: []storage.Cond{n.unchanged(protocol.OwnerKey(0))}, Writes: []storage.Write{{Put: key, Value: data}}}
+	expiry := protocol.HistoryRoot + ledger.SegmentKey(now.Add(-a.settings.Retention).UnixMilli())
 	remaining := a.segments
 	for len(remaining) > 0 && remaining[0] < expiry && len(op.Writes) < 3 {
 		op.Writes = append(op.Writes, storage.Write{Delete: remaining[0]})
@@ -279,10 +279,10 @@
 // once, since from then on only this node adds and removes segments.
 func (n *Node) beginStoring(now time.Time) {
 	a := &n.account
-	a.history.Begin(now, 2*a.settings.StoreInterval)
+	a.history.BeginStoring(now, 2*a.settings.StoreInterval)
 	a.lastStore, a.segments, a.storing = now, nil, true
 	n.spawn(func(ctx context.Context) {
-		items, _, err := n.store.List(ctx, protocol.BookRoot)
+		items, _, err := n.store.List(ctx, protocol.HistoryRoot)
 		n.post(func() {
 			if a.storing = false; err != nil {
 				a.wasLeader = false // retried later
@@ -298,7 +298,7 @@
 // loadHistory loads the ended jobs that earlier processes stored.
 func (n *Node) loadHistory() {
 	n.spawn(func(ctx context.Context) {
-		items, _, err := n.store.List(ctx, protocol.BookRoot)
+		items, _, err := n.store.List(ctx, protocol.HistoryRoot)
 		n.post(func() {
 			now := time.Now()
 			if err != nil {
@@ -310,7 +310,7 @@
 					n.log.Error("account segment could not be decoded", "key", it.Key, "why", err)
 				}
 			}
-			n.account.history.Loaded(now)
+			n.account.history.FinishLoading(now)
 			n.log.Info("account loaded", "segments", len(items), "jobs", n.account.history.Len())
 		})
 	})
@@ -362,7 +362,7 @@
 	case active > 0 && row.Silent == active:
 		row.State, row.Why = ledger.Unknown, fmt.Sprintf("all of its machines are silent, for %.0f s", facts.Silent.Seconds())
 	default:
-		if row.Why = ledger.Judge(facts); row.Why != "" {
+		if row.Why = ledger.StuckReason(facts); row.Why != "" {
 			row.State = ledger.Stuck
 			break
 		}
@@ -397,7 +397,7 @@
 func (n *Node) addJobEvents(page *ledger.Page, query *ledger.Query) {
 	for i := range page.Rows {
 		if j := n.jobs[page.Rows[i].Job]; j != nil && j.id == query.Text {
-			page.Rows[i].Story = j.history.events
+			page.Rows[i].Events = j.history.events
 		}
 	}
 }
@@ -417,14 +417,14 @@
 
 // stuckFacts collects the facts from which a job is judged to be stuck, and fills in the task
 // counts of its row.
-func (n *Node) stuckFacts(j *job, now time.Time, row *ledger.Row) *ledger.Facts {
-	facts := &ledger.Facts{Service: j.spec.Shape == protocol.Service, Gang: j.spec.Shape == protocol.Gang, Expect: n.seconds(j.spec.EstimateS), Class: n.account.runTimes[j.spec.Class],
-		GangWait: n.seconds(n.cfg.Params.Workers.GangWaitS), Restarts: j.history.failedStarts}
+func (n *Node) stuckFacts(j *job, now time.Time, row *ledger.Row) *ledger.StuckFacts {
+	facts := &ledger.StuckFacts{Service: j.spec.Shape == protocol.Service, Gang: j.spec.Shape == protocol.Gang, Estimate: n.seconds(j.spec.EstimateS), ClassRunTimes: n.account.runTimes[j.spec.Class],
+		GangTimeout: n.seconds(n.cfg.Params.Workers.GangWaitS), FailedStarts: j.history.failedStarts}
 	if j.failures.failsEverywhere {
-		facts.Restarts = max(facts.Restarts, j.failures.tries+2)
+		facts.FailedStarts = max(facts.FailedStarts, j.failures.tries+2)
 	}
 	if j.step != nil {
-		facts.Restarts = 0 // its retries are limited, and the job ends with the last one
+		facts.FailedStarts = 0 // its retries are limited, and the job ends with the last one
 	}
 	longest := func(total *time.Duration, since time.Time) { *total = max(*total, now.Sub(since)) }
 	owned := n.owns(n.partitions[j.partition])
@@ -433,14 +433,14 @@
 		t := &j.tasks[i]
 		switch {
 		case t.phase == phaseWaiting:
-			longest(&facts.Waits, t.phaseSince)
-			longest(&facts.Missing, t.phaseSince)
+			longest(&facts.Waiting, t.phaseSince)
+			longest(&facts.ReplicasMissing, t.phaseSince)
 			continue
 		case t.phase != phasePlaced && t.phase != phaseProposed:
 			continue
 		case t.outcome != outcomeNone:
 			if !j.dirtySince.IsZero() {
-				longest(&facts.Untold, j.dirtySince)
+				longest(&facts.EndUnstored, j.dirtySince)
 			}
 			if t.outcome == outcomeFinished {
 				row.Done++
@@ -469,25 +469,25 @@
 				began = t.phaseSince
 			}
 			if !silent {
-				longest(&facts.Longest, began)
+				longest(&facts.LongestRun, began)
 			}
 			if s := j.spec.CheckpointS; s > 0 {
 				row.SavedS = max(row.SavedS, s*float64(int(now.Sub(began).Seconds()/s)))
 			}
 		default:
 			row.Starting++
-			longest(&facts.Missing, t.phaseSince)
+			longest(&facts.ReplicasMissing, t.phaseSince)
 			if t.reportedState == reportedFetching && !silent {
-				longest(&facts.Fetching, t.phaseSince)
-				facts.FetchDue = max(facts.FetchDue, n.seconds(n.currentFacts(m).SecPerGB*j.spec.ImageGB))
+				longest(&facts.LongestFetch, t.phaseSince)
+				facts.ExpectedFetch = max(facts.ExpectedFetch, n.seconds(n.currentFacts(m).SecPerGB*j.spec.ImageGB))
 			}
 			if t.reportedState == reportedWaiting && !silent {
-				longest(&facts.Gather, t.phaseSince)
+				longest(&facts.GangWaiting, t.phaseSince)
 			}
 		}
 	}
 	if j.nWaiting() > 0 && owned && !j.writePending {
-		facts.Free = j.waitCause == decide.NoReason
+		facts.CouldStart = j.waitCause == decide.NoReason
 	}
 	slices.Sort(row.Zones)
 	return facts
@@ -513,7 +513,7 @@
 // that it owns.
 func (n *Node) accountOfOwned(query *ledger.Query, now time.Time) *ledger.Page {
 	page := ledger.NewPage(n.cfg.Node, now)
-	page.StateAge = roundToTenth(min(n.sinceContact(now), now.Sub(n.startedAt)).Seconds())
+	page.SinceStateAnswer = roundToTenth(min(n.sinceContact(now), now.Sub(n.startedAt)).Seconds())
 	for _, part := range n.partitions {
 		if !n.owns(part) {
 			continue
@@ -567,27 +567,27 @@
 		return
 	}
 	page := n.accountOfOwned(&query, now)
-	n.account.history.Age(now)
-	page.Since = n.account.history.Since()
+	n.account.history.DropExpired(now)
+	page.RememberedSince = n.account.history.RememberedSince()
 	n.account.history.Each(func(e *ledger.Entry) {
 		if n.jobs[e.Job] == nil { // a claimed job that was submitted again is open
 			page.Add(&query, e.Row(n.cfg.Node))
 		}
 	})
-	if page.StateAge > stateServiceTimeout.Seconds() {
-		page.Unknown = append(page.Unknown, fmt.Sprintf("the state service last answered %s %.0f s ago: what others accepted or ended since is not known", n.cfg.Node, page.StateAge))
+	if page.SinceStateAnswer > stateServiceTimeout.Seconds() {
+		page.Unknown = append(page.Unknown, fmt.Sprintf("the state service last answered %s %.0f s ago: what others accepted or ended since is not known", n.cfg.Node, page.SinceStateAnswer))
 	}
 	byOwner, vacant := n.peerPartitions()
 	for _, part := range vacant {
 		n.addUnknown(page, &query, []*partition{part}, fmt.Sprintf("share %d has no holder since %.0f s", part.index, now.Sub(part.vacantSince).Seconds()), part.vacantSince, now)
 	}
-	question := protocol.Ask{Kind: protocol.AskAccount, State: query.State, Team: query.Team, Class: query.Class, Zone: query.Zone, Image: query.Image, Text: query.Text, SinceMS: query.Since, After: query.After, Most: query.Most}
+	question := protocol.PeerQuery{Kind: protocol.QueryAccount, State: query.State, Team: query.Team, Class: query.Class, Zone: query.Zone, Image: query.Image, Text: query.Text, SinceMS: query.Since, After: query.After, Limit: query.Limit}
 	askOwners(n, byOwner, question, func(owner string, part ledger.Page, unknown string) {
-		if unknown == "" && part.Sums == nil {
+		if unknown == "" && part.JobsByState == nil {
 			unknown = unexpectedAnswer(owner, http.StatusOK)
 		}
 		if unknown == "" {
-			page.Join(&part)
+			page.Merge(&part)
 			return
 		}
 		since := now
@@ -606,7 +606,7 @@
 	all := [][]ledger.Sample{n.account.samples}
 	byOwner, _ := n.peerPartitions()
 	var unknown []string
-	askOwners(n, byOwner, protocol.Ask{Kind: protocol.AskSamples}, func(_ string, part []ledger.Sample, why string) {
+	askOwners(n, byOwner, protocol.PeerQuery{Kind: protocol.QuerySamples}, func(_ string, part []ledger.Sample, why string) {
 		if why != "" {
 			unknown = append(unknown, why)
 		}
@@ -623,8 +623,8 @@
 }
 
 // accountQuery returns the query that a peer's question contains.
-func accountQuery(question protocol.Ask) ledger.Query {
-	return ledger.Query{State: question.State, Team: question.Team, Class: question.Class, Zone: question.Zone, Image: question.Image, Text: question.Text, Since: question.SinceMS, After: question.After, Most: max(1, min(question.Most, ledger.MostRows))}
+func accountQuery(question protocol.PeerQuery) ledger.Query {
+	return ledger.Query{State: question.State, Team: question.Team, Class: question.Class, Zone: question.Zone, Image: question.Image, Text: question.Text, Since: question.SinceMS, After: question.After, Limit: max(1, min(question.Limit, ledger.MaxRows))}
 }
 
 func (n *Node) routeAccount(r *httprouter.Router) {
@@ -667,9 +667,9 @@
 			samples, unknown = v.Samples, v.Unknown
 		}
 	}
-	data, err := report.Gather(func(after string) (*ledger.Page, error) {
+	data, err := report.Collect(func(after string) (*ledger.Page, error) {
 		a, err := request(func(reply chan<- answer) {
-			n.onAccount(ledger.Query{After: after, Most: ledger.MostRows}, time.Now(), reply)
+			n.onAccount(ledger.Query{After: after, Limit: ledger.MaxRows}, time.Now(), reply)
 		})
 		if p, ok := a.body.(*ledger.Page); ok {
 			return p, nil
@@ -695,13 +695,13 @@
 // is in seconds before now.
 func parseAccountQuery(r *http.Request) (ledger.Query, error) {
 	values := r.URL.Query()
-	query := ledger.Query{State: values.Get("state"), Team: values.Get("team"), Class: values.Get("class"), Zone: values.Get("zone"), Image: values.Get("image"), Text: values.Get("q"), After: values.Get("after"), Most: 50}
+	query := ledger.Query{State: values.Get("state"), Team: values.Get("team"), Class: values.Get("class"), Zone: values.Get("zone"), Image: values.Get("image"), Text: values.Get("q"), After: values.Get("after"), Limit: 50}
 	if text := values.Get("limit"); text != "" {
 		n, err := strconv.Atoi(text)
 		if err != nil {
 			n = 0
 		}
-		query.Most = n
+		query.Limit = n
 	}
 	if text := values.Get("since"); text != "" {
 		seconds, err := strconv.ParseFloat(text, 64)
@@ -710,5 +710,5 @@
 		}
 		query.Since = time.Now().UnixMilli() - int64(seconds*1000)
 	}
-	return query, query.Check()
+	return query, query.Validate()
 }
--- a/internal/coordination/node/admin.go
+++ b/internal/coordination/node/admin.go
@@ -80,13 +80,13 @@
 		reply <- answer{status: 409, body: errorBody{"changed meanwhile: read the settings again"}}
 		return
 	}
-	op := &storage.Op{Once: true, Conds: []storage.Cond{{Key: protocol.PolicyKey, Stamp: *change.Stamp}},
+	op := &storage.Op{NoRetry: true, Conds: []storage.Cond{{Key: protocol.PolicyKey, Revision: *change.Stamp}},
 		Writes: []storage.Write{{Put: protocol.PolicyKey, Value: mustJSON(changed)}}}
 	op.Done = func(r storage.Result) {
 		n.post(func() {
 			switch {
 			case r.OK:
-				n.applyOwnWrite(op.Writes[0], r.Epoch)
+				n.applyOwnWrite(op.Writes[0], r.Revision)
 				n.log.Info("setting changed", "setting", name, "value", string(change.Value), "by", remoteAddr)
 				reply <- answer{status: 200, body: n.settingsView()}
 			case r.Err != nil:
--- a/internal/coordination/node/adopt.go
+++ b/internal/coordination/node/adopt.go
@@ -38,20 +38,20 @@
 		patience, pause = foundPatience, foundPause
 	}
 	may := n.isLeader() && !n.standby.leaving && n.sinceContact(now) < 2*time.Second && len(n.nodesWithoutEntries) == 0 && len(n.machineTypes) > 0
-	step, recs := n.adoption.Look(may, patience, pause, n.completeRevision, now)
-	holder := n.unchanged(protocol.HolderKey(0))
+	step, recs := n.adoption.Next(may, patience, pause, n.completeRevision, now)
+	holder := n.unchanged(protocol.OwnerKey(0))
 	switch step {
-	case duty.Raise:
-		n.submit(&storage.Op{For: uint8(forMachines), Conds: []storage.Cond{holder, n.unchanged(protocol.FenceKey)},
-			Writes: []storage.Write{{Put: protocol.FenceKey, Value: mustJSON(protocol.FenceRecord{Round: n.rentalFence.Round + 1})}}},
+	case duty.RaiseFence:
+		n.submit(&storage.Op{Purpose: uint8(forMachines), Conds: []storage.Cond{holder, n.unchanged(protocol.RentalFenceKey)},
+			Writes: []storage.Write{{Put: protocol.RentalFenceKey, Value: mustJSON(protocol.RentalFenceRecord{Generation: n.rentalFence.Generation + 1})}}},
 			func(r storage.Result) {
-				epoch := r.Epoch
+				epoch := r.Revision
 				if !r.OK {
 					epoch = 0
 				}
-				n.adoption.Raised(epoch, time.Now())
+				n.adoption.FenceRaised(epoch, time.Now())
 			})
-	case duty.Record:
+	case duty.RecordMachines:
 		n.recordStrays(recs, holder, now)
 	}
 }
@@ -63,12 +63,12 @@
 		m := n.machines[r.Name]
 		not := n.machineTypes[r.Type] == nil || m != nil && (m.recorded || len(m.tasks) > 0)
 		if not {
-			n.adoption.Drop(r.Name)
+			n.adoption.Remove(r.Name)
 		}
 		return not
 	})
 	if len(recs) == 0 {
-		n.adoption.Recorded(true, now)
+		n.adoption.RecordingEnded(true, now)
 		return
 	}
 	var sizes []Resources
@@ -84,8 +84,8 @@
 	for i, s := range decide.Apportion(sizes, guarantees) {
 		byShare[s] = append(byShare[s], recs[i])
 	}
-	op := &storage.Op{For: uint8(forMachines), Conds: []storage.Cond{holder, {Key: protocol.FenceKey, Stamp: n.adoption.Fence()}, n.unchanged(protocol.CounterKey)},
-		Writes: []storage.Write{{Put: protocol.CounterKey, Value: mustJSON(protocol.CounterRecord{Token: token})}}}
+	op := &storage.Op{Purpose: uint8(forMachines), Conds: []storage.Cond{holder, {Key: protocol.RentalFenceKey, Revision: n.adoption.Fence()}, n.unchanged(protocol.TokenCounterKey)},
+		Writes: []storage.Write{{Put: protocol.TokenCounterKey, Value: mustJSON(protocol.TokenCounterRecord{Token: token})}}}
 	taken := 0
 	for s, ms := range byShare {
 		room := math.MaxInt // by the longest type and zone
@@ -94,8 +94,8 @@
 		}
 		i := 0
 		for part := range slices.Chunk(ms, room) {
-			w := storage.Write{Put: protocol.BatchKey(fmt.Sprintf("a-%d-%d-%d", s, token, i)), Value: mustJSON(protocol.BatchRecord{Share: s, Token: token, Machines: part})}
-			if !op.Fits(w, n.cfg.Params.State.TxnOps) {
+			w := storage.Write{Put: protocol.BatchKey(fmt.Sprintf("a-%d-%d-%d", s, token, i)), Value: mustJSON(protocol.BatchRecord{Partition: s, Token: token, Machines: part})}
+			if !op.CanAdd(w, n.cfg.Params.State.TxnOps) {
 				break // the rest comes with the next change
 			}
 			op.Conds = append(op.Conds, storage.Cond{Key: w.Put})
@@ -106,7 +106,7 @@
 	}
 	n.submit(op, func(r storage.Result) {
 		n.log.Info("machines without a record taken up", "machines", taken, "of", len(recs), "changes", len(op.Writes), "ok", r.OK, "why", r.Err)
-		n.adoption.Recorded(r.OK, time.Now())
+		n.adoption.RecordingEnded(r.OK, time.Now())
 		n.replan = true
 	})
 }
@@ -114,5 +114,5 @@
 // awaitsAdoption says whether machines without a record are about to be taken up, so that
 // none is to be rented beside them.
 func (n *Node) awaitsAdoption(now time.Time) bool {
-	return n.freshCluster && now.Sub(n.loadControl.followingSince) < foundTime && n.adoption.Expects(now)
+	return n.freshCluster && now.Sub(n.loadControl.followingSince) < foundTime && n.adoption.HasUnrecorded(now)
 }
--- a/internal/coordination/node/api.go
+++ b/internal/coordination/node/api.go
@@ -73,8 +73,8 @@
 
 // readBody reads the body of a request, up to protocol.MaxBody bytes.
 func readBody(r *http.Request) ([]byte, error) {
-	data, err := io.ReadAll(io.LimitReader(r.Body, protocol.MaxBody+1))
-	if err == nil && len(data) > protocol.MaxBody {
+	data, err := io.ReadAll(io.LimitReader(r.Body, protocol.MaxBodyBytes+1))
+	if err == nil && len(data) > protocol.MaxBodyBytes {
 		err = errTooLong
 	}
 	return data, err
@@ -87,7 +87,7 @@
 		return
 	}
 	spec, err := protocol.ParseJob(data)
-	if errors.Is(err, protocol.ErrTicket) {
+	if errors.Is(err, protocol.ErrEmbeddedTicket) {
 		n.postEmbeddedTicket(w, r, data)
 		return
 	}
@@ -115,13 +115,13 @@
 		writeAnswer(w, answer{status: 404, body: errorBody{"no such job"}})
 		return
 	}
-	io.Copy(io.Discard, io.LimitReader(r.Body, protocol.MaxBody))
+	io.Copy(io.Discard, io.LimitReader(r.Body, protocol.MaxBodyBytes))
 	n.serve(w, r, func(reply chan<- answer) { n.onCancel(id, 5, reply) })
 }
 
 // maxReport bounds the size of a worker's report. A request may hold 64 KiB; a somewhat longer
 // one does no harm, and one beyond this bound is truncated and so refused as malformed.
-const maxReport = 4 * protocol.MaxBody
+const maxReport = 4 * protocol.MaxBodyBytes
 
 func (n *Node) postReport(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	data, err := io.ReadAll(io.LimitReader(r.Body, maxReport))
@@ -141,7 +141,7 @@
 	})
 	select {
 	case <-handled:
-		transport.Grown(r.Context()) // its answer may be deferred; the next worker need not wait for that
+		transport.MarkRequestHandled(r.Context()) // its answer may be deferred; the next worker need not wait for that
 	case <-n.ctx.Done():
 	}
 	n.await(w, r, reply)
--- a/internal/coordination/node/bad_input_test.go
+++ b/internal/coordination/node/bad_input_test.go
@@ -29,7 +29,7 @@
 
 // corruptOne makes a random stored value unreadable for a while, unless it changes meanwhile.
 func (w *simCluster) corruptOne() {
-	items, _, _ := w.state.List(w.ctx, protocol.Root)
+	items, _, _ := w.state.List(w.ctx, protocol.WatchedRoot)
 	items = slices.DeleteFunc(items, func(it storage.Item) bool {
 		return !slices.ContainsFunc([]string{protocol.JobPrefix, protocol.MachineRoot, protocol.LogRoot, protocol.InboxRoot, protocol.MovesKey}, func(root string) bool { return strings.HasPrefix(it.Key, root) }) ||
 			string(it.Value) == string(undecodableValue)
@@ -38,7 +38,7 @@
 		return
 	}
 	it := items[w.randInt(len(items))]
-	ok, stamp, _, _ := w.state.Txn(w.ctx, []storage.Cond{{Key: it.Key, Stamp: it.Stamp}}, []storage.Write{{Put: it.Key, Value: undecodableValue}})
+	ok, stamp, _, _ := w.state.Txn(w.ctx, []storage.Cond{{Key: it.Key, Revision: it.Revision}}, []storage.Write{{Put: it.Key, Value: undecodableValue}})
 	if !ok {
 		return
 	}
@@ -47,7 +47,7 @@
 		w.recordEvent("job corrupted")
 	}
 	time.Sleep(w.randDuration(100*time.Millisecond, 4*time.Second))
-	w.state.Txn(w.ctx, []storage.Cond{{Key: it.Key, Stamp: stamp}}, []storage.Write{{Put: it.Key, Value: it.Value}})
+	w.state.Txn(w.ctx, []storage.Cond{{Key: it.Key, Revision: stamp}}, []storage.Write{{Put: it.Key, Value: it.Value}})
 }
 
 // readableItems returns the items that a node reads. With the guard disabled, a corrupt job record is
--- a/internal/coordination/node/corrupt.go
+++ b/internal/coordination/node/corrupt.go
@@ -16,12 +16,12 @@
 
 // markCorrupt records and logs a value that can't be decoded, once per revision.
 func (n *Node) markCorrupt(it storage.Item, err error) {
-	if n.corruptKeys[it.Key] == it.Stamp {
+	if n.corruptKeys[it.Key] == it.Revision {
 		return
 	}
-	n.corruptKeys[it.Key] = it.Stamp
+	n.corruptKeys[it.Key] = it.Revision
 	n.metrics.guardRefusals.WithLabelValues("corrupt_record").Inc()
-	n.log.Error("stored value not understood: the known state is kept, and changes that depend on it are paused", "key", it.Key, "stamp", it.Stamp, "known_stamp", n.revisions[it.Key], "why", err)
+	n.log.Error("stored value not understood: the known state is kept, and changes that depend on it are paused", "key", it.Key, "stamp", it.Revision, "known_stamp", n.revisions[it.Key], "why", err)
 }
 
 // hasCorruptRecord reports whether a stored record of a job can't be decoded.
@@ -44,14 +44,14 @@
 // that it can't decode.
 func (n *Node) mayBeInCorruptValue(id string, task int) bool {
 	_, head := n.corruptKeys[protocol.JobKey(id)]
-	_, chunk := n.corruptKeys[protocol.ChunkKey(id, task/protocol.ChunkTasks)]
+	_, chunk := n.corruptKeys[protocol.ChunkKey(id, task/protocol.TasksPerChunk)]
 	return head || chunk || n.anyInboxUnreadable()
 }
 
 // hasCorruptOwner reports whether the owner record of a partition, or the token counter that is
 // needed to take it, can't be decoded.
 func (n *Node) hasCorruptOwner(partition *partition) bool {
-	_, owner := n.corruptKeys[protocol.HolderKey(partition.index)]
-	_, counter := n.corruptKeys[protocol.CounterKey]
+	_, owner := n.corruptKeys[protocol.OwnerKey(partition.index)]
+	_, counter := n.corruptKeys[protocol.TokenCounterKey]
 	return owner || counter
 }
--- a/internal/coordination/node/facts.go
+++ b/internal/coordination/node/facts.go
@@ -74,7 +74,7 @@
 // buildMachineFacts builds a machine's facts from the actor's state.
 func (n *Node) buildMachineFacts(m *machine) decide.Machine {
 	machineType := n.machineTypes[m.rec.Type]
-	facts := decide.Machine{Name: m.name, Type: m.rec.Type, Zone: m.rec.Zone, Spot: m.rec.Spot, Partition: m.rec.Share, Used: m.used, SecPerGB: decide.SecondsPerGB(machineType, m.secPerGB),
+	facts := decide.Machine{Name: m.name, Type: m.rec.Type, Zone: m.rec.Zone, Spot: m.rec.Spot, Partition: m.rec.Partition, Used: m.used, SecPerGB: decide.SecondsPerGB(machineType, m.secPerGB),
 		AvoidUntil: m.avoidUntil, LastReport: m.lastFencedReport, HasAddress: m.rec.Addr != "", EarmarkedUntil: m.earmarkedUntil, Reserved: m.gangReservation, Needed: m.needed}
 	if machineType != nil {
 		facts.HasType, facts.Size = true, decide.SizeOf(machineType)
@@ -147,7 +147,7 @@
 // view returns a partition's state as the input of one decision.
 func (n *Node) view(partition *partition, now time.Time) *decide.View {
 	n.refreshIndex(now)
-	view := &decide.View{Now: now, Partition: partition.index, NoPreemption: n.owns(partition) && !partition.reconciliation.MayDisplace(), Types: n.machineTypes, Index: n.planningFacts.index, GPUTypesInDemand: n.currentGPUTypes(now),
+	view := &decide.View{Now: now, Partition: partition.index, NoPreemption: n.owns(partition) && !partition.reconciliation.MayPreempt(), Types: n.machineTypes, Index: n.planningFacts.index, GPUTypesInDemand: n.currentGPUTypes(now),
 		Config: decide.Config{ReportS: n.cfg.Params.Workers.ReportS, Objectives: n.cfg.Params.Aims, MoveS: n.policy.MoveS}}
 	for _, t := range n.teams {
 		view.Teams = append(view.Teams, &t.Team)
--- a/internal/coordination/node/faults_test.go
+++ b/internal/coordination/node/faults_test.go
@@ -50,7 +50,7 @@
 		{"a place taken for free before its machine was heard", startLoses, func(n *Node) {
 			for _, s := range n.partitions {
 				for _, m := range s.machines {
-					if s.reconciliation != nil && s.reconciliation.Unheard(m.name) && n.sinceContact(time.Now()) < time.Second {
+					if s.reconciliation != nil && s.reconciliation.AwaitingReport(m.name) && n.sinceContact(time.Now()) < time.Second {
 						for k := range m.tasks {
 							n.recordOutcome(k.job, k.task, outcomeGone)
 						}
@@ -120,7 +120,7 @@
 			now := time.Now()
 			for _, s := range n.partitions {
 				for _, m := range s.machines {
-					if s.reconciliation == nil || !s.reconciliation.Unheard(m.name) || now.Sub(m.lastHint) > machineHintMaxAge {
+					if s.reconciliation == nil || !s.reconciliation.AwaitingReport(m.name) || now.Sub(m.lastHint) > machineHintMaxAge {
 						continue
 					}
 					for k := range m.tasks { // the hint lists nothing that was placed since
@@ -131,7 +131,7 @@
 		}},
 		{"a take-over without the fence", func(n *Node) {
 			for _, s := range n.partitions {
-				if h := s.owner; n.owns(s) && h.Token > 1 && s.takeover.cause == standby.Ended {
+				if h := s.owner; n.owns(s) && h.Token > 1 && s.takeover.cause == standby.ProcessEnded {
 					for _, m := range s.machines { // it commands under the token of the holder before
 						if !m.fenced && m.rec.Token < h.Token {
 							m.fenced, m.lastFencedReport = true, time.Now()
--- a/internal/coordination/node/guests_test.go
+++ b/internal/coordination/node/guests_test.go
@@ -16,10 +16,10 @@
 	b.teams[2].Guarantee = Resources{} // green, in share 2, is a guest
 	now := time.Now()
 	for i := range 3 {
-		b.watchPut(protocol.HolderKey(i), protocol.HolderRecord{Node: "n-0", Token: 7, Lease: 3})
+		b.watchPut(protocol.OwnerKey(i), protocol.OwnerRecord{Node: "n-0", Token: 7, Lease: 3})
 	}
 	up := func(share int, name string) *machine {
-		b.watchPut(protocol.BatchKey("b-"+name), protocol.BatchRecord{Share: share, Token: 7, Machines: []protocol.MachineRecord{{Name: name, Type: "g4", Zone: "a", Addr: "x:1"}}})
+		b.watchPut(protocol.BatchKey("b-"+name), protocol.BatchRecord{Partition: share, Token: 7, Machines: []protocol.MachineRecord{{Name: name, Type: "g4", Zone: "a", Addr: "x:1"}}})
 		m := b.machines[name]
 		m.fenced, m.lastFencedReport = true, now
 		return m
@@ -29,7 +29,7 @@
 		if team != "green" {
 			spec.GPUs = 1
 		}
-		b.watchPut(protocol.JobKey(id), protocol.JobRecord{Spec: spec, Next: 2, Chunk: protocol.Chunk{Placed: placed}})
+		b.watchPut(protocol.JobKey(id), protocol.JobRecord{Spec: spec, NextAttempt: 2, Chunk: protocol.Chunk{Placed: placed}})
 		return b.jobs[id]
 	}
 	b.workers = &scriptedWorkers{orders: make(chan protocol.Orders, 9), answers: make(chan *protocol.Report, 9)}
--- a/internal/coordination/node/jobs.go
+++ b/internal/coordination/node/jobs.go
@@ -127,7 +127,7 @@
 
 // chunkRange returns the tasks of chunk k: from lo up to, and not including, hi.
 func (j *job) chunkRange(k int) (lo, hi int) {
-	return k * protocol.ChunkTasks, min(len(j.tasks), (k+1)*protocol.ChunkTasks)
+	return k * protocol.TasksPerChunk, min(len(j.tasks), (k+1)*protocol.TasksPerChunk)
 }
 
 // revisionOf returns the revision of a key in the replica; 0 if there is no such key.
@@ -140,7 +140,7 @@
 
 // unchanged is the condition that a key is stored as this node knows it.
 func (n *Node) unchanged(key string) storage.Cond {
-	return storage.Cond{Key: key, Stamp: n.revisionOf(key)}
+	return storage.Cond{Key: key, Revision: n.revisionOf(key)}
 }
 
 // applyJob applies the head of a job, from its own record or from an inbox entry.
@@ -183,10 +183,10 @@
 		j.claim = record.Claim
 		n.forgetEarlierClaim(id, record.Claim)
 	}
-	j.history.mergeStored(record.Lost, record.LostMS)
+	j.history.mergeStored(record.LostRuns, record.LastLostMS)
 	j.failed = j.failed || record.Failed
-	j.cancelPending = record.Asked && !record.Cancelled
-	if (record.Cancelled || record.Asked || record.Failed) && !j.cancelled {
+	j.cancelPending = record.CancelRequested && !record.Cancelled
+	if (record.Cancelled || record.CancelRequested || record.Failed) && !j.cancelled {
 		j.cancelled, j.facts.Cancelled = true, true
 		n.cancelling[j] = true
 		j.history.addEvent(time.Now(), map[bool]string{true: "to end: it or its ticket failed", false: "cancelled"}[j.failed])
@@ -195,7 +195,7 @@
 		n.stopTasksDirectly(j)
 		n.dirty[j] = true
 	}
-	j.nextAttempt = max(j.nextAttempt, record.Next)
+	j.nextAttempt = max(j.nextAttempt, record.NextAttempt)
 	n.applyTries(j, record.Tries, time.Now())
 	n.applyTasks(j, 0, &record.Chunk)
 	if isNew {
@@ -260,7 +260,7 @@
 		}
 	}
 	for i := lo; i < hi; i++ {
-		if t := &j.tasks[i]; t.fromLog && t.logSeq > chunk.Log {
+		if t := &j.tasks[i]; t.fromLog && t.logSeq > chunk.LogSeq {
 			continue // an entry of the partition's log holds a later state
 		}
 		switch p := placements[i-lo]; {
@@ -271,7 +271,7 @@
 		default:
 			n.applyTask(j, i, phaseWaiting, "", 0, now)
 		}
-		j.tasks[i].logSeq, j.tasks[i].fromLog = chunk.Log, false
+		j.tasks[i].logSeq, j.tasks[i].fromLog = chunk.LogSeq, false
 	}
 	n.afterTasksApplied(j)
 }
@@ -463,7 +463,7 @@
 // final record. The other chunks would be read at every start of a node, for ever: a ticket of
 // 100,000 tasks leaves 781 of them.
 func (n *Node) removeOrphanChunks(now time.Time) {
-	if !n.isLeader() || n.sinceContact(now) > 2*time.Second || n.pendingUserChanges > 0 || n.totalPendingWrites() > 0 || !n.rateLimiter.Ample() {
+	if !n.isLeader() || n.sinceContact(now) > 2*time.Second || n.pendingUserChanges > 0 || n.totalPendingWrites() > 0 || !n.rateLimiter.HasSpareRate() {
 		return
 	}
 	sweep := &n.orphanSweep
@@ -487,7 +487,7 @@
 		}
 		id, _ := splitJobKey(key)
 		// The conditions fail if the job exists after all, or appears again.
-		n.submitTo(n.backgroundCommitter, &storage.Op{Conds: []storage.Cond{n.unchanged(protocol.HolderKey(0)), {Key: protocol.JobKey(id)}, n.unchanged(key)},
+		n.submitTo(n.backgroundCommitter, &storage.Op{Conds: []storage.Cond{n.unchanged(protocol.OwnerKey(0)), {Key: protocol.JobKey(id)}, n.unchanged(key)},
 			Writes: []storage.Write{{Delete: key}}}, func(storage.Result) {})
 	}
 }
@@ -526,7 +526,7 @@
 func (n *Node) proposePlacements(j *job, tasks []int, machines []*machine, now time.Time) {
 	for k, i := range tasks {
 		n.setPhase(j, i, phaseProposed, machines[k], j.nextAttempt, now)
-		j.dirtyChunks[i/protocol.ChunkTasks] = true
+		j.dirtyChunks[i/protocol.TasksPerChunk] = true
 	}
 	j.nextAttempt++
 	n.dirty[j] = true
@@ -543,7 +543,7 @@
 	if n.pendingWrites[n.urgentCommitter] >= maxWrites && n.pendingWrites[n.backgroundCommitter] >= maxWrites {
 		return
 	}
-	ample := n.rateLimiter.Ample()
+	ample := n.rateLimiter.HasSpareRate()
 	requests := make([][]storeRequest, len(n.partitions))
 	for j := range n.dirty {
 		if j.writePending || n.jobChangesPaused(j) {
@@ -632,7 +632,7 @@
 // chunkRecord returns the record of chunk k as the partition's owner, which knows all of the log,
 // stores it.
 func (n *Node) chunkRecord(j *job, k int) protocol.Chunk {
-	c := protocol.Chunk{Log: n.partitions[j.partition].log.Last()}
+	c := protocol.Chunk{LogSeq: n.partitions[j.partition].log.LastSeq()}
 	lo, hi := j.chunkRange(k)
 	for i := lo; i < hi; i++ {
 		t := &j.tasks[i]
@@ -656,7 +656,7 @@
 
 // headRecord returns a job's head record as the owner stores it.
 func (n *Node) headRecord(j *job) protocol.JobRecord {
-	return protocol.JobRecord{Spec: j.spec, SubmittedMS: j.submitted.UnixMilli(), Cancelled: j.cancelled && !j.cancelPending, Asked: j.cancelPending, Next: j.nextAttempt, Tries: j.failures.tries, Claim: j.claim, Step: j.step, Failed: j.failed, Lost: j.history.lostRuns, LostMS: j.history.lastLostMS(), Chunk: n.chunkRecord(j, 0)}
+	return protocol.JobRecord{Spec: j.spec, SubmittedMS: j.submitted.UnixMilli(), Cancelled: j.cancelled && !j.cancelPending, CancelRequested: j.cancelPending, NextAttempt: j.nextAttempt, Tries: j.failures.tries, Claim: j.claim, Step: j.step, Failed: j.failed, LostRuns: j.history.lostRuns, LastLostMS: j.history.lastLostMS(), Chunk: n.chunkRecord(j, 0)}
 }
 
 // mustJSON marshals a record and panics if that fails.
@@ -684,12 +684,12 @@
 	for i := range j.tasks {
 		if t := &j.tasks[i]; t.outcome != outcomeNone {
 			t.storing = true
-			touched[i/protocol.ChunkTasks] = true
+			touched[i/protocol.TasksPerChunk] = true
 		}
 	}
 	// The machines need no condition of their own: only the owner moves or returns the
 	// machines of its partition, and it does neither while a placement is being stored.
-	op := &storage.Op{For: uint8(purpose), Conds: []storage.Cond{n.unchanged(protocol.HolderKey(j.partition)), n.unchanged(protocol.JobKey(j.id))}}
+	op := &storage.Op{Purpose: uint8(purpose), Conds: []storage.Cond{n.unchanged(protocol.OwnerKey(j.partition)), n.unchanged(protocol.JobKey(j.id))}}
 	if n.mayHaveEntries() {
 		op.Conds = append(op.Conds, n.logUnchanged(j.partition), storage.Cond{Key: protocol.FinalKey(j.id)})
 	}
@@ -800,7 +800,7 @@
 	if r.OK {
 		n.metrics.stateCalls.WithLabelValues("stored").Inc()
 		for _, w := range op.Writes {
-			n.applyOwnWrite(w, r.Epoch)
+			n.applyOwnWrite(w, r.Revision)
 		}
 		j.writePending = false
 		n.stepChangeFinished(j)
@@ -843,8 +843,8 @@
 
 // applyOwnWrite applies a write that this node committed to the replica.
 func (n *Node) applyOwnWrite(w storage.Write, epoch uint64) {
-	it := storage.Item{Key: w.Key(), Value: w.Value, Stamp: epoch}
-	if strings.HasPrefix(it.Key, protocol.Root) {
+	it := storage.Item{Key: w.Key(), Value: w.Value, Revision: epoch}
+	if strings.HasPrefix(it.Key, protocol.WatchedRoot) {
 		n.applyItem(it)
 	} else {
 		n.applyFinal(it)
@@ -862,7 +862,7 @@
 			n.setPhase(j, i, phaseWaiting, nil, 0, now)
 		}
 		if t.outcome != outcomeNone {
-			j.dirtyChunks[i/protocol.ChunkTasks] = true
+			j.dirtyChunks[i/protocol.TasksPerChunk] = true
 		}
 	}
 	n.replan = true
--- a/internal/coordination/node/leadership_meetings_test.go
+++ b/internal/coordination/node/leadership_meetings_test.go
@@ -314,10 +314,10 @@
 // Acting as owner at that point would miss changes of earlier owners, so ownership must wait for
 // the replica, whether the partition had an owner before or not.
 func TestOwnershipWaitsForTheReplica(t *testing.T) {
-	for _, before := range []protocol.HolderRecord{{}, {Node: "n-1", Token: 8, Lease: 9}} {
+	for _, before := range []protocol.OwnerRecord{{}, {Node: "n-1", Token: 8, Lease: 9}} {
 		node := newTestNode(t)
-		node.watchPut(protocol.HolderKey(0), before)
-		own := storage.Write{Put: protocol.HolderKey(0), Value: mustJSON(protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})}
+		node.watchPut(protocol.OwnerKey(0), before)
+		own := storage.Write{Put: protocol.OwnerKey(0), Value: mustJSON(protocol.OwnerRecord{Node: "n-0", Token: 9, Lease: 3})}
 		node.applyOwnWrite(own, node.revision+5)
 		if s := node.partitions[0]; node.owns(s) || !s.ownerChanging() {
 			t.Fatalf("after %+v the partition counts as owned: %+v", before, s.owner)
@@ -326,7 +326,7 @@
 		if node.owns(node.partitions[0]) {
 			t.Fatalf("after %+v the partition counts as owned one revision too early", before)
 		}
-		node.applyWatch([]storage.Item{{Key: own.Put, Value: own.Value, Stamp: node.revision + 5}}, node.revision+5)
+		node.applyWatch([]storage.Item{{Key: own.Put, Value: own.Value, Revision: node.revision + 5}}, node.revision+5)
 		if s := node.partitions[0]; !node.owns(s) || s.ownerChanging() || node.revisionOf(own.Put) != node.revision+5 {
 			t.Fatalf("after %+v the partition is not owned with a complete replica: %+v", before, s.owner)
 		}
@@ -337,7 +337,7 @@
 func detachOwnerLeases(writes []storage.Write) []storage.Write {
 	writes = slices.Clone(writes)
 	for i := range writes {
-		if strings.HasPrefix(writes[i].Put, protocol.HolderRoot) {
+		if strings.HasPrefix(writes[i].Put, protocol.OwnerRoot) {
 			writes[i].Lease = 0
 		}
 	}
--- a/internal/coordination/node/lives_test.go
+++ b/internal/coordination/node/lives_test.go
@@ -96,8 +96,8 @@
 			return len(items)
 		}
 		name := w.names[1]
-		others := func() []protocol.HolderRecord {
-			return slices.DeleteFunc(append([]protocol.HolderRecord{}, asSlice(w.partitionOwners())...), func(h protocol.HolderRecord) bool { return h.Node == name || h.Token == 0 })
+		others := func() []protocol.OwnerRecord {
+			return slices.DeleteFunc(append([]protocol.OwnerRecord{}, asSlice(w.partitionOwners())...), func(h protocol.OwnerRecord) bool { return h.Node == name || h.Token == 0 })
 		}
 		before, ownedBefore := count(), others()
 		for range 40 {
@@ -105,7 +105,7 @@
 			time.Sleep(w.randDuration(0, 400*time.Millisecond))
 		}
 		began := time.Now()
-		for time.Since(began) < 10*time.Second && slices.ContainsFunc(asSlice(w.partitionOwners()), func(h protocol.HolderRecord) bool { return h.Token == 0 }) {
+		for time.Since(began) < 10*time.Second && slices.ContainsFunc(asSlice(w.partitionOwners()), func(h protocol.OwnerRecord) bool { return h.Token == 0 }) {
 			time.Sleep(10 * time.Millisecond)
 		}
 		if took := time.Since(began); took > 2*time.Second {
@@ -123,7 +123,7 @@
 	})
 }
 
-func asSlice(h [3]protocol.HolderRecord) []protocol.HolderRecord { return h[:] }
+func asSlice(h [3]protocol.OwnerRecord) []protocol.OwnerRecord { return h[:] }
 
 // Two processes of one node run at a time, as after a stalled one was replaced. All nodes accept
 // the later one. The earlier one owns nothing while the later one lives, and serves again after the
@@ -177,10 +177,10 @@
 			// service executes it after the next process has stored its record.
 			w.restart("n-1", 0)
 			time.Sleep(time.Second)
-			if now, _ := w.state.Get(ctx, key); now.Stamp == before.Stamp {
+			if now, _ := w.state.Get(ctx, key); now.Revision == before.Revision {
 				t.Fatal("the next process has stored nothing")
 			}
-			cond := []storage.Cond{{Key: key, Stamp: before.Stamp}}
+			cond := []storage.Cond{{Key: key, Revision: before.Revision}}
 			if sabotaged {
 				cond = nil
 			}
--- a/internal/coordination/node/machines.go
+++ b/internal/coordination/node/machines.go
@@ -19,7 +19,7 @@
 
 // addToPartition puts a recorded machine into its share's list.
 func (n *Node) addToPartition(m *machine) {
-	s := n.partitions[m.rec.Share]
+	s := n.partitions[m.rec.Partition]
 	if i, found := slices.BinarySearchFunc(s.machines, m, byName); !found {
 		s.machines = slices.Insert(s.machines, i, m)
 		n.addToReconciliation(s, m)
@@ -28,10 +28,10 @@
 
 // removeFromPartition takes a machine out of its share's list.
 func (n *Node) removeFromPartition(m *machine) {
-	s := n.partitions[m.rec.Share]
+	s := n.partitions[m.rec.Partition]
 	if i, found := slices.BinarySearchFunc(s.machines, m, byName); found {
 		s.machines = slices.Delete(s.machines, i, i+1)
-		s.reconciliation.Drop(m.name)
+		s.reconciliation.Remove(m.name)
 	}
 }
 
@@ -39,16 +39,16 @@
 // the token, which no other node and no other life ever has.
 func (n *Node) rentMachines(s *partition, r rentalKey, count int) {
 	n.cloudState.rentalSeq++
-	req := protocol.RentRequest{Request: fmt.Sprintf("r-%d-%d-%d", s.index, s.owner.Token, n.cloudState.rentalSeq),
+	req := protocol.RentRequest{RequestID: fmt.Sprintf("r-%d-%d-%d", s.index, s.owner.Token, n.cloudState.rentalSeq),
 		Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: count}
 	n.cloudState.requested[r] = count
-	fence := n.unchanged(protocol.FenceKey)
+	fence := n.unchanged(protocol.RentalFenceKey)
 	n.spawn(func(ctx context.Context) {
 		names, err := n.cloud.Rent(ctx, req)
 		n.post(func() {
 			now := time.Now()
 			n.metrics.cloudCalls.WithLabelValues("rent", callOutcome(err)).Inc()
-			n.log.Info("rental", "request", req.Request, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "asked", count, "got", len(names), "why", err)
+			n.log.Info("rental", "request", req.RequestID, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "asked", count, "got", len(names), "why", err)
 			if len(names) > 0 {
 				delete(n.cloudState.refusalsInRow, r.offer)
 			}
@@ -94,7 +94,7 @@
 func (n *Node) onStray(r *protocol.Report, now time.Time, reply chan<- answer) {
 	lead := n.partitions[0].owner
 	if _, over := n.cloudState.returned[r.Machine]; !over {
-		n.adoption.Heard(protocol.MachineRecord{Name: r.Machine, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Addr: r.Addr}, now)
+		n.adoption.NoteReport(protocol.MachineRecord{Name: r.Machine, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Addr: r.Addr}, now)
 	}
 	switch {
 	case n.isLeader():
@@ -185,7 +185,7 @@
 		case m.spotNotice || n.faulty(m):
 			n.log.Info("machine returned", "machine", m.name, "notice", m.spotNotice, "blamed_by", len(m.faults.jobs), "failures", m.faults.failures)
 			back = append(back, m)
-		case idle[m.rec.Share] && !m.needed && !m.idleSince.IsZero() && now.Sub(m.idleSince) > start.IdleFor(n.seconds(n.policy.IdleS), !m.idleSinceUnknown):
+		case idle[m.rec.Partition] && !m.needed && !m.idleSince.IsZero() && now.Sub(m.idleSince) > start.IdleTimeout(n.seconds(n.policy.IdleS), !m.idleSinceUnknown):
 			spare = append(spare, m)
 		}
 	}
@@ -418,7 +418,7 @@
 				m.returned = true
 				n.markStale(m)
 				n.cloudState.returned[m.name] = now
-				if m.recorded && n.owns(n.partitions[m.rec.Share]) || !m.recorded {
+				if m.recorded && n.owns(n.partitions[m.rec.Partition]) || !m.recorded {
 					n.settleGone(m)
 				}
 			}
@@ -475,7 +475,7 @@
 		if m.addr == "" {
 			m.addr = l.Addr
 		}
-		if l.State == "failed" && !m.returned && !m.returning && n.owns(n.partitions[m.rec.Share]) {
+		if l.State == "failed" && !m.returned && !m.returning && n.owns(n.partitions[m.rec.Partition]) {
 			n.log.Info("machine failed", "machine", l.ID)
 			back = append(back, m)
 		}
--- a/internal/coordination/node/meetings_test.go
+++ b/internal/coordination/node/meetings_test.go
@@ -42,8 +42,8 @@
 // partitionOwner returns the owner of a partition as stored in the state service, or "" if there is
 // none.
 func (w *simCluster) partitionOwner(index int) string {
-	it, _ := w.state.Get(w.ctx, protocol.HolderKey(index))
-	var record protocol.HolderRecord
+	it, _ := w.state.Get(w.ctx, protocol.OwnerKey(index))
+	var record protocol.OwnerRecord
 	if it.Value == nil {
 		return ""
 	}
--- a/internal/coordination/node/moves.go
+++ b/internal/coordination/node/moves.go
@@ -29,12 +29,12 @@
 	n.log.Info("moves planned", "machines", len(mv.Moves))
 	// On the condition of the plan before: an earlier plan that is executed late would hand
 	// over machines by what was wanted then.
-	n.submit(&storage.Op{For: uint8(forMoves), Conds: []storage.Cond{n.unchanged(protocol.HolderKey(0)), n.unchanged(protocol.MovesKey)},
+	n.submit(&storage.Op{Purpose: uint8(forMoves), Conds: []storage.Cond{n.unchanged(protocol.OwnerKey(0)), n.unchanged(protocol.MovesKey)},
 		Writes: []storage.Write{{Put: protocol.MovesKey, Value: mustJSON(mv)}}}, func(storage.Result) {})
 }
 
 // computeMoves is the leader's plan for now.
-func (n *Node) computeMoves(now time.Time) (mv protocol.Moves) {
+func (n *Node) computeMoves(now time.Time) (mv protocol.MovesRecord) {
 	claims := make([][]*decide.Job, len(n.partitions)) // jobs that wait in each share
 	guests := make([][]*decide.Job, len(n.partitions))
 	any := false
@@ -55,7 +55,7 @@
 		return mv
 	}
 	for _, m := range n.view(n.partitions[0], now).PlanMoves(claims, guests, mostMoves) {
-		mv.Moves = append(mv.Moves, protocol.Move{Machine: m.Machine.Name, Share: m.Partition, Spare: m.OnlyIfUnneeded, Rank: m.Rank, Drain: m.Drain})
+		mv.Moves = append(mv.Moves, protocol.Move{Machine: m.Machine.Name, Partition: m.Partition, OnlyIfUnneeded: m.OnlyIfUnneeded, Rank: m.Rank, Drain: m.Drain})
 	}
 	return mv
 }
@@ -76,7 +76,7 @@
 	if t == nil {
 		return true
 	}
-	return slices.ContainsFunc(n.partitions[m.rec.Share].jobs, func(j *job) bool {
+	return slices.ContainsFunc(n.partitions[m.rec.Partition].jobs, func(j *job) bool {
 		return !n.unguaranteed(j) && j.rank <= rank && n.preemptionDemand(j, now) > 0 && decide.SizeOf(t).TaskCount(j.need) > 0 &&
 			decide.Allowed(j.spec, offer{Type: m.rec.Type, Zone: m.rec.Zone, Spot: m.rec.Spot})
 	})
@@ -97,7 +97,7 @@
 // shifts says whether what is as urgent on a machine needs none of its GPUs and could run
 // elsewhere in its share, and the rest may be stopped.
 func (n *Node) shifts(m *machine, rank int, now time.Time) bool {
-	return n.view(n.partitions[m.rec.Share], now).CanRelocate(n.currentFacts(m), rank)
+	return n.view(n.partitions[m.rec.Partition], now).CanRelocate(n.currentFacts(m), rank)
 }
 
 // reserveTime is how long nothing is placed on a machine that guests' work is being
@@ -107,20 +107,20 @@
 // onMoves hands over the machines of ours that are still free: placing there
 // stops first, then one conditional write moves them under a new token. Guests' work
 // is stopped first; the machine goes when it has left, by a later plan.
-func (n *Node) onMoves(mv protocol.Moves) {
+func (n *Node) onMoves(mv protocol.MovesRecord) {
 	type path struct{ from, to int }
 	going := map[path][]*machine{}
 	now := time.Now()
 	for _, x := range mv.Moves {
 		m := n.machines[x.Machine]
 		if m == nil || !m.recorded || m.moving || m.returning || m.returned ||
-			x.Share < 0 || x.Share >= len(n.partitions) || x.Share == m.rec.Share || !n.owns(n.partitions[m.rec.Share]) ||
-			n.keeps(m, x.Rank, now) || x.Spare && (m.needed || n.hasWaitingTasks(m.rec.Share, now)) ||
-			!m.fenced && n.partitions[m.rec.Share].reconciliation.Unheard(m.name) {
+			x.Partition < 0 || x.Partition >= len(n.partitions) || x.Partition == m.rec.Partition || !n.owns(n.partitions[m.rec.Partition]) ||
+			n.keeps(m, x.Rank, now) || x.OnlyIfUnneeded && (m.needed || n.hasWaitingTasks(m.rec.Partition, now)) ||
+			!m.fenced && n.partitions[m.rec.Partition].reconciliation.AwaitingReport(m.name) {
 			continue
 		}
 		if len(m.tasks) > 0 {
-			if !x.Spare {
+			if !x.OnlyIfUnneeded {
 				n.emptyForMove(m, x, now)
 			}
 			continue
@@ -128,7 +128,7 @@
 		if m.batch.storing {
 			continue
 		}
-		p := path{m.rec.Share, x.Share}
+		p := path{m.rec.Partition, x.Partition}
 		going[p] = append(going[p], m)
 	}
 	for p, ms := range going {
@@ -143,17 +143,17 @@
 // stopped, unless it is to end by itself.
 func (n *Node) emptyForMove(m *machine, x protocol.Move, now time.Time) {
 	if x.Drain {
-		if n.view(n.partitions[m.rec.Share], now).DrainsSoon(n.currentFacts(m)) {
+		if n.view(n.partitions[m.rec.Partition], now).DrainsSoon(n.currentFacts(m)) {
 			m.avoidUntil = latest(m.avoidUntil, now.Add(drainPause))
 			n.markStale(m)
 		}
 		return
 	}
-	guests := n.onlyUnguaranteed(m) && !n.guaranteedWorkWaits(m.rec.Share, now)
+	guests := n.onlyUnguaranteed(m) && !n.guaranteedWorkWaits(m.rec.Partition, now)
 	if !guests && !n.outranked(m, x.Rank) && !n.shifts(m, x.Rank, now) || n.hasStoppingTask(m) {
 		return
 	}
-	n.log.Info("work stopped for another share", "machine", m.name, "tasks", len(m.tasks), "share", x.Share, "guests", guests)
+	n.log.Info("work stopped for another share", "machine", m.name, "tasks", len(m.tasks), "share", x.Partition, "guests", guests)
 	m.avoidUntil = now.Add(reserveTime)
 	n.markStale(m)
 	for k := range m.tasks {
@@ -185,9 +185,9 @@
 	}
 	token := n.tokenCounter + 1
 	n.submit(&storage.Op{
-		For:    uint8(forMoves),
-		Conds:  []storage.Cond{n.unchanged(protocol.HolderKey(from)), n.unchanged(protocol.CounterKey)},
-		Writes: []storage.Write{{Put: protocol.CounterKey, Value: mustJSON(protocol.CounterRecord{Token: token})}},
+		Purpose: uint8(forMoves),
+		Conds:   []storage.Cond{n.unchanged(protocol.OwnerKey(from)), n.unchanged(protocol.TokenCounterKey)},
+		Writes:  []storage.Write{{Put: protocol.TokenCounterKey, Value: mustJSON(protocol.TokenCounterRecord{Token: token})}},
 	}, func(r storage.Result) {
 		if r.OK {
 			n.storeHandOver(h, token)
@@ -226,7 +226,7 @@
 // at most is executed; the token is above those of the machines and of the share's holder as
 // they are now, and the conditions see to it that they still are as it is executed.
 func (n *Node) storeHandOver(h *handOver, token uint64) {
-	moved := protocol.BatchRecord{Share: h.to, Token: token}
+	moved := protocol.BatchRecord{Partition: h.to, Token: token}
 	goes := map[string]bool{}
 	var shrinks []*batch
 	for _, m := range h.machines {
@@ -248,9 +248,9 @@
 	// The new batch first: a machine is never seen without one.
 	key := protocol.BatchKey(fmt.Sprintf("m-%d-%d", h.to, token))
 	op := &storage.Op{
-		For:    uint8(forMoves),
-		Conds:  []storage.Cond{n.unchanged(protocol.HolderKey(h.from)), {Key: key}},
-		Writes: []storage.Write{{Put: key, Value: mustJSON(moved)}},
+		Purpose: uint8(forMoves),
+		Conds:   []storage.Cond{n.unchanged(protocol.OwnerKey(h.from)), {Key: key}},
+		Writes:  []storage.Write{{Put: key, Value: mustJSON(moved)}},
 	}
 	for _, b := range shrinks {
 		op.Conds = append(op.Conds, n.unchanged(b.key))
@@ -266,7 +266,7 @@
 // under a lower token than the one that it is to get.
 func (n *Node) mayHandOver(h *handOver, m *machine, token uint64) bool {
 	return n.machines[m.name] == m && m.recorded && m.moving && !m.returned && !m.returning &&
-		m.rec.Share == h.from && slices.Contains(h.batches, m.batch) && n.owns(n.partitions[h.from]) && n.fencingToken(m) < token
+		m.rec.Partition == h.from && slices.Contains(h.batches, m.batch) && n.owns(n.partitions[h.from]) && n.fencingToken(m) < token
 }
 
 // endHandOver lets what was picked be used again; what has moved is in another share by now.
--- a/internal/coordination/node/moves_test.go
+++ b/internal/coordination/node/moves_test.go
@@ -33,15 +33,15 @@
 	for range b.revision + 1 {
 		b.state.Put("revision", 0)
 	}
-	b.storePut(protocol.CounterKey, protocol.CounterRecord{Token: 7})
-	b.storePut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 7, Lease: 3})
+	b.storePut(protocol.TokenCounterKey, protocol.TokenCounterRecord{Token: 7})
+	b.storePut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-0", Token: 7, Lease: 3})
 	var ms []*machine
 	for _, name := range []string{"host-2", "host-3"} {
 		b.storePut(protocol.BatchKey(name), protocol.BatchRecord{Token: 7, Machines: []protocol.MachineRecord{{Name: name, Type: "g4", Zone: "a", Addr: "x:1"}}})
 		ms = append(ms, b.machines[name])
 	}
 	service.State = b.state
-	b.urgentCommitter = storage.NewCommitter(service, b.cfg.Params.State.TxnOps, b.rateLimiter, storage.UrgentLevel)
+	b.urgentCommitter = storage.NewCommitter(service, b.cfg.Params.State.TxnOps, b.rateLimiter, storage.UrgentPriority)
 	go b.urgentCommitter.Run(t.Context())
 	b.moveMachines(ms, 0, 1)
 	return b, ms
@@ -76,14 +76,14 @@
 	service := &meanwhile{}
 	service.before = func(writes []storage.Write) {
 		if len(writes) > 1 {
-			service.Put(protocol.CounterKey, protocol.CounterRecord{Token: 9})
+			service.Put(protocol.TokenCounterKey, protocol.TokenCounterRecord{Token: 9})
 		}
 	}
 	b, ms := handingOver(t, service)
 	b.ended(ms)
 	read := newNodeFromStore(t, b.cfg, b.state)
 	for _, m := range ms {
-		if is := read.machines[m.name]; is == nil || is.rec.Share != 1 || is.rec.Token != 8 || m.rec.Share != 1 {
+		if is := read.machines[m.name]; is == nil || is.rec.Partition != 1 || is.rec.Token != 8 || m.rec.Partition != 1 {
 			t.Errorf("%s is read as %+v", m.name, is.rec)
 		}
 	}
@@ -96,19 +96,19 @@
 // they stay, whether the node that hands them over has been told of it or not, and are of use
 // again.
 func TestMoveWithATokenThatIsTooLow(t *testing.T) {
-	again := protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3}
+	again := protocol.OwnerRecord{Node: "n-0", Token: 9, Lease: 3}
 	for _, told := range []bool{true, false} {
 		service := &meanwhile{}
 		tried := false
 		service.before = func(writes []storage.Write) {
 			if tried = tried || isMove(writes); isMove(writes) && !told {
-				service.Put(protocol.HolderKey(0), again)
+				service.Put(protocol.OwnerKey(0), again)
 			}
 		}
 		b, ms := handingOver(t, service)
 		if told {
 			raised := <-b.mailbox // not run yet
-			b.storePut(protocol.HolderKey(0), again)
+			b.storePut(protocol.OwnerKey(0), again)
 			raised()
 		}
 		b.ended(ms)
@@ -117,7 +117,7 @@
 		}
 		read := newNodeFromStore(t, b.cfg, b.state)
 		for _, m := range ms {
-			if is := read.machines[m.name]; is.rec.Share != 0 || m.rec.Share != 0 || m.batch.storing {
+			if is := read.machines[m.name]; is.rec.Partition != 0 || m.rec.Partition != 0 || m.batch.storing {
 				t.Errorf("told %v: %s moved: %+v", told, m.name, is.rec)
 			}
 		}
@@ -131,13 +131,13 @@
 		b := newTestNode(t)
 		now := time.Now()
 		spec := &protocol.JobSpec{ID: "job-1", Team: "red", Class: "c", Shape: shape, Priority: "standard", Tasks: 1, CPUs: 4, GPUs: 1, EstimateS: 30}
-		b.watchPut(protocol.JobKey(spec.ID), protocol.JobRecord{Spec: spec, Next: 2, Chunk: protocol.Chunk{Placed: []protocol.Placement{{Task: 0, Attempt: 1, Machine: "host-1"}}}})
+		b.watchPut(protocol.JobKey(spec.ID), protocol.JobRecord{Spec: spec, NextAttempt: 2, Chunk: protocol.Chunk{Placed: []protocol.Placement{{Task: 0, Attempt: 1, Machine: "host-1"}}}})
 		m, j := b.machines["host-1"], b.jobs[spec.ID]
 		m.fenced, m.lastFencedReport, j.tasks[0].phaseSince = true, now, now
 		if !b.usable(m, now) {
 			t.Fatal("the machine is not in use")
 		}
-		b.onMoves(protocol.Moves{Moves: []protocol.Move{{Machine: "host-1", Share: 1, Rank: protocol.Low, Drain: true}}})
+		b.onMoves(protocol.MovesRecord{Moves: []protocol.Move{{Machine: "host-1", Partition: 1, Rank: protocol.Low, Drain: true}}})
 		if j.tasks[0].stopRequested || m.moving {
 			t.Errorf("%s: stopped %v, moved %v", shape, j.tasks[0].stopRequested, m.moving)
 		}
--- a/internal/coordination/node/node.go
+++ b/internal/coordination/node/node.go
@@ -65,7 +65,7 @@
 	userCommitter       *storage.Committer         // commits changes that a user waits for
 	urgentCommitter     *storage.Committer         // commits other urgent changes: starts, ends of jobs, partition ownership
 	backgroundCommitter *storage.Committer         // commits everything else
-	rateLimiter         *storage.Pace              // limits the rate of all changes
+	rateLimiter         *storage.RateLimiter       // limits the rate of all changes
 	pendingWrites       map[*storage.Committer]int // writes of jobs in flight, by committer
 	rng                 *rand.Rand
 
@@ -135,7 +135,7 @@
 	cancelWaiters []cancelWaiter                // cancels.go: users who wait until the job that they cancelled has ended
 	changeCounts  changeCounts                  // spending.go: number of changes by purpose
 	adoption      *duty.Adoption                // adopt.go: adoption of machines without a record
-	rentalFence   protocol.FenceRecord          // fence under which rentals are recorded
+	rentalFence   protocol.RentalFenceRecord    // fence under which rentals are recorded
 	freshCluster  bool                          // the state service held no partition owner when this node first read it
 	packed        packedState                   // packed.go: entries that store many jobs in one change
 	incarnations  incarnations                  // lives.go: this and other processes that use this node's name
@@ -193,7 +193,7 @@
 
 // cacheHints is what the next hints tell peers of the machines' image caches.
 type cacheHints struct {
-	caches      atomic.Pointer[[]protocol.Cache] // other goroutines read it
+	caches      atomic.Pointer[[]protocol.ImageCache] // other goroutines read it
 	lastUpdate  time.Time
 	nextMachine int
 }
@@ -214,35 +214,35 @@
 // and decides on it.
 type partition struct {
 	index              int
-	owner              protocol.HolderRecord // Token 0: no owner
+	owner              protocol.OwnerRecord // Token 0: no owner
 	vacantSince        time.Time
-	acquiredAt         time.Time              // when this node became the owner
-	ownerChangePending bool                   // a change of the owner record is being stored
-	unconfirmedOwner   *protocol.HolderRecord // names this node, but the replica is not yet complete up to that record
-	jobs               []*job                 // unfinished jobs, by priority and arrival
-	machines           []*machine             // machines with a record, by name
-	nextRent           time.Time              // when to decide on rentals again
+	acquiredAt         time.Time             // when this node became the owner
+	ownerChangePending bool                  // a change of the owner record is being stored
+	unconfirmedOwner   *protocol.OwnerRecord // names this node, but the replica is not yet complete up to that record
+	jobs               []*job                // unfinished jobs, by priority and arrival
+	machines           []*machine            // machines with a record, by name
+	nextRent           time.Time             // when to decide on rentals again
 	window             *decide.Window
-	recentArrivals     []arrival     // arrivals seen by this node, also while it was not the owner
-	reconciliation     *start.Square // while owned: which machines have reported under the current token; see square.go
-	previousOwner      string        // node that owned it before
-	takeover           takeover      // while owned: how this node became the owner; see standby.go
-	newJobs            []*job        // jobs that the window has not counted yet
-	log                *packed.Ring  // entries of the partition's log
-	pendingAppend      *logAppend    // log entry that is being stored
-	lastAppend         time.Time     // when the last append began
-	pendingRecords     int           // records of single jobs that are being stored
+	recentArrivals     []arrival             // arrivals seen by this node, also while it was not the owner
+	reconciliation     *start.Reconciliation // while owned: which machines have reported under the current token; see square.go
+	previousOwner      string                // node that owned it before
+	takeover           takeover              // while owned: how this node became the owner; see standby.go
+	newJobs            []*job                // jobs that the window has not counted yet
+	log                *packed.Ring          // entries of the partition's log
+	pendingAppend      *logAppend            // log entry that is being stored
+	lastAppend         time.Time             // when the last append began
+	pendingRecords     int                   // records of single jobs that are being stored
 }
 
 // New returns a node that runs until ctx ends. The caller starts it with Run.
 func New(ctx context.Context, cfg *protocol.Settings, log *slog.Logger, store storage.Service, cloud CloudService, workers Workers, seed uint64) *Node {
-	limiter := storage.NewPace(cfg.Params.State, cfg.Params.Nodes)
+	limiter := storage.NewRateLimiter(cfg.Params.State, cfg.Params.Nodes)
 	n := &Node{
 		ctx: ctx, cfg: cfg, log: log, store: store, cloud: cloud, workers: workers,
 		rateLimiter:         limiter,
-		userCommitter:       storage.NewCommitter(store, cfg.Params.State.TxnOps, limiter, storage.UserLevel),
-		urgentCommitter:     storage.NewCommitter(store, cfg.Params.State.TxnOps, limiter, storage.UrgentLevel),
-		backgroundCommitter: storage.NewCommitter(store, cfg.Params.State.TxnOps, limiter, storage.BackgroundLevel),
+		userCommitter:       storage.NewCommitter(store, cfg.Params.State.TxnOps, limiter, storage.UserPriority),
+		urgentCommitter:     storage.NewCommitter(store, cfg.Params.State.TxnOps, limiter, storage.UrgentPriority),
+		backgroundCommitter: storage.NewCommitter(store, cfg.Params.State.TxnOps, limiter, storage.BackgroundPriority),
 		pendingWrites:       map[*storage.Committer]int{},
 		rng:                 rand.New(rand.NewPCG(seed, 1)),
 		startedAt:           time.Now(), mailbox: make(chan func(), 1024), watchWake: make(chan struct{}, 1),
@@ -258,13 +258,13 @@
 	n.olderNodes = map[string]bool{}
 	n.watchTimeout.Store(int64(longWatchTimeout))
 	n.packed = newPackedState()
-	n.userCommitter.Spent, n.urgentCommitter.Spent, n.backgroundCommitter.Spent = n.changeCounts.add, n.changeCounts.add, n.changeCounts.add
+	n.userCommitter.OnAnswered, n.urgentCommitter.OnAnswered, n.backgroundCommitter.OnAnswered = n.changeCounts.add, n.changeCounts.add, n.changeCounts.add
 	n.reachability.zoneUnreachableAt = map[string]time.Time{}
-	n.standby.standbys, n.standby.suspicions, n.standby.presumedEnded = map[int]standby.Pair{}, standby.NewDoubts(), map[string]time.Time{}
+	n.standby.standbys, n.standby.suspicions, n.standby.presumedEnded = map[int]standby.Standbys{}, standby.NewSuspicions(), map[string]time.Time{}
 	n.incarnations.ownLeases, n.incarnations.leaseOf = map[uint64]bool{}, map[string]uint64{}
 	n.account = newAccount(AccountSettings{}, time.Now())
 	n.peers = map[string]*peer{}
-	for _, s := range cfg.Siblings {
+	for _, s := range cfg.Peers {
 		n.peers[s.Node] = &peer{zone: s.Zone}
 	}
 	classes := map[string]bool{}
@@ -274,7 +274,7 @@
 	n.metrics = newMetrics(classes)
 	n.tickets = newTicketState(cfg.Params.State.TxnOps)
 	n.lastContact.Store(-int64(time.Hour))
-	n.cacheHints.caches.Store(&[]protocol.Cache{})
+	n.cacheHints.caches.Store(&[]protocol.ImageCache{})
 	var guarantees []float64
 	for _, t := range cfg.Params.Teams {
 		guarantees = append(guarantees, max(t.GPUs, t.CPUs/8))
@@ -359,7 +359,7 @@
 			now := time.Now()
 			n.detectStall(now)
 			n.metrics.actorLag.Observe(now.Sub(due).Seconds())
-			n.loadControl.budget.Turn(now, now.Sub(due))
+			n.loadControl.budget.ObserveLag(now, now.Sub(due))
 			n.metrics.backlog.Set(float64(n.totalPendingWrites() + n.pendingUserChanges + n.statusReads.Len()))
 			n.tick(now)
 			n.processPendingWork(now)
@@ -468,7 +468,7 @@
 		return
 	}
 	n.catalog.storing = true
-	n.submitTo(n.backgroundCommitter, &storage.Op{Conds: []storage.Cond{n.unchanged(protocol.HolderKey(0)), n.unchanged(protocol.CatalogKey)}, Writes: []storage.Write{w}},
+	n.submitTo(n.backgroundCommitter, &storage.Op{Conds: []storage.Cond{n.unchanged(protocol.OwnerKey(0)), n.unchanged(protocol.CatalogKey)}, Writes: []storage.Write{w}},
 		func(storage.Result) { n.catalog.storing = false })
 }
 
--- a/internal/coordination/node/packed.go
+++ b/internal/coordination/node/packed.go
@@ -95,7 +95,7 @@
 	}
 	state.formatChangedAt = now
 	n.log.Info("writing of packed entries changed", "on", on)
-	n.submit(&storage.Op{Conds: []storage.Cond{n.unchanged(protocol.HolderKey(0)), n.unchanged(protocol.FormatKey)},
+	n.submit(&storage.Op{Conds: []storage.Cond{n.unchanged(protocol.OwnerKey(0)), n.unchanged(protocol.FormatKey)},
 		Writes: []storage.Write{{Put: protocol.FormatKey, Value: mustJSON(protocol.FormatRecord{Packed: on})}}}, func(storage.Result) {})
 }
 
@@ -117,7 +117,7 @@
 	if it.Value == nil {
 		return nil, true
 	}
-	e, err := packed.Parse(it.Value)
+	e, err := packed.ParseEntry(it.Value)
 	if err != nil {
 		n.markUnreadable(it.Key, err)
 		return nil, false
@@ -134,7 +134,7 @@
 // logUnreadable reports whether an entry in a partition's log can't be decoded.
 func (n *Node) logUnreadable(partition int) bool {
 	for key := range n.packed.unreadable {
-		if s, _, ok := packed.LogSlot(key); ok && s == partition {
+		if s, _, ok := packed.ParseLogKey(key); ok && s == partition {
 			return true
 		}
 	}
@@ -144,7 +144,7 @@
 // logReadable reports whether all entries of a partition's log are known. If not, more may be stored
 // than is known: a task may be gone, or a job may have ended.
 func (n *Node) logReadable(partition *partition) bool {
-	return !n.mayHaveEntries() || partition.log.Whole() && !n.logUnreadable(partition.index)
+	return !n.mayHaveEntries() || partition.log.Complete() && !n.logUnreadable(partition.index)
 }
 
 // anyInboxUnreadable reports whether an entry in any inbox can't be decoded.
@@ -159,7 +159,7 @@
 
 // applyLogEntry applies a slot of a partition's log.
 func (n *Node) applyLogEntry(it storage.Item) {
-	i, slot, ok := packed.LogSlot(it.Key)
+	i, slot, ok := packed.ParseLogKey(it.Key)
 	if !ok || i >= len(n.partitions) {
 		n.log.Error("stored value not understood", "key", it.Key)
 		return
@@ -178,7 +178,7 @@
 	}
 	for k := range e.Parts {
 		p := &e.Parts[k]
-		if p.End != "" {
+		if p.FinalStatus != "" {
 			n.applyEndFromLog(i, p)
 		} else if j := n.jobs[p.Job]; j != nil && j.partition == i {
 			n.applyLogPart(j, e, p, time.Now())
@@ -189,7 +189,7 @@
 // applyEndFromLog applies the end of a job that an entry contains.
 func (n *Node) applyEndFromLog(partition int, p *protocol.Part) {
 	if _, known := n.finalJobs.byID[p.Job]; !known {
-		n.finalJobs.add(p.Job, protocol.FinalRecord{Status: p.End, Tasks: p.Tasks})
+		n.finalJobs.add(p.Job, protocol.FinalRecord{Status: p.FinalStatus, Tasks: p.Tasks})
 	}
 	if j := n.jobs[p.Job]; j != nil {
 		if j.hasRecord {
@@ -204,9 +204,9 @@
 
 // applyLogPart applies what an entry contains of a job.
 func (n *Node) applyLogPart(j *job, entry *protocol.Entry, part *protocol.Part, now time.Time) {
-	j.nextAttempt = max(j.nextAttempt, part.Next)
+	j.nextAttempt = max(j.nextAttempt, part.NextAttempt)
 	n.applyTries(j, part.Tries, now)
-	j.history.mergeStored(part.Lost, part.LostMS)
+	j.history.mergeStored(part.LostRuns, part.LastLostMS)
 	for _, r := range part.Placed {
 		for i := int(r[0]); i <= int(r[1]) && i < len(j.tasks); i++ {
 			if j.tasks[i].acceptsEntry(entry.Seq) {
@@ -216,7 +216,7 @@
 			}
 		}
 	}
-	for phase, ranges := range map[phase][][2]int{phaseWaiting: part.Gone, phaseDone: part.Done} {
+	for phase, ranges := range map[phase][][2]int{phaseWaiting: part.Unplaced, phaseDone: part.Done} {
 		for _, r := range ranges {
 			for i := r[0]; i <= r[1] && i < len(j.tasks); i++ {
 				if j.tasks[i].acceptsEntry(entry.Seq) {
@@ -232,7 +232,7 @@
 // applyLogParts applies what all entries contain of a job that was just added.
 func (n *Node) applyLogParts(j *job) {
 	now := time.Now()
-	n.partitions[j.partition].log.Each(j.id, func(e *protocol.Entry, p *protocol.Part) { n.applyLogPart(j, e, p, now) })
+	n.partitions[j.partition].log.EachPart(j.id, func(e *protocol.Entry, p *protocol.Part) { n.applyLogPart(j, e, p, now) })
 }
 
 // endedInLog reports whether the log of a job's partition contains its end.
@@ -241,14 +241,14 @@
 	if !ok {
 		return false
 	}
-	_, _, ended := n.partitions[n.teams[team].partition].log.Ended(spec.ID)
+	_, _, ended := n.partitions[n.teams[team].partition].log.FindEnd(spec.ID)
 	return ended
 }
 
 // applyInboxEntry applies a slot of a node's inbox. A job that is in no inbox any more and has no
 // record of its own has ended: as long as a job is open, whoever overwrites its slot carries it over.
 func (n *Node) applyInboxEntry(it storage.Item) {
-	node, slot, ok := packed.InboxSlot(it.Key)
+	node, slot, ok := packed.ParseInboxKey(it.Key)
 	if !ok {
 		n.log.Error("stored value not understood", "key", it.Key)
 		return
@@ -291,21 +291,21 @@
 func (n *Node) mayBeInInbox(id string) bool { return n.anyInboxUnreadable() || n.inAnyInbox(id) }
 
 // applyAccepted applies an accepted job of an inbox. Two nodes may have accepted the job at once.
-func (n *Node) applyAccepted(a protocol.Accepted) {
+func (n *Node) applyAccepted(a protocol.AcceptedJob) {
 	if n.endedInLog(a.Spec) {
 		return
 	}
 	if j := n.jobs[a.Spec.ID]; j != nil {
 		return
 	}
-	n.applyJob(a.Spec.ID, &protocol.JobRecord{Spec: a.Spec, SubmittedMS: a.SubmittedMS, Next: 1}, false)
+	n.applyJob(a.Spec.ID, &protocol.JobRecord{Spec: a.Spec, SubmittedMS: a.SubmittedMS, NextAttempt: 1}, false)
 }
 
 // storedRecordAtLog returns a job's record as it would be stored now, by all that this node knows,
 // with the number of the log entry up to which that is complete.
 func (n *Node) storedRecordAtLog(j *job) protocol.JobRecord {
 	r := j.storedRecord()
-	r.Log = n.partitions[j.partition].log.Known()
+	r.LogSeq = n.partitions[j.partition].log.CompleteUpTo()
 	return r
 }
 
@@ -393,9 +393,9 @@
 			return request.urgency > storeUrgentStart || n.mustStoreInLog(request.job)
 		}))
 	case partition.pendingAppend != nil || partition.pendingRecords > 0:
-	case requests[0].urgency > storeUrgentStart && !n.rateLimiter.Ample() && now.Sub(partition.lastAppend) < entryBatchDelay:
+	case requests[0].urgency > storeUrgentStart && !n.rateLimiter.HasSpareRate() && now.Sub(partition.lastAppend) < entryBatchDelay:
 		// All these changes can wait: no user and no start depends on them.
-	case len(requests) == 1 && n.rateLimiter.Ample() && !n.mustStoreInLog(requests[0].job) && !alwaysPack:
+	case len(requests) == 1 && n.rateLimiter.HasSpareRate() && !n.mustStoreInLog(requests[0].job) && !alwaysPack:
 		storeSingly(requests)
 	case n.pendingWrites[committerFor(requests[0])] < maxWrites:
 		n.appendLog(partition, append(requests, n.additionalRequests(partition, requests)...), now)
@@ -435,7 +435,7 @@
 	}
 	pending := &logAppend{urgent: requests[0].urgency <= storeUrgentStart}
 	slot, _ := partition.log.Next()
-	op := &storage.Op{For: uint8(requests[0].purpose), Conds: []storage.Cond{n.unchanged(protocol.HolderKey(partition.index)), n.unchanged(protocol.LogKey(partition.index, slot)), n.unchanged(protocol.FormatKey)}}
+	op := &storage.Op{Purpose: uint8(requests[0].purpose), Conds: []storage.Cond{n.unchanged(protocol.OwnerKey(partition.index)), n.unchanged(protocol.LogKey(partition.index, slot)), n.unchanged(protocol.FormatKey)}}
 	op.Conds = append(op.Conds, n.recordsUnchanged(carried)...)
 	maxEnds := n.maxEndsPerEntry()
 	var finals []storage.Write
@@ -452,14 +452,14 @@
 			if len(finals) == maxEnds {
 				continue
 			}
-			draft.End, draft.Tasks = j.finalStatus(), len(j.tasks)
-			finals = append(finals, finalWrites(j.id, draft.End, draft.Tasks, 0)[0])
+			draft.FinalStatus, draft.Tasks = j.finalStatus(), len(j.tasks)
+			finals = append(finals, finalWrites(j.id, draft.FinalStatus, draft.Tasks, 0)[0])
 		} else if draft = n.unstoredChanges(j); draft.Empty() {
 			delete(n.dirty, j)
 			continue
 		}
-		if !writer.Add(draft) {
-			if draft.End != "" {
+		if !writer.AddPart(draft) {
+			if draft.FinalStatus != "" {
 				finals = finals[:len(finals)-1]
 			} else if len(pending.jobs) == 0 {
 				n.storeOversized(request)
@@ -518,7 +518,7 @@
 		case t.phase == phasePlaced && t.outcome == outcomeFinished:
 			d.Finish(i)
 		case t.phase == phasePlaced && t.outcome == outcomeGone:
-			d.Leave(i)
+			d.Unplace(i)
 		}
 	}
 	return d
@@ -526,7 +526,7 @@
 
 // newDraft returns a draft of a job's part of an entry, without tasks.
 func (n *Node) newDraft(j *job) packed.Draft {
-	return packed.Draft{Part: protocol.Part{Job: j.id, Next: j.nextAttempt, Tries: j.failures.tries, Lost: j.history.lostRuns, LostMS: j.history.lastLostMS()}}
+	return packed.Draft{Part: protocol.Part{Job: j.id, NextAttempt: j.nextAttempt, Tries: j.failures.tries, LostRuns: j.history.lostRuns, LastLostMS: j.history.lastLostMS()}}
 }
 
 // stateFromEntry drafts the stored state of a job's tasks whose latest state is in entry seq.
@@ -543,7 +543,7 @@
 		case phaseDone:
 			d.Finish(i)
 		default:
-			d.Leave(i)
+			d.Unplace(i)
 		}
 	}
 	return d
@@ -556,7 +556,7 @@
 // knows them. A record may be stored while the entry is in flight, and what the entry carries over
 // would then count as later than that record. Jobs that have ended need no condition: nothing but
 // their end can be stored, and nothing counts after that.
-func (n *Node) recordsUnchanged(carried []packed.Carried) []storage.Cond {
+func (n *Node) recordsUnchanged(carried []packed.CarriedJob) []storage.Cond {
 	conds := make([]storage.Cond, 0, len(carried))
 	for _, c := range carried {
 		if n.jobs[c.Job].remainingTasks() > 0 {
@@ -569,8 +569,8 @@
 // carryOver adds to the next entry what is still needed of the entry that it replaces, and returns the
 // open jobs concerned. If that takes too much space or too many conditions, it compacts some jobs into
 // records of their own first and returns false.
-func (n *Node) carryOver(partition *partition, writer *packed.Writer) ([]packed.Carried, bool) {
-	old := partition.log.Old()
+func (n *Node) carryOver(partition *partition, writer *packed.Writer) ([]packed.CarriedJob, bool) {
+	old := partition.log.Overwritten()
 	if old == nil {
 		return nil, true
 	}
@@ -586,7 +586,7 @@
 		return carried, true
 	}
 	// The largest first.
-	slices.SortStableFunc(carried, func(a, b packed.Carried) int { return cmp.Compare(b.Size, a.Size) })
+	slices.SortStableFunc(carried, func(a, b packed.CarriedJob) int { return cmp.Compare(b.Size, a.Size) })
 	size, jobs, compacted := writer.Size(), len(carried), false
 	for _, c := range carried {
 		if size <= maxSize/2 && jobs <= maxJobs/2 && fits {
@@ -610,7 +610,7 @@
 // Without them the next entry fits, and they end with a later one. It takes more than one change per
 // job and is the last resort: if nothing else is left to compact, no entry could be written any more,
 // so no job of the partition could end. It reports whether it stores any job.
-func (n *Node) compactEnded(carried []packed.Carried, seq uint64) (any bool) {
+func (n *Node) compactEnded(carried []packed.CarriedJob, seq uint64) (any bool) {
 	for _, c := range carried {
 		if j := n.jobs[c.Job]; !j.writePending && j.step == nil {
 			n.compactJob(j, seq)
@@ -637,7 +637,7 @@
 func (n *Node) compactJob(j *job, seq uint64) {
 	for i := range j.tasks {
 		if j.tasks[i].logSeq == seq || seq == 0 && j.tasks[i].fromLog {
-			j.dirtyChunks[i/protocol.ChunkTasks] = true
+			j.dirtyChunks[i/protocol.TasksPerChunk] = true
 		}
 	}
 	delete(n.dirty, j)
@@ -656,7 +656,7 @@
 	n.metrics.stateCalls.WithLabelValues("stored").Inc()
 	partition.pendingAppend = nil
 	for _, w := range op.Writes {
-		n.applyOwnWrite(w, r.Epoch)
+		n.applyOwnWrite(w, r.Revision)
 	}
 	for _, j := range pending.jobs {
 		j.writePending = false
@@ -699,8 +699,8 @@
 // burst that arrived within one run of the actor, the first 16 were therefore stored alone and all
 // others rejected, again every second (162 of 271 alone, 187 changes for 241 jobs).
 func (n *Node) shouldBatch() bool {
-	return n.mayWriteEntries() && n.inboxOf(n.cfg.Node).Whole() && !n.anyInboxUnreadable() &&
-		(n.packed.inboxWritePending || len(n.packed.submissions) > 0 || n.pendingUserChanges >= maxSingleSubmissions || !n.rateLimiter.Ample() || alwaysPack)
+	return n.mayWriteEntries() && n.inboxOf(n.cfg.Node).Complete() && !n.anyInboxUnreadable() &&
+		(n.packed.inboxWritePending || len(n.packed.submissions) > 0 || n.pendingUserChanges >= maxSingleSubmissions || !n.rateLimiter.HasSpareRate() || alwaysPack)
 }
 
 // submissionsPerEntry estimates how many submissions fit into one entry.
@@ -740,11 +740,11 @@
 		return
 	}
 	slot, _ := own.Next()
-	op := &storage.Op{For: uint8(forSubmissions), Once: true, Conds: []storage.Cond{n.unchanged(protocol.InboxKey(n.cfg.Node, slot)), n.unchanged(protocol.FormatKey)}}
+	op := &storage.Op{Purpose: uint8(forSubmissions), NoRetry: true, Conds: []storage.Cond{n.unchanged(protocol.InboxKey(n.cfg.Node, slot)), n.unchanged(protocol.FormatKey)}}
 	n.answerRepeated()
 	var batch []*submission
 	for _, sub := range state.submissions {
-		if len(op.Conds)+2 > 4*n.cfg.Params.State.TxnOps || !writer.Accept(protocol.Accepted{Spec: sub.spec, SubmittedMS: sub.receivedAt.UnixMilli()}) {
+		if len(op.Conds)+2 > 4*n.cfg.Params.State.TxnOps || !writer.AddSubmission(protocol.AcceptedJob{Spec: sub.spec, SubmittedMS: sub.receivedAt.UnixMilli()}) {
 			break
 		}
 		op.Conds = append(op.Conds, storage.Cond{Key: protocol.JobKey(sub.spec.ID)}, storage.Cond{Key: protocol.FinalKey(sub.spec.ID)})
@@ -814,7 +814,7 @@
 		n.userChangeLatency.Observe(time.Since(w.sentAt))
 	}
 	if r.OK {
-		n.applyOwnWrite(w.op.Writes[0], r.Epoch)
+		n.applyOwnWrite(w.op.Writes[0], r.Revision)
 	}
 	if w.resolved {
 		return
@@ -825,7 +825,7 @@
 	}
 	w.resolved = true
 	n.packed.inboxWritePending = false
-	n.packed.unconfirmed = append(n.packed.unconfirmed, unconfirmedBatch{write: w, revision: r.Epoch, deadline: time.Now().Add(maxQueueWait)})
+	n.packed.unconfirmed = append(n.packed.unconfirmed, unconfirmedBatch{write: w, revision: r.Revision, deadline: time.Now().Add(maxQueueWait)})
 }
 
 // checkInboxWrite reads the keys whose conditions failed. Without an answer it reads the slot itself:
@@ -875,7 +875,7 @@
 	ownSlot, _ := n.inboxOf(n.cfg.Node).Next()
 	conds := slices.DeleteFunc(n.inboxUnchangedConds(), func(c storage.Cond) bool { return c.Key == protocol.InboxKey(n.cfg.Node, ownSlot) })
 	n.spawn(func(ctx context.Context) {
-		ctx, cancel := context.WithTimeout(ctx, statusread.Patience)
+		ctx, cancel := context.WithTimeout(ctx, statusread.ReadTimeout)
 		defer cancel()
 		ok, _, _, err := n.store.Txn(ctx, conds, nil)
 		n.post(func() {
@@ -957,7 +957,7 @@
 // and have no record of their own. If these are too many, some are given records first, and it returns
 // false.
 func (n *Node) carryOverAccepted(own *packed.Ring, w *packed.Writer) bool {
-	carried, fits := own.CarryAccepted(w, func(a protocol.Accepted) bool {
+	carried, fits := own.CarryAccepted(w, func(a protocol.AcceptedJob) bool {
 		j := n.jobs[a.Spec.ID]
 		_, known := n.teamIndex[a.Spec.Team]
 		return !known || j != nil && !j.hasRecord
@@ -979,7 +979,7 @@
 // the record names the entry of the partition's log up to which it is complete.
 func (n *Node) compactAccepted(j *job) {
 	n.packed.pendingCompactions++
-	n.submit(&storage.Op{For: uint8(forCompaction), Conds: n.stillOpen(j.id),
+	n.submit(&storage.Op{Purpose: uint8(forCompaction), Conds: n.stillOpen(j.id),
 		Writes: []storage.Write{{Put: protocol.JobKey(j.id), Value: mustJSON(n.storedRecordAtLog(j))}}}, func(storage.Result) { n.packed.pendingCompactions-- })
 }
 
@@ -996,7 +996,7 @@
 		return
 	}
 	state.lastCleanup = now
-	if ample := n.rateLimiter.Ample() && n.pendingUserChanges == 0; ample || len(state.endedRecords) > 3*ringSlots {
+	if ample := n.rateLimiter.HasSpareRate() && n.pendingUserChanges == 0; ample || len(state.endedRecords) > 3*ringSlots {
 		n.removeEndedRecords()
 	}
 	if !state.format.Packed && n.mayHaveEntries() && n.pendingUserChanges == 0 {
@@ -1014,7 +1014,7 @@
 		if removed++; removed > maxCleanups {
 			return
 		}
-		n.submitTo(n.backgroundCommitter, &storage.Op{For: uint8(forCompaction), Conds: []storage.Cond{n.unchanged(protocol.HolderKey(partition)), n.unchanged(protocol.JobKey(id))},
+		n.submitTo(n.backgroundCommitter, &storage.Op{Purpose: uint8(forCompaction), Conds: []storage.Cond{n.unchanged(protocol.OwnerKey(partition)), n.unchanged(protocol.JobKey(id))},
 			Writes: []storage.Write{{Delete: protocol.JobKey(id)}}}, func(storage.Result) {})
 	}
 }
@@ -1024,7 +1024,7 @@
 	state := &n.packed
 	compacted := 0
 	for _, partition := range n.partitions {
-		if !n.owns(partition) || partition.pendingAppend != nil || !partition.log.Whole() {
+		if !n.owns(partition) || partition.pendingAppend != nil || !partition.log.Complete() {
 			continue
 		}
 		remaining := false
@@ -1046,8 +1046,8 @@
 		// still lists.
 		n.emptySlots(partition.log, func(slot int) string { return protocol.LogKey(partition.index, slot) }, func(e *protocol.Entry) bool {
 			listed := n.mayBeListedElsewhere(partition, e)
-			return slices.ContainsFunc(e.Parts, func(x protocol.Part) bool { return x.End != "" && listed(x.Job) })
-		}, n.unchanged(protocol.HolderKey(partition.index)))
+			return slices.ContainsFunc(e.Parts, func(x protocol.Part) bool { return x.FinalStatus != "" && listed(x.Job) })
+		}, n.unchanged(protocol.OwnerKey(partition.index)))
 	}
 	for node, r := range state.inboxes {
 		_, live := n.liveNodes[node]
@@ -1055,7 +1055,7 @@
 			continue
 		}
 		n.emptySlots(r, func(slot int) string { return protocol.InboxKey(node, slot) }, func(e *protocol.Entry) bool {
-			return slices.ContainsFunc(e.Jobs, func(a protocol.Accepted) bool {
+			return slices.ContainsFunc(e.Jobs, func(a protocol.AcceptedJob) bool {
 				j := n.jobs[a.Spec.ID]
 				return j != nil && !j.hasRecord
 			})
@@ -1068,13 +1068,13 @@
 // the same number.
 func (n *Node) emptySlots(r *packed.Ring, key func(slot int) string, needed func(e *protocol.Entry) bool, extra ...storage.Cond) {
 	emptied := 0
-	r.Entries(func(e *protocol.Entry) {
+	r.EachEntry(func(e *protocol.Entry) {
 		if len(e.Parts)+len(e.Jobs) == 0 || needed(e) || emptied == maxCleanups {
 			return
 		}
 		emptied++
 		slotKey := key(int(e.Seq % uint64(ringSlots)))
-		n.submitTo(n.backgroundCommitter, &storage.Op{For: uint8(forCompaction), Conds: append([]storage.Cond{n.unchanged(slotKey)}, extra...),
+		n.submitTo(n.backgroundCommitter, &storage.Op{Purpose: uint8(forCompaction), Conds: append([]storage.Cond{n.unchanged(slotKey)}, extra...),
 			Writes: []storage.Write{{Put: slotKey, Value: mustJSON(protocol.Entry{Version: protocol.EntryVersion, Seq: e.Seq})}}}, func(storage.Result) {})
 	})
 }
--- a/internal/coordination/node/packed_test.go
+++ b/internal/coordination/node/packed_test.go
@@ -67,7 +67,7 @@
 // newNodeFromStore returns a node that has just started and has read the stored state.
 func newNodeFromStore(t *testing.T, cfg *protocol.Settings, st *standin.State) *Node {
 	n := New(t.Context(), cfg, slog.New(slog.NewTextHandler(io.Discard, nil)), st, standin.NewFleet(t.Context()), nil, 1)
-	items, rev, _ := st.List(t.Context(), protocol.Root)
+	items, rev, _ := st.List(t.Context(), protocol.WatchedRoot)
 	n.applyListing(items, rev)
 	return n
 }
@@ -90,8 +90,8 @@
 		}
 		live := onActor(n, n.jobSummaries)
 		stored := newNodeFromStore(w.t, w.cfg[name], w.state).jobSummaries()
-		items, _, _ := w.state.List(w.t.Context(), protocol.Root)
-		for id, j := range packed.Read(items, ringSlots).Jobs {
+		items, _, _ := w.state.List(w.t.Context(), protocol.WatchedRoot)
+		for id, j := range packed.ReadState(items, ringSlots).Jobs {
 			if byTool := summaryByTool(j); byTool != stored[id] && !j.Ticket {
 				stored[id] = fmt.Sprintf("%q by the tool, %q by a node", byTool, stored[id])
 			}
@@ -235,7 +235,7 @@
 				t.Errorf("%s knows %d jobs", name, k)
 			}
 		}
-		items, _, _ := w.state.List(w.ctx, protocol.Root)
+		items, _, _ := w.state.List(w.ctx, protocol.WatchedRoot)
 		for _, it := range items {
 			if len(it.Value) > 8<<10 {
 				t.Errorf("%s has %d bytes", it.Key, len(it.Value))
@@ -267,7 +267,7 @@
 			}
 			time.Sleep(60 * time.Second)
 			live := onActor(w.node("n-0"), w.node("n-0").jobSummaries)
-			items, _, _ = w.state.List(w.ctx, protocol.Root)
+			items, _, _ = w.state.List(w.ctx, protocol.WatchedRoot)
 			for _, it := range items {
 				if strings.HasPrefix(it.Key, protocol.LogRoot) || strings.HasPrefix(it.Key, protocol.InboxRoot) {
 					if strings.Contains(string(it.Value), "job-") {
--- a/internal/coordination/node/peers.go
+++ b/internal/coordination/node/peers.go
@@ -33,9 +33,9 @@
 // Hint returns the encoded state that this node sends to its peers. It may be called from any
 // goroutine.
 func (n *Node) Hint() []byte {
-	hint := protocol.Hint{Node: n.cfg.Node, StateOK: n.sinceContact(time.Now()) < stateServiceTimeout, Blind: n.reachability.workersUnreachable.Load(), Changes: float32(n.changeDemand.perSecond.Load()), Revision: atomic.LoadUint64(&n.replicaRevision), Caches: *n.cacheHints.caches.Load(), Life: n.incarnations.hintLease.Load()}
+	hint := protocol.Hint{Node: n.cfg.Node, StateOK: n.sinceContact(time.Now()) < stateServiceTimeout, WorkersUnreachable: n.reachability.workersUnreachable.Load(), ChangeRate: float32(n.changeDemand.perSecond.Load()), Revision: atomic.LoadUint64(&n.replicaRevision), Caches: *n.cacheHints.caches.Load(), Incarnation: n.incarnations.hintLease.Load()}
 	if payload := n.standby.outgoing.Load(); payload != nil {
-		hint.Seq, hint.Known, hint.Refused, hint.Cancelled = payload.seq, payload.machines, payload.refused, payload.cancelled
+		hint.Seq, hint.Machines, hint.RefusedOffers, hint.CancelledJobs = payload.seq, payload.machines, payload.refused, payload.cancelled
 	}
 	return hint.Encode()
 }
@@ -57,11 +57,11 @@
 			machines = append(machines, part.machines...)
 		}
 	}
-	caches := []protocol.Cache{}
+	caches := []protocol.ImageCache{}
 	for range min(cachesPerHint, len(machines)) {
 		n.cacheHints.nextMachine = (n.cacheHints.nextMachine + 1) % len(machines)
 		if m := machines[n.cacheHints.nextMachine]; len(m.images) > 0 {
-			caches = append(caches, protocol.Cache{Machine: m.name, Images: slices.Clone(m.images)})
+			caches = append(caches, protocol.ImageCache{Machine: m.name, Images: slices.Clone(m.images)})
 		}
 	}
 	n.cacheHints.caches.Store(&caches)
@@ -69,9 +69,9 @@
 }
 
 // applyCacheHints applies the image caches that a peer reports for the machines that it owns.
-func (n *Node) applyCacheHints(caches []protocol.Cache) {
+func (n *Node) applyCacheHints(caches []protocol.ImageCache) {
 	for _, c := range caches {
-		if m := n.machines[c.Machine]; m != nil && m.recorded && !n.owns(n.partitions[m.rec.Share]) {
+		if m := n.machines[c.Machine]; m != nil && m.recorded && !n.owns(n.partitions[m.rec.Partition]) {
 			m.images = c.Images
 			n.markStale(m)
 		}
@@ -85,7 +85,7 @@
 		if err != nil {
 			n.metrics.guardRefusals.WithLabelValues("malformed_hint").Inc()
 		} else if sender := n.peers[hint.Node]; sender != nil {
-			sender.lastHint, sender.stateOK, sender.workersUnreachable, sender.changeRate = time.Now(), hint.StateOK, hint.Blind, float64(hint.Changes)
+			sender.lastHint, sender.stateOK, sender.workersUnreachable, sender.changeRate = time.Now(), hint.StateOK, hint.WorkersUnreachable, float64(hint.ChangeRate)
 			n.applyCacheHints(hint.Caches)
 			n.applyMachineHints(hint.Node, sender, &hint, sender.lastHint)
 		}
@@ -150,7 +150,7 @@
 // that owner does not take the end of a lease as proof either. Without this, all machines of an
 // owner that stalled during an outage lost their leases.
 func (n *Node) answerForOwner(m *machine, report *protocol.Report, now time.Time) (protocol.Orders, bool) {
-	part := n.partitions[m.rec.Share]
+	part := n.partitions[m.rec.Partition]
 	token := n.fencingToken(m)
 	owner := n.peers[part.owner.Node]
 	if part.owner.Token == 0 || n.peerReachable(part.owner.Node, now) && !owner.workersUnreachable || !n.mayExtendLeases(now) || report.Token > token {
--- a/internal/coordination/node/replica.go
+++ b/internal/coordination/node/replica.go
@@ -43,7 +43,7 @@
 		sent := time.Now()
 		if mustList {
 			var items []storage.Item
-			if items, revision, err = n.store.List(ctx, protocol.Root); err == nil {
+			if items, revision, err = n.store.List(ctx, protocol.WatchedRoot); err == nil {
 				mustList = false
 				first := revision
 				n.post(func() { n.applyListing(items, first); n.completeAt = latest(n.completeAt, sent) })
@@ -52,7 +52,7 @@
 			var items []storage.Item
 			var watched uint64
 			n.clearWatchWake() // this request returns all that was stored before it was sent
-			items, watched, err = n.store.Watch(ctx, protocol.Root, revision, time.Duration(n.watchTimeout.Load()))
+			items, watched, err = n.store.Watch(ctx, protocol.WatchedRoot, revision, time.Duration(n.watchTimeout.Load()))
 			switch {
 			case errors.Is(err, storage.ErrCompacted):
 				mustList, err = true, nil
@@ -110,7 +110,7 @@
 	}
 	for key, revision := range n.revisions {
 		if !present[key] && revision <= first {
-			n.applyItem(storage.Item{Key: key, Stamp: first})
+			n.applyItem(storage.Item{Key: key, Revision: first})
 		}
 	}
 	n.advanceReplica(first)
@@ -146,7 +146,7 @@
 	}
 	out := slices.Clone(items)
 	slices.SortStableFunc(out, func(a, b storage.Item) int {
-		return cmp.Or(rank(a)-rank(b), cmp.Compare(a.Stamp*uint64(rank(a)/2), b.Stamp*uint64(rank(b)/2)))
+		return cmp.Or(rank(a)-rank(b), cmp.Compare(a.Revision*uint64(rank(a)/2), b.Revision*uint64(rank(b)/2)))
 	})
 	return out
 }
@@ -190,15 +190,15 @@
 	case strings.HasPrefix(key, protocol.NodeRoot):
 		_, ok := n.liveNodes[strings.TrimPrefix(key, protocol.NodeRoot)]
 		return ok
-	case strings.HasPrefix(key, protocol.HolderRoot):
+	case strings.HasPrefix(key, protocol.OwnerRoot):
 		partition := n.partitionOfKey(key)
 		return partition != nil && (partition.owner.Token != 0 || partition.unconfirmedOwner != nil)
 	case strings.HasPrefix(key, protocol.LogRoot):
-		i, slot, ok := packed.LogSlot(key)
-		return ok && i < len(n.partitions) && n.partitions[i].log.Has(slot)
+		i, slot, ok := packed.ParseLogKey(key)
+		return ok && i < len(n.partitions) && n.partitions[i].log.HasEntry(slot)
 	case strings.HasPrefix(key, protocol.InboxRoot):
-		node, slot, ok := packed.InboxSlot(key)
-		return ok && n.inboxOf(node).Has(slot)
+		node, slot, ok := packed.ParseInboxKey(key)
+		return ok && n.inboxOf(node).HasEntry(slot)
 	case key == protocol.FormatKey:
 		return n.packed.formatStored
 	}
@@ -216,7 +216,7 @@
 
 // partitionOfKey returns the partition of an owner record's key; nil if there is none.
 func (n *Node) partitionOfKey(key string) *partition {
-	num, _, _ := strings.Cut(strings.TrimPrefix(key, protocol.HolderRoot), "/")
+	num, _, _ := strings.Cut(strings.TrimPrefix(key, protocol.OwnerRoot), "/")
 	i, err := strconv.Atoi(num)
 	if err != nil || i < 0 || i >= len(n.partitions) {
 		return nil
@@ -227,11 +227,11 @@
 // applyItem applies one stored value, or its absence, to the replica. A version older than the known
 // one is ignored, whichever way it came.
 func (n *Node) applyItem(item storage.Item) {
-	if item.Stamp <= n.revisions[item.Key] {
+	if item.Revision <= n.revisions[item.Key] {
 		return
 	}
 	oldRevision, known := n.revisions[item.Key]
-	n.revisions[item.Key] = item.Stamp
+	n.revisions[item.Key] = item.Revision
 	delete(n.corruptKeys, item.Key)
 	if item.Value == nil {
 		n.tombstones[item.Key] = struct{}{}
@@ -257,18 +257,18 @@
 		return true
 	}
 	switch {
-	case item.Key == protocol.CounterKey:
-		var c protocol.CounterRecord
+	case item.Key == protocol.TokenCounterKey:
+		var c protocol.TokenCounterRecord
 		if read(&c) {
 			n.tokenCounter = c.Token
 		}
 	case item.Key == protocol.MovesKey:
-		var mv protocol.Moves
+		var mv protocol.MovesRecord
 		if read(&mv) {
 			n.onMoves(mv)
 		}
 	case item.Key == protocol.ClassesKey:
-		var t ticket.Table
+		var t ticket.ClassTable
 		if item.Value == nil || read(&t) {
 			n.tickets.storedClasses = t
 		}
@@ -304,7 +304,7 @@
 		n.applyChunk(id, chunk, item.Key, c, present)
 	case strings.HasPrefix(item.Key, protocol.MachineRoot):
 		var r protocol.BatchRecord
-		if read(&r) && r.Share >= 0 && r.Share < len(n.partitions) {
+		if read(&r) && r.Partition >= 0 && r.Partition < len(n.partitions) {
 			n.setBatch(item.Key, r)
 		} else if !corrupt {
 			n.dropBatch(item.Key)
@@ -332,7 +332,7 @@
 		if r.Version < protocol.PackedVersion {
 			n.nodesWithoutEntries[name] = true
 		}
-		if r.Plain {
+		if r.RequiresRecords {
 			n.packed.plainNodes[name] = true
 		}
 		n.applyNodeRecord(name, r.Lease)
@@ -345,8 +345,8 @@
 		if read(&f); !corrupt {
 			n.packed.format, n.packed.formatStored = f, item.Value != nil
 		}
-	case item.Key == protocol.FenceKey:
-		var f protocol.FenceRecord
+	case item.Key == protocol.RentalFenceKey:
+		var f protocol.RentalFenceRecord
 		if read(&f) || !corrupt {
 			n.rentalFence = f
 		}
@@ -355,14 +355,14 @@
 		if read(&r); !corrupt {
 			n.applyStoredCatalog(r.Types)
 		}
-	case item.Key == protocol.DoubtKey(n.cfg.Node):
-		var d protocol.DoubtRecord
+	case item.Key == protocol.LivenessCheckKey(n.cfg.Node):
+		var d protocol.LivenessCheckRecord
 		if read(&d) {
-			n.answerLivenessCheck(d.By)
+			n.answerLivenessCheck(d.RequestedBy)
 		}
-	case strings.HasPrefix(item.Key, protocol.HolderRoot):
+	case strings.HasPrefix(item.Key, protocol.OwnerRoot):
 		if partition := n.partitionOfKey(item.Key); partition != nil {
-			var h protocol.HolderRecord
+			var h protocol.OwnerRecord
 			if read(&h); !corrupt {
 				n.applyOwnerRecord(partition, h)
 			}
@@ -386,7 +386,7 @@
 		}
 		n.post(func() {
 			for _, item := range items {
-				if strings.HasPrefix(item.Key, protocol.Root) {
+				if strings.HasPrefix(item.Key, protocol.WatchedRoot) {
 					n.applyItem(item)
 				} else {
 					n.applyFinal(item)
--- a/internal/coordination/node/schedule.go
+++ b/internal/coordination/node/schedule.go
@@ -52,7 +52,7 @@
 				waiting = append(waiting, j)
 			}
 		}
-		if partition.reconciliation.MayDisplace() {
+		if partition.reconciliation.MayPreempt() {
 			n.preempt(view, waiting, now)
 		}
 		if !now.Before(partition.nextRent) && !n.awaitsAdoption(now) {
--- a/internal/coordination/node/shares.go
+++ b/internal/coordination/node/shares.go
@@ -94,9 +94,9 @@
 // revision. By then everything that earlier owners stored is known, and their later writes fail.
 // Without this, a standby whose watch was some seconds behind restarted tasks whose users had just
 // been told that they were cancelled.
-func (n *Node) applyOwnerRecord(part *partition, record protocol.HolderRecord) {
+func (n *Node) applyOwnerRecord(part *partition, record protocol.OwnerRecord) {
 	part.unconfirmedOwner = nil
-	if record.Node == n.cfg.Node && record != part.owner && n.revisions[protocol.HolderKey(part.index)] > n.completeRevision {
+	if record.Node == n.cfg.Node && record != part.owner && n.revisions[protocol.OwnerKey(part.index)] > n.completeRevision {
 		part.unconfirmedOwner = &record
 		n.wakeWatch()
 		return
@@ -109,7 +109,7 @@
 func (n *Node) advanceReplica(revision uint64) {
 	n.completeRevision = max(n.completeRevision, revision)
 	for _, part := range n.partitions {
-		if part.unconfirmedOwner != nil && n.revisions[protocol.HolderKey(part.index)] <= n.completeRevision {
+		if part.unconfirmedOwner != nil && n.revisions[protocol.OwnerKey(part.index)] <= n.completeRevision {
 			n.applyOwnerRecord(part, *part.unconfirmedOwner)
 		}
 	}
@@ -119,7 +119,7 @@
 func (p *partition) ownerChanging() bool { return p.ownerChangePending || p.unconfirmedOwner != nil }
 
 // setOwner changes the owner of a partition.
-func (n *Node) setOwner(part *partition, record protocol.HolderRecord) {
+func (n *Node) setOwner(part *partition, record protocol.OwnerRecord) {
 	if record == part.owner {
 		return
 	}
@@ -228,7 +228,7 @@
 	if elapsed < 1 {
 		return
 	}
-	requested := n.rateLimiter.Asked()
+	requested := n.rateLimiter.Requested()
 	backlog := n.pendingUserChanges + n.totalPendingWrites()
 	dirty := map[int]bool{}
 	for j := range n.dirty {
@@ -240,17 +240,17 @@
 	}
 	needed := float64(requested-n.changeDemand.lastRequested)/elapsed + float64(backlog)/3
 	n.changeDemand.lastUpdate, n.changeDemand.lastRequested = now, requested
-	n.changeDemand.perSecond.Store((n.changeDemand.perSecond.Load() + min(needed, n.rateLimiter.Total())) / 2)
+	n.changeDemand.perSecond.Store((n.changeDemand.perSecond.Load() + min(needed, n.rateLimiter.TotalRate())) / 2)
 	ownRate := minChangeRate + n.changeDemand.perSecond.Load()
 	totalRate := ownRate
 	for name, other := range n.peers {
 		if n.receivesHints(name, now) {
 			totalRate += minChangeRate + other.changeRate
 		} else if _, isLive := n.liveNodes[name]; isLive {
-			totalRate += minChangeRate + n.rateLimiter.Total()/float64(len(n.liveNodes))
+			totalRate += minChangeRate + n.rateLimiter.TotalRate()/float64(len(n.liveNodes))
 		}
 	}
-	n.rateLimiter.SetPart(ownRate / totalRate)
+	n.rateLimiter.SetFraction(ownRate / totalRate)
 }
 
 // takeoverDelay returns how long this node waits before it takes over a partition without an owner.
@@ -258,14 +258,14 @@
 // partition has had no owner since this node started, the node that owns the fewest.
 func (n *Node) takeoverDelay(part *partition, owned int, now time.Time) time.Duration {
 	if part.previousOwner != "" && now.Sub(n.startedAt) > 6*time.Second {
-		delay := n.standby.standbys[part.index].After(n.cfg.Node) + n.extraTakeDelay(owned, now)
+		delay := n.standby.standbys[part.index].TakeoverDelay(n.cfg.Node) + n.extraTakeDelay(owned, now)
 		if n.reachability.workersUnreachable.Load() {
 			delay += noWorkersDelay
 		}
 		return delay
 	}
 	names := []string{n.cfg.Node}
-	for _, other := range n.cfg.Siblings {
+	for _, other := range n.cfg.Peers {
 		names = append(names, other.Node)
 	}
 	slices.Sort(names)
@@ -289,12 +289,12 @@
 func (n *Node) takePartition(part *partition, conditions ...storage.Cond) {
 	part.ownerChangePending = true
 	token := n.tokenCounter + 1
-	key := protocol.HolderKey(part.index)
+	key := protocol.OwnerKey(part.index)
 	op := &storage.Op{
-		Conds: append([]storage.Cond{n.unchanged(key), n.unchanged(protocol.CounterKey)}, conditions...),
+		Conds: append([]storage.Cond{n.unchanged(key), n.unchanged(protocol.TokenCounterKey)}, conditions...),
 		Writes: []storage.Write{
-			{Put: key, Value: mustJSON(protocol.HolderRecord{Node: n.cfg.Node, Token: token, Lease: n.lease}), Lease: n.lease},
-			{Put: protocol.CounterKey, Value: mustJSON(protocol.CounterRecord{Token: token})},
+			{Put: key, Value: mustJSON(protocol.OwnerRecord{Node: n.cfg.Node, Token: token, Lease: n.lease}), Lease: n.lease},
+			{Put: protocol.TokenCounterKey, Value: mustJSON(protocol.TokenCounterRecord{Token: token})},
 		},
 	}
 	n.submit(op, func(storage.Result) { part.ownerChangePending = false })
@@ -312,7 +312,7 @@
 		n.post(func() {
 			if r.OK {
 				for _, w := range op.Writes {
-					n.applyOwnWrite(w, r.Epoch)
+					n.applyOwnWrite(w, r.Revision)
 				}
 				callback(r)
 				return
@@ -364,7 +364,7 @@
 	n.log.Info("share given up", "share", part.index, "why", reason)
 	n.lastRelease = now
 	part.ownerChangePending = true
-	key := protocol.HolderKey(part.index)
+	key := protocol.OwnerKey(part.index)
 	n.submit(&storage.Op{Conds: []storage.Cond{n.unchanged(key)}, Writes: []storage.Write{{Delete: key}}},
 		func(storage.Result) {
 			part.ownerChangePending = false
--- a/internal/coordination/node/sim_test.go
+++ b/internal/coordination/node/sim_test.go
@@ -85,7 +85,7 @@
 	size *scaledFleet
 
 	// classes, if set, are the ticket classes that the nodes accept.
-	classes ticket.Table
+	classes ticket.ClassTable
 
 	// daemonLease, if set, answers the nodes' lease requests to the site's daemon.
 	daemonLease func(ctx context.Context, node string) ([]byte, error)
@@ -96,7 +96,7 @@
 	s := &protocol.Settings{Node: names[i], Zone: "a"}
 	for k, name := range names {
 		if k != i {
-			s.Siblings = append(s.Siblings, protocol.Sibling{Node: name, Zone: "a"})
+			s.Peers = append(s.Peers, protocol.Peer{Node: name, Zone: "a"})
 		}
 	}
 	p := &s.Params
@@ -106,7 +106,7 @@
 	p.Workers = protocol.WorkerSettings{ReportS: 2, LeaseS: 10, GangWaitS: 40, GangPeerS: 6, CancelS: 40}
 	p.State = protocol.StateSettings{RPS: 100, WriteRPS: 40, ValueKB: 8, TxnOps: 12}
 	p.Cloud = protocol.CloudSettings{RPS: 4, ListLagS: 4}
-	p.Quota = protocol.MachineQuota{Cores: 1, MemoryMB: 100, FDLimit: 1000}
+	p.Quota = protocol.NodeQuota{Cores: 1, MemoryMB: 100, FDLimit: 1000}
 	return s
 }
 
@@ -234,7 +234,7 @@
 			case other == nil || filter:
 				// The other host closes the open connection and refuses new ones.
 				if connected[name] != nil {
-					n.OnConnEvent(name, transport.ConnEnded)
+					n.OnConnEvent(name, transport.ConnLost)
 					n.OnConnEvent(name, transport.ConnRefused)
 				} else if due {
 					n.OnConnEvent(name, transport.ConnRefused)
@@ -242,7 +242,7 @@
 				connected[name] = nil
 			default:
 				if connected[name] != nil && connected[name] != other {
-					n.OnConnEvent(name, transport.ConnEnded) // a new process
+					n.OnConnEvent(name, transport.ConnLost) // a new process
 				}
 				connected[name] = other
 				if due {
@@ -313,7 +313,7 @@
 var errNoAnswer = errors.New("no answer")
 
 // nodeTicketClasses, if a test sets it, are the ticket classes that the nodes of new clusters accept.
-var nodeTicketClasses ticket.Table
+var nodeTicketClasses ticket.ClassTable
 
 // configureAccount, if a test sets it, configures each node before it starts.
 var configureAccount func(n *Node)
@@ -436,7 +436,7 @@
 			report.Session, report.Seq = m.session, m.seq+1
 		case w.disabledGuard == "old token": // disabled guard: pretend that it was also made under the present token
 			report.Session, report.Seq, report.Token = m.session, m.seq+1, n.fencingToken(m)
-		case m.session == 0 && m.recorded && n.owns(n.partitions[m.rec.Share]):
+		case m.session == 0 && m.recorded && n.owns(n.partitions[m.rec.Partition]):
 			w.recordEvent("old report comes first")
 		case report.Session < m.session:
 			w.recordEvent("report of an earlier session")
@@ -828,12 +828,12 @@
 // stored, what each node says of it, and who owns which partition.
 func (w *simCluster) describeJob(id string) string {
 	var out strings.Builder
-	items, _, _ := w.state.List(w.t.Context(), protocol.Root)
-	if j := packed.Read(items, ringSlots).Jobs[id]; j != nil {
+	items, _, _ := w.state.List(w.t.Context(), protocol.WatchedRoot)
+	if j := packed.ReadState(items, ringSlots).Jobs[id]; j != nil {
 		fmt.Fprintf(&out, "stored %s", mustJSON(j))
 	}
 	for _, it := range items {
-		if strings.HasPrefix(it.Key, protocol.JobKey(id)) || strings.HasPrefix(it.Key, protocol.HolderRoot) {
+		if strings.HasPrefix(it.Key, protocol.JobKey(id)) || strings.HasPrefix(it.Key, protocol.OwnerRoot) {
 			fmt.Fprintf(&out, "\n%s %s", it.Key, it.Value)
 		}
 	}
--- a/internal/coordination/node/sitejobs.go
+++ b/internal/coordination/node/sitejobs.go
@@ -66,15 +66,15 @@
 	if err != nil {
 		n.log.Debug("cannot get the site's lease from its daemon", "why", err)
 	} else {
-		left := min(time.Duration(lease.LeftMS)*time.Millisecond, maxLeaseDuration)
-		updated := &siteLease{expiresAt: requestedAt.Add(time.Duration(float64(left) * (1 - maxClockDrift))), minRevision: lease.Floor, lostJobs: map[string]bool{}}
+		left := min(time.Duration(lease.RemainingMS)*time.Millisecond, maxLeaseDuration)
+		updated := &siteLease{expiresAt: requestedAt.Add(time.Duration(float64(left) * (1 - maxClockDrift))), minRevision: lease.MinRevision, lostJobs: map[string]bool{}}
 		if n.siteLease != nil {
 			updated.minRevision = max(updated.minRevision, n.siteLease.minRevision)
 			if left > 0 {
 				updated.expiresAt = latest(updated.expiresAt, n.siteLease.expiresAt)
 			}
 		}
-		for _, id := range lease.Dead {
+		for _, id := range lease.LostJobs {
 			updated.lostJobs[id] = true
 		}
 		n.siteLease = updated
@@ -153,7 +153,7 @@
 
 // maxCallsBytes bounds the size of a request: maxCallsPerRequest of the longest submissions, each
 // with a sixteenth of the largest request body.
-const maxCallsBytes = maxCallsPerRequest * (protocol.MaxBody / 16)
+const maxCallsBytes = maxCallsPerRequest * (protocol.MaxBodyBytes / 16)
 
 // requireSiteDaemon rejects a request that does not come from the site's daemon: users reach the
 // same address.
@@ -216,7 +216,7 @@
 func (n *Node) onSiteCall(item *wire.Item, reply func(wire.Item)) {
 	call := &siteCall{node: n, request: item, reply: reply, triesLeft: 3}
 	if !n.loaded || !protocol.ValidJobID(item.ID) || item.Record.Epoch == 0 {
-		call.answer(wire.Busy, "not ready, or malformed")
+		call.answer(wire.Unavailable, "not ready, or malformed")
 		return
 	}
 	call.decide()
@@ -238,7 +238,7 @@
 // answerAt answers the call with the revision of a stored change, if not 0, and with the task counts of
 // a job, if not nil.
 func (c *siteCall) answerAt(code uint8, revision uint64, j *job, why string) {
-	result := wire.Item{Kind: wire.Result, ID: c.request.ID, Why: code, Ballot: wire.Ballot{N: revision}, Record: wire.Record{Epoch: c.request.Record.Epoch, Spec: []byte(why)}}
+	result := wire.Item{Kind: wire.Result, ID: c.request.ID, Code: code, Ballot: wire.Ballot{Number: revision}, Record: wire.Record{Epoch: c.request.Record.Epoch, Spec: []byte(why)}}
 	if j != nil {
 		result.Record.Tasks, result.Running = uint32(j.nDone), uint32(j.nPlaced)
 	}
@@ -259,36 +259,36 @@
 	case c.request.Kind == wire.Stop:
 		c.endClaim(j, final, ended)
 	case j != nil && j.claim == epoch && j.cancelled:
-		c.answer(wire.Over, "")
+		c.answer(wire.ClaimEnded, "")
 	case j != nil && j.claim == epoch:
-		c.answerAt(wire.Held, 0, j, "")
+		c.answerAt(wire.Active, 0, j, "")
 	case j != nil && j.claim > epoch, j == nil && ended && final.Claim >= epoch:
-		c.answer(wire.Over, "")
+		c.answer(wire.ClaimEnded, "")
 	case c.request.Kind == wire.Submit:
 		c.submit(j, final, ended)
 	case c.storeRead && j == nil:
-		c.answer(wire.Missing, "")
+		c.answer(wire.NotFound, "")
 	case j == nil:
 		c.reread()
 	default:
-		c.answer(wire.Busy, "held under an earlier claim")
+		c.answer(wire.Unavailable, "held under an earlier claim")
 	}
 }
 
 // answerEnded answers that the job is done.
 func (c *siteCall) answerEnded(final protocol.FinalRecord) {
-	c.reply(wire.Item{Kind: wire.Result, ID: c.request.ID, Why: wire.Ended, Record: wire.Record{Epoch: c.request.Record.Epoch, Tasks: uint32(final.Tasks)}})
+	c.reply(wire.Item{Kind: wire.Result, ID: c.request.ID, Code: wire.Completed, Record: wire.Record{Epoch: c.request.Record.Epoch, Tasks: uint32(final.Tasks)}})
 }
 
 // reread reads the stored records of the job and decides again.
 func (c *siteCall) reread() {
 	if c.triesLeft--; c.triesLeft < 0 {
-		c.answer(wire.Busy, "changed meanwhile")
+		c.answer(wire.Unavailable, "changed meanwhile")
 		return
 	}
 	c.node.resync([]string{protocol.JobKey(c.request.ID), protocol.FinalKey(c.request.ID)}, func(items []storage.Item, err error) {
 		if err != nil {
-			c.answer(wire.Busy, "state service")
+			c.answer(wire.Unavailable, "state service")
 			return
 		}
 		c.storeRead, c.storedFinal = true, items[1]
@@ -301,7 +301,7 @@
 func (c *siteCall) finalCond() storage.Cond {
 	cond := storage.Cond{Key: protocol.FinalKey(c.request.ID)}
 	if c.storeRead && c.storedFinal.Value != nil {
-		cond.Stamp = c.storedFinal.Stamp
+		cond.Revision = c.storedFinal.Revision
 	}
 	return cond
 }
@@ -315,18 +315,18 @@
 		switch {
 		case r.OK:
 			for _, w := range op.Writes {
-				n.applyOwnWrite(w, r.Epoch)
+				n.applyOwnWrite(w, r.Revision)
 			}
 			onStored(r)
 		case r.Err != nil:
-			c.answer(wire.Busy, "state service")
+			c.answer(wire.Unavailable, "state service")
 		default:
 			c.reread()
 		}
 	})
 	select {
 	case <-rejected:
-		c.answer(wire.Busy, "the rate of changes is used up")
+		c.answer(wire.Unavailable, "the rate of changes is used up")
 	default:
 	}
 }
@@ -350,7 +350,7 @@
 	reason, decided := n.checkRunnable(spec)
 	switch {
 	case !decided:
-		c.answer(wire.Busy, "the machine types are not known yet")
+		c.answer(wire.Unavailable, "the machine types are not known yet")
 		return
 	case reason != "":
 		c.answer(wire.Refused, reason)
@@ -362,14 +362,14 @@
 	}
 	op := &storage.Op{
 		Conds:  []storage.Cond{{Key: protocol.JobKey(spec.ID)}, c.finalCond()},
-		Writes: []storage.Write{{Put: protocol.JobKey(spec.ID), Value: mustJSON(protocol.JobRecord{Spec: spec, SubmittedMS: created.UnixMilli(), Next: 1, Claim: epoch})}}}
-	if op.Conds[1].Stamp != 0 {
+		Writes: []storage.Write{{Put: protocol.JobKey(spec.ID), Value: mustJSON(protocol.JobRecord{Spec: spec, SubmittedMS: created.UnixMilli(), NextAttempt: 1, Claim: epoch})}}}
+	if op.Conds[1].Revision != 0 {
 		op.Writes = append(op.Writes, storage.Write{Delete: protocol.FinalKey(spec.ID)})
 	}
 	c.store(op, func(r storage.Result) {
 		n.forgetEarlierClaim(spec.ID, epoch)
 		n.log.Debug("accepted a job of the gateway", "job", spec.ID, "claim", epoch)
-		c.answerAt(wire.Held, r.Epoch, n.jobs[spec.ID], "")
+		c.answerAt(wire.Active, r.Revision, n.jobs[spec.ID], "")
 	})
 }
 
@@ -378,14 +378,14 @@
 func (c *siteCall) raiseClaim(j *job) {
 	n, epoch := c.node, c.request.Record.Epoch
 	if j.cancelled {
-		c.answer(wire.Busy, "an earlier claim is being ended")
+		c.answer(wire.Unavailable, "an earlier claim is being ended")
 		return
 	}
 	rec := n.storedRecordAtLog(j)
 	rec.Claim = epoch
 	op := &storage.Op{Conds: []storage.Cond{n.unchanged(protocol.JobKey(j.id))},
 		Writes: []storage.Write{{Put: protocol.JobKey(j.id), Value: mustJSON(rec)}}}
-	c.store(op, func(r storage.Result) { c.answerAt(wire.Held, r.Epoch, n.jobs[j.id], "") })
+	c.store(op, func(r storage.Result) { c.answerAt(wire.Active, r.Revision, n.jobs[j.id], "") })
 }
 
 // endClaim ends the site's claims on a job up to a given one, and answers Over when no task of the
@@ -395,7 +395,7 @@
 	if j == nil {
 		switch {
 		case ended && final.Claim >= epoch && c.storeRead:
-			c.answer(wire.Over, "")
+			c.answer(wire.ClaimEnded, "")
 		case !c.storeRead:
 			c.reread()
 		default:
@@ -404,29 +404,29 @@
 			// No task was placed when the job ended, or there was no job. A replica that has not seen the
 			// final record yet cannot start anything, since its change would fail. The watch does not cover
 			// this key, so there is no replica revision that the daemon could wait for.
-			c.store(op, func(storage.Result) { c.answer(wire.Over, "") })
+			c.store(op, func(storage.Result) { c.answer(wire.ClaimEnded, "") })
 		}
 		return
 	}
 	switch {
 	case j.claim > epoch:
-		c.answer(wire.Over, "")
+		c.answer(wire.ClaimEnded, "")
 	case j.cancelled && j.claim >= epoch:
-		c.answerAt(wire.Held, n.revisionOf(protocol.JobKey(id)), j, "")
+		c.answerAt(wire.Active, n.revisionOf(protocol.JobKey(id)), j, "")
 	default:
 		rec := n.storedRecordAtLog(j)
 		rec.Cancelled, rec.Claim = true, epoch
 		op := &storage.Op{Conds: []storage.Cond{n.unchanged(protocol.JobKey(id))},
 			Writes: []storage.Write{{Put: protocol.JobKey(id), Value: mustJSON(rec)}}}
-		code := wire.Held
+		code := wire.Active
 		if len(rec.Placed) == 0 && len(j.storedChunks) == 0 {
 			op.Conds = append(op.Conds, storage.Cond{Key: protocol.FinalKey(id)})
 			op.Writes = finalWrites(id, protocol.JobCancelled, len(j.tasks), epoch)
-			code = wire.Over
+			code = wire.ClaimEnded
 		}
 		c.store(op, func(r storage.Result) {
 			n.log.Info("claim on a job of the gateway ended", "job", id, "claim", epoch)
-			c.answerAt(code, r.Epoch, nil, "")
+			c.answerAt(code, r.Revision, nil, "")
 		})
 	}
 }
@@ -466,7 +466,7 @@
 	}
 	images := map[string]bool{}
 	for _, m := range n.machines {
-		if !m.recorded || !n.owns(n.partitions[m.rec.Share]) || !n.usable(m, now) {
+		if !m.recorded || !n.owns(n.partitions[m.rec.Partition]) || !n.usable(m, now) {
 			continue
 		}
 		if t := n.machineTypes[m.rec.Type]; t != nil {
@@ -495,7 +495,7 @@
 	for i, t := range n.teams[:min(len(n.teams), wire.MaxTeams)] {
 		teamHint := wire.TeamHint{Name: t.Name, CPUsMax: t.Limit.CPUs, GPUsMax: t.Limit.GPUs, GPUs: t.Guarantee.GPUs}
 		if n.owns(n.partitions[t.partition]) {
-			teamHint.UsedGPU, teamHint.Waiting = t.Used.GPUs, waiting[i]
+			teamHint.UsedGPUs, teamHint.Waiting = t.Used.GPUs, waiting[i]
 		}
 		hint.Teams = append(hint.Teams, teamHint)
 	}
--- a/internal/coordination/node/sitejobs_test.go
+++ b/internal/coordination/node/sitejobs_test.go
@@ -15,13 +15,13 @@
 
 // grantSiteLease gives the node a lease with which gateway jobs may run.
 func (b *testNode) grantSiteLease() {
-	b.onLease(&wire.Lease{LeftMS: 3000}, nil, time.Now())
+	b.onLease(&wire.Lease{RemainingMS: 3000}, nil, time.Now())
 }
 
 // addGatewayJob stores a job of the gateway with the given placements.
 func (b *testNode) addGatewayJob(id string, placed ...protocol.Placement) *job {
 	spec := &protocol.JobSpec{ID: id, Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 1, CPUs: 4, GPUs: 1, Image: "i", ImageGB: 1}
-	b.watchPut(protocol.JobKey(id), protocol.JobRecord{Spec: spec, Next: 2, Claim: 1, Chunk: protocol.Chunk{Placed: placed}})
+	b.watchPut(protocol.JobKey(id), protocol.JobRecord{Spec: spec, NextAttempt: 2, Claim: 1, Chunk: protocol.Chunk{Placed: placed}})
 	return b.jobs[id]
 }
 
@@ -45,10 +45,10 @@
 		lease                      *wire.Lease
 		startOrders, runningOrders string
 	}{
-		{"valid lease", &wire.Lease{LeftMS: 3000}, "run ", "parked"},
+		{"valid lease", &wire.Lease{RemainingMS: 3000}, "run ", "parked"},
 		{"expired lease", &wire.Lease{}, "", "halt "},
-		{"replica older than the lease requires", &wire.Lease{LeftMS: 3000, Floor: 1 << 40}, "", "halt "},
-		{"job lost by the site", &wire.Lease{LeftMS: 3000, Dead: []string{"job-1"}}, "", "halt "},
+		{"replica older than the lease requires", &wire.Lease{RemainingMS: 3000, MinRevision: 1 << 40}, "", "halt "},
+		{"job lost by the site", &wire.Lease{RemainingMS: 3000, LostJobs: []string{"job-1"}}, "", "halt "},
 		{"no lease received", nil, "", "halt "},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -83,7 +83,7 @@
 func TestLateLeaseAnswerGrantsNothing(t *testing.T) {
 	b := newTestNode(t)
 	j := b.addGatewayJob("job-1")
-	b.onLease(&wire.Lease{LeftMS: 3000}, nil, time.Now().Add(-3*time.Second))
+	b.onLease(&wire.Lease{RemainingMS: 3000}, nil, time.Now().Add(-3*time.Second))
 	if !b.blockedBySiteLease(j, time.Now()) {
 		t.Error("a lease of 3 s requested 3 s ago is accepted as valid")
 	}
@@ -119,7 +119,7 @@
 // since a stale replica lacks the newest jobs.
 func TestAnswerForOwnerStopsGatewayJobs(t *testing.T) {
 	b := newTestNode(t)
-	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
+	b.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-1", Token: 8, Lease: 9})
 	b.addGatewayJob("job-1", placedOnHost1)
 	b.addJob("job-2", false)
 	sendReport := func() string {
@@ -143,7 +143,7 @@
 	if got := sendReport(); got != "halt job-1/0 halt job-3/0 " {
 		t.Errorf("without a lease: %q", got)
 	}
-	b.onLease(&wire.Lease{LeftMS: 30000}, nil, time.Now())
+	b.onLease(&wire.Lease{RemainingMS: 30000}, nil, time.Now())
 	if got := sendReport(); got != "" {
 		t.Errorf("with a lease: %q", got)
 	}
@@ -179,7 +179,7 @@
 		w := newSimCluster(t, ctx, 1, defaultSettings)
 		w.withLock(func() {
 			w.daemonLease = func(context.Context, string) ([]byte, error) {
-				return wire.EncodeLease(&wire.Lease{LeftMS: 3000}), nil
+				return wire.EncodeLease(&wire.Lease{RemainingMS: 3000}), nil
 			}
 		})
 		time.Sleep(6 * time.Second)
@@ -188,30 +188,30 @@
 		want := func(what string, got wire.Item, codes ...uint8) {
 			t.Helper()
 			for _, k := range codes {
-				if got.Why == k {
+				if got.Code == k {
 					return
 				}
 			}
-			t.Errorf("%s: code %d (%s), want %v", what, got.Why, got.Record.Spec, codes)
+			t.Errorf("%s: code %d (%s), want %v", what, got.Code, got.Record.Spec, codes)
 		}
-		want("poll of a job that was never submitted", c.call(wire.Poll, "job-1", 1), wire.Missing)
-		want("submission", c.call(wire.Submit, "job-1", 1), wire.Held)
-		want("repeated submission at another node", other.call(wire.Submit, "job-1", 1), wire.Held)
-		want("stop", other.call(wire.Stop, "job-1", 1), wire.Over, wire.Held)
+		want("poll of a job that was never submitted", c.call(wire.Poll, "job-1", 1), wire.NotFound)
+		want("submission", c.call(wire.Submit, "job-1", 1), wire.Active)
+		want("repeated submission at another node", other.call(wire.Submit, "job-1", 1), wire.Active)
+		want("stop", other.call(wire.Stop, "job-1", 1), wire.ClaimEnded, wire.Active)
 		time.Sleep(time.Minute)
-		want("stop again", c.call(wire.Stop, "job-1", 1), wire.Over)
-		want("delayed submission under the ended claim", c.call(wire.Submit, "job-1", 1), wire.Over)
-		want("a later claim", other.call(wire.Submit, "job-1", 3), wire.Held)
+		want("stop again", c.call(wire.Stop, "job-1", 1), wire.ClaimEnded)
+		want("delayed submission under the ended claim", c.call(wire.Submit, "job-1", 1), wire.ClaimEnded)
+		want("a later claim", other.call(wire.Submit, "job-1", 3), wire.Active)
 		time.Sleep(time.Second)
-		want("poll of the later claim", c.call(wire.Poll, "job-1", 3), wire.Held)
-		want("delayed stop of the earlier claim", c.call(wire.Stop, "job-1", 1), wire.Over)
-		want("poll of the later claim after the delayed stop", c.call(wire.Poll, "job-1", 3), wire.Held)
+		want("poll of the later claim", c.call(wire.Poll, "job-1", 3), wire.Active)
+		want("delayed stop of the earlier claim", c.call(wire.Stop, "job-1", 1), wire.ClaimEnded)
+		want("poll of the later claim after the delayed stop", c.call(wire.Poll, "job-1", 3), wire.Active)
 
-		want("stop before the submission", c.call(wire.Stop, "job-2", 2), wire.Over)
-		want("submission after its stop", other.call(wire.Submit, "job-2", 2), wire.Over)
-		want("submission under the first claim", c.call(wire.Submit, "job-3", 1), wire.Held)
+		want("stop before the submission", c.call(wire.Stop, "job-2", 2), wire.ClaimEnded)
+		want("submission after its stop", other.call(wire.Submit, "job-2", 2), wire.ClaimEnded)
+		want("submission under the first claim", c.call(wire.Submit, "job-3", 1), wire.Active)
 		time.Sleep(time.Second)
-		want("submission of the same job under a later claim", other.call(wire.Submit, "job-3", 4), wire.Held)
+		want("submission of the same job under a later claim", other.call(wire.Submit, "job-3", 4), wire.Active)
 
 		own := &protocol.JobSpec{ID: "job-4", Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 1, CPUs: 4, GPUs: 1, Image: "i", ImageGB: 1}
 		if a, err := w.submitAt(ctx, "n-1", own); err != nil || a.status != 201 {
@@ -280,7 +280,7 @@
 						w.mu.Lock()
 						left := max(0, min(leaseTime, time.Until(leaseEnd)))
 						w.mu.Unlock()
-						data := wire.EncodeLease(&wire.Lease{LeftMS: uint32(left.Milliseconds())})
+						data := wire.EncodeLease(&wire.Lease{RemainingMS: uint32(left.Milliseconds())})
 						time.Sleep(w.randDuration(time.Millisecond, 300*time.Millisecond))
 						if w.chance(&w.lossRate) {
 							return nil, errNoAnswer
@@ -305,7 +305,7 @@
 								})
 								select {
 								case r := <-got:
-									if r.Why == wire.Held || r.Why == wire.Ended {
+									if r.Code == wire.Active || r.Code == wire.Completed {
 										return
 									}
 								case <-time.After(2 * time.Second):
--- a/internal/coordination/node/spending.go
+++ b/internal/coordination/node/spending.go
@@ -35,7 +35,7 @@
 }
 
 func (c *changeCounts) add(op *storage.Op) {
-	c.counts[min(changePurpose(op.For), purposeCount-1)].Add(int64(len(op.Writes)))
+	c.counts[min(changePurpose(op.Purpose), purposeCount-1)].Add(int64(len(op.Writes)))
 }
 
 // logChangeCounts logs the number of changes by purpose since it was last called.
--- a/internal/coordination/node/square.go
+++ b/internal/coordination/node/square.go
@@ -26,7 +26,7 @@
 	peakIdleUnknown int       // machines whose idleness nobody saw, at the most
 	lastIdleReturn  time.Time // when one of them was last returned
 
-	given, held [start.Orders]int // as the metrics have them
+	given, held [start.OrderKinds]int // as the metrics have them
 
 	workerAddrs atomic.Pointer[map[netip.Addr]bool] // where machines are; read by other routines
 	noted       time.Time                           // when that was last made
@@ -68,18 +68,18 @@
 // beginReconciliation begins to square a share that was just taken.
 func (n *Node) beginReconciliation(s *partition, now time.Time) {
 	w := n.cfg.Params.Workers
-	var facts []start.Facts
+	var facts []start.MachineFacts
 	for _, m := range s.machines {
 		if n.shouldSpeak(m) {
 			facts = append(facts, n.squareFacts(m))
 		}
 	}
-	n.loadControl.budget.Fresh(now)
+	n.loadControl.budget.ResetForTakeover(now)
 	grace := min(graceShort, n.seconds(w.ReportS)/2)
-	if s.takeover.cause == standby.HandedOn {
+	if s.takeover.cause == standby.HandedOver {
 		grace = 0 // its workers have a controller, and come when they next report
 	}
-	s.reconciliation = start.Begin(start.Times{Report: n.seconds(w.ReportS), Grace: grace}, now, facts)
+	s.reconciliation = start.BeginReconciliation(start.Timing{ReportInterval: n.seconds(w.ReportS), GracePeriod: grace}, now, facts)
 }
 
 // shouldSpeak says whether a machine's silence means anything: one that is known to be
@@ -88,19 +88,19 @@
 	return m.recorded && !m.returned && (m.rec.Addr != "" || len(m.tasks) > 0)
 }
 
-func (n *Node) squareFacts(m *machine) start.Facts {
-	f := start.Facts{Name: m.name, Rank: start.Empty, Callable: m.addr != ""}
+func (n *Node) squareFacts(m *machine) start.MachineFacts {
+	f := start.MachineFacts{Name: m.name, Rank: start.Empty, HasAddress: m.addr != ""}
 	if !m.lastReport.IsZero() {
-		f.LeaseEnds = m.lastReport.Add(n.seconds(n.cfg.Params.Workers.LeaseS))
+		f.LeaseExpiry = m.lastReport.Add(n.seconds(n.cfg.Params.Workers.LeaseS))
 	}
 	for k := range m.tasks {
 		switch {
 		case k.job.rank == 0:
 			f.Rank = start.Critical
 		case !n.unguaranteed(k.job):
-			f.Rank = min(f.Rank, start.Guarantee)
+			f.Rank = min(f.Rank, start.Guaranteed)
 		default:
-			f.Rank = min(f.Rank, start.Work)
+			f.Rank = min(f.Rank, start.Unguaranteed)
 		}
 	}
 	return f
@@ -115,7 +115,7 @@
 
 // machineReconciled notes that a machine has spoken under this node's token.
 func (n *Node) machineReconciled(m *machine, now time.Time) {
-	n.partitions[m.rec.Share].reconciliation.Heard(m.name)
+	n.partitions[m.rec.Partition].reconciliation.NoteFencedReport(m.name)
 	if m.idleSinceUnknown && len(m.tasks) == 0 {
 		m.idleSince = now
 	}
@@ -128,20 +128,20 @@
 		if s.reconciliation == nil {
 			continue
 		}
-		for _, name := range s.reconciliation.Next(now, n.loadControl.budget.Room(start.Ask)) {
+		for _, name := range s.reconciliation.NextPolls(now, n.loadControl.budget.CallsAvailable(start.Poll)) {
 			m := n.machines[name]
-			if m == nil || !m.recorded || m.addr == "" || n.loadControl.budget.Call(start.Ask, 1) == 0 {
-				s.reconciliation.Answered(name, false, now)
+			if m == nil || !m.recorded || m.addr == "" || n.loadControl.budget.TakeCalls(start.Poll, 1) == 0 {
+				s.reconciliation.CallEnded(name, false, now)
 				continue
 			}
 			n.fence(m, now)
 		}
 		was := s.reconciliation.Phase()
-		p, tenth, fresh := s.reconciliation.Step(now)
+		p, tenth, fresh := s.reconciliation.Advance(now)
 		if fresh || p != was {
 			all, heard, asked := s.reconciliation.Counts()
 			n.log.Info("share squared", "share", s.index, "phase", p, "tenths", tenth, "machines", all, "heard", heard, "asked", asked,
-				"after_s", now.Sub(s.reconciliation.Since()).Seconds(), "calls_per_s", roundToTenth(n.loadControl.budget.Rate()), "held_back", n.heldBack())
+				"after_s", now.Sub(s.reconciliation.AcquiredAt()).Seconds(), "calls_per_s", roundToTenth(n.loadControl.budget.Rate()), "held_back", n.heldBack())
 		}
 		if p == start.Serving && was != p {
 			n.replan = true
@@ -156,12 +156,12 @@
 	all, heard, _ := s.reconciliation.Counts()
 	n.metrics.unheardMachines.WithLabelValues(strconv.Itoa(s.index)).Set(float64(all - heard))
 	n.metrics.orderRate.Set(n.loadControl.budget.Rate())
-	for k := range start.Orders {
+	for k := range start.OrderKinds {
 		for _, c := range []struct {
 			outcome string
 			now     int
 			told    *int
-		}{{"given", n.loadControl.budget.Given(k), &n.loadControl.given[k]}, {"held_back", n.loadControl.budget.Held(k), &n.loadControl.held[k]}} {
+		}{{"given", n.loadControl.budget.Granted(k), &n.loadControl.given[k]}, {"held_back", n.loadControl.budget.Deferred(k), &n.loadControl.held[k]}} {
 			if c.now > *c.told {
 				n.metrics.orders.WithLabelValues(k.String(), c.outcome).Add(float64(c.now - *c.told))
 				*c.told = c.now
@@ -179,7 +179,7 @@
 	}
 	c := 0
 	for i := range j.tasks {
-		if m := j.tasks[i].machine; m != nil && s.reconciliation.Unheard(m.name) {
+		if m := j.tasks[i].machine; m != nil && s.reconciliation.AwaitingReport(m.name) {
 			c++
 		}
 	}
@@ -189,8 +189,8 @@
 // heldBack is how many orders the budget held back so far.
 func (n *Node) heldBack() int {
 	c := 0
-	for k := range start.Orders {
-		c += n.loadControl.budget.Held(k)
+	for k := range start.OrderKinds {
+		c += n.loadControl.budget.Deferred(k)
 	}
 	return c
 }
@@ -208,7 +208,7 @@
 // takeBudget is how many orders of a kind may be given now. Once all shares held serve,
 // the budget bounds calls for reports only: what then has to be ordered is what events
 // ask for, and not the whole fleet at once.
-func (n *Node) takeBudget(k start.Order, want int) int {
+func (n *Node) takeBudget(k start.OrderKind, want int) int {
 	if !n.reconciling() {
 		return want
 	}
@@ -218,7 +218,7 @@
 // shedsLoad says whether this node, squaring a share with its actor late, puts off what
 // costs much and matters least. Whoever asked is told so at once, and when to come back.
 func (n *Node) shedsLoad(now time.Time) bool {
-	return n.reconciling() && n.loadControl.budget.Late(now, shedTime)
+	return n.reconciling() && n.loadControl.budget.RecentlyLate(now, shedTime)
 }
 
 // shedTime is for how long after the actor was late that is so.
@@ -255,9 +255,9 @@
 	if unseen == 0 {
 		n.loadControl.peakIdleUnknown = 0
 	}
-	may := start.Spread(n.loadControl.peakIdleUnknown, n.seconds(boot), n.loadControl.lastIdleReturn, now)
+	may := start.IdleReturnsAllowed(n.loadControl.peakIdleUnknown, n.seconds(boot), n.loadControl.lastIdleReturn, now)
 	for _, m := range spare {
-		if !n.partitions[m.rec.Share].reconciliation.Settled(now) {
+		if !n.partitions[m.rec.Partition].reconciliation.Settled(now) {
 			continue
 		}
 		if m.idleSinceUnknown {
@@ -322,7 +322,7 @@
 // round, since each take-over cost so much that the next lease lapsed.
 func (n *Node) noteOverload(held int, now time.Time) {
 	o := &n.loadControl
-	if held == 0 || !o.budget.Late(now, loadPause) || now.Sub(n.reachability.stallEnded) < loadPause {
+	if held == 0 || !o.budget.RecentlyLate(now, loadPause) || now.Sub(n.reachability.stallEnded) < loadPause {
 		return
 	}
 	if now.Sub(o.lastLapse) > lapseMemory {
--- a/internal/coordination/node/square_test.go
+++ b/internal/coordination/node/square_test.go
@@ -17,17 +17,17 @@
 func TestTakeOverCostsItsShare(t *testing.T) {
 	b := newTestNode(t)
 	b.addFleet(40, 6)
-	b.watchPut(protocol.BatchKey("other"), protocol.BatchRecord{Share: 1, Machines: []protocol.MachineRecord{{Name: "host-900000", Type: "g4", Zone: "a", Addr: "y:1"}}})
+	b.watchPut(protocol.BatchKey("other"), protocol.BatchRecord{Partition: 1, Machines: []protocol.MachineRecord{{Name: "host-900000", Type: "g4", Zone: "a", Addr: "y:1"}}})
 	b.addJob("job-700001", true) // cancelled, and its end not stored
 	b.refreshIndex(time.Now())
 	clear(b.dirty)
-	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
-	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
+	b.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-1", Token: 8, Lease: 9})
+	b.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-0", Token: 9, Lease: 3})
 	if len(b.dirty) != 1 || !b.dirty[b.jobs["job-700001"]] {
 		t.Errorf("%d jobs to be stored after a take-over", len(b.dirty))
 	}
 	for _, m := range b.planningFacts.staleMachines {
-		if m.rec.Share != 0 {
+		if m.rec.Partition != 0 {
 			t.Errorf("%s of another share is looked at anew", m.name)
 		}
 	}
@@ -60,8 +60,8 @@
 	b.setPhase(b.jobs["job-000001"], 0, phaseWaiting, nil, 0, time.Now())
 	seen := b.machines["host-1"]
 	since := seen.idleSince
-	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
-	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
+	b.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-1", Token: 8, Lease: 9})
+	b.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-0", Token: 9, Lease: 3})
 	now := time.Now().Add(time.Hour)
 	b.acceptWorkerReport(unseen, &protocol.Report{Machine: "host-5", Session: 1, Seq: 1, Token: 9}, 9, now)
 	if !unseen.idleSinceUnknown || !unseen.idleSince.Equal(now) {
@@ -82,7 +82,7 @@
 	if back := b.returnableIdle(spare, now); len(back) > 0 {
 		t.Errorf("%d returned while the share is squared", len(back))
 	}
-	s.reconciliation.Step(now)
+	s.reconciliation.Advance(now)
 	now = now.Add(2 * time.Second)
 	if back := b.returnableIdle(spare, now); len(back) != 4 {
 		t.Errorf("%d of 100 returned at once with a boot time of 25 s", len(back))
@@ -98,8 +98,8 @@
 	b := newTestNode(t)
 	b.addFleet(20, 0)
 	b.finalJobs.add("job-800000", protocol.FinalRecord{Status: protocol.JobDone, Tasks: 1})
-	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
-	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
+	b.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-1", Token: 8, Lease: 9})
+	b.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-0", Token: 9, Lease: 3})
 	poll := func(id string) int {
 		c := make(chan answer, 1)
 		b.onPoll(id, c)
@@ -113,7 +113,7 @@
 	if s := poll("job-000000"); s != 0 {
 		t.Errorf("a poll in time is answered %d", s)
 	}
-	b.loadControl.budget.Turn(time.Now(), time.Second)
+	b.loadControl.budget.ObserveLag(time.Now(), time.Second)
 	if s := poll("job-000000"); s != 503 {
 		t.Errorf("a poll of a late node is answered %d", s)
 	}
@@ -125,7 +125,7 @@
 	if a := <-c; a.status != 503 || a.retryAfterS == 0 {
 		t.Errorf("a listing is answered %d, come back in %d s", a.status, a.retryAfterS)
 	}
-	b.partitions[0].reconciliation.Step(time.Now().Add(time.Minute))
+	b.partitions[0].reconciliation.Advance(time.Now().Add(time.Minute))
 	if s := poll("job-000000"); s != 0 {
 		t.Errorf("a poll of a node that serves is answered %d", s)
 	}
@@ -142,7 +142,7 @@
 	if !b.mayTake(b.partitions[1], 2, now) || b.extraTakeDelay(0, now) != 0 {
 		t.Error("a lease that ended for another cause counts as load")
 	}
-	b.loadControl.budget.Turn(now, time.Second)
+	b.loadControl.budget.ObserveLag(now, time.Second)
 	b.noteOverload(2, now)
 	if b.mayTake(b.partitions[1], 1, now) || !b.mayTake(b.partitions[1], 0, now) || b.extraTakeDelay(0, now) != time.Second {
 		t.Errorf("after its own load: a second share %v, the first one %v, %v later", b.mayTake(b.partitions[1], 1, now), b.mayTake(b.partitions[1], 0, now), b.extraTakeDelay(0, now))
@@ -166,8 +166,8 @@
 		time.Sleep(5 * time.Second)
 		held := func() string { // by n-0, as the store has it
 			for i := range 3 {
-				if it, _ := w.state.Get(t.Context(), protocol.HolderKey(i)); it.Value != nil {
-					var h protocol.HolderRecord
+				if it, _ := w.state.Get(t.Context(), protocol.OwnerKey(i)); it.Value != nil {
+					var h protocol.OwnerRecord
 					if json.Unmarshal(it.Value, &h) == nil && h.Node == "n-0" {
 						return fmt.Sprint(i, "/", h.Token)
 					}
@@ -195,24 +195,24 @@
 		b := newTestNode(t)
 		b.watchPut(protocol.BatchKey("r-0-7-2-0"), protocol.BatchRecord{Machines: []protocol.MachineRecord{{Name: "host-2", Type: "g4", Zone: "a", Addr: "x:2"}, {Name: "host-3", Type: "g4", Zone: "a", Addr: "x:3"}}})
 		low := &protocol.JobSpec{ID: "job-000001", Team: "red", Class: "c", Shape: protocol.Array, Priority: "best_effort", Tasks: 4, CPUs: 4, GPUs: 1, MemoryGB: 8, Image: "i", ImageGB: 1, EstimateS: 900}
-		rec := protocol.JobRecord{Spec: low, Next: 2}
+		rec := protocol.JobRecord{Spec: low, NextAttempt: 2}
 		var tasks []protocol.TaskReport
 		for i := range 4 {
 			rec.Placed = append(rec.Placed, protocol.Placement{Task: i, Attempt: 1, Machine: "host-1"})
 			tasks = append(tasks, protocol.TaskReport{Task: protocol.TaskID(low.ID, i), Attempt: 1, State: protocol.TaskRunning})
 		}
 		b.watchPut(protocol.JobKey(low.ID), rec)
-		b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
-		b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
+		b.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-1", Token: 8, Lease: 9})
+		b.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-0", Token: 9, Lease: 3})
 		b.sendReport(9, 1, tasks...)
 		urgent := *low
 		urgent.ID, urgent.Priority, urgent.Tasks, urgent.Shape = "job-000002", "critical", 1, protocol.Service
-		b.watchPut(protocol.JobKey(urgent.ID), protocol.JobRecord{Spec: &urgent, Next: 1})
+		b.watchPut(protocol.JobKey(urgent.ID), protocol.JobRecord{Spec: &urgent, NextAttempt: 1})
 		s, now := b.partitions[0], time.Now()
 		b.RecordContact(now)
 		b.policy.StopRentals = true
 		if sabotaged {
-			s.reconciliation = start.Begin(start.Times{}, now, nil)
+			s.reconciliation = start.BeginReconciliation(start.Timing{}, now, nil)
 		}
 		stopped := func() (n int) {
 			for i := range b.jobs[low.ID].tasks {
@@ -226,7 +226,7 @@
 		if got := stopped() > 0; got != sabotaged {
 			t.Fatalf("sabotaged %v: %d tasks stopped while two of three machines have not spoken", sabotaged, stopped())
 		}
-		s.reconciliation.Step(now.Add(time.Minute))
+		s.reconciliation.Advance(now.Add(time.Minute))
 		if b.plan(now); stopped() == 0 {
 			t.Error("nobody is stopped once the share serves: the test shows nothing")
 		}
@@ -241,7 +241,7 @@
 	b.loadControl.followingSince = now.Add(-time.Hour)
 	for i, ago := range []time.Duration{10 * time.Second, 50 * time.Second, 30 * time.Second, 10 * time.Minute} {
 		spec := &protocol.JobSpec{ID: fmt.Sprintf("job-60000%d", i), Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 1, CPUs: 4, GPUs: 1, Image: "i", ImageGB: 1}
-		b.watchPut(protocol.JobKey(spec.ID), protocol.JobRecord{Spec: spec, SubmittedMS: now.Add(-ago).UnixMilli(), Next: 1})
+		b.watchPut(protocol.JobKey(spec.ID), protocol.JobRecord{Spec: spec, SubmittedMS: now.Add(-ago).UnixMilli(), NextAttempt: 1})
 	}
 	var ids string
 	for _, a := range b.partitions[0].recentArrivals {
--- a/internal/coordination/node/standby.go
+++ b/internal/coordination/node/standby.go
@@ -18,8 +18,8 @@
 
 // standbyState is this node's view of the standbys of each partition.
 type standbyState struct {
-	standbys      map[int]standby.Pair // by partition
-	suspicions    *standby.Doubts
+	standbys      map[int]standby.Standbys // by partition
+	suspicions    *standby.Suspicions
 	presumedEnded map[string]time.Time        // peers whose process is presumed to have ended, and since when
 	outgoing      atomic.Pointer[hintPayload] // sent with the next hints; read by other goroutines
 	nextMachine   int                         // index of the owned machine that the last hint ended with
@@ -30,7 +30,7 @@
 // hintPayload is the part of a hint that is meant for standbys.
 type hintPayload struct {
 	seq      uint64
-	machines []protocol.Known
+	machines []protocol.MachineHint
 	refused  []protocol.RefusedOffer
 	// Jobs that are being cancelled. An owner that cannot read the cancellation from the state
 	// service stops their tasks because of this.
@@ -64,7 +64,7 @@
 	for range min(machinesPerHint, len(machines)) {
 		state.nextMachine = (state.nextMachine + 1) % len(machines)
 		if m := machines[state.nextMachine]; !m.lastReport.IsZero() {
-			payload.machines = append(payload.machines, protocol.Known{Machine: m.name, SecPerGB: m.secPerGB, AgeS: now.Sub(m.lastReport).Seconds()})
+			payload.machines = append(payload.machines, protocol.MachineHint{Machine: m.name, SecPerGB: m.secPerGB, AgeS: now.Sub(m.lastReport).Seconds()})
 		}
 	}
 	payload.cancelled = n.cancelledJobsForHint()
@@ -85,19 +85,19 @@
 // wrong: it improves cost estimates and the order in which machines are polled, and is never proof
 // of anything.
 func (n *Node) applyMachineHints(name string, sender *peer, hint *protocol.Hint, now time.Time) {
-	if hint.Life == 0 || hint.Life != n.incarnations.leaseOf[name] {
+	if hint.Incarnation == 0 || hint.Incarnation != n.incarnations.leaseOf[name] {
 		return // from an earlier process, or from one whose node record has not been read yet
 	}
-	if hint.Life == sender.incarnation && hint.Seq <= sender.seq {
+	if hint.Incarnation == sender.incarnation && hint.Seq <= sender.seq {
 		return // outdated or a duplicate
 	}
-	if hint.Life == sender.incarnation && hint.Seq > sender.seq+1 {
+	if hint.Incarnation == sender.incarnation && hint.Seq > sender.seq+1 {
 		sender.sequenceGaps++
 	}
-	sender.incarnation, sender.seq, sender.lastNewHint = hint.Life, hint.Seq, now
-	for _, k := range hint.Known {
+	sender.incarnation, sender.seq, sender.lastNewHint = hint.Incarnation, hint.Seq, now
+	for _, k := range hint.Machines {
 		m := n.machines[k.Machine]
-		if m == nil || !m.recorded || n.owns(n.partitions[m.rec.Share]) || n.partitions[m.rec.Share].owner.Node != name {
+		if m == nil || !m.recorded || n.owns(n.partitions[m.rec.Partition]) || n.partitions[m.rec.Partition].owner.Node != name {
 			continue
 		}
 		if k.SecPerGB > 0 && k.SecPerGB <= maxSecPerGB {
@@ -109,9 +109,9 @@
 		}
 		m.lastHint = now
 	}
-	n.applyCancelHints(name, hint.Cancelled)
+	n.applyCancelHints(name, hint.CancelledJobs)
 	sender.refusedOffers = sender.refusedOffers[:0]
-	for _, r := range hint.Refused {
+	for _, r := range hint.RefusedOffers {
 		if r.ForS > 0 && r.ForS <= maxRefusalS {
 			sender.refusedOffers = append(sender.refusedOffers, refusedOffer{offer{Type: r.Type, Zone: r.Zone, Spot: r.Spot}, now.Add(n.seconds(r.ForS))})
 		}
@@ -162,14 +162,14 @@
 // OnConnEvent records a connection event from the sender of hints to a peer. A refused connection
 // shows that the peer's host is reachable, and so most likely are the workers on its side of the
 // network.
-func (n *Node) OnConnEvent(node string, event transport.Event) {
+func (n *Node) OnConnEvent(node string, event transport.ConnEvent) {
 	n.post(func() {
 		other := n.peers[node]
 		if other == nil {
 			return
 		}
 		switch now := time.Now(); event {
-		case transport.ConnEnded:
+		case transport.ConnLost:
 			other.connLostAt = now
 		case transport.ConnRefused:
 			other.connRefusedAt = now
@@ -180,25 +180,25 @@
 // assignStandbys recomputes the standbys of each partition from the stored records and the hints
 // received.
 func (n *Node) assignStandbys(now time.Time) {
-	var partitions []standby.Share
+	var partitions []standby.Partition
 	owned := map[string]int{}
 	for _, part := range n.partitions {
-		partitions = append(partitions, standby.Share{Index: part.index, Holder: part.owner.Node})
+		partitions = append(partitions, standby.Partition{Index: part.index, Owner: part.owner.Node})
 		if part.owner.Token != 0 {
 			owned[part.owner.Node]++
 		}
 	}
 	var nodes []standby.Node
 	for name := range n.liveNodes {
-		candidate := standby.Node{Name: name, Zone: n.cfg.Zone, Held: owned[name]}
+		candidate := standby.Node{Name: name, Zone: n.cfg.Zone, Owned: owned[name]}
 		if other := n.peers[name]; other != nil {
-			candidate.Zone, candidate.Poor = other.zone, n.receivesHints(name, now) && (other.workersUnreachable || !other.stateOK)
+			candidate.Zone, candidate.Impaired = other.zone, n.receivesHints(name, now) && (other.workersUnreachable || !other.stateOK)
 		} else if name == n.cfg.Node {
-			candidate.Poor = n.reachability.workersUnreachable.Load()
+			candidate.Impaired = n.reachability.workersUnreachable.Load()
 		}
 		nodes = append(nodes, candidate)
 	}
-	for i, p := range standby.Assign(partitions, nodes, n.standby.standbys) {
+	for i, p := range standby.AssignStandbys(partitions, nodes, n.standby.standbys) {
 		if previous := n.standby.standbys[i]; p != previous && (p.First == n.cfg.Node || previous.First == n.cfg.Node) {
 			n.log.Info("standby", "share", i, "first", p.First, "second", p.Second)
 		}
@@ -211,22 +211,22 @@
 func (n *Node) checkSuspectedPeers(now time.Time) {
 	mayAsk := n.lease != 0 && !n.standby.leaving && n.sinceContact(now) < time.Second && now.Sub(n.reachability.stallEnded) > stallThreshold
 	for name, suspect := range n.peers {
-		evidence := standby.Seen{Heard: suspect.lastHint, Broke: suspect.connLostAt, Refused: suspect.connRefusedAt, Stamp: n.revisionOf(protocol.NodeKey(name))}
+		evidence := standby.PeerEvidence{LastHint: suspect.lastHint, ConnLostAt: suspect.connLostAt, ConnRefusedAt: suspect.connRefusedAt, Revision: n.revisionOf(protocol.NodeKey(name))}
 		isStandby := false
 		for _, part := range n.partitions {
 			if part.owner.Token != 0 && part.owner.Node == name {
-				evidence.Holds = true
+				evidence.OwnsPartition = true
 				pair := n.standby.standbys[part.index]
 				isStandby = isStandby || pair.First == n.cfg.Node || pair.Second == n.cfg.Node
 			}
 		}
-		evidence.Holds = evidence.Holds && isStandby
-		ask, ended := n.standby.suspicions.Look(name, evidence, mayAsk, now)
+		evidence.OwnsPartition = evidence.OwnsPartition && isStandby
+		ask, ended := n.standby.suspicions.Evaluate(name, evidence, mayAsk, now)
 		if ask {
 			n.log.Info("asked whether it lives", "sibling", name)
-			key := protocol.DoubtKey(name)
-			n.submit(&storage.Op{Writes: []storage.Write{{Put: key, Value: mustJSON(protocol.DoubtRecord{By: n.cfg.Node}), Lease: n.lease}}},
-				func(r storage.Result) { n.standby.suspicions.Asked(name, r.OK, time.Now()) })
+			key := protocol.LivenessCheckKey(name)
+			n.submit(&storage.Op{Writes: []storage.Write{{Put: key, Value: mustJSON(protocol.LivenessCheckRecord{RequestedBy: n.cfg.Node}), Lease: n.lease}}},
+				func(r storage.Result) { n.standby.suspicions.CheckStored(name, r.OK, time.Now()) })
 		}
 		if !ended {
 			delete(n.standby.presumedEnded, name)
@@ -237,7 +237,7 @@
 			n.log.Info("has ended, by all evidence", "sibling", name, "silent_s", roundToTenth(now.Sub(suspect.lastHint).Seconds()))
 		}
 		for _, part := range n.partitions {
-			if part.owner.Token != 0 && part.owner.Node == name && !part.ownerChanging() && now.Sub(n.standby.presumedEnded[name]) >= n.standby.standbys[part.index].After(n.cfg.Node) {
+			if part.owner.Token != 0 && part.owner.Node == name && !part.ownerChanging() && now.Sub(n.standby.presumedEnded[name]) >= n.standby.standbys[part.index].TakeoverDelay(n.cfg.Node) {
 				// The condition makes the takeover fail if the owner answers before it is stored.
 				n.takePartition(part, n.unchanged(protocol.NodeKey(name)))
 			}
@@ -255,18 +255,18 @@
 }
 
 // recordTakeover records how a partition came to this node.
-func (n *Node) recordTakeover(part *partition, previous protocol.HolderRecord, now time.Time) {
+func (n *Node) recordTakeover(part *partition, previous protocol.OwnerRecord, now time.Time) {
 	part.takeover = takeover{cause: standby.AtStart, blockedBy: standby.Check(math.MaxUint8)}
 	previousOwner := n.peers[part.previousOwner]
 	switch {
 	case previous.Token != 0:
-		part.takeover.cause = standby.Ended
+		part.takeover.cause = standby.ProcessEnded
 	case previousOwner == nil || part.vacantSince.Sub(n.loadControl.followingSince) < leaseTTL:
 		return // vacant since this node started: the other nodes start too, and release the leases of their earlier processes
 	case part.vacantSince.Sub(previousOwner.lastHint) < leaseTTL*3/4:
-		part.takeover.cause = standby.HandedOn
+		part.takeover.cause = standby.HandedOver
 	default:
-		part.takeover.cause = standby.LeaseOver
+		part.takeover.cause = standby.LeaseExpired
 	}
 	if previousOwner != nil {
 		for _, r := range previousOwner.refusedOffers {
@@ -275,7 +275,7 @@
 	}
 	if previousOwner != nil && !previousOwner.lastHint.IsZero() {
 		part.takeover.gap = now.Sub(previousOwner.lastHint)
-		if part.takeover.cause == standby.HandedOn {
+		if part.takeover.cause == standby.HandedOver {
 			part.takeover.gap = now.Sub(part.vacantSince)
 		}
 	}
@@ -290,14 +290,14 @@
 	if part.takeover.decided {
 		return true
 	}
-	facts := standby.Facts{Held: n.owns(part), Contact: n.sinceContact(now), Awake: now.Sub(n.reachability.stallEnded), Types: len(n.machineTypes), Squared: part.reconciliation != nil}
+	facts := standby.TakeoverFacts{Owned: n.owns(part), SinceContact: n.sinceContact(now), SinceStall: now.Sub(n.reachability.stallEnded), MachineTypes: len(n.machineTypes), ReconciliationStarted: part.reconciliation != nil}
 	if part.reconciliation != nil {
-		facts.Machines, facts.Heard, _ = part.reconciliation.Counts()
-		if part.reconciliation.MayDisplace() {
+		facts.Machines, facts.Reported, _ = part.reconciliation.Counts()
+		if part.reconciliation.MayPreempt() {
 			facts.Machines = 0 // the remaining machines had enough time to report
 		}
 	}
-	check, decided := standby.First(facts)
+	check, decided := standby.FirstFailing(facts)
 	if decided {
 		part.takeover.decided = true
 		n.log.Info("first decision", "share", part.index, "cause", part.takeover.cause, "gap_s", part.takeover.gap.Seconds(), "after_s", now.Sub(part.acquiredAt).Seconds())
@@ -305,7 +305,7 @@
 	}
 	if check != part.takeover.blockedBy {
 		part.takeover.blockedBy = check
-		n.log.Info("first decision waits", "share", part.index, "for", check, "guards_against", check.Guards())
+		n.log.Info("first decision waits", "share", part.index, "for", check, "guards_against", check.GuardsAgainst())
 	}
 	return false
 }
--- a/internal/coordination/node/standby_test.go
+++ b/internal/coordination/node/standby_test.go
@@ -17,10 +17,10 @@
 )
 
 // partitionOwners returns the stored owner records of all partitions.
-func (w *simCluster) partitionOwners() [3]protocol.HolderRecord {
-	var out [3]protocol.HolderRecord
+func (w *simCluster) partitionOwners() [3]protocol.OwnerRecord {
+	var out [3]protocol.OwnerRecord
 	for i := range out {
-		if it, err := w.state.Get(w.ctx, protocol.HolderKey(i)); err == nil && it.Value != nil {
+		if it, err := w.state.Get(w.ctx, protocol.OwnerKey(i)); err == nil && it.Value != nil {
 			json.Unmarshal(it.Value, &out[i])
 		}
 	}
@@ -219,18 +219,18 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		node := newTestNode(t)
 		node.addFleet(3, 1)
-		node.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
+		node.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-1", Token: 8, Lease: 9})
 		node.refreshIndex(time.Now())
 		used := node.teams[0].Used
 		node.watchPut(protocol.NodeKey("n-1"), protocol.NodeRecord{Lease: 2})
 		last := uint64(0)
 		for range rapid.IntRange(1, 20).Draw(rt, "hints") {
-			h := protocol.Hint{Node: rapid.SampledFrom([]string{"n-1", "n-2", "n-9"}).Draw(rt, "from"), Life: rapid.Uint64Range(0, 2).Draw(rt, "life"), Seq: rapid.Uint64Range(0, 9).Draw(rt, "seq")}
+			h := protocol.Hint{Node: rapid.SampledFrom([]string{"n-1", "n-2", "n-9"}).Draw(rt, "from"), Incarnation: rapid.Uint64Range(0, 2).Draw(rt, "life"), Seq: rapid.Uint64Range(0, 9).Draw(rt, "seq")}
 			for _, m := range []string{"host-001000", "host-001001", "host-900000"} {
-				h.Known = append(h.Known, protocol.Known{Machine: m, SecPerGB: rapid.SampledFrom([]float64{0, 2.5, -1, 1e9, math.NaN(), math.Inf(1)}).Draw(rt, "cost"),
+				h.Machines = append(h.Machines, protocol.MachineHint{Machine: m, SecPerGB: rapid.SampledFrom([]float64{0, 2.5, -1, 1e9, math.NaN(), math.Inf(1)}).Draw(rt, "cost"),
 					AgeS: rapid.SampledFrom([]float64{0, 3, -5, 1e9, math.NaN()}).Draw(rt, "age")})
 			}
-			h.Refused = []protocol.RefusedOffer{{Type: "g4", Zone: "a", ForS: rapid.SampledFrom([]float64{5, 1e9, math.NaN(), -1}).Draw(rt, "for")}}
+			h.RefusedOffers = []protocol.RefusedOffer{{Type: "g4", Zone: "a", ForS: rapid.SampledFrom([]float64{5, 1e9, math.NaN(), -1}).Draw(rt, "for")}}
 			if node.ReceiveHint(h.Encode()) != nil {
 				rt.Fatal("hint rejected")
 			}
@@ -251,8 +251,8 @@
 		if node.teams[0].Used != used || len(node.cloudState.refusedUntil) > 0 {
 			rt.Fatal("a hint changed a quota, or what this node asks the cloud for")
 		}
-		node.watchPut(protocol.HolderKey(0), protocol.HolderRecord{})
-		node.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
+		node.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{})
+		node.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-0", Token: 9, Lease: 3})
 		for _, till := range node.cloudState.refusedUntil {
 			if till.After(now.Add(time.Minute)) {
 				rt.Fatal("a refused offer is kept for too long")
@@ -267,8 +267,8 @@
 func TestFirstDecisionWaitsForChecks(t *testing.T) {
 	node := newTestNode(t)
 	node.addFleet(4, 1)
-	node.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
-	node.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
+	node.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-1", Token: 8, Lease: 9})
+	node.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-0", Token: 9, Lease: 3})
 	part, now := node.partitions[0], time.Now()
 	node.RecordContact(now)
 	if node.mayDecide(part, now) {
@@ -293,6 +293,6 @@
 	if node.mayDecide(node.partitions[1], now) {
 		t.Error("decides for a partition that it does not own")
 	}
-	node.OnConnEvent("n-9", transport.ConnEnded) // an unknown node is ignored
+	node.OnConnEvent("n-9", transport.ConnLost) // an unknown node is ignored
 	(<-node.mailbox)()
 }
--- a/internal/coordination/node/starts.go
+++ b/internal/coordination/node/starts.go
@@ -33,10 +33,10 @@
 func (n *Node) tryDirectStart(m *machine, now time.Time) bool {
 	next := time.Duration(0.75 * n.cfg.Params.Workers.ReportS * float64(time.Second))
 	if !n.usable(m, now) || m.deferred != nil || m.startInFlight || m.addr == "" || n.directStarts >= maxDirectStarts ||
-		m.lastReport.Add(next).Sub(now) < worthwhile || !n.owns(n.partitions[m.rec.Share]) || !n.mayExtendLeases(now) || n.zoneUnreachable(m.rec.Zone, now) {
+		m.lastReport.Add(next).Sub(now) < worthwhile || !n.owns(n.partitions[m.rec.Partition]) || !n.mayExtendLeases(now) || n.zoneUnreachable(m.rec.Zone, now) {
 		return true
 	}
-	if !n.logReadable(n.partitions[m.rec.Share]) || n.takeBudget(start.Start, 1) == 0 {
+	if !n.logReadable(n.partitions[m.rec.Partition]) || n.takeBudget(start.Start, 1) == 0 {
 		return false
 	}
 	n.sendDirectStarts(m, now)
@@ -68,7 +68,7 @@
 		n.post(func() {
 			n.directStarts--
 			m.startInFlight = false
-			if n.machines[m.name] != m || !m.recorded || !n.owns(n.partitions[m.rec.Share]) || n.fencingToken(m) != o.Token {
+			if n.machines[m.name] != m || !m.recorded || !n.owns(n.partitions[m.rec.Partition]) || n.fencingToken(m) != o.Token {
 				return // the token was raised meanwhile: a late command does nothing
 			}
 			if err != nil || r == nil || r.Machine != m.name {
--- a/internal/coordination/node/status.go
+++ b/internal/coordination/node/status.go
@@ -108,7 +108,7 @@
 			row.Freshness = &freshness
 		}
 		for _, m := range n.machines {
-			if !m.recorded || m.rec.Share != part.index {
+			if !m.recorded || m.rec.Partition != part.index {
 				continue
 			}
 			row.Machines++
--- a/internal/coordination/node/ticketapi.go
+++ b/internal/coordination/node/ticketapi.go
@@ -43,12 +43,12 @@
 
 // postEmbeddedTicket handles an ordinary submission that contains a ticket.
 func (n *Node) postEmbeddedTicket(w http.ResponseWriter, r *http.Request, data []byte) {
-	n.handleTicketPost(w, r, data, format.ParseCarried)
+	n.handleTicketPost(w, r, data, format.ParseEmbedded)
 }
 
 func (n *Node) handleTicketPost(w http.ResponseWriter, r *http.Request, data []byte, parse func([]byte) (*format.Submission, error)) {
 	if n.tickets.fileClasses == nil { // set before the node runs and not changed afterwards
-		writeAnswer(w, answer{status: 400, body: errorBody{protocol.ErrTicket.Error() + " (--tickets)"}})
+		writeAnswer(w, answer{status: 400, body: errorBody{protocol.ErrEmbeddedTicket.Error() + " (--tickets)"}})
 		return
 	}
 	s, err := parse(data)
@@ -56,9 +56,9 @@
 		writeAnswer(w, answer{status: 400, body: errorBody{err.Error()}})
 		return
 	}
-	table := make(chan ticket.Table, 1)
+	table := make(chan ticket.ClassTable, 1)
 	n.post(func() { table <- n.tickets.effectiveClasses() })
-	var classes ticket.Table
+	var classes ticket.ClassTable
 	select {
 	case classes = <-table:
 	case <-r.Context().Done():
@@ -67,7 +67,7 @@
 		writeAnswer(w, busyAnswer)
 		return
 	}
-	admitted, err := ticket.Admit(s, classes, ticket.Limits{ValueBytes: int(n.cfg.Params.State.ValueKB*1024) - 256})
+	admitted, err := ticket.Admit(s, classes, ticket.Limits{MaxValueBytes: int(n.cfg.Params.State.ValueKB*1024) - 256})
 	received := time.Now()
 	n.serve(w, r, func(reply chan<- answer) { n.onSubmitTicket(s.ID, admitted, err, time.Now(), reply) })
 	observeSince(n.metrics.accept, received, time.Now())
@@ -165,18 +165,18 @@
 	op := &storage.Op{
 		Conds: []storage.Cond{{Key: protocol.JobKey(admitted.ID)}, {Key: protocol.FinalKey(admitted.ID)}},
 		Writes: []storage.Write{
-			{Put: protocol.TicketKey(admitted.ID), Value: mustJSON(packedTicket{admitted.Packed})},
+			{Put: protocol.TicketKey(admitted.ID), Value: mustJSON(packedTicket{admitted.PackedTemplate})},
 			{Put: protocol.JobKey(admitted.ID), Value: mustJSON(t.jobRecord(rec))}}}
-	next := ticket.Decide(rec, false, make([]ticket.StepNow, len(rec.Steps)), n.tickets.maxOpenSteps)
-	n.addOpenSteps(rec, t.steps, next.Open, now, op)
+	next := ticket.NextAction(rec, false, make([]ticket.StepState, len(rec.Steps)), n.tickets.maxOpenSteps)
+	n.addOpenSteps(rec, t.steps, next.OpenSteps, now, op)
 	n.submitForUser(op, reply, func(r storage.Result) {
 		switch {
 		case r.OK:
 			for _, w := range op.Writes[1:] {
-				n.applyOwnWrite(w, r.Epoch)
+				n.applyOwnWrite(w, r.Revision)
 			}
 			n.log.Info("ticket accepted", "ticket", admitted.ID, "name", rec.Name, "class", rec.Base.Class, "team", rec.Base.Team, "tasks", rec.Base.Tasks, "steps", len(rec.Steps),
-				"urgency", rec.Terms.Urgency, "retries", rec.Terms.Retries.Granted)
+				"urgency", rec.Terms.Priority, "retries", rec.Terms.MaxRetries.Granted)
 			s, _ := n.ticketStatus(admitted.ID, time.Now())
 			reply <- answer{status: 201, body: s}
 		case r.Err != nil:
@@ -197,7 +197,7 @@
 // cancelTicket cancels a ticket and all its open steps in one transaction. Once that is stored
 // none of its tasks can be started.
 func (n *Node) cancelTicket(t *openTicket, triesLeft int, reply chan<- answer) {
-	if t.rec.Failing != "" {
+	if t.rec.FailureReason != "" {
 		reply <- answer{status: 200, body: protocol.JobStatus{ID: t.id, Status: protocol.JobFailed}}
 		return
 	}
@@ -208,12 +208,12 @@
 	head := protocol.JobKey(t.id)
 	afterStop := n.confirmsCancelAfterStop()
 	rec := t.jobRecord(t.rec)
-	rec.Cancelled, rec.Asked = !afterStop, afterStop
+	rec.Cancelled, rec.CancelRequested = !afterStop, afterStop
 	op := &storage.Op{Conds: []storage.Cond{n.unchanged(head)}, Writes: []storage.Write{{Put: head, Value: mustJSON(rec)}}}
 	for _, j := range n.openStepJobs(t) {
 		n.addStepStop(j, op, func(r *protocol.JobRecord) { r.Cancelled = true })
 	}
-	for _, i := range ticket.MayOpen(t.rec, n.stepStates(t, nil), n.tickets.maxOpenSteps) {
+	for _, i := range ticket.OpenableSteps(t.rec, n.stepStates(t, nil), n.tickets.maxOpenSteps) {
 		op.Conds = append(op.Conds, storage.Cond{Key: protocol.JobKey(t.steps[i])})
 	}
 	id := t.id
@@ -221,7 +221,7 @@
 		switch {
 		case r.OK:
 			for _, w := range op.Writes {
-				n.applyOwnWrite(w, r.Epoch)
+				n.applyOwnWrite(w, r.Revision)
 			}
 			if afterStop && n.tickets.byID[id] == t {
 				n.awaitCancelled(id, n.openStepJobs(t), triesLeft, reply)
@@ -252,7 +252,7 @@
 		status.Done, status.Failed, status.Running = status.Done+j.nDone, status.Failed+j.nExhausted, status.Running+j.nPlaced
 	}
 	switch {
-	case t.rec.Failing != "":
+	case t.rec.FailureReason != "":
 		status.Status = protocol.JobFailed
 	case t.cancelled && !t.cancelPending:
 		status.Status = protocol.JobCancelled
@@ -307,13 +307,13 @@
 	} else if t != nil {
 		rec = t.rec
 		status.JobStatus = n.ticketJobStatus(t)
-		over = t.cancelled || rec.Failing != ""
+		over = t.cancelled || rec.FailureReason != ""
 	} else {
 		return nil, false
 	}
-	status.Name, status.Class, status.Team, status.Tasks, status.Why = rec.Name, rec.Base.Class, rec.Base.Team, rec.Base.Tasks, rec.Failing
+	status.Name, status.Class, status.Team, status.Tasks, status.Why = rec.Name, rec.Base.Class, rec.Base.Team, rec.Base.Tasks, rec.FailureReason
 	for i, step := range rec.Steps {
-		stepStatus := StepStatus{Step: step.Name, Job: ticket.StepSpec(rec, i).ID, Status: step.State, Tasks: step.Tasks, Done: step.Done, Failed: step.Failed, FailedRanges: step.Which}
+		stepStatus := StepStatus{Step: step.Name, Job: ticket.StepSpec(rec, i).ID, Status: step.State, Tasks: step.Tasks, Done: step.Done, Failed: step.Failed, FailedRanges: step.FailedRanges}
 		for _, d := range step.Deps {
 			stepStatus.After = append(stepStatus.After, rec.Steps[d].Name)
 		}
@@ -488,7 +488,7 @@
 		status.Status = "done"
 	case step.State != "":
 		status.Status = "over"
-		for _, r := range step.Which {
+		for _, r := range step.FailedRanges {
 			if number >= r[0] && number <= r[1] {
 				status.Status = "failed"
 			}
@@ -513,14 +513,14 @@
 
 // ClassesView shows the ticket classes with the revision that a change must name.
 type ClassesView struct {
-	Stamp          uint64       `json:"stamp"`
-	AcceptsTickets bool         `json:"taken"` // whether this node accepts tickets
-	Classes        ticket.Table `json:"classes"`
-	Stored         []string     `json:"stored"` // the lots whose classes operators set
+	Stamp          uint64            `json:"stamp"`
+	AcceptsTickets bool              `json:"taken"` // whether this node accepts tickets
+	Classes        ticket.ClassTable `json:"classes"`
+	Stored         []string          `json:"stored"` // the lots whose classes operators set
 }
 
 func (n *Node) classesView() ClassesView {
-	return ClassesView{Stamp: n.revisionOf(protocol.ClassesKey), AcceptsTickets: n.tickets.fileClasses != nil, Classes: n.tickets.effectiveClasses(), Stored: n.tickets.storedClasses.Lots()}
+	return ClassesView{Stamp: n.revisionOf(protocol.ClassesKey), AcceptsTickets: n.tickets.fileClasses != nil, Classes: n.tickets.effectiveClasses(), Stored: n.tickets.storedClasses.Names()}
 }
 
 func (n *Node) putClass(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
@@ -541,7 +541,7 @@
 	}
 	remoteAddr := r.RemoteAddr
 	n.serve(w, r, func(reply chan<- answer) {
-		n.setClasses(*change.Stamp, remoteAddr, reply, func(t ticket.Table) { t[lot] = class })
+		n.setClasses(*change.Stamp, remoteAddr, reply, func(t ticket.ClassTable) { t[lot] = class })
 	})
 }
 
@@ -557,13 +557,13 @@
 			reply <- answer{status: 404, body: errorBody{"operators set no class of that lot"}}
 			return
 		}
-		n.setClasses(stamp, remoteAddr, reply, func(t ticket.Table) { delete(t, lot) })
+		n.setClasses(stamp, remoteAddr, reply, func(t ticket.ClassTable) { delete(t, lot) })
 	})
 }
 
 // setClasses stores a change of the operators' ticket classes.
-func (n *Node) setClasses(stamp uint64, remoteAddr string, reply chan<- answer, change func(ticket.Table)) {
-	changed := ticket.Table{}
+func (n *Node) setClasses(stamp uint64, remoteAddr string, reply chan<- answer, change func(ticket.ClassTable)) {
+	changed := ticket.ClassTable{}
 	maps.Copy(changed, n.tickets.storedClasses)
 	change(changed)
 	conflict := answer{status: 409, body: errorBody{"changed meanwhile: read the classes again"}}
@@ -579,12 +579,12 @@
 		reply <- answer{status: 400, body: errorBody{fmt.Sprintf("classes: %d in %d bytes, at most %d in %d are stored", len(changed), len(value), ticket.MaxClasses, maxBytes)}}
 		return
 	}
-	op := &storage.Op{Conds: []storage.Cond{{Key: protocol.ClassesKey, Stamp: stamp}}, Writes: []storage.Write{{Put: protocol.ClassesKey, Value: value}}}
+	op := &storage.Op{Conds: []storage.Cond{{Key: protocol.ClassesKey, Revision: stamp}}, Writes: []storage.Write{{Put: protocol.ClassesKey, Value: value}}}
 	n.submitForUser(op, reply, func(r storage.Result) {
 		switch {
 		case r.OK:
-			n.applyOwnWrite(op.Writes[0], r.Epoch)
-			n.log.Info("ticket classes changed", "lots", n.tickets.storedClasses.Lots(), "by", remoteAddr)
+			n.applyOwnWrite(op.Writes[0], r.Revision)
+			n.log.Info("ticket classes changed", "lots", n.tickets.storedClasses.Names(), "by", remoteAddr)
 			reply <- answer{status: 200, body: n.classesView()}
 		case r.Err != nil:
 			reply <- busyAnswer
--- a/internal/coordination/node/tickets.go
+++ b/internal/coordination/node/tickets.go
@@ -25,8 +25,8 @@
 
 // ticketState is what a node knows of tickets.
 type ticketState struct {
-	fileClasses   ticket.Table // from the settings file; nil: this node accepts no tickets
-	storedClasses ticket.Table // set by operators
+	fileClasses   ticket.ClassTable // from the settings file; nil: this node accepts no tickets
+	storedClasses ticket.ClassTable // set by operators
 	byID          map[string]*openTicket
 	dirty         map[string]bool // tickets that the owner of their partition has to reconcile
 	maxOpenSteps  int             // bounds the steps of a ticket that are open at a time
@@ -56,11 +56,13 @@
 }
 
 // AcceptTickets makes this node accept tickets of these classes. It is called before Run.
-func (n *Node) AcceptTickets(classes ticket.Table) { n.tickets.fileClasses = classes }
+func (n *Node) AcceptTickets(classes ticket.ClassTable) { n.tickets.fileClasses = classes }
 
 // effectiveClasses returns the classes that apply now: those of the settings file, overridden by
 // the stored ones.
-func (d *ticketState) effectiveClasses() ticket.Table { return d.fileClasses.With(d.storedClasses) }
+func (d *ticketState) effectiveClasses() ticket.ClassTable {
+	return d.fileClasses.WithStored(d.storedClasses)
+}
 
 // ownershipAcquired marks the tickets of a partition, which this node has come to own, to be
 // reconciled.
@@ -90,10 +92,10 @@
 		}
 		n.tickets.byID[id] = t
 	}
-	if record.Ticket.Failing != "" && t.rec != nil && t.rec.Failing == "" {
-		n.log.Info("ticket fails", "ticket", id, "name", record.Ticket.Name, "why", record.Ticket.Failing)
+	if record.Ticket.FailureReason != "" && t.rec != nil && t.rec.FailureReason == "" {
+		n.log.Info("ticket fails", "ticket", id, "name", record.Ticket.Name, "why", record.Ticket.FailureReason)
 	}
-	t.rec, t.cancelled, t.cancelPending = record.Ticket, record.Cancelled || record.Asked, record.Asked && !record.Cancelled
+	t.rec, t.cancelled, t.cancelPending = record.Ticket, record.Cancelled || record.CancelRequested, record.CancelRequested && !record.Cancelled
 	n.markTicketDirty(id)
 }
 
@@ -109,20 +111,20 @@
 
 // jobRecord returns the record under which a ticket is stored.
 func (t *openTicket) jobRecord(rec *protocol.TicketRecord) protocol.JobRecord {
-	return protocol.JobRecord{Ticket: rec, SubmittedMS: t.submitted.UnixMilli(), Cancelled: t.cancelled && !t.cancelPending, Asked: t.cancelPending, Next: 1}
+	return protocol.JobRecord{Ticket: rec, SubmittedMS: t.submitted.UnixMilli(), Cancelled: t.cancelled && !t.cancelPending, CancelRequested: t.cancelPending, NextAttempt: 1}
 }
 
 // stepStates returns the state of each step of a ticket. without, if not nil, is a job whose end
 // is about to be stored.
-func (n *Node) stepStates(t *openTicket, without *job) []ticket.StepNow {
-	out := make([]ticket.StepNow, len(t.steps))
+func (n *Node) stepStates(t *openTicket, without *job) []ticket.StepState {
+	out := make([]ticket.StepState, len(t.steps))
 	for i, id := range t.steps {
 		switch j := n.jobs[id]; {
 		case j == nil || j == without:
 		case j.step == nil || j.step.Ticket != t.id:
-			out[i].Foreign = true
+			out[i].IDTaken = true
 		default:
-			out[i] = ticket.StepNow{Open: true, Failed: j.nExhausted, Stopped: j.cancelled}
+			out[i] = ticket.StepState{Open: true, FailedTasks: j.nExhausted, StopRequested: j.cancelled}
 		}
 	}
 	return out
@@ -152,10 +154,10 @@
 		if t.writePending || now.Before(t.retryAfter) {
 			continue // reconciled again once that change is stored
 		}
-		next := ticket.Decide(t.rec, t.cancelled, n.stepStates(t, nil), n.tickets.maxOpenSteps)
+		next := ticket.NextAction(t.rec, t.cancelled, n.stepStates(t, nil), n.tickets.maxOpenSteps)
 		// The records of jobs must not change while they are being stopped: no further change of
 		// them begins, and the stop waits until those in flight are stored.
-		if t.changesPaused = next.Fail != "" || next.Stop != nil; t.changesPaused && slices.ContainsFunc(n.openStepJobs(t), func(j *job) bool { return j.writePending }) {
+		if t.changesPaused = next.FailReason != "" || next.StopSteps != nil; t.changesPaused && slices.ContainsFunc(n.openStepJobs(t), func(j *job) bool { return j.writePending }) {
 			continue
 		}
 		delete(n.tickets.dirty, id)
@@ -175,29 +177,29 @@
 }
 
 // ticketOp turns a decision into a transaction; nil if there is nothing to do.
-func (n *Node) ticketOp(t *openTicket, next ticket.Next, now time.Time) *storage.Op {
+func (n *Node) ticketOp(t *openTicket, next ticket.Action, now time.Time) *storage.Op {
 	head := protocol.JobKey(t.id)
-	op := &storage.Op{Conds: []storage.Cond{n.unchanged(protocol.HolderKey(t.partition)), n.unchanged(head)}}
+	op := &storage.Op{Conds: []storage.Cond{n.unchanged(protocol.OwnerKey(t.partition)), n.unchanged(head)}}
 	put := func(key string, v any) {
 		op.Writes = append(op.Writes, storage.Write{Put: key, Value: mustJSON(v)})
 	}
 	switch {
-	case next.Fail != "":
-		put(head, t.jobRecord(ticket.Failing(t.rec, next.Fail)))
+	case next.FailReason != "":
+		put(head, t.jobRecord(ticket.WithFailure(t.rec, next.FailReason)))
 		for _, j := range n.openStepJobs(t) {
 			n.addStepStop(j, op, func(r *protocol.JobRecord) { r.Failed = true })
 		}
-	case next.Stop != nil:
-		for _, i := range next.Stop {
+	case next.StopSteps != nil:
+		for _, i := range next.StopSteps {
 			n.addStepStop(n.jobs[t.steps[i]], op, func(r *protocol.JobRecord) {
-				r.Failed = !t.cancelled || t.rec.Failing != ""
+				r.Failed = !t.cancelled || t.rec.FailureReason != ""
 				r.Cancelled = !r.Failed
 			})
 		}
-	case next.Over != "":
-		op.Writes = n.finalTicketWrites(t, t.rec, next.Over)
-	case next.Open != nil:
-		n.addOpenSteps(t.rec, t.steps, next.Open, now, op)
+	case next.FinalStatus != "":
+		op.Writes = n.finalTicketWrites(t, t.rec, next.FinalStatus)
+	case next.OpenSteps != nil:
+		n.addOpenSteps(t.rec, t.steps, next.OpenSteps, now, op)
 	default:
 		return nil
 	}
@@ -209,7 +211,7 @@
 	for _, i := range steps {
 		key := protocol.JobKey(ids[i])
 		op.Conds = append(op.Conds, storage.Cond{Key: key})
-		op.Writes = append(op.Writes, storage.Write{Put: key, Value: mustJSON(protocol.JobRecord{Spec: ticket.StepSpec(rec, i), SubmittedMS: now.UnixMilli(), Next: 1, Step: ticket.StepRef(rec, i)})})
+		op.Writes = append(op.Writes, storage.Write{Put: key, Value: mustJSON(protocol.JobRecord{Spec: ticket.StepSpec(rec, i), SubmittedMS: now.UnixMilli(), NextAttempt: 1, Step: ticket.StepRef(rec, i)})})
 	}
 }
 
@@ -224,7 +226,7 @@
 
 // finalTicketWrites returns the writes that make a ticket final.
 func (n *Node) finalTicketWrites(t *openTicket, rec *protocol.TicketRecord, status string) []storage.Write {
-	n.log.Info("ticket over", "ticket", t.id, "name", rec.Name, "status", status, "why", rec.Failing, "took_s", roundToTenth(time.Since(t.submitted).Seconds()))
+	n.log.Info("ticket over", "ticket", t.id, "name", rec.Name, "status", status, "why", rec.FailureReason, "took_s", roundToTenth(time.Since(t.submitted).Seconds()))
 	return []storage.Write{
 		{Put: protocol.FinalKey(t.id), Value: mustJSON(protocol.FinalRecord{Status: status, Tasks: rec.Base.Tasks, Ticket: rec})},
 		{Delete: protocol.JobKey(t.id)},
@@ -263,15 +265,15 @@
 	if j.spec.Shape == protocol.Gang && nDone > 0 {
 		nDone = len(j.tasks) // the tasks of a gang complete together
 	}
-	rec := ticket.Ended(t.rec, j.step.Step, ticket.Outcome(j.cancelled, j.failed, failed), nDone, failed, failedRanges)
+	rec := ticket.WithStepEnded(t.rec, j.step.Step, ticket.StepOutcome(j.cancelled, j.failed, failed), nDone, failed, failedRanges)
 	op.Conds = append(op.Conds, n.unchanged(protocol.JobKey(t.id)))
 	op.Writes = []storage.Write{removal}
-	switch next := ticket.Decide(rec, t.cancelled, n.stepStates(t, j), n.tickets.maxOpenSteps); {
-	case next.Over != "":
-		op.Writes = append(op.Writes, n.finalTicketWrites(t, rec, next.Over)...)
+	switch next := ticket.NextAction(rec, t.cancelled, n.stepStates(t, j), n.tickets.maxOpenSteps); {
+	case next.FinalStatus != "":
+		op.Writes = append(op.Writes, n.finalTicketWrites(t, rec, next.FinalStatus)...)
 	default:
 		op.Writes = append(op.Writes, storage.Write{Put: protocol.JobKey(t.id), Value: mustJSON(t.jobRecord(rec))})
-		n.addOpenSteps(rec, t.steps, next.Open, time.Now(), op)
+		n.addOpenSteps(rec, t.steps, next.OpenSteps, time.Now(), op)
 	}
 	t.writePending, j.storingEnd = true, true
 	return true
@@ -312,7 +314,7 @@
 
 // retriesExhausted reports whether this many errors use up a task's retries.
 func (j *job) retriesExhausted(errors int) bool {
-	return j.step != nil && ticket.Spent(errors, j.step.Retries)
+	return j.step != nil && ticket.RetriesExhausted(errors, j.step.MaxRetries)
 }
 
 // taskExhausted reports whether a task has used up its retries, whether or not that is stored.
@@ -323,7 +325,7 @@
 // inBackoff reports whether a failed task is still waiting before its next try.
 func (j *job) inBackoff(i int, now time.Time) bool {
 	t := &j.tasks[i]
-	return j.hasErrors && t.storedErrors > 0 && now.Sub(t.phaseSince) < ticket.Pause(int(t.storedErrors))
+	return j.hasErrors && t.storedErrors > 0 && now.Sub(t.phaseSince) < ticket.RetryPause(int(t.storedErrors))
 }
 
 // startableTasks returns how many waiting tasks of a job that had errors may be started.
--- a/internal/coordination/node/tickets_test.go
+++ b/internal/coordination/node/tickets_test.go
@@ -19,9 +19,9 @@
 )
 
 // ticketClasses are the ticket classes of these tests.
-var ticketClasses = ticket.Table{
-	"render": {Lot: "render", Urgency: "standard", Shapes: []string{"sweep"}, Over: ticket.Grant, Retries: 2, Failed: 3, Tasks: 1000, VCPUs: 4, Cards: 1, MemGB: 20, Bundle: "img-r", SizeGB: 1, Loaners: true, ExpectS: 4},
-	"strict": {Lot: "strict", Urgency: "standard", Shapes: []string{"sweep", "gang"}, Over: ticket.Refuse, Retries: 1, Tasks: 50, VCPUs: 4, Cards: 1, MemGB: 20, Bundle: "img-s", SizeGB: 1, ExpectS: 3},
+var ticketClasses = ticket.ClassTable{
+	"render": {Name: "render", MaxUrgency: "standard", Shapes: []string{"sweep"}, OnExcess: ticket.ReduceExcess, MaxRetries: 2, MaxFailedTasks: 3, MaxTasks: 1000, CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img-r", ImageGB: 1, Spot: true, EstimateS: 4},
+	"strict": {Name: "strict", MaxUrgency: "standard", Shapes: []string{"sweep", "gang"}, OnExcess: ticket.RefuseExcess, MaxRetries: 1, MaxTasks: 50, CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img-s", ImageGB: 1, EstimateS: 3},
 }
 
 // ticketBody returns the body of a ticket. Each of steps is "NAME TASKS [DEPENDENCY...]".
@@ -65,7 +65,7 @@
 	if err != nil {
 		t.Fatalf("%v\n%s", err, body)
 	}
-	admitted, err := ticket.Admit(s, ticketClasses, ticket.Limits{ValueBytes: 8000})
+	admitted, err := ticket.Admit(s, ticketClasses, ticket.Limits{MaxValueBytes: 8000})
 	return s, admitted, err
 }
 
@@ -103,14 +103,14 @@
 func (u *ticketUser) submit(name string) (answer, error) {
 	body, parse := u.body, format.ParseTicket
 	if u.cluster.chance(&half) {
-		body, parse = embedded(u.body), format.ParseCarried
+		body, parse = embedded(u.body), format.ParseEmbedded
 	}
 	s, err := parse([]byte(body))
 	if err != nil {
 		u.cluster.t.Error(err)
 		return answer{}, err
 	}
-	admitted, admitErr := ticket.Admit(s, ticketClasses, ticket.Limits{ValueBytes: 8000})
+	admitted, admitErr := ticket.Admit(s, ticketClasses, ticket.Limits{MaxValueBytes: 8000})
 	ctx, cancel := context.WithTimeout(u.cluster.ctx, 5*time.Second)
 	defer cancel()
 	return u.cluster.sendChecked(ctx, submitRequest, name, s.ID, func(n *Node, reply chan<- answer) { n.onSubmitTicket(s.ID, admitted, admitErr, time.Now(), reply) })
@@ -247,7 +247,7 @@
 			if at.After(endedAt[i]) {
 				endedAt[i] = at
 			}
-			if maxRuns := rec.Terms.Retries.Granted + 1; log.errorCounts[task] > maxRuns+2 { // two failures may go unrecorded when leases expire
+			if maxRuns := rec.Terms.MaxRetries.Granted + 1; log.errorCounts[task] > maxRuns+2 { // two failures may go unrecorded when leases expire
 				t.Errorf("%s failed %d times, want at most %d", task, log.errorCounts[task], maxRuns)
 			}
 			for _, dep := range st.Deps {
@@ -415,7 +415,7 @@
 			terms = a.body.(*TicketStatus).Terms
 		}
 	})
-	if terms == nil || *terms.Retries.Asked != 50 || terms.Retries.Granted != 2 {
+	if terms == nil || *terms.MaxRetries.Requested != 50 || terms.MaxRetries.Granted != 2 {
 		t.Errorf("%+v", terms)
 	}
 	s, _, err := admit(t, ticketBody("job-91", "strict", "red", `"maxRetriesPerTask":2,`, "a 3"))
--- a/internal/coordination/node/user_meetings_test.go
+++ b/internal/coordination/node/user_meetings_test.go
@@ -230,7 +230,7 @@
 	dropConds := func(change string, matches func(c storage.Cond) bool) []storage.Cond {
 		if !slices.ContainsFunc(writes, func(x storage.Write) bool {
 			var r protocol.JobRecord
-			return strings.HasPrefix(x.Put, protocol.JobPrefix) && json.Unmarshal(x.Value, &r) == nil && r.Asked == (change == "cancelled")
+			return strings.HasPrefix(x.Put, protocol.JobPrefix) && json.Unmarshal(x.Value, &r) == nil && r.CancelRequested == (change == "cancelled")
 		}) {
 			return conds
 		}
@@ -242,7 +242,7 @@
 	case "final condition":
 		return dropConds("accepted", final)
 	case "job condition":
-		return dropConds("accepted", func(c storage.Cond) bool { return ownRecord(c) && c.Stamp == 0 })
+		return dropConds("accepted", func(c storage.Cond) bool { return ownRecord(c) && c.Revision == 0 })
 	case "cancel conditions":
 		return dropConds("cancelled", func(c storage.Cond) bool { return final(c) || ownRecord(c) })
 	}
--- a/internal/coordination/node/userchanges.go
+++ b/internal/coordination/node/userchanges.go
@@ -69,7 +69,7 @@
 // sendChange sends a change, for the first time or again. It returns false if the queue is full.
 func (n *Node) sendChange(c *userChange, now time.Time) bool {
 	op := *c.op
-	op.Once = true
+	op.NoRetry = true
 	op.Done = func(r storage.Result) {
 		n.post(func() {
 			n.pendingUserChanges--
@@ -96,7 +96,7 @@
 // resendDelay returns how long to wait before sending a change again. It is longer while changes are
 // scarce, as the first attempt may still be in the queue.
 func (n *Node) resendDelay() time.Duration {
-	if !n.rateLimiter.Ample() {
+	if !n.rateLimiter.HasSpareRate() {
 		return maxAnswerTimeout
 	}
 	return n.answerTimeout()
--- a/internal/coordination/node/users.go
+++ b/internal/coordination/node/users.go
@@ -149,15 +149,15 @@
 		r.Value.onResult(false, protocol.JobStatus{}, storage.ErrUnknown)
 	}
 	conditions := &barrierConditions{node: n, inReplica: map[string]bool{}}
-	barrier := n.statusReads.Next(now, conditions.add)
+	barrier := n.statusReads.NextBarrier(now, conditions.add)
 	if barrier == nil {
 		return
 	}
 	conds := conditions.all()
 	// Wakes the actor when the next barrier is due, so that a retry does not wait for the next tick.
-	wake := time.AfterFunc(n.statusReads.RetryTime(), func() { n.post(func() {}) })
+	wake := time.AfterFunc(n.statusReads.RetryDelay(), func() { n.post(func() {}) })
 	n.spawn(func(ctx context.Context) {
-		ctx, cancel := context.WithTimeout(ctx, statusread.Patience)
+		ctx, cancel := context.WithTimeout(ctx, statusread.ReadTimeout)
 		defer cancel()
 		ok, _, failed, err := n.store.Txn(ctx, conds, nil)
 		wake.Stop()
@@ -194,10 +194,10 @@
 		return false
 	}
 	stored := b.node.unchanged(protocol.JobKey(r.id))
-	b.inReplica[r.id] = stored.Stamp != 0 || b.node.jobs[r.id] != nil
+	b.inReplica[r.id] = stored.Revision != 0 || b.node.jobs[r.id] != nil
 	b.anyMissing = b.anyMissing || !b.inReplica[r.id]
 	b.conds = append(b.conds, stored)
-	if stored.Stamp == 0 || b.mayBePacked {
+	if stored.Revision == 0 || b.mayBePacked {
 		b.conds = append(b.conds, storage.Cond{Key: protocol.FinalKey(r.id)})
 	}
 	return true
@@ -284,7 +284,7 @@
 // final record, since a job only moves from the first to the second; the job is unknown only if
 // both are missing.
 func (n *Node) resolveFromStore(open *openRead) {
-	n.statusReads.Resolve(open)
+	n.statusReads.MarkResolving(open)
 	id := open.Value.id
 	n.resync([]string{protocol.JobKey(id), protocol.FinalKey(id)}, func(items []storage.Item, err error) {
 		switch {
@@ -449,15 +449,15 @@
 		n.packed.submissions = append(n.packed.submissions, &submission{spec: spec, receivedAt: now, reply: reply, answerAsRepeat: answerAsRepeat})
 		return
 	}
-	rec := protocol.JobRecord{Spec: spec, SubmittedMS: now.UnixMilli(), Next: 1}
+	rec := protocol.JobRecord{Spec: spec, SubmittedMS: now.UnixMilli(), NextAttempt: 1}
 	op := &storage.Op{
-		For:    uint8(forSubmissions),
-		Conds:  append(n.noUnseenAcceptanceConds(), storage.Cond{Key: protocol.JobKey(spec.ID)}, storage.Cond{Key: protocol.FinalKey(spec.ID)}),
-		Writes: []storage.Write{{Put: protocol.JobKey(spec.ID), Value: mustJSON(rec)}}}
+		Purpose: uint8(forSubmissions),
+		Conds:   append(n.noUnseenAcceptanceConds(), storage.Cond{Key: protocol.JobKey(spec.ID)}, storage.Cond{Key: protocol.FinalKey(spec.ID)}),
+		Writes:  []storage.Write{{Put: protocol.JobKey(spec.ID), Value: mustJSON(rec)}}}
 	onResult := func(r storage.Result) {
 		switch {
 		case r.OK:
-			n.applyOwnWrite(op.Writes[0], r.Epoch)
+			n.applyOwnWrite(op.Writes[0], r.Revision)
 			n.log.Debug("job accepted", "job", spec.ID, "class", spec.Class, "tasks", spec.Tasks, "took_s", time.Since(now).Seconds())
 			reply <- answer{status: 201, body: protocol.JobStatus{ID: spec.ID, Status: protocol.JobQueued}}
 		case r.Err != nil:
@@ -561,8 +561,8 @@
 	}
 	rec := n.storedRecordAtLog(j)
 	afterStop := n.confirmsCancelAfterStop()
-	rec.Cancelled, rec.Asked = !afterStop, afterStop
-	op := &storage.Op{For: uint8(forCancellations), Conds: n.stillOpen(j.id),
+	rec.Cancelled, rec.CancelRequested = !afterStop, afterStop
+	op := &storage.Op{Purpose: uint8(forCancellations), Conds: n.stillOpen(j.id),
 		Writes: []storage.Write{{Put: protocol.JobKey(j.id), Value: mustJSON(rec)}}}
 	if len(rec.Placed) == 0 && len(j.storedChunks) == 0 && !n.dependsOnEntries(j) && !n.inAnyInbox(j.id) {
 		if n.mayHaveEntries() { // the transaction fails if one of its tasks is placed meanwhile
@@ -576,7 +576,7 @@
 		switch {
 		case r.OK:
 			for _, w := range op.Writes {
-				n.applyOwnWrite(w, r.Epoch)
+				n.applyOwnWrite(w, r.Revision)
 			}
 			if afterStop && n.jobs[j.id] == j {
 				n.awaitCancelled(j.id, []*job{j}, triesLeft, reply)
@@ -602,7 +602,7 @@
 // are only proposed: a caller that changes the record must not store another change's pending
 // decisions.
 func (j *job) storedRecord() protocol.JobRecord {
-	r := protocol.JobRecord{Spec: j.spec, SubmittedMS: j.submitted.UnixMilli(), Cancelled: j.cancelled && !j.cancelPending, Asked: j.cancelPending, Next: j.nextAttempt, Tries: j.failures.tries, Claim: j.claim, Step: j.step, Failed: j.failed, Lost: j.history.lostRuns, LostMS: j.history.lastLostMS()}
+	r := protocol.JobRecord{Spec: j.spec, SubmittedMS: j.submitted.UnixMilli(), Cancelled: j.cancelled && !j.cancelPending, CancelRequested: j.cancelPending, NextAttempt: j.nextAttempt, Tries: j.failures.tries, Claim: j.claim, Step: j.step, Failed: j.failed, LostRuns: j.history.lostRuns, LastLostMS: j.history.lastLostMS()}
 	lo, hi := j.chunkRange(0)
 	for i := lo; i < hi; i++ {
 		if e := int(j.tasks[i].storedErrors); e > 0 && j.tasks[i].phase != phaseDone {
--- a/internal/coordination/node/warm_test.go
+++ b/internal/coordination/node/warm_test.go
@@ -33,7 +33,7 @@
 		b.addFleet(60, 0)
 		for _, a := range arrivals[:40] {
 			if follows {
-				b.watchPut(protocol.JobKey(a.id), protocol.JobRecord{Spec: spec(a), SubmittedMS: time.Now().UnixMilli(), Next: 1})
+				b.watchPut(protocol.JobKey(a.id), protocol.JobRecord{Spec: spec(a), SubmittedMS: time.Now().UnixMilli(), NextAttempt: 1})
 				b.countArrivals(b.partitions[0])
 				b.dropJob(a.id) // ended by the time of the takeover
 			}
@@ -48,11 +48,11 @@
 		owner.markStale(m)
 	}
 	// The owner's hints arrive at the standby in order, some lost and some repeated.
-	warm.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
+	warm.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-1", Token: 8, Lease: 9})
 	warm.watchPut(protocol.NodeKey("n-1"), protocol.NodeRecord{Lease: 9})
 	owner.cfg.Node = "n-1"
 	owner.incarnations.hintLease.Store(9)
-	owner.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 3})
+	owner.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-1", Token: 8, Lease: 3})
 	for i := range 8 {
 		owner.prepareMachineHints(now)
 		for range i % 3 {
@@ -65,14 +65,14 @@
 	if freshness := warm.standbyFreshness(warm.partitions[0], time.Now()); freshness.KnownFraction < 0.95 || freshness.AgeS < 0 || freshness.SequenceGaps == 0 {
 		t.Errorf("standby freshness %+v, with hints lost", freshness)
 	}
-	warm.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
+	warm.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-0", Token: 9, Lease: 3})
 	placements := func(b *testNode) (out []string) {
 		for _, m := range b.partitions[0].machines {
 			m.fenced, m.lastFencedReport = true, now
 			b.markStale(m)
 		}
 		for _, a := range arrivals[40:] {
-			b.watchPut(protocol.JobKey(a.id), protocol.JobRecord{Spec: spec(a), SubmittedMS: now.UnixMilli(), Next: 1})
+			b.watchPut(protocol.JobKey(a.id), protocol.JobRecord{Spec: spec(a), SubmittedMS: now.UnixMilli(), NextAttempt: 1})
 		}
 		part := b.partitions[0]
 		b.countArrivals(part)
--- a/internal/coordination/node/why.go
+++ b/internal/coordination/node/why.go
@@ -113,7 +113,7 @@
 	case n.owns(n.partitions[j.partition]):
 		reply <- answer{status: 200, body: n.explain(j, now)}
 	default:
-		n.askOwner(n.partitions[j.partition], protocol.Ask{Job: id}, func(t protocol.Told, unknown string) {
+		n.askOwner(n.partitions[j.partition], protocol.PeerQuery{Job: id}, func(t protocol.PeerAnswer, unknown string) {
 			if unknown != "" {
 				explanation := n.baseExplanation(j, time.Now())
 				explanation.Unknown = unknown
@@ -137,22 +137,22 @@
 
 // askOwner asks the owner of a partition and passes its answer, or the reason why there is
 // none, to callback.
-func (n *Node) askOwner(part *partition, question protocol.Ask, callback func(reply protocol.Told, unknown string)) {
+func (n *Node) askOwner(part *partition, question protocol.PeerQuery, callback func(reply protocol.PeerAnswer, unknown string)) {
 	owner := part.owner.Node
 	switch {
 	case part.owner.Token == 0:
-		callback(protocol.Told{}, "its share has no holder")
+		callback(protocol.PeerAnswer{}, "its share has no holder")
 		return
 	case owner == n.cfg.Node || n.AskPeer == nil || n.peers[owner] == nil:
-		callback(protocol.Told{}, "unknown: its share is held by "+owner+", which can't be asked")
+		callback(protocol.PeerAnswer{}, "unknown: its share is held by "+owner+", which can't be asked")
 		return
 	}
 	asked := time.Now()
 	n.spawn(func(ctx context.Context) {
 		data, err := n.AskPeer(ctx, owner, question.Encode())
-		var reply protocol.Told
+		var reply protocol.PeerAnswer
 		if err == nil {
-			reply, err = protocol.DecodeTold(data)
+			reply, err = protocol.DecodePeerAnswer(data)
 		}
 		n.post(func() {
 			unknown := ""
@@ -185,14 +185,14 @@
 
 // askOwners asks each owner the same question, passes each part, or the reason why it is unknown,
 // to add, and calls done after the last one; immediately if there are no owners.
-func askOwners[T any](n *Node, byOwner map[string][]*partition, question protocol.Ask, add func(owner string, part T, unknown string), done func()) {
+func askOwners[T any](n *Node, byOwner map[string][]*partition, question protocol.PeerQuery, add func(owner string, part T, unknown string), done func()) {
 	pending := len(byOwner)
 	if pending == 0 {
 		done()
 		return
 	}
 	for _, owner := range slices.Sorted(maps.Keys(byOwner)) {
-		n.askOwner(byOwner[owner][0], question, func(reply protocol.Told, unknown string) {
+		n.askOwner(byOwner[owner][0], question, func(reply protocol.PeerAnswer, unknown string) {
 			var part T
 			if unknown == "" && (reply.Status != http.StatusOK || json.Unmarshal(reply.Body, &part) != nil) {
 				unknown = unexpectedAnswer(owner, reply.Status)
@@ -211,13 +211,13 @@
 
 // AnswerPeer answers a question of another controller. It may be called from any goroutine.
 func (n *Node) AnswerPeer(data []byte) ([]byte, bool) {
-	if !protocol.IsAsk(data) {
+	if !protocol.IsPeerQuery(data) {
 		return nil, false
 	}
-	replies := make(chan protocol.Told, 1)
-	question, err := protocol.DecodeAsk(data)
+	replies := make(chan protocol.PeerAnswer, 1)
+	question, err := protocol.DecodePeerQuery(data)
 	if err != nil {
-		return protocol.Told{Node: n.cfg.Node, Status: 400, Body: []byte("{}")}.Encode(), true
+		return protocol.PeerAnswer{Node: n.cfg.Node, Status: 400, Body: []byte("{}")}.Encode(), true
 	}
 	n.post(func() { replies <- n.answerQuestion(question, time.Now()) })
 	select {
@@ -226,19 +226,19 @@
 	case <-time.After(AskTimeout):
 	case <-n.ctx.Done():
 	}
-	return protocol.Told{Node: n.cfg.Node, Status: 503, Body: []byte("{}")}.Encode(), true
+	return protocol.PeerAnswer{Node: n.cfg.Node, Status: 503, Body: []byte("{}")}.Encode(), true
 }
 
 // answerQuestion answers a peer's question about the partitions that this node owns.
-func (n *Node) answerQuestion(question protocol.Ask, now time.Time) protocol.Told {
-	reply := protocol.Told{Node: n.cfg.Node, Status: 200}
-	if question.Kind == protocol.AskAccount {
+func (n *Node) answerQuestion(question protocol.PeerQuery, now time.Time) protocol.PeerAnswer {
+	reply := protocol.PeerAnswer{Node: n.cfg.Node, Status: 200}
+	if question.Kind == protocol.QueryAccount {
 		query := accountQuery(question)
-		for reply.Body = mustJSON(n.accountOfOwned(&query, now)); len(reply.Body) > protocol.MaxAnswer && query.Most > 1; {
-			query.Most /= 2 // with long names fewer rows fit; the cursor accounts for that
+		for reply.Body = mustJSON(n.accountOfOwned(&query, now)); len(reply.Body) > protocol.MaxAnswerBytes && query.Limit > 1; {
+			query.Limit /= 2 // with long names fewer rows fit; the cursor accounts for that
 			reply.Body = mustJSON(n.accountOfOwned(&query, now))
 		}
-	} else if question.Kind == protocol.AskSamples {
+	} else if question.Kind == protocol.QuerySamples {
 		reply.Body = mustJSON(n.account.samples)
 	} else if question.Job == "" {
 		reply.Body = mustJSON(n.explanationPage(question, now))
@@ -249,7 +249,7 @@
 	} else {
 		reply.Body = mustJSON(n.explain(j, now))
 	}
-	if len(reply.Body) > protocol.MaxAnswer {
+	if len(reply.Body) > protocol.MaxAnswerBytes {
 		reply.Status, reply.Body = 503, mustJSON(errorBody{"the answer is too long: ask for less"})
 	}
 	return reply
@@ -377,7 +377,7 @@
 
 // explanationPage lists the waiting jobs of the owned partitions by ID, with the sums over all of
 // them.
-func (n *Node) explanationPage(question protocol.Ask, now time.Time) *ExplanationPage {
+func (n *Node) explanationPage(question protocol.PeerQuery, now time.Time) *ExplanationPage {
 	page := &ExplanationPage{Node: n.cfg.Node, TasksByCause: map[string]int{}, Jobs: []ExplanationLine{}}
 	var lines []ExplanationLine
 	for _, part := range n.partitions {
@@ -391,16 +391,16 @@
 			kind := n.bindingCause(j, now)
 			page.TasksByCause[kind.String()] += j.nWaiting()
 			since := now.Sub(j.submitted).Seconds()
-			if question.Team != "" && question.Team != j.spec.Team || question.Cause != "" && question.Cause != kind.String() || since < question.SinceS || j.id <= question.After {
+			if question.Team != "" && question.Team != j.spec.Team || question.Cause != "" && question.Cause != kind.String() || since < question.MinWaitS || j.id <= question.After {
 				continue
 			}
 			lines = append(lines, ExplanationLine{Job: j.id, Team: j.spec.Team, Class: j.spec.Class, Waiting: j.nWaiting(), SinceS: roundToTenth(since), Cause: kind.String(), Text: kind.Text()})
 		}
 	}
 	slices.SortFunc(lines, func(a, b ExplanationLine) int { return compareNames(a.Job, b.Job) })
-	page.Jobs = append(page.Jobs, lines[:min(len(lines), question.Most)]...)
-	if len(lines) > question.Most {
-		page.After = page.Jobs[question.Most-1].Job
+	page.Jobs = append(page.Jobs, lines[:min(len(lines), question.Limit)]...)
+	if len(lines) > question.Limit {
+		page.After = page.Jobs[question.Limit-1].Job
 	}
 	return page
 }
@@ -408,14 +408,14 @@
 // getExplanationPage serves the waiting jobs of all owners.
 func (n *Node) getExplanationPage(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	query := r.URL.Query()
-	question := protocol.Ask{Team: query.Get("team"), Cause: query.Get("cause"), After: query.Get("after"), Most: 50}
+	question := protocol.PeerQuery{Team: query.Get("team"), Cause: query.Get("cause"), After: query.Get("after"), Limit: 50}
 	if value := query.Get("limit"); value != "" {
 		limit, err := strconv.Atoi(value)
 		if err != nil || limit < 1 || limit > maxPageLines {
 			writeAnswer(w, answer{status: 400, body: errorBody{fmt.Sprintf("limit: must be 1 to %d", maxPageLines)}})
 			return
 		}
-		question.Most = limit
+		question.Limit = limit
 	}
 	if value := query.Get("since"); value != "" {
 		seconds, err := strconv.ParseFloat(value, 64)
@@ -423,7 +423,7 @@
 			writeAnswer(w, answer{status: 400, body: errorBody{"since: must be seconds, 0 to 1000000000"}})
 			return
 		}
-		question.SinceS = seconds
+		question.MinWaitS = seconds
 	}
 	if question.Cause != "" && !slices.Contains(decide.ReasonNames(), question.Cause) {
 		writeAnswer(w, answer{status: 400, body: errorBody{fmt.Sprintf("cause: must be one of %v", decide.ReasonNames())}})
@@ -433,7 +433,7 @@
 }
 
 // onExplanationPage collects the waiting jobs of all owners.
-func (n *Node) onExplanationPage(question protocol.Ask, now time.Time, reply chan<- answer) {
+func (n *Node) onExplanationPage(question protocol.PeerQuery, now time.Time, reply chan<- answer) {
 	if !n.loaded {
 		reply <- busyAnswer
 		return
@@ -457,9 +457,9 @@
 		}
 	}, func() {
 		slices.SortFunc(total.Jobs, func(a, b ExplanationLine) int { return compareNames(a.Job, b.Job) })
-		if len(total.Jobs) > question.Most {
-			total.Jobs = total.Jobs[:question.Most]
-			total.After = total.Jobs[question.Most-1].Job
+		if len(total.Jobs) > question.Limit {
+			total.Jobs = total.Jobs[:question.Limit]
+			total.After = total.Jobs[question.Limit-1].Job
 		}
 		reply <- answer{status: 200, body: total}
 	})
--- a/internal/coordination/node/workers.go
+++ b/internal/coordination/node/workers.go
@@ -108,7 +108,7 @@
 	}
 	m.batch = b
 	n.markStale(m)
-	if m.recorded && (m.rec.Share != r.Share || m.rec.Token != r.Token) {
+	if m.recorded && (m.rec.Partition != r.Partition || m.rec.Token != r.Token) {
 		n.removeFromPartition(m)
 		m.unfence()
 		m.moving = false
@@ -126,7 +126,7 @@
 	}
 	m.recorded = true
 	m.rec = r
-	n.adoption.Drop(m.name)
+	n.adoption.Remove(m.name)
 	if r.Addr != "" {
 		m.addr = r.Addr
 	}
@@ -156,7 +156,7 @@
 
 // fencingToken is what entitles this node to command a machine.
 func (n *Node) fencingToken(m *machine) uint64 {
-	return max(n.partitions[m.rec.Share].owner.Token, m.rec.Token)
+	return max(n.partitions[m.rec.Partition].owner.Token, m.rec.Token)
 }
 
 // mayExtendLeases says whether leases may still be extended. Without the store a cancellation
@@ -186,7 +186,7 @@
 		n.onStray(r, now, reply)
 		return
 	}
-	s := n.partitions[m.rec.Share]
+	s := n.partitions[m.rec.Partition]
 	if !n.owns(s) {
 		n.redirect(r, s, m, now, reply)
 		return
@@ -211,7 +211,7 @@
 		return
 	}
 	m.lastReport = now
-	if !m.fenced || m.hasUnconfirmedStart(r) || !n.logReadable(n.partitions[m.rec.Share]) {
+	if !m.fenced || m.hasUnconfirmedStart(r) || !n.logReadable(n.partitions[m.rec.Partition]) {
 		reply <- answer{status: 200, body: protocol.Orders{Token: token, Commands: n.stopsForReport(r, now)}}
 		return
 	}
@@ -276,7 +276,7 @@
 		}
 		m.fenced = true
 	} else {
-		n.partitions[m.rec.Share].reconciliation.Seen(m.name, now)
+		n.partitions[m.rec.Partition].reconciliation.NoteUnfencedReport(m.name, now)
 	}
 	notice := r.NoticeS != nil
 	if notice && !m.spotNotice {
@@ -409,7 +409,7 @@
 			j.history.countFailedStart(tr.Cause)
 			j.history.addEvent(now, "a task ended on "+m.name+": "+tr.Cause)
 			n.log.Info("task exited", "task", tr.Task, "machine", m.name, "cause", tr.Cause, "saved", tr.Saved)
-			if j.step != nil && ticket.Counts(tr.Cause) {
+			if j.step != nil && ticket.CountsAsRetry(tr.Cause) {
 				// Counted with the end itself: both are in one change, and a repeated
 				// report, or another holder, finds the end noted or stored.
 				t.unstoredError, j.hasErrors = true, true
@@ -417,7 +417,7 @@
 			switch tr.Cause {
 			case protocol.CauseError:
 				n.noteTaskFailure(j, tr.Attempt, m, now)
-			case protocol.CauseNoRoom, protocol.CauseBusy, protocol.CauseUnknown:
+			case protocol.CauseNoCapacity, protocol.CauseBusy, protocol.CauseUnknown:
 				m.avoidUntil = now.Add(3 * time.Second)
 			}
 		}
@@ -550,7 +550,7 @@
 		return
 	}
 	cmds := n.stopsForReport(p.report, now)
-	if n.logReadable(n.partitions[m.rec.Share]) {
+	if n.logReadable(n.partitions[m.rec.Partition]) {
 		cmds = n.orders(m, p.report, now)
 	}
 	p.reply <- answer{status: 200, body: protocol.Orders{Token: n.fencingToken(m), Commands: cmds}}
@@ -591,8 +591,8 @@
 // earlier holder who still answers it is cut off, and takes its report.
 func (n *Node) fence(m *machine, now time.Time) {
 	n.command(m, protocol.Orders{Token: n.fencingToken(m), Session: max(1, m.session), Commands: []protocol.Command{}}, func(ok bool) {
-		n.loadControl.budget.Ended()
-		n.partitions[m.rec.Share].reconciliation.Answered(m.name, ok, time.Now())
+		n.loadControl.budget.CallEnded()
+		n.partitions[m.rec.Partition].reconciliation.CallEnded(m.name, ok, time.Now())
 	})
 }
 
@@ -625,7 +625,7 @@
 			if err == nil {
 				n.noteWorkerContact(now)
 			}
-			if err != nil || !ok || r == nil || r.Machine != m.name || n.machines[m.name] != m || !n.owns(n.partitions[m.rec.Share]) || n.fencingToken(m) != o.Token {
+			if err != nil || !ok || r == nil || r.Machine != m.name || n.machines[m.name] != m || !n.owns(n.partitions[m.rec.Partition]) || n.fencingToken(m) != o.Token {
 				return
 			}
 			if r.Token == o.Token && n.acceptDirectAnswer(m, r, o.Token, now) {
