--- a/internal/coordination/node/adopt.go
+++ b/internal/coordination/node/adopt.go
@@ -12,37 +12,37 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-// The leader's part in taking up machines without a record; package duty says what to do
-// when and why it is safe.
+// The leader adopts machines without a record; package duty decides which step comes next and
+// explains why it is safe.
 
 const (
-	// adoptPatience is how long the answer of a machine's own rental has had time to be
-	// recorded before the fence overtakes it.
-	adoptPatience = 5 * time.Second
-	// adoptPause is between two rounds: each one overtakes rentals under way.
-	adoptPause = 10 * time.Second
-	// foundPatience and foundPause are the same where nobody rented before this node
-	// began: then there is nothing to overtake, and a round takes all that have reported
-	// meanwhile.
-	foundPatience = 500 * time.Millisecond
-	foundPause    = time.Second
-	// foundTime is for how long at most such a node rents nothing while machines
-	// without a record report.
-	foundTime = 10 * time.Second
+	// adoptDelay is how long a machine must have reported without a record before it is adopted: the
+	// time for its own rental's answer to be recorded, before the fence is raised.
+	adoptDelay = 5 * time.Second
+	// adoptInterval is the pause between two rounds: each one invalidates rentals in flight.
+	adoptInterval = 10 * time.Second
+	// initialAdoptDelay and initialAdoptInterval apply instead when nobody rented before this
+	// node started: then no rental can be invalidated, and each round adopts all machines that
+	// have reported meanwhile.
+	initialAdoptDelay    = 500 * time.Millisecond
+	initialAdoptInterval = time.Second
+	// initialAdoptPeriod is how long at most such a node rents nothing while machines without a
+	// record report.
+	initialAdoptPeriod = 10 * time.Second
 )
 
-// adoptUnrecorded does the next step.
+// adoptUnrecorded performs the next step of the adoption.
 func (n *Node) adoptUnrecorded(now time.Time) {
-	patience, pause := adoptPatience, adoptPause
-	if n.freshCluster && now.Sub(n.loadControl.followingSince) < foundTime {
-		patience, pause = foundPatience, foundPause
+	delay, interval := adoptDelay, adoptInterval
+	if n.freshCluster && now.Sub(n.loadControl.followingSince) < initialAdoptPeriod {
+		delay, interval = initialAdoptDelay, initialAdoptInterval
 	}
-	may := n.isLeader() && !n.standby.leaving && n.sinceContact(now) < 2*time.Second && len(n.nodesWithoutEntries) == 0 && len(n.machineTypes) > 0
-	step, recs := n.adoption.Look(may, patience, pause, n.completeRevision, now)
-	holder := n.unchanged(protocol.HolderKey(0))
+	mayAct := n.isLeader() && !n.standby.leaving && n.sinceContact(now) < 2*time.Second && len(n.nodesWithoutEntries) == 0 && len(n.machineTypes) > 0
+	step, records := n.adoption.Look(mayAct, delay, interval, n.completeRevision, now)
+	ownerCond := n.unchanged(protocol.HolderKey(0))
 	switch step {
 	case duty.Raise:
-		n.submit(&storage.Op{For: uint8(forMachines), Conds: []storage.Cond{holder, n.unchanged(protocol.FenceKey)},
+		n.submit(&storage.Op{For: uint8(forMachines), Conds: []storage.Cond{ownerCond, n.unchanged(protocol.FenceKey)},
 			Writes: []storage.Write{{Put: protocol.FenceKey, Value: mustJSON(protocol.FenceRecord{Round: n.rentalFence.Round + 1})}}},
 			func(r storage.Result) {
 				epoch := r.Epoch
@@ -52,27 +52,27 @@
 				n.adoption.Raised(epoch, time.Now())
 			})
 	case duty.Record:
-		n.recordStrays(recs, holder, now)
+		n.recordAdopted(records, ownerCond, now)
 	}
 }
 
-// recordStrays parts machines among the shares and records them under a token above all
+// recordAdopted divides machines among the partitions and records them under a token above all
 // that their workers may have seen.
-func (n *Node) recordStrays(recs []protocol.MachineRecord, holder storage.Cond, now time.Time) {
-	recs = slices.DeleteFunc(recs, func(r protocol.MachineRecord) bool {
+func (n *Node) recordAdopted(records []protocol.MachineRecord, ownerCond storage.Cond, now time.Time) {
+	records = slices.DeleteFunc(records, func(r protocol.MachineRecord) bool {
 		m := n.machines[r.Name]
-		not := n.machineTypes[r.Type] == nil || m != nil && (m.recorded || len(m.tasks) > 0)
-		if not {
+		skip := n.machineTypes[r.Type] == nil || m != nil && (m.recorded || len(m.tasks) > 0)
+		if skip {
 			n.adoption.Drop(r.Name)
 		}
-		return not
+		return skip
 	})
-	if len(recs) == 0 {
+	if len(records) == 0 {
 		n.adoption.Recorded(true, now)
 		return
 	}
 	var sizes []Resources
-	for _, r := range recs {
+	for _, r := range records {
 		sizes = append(sizes, decide.SizeOf(n.machineTypes[r.Type]))
 	}
 	guarantees := make([]Resources, len(n.partitions))
@@ -80,39 +80,39 @@
 		guarantees[t.partition] = guarantees[t.partition].Add(t.Guarantee, 1)
 	}
 	token := n.tokenCounter + 1
-	byShare := make([][]protocol.MachineRecord, len(n.partitions))
+	byPartition := make([][]protocol.MachineRecord, len(n.partitions))
 	for i, s := range decide.Apportion(sizes, guarantees) {
-		byShare[s] = append(byShare[s], recs[i])
+		byPartition[s] = append(byPartition[s], records[i])
 	}
-	op := &storage.Op{For: uint8(forMachines), Conds: []storage.Cond{holder, {Key: protocol.FenceKey, Stamp: n.adoption.Fence()}, n.unchanged(protocol.CounterKey)},
+	op := &storage.Op{For: uint8(forMachines), Conds: []storage.Cond{ownerCond, {Key: protocol.FenceKey, Stamp: n.adoption.Fence()}, n.unchanged(protocol.CounterKey)},
 		Writes: []storage.Write{{Put: protocol.CounterKey, Value: mustJSON(protocol.CounterRecord{Token: token})}}}
-	taken := 0
-	for s, ms := range byShare {
-		room := math.MaxInt // by the longest type and zone
-		for _, r := range ms {
-			room = min(room, n.batchCapacity(r))
+	adopted := 0
+	for s, machines := range byPartition {
+		capacity := math.MaxInt // smallest batch capacity, given by the longest type and zone names
+		for _, r := range machines {
+			capacity = min(capacity, n.batchCapacity(r))
 		}
 		i := 0
-		for part := range slices.Chunk(ms, room) {
-			w := storage.Write{Put: protocol.BatchKey(fmt.Sprintf("a-%d-%d-%d", s, token, i)), Value: mustJSON(protocol.BatchRecord{Share: s, Token: token, Machines: part})}
-			if !op.Fits(w, n.cfg.Params.State.TxnOps) {
-				break // the rest comes with the next change
+		for part := range slices.Chunk(machines, capacity) {
+			write := storage.Write{Put: protocol.BatchKey(fmt.Sprintf("a-%d-%d-%d", s, token, i)), Value: mustJSON(protocol.BatchRecord{Share: s, Token: token, Machines: part})}
+			if !op.Fits(write, n.cfg.Params.State.TxnOps) {
+				break // the others are recorded in the next round
 			}
-			op.Conds = append(op.Conds, storage.Cond{Key: w.Put})
-			op.Writes = append(op.Writes, w)
-			taken += len(part)
+			op.Conds = append(op.Conds, storage.Cond{Key: write.Put})
+			op.Writes = append(op.Writes, write)
+			adopted += len(part)
 			i++
 		}
 	}
 	n.submit(op, func(r storage.Result) {
-		n.log.Info("machines without a record taken up", "machines", taken, "of", len(recs), "changes", len(op.Writes), "ok", r.OK, "why", r.Err)
+		n.log.Info("machines without a record taken up", "machines", adopted, "of", len(records), "changes", len(op.Writes), "ok", r.OK, "why", r.Err)
 		n.adoption.Recorded(r.OK, time.Now())
 		n.replan = true
 	})
 }
 
-// awaitsAdoption says whether machines without a record are about to be taken up, so that
-// none is to be rented beside them.
+// awaitsAdoption reports whether machines without a record are about to be adopted, so that no
+// machine should be rented meanwhile.
 func (n *Node) awaitsAdoption(now time.Time) bool {
-	return n.freshCluster && now.Sub(n.loadControl.followingSince) < foundTime && n.adoption.Expects(now)
+	return n.freshCluster && now.Sub(n.loadControl.followingSince) < initialAdoptPeriod && n.adoption.Expects(now)
 }
--- a/internal/coordination/node/batches.go
+++ b/internal/coordination/node/batches.go
@@ -9,14 +9,14 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-// batch is a stored list of machines that were rented or moved together. One
-// value for many machines makes renting and returning a fleet of a thousand
-// cost tens of writes and not thousands. Only the share's holder changes it.
+// batch is a stored list of machines that were rented or moved together. One value for many
+// machines makes renting and returning a fleet of a thousand cost tens of writes instead of
+// thousands. Only the owner of the partition changes it.
 type batch struct {
 	key        string
 	rec        protocol.BatchRecord
 	storing    bool      // a change of it is being stored
-	dirtySince time.Time // when something became worth storing; zero: nothing is
+	dirtySince time.Time // since when there has been something to store; zero: nothing to store
 }
 
 // markDirty notes that the stored batch is out of date.
@@ -26,7 +26,7 @@
 	}
 }
 
-// setBatch takes in a stored batch.
+// setBatch applies a batch read from the state service.
 func (n *Node) setBatch(key string, r protocol.BatchRecord) {
 	b := n.batches[key]
 	if b == nil {
@@ -41,20 +41,20 @@
 		rec.Share, rec.Token = r.Share, r.Token
 		n.setMachine(b, rec)
 	}
-	n.forget(b, before, present)
+	n.dropMissing(b, before, present)
 }
 
-// dropBatch forgets a batch whose key is gone.
+// dropBatch removes a batch whose key was deleted.
 func (n *Node) dropBatch(key string) {
 	if b := n.batches[key]; b != nil {
 		delete(n.batches, key)
-		n.forget(b, b.rec.Machines, nil)
+		n.dropMissing(b, b.rec.Machines, nil)
 	}
 }
 
-// forget drops the machines that a batch had and has no more, unless another
-// batch has them by now.
-func (n *Node) forget(b *batch, before []protocol.MachineRecord, present map[string]bool) {
+// dropMissing removes the machines that are no longer in a batch, unless another batch contains
+// them by now.
+func (n *Node) dropMissing(b *batch, before []protocol.MachineRecord, present map[string]bool) {
 	for _, rec := range before {
 		if m := n.machines[rec.Name]; m != nil && m.batch == b && !present[rec.Name] {
 			n.dropMachine(rec.Name)
@@ -62,8 +62,8 @@
 	}
 }
 
-// writeKeeping is the batch with only the machines that keep wants, which may change
-// them; without any it is deleted.
+// writeKeeping returns the write that stores the batch with only the machines for which keep
+// returns true; keep may change them. A batch without machines is deleted.
 func (b *batch) writeKeeping(keep func(r *protocol.MachineRecord) bool) storage.Write {
 	rec := b.rec
 	rec.Machines = nil
@@ -78,20 +78,20 @@
 	return storage.Write{Put: b.key, Value: mustJSON(rec)}
 }
 
-// batchCapacity is how many machines of a kind fit one stored value.
+// batchCapacity is how many machines of a kind fit into one stored value.
 func (n *Node) batchCapacity(r protocol.MachineRecord) int {
-	const each = 100 // name, address and frame
+	const each = 100 // name, address and field names
 	return max(1, int(n.cfg.Params.State.ValueKB*1024*0.9)/(each+len(r.Type)+len(r.Zone)))
 }
 
-// recordRental records the machines of a rental, and then calls done. The batch has
-// the request's name, which is never used twice. fence is how the fence was when they
-// were asked for: once it was raised, others may take them up.
-func (n *Node) recordRental(s *partition, req protocol.RentRequest, names []string, fence storage.Cond, done func()) {
+// recordRental records the machines of a rental and then calls done. The batch key contains the
+// name of the request, which is never used twice. fence is the condition on the rental fence as it
+// was when the machines were requested: once it has been raised, others may adopt the machines.
+func (n *Node) recordRental(p *partition, req protocol.RentRequest, names []string, fence storage.Cond, done func()) {
 	var batches []protocol.BatchRecord
 	kind := protocol.MachineRecord{Type: req.Type, Zone: req.Zone, Spot: req.Spot}
 	for part := range slices.Chunk(names, n.batchCapacity(kind)) {
-		rec := protocol.BatchRecord{Share: s.index}
+		rec := protocol.BatchRecord{Share: p.index}
 		for _, name := range part {
 			r := kind
 			r.Name = name
@@ -99,30 +99,30 @@
 		}
 		batches = append(batches, rec)
 	}
-	open := len(batches)
-	if open == 0 {
+	pending := len(batches)
+	if pending == 0 {
 		done()
 	}
 	for i, rec := range batches {
 		key := protocol.BatchKey(fmt.Sprintf("%s-%d", req.Request, i))
 		n.submit(&storage.Op{
 			For:    uint8(forMachines),
-			Conds:  []storage.Cond{{Key: key}, n.unchanged(protocol.HolderKey(s.index)), fence},
+			Conds:  []storage.Cond{{Key: key}, n.unchanged(protocol.HolderKey(p.index)), fence},
 			Writes: []storage.Write{{Put: key, Value: mustJSON(rec)}},
 		}, func(storage.Result) {
-			if open--; open == 0 {
+			if pending--; pending == 0 {
 				done()
 			}
 		})
 	}
 }
 
-// batchSaveDelay is how long changes of a batch are gathered: addresses come one by
-// one as machines boot, and none of them is urgent.
+// batchSaveDelay is how long changes of a batch are collected: addresses arrive one by one as
+// machines boot, and none of them is urgent.
 const batchSaveDelay = 5 * time.Second
 
-// saveBatches stores new addresses, and drops the records of machines that are
-// gone, with everything on them noted.
+// saveBatches stores new addresses and removes the records of returned machines without unsettled
+// tasks.
 func (n *Node) saveBatches(now time.Time) {
 	for _, b := range n.batches {
 		if b.storing || b.dirtySince.IsZero() || now.Sub(b.dirtySince) < batchSaveDelay || !n.owns(n.partitions[b.rec.Share]) {
@@ -130,17 +130,18 @@
 		}
 		b.dirtySince = time.Time{}
 		changes := false
-		w := b.writeKeeping(func(r *protocol.MachineRecord) bool {
+		write := b.writeKeeping(func(r *protocol.MachineRecord) bool {
 			m := n.machines[r.Name]
 			if m == nil || m.batch != b || m.returned && len(m.tasks) == 0 {
 				changes = true
 				return false
 			}
 			if m.returned {
-				b.markDirty(now) // once its tasks are settled
+				b.markDirty(now) // save again once its tasks are settled
 			} else if m.addr != r.Addr && !m.lastFencedReport.IsZero() {
-				// An address says that the machine is up. The cloud's list names it while it
-				// still boots, and a holder that stored that gave the machine up for silence.
+				// A stored address means that the machine is up. The cloud's list contains the
+				// address while the machine still boots; when that was stored, the machine was given
+				// up for silence.
 				r.Addr, changes = m.addr, true
 			}
 			return true
@@ -149,7 +150,7 @@
 			continue
 		}
 		b.storing = true
-		n.submitTo(n.backgroundCommitter, &storage.Op{For: uint8(forMachines), Conds: []storage.Cond{n.unchanged(b.key), n.unchanged(protocol.HolderKey(b.rec.Share))}, Writes: []storage.Write{w}},
+		n.submitTo(n.backgroundCommitter, &storage.Op{For: uint8(forMachines), Conds: []storage.Cond{n.unchanged(b.key), n.unchanged(protocol.HolderKey(b.rec.Share))}, Writes: []storage.Write{write}},
 			func(r storage.Result) {
 				b.storing = false
 				if !r.OK {
--- a/internal/coordination/node/close_looks_test.go
+++ b/internal/coordination/node/close_looks_test.go
@@ -13,8 +13,8 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-// Users who ask at all nodes, again and again within milliseconds, right after something was
-// told of their job. What they are told is compared by the answerChecker (answers_test.go).
+// Users who send requests to all nodes within milliseconds, right after they were told something about
+// their job. The answerChecker (answers_test.go) compares the answers.
 
 // Timeouts of users, and their pause between two attempts.
 const (
@@ -23,7 +23,7 @@
 	retryPause    = time.Second
 )
 
-// addTrackedUser makes the user of a new job of a test's own, which all checks know.
+// addTrackedUser returns the user of a new job that all checkers know.
 func (w *simCluster) addTrackedUser(shape func(s *protocol.JobSpec)) *user {
 	w.mu.Lock()
 	w.eventCounts["enrolled"]++
@@ -66,11 +66,11 @@
 	}
 }
 
-// requestsPerLook is how often a close look sends each request to each node.
-const requestsPerLook = 2
+// requestsPerNode is how often askAllNodes sends each request to each node.
+const requestsPerNode = 2
 
-// askAllNodes asks all nodes within milliseconds how the job is and repeats its submission
-// there; the event is what was told before.
+// askAllNodes reads the job's status from all nodes within milliseconds and repeats its submission
+// there; event says what the user was told before.
 func (u *user) askAllNodes(event string) {
 	var open sync.WaitGroup
 	send := func(what, node string, request func(node string) (answer, error)) {
@@ -82,7 +82,7 @@
 		})
 	}
 	for _, node := range u.w.names {
-		for range requestsPerLook {
+		for range requestsPerNode {
 			send("status read", node, u.pollOnce)
 			send("submission repeated", node, u.submitOnce)
 		}
@@ -90,9 +90,9 @@
 	open.Wait()
 }
 
-// meanwhile sends a request and lets others read the job's status until its answer comes; seen
-// says whether one of them was told something that shows that it had been executed.
-func (u *user) meanwhile(send func(node string) (answer, error), shows func(said string) bool) (a answer, err error, seen bool) {
+// sendWhileOthersRead sends a request while others read the job's status until its answer arrives.
+// seen reports whether one of them got an answer that shows that the request was executed.
+func (u *user) sendWhileOthersRead(send func(node string) (answer, error), showsResult func(said string) bool) (a answer, err error, seen bool) {
 	node, over := u.randomNode(), make(chan struct{})
 	var others sync.WaitGroup
 	for _, other := range u.w.names {
@@ -107,7 +107,7 @@
 				case <-time.After(u.w.randDuration(20*time.Millisecond, 150*time.Millisecond)):
 				}
 				r, err := u.pollOnce(other)
-				if said, _ := statusInAnswer(r); err == nil && r.status == 200 && shows(said) {
+				if said, _ := statusInAnswer(r); err == nil && r.status == 200 && showsResult(said) {
 					u.w.withLock(func() { seen = true })
 				}
 			}
@@ -119,13 +119,13 @@
 	return a, err, seen
 }
 
-// repeatMeanwhile repeats a request until it is answered with success, while others read;
-// it notes what they read while the state service's answer to the node's write about the job is
-// lost, whatever the node then finds out about that write.
-func (u *user) repeatMeanwhile(what string, send func(node string) (answer, error), shows func(said string) bool) {
+// retryWhileOthersRead repeats a request until it is answered with success, while others read the
+// status. It records if they saw the result while the state service's answer to the node's write about
+// the job was lost, whatever the node finds out about that write afterwards.
+func (u *user) retryWhileOthersRead(what string, send func(node string) (answer, error), showsResult func(said string) bool) {
 	for u.w.ctx.Err() == nil {
 		lost := u.w.eventCount(answerLostAbout(u.spec.ID))
-		a, err, seen := u.meanwhile(send, shows)
+		a, err, seen := u.sendWhileOthersRead(send, showsResult)
 		if seen && u.w.eventCount(answerLostAbout(u.spec.ID)) > lost {
 			u.w.recordEvent(what + " read by others while its answer was lost")
 			u.askAllNodes("after its answer was lost")
@@ -140,7 +140,7 @@
 // answerLostAbout is the event that a write about a job was executed and its answer lost.
 func answerLostAbout(job string) string { return "answer lost about " + job }
 
-// noteLostAnswer notes which jobs are written about by a transaction that is executed and whose
+// noteLostAnswer records which jobs are written about by a transaction that is executed and whose
 // answer is lost.
 func (w *simCluster) noteLostAnswer(writes []storage.Write) {
 	w.recordEvent("executed without an answer")
@@ -155,7 +155,7 @@
 	}
 }
 
-// awaitEnd waits until somebody was told how the job ended.
+// awaitEnd waits until a user was told how the job ended.
 func (u *user) awaitEnd() {
 	for u.w.ctx.Err() == nil && u.knownFinalStatus() == "" {
 		u.pollOnce(u.randomNode())
@@ -163,10 +163,10 @@
 	}
 }
 
-// mostUserWait is how long a job of these users may take once all troubles are over.
-const mostUserWait = 4 * time.Minute
+// maxUserWait is how long a job of these users may take once all faults have ended.
+const maxUserWait = 4 * time.Minute
 
-// awaitAll waits for users, and complains if that takes too long.
+// awaitAll waits for users, and reports a failure if that takes too long.
 func (w *simCluster) awaitAll(users *sync.WaitGroup) {
 	over := make(chan struct{})
 	go func() {
@@ -175,13 +175,13 @@
 	}()
 	select {
 	case <-over:
-	case <-time.After(mostUserWait):
+	case <-time.After(maxUserWait):
 		w.violation("some users were not told how their jobs ended")
 	case <-w.ctx.Done():
 	}
 }
 
-// mixedShape gives every fourth job two tasks that have to run at the same time.
+// mixedShape makes every fourth job a gang of two tasks.
 func mixedShape(i int) func(s *protocol.JobSpec) {
 	return func(s *protocol.JobSpec) {
 		if i%4 == 3 {
@@ -190,8 +190,8 @@
 	}
 }
 
-// closeLooks: users look closely after a job was accepted, has ended, or was confirmed as
-// cancelled; some cancel at once.
+// askAfterEachEvent lets users ask all nodes after their job was accepted, has ended, or was
+// confirmed as cancelled; some cancel at once.
 func askAfterEachEvent(w *simCluster) {
 	var users sync.WaitGroup
 	for i := range 24 {
@@ -216,18 +216,18 @@
 	w.awaitAll(&users)
 }
 
-// lostAnswers: what a node writes is stored, its answer is lost, and others read it before the
-// node that wrote it knows.
+// askWhileAnswersAreLost makes answers to executed writes get lost, so that other nodes may read a
+// write before the node that made it knows that it was executed.
 func askWhileAnswersAreLost(w *simCluster) {
 	w.withLock(func() { w.lostAnswerRate = 0.3 })
 	var users sync.WaitGroup
 	for i := range 24 {
 		u, cancels := w.addTrackedUser(mixedShape(i)), i%3 == 0
 		users.Go(func() {
-			u.repeatMeanwhile("acceptance", u.submitOnce, func(string) bool { return true })
+			u.retryWhileOthersRead("acceptance", u.submitOnce, func(string) bool { return true })
 			u.askAllNodes("after acceptance")
 			if cancels {
-				u.repeatMeanwhile("cancellation", u.cancelOnce, func(said string) bool { return said == protocol.JobCancelled })
+				u.retryWhileOthersRead("cancellation", u.cancelOnce, func(said string) bool { return said == protocol.JobCancelled })
 				u.askAllNodes("after a cancellation")
 			}
 			u.awaitEnd()
@@ -240,14 +240,14 @@
 	w.awaitAll(&users)
 }
 
-// A node that the watch has not told that jobs are stored in entries now, and that does not know
-// what is in them, gives no user an answer older than another node's.
+// A node whose watch has not reported yet that jobs are stored in entries, and that does not know the
+// entries' content, must not give a user an answer that is older than another node's.
 func TestNodeThatDoesNotKnowOfEntries(t *testing.T) {
 	storeOnlyEntries(t, 8)
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		w := newWorld(t, ctx, 3, defaultSettings)
-		w.withLock(func() { w.watchStalled["n-0"], w.watchStalled["n-1"] = true, true }) // nobody writes entries yet
+		w.withLock(func() { w.watchStalled["n-0"], w.watchStalled["n-1"] = true, true }) // no node writes entries yet
 		time.Sleep(2 * time.Second)
 		early := w.addTrackedUser(func(s *protocol.JobSpec) { s.EstimateS = 30 })
 		early.retryUntilSuccess(early.submitOnce)
@@ -260,7 +260,7 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 		if !knows("n-0") || !knows("n-1") || knows("n-2") {
-			t.Fatalf("who knows of entries: %v %v %v", knows("n-0"), knows("n-1"), knows("n-2"))
+			t.Fatalf("nodes that know of entries: %v %v %v", knows("n-0"), knows("n-1"), knows("n-2"))
 		}
 		late := w.addTrackedUser(func(*protocol.JobSpec) {})
 		if a, err := late.submitOnce("n-0"); err != nil || a.status != 201 {
@@ -277,7 +277,7 @@
 		w.withLock(func() { clear(w.watchStalled) })
 		time.Sleep(2 * time.Second)
 		if a, err := early.pollOnce("n-2"); err != nil || a.status != 200 {
-			t.Errorf("when the watch has told: %d %v", a.status, err)
+			t.Errorf("after the watch has caught up: %d %v", a.status, err)
 		}
 		cancel()
 		time.Sleep(2 * time.Minute)
--- a/internal/coordination/node/faults_test.go
+++ b/internal/coordination/node/faults_test.go
@@ -8,26 +8,28 @@
 	"dapplestage.example/dapplestage/internal/coordination/start"
 )
 
-// startFindsIdle is a start after which much is idle, and nobody saw since when.
-func startFindsIdle(w *simCluster) {
+// restartWithIdleMachines restarts all controllers when many machines are idle, so that no
+// controller knows for how long.
+func restartWithIdleMachines(w *simCluster) {
 	w.size.stopArrays()
 	time.Sleep(12 * time.Second)
 	restartAll(w, 6*time.Second, 6500*time.Millisecond, 7*time.Second)
 	time.Sleep(time.Minute)
-	if m := maxPerSecond(w.size.returned); m > 42 { // 30 of a node, and others take shares meanwhile
+	if m := maxPerSecond(w.size.returned); m > 42 { // 30 for each node, and other nodes take over partitions meanwhile
 		w.size.reportProblem("%d machines returned in a second", m)
 	}
 }
 
-// startLoses is a start in which no task may end with its lease, and calls are few.
-func startLoses(w *simCluster) {
+// restartUnderLoad restarts all controllers; no task may end with its lease, and direct calls must
+// be few.
+func restartUnderLoad(w *simCluster) {
 	restartAll(w, 6*time.Second, 6500*time.Millisecond, 7*time.Second)
 	from := time.Now().Unix()
 	time.Sleep(time.Minute)
 	if _, expired := w.fleet.Ended(); expired > 0 {
 		w.size.reportProblem("%d tasks ended with their leases", expired)
 	}
-	for name, perSecond := range w.size.orders {
+	for name, perSecond := range w.size.directCalls {
 		calls := 0
 		for at, c := range perSecond {
 			if at >= from && at < from+4 {
@@ -40,17 +42,17 @@
 	}
 }
 
-// Each of these faults, done on purpose, must be found; without it nothing is.
+// Each of these injected faults must be detected, and nothing may be reported without it.
 func TestStartFaultsAreFound(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		day      func(w *simCluster)
+		scenario func(w *simCluster)
 		sabotage func(n *Node)
 	}{
-		{"a place taken for free before its machine was heard", startLoses, func(n *Node) {
-			for _, s := range n.partitions {
-				for _, m := range s.machines {
-					if s.reconciliation != nil && s.reconciliation.Unheard(m.name) && n.sinceContact(time.Now()) < time.Second {
+		{"resources counted as free before their machine has reported", restartUnderLoad, func(n *Node) {
+			for _, p := range n.partitions {
+				for _, m := range p.machines {
+					if p.reconciliation != nil && p.reconciliation.Unheard(m.name) && n.sinceContact(time.Now()) < time.Second {
 						for k := range m.tasks {
 							n.recordOutcome(k.job, k.task, outcomeGone)
 						}
@@ -58,14 +60,14 @@
 				}
 			}
 		}},
-		{"the budget not applied to calls", startLoses, func(n *Node) {
+		{"the budget not applied to calls", restartUnderLoad, func(n *Node) {
 			n.loadControl.budget = start.NewBudget(start.Limits{Cores: 64}, time.Now().Add(-time.Second))
 		}},
-		{"idleness counted from the take-over", startFindsIdle, func(n *Node) {
-			for _, s := range n.partitions {
-				for _, m := range s.machines {
-					if n.owns(s) && m.idleSinceUnknown {
-						m.idleSinceUnknown, m.idleSince = false, s.acquiredAt
+		{"idle time counted from the takeover", restartWithIdleMachines, func(n *Node) {
+			for _, p := range n.partitions {
+				for _, m := range p.machines {
+					if n.owns(p) && m.idleSinceUnknown {
+						m.idleSinceUnknown, m.idleSince = false, p.acquiredAt
 					}
 				}
 			}
@@ -75,7 +77,7 @@
 			found := 0
 			for seed := uint64(1); seed <= 5 && found == 0; seed++ {
 				z := &scaledFleet{machines: *scaledMachines, sockets: *scaledMachines, sabotage: c.sabotage}
-				runScaled(t, seed, z, c.day)
+				runScaled(t, seed, z, c.scenario)
 				if found = len(z.problems); found > 0 {
 					t.Logf("found with seed %d: %s", seed, z.problems[0])
 				}
@@ -84,7 +86,7 @@
 				t.Error("not found with five seeds")
 			}
 			z := &scaledFleet{machines: *scaledMachines, sockets: *scaledMachines}
-			runScaled(t, 1, z, c.day)
+			runScaled(t, 1, z, c.scenario)
 			for _, x := range z.problems {
 				t.Errorf("without the fault: %s", x)
 			}
@@ -92,8 +94,8 @@
 	}
 }
 
-// standbyTakes is a day on which holders end and stand still, and messages are late.
-func standbyTakes(w *simCluster) {
+// failovers ends and stalls owners while messages are late.
+func failovers(w *simCluster) {
 	w.withLock(func() { w.lateTxnRate, w.lossRate = 0.5, 0.08 })
 	for i := range 4 {
 		time.Sleep(w.randDuration(4*time.Second, 9*time.Second))
@@ -102,7 +104,7 @@
 			w.crash(name)
 			continue
 		}
-		w.withLock(func() { w.refusePeerConns = true }) // a holder that stands still behind it seems to have ended
+		w.withLock(func() { w.refusePeerConns = true }) // a stalled owner behind the filter seems to have ended
 		w.freeze(name, 7*time.Second)
 		w.withLock(func() { w.refusePeerConns = false })
 	}
@@ -110,7 +112,7 @@
 	time.Sleep(time.Minute)
 }
 
-// Faults of a standby, done on purpose, are found.
+// Each of these injected faults of a standby must be detected, and nothing may be reported without it.
 func TestStandbyFaultsAreFound(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -118,21 +120,21 @@
 	}{
 		{"a hint taken as proof", func(n *Node) {
 			now := time.Now()
-			for _, s := range n.partitions {
-				for _, m := range s.machines {
-					if s.reconciliation == nil || !s.reconciliation.Unheard(m.name) || now.Sub(m.lastHint) > machineHintMaxAge {
+			for _, p := range n.partitions {
+				for _, m := range p.machines {
+					if p.reconciliation == nil || !p.reconciliation.Unheard(m.name) || now.Sub(m.lastHint) > machineHintMaxAge {
 						continue
 					}
-					for k := range m.tasks { // the hint lists nothing that was placed since
+					for k := range m.tasks { // the hint does not list what was placed since
 						n.recordOutcome(k.job, k.task, outcomeGone)
 					}
 				}
 			}
 		}},
-		{"a take-over without the fence", func(n *Node) {
-			for _, s := range n.partitions {
-				if h := s.owner; n.owns(s) && h.Token > 1 && s.takeover.cause == standby.Ended {
-					for _, m := range s.machines { // it commands under the token of the holder before
+		{"a takeover without fencing", func(n *Node) {
+			for _, p := range n.partitions {
+				if h := p.owner; n.owns(p) && h.Token > 1 && p.takeover.cause == standby.Ended {
+					for _, m := range p.machines { // it commands under the token of the previous owner
 						if !m.fenced && m.rec.Token < h.Token {
 							m.fenced, m.lastFencedReport = true, time.Now()
 							for k := range m.tasks {
@@ -150,7 +152,7 @@
 			found := uint64(0)
 			for seed := uint64(1); seed <= 5 && found == 0; seed++ {
 				z := &scaledFleet{machines: 120, sockets: 300, sabotage: c.sabotage}
-				if runScaled(t, seed, z, standbyTakes); len(z.problems) > 0 {
+				if runScaled(t, seed, z, failovers); len(z.problems) > 0 {
 					found = seed
 					t.Logf("found with seed %d: %s", seed, z.problems[0])
 				}
@@ -159,7 +161,7 @@
 				t.Fatal("not found with five seeds")
 			}
 			z := &scaledFleet{machines: 120, sockets: 300}
-			runScaled(t, found, z, standbyTakes)
+			runScaled(t, found, z, failovers)
 			for _, x := range z.problems {
 				t.Errorf("without the fault: %s", x)
 			}
--- a/internal/coordination/node/machines.go
+++ b/internal/coordination/node/machines.go
@@ -15,62 +15,63 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-func byName(a, b *machine) int { return compareNames(a.name, b.name) }
+// compareMachines orders machines by name.
+func compareMachines(a, b *machine) int { return compareNames(a.name, b.name) }
 
-// addToPartition puts a recorded machine into its share's list.
+// addToPartition inserts a recorded machine into the machine list of its partition.
 func (n *Node) addToPartition(m *machine) {
-	s := n.partitions[m.rec.Share]
-	if i, found := slices.BinarySearchFunc(s.machines, m, byName); !found {
-		s.machines = slices.Insert(s.machines, i, m)
-		n.addToReconciliation(s, m)
+	p := n.partitions[m.rec.Share]
+	if i, found := slices.BinarySearchFunc(p.machines, m, compareMachines); !found {
+		p.machines = slices.Insert(p.machines, i, m)
+		n.addToReconciliation(p, m)
 	}
 }
 
-// removeFromPartition takes a machine out of its share's list.
+// removeFromPartition takes a machine out of the machine list of its partition.
 func (n *Node) removeFromPartition(m *machine) {
-	s := n.partitions[m.rec.Share]
-	if i, found := slices.BinarySearchFunc(s.machines, m, byName); found {
-		s.machines = slices.Delete(s.machines, i, i+1)
-		s.reconciliation.Drop(m.name)
+	p := n.partitions[m.rec.Share]
+	if i, found := slices.BinarySearchFunc(p.machines, m, compareMachines); found {
+		p.machines = slices.Delete(p.machines, i, i+1)
+		p.reconciliation.Drop(m.name)
 	}
 }
 
-// rentMachines rents machines and records them for the share. The request's name holds
-// the token, which no other node and no other life ever has.
-func (n *Node) rentMachines(s *partition, r rentalKey, count int) {
+// rentMachines rents machines and records them for a partition. The name of the request
+// contains the owner's token, which no other node and no other process of this node ever has.
+func (n *Node) rentMachines(p *partition, wanted rentalKey, count int) {
 	n.cloudState.rentalSeq++
-	req := protocol.RentRequest{Request: fmt.Sprintf("r-%d-%d-%d", s.index, s.owner.Token, n.cloudState.rentalSeq),
-		Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: count}
-	n.cloudState.requested[r] = count
+	req := protocol.RentRequest{Request: fmt.Sprintf("r-%d-%d-%d", p.index, p.owner.Token, n.cloudState.rentalSeq),
+		Type: wanted.Type, Zone: wanted.Zone, Spot: wanted.Spot, Count: count}
+	n.cloudState.requested[wanted] = count
 	fence := n.unchanged(protocol.FenceKey)
 	n.spawn(func(ctx context.Context) {
 		names, err := n.cloud.Rent(ctx, req)
 		n.post(func() {
 			now := time.Now()
 			n.metrics.cloudCalls.WithLabelValues("rent", callOutcome(err)).Inc()
-			n.log.Info("rental", "request", req.Request, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "asked", count, "got", len(names), "why", err)
+			n.log.Info("rental", "request", req.Request, "type", wanted.Type, "zone", wanted.Zone, "spot", wanted.Spot, "asked", count, "got", len(names), "why", err)
 			if len(names) > 0 {
-				delete(n.cloudState.refusalsInRow, r.offer)
+				delete(n.cloudState.refusalsInRow, wanted.offer)
 			}
 			if err != nil || len(names) < count {
 				wait := 3 * time.Second
 				if errors.Is(err, ErrNoCapacity) || err == nil {
-					n.cloudState.refusalsInRow[r.offer]++
-					wait = decide.RefusalBackoff(n.cloudState.refusalsInRow[r.offer], n.offerCount(), n.rentPeriod())
+					n.cloudState.refusalsInRow[wanted.offer]++
+					wait = decide.RefusalBackoff(n.cloudState.refusalsInRow[wanted.offer], n.offerCount(), n.rentRequestInterval())
 				}
-				n.cloudState.refusedUntil[r.offer] = now.Add(wait)
+				n.cloudState.refusedUntil[wanted.offer] = now.Add(wait)
 			}
-			// Until they are recorded they count as asked for, or the share would
-			// rent them once more.
-			n.recordRental(s, req, names, fence, func() {
-				delete(n.cloudState.requested, r)
+			// The machines count as requested until they are recorded, or the partition would rent
+			// them again.
+			n.recordRental(p, req, names, fence, func() {
+				delete(n.cloudState.requested, wanted)
 				n.replan = true
 			})
 		})
 	})
 }
 
-// offerCount is how many kinds of machine the catalogue has.
+// offerCount returns the number of machine offers in the catalog: type, zone, spot or not.
 func (n *Node) offerCount() int {
 	c := 0
 	for _, t := range n.machineTypes {
@@ -79,149 +80,151 @@
 	return c
 }
 
-// rentPeriod is how long one request for machines after the other takes: the cloud's
-// rate, parted among the nodes, and the answer.
-func (n *Node) rentPeriod() time.Duration {
+// rentRequestInterval is the time between two rental requests: the cloud's request rate is divided
+// among the nodes, and the answer takes some time.
+func (n *Node) rentRequestInterval() time.Duration {
 	return n.seconds(float64(n.cfg.Params.Nodes)/n.cfg.Params.Cloud.RPS) + rentInterval + time.Second/4
 }
 
-// ErrNoCapacity is the cloud's refusal for want of machines.
+// ErrNoCapacity is the cloud's answer when it has no machines of the requested kind.
 var ErrNoCapacity = storage.ErrNoCapacity
 
-// onStray answers a machine without a record: it ran before the first controller did,
-// or its rental's answer was lost, or is still being stored, or it was rented late. The
-// leader takes it up (adopt.go).
-func (n *Node) onStray(r *protocol.Report, now time.Time, reply chan<- answer) {
-	lead := n.partitions[0].owner
-	if _, over := n.cloudState.returned[r.Machine]; !over {
+// onUnrecordedReport answers a machine without a record: it ran before the first controller
+// did, or the answer to its rental was lost, or is still being stored, or it was rented late.
+// The leader adopts such machines (adopt.go).
+func (n *Node) onUnrecordedReport(r *protocol.Report, now time.Time, reply chan<- answer) {
+	leader := n.partitions[0].owner
+	if _, returned := n.cloudState.returned[r.Machine]; !returned {
 		n.adoption.Heard(protocol.MachineRecord{Name: r.Machine, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Addr: r.Addr}, now)
 	}
 	switch {
 	case n.isLeader():
-		n.noteStray(r.Machine, now)
+		n.noteUnrecorded(r.Machine, now)
 		reply <- answer{status: 503}
-	case lead.Token != 0 && lead.Node != n.cfg.Node:
-		reply <- answer{status: 421, body: protocol.Redirect{ReportTo: lead.Node}}
+	case leader.Token != 0 && leader.Node != n.cfg.Node:
+		reply <- answer{status: 421, body: protocol.Redirect{ReportTo: leader.Node}}
 	default:
 		reply <- answer{status: 503}
 	}
 }
 
-func (n *Node) noteStray(name string, now time.Time) {
+// noteUnrecorded records when a machine without a record was first noticed.
+func (n *Node) noteUnrecorded(name string, now time.Time) {
 	if _, ok := n.cloudState.unrecorded[name]; !ok {
 		n.cloudState.unrecorded[name] = now
 	}
 }
 
-// strayLimit is how long a machine may be without a record: much longer than
-// storing the rental takes when the state service answers at all, and taking it up if it
-// reports.
-const strayLimit = 30 * time.Second
+// unrecordedTimeout is how long a machine may be without a record. It is much longer than it
+// takes to store the rental, if the state service answers at all, and to adopt the machine, if
+// it reports.
+const unrecordedTimeout = 30 * time.Second
 
-// returnStrays gives back what nobody has recorded.
-func (n *Node) returnStrays(now time.Time, back *[]*machine) {
+// returnUnrecorded returns machines that have had no record for too long.
+func (n *Node) returnUnrecorded(now time.Time, toReturn *[]*machine) {
 	for name, first := range n.cloudState.unrecorded {
 		m := n.machines[name]
-		_, over := n.cloudState.returned[name]
+		_, returned := n.cloudState.returned[name]
 		switch {
-		case over || m != nil && m.recorded:
+		case returned || m != nil && m.recorded:
 			delete(n.cloudState.unrecorded, name)
-		case m == nil && n.isLeader() && n.sinceContact(now) < 2*time.Second && now.Sub(first) > strayLimit:
+		case m == nil && n.isLeader() && n.sinceContact(now) < 2*time.Second && now.Sub(first) > unrecordedTimeout:
 			n.log.Info("stray machine returned", "machine", name)
-			*back = append(*back, &machine{name: name, tasks: map[taskKey]struct{}{}})
+			*toReturn = append(*toReturn, &machine{name: name, tasks: map[taskKey]struct{}{}})
 			delete(n.cloudState.unrecorded, name)
-		case now.Sub(first) > 4*strayLimit:
+		case now.Sub(first) > 4*unrecordedTimeout:
 			delete(n.cloudState.unrecorded, name)
 		}
 	}
 }
 
-// silenceTimeout is how long a machine may be silent before it is given back.
+// silenceTimeout is how long a machine may be silent before it is returned.
 func (n *Node) silenceTimeout() time.Duration {
 	return time.Duration((3*n.cfg.Params.Workers.ReportS + 4) * float64(time.Second))
 }
 
-// tickMachines looks after the machines of the shares held.
+// tickMachines checks the machines of the owned partitions and returns those that are dead,
+// faulty, reclaimed by the cloud or idle for too long.
 func (n *Node) tickMachines(now time.Time) {
 	if now.Sub(n.lastMachineTick) < 500*time.Millisecond {
 		return
 	}
 	n.lastMachineTick = now
-	n.replan = true // what is expected changes with time
+	n.replan = true // the expected demand changes with time
 	n.storeCatalog()
 	n.noteRefusedConnections(now)
 	n.probeWorkers(now)
 	n.releaseIfCutOff(now)
 	n.detectZoneOutages(now)
-	var back, spare []*machine
-	idle := map[int]bool{}
-	for i, s := range n.partitions {
-		idle[i] = n.owns(s) && !n.hasWaitingTasks(i, now)
+	var toReturn, idleMachines []*machine
+	noWaitingTasks := map[int]bool{}
+	for i, p := range n.partitions {
+		noWaitingTasks[i] = n.owns(p) && !n.hasWaitingTasks(i, now)
 	}
 	for _, m := range n.machines {
 		if !m.recorded {
-			n.tendUnrecorded(m, now, &back)
+			n.handleUnrecorded(m, now, &toReturn)
 		}
 	}
-	var ours []*machine
-	for _, s := range n.partitions {
-		if n.owns(s) {
-			ours = append(ours, s.machines...)
+	var owned []*machine
+	for _, p := range n.partitions {
+		if n.owns(p) {
+			owned = append(owned, p.machines...)
 		}
 	}
-	n.pollSilent(ours, now)
-	for _, m := range ours {
+	n.pollSilent(owned, now)
+	for _, m := range owned {
 		switch {
 		case m.returned:
-			n.settleGone(m)
+			n.settleReturned(m)
 		case m.returning:
 			if !now.Before(m.returnRetryAt) {
-				back = append(back, m)
+				toReturn = append(toReturn, m)
 			}
 		case n.presumedDead(m, now):
 			n.log.Info("machine given up", "machine", m.name, "heard", !m.lastFencedReport.IsZero(), "tasks", len(m.tasks))
-			back = append(back, m)
+			toReturn = append(toReturn, m)
 		case len(m.tasks) > 0 || !m.fenced || m.moving:
 		case m.spotNotice || n.faulty(m):
-			n.log.Info("machine returned", "machine", m.name, "notice", m.spotNotice, "blamed_by", len(m.faults.jobs), "failures", m.faults.failures)
-			back = append(back, m)
-		case idle[m.rec.Share] && !m.needed && !m.idleSince.IsZero() && now.Sub(m.idleSince) > start.IdleFor(n.seconds(n.policy.IdleS), !m.idleSinceUnknown):
-			spare = append(spare, m)
+			n.log.Info("machine returned", "machine", m.name, "notice", m.spotNotice, "blamed_by", len(m.faults.failedJobs), "failures", m.faults.provenFailures)
+			toReturn = append(toReturn, m)
+		case noWaitingTasks[m.rec.Share] && !m.needed && !m.idleSince.IsZero() && now.Sub(m.idleSince) > start.IdleFor(n.seconds(n.policy.IdleS), !m.idleSinceUnknown):
+			idleMachines = append(idleMachines, m)
 		}
 	}
-	back = append(back, n.returnableIdle(spare, now)...)
-	for _, s := range n.partitions {
-		if n.owns(s) {
-			n.fenceUnconfirmedStarts(s)
+	toReturn = append(toReturn, n.returnableIdle(idleMachines, now)...)
+	for _, p := range n.partitions {
+		if n.owns(p) {
+			n.fenceUnconfirmedStarts(p)
 		}
 	}
 	n.adoptUnrecorded(now)
-	n.returnStrays(now, &back)
+	n.returnUnrecorded(now, &toReturn)
 	n.saveBatches(now)
-	n.giveBack(back, now)
-	n.list(now)
-	n.sayHow(now)
+	n.returnMachines(toReturn, now)
+	n.listMachines(now)
+	n.logUsage(now)
 	n.prepareHints(now)
 	n.tickAccount(now)
 	n.removeOrphanChunks(now)
 }
 
-// sayHow logs now and then how the shares held are doing.
-func (n *Node) sayHow(now time.Time) {
+// logUsage periodically logs the state of the owned partitions.
+func (n *Node) logUsage(now time.Time) {
 	if now.Sub(n.lastStatusLog) < 20*time.Second {
 		return
 	}
 	n.logChangeCounts(now.Sub(latest(n.lastStatusLog, n.startedAt)))
 	n.lastStatusLog = now
 	n.updateWaitingMetric(now)
-	for _, s := range n.partitions {
-		if !n.owns(s) {
+	for _, p := range n.partitions {
+		if !n.owns(p) {
 			continue
 		}
-		up, booting, empty, waits := 0, 0, 0, 0
+		up, booting, empty, waitingTasks := 0, 0, 0, 0
 		var used, free Resources
-		types := map[string]*typeUse{}
-		for _, m := range s.machines {
+		types := map[string]*typeUsage{}
+		for _, m := range p.machines {
 			if m.lastFencedReport.IsZero() {
 				booting++
 				continue
@@ -233,27 +236,27 @@
 			used, free = used.Add(m.used, 1), free.Add(n.available(m), 1)
 			u := types[m.rec.Type]
 			if u == nil {
-				u = &typeUse{}
+				u = &typeUsage{}
 				types[m.rec.Type] = u
 			}
 			u.add(m, n.machineTypes[m.rec.Type])
 		}
-		for _, j := range s.jobs {
-			waits += n.preemptionDemand(j, now)
+		for _, j := range p.jobs {
+			waitingTasks += n.preemptionDemand(j, now)
 		}
-		n.log.Info("share", "share", s.index, "up", up, "booting", booting, "empty", empty,
-			"gpus_used", used.GPUs, "gpus_free", free.GPUs, "cpus_used", used.CPUs, "cpus_free", free.CPUs, "tasks_waiting", waits, "types", sayTypes(types))
+		n.log.Info("share", "share", p.index, "up", up, "booting", booting, "empty", empty,
+			"gpus_used", used.GPUs, "gpus_free", free.GPUs, "cpus_used", used.CPUs, "cpus_free", free.CPUs, "tasks_waiting", waitingTasks, "types", formatTypeUsage(types))
 	}
 }
 
-// typeUse is how the machines up of one type are used.
-type typeUse struct {
-	up, empty, lent int // lent: with GPUs of which none is used, and work that needs none
-	cpus            float64
-	used            float64
+// typeUsage is the usage of the running machines of one type.
+type typeUsage struct {
+	up, empty, cpuOnly int // cpuOnly: machines with GPUs that run only tasks without GPUs
+	cpus               float64
+	cpusUsed           float64
 }
 
-func (u *typeUse) add(m *machine, t *protocol.MachineType) {
+func (u *typeUsage) add(m *machine, t *protocol.MachineType) {
 	u.up++
 	if len(m.tasks) == 0 {
 		u.empty++
@@ -262,28 +265,28 @@
 		return
 	}
 	if t.GPUs > 0 && len(m.tasks) > 0 && m.used.GPUs < tolerance {
-		u.lent++
+		u.cpuOnly++
 	}
 	u.cpus += t.CPUs
-	u.used += m.used.CPUs
+	u.cpusUsed += m.used.CPUs
 }
 
-// sayTypes tells each type's use in a few words.
-func sayTypes(types map[string]*typeUse) string {
+// formatTypeUsage formats the usage of each type for the log.
+func formatTypeUsage(types map[string]*typeUsage) string {
 	var out []string
 	for _, name := range slices.Sorted(maps.Keys(types)) {
 		u := types[name]
-		part := 0.0
+		fraction := 0.0
 		if u.cpus > 0 {
-			part = u.used / u.cpus
+			fraction = u.cpusUsed / u.cpus
 		}
-		out = append(out, fmt.Sprintf("%s: %d up, %d empty, %d lent, %.2f of CPUs", name, u.up, u.empty, u.lent, part))
+		out = append(out, fmt.Sprintf("%s: %d up, %d empty, %d with CPU tasks only, %.2f of CPUs", name, u.up, u.empty, u.cpuOnly, fraction))
 	}
 	return strings.Join(out, "; ")
 }
 
-// presumedDead says whether a machine is to be given up: it does not boot, or it is
-// silent while others are heard.
+// presumedDead reports whether a machine should be returned: it does not boot, or it is silent
+// while others report.
 func (n *Node) presumedDead(m *machine, now time.Time) bool {
 	if n.sinceContact(now) > 2*time.Second || n.worksUntilLeaseEnd(m, now) {
 		return false
@@ -296,10 +299,10 @@
 		if len(m.tasks) == 0 && m.rec.Addr == "" {
 			return now.Sub(m.trackedSince) > boot && now.Sub(n.reachability.stallEnded) > n.silenceTimeout()
 		}
-		// It was up under an earlier holder, and needs a moment to find this one.
+		// It was up under an earlier owner and needs some time to find this one.
 	}
-	// While its zone cannot be reached the machine is most likely working, and
-	// when the cut ends it needs a moment to come back.
+	// While its zone can't be reached the machine is most likely still working. When the
+	// outage ends, it needs some time to report again.
 	last := n.silentSince(m)
 	if m.lastFencedReport.IsZero() {
 		last = last.Add(3 * time.Second)
@@ -309,14 +312,14 @@
 		m.unlisted && n.reportsOverdue(m, now) && now.Sub(since) > n.overdueTimeout()
 }
 
-// overdueTimeout is how long a machine that was up may be silent before the cloud
-// is asked whether it still has it.
+// overdueTimeout is how long a running machine may be silent before this node asks the cloud
+// whether the machine still exists.
 func (n *Node) overdueTimeout() time.Duration {
 	return time.Duration((1.4*n.cfg.Params.Workers.ReportS + 1) * float64(time.Second))
 }
 
-// reportsOverdue says whether a machine that was up, and that the cloud must have
-// listed by now, is silent.
+// reportsOverdue reports whether a machine that has booted, and that the cloud must have listed
+// by now, is silent.
 func (n *Node) reportsOverdue(m *machine, now time.Time) bool {
 	if len(m.tasks) == 0 && !m.hasBooted() {
 		return false
@@ -327,27 +330,27 @@
 // maxZoneOutage is how long the machines of an unreachable zone are kept.
 const maxZoneOutage = 90 * time.Second
 
-// detectZoneOutages notes which zones cannot be reached at present.
+// detectZoneOutages records which zones can't be reached at present.
 func (n *Node) detectZoneOutages(now time.Time) {
-	for _, z := range n.cfg.Params.Zones {
-		// If most of a zone is silent it is the network, and the machines keep working.
-		if n.silentFraction(now, z) >= 0.7 || n.zoneUnreachable(z, now) {
-			n.reachability.zoneUnreachableAt[z] = now
+	for _, zone := range n.cfg.Params.Zones {
+		// If most machines of a zone are silent, the network is the cause and they keep working.
+		if n.silentFraction(now, zone) >= 0.7 || n.zoneUnreachable(zone, now) {
+			n.reachability.zoneUnreachableAt[zone] = now
 		}
 	}
 }
 
-// silent says whether a machine that was up is not heard now.
+// silent reports whether a machine that has booted does not report at present.
 func (n *Node) silent(m *machine, now time.Time) bool {
 	return now.Sub(n.silentSince(m)).Seconds() > n.silentAfterS()
 }
 
-// silentAfterS is after how many seconds without a report a machine counts as silent.
+// silentAfterS is the number of seconds without a report after which a machine counts as silent.
 func (n *Node) silentAfterS() float64 { return 2.2*n.cfg.Params.Workers.ReportS + 1 }
 
-// tendUnrecorded sees to machines that tasks are recorded on but that have no
-// record: they are returned, which proves the tasks gone.
-func (n *Node) tendUnrecorded(m *machine, now time.Time, back *[]*machine) {
+// handleUnrecorded handles a machine without a record. If tasks are recorded on it, it is
+// returned, which proves the tasks gone.
+func (n *Node) handleUnrecorded(m *machine, now time.Time, toReturn *[]*machine) {
 	if len(m.tasks) == 0 {
 		if !m.returning || m.returned {
 			delete(n.machines, m.name)
@@ -362,41 +365,42 @@
 	}
 	switch {
 	case m.returned:
-		n.settleGone(m)
+		n.settleReturned(m)
 	case now.Sub(m.trackedSince) > 5*time.Second && !now.Before(m.returnRetryAt):
-		*back = append(*back, m)
+		*toReturn = append(*toReturn, m)
 	}
 }
 
-// settleGone notes that the tasks of a machine that is gone are so too. Its
-// record goes with the batch's next change.
-func (n *Node) settleGone(m *machine) {
+// settleReturned records that the tasks of a returned machine are gone. The machine's own
+// record is removed with the next change of its batch.
+func (n *Node) settleReturned(m *machine) {
 	now := time.Now()
 	for k := range m.tasks {
 		t := &k.job.tasks[k.task]
 		if t.reportedState == reportedNone && t.startSentAt.IsZero() {
-			// An earlier holder recorded it there, and this one never heard of it: as far
-			// as anybody can tell it ran. (Found with a fleet lost at once: each node took
-			// itself for blind, and who took the shares over counted nothing as lost.)
+			// An earlier owner recorded the task there and this node never got a report of it, so
+			// it must be assumed that the task ran. (When a whole fleet was lost at once, each
+			// node concluded that it was itself cut off from the workers, and the new owners of
+			// the partitions counted no task as lost.)
 			t.reportedState = reportedRunning
 		}
 		n.runLost(k.job, t, now)
 		n.recordOutcome(k.job, k.task, outcomeGone)
 	}
 	if m.recorded {
-		// Soon: a new holder would wait for it.
+		// Save it soon, since a new owner would wait for the machine.
 		m.batch.markDirty(time.Now().Add(time.Second - batchSaveDelay))
 	}
 }
 
-// giveBack returns machines to the cloud. Its answer proves them gone.
-func (n *Node) giveBack(ms []*machine, now time.Time) {
-	if len(ms) == 0 {
+// returnMachines returns machines to the cloud. A successful answer proves them gone.
+func (n *Node) returnMachines(machines []*machine, now time.Time) {
+	if len(machines) == 0 {
 		return
 	}
-	ms = ms[:min(len(ms), 100)]
+	machines = machines[:min(len(machines), 100)]
 	var names []string
-	for _, m := range ms {
+	for _, m := range machines {
 		m.returning = true
 		n.markStale(m)
 		m.returnRetryAt = now.Add(8 * time.Second)
@@ -408,67 +412,67 @@
 			now := time.Now()
 			n.metrics.cloudCalls.WithLabelValues("return", callOutcome(err)).Inc()
 			if err != nil {
-				n.log.Info("return not confirmed", "machines", len(names), "why", err)
-				for _, m := range ms {
+				n.log.Info("the cloud did not confirm the return of machines", "machines", len(names), "why", err)
+				for _, m := range machines {
 					m.returnRetryAt = now.Add(2 * time.Second)
 				}
 				return
 			}
-			for _, m := range ms {
+			for _, m := range machines {
 				m.returned = true
 				n.markStale(m)
 				n.cloudState.returned[m.name] = now
 				if m.recorded && n.owns(n.partitions[m.rec.Share]) || !m.recorded {
-					n.settleGone(m)
+					n.settleReturned(m)
 				}
 			}
 		})
 	})
 }
 
-// list lets the leader look for machines that nobody has recorded, and any
-// holder whether the cloud still has machines that have fallen silent. A wave of
-// spot machines taken back is noticed so in half the time that silence takes.
-func (n *Node) list(now time.Time) {
-	pause := 15 * time.Second
-	if slices.ContainsFunc(n.partitions, func(s *partition) bool {
-		return n.owns(s) && slices.ContainsFunc(s.machines, func(m *machine) bool { return !m.unlisted && n.reportsOverdue(m, now) })
+// listMachines lists the cloud's machines: the leader looks for machines without a record, and
+// any owner checks whether machines that have fallen silent still exist. This detects reclaimed
+// spot machines in half the time that the silence timeout takes.
+func (n *Node) listMachines(now time.Time) {
+	interval := 15 * time.Second
+	if slices.ContainsFunc(n.partitions, func(p *partition) bool {
+		return n.owns(p) && slices.ContainsFunc(p.machines, func(m *machine) bool { return !m.unlisted && n.reportsOverdue(m, now) })
 	}) {
-		pause = 5 * time.Second
+		interval = 5 * time.Second
 	} else if !n.isLeader() {
 		return
 	}
-	if n.cloudState.listing || now.Sub(n.cloudState.lastList) < pause {
+	if n.cloudState.listing || now.Sub(n.cloudState.lastList) < interval {
 		return
 	}
 	n.cloudState.lastList = now
 	n.cloudState.listing = true
 	n.spawn(func(ctx context.Context) {
-		ms, err := n.cloud.List(ctx)
+		list, err := n.cloud.List(ctx)
 		n.post(func() {
 			n.cloudState.listing = false
 			if err == nil {
-				n.onMachineList(ms, now, time.Now())
+				n.onMachineList(list, now, time.Now())
 			}
 		})
 	})
 }
 
-// onMachineList takes in a list asked for at a time.
-func (n *Node) onMachineList(ms []protocol.ListedMachine, asked, now time.Time) {
+// onMachineList processes the cloud's list, which was requested at the time requestedAt.
+func (n *Node) onMachineList(list []protocol.ListedMachine, requestedAt, now time.Time) {
 	for name, t := range n.cloudState.returned {
 		if now.Sub(t) > 5*time.Minute {
 			delete(n.cloudState.returned, name)
 		}
 	}
-	var back []*machine
-	listed := make(map[string]bool, len(ms))
-	for _, l := range ms {
+	var toReturn []*machine
+	listed := make(map[string]bool, len(list))
+	for _, l := range list {
 		listed[l.ID] = true
 		m := n.machines[l.ID]
 		if m == nil || !m.recorded {
 			if n.isLeader() {
-				n.noteStray(l.ID, now)
+				n.noteUnrecorded(l.ID, now)
 			}
 			continue
 		}
@@ -477,25 +481,25 @@
 		}
 		if l.State == "failed" && !m.returned && !m.returning && n.owns(n.partitions[m.rec.Share]) {
 			n.log.Info("machine failed", "machine", l.ID)
-			back = append(back, m)
+			toReturn = append(toReturn, m)
 		}
 	}
-	// A list may be older than the one before, by twice the nominal lag. What was
-	// rented long before that and is not on it is most likely gone; the answer to
-	// its return is the proof.
-	old := time.Duration((4*n.cfg.Params.Cloud.ListLagS + 5) * float64(time.Second))
-	for _, s := range n.partitions {
-		if !n.owns(s) {
+	// A list may be older than the previous one, by up to twice the nominal lag. A machine that
+	// was rented long before that and is missing from the list is most likely gone; the answer
+	// to its return is the proof.
+	minAge := time.Duration((4*n.cfg.Params.Cloud.ListLagS + 5) * float64(time.Second))
+	for _, p := range n.partitions {
+		if !n.owns(p) {
 			continue
 		}
-		for _, m := range s.machines {
-			m.unlisted = !listed[m.name] && asked.Sub(m.firstSeen) > old
+		for _, m := range p.machines {
+			m.unlisted = !listed[m.name] && requestedAt.Sub(m.firstSeen) > minAge
 		}
 	}
-	n.giveBack(back, now)
+	n.returnMachines(toReturn, now)
 }
 
-// drain empties a machine that the cloud takes back in so many seconds.
+// drain stops the tasks of a machine that the cloud reclaims after this many seconds.
 func (n *Node) drain(m *machine, seconds float64) {
 	for k := range m.tasks {
 		j := k.job
@@ -503,15 +507,16 @@
 		if t.phase != phasePlaced {
 			continue
 		}
-		left := j.spec.EstimateS - time.Since(t.phaseSince).Seconds()
-		if j.spec.Shape == protocol.Array && left < seconds-1 {
-			continue // it should be done before
+		remaining := j.spec.EstimateS - time.Since(t.phaseSince).Seconds()
+		if j.spec.Shape == protocol.Array && remaining < seconds-1 {
+			continue // it should complete before
 		}
 		n.stopTask(j, k.task)
 	}
 }
 
-// stopTask makes a task leave its machine, saving if it can. A gang goes whole.
+// stopTask makes a task leave its machine, saving a checkpoint if it can. A gang is stopped as a
+// whole.
 func (n *Node) stopTask(j *job, i int) {
 	grace := 0.0
 	if j.spec.CheckpointS > 0 {
--- a/internal/coordination/node/mistakes.go
+++ b/internal/coordination/node/mistakes.go
@@ -8,82 +8,83 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// A task ends with an error mostly because its machine is faulty, but a job may
-// have been submitted with a mistake: then it fails on every machine until its user
-// cancels it. The two are told apart by evidence: the same job failing on several
-// machines without one of its tasks doing well, and other jobs doing well there.
+// A task mostly ends with an error because its machine is faulty, but a job may itself be defective:
+// then it fails on every machine until its user cancels it. Evidence tells the two apart: a
+// defective job fails on several machines without one of its tasks succeeding, while on a healthy
+// machine the tasks of other jobs succeed.
 
 // jobFailures is what is known of a job whose tasks ended with an error.
 type jobFailures struct {
-	machines        []*machine // on which they did, until a task did well
-	clearedMachines []*machine // those that were not blamed any more when it was taken for mistaken
-	failsEverywhere bool       // taken for submitted with a mistake
-	tries           int        // since then
-	fromAttempt     uint64     // attempts before this one were started before that
-	lastMachine     string     // the machine of the last error
-	ranSince        time.Time  // since when a task has been seen running
-	ranWell         bool       // a task ran for longer than a mistake takes to show
+	machines        []*machine // machines with errors since a task last succeeded
+	clearedMachines []*machine // machines cleared of the failures when the job was found to fail everywhere
+	failsEverywhere bool       // the job is taken to be defective
+	tries           int        // tries since then
+	fromAttempt     uint64     // earlier attempts were started before that
+	lastMachine     string     // machine of the last error
+	runningSince    time.Time  // since when a task has been seen running
+	ranLongEnough   bool       // a task has run for minGoodRun
 }
 
 const (
-	// minGoodRun is how long a task must run to have done well.
+	// minGoodRun is how long a task must run to count as successful.
 	minGoodRun = 5 * time.Second
-	// maxRetryPause is the longest time between two tries of a job with a mistake.
+	// maxRetryPause is the longest pause between two tries of a job that fails everywhere.
 	maxRetryPause = 60 * time.Second
 )
 
-// machineFaults is what speaks against a machine, since a task that started after it began has
-// done well there.
+// machineFaults is the evidence that a machine is faulty. It is cleared when a task that started
+// there after the first failure succeeds.
 type machineFaults struct {
-	jobs     []string  // on which a task failed there
-	failures int       // of tasks of jobs that do well elsewhere
-	since    time.Time // zero: nothing does
+	failedJobs     []string  // jobs with a failed task there
+	provenFailures int       // failed tasks of jobs that succeed elsewhere
+	firstFailure   time.Time // first failure; zero: no evidence
 }
 
-// enoughFailures is how many jobs, or tasks of jobs that do well elsewhere, make a machine
-// count as faulty. Tasks that run there already and go on say nothing: it may fail what it
-// starts. (On simulated days such machines failed up to 167 tasks and were kept for minutes,
-// since each report of the others cleared them.)
-const enoughFailures = 3
+// faultyThreshold is how many jobs with failed tasks, or failed tasks of jobs that succeed
+// elsewhere, make a machine count as faulty. Tasks that run there already and go on are no evidence
+// to the contrary: the machine may fail only what it starts. (When their reports counted, such
+// machines failed up to 167 tasks in simulations and were kept for minutes.)
+const faultyThreshold = 3
 
-// addFailure notes a failure. proven says that the job does well elsewhere.
-func (x *machineFaults) addFailure(job string, proven bool, now time.Time) {
-	if x.since.IsZero() {
-		x.since = now
+// addFailure records a failure. proven means that the job succeeds elsewhere.
+func (x *machineFaults) addFailure(jobID string, proven bool, now time.Time) {
+	if x.firstFailure.IsZero() {
+		x.firstFailure = now
 	}
 	if proven {
-		x.failures++
+		x.provenFailures++
 	}
-	if !slices.Contains(x.jobs, job) {
-		x.jobs = append(x.jobs, job)
+	if !slices.Contains(x.failedJobs, jobID) {
+		x.failedJobs = append(x.failedJobs, jobID)
 	}
 }
 
-// removeFailuresOf takes a job's failures back: they were its own.
-func (x *machineFaults) removeFailuresOf(job string) {
-	x.jobs = slices.DeleteFunc(x.jobs, func(id string) bool { return id == job })
-	if len(x.jobs) == 0 && x.failures == 0 {
+// removeFailuresOf removes a job's failures from the evidence: they were caused by the job.
+func (x *machineFaults) removeFailuresOf(jobID string) {
+	x.failedJobs = slices.DeleteFunc(x.failedJobs, func(id string) bool { return id == jobID })
+	if len(x.failedJobs) == 0 && x.provenFailures == 0 {
 		*x = machineFaults{}
 	}
 }
 
+// faulty reports whether there is enough evidence to return the machine.
 func (x *machineFaults) faulty() bool {
-	return len(x.jobs) >= enoughFailures || x.failures >= enoughFailures
+	return len(x.failedJobs) >= faultyThreshold || x.provenFailures >= faultyThreshold
 }
 
-// mostUnproven is on how many machines a job may fail since it last did well, and still
-// speak against each of them by itself.
-const mostUnproven = 4
+// maxFailedMachines limits on how many machines a job may have failed, since it last succeeded, for
+// its failure to count as proven against a machine.
+const maxFailedMachines = 4
 
-// noteTaskFailure notes that a task of a job ended with an error on a machine. As long as
-// it may be the machine's fault, the task starts elsewhere at once and the machine
-// is avoided; three jobs that fail there in a row, or three tasks of jobs that do well
-// elsewhere, and it is given back.
+// noteTaskFailure records that a task of a job ended with an error on a machine. As long as the
+// machine may be the cause, the task starts elsewhere at once and the machine is avoided. The
+// machine is returned after three jobs in a row, or three tasks of jobs that succeed elsewhere,
+// have failed on it.
 func (n *Node) noteTaskFailure(j *job, attempt uint64, m *machine, now time.Time) {
 	f := &j.failures
 	f.lastMachine = m.name
 	n.markStale(m)
-	f.ranSince = time.Time{}
+	f.runningSince = time.Time{}
 	if j.step != nil {
 		n.onStepTaskFailed(j, m, now)
 		return
@@ -98,52 +99,54 @@
 	if !slices.Contains(f.machines, m) {
 		f.machines = append(f.machines, m)
 	}
-	// A service whose other tasks run is well; an array or a gang of which nothing
-	// was ever completed may still fail in the middle of each run. Machines on which jobs
-	// fail that do well elsewhere say nothing about this one.
-	others := 0
+	// A service counts as successful if its other tasks run. An array or a gang that never
+	// completed a task may still fail in the middle of each run. Machines on which jobs fail that
+	// succeed elsewhere are no evidence against this job.
+	unsuspected := 0
 	for _, o := range f.machines {
-		if o.faults.failures == 0 {
-			others++
+		if o.faults.provenFailures == 0 {
+			unsuspected++
 		}
 	}
-	if enough := 3; others >= enough && j.nDone == 0 && j.spec.Shape != protocol.Service || others >= enough-1 && j.nDone == 0 && !f.ranWell {
+	if limit := 3; unsuspected >= limit && j.nDone == 0 && j.spec.Shape != protocol.Service || unsuspected >= limit-1 && j.nDone == 0 && !f.ranLongEnough {
 		n.log.Info("job fails on every machine", "job", j.id, "class", j.spec.Class, "team", j.spec.Team, "machines", len(f.machines))
 		f.failsEverywhere, f.tries, f.fromAttempt = true, 1, j.nextAttempt
 		j.backOffRetries(now)
-		// It is not the machines' fault.
+		// The machines are not the cause.
 		for _, o := range f.machines {
 			o.faults.removeFailuresOf(j.id)
 			n.markStale(o)
-			if o.faults.since.IsZero() {
+			if o.faults.firstFailure.IsZero() {
 				o.avoidUntil = time.Time{}
 			}
 		}
 		f.machines, f.clearedMachines = nil, f.machines
 		return
 	}
-	proven := (j.nDone > 0 || f.ranWell) && len(f.machines) < mostUnproven
+	proven := (j.nDone > 0 || f.ranLongEnough) && len(f.machines) < maxFailedMachines
 	m.faults.addFailure(j.id, proven, now)
-	m.avoidUntil = now.Add(time.Duration(len(m.faults.jobs)) * 5 * time.Second)
+	m.avoidUntil = now.Add(time.Duration(len(m.faults.failedJobs)) * 5 * time.Second)
 }
 
-// backOffRetries says when a job with a mistake is tried again: more and more seldom.
+// backOffRetries sets the time of the next try of a job that fails everywhere, with exponential
+// backoff.
 func (j *job) backOffRetries(now time.Time) {
 	j.notBefore = now.Add(min(maxRetryPause, time.Second<<min(j.failures.tries, 6)))
 }
 
-// noteTaskSuccess notes that a task of a job runs, or is done: then it has no mistake, and
-// its machine is not faulty, if the task started after it was suspected.
+// noteTaskSuccess records that a task of a job runs or has completed. If it has run for minGoodRun
+// or has completed, the job is not defective. If the task started after the machine's first
+// failure, the machine is not faulty.
 func (n *Node) noteTaskSuccess(j *job, t *task, m *machine, isDone bool, now time.Time) {
-	if x := &m.faults; !x.since.IsZero() && t.phaseSince.After(x.since) {
+	if x := &m.faults; !x.firstFailure.IsZero() && t.phaseSince.After(x.firstFailure) {
 		*x = machineFaults{}
 		n.markStale(m)
 	}
 	f := &j.failures
-	if f.ranSince.IsZero() {
-		f.ranSince = now
+	if f.runningSince.IsZero() {
+		f.runningSince = now
 	}
-	if !isDone && now.Sub(f.ranSince) < minGoodRun {
+	if !isDone && now.Sub(f.runningSince) < minGoodRun {
 		return
 	}
 	if f.failsEverywhere {
@@ -157,10 +160,10 @@
 			}
 		}
 	}
-	*f = jobFailures{ranSince: f.ranSince, ranWell: true}
+	*f = jobFailures{runningSince: f.runningSince, ranLongEnough: true}
 }
 
-// describeFailures tells operators how a job with a mistake is doing.
+// describeFailures describes the tries of a job that fails everywhere to operators.
 func (j *job) describeFailures(now time.Time) string {
 	next := max(0, int(j.notBefore.Sub(now).Seconds()))
 	return fmt.Sprintf("its tasks fail on every machine: %d tries, the last on %s, the next in %d s", j.failures.tries, j.failures.lastMachine, next)
--- a/internal/coordination/node/moves.go
+++ b/internal/coordination/node/moves.go
@@ -11,67 +11,68 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-// Machines that move between shares: the leader plans, the holder of the share that a machine
-// leaves hands it over.
+// Moving machines between partitions: the leader plans the moves, and the owner of the partition
+// that a machine leaves hands the machine over.
 
-// mostMoves is how many machines one plan names.
-const mostMoves = 60
+// maxMoves is the number of machines that one plan may name.
+const maxMoves = 60
 
-// planMoves tells holders of shares without waiting tasks to hand free
-// machines to shares with them: those that what waits could use, beyond what
-// is free where it waits. Work of guest teams is no reason to keep a machine from
-// work with a guarantee, and gets only machines that nobody needs.
+// planMoves tells the owners of partitions without waiting tasks to hand free machines to
+// partitions with waiting tasks: those machines that the waiting tasks could use, beyond the
+// capacity that is free in their own partition. Jobs of teams without a guarantee never keep a
+// machine from work with a guarantee, and get only machines that nobody else needs.
 func (n *Node) planMoves(now time.Time) {
-	mv := n.computeMoves(now)
-	if len(mv.Moves) == 0 {
+	plan := n.computeMoves(now)
+	if len(plan.Moves) == 0 {
 		return
 	}
-	n.log.Info("moves planned", "machines", len(mv.Moves))
-	// On the condition of the plan before: an earlier plan that is executed late would hand
-	// over machines by what was wanted then.
+	n.log.Info("moves planned", "machines", len(plan.Moves))
+	// The write is conditional on the previous plan: an earlier plan that is executed late would
+	// move machines by outdated demand.
 	n.submit(&storage.Op{For: uint8(forMoves), Conds: []storage.Cond{n.unchanged(protocol.HolderKey(0)), n.unchanged(protocol.MovesKey)},
-		Writes: []storage.Write{{Put: protocol.MovesKey, Value: mustJSON(mv)}}}, func(storage.Result) {})
+		Writes: []storage.Write{{Put: protocol.MovesKey, Value: mustJSON(plan)}}}, func(storage.Result) {})
 }
 
-// computeMoves is the leader's plan for now.
-func (n *Node) computeMoves(now time.Time) (mv protocol.Moves) {
-	claims := make([][]*decide.Job, len(n.partitions)) // jobs that wait in each share
-	guests := make([][]*decide.Job, len(n.partitions))
-	any := false
+// computeMoves returns the leader's plan as of now.
+func (n *Node) computeMoves(now time.Time) (plan protocol.Moves) {
+	guaranteed := make([][]*decide.Job, len(n.partitions)) // jobs with a guarantee that wait in each partition
+	unguaranteed := make([][]*decide.Job, len(n.partitions))
+	anyWaits := false
 	for i := range n.partitions {
 		for _, j := range n.partitions[i].jobs {
 			switch {
 			case n.preemptionDemand(j, now) == 0:
 				continue
 			case n.unguaranteed(j):
-				guests[i] = append(guests[i], n.jobFactsWithZones(j, now))
+				unguaranteed[i] = append(unguaranteed[i], n.jobFactsWithZones(j, now))
 			default:
-				claims[i] = append(claims[i], n.jobFactsWithZones(j, now))
+				guaranteed[i] = append(guaranteed[i], n.jobFactsWithZones(j, now))
 			}
-			any = true
+			anyWaits = true
 		}
 	}
-	if !any {
-		return mv
+	if !anyWaits {
+		return plan
 	}
-	for _, m := range n.view(n.partitions[0], now).PlanMoves(claims, guests, mostMoves) {
-		mv.Moves = append(mv.Moves, protocol.Move{Machine: m.Machine.Name, Share: m.Partition, Spare: m.OnlyIfUnneeded, Rank: m.Rank, Drain: m.Drain})
+	for _, m := range n.view(n.partitions[0], now).PlanMoves(guaranteed, unguaranteed, maxMoves) {
+		plan.Moves = append(plan.Moves, protocol.Move{Machine: m.Machine.Name, Share: m.Partition, Spare: m.OnlyIfUnneeded, Rank: m.Rank, Drain: m.Drain})
 	}
-	return mv
+	return plan
 }
 
-// guaranteedWorkWaits says whether work with a guarantee waits for machines in a share.
-func (n *Node) guaranteedWorkWaits(share int, now time.Time) bool {
-	return slices.ContainsFunc(n.partitions[share].jobs, func(j *job) bool { return !n.unguaranteed(j) && n.preemptionDemand(j, now) > 0 })
+// guaranteedWorkWaits reports whether work with a guarantee waits for machines in a partition.
+func (n *Node) guaranteedWorkWaits(index int, now time.Time) bool {
+	return slices.ContainsFunc(n.partitions[index].jobs, func(j *job) bool { return !n.unguaranteed(j) && n.preemptionDemand(j, now) > 0 })
 }
 
-// anyGuaranteedWorkWaits says whether work with a guarantee waits in any share.
+// anyGuaranteedWorkWaits reports whether work with a guarantee waits in any partition.
 func (n *Node) anyGuaranteedWorkWaits(now time.Time) bool {
-	return slices.ContainsFunc(n.partitions, func(s *partition) bool { return n.guaranteedWorkWaits(s.index, now) })
+	return slices.ContainsFunc(n.partitions, func(p *partition) bool { return n.guaranteedWorkWaits(p.index, now) })
 }
 
-// keeps says whether a job of a machine's own share that is as urgent waits for it.
-func (n *Node) keeps(m *machine, rank int, now time.Time) bool {
+// neededByOwnPartition reports whether an equally or more urgent job of the machine's own partition
+// waits for it.
+func (n *Node) neededByOwnPartition(m *machine, rank int, now time.Time) bool {
 	t := n.machineTypes[m.rec.Type]
 	if t == nil {
 		return true
@@ -82,9 +83,9 @@
 	})
 }
 
-// outranked says whether all that is on a machine is less urgent than a rank, and may be
+// allOutranked reports whether all tasks on a machine are less urgent than a rank and may be
 // stopped.
-func (n *Node) outranked(m *machine, rank int) bool {
+func (n *Node) allOutranked(m *machine, rank int) bool {
 	for k := range m.tasks {
 		t := &k.job.tasks[k.task]
 		if k.job.rank <= rank || k.job.spec.Shape == protocol.Gang && len(k.job.tasks) > 1 || t.phase != phasePlaced {
@@ -94,67 +95,68 @@
 	return true
 }
 
-// shifts says whether what is as urgent on a machine needs none of its GPUs and could run
-// elsewhere in its share, and the rest may be stopped.
-func (n *Node) shifts(m *machine, rank int, now time.Time) bool {
+// canShiftTasks reports whether all tasks on a machine that are at least as urgent as a rank
+// need none of its GPUs and could run elsewhere in the partition, and the others may be stopped.
+func (n *Node) canShiftTasks(m *machine, rank int, now time.Time) bool {
 	return n.view(n.partitions[m.rec.Share], now).CanRelocate(n.currentFacts(m), rank)
 }
 
-// reserveTime is how long nothing is placed on a machine that guests' work is being
-// moved off, so that it can be handed over.
-const reserveTime = 12 * time.Second
+// moveReservation is how long nothing is placed on a machine whose tasks are being stopped for a
+// move.
+const moveReservation = 12 * time.Second
 
-// onMoves hands over the machines of ours that are still free: placing there
-// stops first, then one conditional write moves them under a new token. Guests' work
-// is stopped first; the machine goes when it has left, by a later plan.
-func (n *Node) onMoves(mv protocol.Moves) {
+// onMoves hands over the planned machines of this node's partitions that are still free: first
+// nothing more is placed on them, then one conditional write moves them under a new token. If tasks
+// of teams without a guarantee run on a machine, they are stopped first, and a later plan moves the
+// machine once they are gone.
+func (n *Node) onMoves(plan protocol.Moves) {
 	type path struct{ from, to int }
-	going := map[path][]*machine{}
+	byPath := map[path][]*machine{}
 	now := time.Now()
-	for _, x := range mv.Moves {
-		m := n.machines[x.Machine]
+	for _, move := range plan.Moves {
+		m := n.machines[move.Machine]
 		if m == nil || !m.recorded || m.moving || m.returning || m.returned ||
-			x.Share < 0 || x.Share >= len(n.partitions) || x.Share == m.rec.Share || !n.owns(n.partitions[m.rec.Share]) ||
-			n.keeps(m, x.Rank, now) || x.Spare && (m.needed || n.hasWaitingTasks(m.rec.Share, now)) ||
+			move.Share < 0 || move.Share >= len(n.partitions) || move.Share == m.rec.Share || !n.owns(n.partitions[m.rec.Share]) ||
+			n.neededByOwnPartition(m, move.Rank, now) || move.Spare && (m.needed || n.hasWaitingTasks(m.rec.Share, now)) ||
 			!m.fenced && n.partitions[m.rec.Share].reconciliation.Unheard(m.name) {
 			continue
 		}
 		if len(m.tasks) > 0 {
-			if !x.Spare {
-				n.emptyForMove(m, x, now)
+			if !move.Spare {
+				n.emptyForMove(m, move, now)
 			}
 			continue
 		}
 		if m.batch.storing {
 			continue
 		}
-		p := path{m.rec.Share, x.Share}
-		going[p] = append(going[p], m)
+		p := path{m.rec.Share, move.Share}
+		byPath[p] = append(byPath[p], m)
 	}
-	for p, ms := range going {
-		if k := n.takeBudget(start.Move, len(ms)); k > 0 {
-			n.moveMachines(ms[:k], p.from, p.to)
+	for p, machines := range byPath {
+		if count := n.takeBudget(start.Move, len(machines)); count > 0 {
+			n.moveMachines(machines[:count], p.from, p.to)
 		}
 	}
 }
 
-// emptyForMove stops placing on a machine that is to go to another share, so that it can be
-// handed over by a later plan. Guests' work, less urgent work and work that can run elsewhere is
-// stopped, unless it is to end by itself.
-func (n *Node) emptyForMove(m *machine, x protocol.Move, now time.Time) {
-	if x.Drain {
+// emptyForMove stops placing tasks on a machine that should go to another partition, so that a
+// later plan can move it. Tasks of teams without a guarantee, less urgent tasks and tasks that can
+// run elsewhere are stopped, unless the plan says to wait for their end.
+func (n *Node) emptyForMove(m *machine, move protocol.Move, now time.Time) {
+	if move.Drain {
 		if n.view(n.partitions[m.rec.Share], now).DrainsSoon(n.currentFacts(m)) {
-			m.avoidUntil = latest(m.avoidUntil, now.Add(drainPause))
+			m.avoidUntil = latest(m.avoidUntil, now.Add(drainInterval))
 			n.markStale(m)
 		}
 		return
 	}
-	guests := n.onlyUnguaranteed(m) && !n.guaranteedWorkWaits(m.rec.Share, now)
-	if !guests && !n.outranked(m, x.Rank) && !n.shifts(m, x.Rank, now) || n.hasStoppingTask(m) {
+	unguaranteedOnly := n.onlyUnguaranteed(m) && !n.guaranteedWorkWaits(m.rec.Share, now)
+	if !unguaranteedOnly && !n.allOutranked(m, move.Rank) && !n.canShiftTasks(m, move.Rank, now) || n.hasStoppingTask(m) {
 		return
 	}
-	n.log.Info("work stopped for another share", "machine", m.name, "tasks", len(m.tasks), "share", x.Share, "guests", guests)
-	m.avoidUntil = now.Add(reserveTime)
+	n.log.Info("work stopped for another share", "machine", m.name, "tasks", len(m.tasks), "share", move.Share, "guests", unguaranteedOnly)
+	m.avoidUntil = now.Add(moveReservation)
 	n.markStale(m)
 	for k := range m.tasks {
 		n.stopTask(k.job, k.task)
@@ -162,24 +164,24 @@
 	n.sendStops(m)
 }
 
-// drainPause is for how long a plan keeps new tasks off a machine whose own end by themselves:
-// until the next plans, which name it again if it is still wanted.
-const drainPause = 4 * time.Second
+// drainInterval is how long a plan keeps new tasks off a machine whose tasks end by themselves:
+// until the next plans, which name the machine again if it is still wanted.
+const drainInterval = 4 * time.Second
 
-// handOver is machines of a share that go to another one, or get a higher token in their own.
-type handOver struct {
+// handover is a move of machines to another partition, or to a higher token in their own.
+type handover struct {
 	from, to int
 	machines []*machine
-	batches  []*batch // that hold their records
+	batches  []*batch // that contain their records
 }
 
-// moveMachines hands machines over to a share. They get a token above all earlier ones, which is
-// raised in a change of its own: all controllers raise the same counter, and the change that
-// moves many machines waits for so many writes that with the counter in it, it lost against
-// the others' small ones again and again. (On a simulated day 30 empty machines were to be
-// moved every 3 s for a minute and a half, in vain, while 4,000 tasks waited for them.)
-func (n *Node) moveMachines(ms []*machine, from, to int) {
-	h := n.handOver(ms, from, to)
+// moveMachines hands machines over to a partition. They get a token above all earlier ones, which
+// is allocated in a write of its own: all controllers increment the same counter, and a move of
+// many machines waits so long for its many writes that, with the counter among its conditions, it
+// lost against the small writes of others again and again. (In a simulation 30 empty machines were
+// to be moved every 3 s for a minute and a half, in vain, while 4,000 tasks waited for them.)
+func (n *Node) moveMachines(machines []*machine, from, to int) {
+	h := n.prepareHandover(machines, from, to)
 	if len(h.machines) == 0 {
 		return
 	}
@@ -190,24 +192,24 @@
 		Writes: []storage.Write{{Put: protocol.CounterKey, Value: mustJSON(protocol.CounterRecord{Token: token})}},
 	}, func(r storage.Result) {
 		if r.OK {
-			n.storeHandOver(h, token)
+			n.storeHandover(h, token)
 			return
 		}
 		n.log.Info("machines not moved: no token", "machines", len(h.machines), "from", from, "to", to, "conflicts", r.Failed, "why", r.Err)
-		n.endHandOver(h)
+		n.endHandover(h)
 	})
 }
 
-// handOver picks those of some machines that one change can move, and stops placing on them.
-func (n *Node) handOver(ms []*machine, from, to int) *handOver {
-	h := &handOver{from: from, to: to}
-	room := n.batchCapacity(ms[0].rec)
-	for _, m := range ms {
-		if len(h.machines) == room {
+// prepareHandover selects the machines that one write can move and stops placing tasks on them.
+func (n *Node) prepareHandover(machines []*machine, from, to int) *handover {
+	h := &handover{from: from, to: to}
+	capacity := n.batchCapacity(machines[0].rec)
+	for _, m := range machines {
+		if len(h.machines) == capacity {
 			break
 		}
 		if !slices.Contains(h.batches, m.batch) {
-			// The new batch and each batch that shrinks are a write each.
+			// The new batch and each batch that shrinks take one write each.
 			if m.batch.storing || len(h.batches)+2 > n.cfg.Params.State.TxnOps {
 				continue
 			}
@@ -221,56 +223,57 @@
 	return h
 }
 
-// storeHandOver moves machines into a record of their own, with a token that was raised for
-// them. The records that they leave are conditions, so that of the same change sent twice one
-// at most is executed; the token is above those of the machines and of the share's holder as
-// they are now, and the conditions see to it that they still are as it is executed.
-func (n *Node) storeHandOver(h *handOver, token uint64) {
-	moved := protocol.BatchRecord{Share: h.to, Token: token}
-	goes := map[string]bool{}
-	var shrinks []*batch
+// storeHandover moves machines into a new batch under a token that was allocated for them. The
+// write is conditional on the batches that they leave, so that of the same write sent twice one at
+// most is executed. The token is above those of the machines and of the partition's owner as they
+// are now, and the conditions ensure that these are unchanged when the write is executed.
+func (n *Node) storeHandover(h *handover, token uint64) {
+	newBatch := protocol.BatchRecord{Share: h.to, Token: token}
+	moving := map[string]bool{}
+	var sources []*batch
 	for _, m := range h.machines {
-		if !n.mayHandOver(h, m, token) {
+		if !n.canHandOver(h, m, token) {
 			continue
 		}
 		rec := m.rec
 		rec.Addr = m.addr
-		moved.Machines = append(moved.Machines, rec)
-		goes[m.name] = true
-		if !slices.Contains(shrinks, m.batch) {
-			shrinks = append(shrinks, m.batch)
+		newBatch.Machines = append(newBatch.Machines, rec)
+		moving[m.name] = true
+		if !slices.Contains(sources, m.batch) {
+			sources = append(sources, m.batch)
 		}
 	}
-	if len(goes) == 0 {
-		n.endHandOver(h)
+	if len(moving) == 0 {
+		n.endHandover(h)
 		return
 	}
-	// The new batch first: a machine is never seen without one.
+	// The new batch comes first, so that a machine is never seen without a batch.
 	key := protocol.BatchKey(fmt.Sprintf("m-%d-%d", h.to, token))
 	op := &storage.Op{
 		For:    uint8(forMoves),
 		Conds:  []storage.Cond{n.unchanged(protocol.HolderKey(h.from)), {Key: key}},
-		Writes: []storage.Write{{Put: key, Value: mustJSON(moved)}},
+		Writes: []storage.Write{{Put: key, Value: mustJSON(newBatch)}},
 	}
-	for _, b := range shrinks {
+	for _, b := range sources {
 		op.Conds = append(op.Conds, n.unchanged(b.key))
-		op.Writes = append(op.Writes, b.writeKeeping(func(r *protocol.MachineRecord) bool { return !goes[r.Name] }))
+		op.Writes = append(op.Writes, b.writeKeeping(func(r *protocol.MachineRecord) bool { return !moving[r.Name] }))
 	}
 	n.submit(op, func(r storage.Result) {
-		n.endHandOver(h)
-		n.log.Info("machines moved", "machines", len(goes), "from", h.from, "to", h.to, "ok", r.OK, "conflicts", r.Failed)
+		n.endHandover(h)
+		n.log.Info("machines moved", "machines", len(moving), "from", h.from, "to", h.to, "ok", r.OK, "conflicts", r.Failed)
 	})
 }
 
-// mayHandOver says whether a machine still is as it was picked, and its share still is held
-// under a lower token than the one that it is to get.
-func (n *Node) mayHandOver(h *handOver, m *machine, token uint64) bool {
+// canHandOver reports whether a machine is still as it was selected, and its partition is still
+// owned under a lower token than the one that the machine is to get.
+func (n *Node) canHandOver(h *handover, m *machine, token uint64) bool {
 	return n.machines[m.name] == m && m.recorded && m.moving && !m.returned && !m.returning &&
 		m.rec.Share == h.from && slices.Contains(h.batches, m.batch) && n.owns(n.partitions[h.from]) && n.fencingToken(m) < token
 }
 
-// endHandOver lets what was picked be used again; what has moved is in another share by now.
-func (n *Node) endHandOver(h *handOver) {
+// endHandover releases the selected machines and batches; moved machines are in another partition
+// by now.
+func (n *Node) endHandover(h *handover) {
 	for _, b := range h.batches {
 		b.storing = false
 	}
@@ -282,7 +285,7 @@
 	}
 }
 
-// hasWaitingTasks says whether a share has tasks that wait for a machine.
-func (n *Node) hasWaitingTasks(share int, now time.Time) bool {
-	return slices.ContainsFunc(n.partitions[share].jobs, func(j *job) bool { return n.preemptionDemand(j, now) > 0 })
+// hasWaitingTasks reports whether tasks of a partition wait for a machine.
+func (n *Node) hasWaitingTasks(index int, now time.Time) bool {
+	return slices.ContainsFunc(n.partitions[index].jobs, func(j *job) bool { return n.preemptionDemand(j, now) > 0 })
 }
--- a/internal/coordination/node/moves_test.go
+++ b/internal/coordination/node/moves_test.go
@@ -10,13 +10,13 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-// meanwhile is a state service at which something happens before or after some transactions.
-type meanwhile struct {
+// hookedState is a state service that calls functions before or after transactions.
+type hookedState struct {
 	*standin.State
 	before, after func(writes []storage.Write)
 }
 
-func (m *meanwhile) Txn(ctx context.Context, conds []storage.Cond, writes []storage.Write) (bool, uint64, []string, error) {
+func (m *hookedState) Txn(ctx context.Context, conds []storage.Cond, writes []storage.Write) (bool, uint64, []string, error) {
 	if m.before != nil {
 		m.before(writes)
 	}
@@ -27,41 +27,42 @@
 	return ok, epoch, failed, err
 }
 
-// handingOver is a node that hands two machines, of a record each, from share 0 to share 1.
-func handingOver(t *testing.T, service *meanwhile) (*testNode, []*machine) {
+// startHandover returns a node that hands over two machines, each in its own batch, from partition
+// 0 to partition 1.
+func startHandover(t *testing.T, service *hookedState) (*testNode, []*machine) {
 	b := newTestNode(t)
 	for range b.revision + 1 {
 		b.state.Put("revision", 0)
 	}
 	b.storePut(protocol.CounterKey, protocol.CounterRecord{Token: 7})
 	b.storePut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 7, Lease: 3})
-	var ms []*machine
+	var machines []*machine
 	for _, name := range []string{"host-2", "host-3"} {
 		b.storePut(protocol.BatchKey(name), protocol.BatchRecord{Token: 7, Machines: []protocol.MachineRecord{{Name: name, Type: "g4", Zone: "a", Addr: "x:1"}}})
-		ms = append(ms, b.machines[name])
+		machines = append(machines, b.machines[name])
 	}
 	service.State = b.state
 	b.urgentCommitter = storage.NewCommitter(service, b.cfg.Params.State.TxnOps, b.rateLimiter, storage.UrgentLevel)
 	go b.urgentCommitter.Run(t.Context())
-	b.moveMachines(ms, 0, 1)
-	return b, ms
+	b.moveMachines(machines, 0, 1)
+	return b, machines
 }
 
-// ended runs what the actor is told until none of some machines is being moved.
-func (b *testNode) ended(ms []*machine) {
+// awaitHandover runs the actor's queue until none of the machines is being moved.
+func (b *testNode) awaitHandover(machines []*machine) {
 	b.t.Helper()
-	for ms[0].moving || ms[1].moving {
+	for machines[0].moving || machines[1].moving {
 		select {
 		case f := <-b.mailbox:
 			f()
 		case <-time.After(5 * time.Second):
-			b.t.Fatal("the hand-over does not end")
+			b.t.Fatal("the handover does not end")
 		}
 	}
 }
 
-// isMove says whether a transaction stores records of machines.
-func isMove(writes []storage.Write) bool {
+// storesMove reports whether a transaction stores the moved machines.
+func storesMove(writes []storage.Write) bool {
 	for _, w := range writes {
 		if w.Put == protocol.BatchKey("m-1-8") {
 			return true
@@ -70,62 +71,62 @@
 	return false
 }
 
-// Other controllers raise the token counter all the time. A change that moves many machines
-// waits long for so many writes, and is stored all the same.
-func TestMovesAreNotHeldUpByOthers(t *testing.T) {
-	service := &meanwhile{}
+// Other controllers increment the token counter all the time. A move of many machines, whose write
+// waits long, must still succeed.
+func TestMoveSucceedsDespiteCounterContention(t *testing.T) {
+	service := &hookedState{}
 	service.before = func(writes []storage.Write) {
 		if len(writes) > 1 {
 			service.Put(protocol.CounterKey, protocol.CounterRecord{Token: 9})
 		}
 	}
-	b, ms := handingOver(t, service)
-	b.ended(ms)
+	b, machines := startHandover(t, service)
+	b.awaitHandover(machines)
 	read := newNodeFromStore(t, b.cfg, b.state)
-	for _, m := range ms {
-		if is := read.machines[m.name]; is == nil || is.rec.Share != 1 || is.rec.Token != 8 || m.rec.Share != 1 {
-			t.Errorf("%s is read as %+v", m.name, is.rec)
+	for _, m := range machines {
+		if got := read.machines[m.name]; got == nil || got.rec.Share != 1 || got.rec.Token != 8 || m.rec.Share != 1 {
+			t.Errorf("%s: read record %+v", m.name, got.rec)
 		}
 	}
-	if b.batches[protocol.BatchKey("host-2")] != nil || ms[0].batch.storing {
-		t.Error("the records that they left are still there, or busy")
+	if b.batches[protocol.BatchKey("host-2")] != nil || machines[0].batch.storing {
+		t.Error("the old batches still exist, or are marked as being stored")
 	}
 }
 
-// The share is taken again, under a higher token, after the token for its machines was raised:
-// they stay, whether the node that hands them over has been told of it or not, and are of use
-// again.
-func TestMoveWithATokenThatIsTooLow(t *testing.T) {
-	again := protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3}
-	for _, told := range []bool{true, false} {
-		service := &meanwhile{}
+// The partition gets a new owner token after the lower token for its machines was allocated. The
+// machines must stay, whether or not the node that hands them over has learned of the new token, and
+// must be usable again.
+func TestMoveWithStaleToken(t *testing.T) {
+	newOwner := protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3}
+	for _, knows := range []bool{true, false} {
+		service := &hookedState{}
 		tried := false
 		service.before = func(writes []storage.Write) {
-			if tried = tried || isMove(writes); isMove(writes) && !told {
-				service.Put(protocol.HolderKey(0), again)
+			if tried = tried || storesMove(writes); storesMove(writes) && !knows {
+				service.Put(protocol.HolderKey(0), newOwner)
 			}
 		}
-		b, ms := handingOver(t, service)
-		if told {
+		b, machines := startHandover(t, service)
+		if knows {
 			raised := <-b.mailbox // not run yet
-			b.storePut(protocol.HolderKey(0), again)
+			b.storePut(protocol.HolderKey(0), newOwner)
 			raised()
 		}
-		b.ended(ms)
-		if tried == told {
-			t.Errorf("told %v: tried to move them %v", told, tried)
+		b.awaitHandover(machines)
+		if tried == knows {
+			t.Errorf("knows the new owner %v: tried to move the machines %v", knows, tried)
 		}
 		read := newNodeFromStore(t, b.cfg, b.state)
-		for _, m := range ms {
-			if is := read.machines[m.name]; is.rec.Share != 0 || m.rec.Share != 0 || m.batch.storing {
-				t.Errorf("told %v: %s moved: %+v", told, m.name, is.rec)
+		for _, m := range machines {
+			if got := read.machines[m.name]; got.rec.Share != 0 || m.rec.Share != 0 || m.batch.storing {
+				t.Errorf("knows the new owner %v: %s moved: %+v", knows, m.name, got.rec)
 			}
 		}
 	}
 }
 
-// A machine that is to be drained gets nothing new, and nothing is stopped there; one with a
-// service, which does not end, stays in use.
+// Nothing new is placed on a machine that is being drained, and nothing is stopped there. A machine
+// with a service, whose tasks don't end, stays in use.
 func TestDrainedMachineKeepsItsTasks(t *testing.T) {
 	for _, shape := range []string{protocol.Array, protocol.Service} {
 		b := newTestNode(t)
@@ -135,7 +136,7 @@
 		m, j := b.machines["host-1"], b.jobs[spec.ID]
 		m.fenced, m.lastFencedReport, j.tasks[0].phaseSince = true, now, now
 		if !b.usable(m, now) {
-			t.Fatal("the machine is not in use")
+			t.Fatal("the machine is not usable")
 		}
 		b.onMoves(protocol.Moves{Moves: []protocol.Move{{Machine: "host-1", Share: 1, Rank: protocol.Low, Drain: true}}})
 		if j.tasks[0].stopRequested || m.moving {
--- a/internal/coordination/node/scaled_test.go
+++ b/internal/coordination/node/scaled_test.go
@@ -15,12 +15,12 @@
 	"dapplestage.example/dapplestage/internal/standin"
 )
 
-// scaledMachines is the fleet of the simulated starts: several hundred in CI, and
-// 4,000 by hand (go test -run Starts -machines 4000 -timeout 60m).
+// scaledMachines is the fleet size of the simulated restarts: several hundred machines in CI, and
+// 4,000 in manual runs (go test -run Starts -machines 4000 -timeout 60m).
 var scaledMachines = flag.Int("machines", 300, "machines of the simulated starts")
 
-// What things cost a controller, measured on the bench's simulated machines: a report
-// with its answer and turn, a call to a worker, one to the state service, a value read.
+// Processor time of a controller: for a report with its answer and turn of the actor, a call to a
+// worker, a call to the state service, and reading one value.
 const (
 	reportCost = 250 * time.Microsecond
 	turnCost   = 50 * time.Microsecond
@@ -29,57 +29,61 @@
 	valueCost  = 40 * time.Microsecond
 )
 
-// aside is what users, the state service and the others take of each controller's core.
-const aside = 0.015
+// reservedCores is the part of a controller's core for users, the state service and other controllers.
+const reservedCores = 0.015
 
-// scaledFleet is a simulated fleet at which costs matter. Its methods do nothing on nil.
+// scaledFleet is a simulated fleet that is large enough for costs to matter. Its methods accept a
+// nil receiver.
 type scaledFleet struct {
 	machines int
-	cores    float64 // of each controller; 0: what machines need twice over
+	cores    float64 // of each controller; 0: twice what the machines need
 	sockets  int
 
-	mu       sync.Mutex // guards what follows
-	cpu      map[string]*standin.Processor
-	conns    map[string]*standin.Gauge
-	state    *standin.Gauge
-	orders   map[string]map[int64]int // direct calls of a controller in a second of simulated time
-	stops    int
-	returned map[int64]int // machines returned in a second
-	sabotage func(n *Node) // a deliberate fault, done on the actor over and over
-	quiet    bool          // no more arrays come
-	problems []string      // what the day showed to be wrong, by its end
+	mu            sync.Mutex // guards the following fields
+	cpu           map[string]*standin.Processor
+	conns         map[string]*standin.Gauge
+	state         *standin.Gauge
+	directCalls   map[string]map[int64]int // direct calls by controller and second of simulated time
+	stops         int
+	returned      map[int64]int // machines returned in each second
+	sabotage      func(n *Node) // an injected fault, run repeatedly on the actor
+	arraysStopped bool          // no more arrays are submitted
+	problems      []string      // problems found during the run
 }
 
+// reportProblem records that the run failed a check.
 func (z *scaledFleet) reportProblem(format string, a ...any) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	z.problems = append(z.problems, fmt.Sprintf(format, a...))
 }
 
-// stopArrays lets no more arrays come.
+// stopArrays ends the submission of arrays.
 func (z *scaledFleet) stopArrays() {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	z.quiet = true
+	z.arraysStopped = true
 }
 
-func (z *scaledFleet) isStill() bool {
+// arraysAreStopped reports whether the submission of arrays has ended.
+func (z *scaledFleet) arraysAreStopped() bool {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	return z.quiet
+	return z.arraysStopped
 }
 
+// configure sets the node's settings and the fleet size.
 func (z *scaledFleet) configure(cfg *protocol.Settings, f *standin.Fleet) {
 	if z == nil {
 		return
 	}
 	if z.cpu == nil {
 		z.cpu, z.conns = map[string]*standin.Processor{}, map[string]*standin.Gauge{}
-		z.orders, z.returned = map[string]map[int64]int{}, map[int64]int{}
+		z.directCalls, z.returned = map[string]map[int64]int{}, map[int64]int{}
 	}
 	p := &cfg.Params
-	if z.cores == 0 { // two nodes can just hold all: the third is a reserve
-		z.cores = aside + float64(z.machines)/p.Workers.ReportS*reportCost.Seconds()/1.5
+	if z.cores == 0 { // two nodes can just serve all machines: the third is a reserve
+		z.cores = reservedCores + float64(z.machines)/p.Workers.ReportS*reportCost.Seconds()/1.5
 	}
 	p.Quota = protocol.MachineQuota{Cores: z.cores, MemoryMB: 400, FDLimit: z.sockets}
 	p.State = protocol.StateSettings{RPS: 90, WriteRPS: 60, ValueKB: 32, TxnOps: 32}
@@ -96,6 +100,7 @@
 	z.conns[cfg.Node] = &standin.Gauge{Most: z.sockets}
 }
 
+// startSabotage starts running the injected fault on a node.
 func (z *scaledFleet) startSabotage(w *simCluster, n *Node, name string) {
 	if z == nil || z.sabotage == nil {
 		return
@@ -109,7 +114,7 @@
 	}()
 }
 
-// pollInterval is as the protocol has it where many ask.
+// pollInterval returns the poll interval that the protocol prescribes for many clients.
 func (z *scaledFleet) pollInterval(d time.Duration) time.Duration {
 	if z != nil {
 		return d * 5 / 2
@@ -117,12 +122,15 @@
 	return d
 }
 
+// spendCPU uses processor time of a controller.
 func (z *scaledFleet) spendCPU(name string, d time.Duration) {
 	if z != nil {
 		z.cpu[name].Spend(d)
 	}
 }
 
+// beginRequest opens a connection to a controller and spends the cost of a report. It returns false
+// if the controller has no free socket.
 func (z *scaledFleet) beginRequest(name string) bool {
 	if z == nil {
 		return true
@@ -134,12 +142,14 @@
 	return true
 }
 
+// endRequest closes the connection.
 func (z *scaledFleet) endRequest(name string) {
 	if z != nil {
 		z.conns[name].End()
 	}
 }
 
+// noteDirectCall spends the cost of a direct call and counts it.
 func (z *scaledFleet) noteDirectCall(name string, o protocol.Orders) {
 	if z == nil {
 		return
@@ -147,10 +157,10 @@
 	z.spendCPU(name, callCost)
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	if z.orders[name] == nil {
-		z.orders[name] = map[int64]int{}
+	if z.directCalls[name] == nil {
+		z.directCalls[name] = map[int64]int{}
 	}
-	z.orders[name][time.Now().Unix()]++
+	z.directCalls[name][time.Now().Unix()]++
 	for _, c := range o.Commands {
 		if c.Op == protocol.OpStop {
 			z.stops++
@@ -158,6 +168,8 @@
 	}
 }
 
+// noteStateCall spends the cost of a call to the state service. It returns false if the rate limit
+// is exceeded.
 func (z *scaledFleet) noteStateCall(name string) bool {
 	if z == nil {
 		return true
@@ -170,10 +182,12 @@
 	return true
 }
 
+// spendReads spends the cost of reading values.
 func (z *scaledFleet) spendReads(name string, values int) {
 	z.spendCPU(name, time.Duration(values)*valueCost)
 }
 
+// noteReturns counts returned machines.
 func (z *scaledFleet) noteReturns(machines int) {
 	if z == nil {
 		return
@@ -183,7 +197,7 @@
 	z.returned[time.Now().Unix()] += machines
 }
 
-// maxPerSecond is the greatest number in a second, and when.
+// maxPerSecond returns the greatest number of any second.
 func maxPerSecond(perSecond map[int64]int) int {
 	m := 0
 	for _, c := range perSecond {
@@ -192,16 +206,16 @@
 	return m
 }
 
-// runScaled plays a day with a fleet at which costs matter: services that run throughout
-// and arrays one after the other, until faults is over and all arrays are done.
-// What it found to be wrong is in z.wrong.
-func runScaled(t *testing.T, seed uint64, z *scaledFleet, faults func(w *simCluster)) (w *simCluster) {
-	// Each placing would be held to a walk over the fleet: other tests do that.
+// runScaled runs a simulation with a fleet that is large enough for costs to matter: services run
+// throughout, and arrays one after the other, until faults returns and all arrays are done. Problems
+// are recorded in fleet.problems.
+func runScaled(t *testing.T, seed uint64, fleet *scaledFleet, faults func(w *simCluster)) (w *simCluster) {
+	// Comparing each placement with a scan of the fleet would take too long here; other tests do that.
 	defer func(f func(*Node, *decide.View, *decide.Job, decide.Placement)) { checkPlacement = f }(checkPlacement)
 	checkPlacement = nil
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w = newWorldOf(t, ctx, seed, func(p *protocol.WorkerSettings) { p.ReportS, p.LeaseS, p.CancelS, p.GangWaitS = 6, 36, 56, 50 }, z)
+		w = newWorldOf(t, ctx, seed, func(p *protocol.WorkerSettings) { p.ReportS, p.LeaseS, p.CancelS, p.GangWaitS = 6, 36, 56, 50 }, fleet)
 		w.fleet.Boot = 10 * time.Second
 		teams := []string{"red", "blue", "green"}
 		var services, arrays []*user
@@ -213,15 +227,15 @@
 			return u
 		}
 		i := 0
-		for n := 0; n < 4*z.machines*6/10; n += 8 { // services take six tenths of the fleet
+		for n := 0; n < 4*fleet.machines*6/10; n += 8 { // services take six tenths of the fleet
 			services = append(services, submit(i, &protocol.JobSpec{Shape: protocol.Service, Priority: "critical", Tasks: 8}))
 			i++
 		}
 		done := make(chan struct{})
-		go func() { // arrays and gangs take two
+		go func() { // arrays and gangs take two tenths
 			defer close(done)
-			for !z.isStill() && ctx.Err() == nil {
-				s := &protocol.JobSpec{Shape: protocol.Array, Priority: "standard", Tasks: max(4, z.machines/20), EstimateS: 20, Spot: true}
+			for !fleet.arraysAreStopped() && ctx.Err() == nil {
+				s := &protocol.JobSpec{Shape: protocol.Array, Priority: "standard", Tasks: max(4, fleet.machines/20), EstimateS: 20, Spot: true}
 				if i%5 == 0 {
 					s.Shape, s.Priority, s.Tasks = protocol.Gang, "high", 4
 				}
@@ -238,7 +252,7 @@
 			clear(w.isolated)
 			clear(w.workersUnreachable)
 		})
-		z.stopArrays()
+		fleet.stopArrays()
 		<-done
 		deadline := time.Now().Add(5 * time.Minute)
 		open := func() int {
@@ -254,16 +268,16 @@
 			time.Sleep(time.Second)
 		}
 		if c := open(); c > 0 {
-			z.reportProblem("%d of %d arrays and gangs never ended", c, len(arrays))
+			fleet.reportProblem("%d of %d arrays and gangs did not end", c, len(arrays))
 		}
 		for _, b := range w.fleet.Broken {
-			z.reportProblem("rule broken: %s", b)
+			fleet.reportProblem("rule broken: %s", b)
 		}
 		if running := w.fleet.Running(); running < 7*len(services) {
-			z.reportProblem("%d tasks of %d services run", running, len(services))
+			fleet.reportProblem("%d tasks of %d services run", running, len(services))
 		}
-		if len(w.fleet.Names()) < z.machines*6/10 {
-			t.Errorf("only %d machines: the day is too small to show anything", len(w.fleet.Names()))
+		if len(w.fleet.Names()) < fleet.machines*6/10 {
+			t.Errorf("only %d machines: the fleet is too small to show anything", len(w.fleet.Names()))
 		}
 		for _, stop := range w.stop {
 			stop()
@@ -275,8 +289,8 @@
 	return w
 }
 
-// restartAll ends all controllers, and each comes back after a while of its own.
-func restartAll(w *simCluster, back ...time.Duration) {
+// restartAll ends all controllers and restarts each after its own delay.
+func restartAll(w *simCluster, delays ...time.Duration) {
 	for _, name := range w.names {
 		w.stop[name]()
 		w.withLock(func() { w.nodes[name] = nil })
@@ -286,15 +300,15 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			time.Sleep(back[i%len(back)])
+			time.Sleep(delays[i%len(delays)])
 			w.startNode(name)
 		}()
 	}
 	wg.Wait()
 }
 
-// serving waits until all shares are served, and returns how long that took.
-func serving(w *simCluster, within time.Duration) (time.Duration, bool) {
+// awaitServing waits until all partitions are in the serving phase, and returns how long that took.
+func awaitServing(w *simCluster, within time.Duration) (time.Duration, bool) {
 	from := time.Now()
 	for time.Since(from) < within {
 		served := 0
@@ -305,13 +319,13 @@
 			}
 			c := make(chan int, 1)
 			n.post(func() {
-				k := 0
-				for _, s := range n.partitions {
-					if s.reconciliation.Phase() == start.Serving {
-						k++
+				served := 0
+				for _, p := range n.partitions {
+					if p.reconciliation.Phase() == start.Serving {
+						served++
 					}
 				}
-				c <- k
+				c <- served
 			})
 			select {
 			case k := <-c:
@@ -327,8 +341,8 @@
 	return within, false
 }
 
-// A start under these must not lose what runs: 300 machines, controllers of which two
-// can just serve the fleet. Each case is a way in which all controllers go down.
+// After all controllers went down, no running task may be lost. Of the controllers, two can just serve
+// the 300 machines. Each case is a way in which all controllers go down.
 func TestStarts(t *testing.T) {
 	minute := time.Minute
 	for _, c := range []struct {
@@ -337,8 +351,8 @@
 	}{
 		{"all at once", func(w *simCluster) {
 			restartAll(w, 6*time.Second)
-			if took, ok := serving(w, 30*time.Second); !ok {
-				w.size.reportProblem("not served after %v", took)
+			if took, ok := awaitServing(w, 30*time.Second); !ok {
+				w.size.reportProblem("not all partitions are served after %v", took)
 			}
 			time.Sleep(minute)
 		}},
@@ -362,9 +376,9 @@
 			w.state.Refill()
 			time.Sleep(minute)
 		}},
-		{"with a tenth of the machines lost meanwhile, and others cut off", func(w *simCluster) {
+		{"with a tenth of the machines lost meanwhile, and a tenth of the messages", func(w *simCluster) {
 			names := w.fleet.Names()
-			allEndWith(w, func() {
+			restartAllWhile(w, func() {
 				for i, name := range names {
 					if i%10 == 3 {
 						w.fleet.Kill(name)
@@ -376,7 +390,7 @@
 			w.withLock(func() { w.lossRate = 0 })
 			time.Sleep(minute)
 		}},
-		{"an earlier holder stood still and wakes into the squaring", func(w *simCluster) {
+		{"an earlier owner was stalled and resumes during reconciliation", func(w *simCluster) {
 			go w.freeze(w.names[0], 9*time.Second)
 			w.stop[w.names[1]]()
 			w.stop[w.names[2]]()
@@ -386,7 +400,7 @@
 			w.startNode(w.names[2])
 			time.Sleep(minute)
 		}},
-		{"half of the tasks end while nobody listens", func(w *simCluster) {
+		{"half of the tasks end while no controller runs", func(w *simCluster) {
 			restartAll(w, 22*time.Second, 23*time.Second, 24*time.Second)
 			time.Sleep(minute)
 		}},
@@ -408,7 +422,7 @@
 			w.withLock(func() { w.lateTxnRate, w.lossRate = 0, 0 })
 			time.Sleep(minute)
 		}},
-		{"a holder ends amid the squaring", func(w *simCluster) {
+		{"an owner ends during reconciliation", func(w *simCluster) {
 			restartAll(w, 6*time.Second)
 			time.Sleep(1500 * time.Millisecond)
 			w.crash(w.names[1])
@@ -425,8 +439,8 @@
 	}
 }
 
-// allEndWith ends all controllers and does something while they are down.
-func allEndWith(w *simCluster, meanwhile func()) {
+// restartAllWhile restarts all controllers and calls a function while they are down.
+func restartAllWhile(w *simCluster, meanwhile func()) {
 	done := make(chan struct{})
 	go func() { defer close(done); time.Sleep(time.Second); meanwhile() }()
 	restartAll(w, 5*time.Second, 6*time.Second, 7*time.Second)
--- a/internal/coordination/node/sight_test.go
+++ b/internal/coordination/node/sight_test.go
@@ -8,8 +8,8 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// addRunningMachines records machines that are up, by what an earlier holder stored, in the
-// share that the node holds.
+// addRunningMachines records machines that are up, according to an earlier owner, in the partition
+// that the node owns.
 func (b *testNode) addRunningMachines(count int) {
 	rec := protocol.BatchRecord{}
 	for i := range count {
@@ -19,11 +19,10 @@
 	b.watchPut(protocol.BatchKey("r-0-6-1-0"), rec)
 }
 
-// A node that lost the workers took a share for being idle, heard none of its
-// machines, and 22 s later returned all 1,300 of them, with 3,000 tasks. (Seen on a
-// simulated day.) Machines that nobody hears are beyond a cut, not dead, whether or
-// not this node ever heard them.
-func TestABlindHolderReturnsNoFleet(t *testing.T) {
+// A node that had lost the workers was given a partition because it owned none, heard from none of
+// its machines, and 22 s later returned all 1,300 of them, with 3,000 tasks (in a simulation). If all
+// machines are silent, the network is the cause, whether or not this node ever heard from them.
+func TestOwnerCutOffFromWorkersReturnsNoMachines(t *testing.T) {
 	b := newTestNode(t)
 	b.addRunningMachines(20)
 	start := time.Now()
@@ -33,7 +32,7 @@
 		b.detectZoneOutages(now)
 		for _, m := range b.partitions[0].machines {
 			if m.hasBooted() && b.presumedDead(m, now) {
-				t.Fatalf("%s is given up %d s after the share was taken", m.name, s)
+				t.Fatalf("%s is given up %d s after the partition was taken over", m.name, s)
 			}
 		}
 	}
@@ -49,8 +48,8 @@
 	}
 }
 
-// Shares go only to nodes that hear workers, and a blind node is slow to take one.
-func TestABlindNodeGetsNoShare(t *testing.T) {
+// Partitions go only to nodes that hear from workers, and a node that does not is slow to take one.
+func TestNodeCutOffFromWorkersGetsNoPartition(t *testing.T) {
 	b := newTestNode(t)
 	b.addRunningMachines(20)
 	now := time.Now()
@@ -62,34 +61,34 @@
 	}
 	now = now.Add(10 * time.Second)
 	b.noteWorkerContact(now)
-	tell := func(blind bool) { *b.peers["n-1"] = peer{lastHint: now, stateOK: true, workersUnreachable: blind} }
-	tell(true)
+	hintFromPeer := func(blind bool) { *b.peers["n-1"] = peer{lastHint: now, stateOK: true, workersUnreachable: blind} }
+	hintFromPeer(true)
 	if b.rebalance(now); !b.lastRelease.IsZero() {
-		t.Fatal("a share was handed to a node that hears no workers")
+		t.Fatal("a partition was released to a node that hears from no workers")
 	}
 	if d := b.takeoverDelay(b.partitions[0], 0, now); d > 2*time.Second {
-		t.Fatalf("a node that hears workers waits %v", d)
+		t.Fatalf("a node that hears from workers waits %v before it takes a partition", d)
 	}
-	// It is blind itself now: it gives its shares up, if the other one is not.
+	// Now the node itself is cut off: it releases its partitions if the other one is not.
 	now = now.Add(b.workerContactTimeout() + time.Second)
 	b.RecordContact(now)
 	b.probeWorkers(now)
-	tell(true)
+	hintFromPeer(true)
 	if b.releaseIfCutOff(now); !b.lastRelease.IsZero() {
-		t.Fatal("shares given up to a node that is blind too")
+		t.Fatal("partitions were released although the other node is cut off from the workers too")
 	}
-	tell(false)
+	hintFromPeer(false)
 	if b.releaseIfCutOff(now); b.lastRelease.IsZero() {
-		t.Fatal("a node that hears no workers keeps its shares")
+		t.Fatal("a node that hears from no workers keeps its partitions")
 	}
 	if d := b.takeoverDelay(b.partitions[0], 0, now); d < 8*time.Second {
-		t.Fatalf("a blind node takes a share after %v", d)
+		t.Fatalf("a node that is cut off from the workers takes a partition after %v", d)
 	}
 }
 
-// A node that stood still for a minute has not heard its workers for so long, and
-// knows nothing of them.
-func TestOwnStallIsNoSilence(t *testing.T) {
+// A node that was stalled for a minute has not heard from its workers for that long. It must not
+// conclude anything from that.
+func TestOwnStallIsNotWorkerSilence(t *testing.T) {
 	b := newTestNode(t)
 	b.addRunningMachines(20)
 	now := time.Now()
@@ -104,22 +103,22 @@
 	b.detectZoneOutages(now)
 	for _, m := range b.partitions[0].machines {
 		if b.presumedDead(m, now) || b.reportsOverdue(m, now) || b.silent(m, now) {
-			t.Fatalf("%s counts as silent for the node's own stall", m.name)
+			t.Fatalf("%s counts as silent because of the node's own stall", m.name)
 		}
 	}
 	if !b.receivesHints("n-1", now) {
-		t.Fatal("a sibling counts as silent for the node's own stall")
+		t.Fatal("a peer counts as silent because of the node's own stall")
 	}
 	if b.releaseIfCutOff(now); !b.lastRelease.IsZero() {
-		t.Fatal("the shares are given up for the node's own stall")
+		t.Fatal("the partitions were released because of the node's own stall")
 	}
-	// Silence from now on counts.
+	// Silence after the stall counts.
 	for range 40 {
 		now = now.Add(time.Second)
 		b.detectStall(now)
 		b.RecordContact(now)
 	}
 	if m := b.partitions[0].machines[0]; !b.silent(m, now) {
-		t.Fatal("a machine that is silent after the stall is not noticed")
+		t.Fatal("a machine that is silent after the stall is not detected")
 	}
 }
--- a/internal/coordination/node/square.go
+++ b/internal/coordination/node/square.go
@@ -12,83 +12,85 @@
 	"dapplestage.example/dapplestage/internal/coordination/start"
 )
 
-// The actor's part in squaring a share that it has taken: it tells package start what
-// it hears, and does what that allows. This file may touch a share's square and what is
-// ordered under the budget; see docs/start.md.
+// The actor's part in reconciling a partition after taking it over: it tells package start what
+// is reported, and does what package start allows. Only this file uses a partition's
+// reconciliation and the orders under the budget; see docs/start.md.
 
-// loadControl is what is ordered under a budget, and what the node knows of its own load.
+// loadControl is the budget for orders, and what the node knows of its own load.
 type loadControl struct {
 	budget          *start.Budget
-	followingSince  time.Time // since when it sees jobs arrive
-	overloadLapses  int       // times in a row that its lease ended by its own load
-	lastLapse       time.Time // when it last did
-	maxPartitions   int       // shares that it may hold for a while after that
-	peakIdleUnknown int       // machines whose idleness nobody saw, at the most
+	followingSince  time.Time // since when it has seen jobs arrive
+	overloadLapses  int       // consecutive times that its lease expired because of its own load
+	lastLapse       time.Time // when that last happened
+	maxPartitions   int       // partitions that it may own for a while after that
+	peakIdleUnknown int       // maximum number of spare machines whose idle time is unknown
 	lastIdleReturn  time.Time // when one of them was last returned
 
-	given, held [start.Orders]int // as the metrics have them
+	reportedGiven, reportedHeld [start.Orders]int // last values in the metrics
 
-	workerAddrs atomic.Pointer[map[netip.Addr]bool] // where machines are; read by other routines
-	noted       time.Time                           // when that was last made
+	workerAddrs   atomic.Pointer[map[netip.Addr]bool] // read by other goroutines; false: ambiguous or loopback
+	workerAddrsAt time.Time                           // when the addresses were last updated
 }
 
-// workersPause is how often it is noted where the machines are.
-const workersPause = 2 * time.Second
+// workerAddrsInterval is how often the addresses of the machines are updated.
+const workerAddrsInterval = 2 * time.Second
 
-// updateWorkerAddrs notes where the machines are, so that their connections are told from
-// others as they come. An address that several share tells nothing.
+// updateWorkerAddrs updates the addresses of the machines, which identify the connections of
+// workers among new connections. An address that several machines share identifies none.
 func (n *Node) updateWorkerAddrs(now time.Time) {
-	if now.Sub(n.loadControl.noted) < workersPause {
+	if now.Sub(n.loadControl.workerAddrsAt) < workerAddrsInterval {
 		return
 	}
-	n.loadControl.noted = now
-	at := make(map[netip.Addr]bool, len(n.machines))
+	n.loadControl.workerAddrsAt = now
+	addrs := make(map[netip.Addr]bool, len(n.machines))
 	for _, m := range n.machines {
 		if ap, err := netip.ParseAddrPort(m.addr); err == nil {
-			_, shared := at[ap.Addr()]
-			at[ap.Addr()] = !shared && !ap.Addr().IsLoopback()
+			_, shared := addrs[ap.Addr()]
+			addrs[ap.Addr()] = !shared && !ap.Addr().IsLoopback()
 		}
 	}
-	n.loadControl.workerAddrs.Store(&at)
+	n.loadControl.workerAddrs.Store(&addrs)
 }
 
-// FromWorker says whether an address is that of a worker. Any routine may call it.
+// FromWorker reports whether an address belongs to a worker. It may be called from any goroutine.
 func (n *Node) FromWorker(a netip.Addr) bool {
-	at := n.loadControl.workerAddrs.Load()
-	return at != nil && (*at)[a]
+	addrs := n.loadControl.workerAddrs.Load()
+	return addrs != nil && (*addrs)[a]
 }
 
-// graceShort is how long reports alone are waited for after a share was taken. Workers
-// without a controller try the next one after a second, so after the end of all nearly
-// all of them have come by then.
-const graceShort = 1200 * time.Millisecond
+// maxReportGrace is how long a new owner waits for reports before it calls workers. Workers
+// without a controller try the next one after a second, so when all controllers were down nearly
+// all workers have reported by then.
+const maxReportGrace = 1200 * time.Millisecond
 
+// seconds converts a number of seconds into a duration.
 func (n *Node) seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// beginReconciliation begins to square a share that was just taken.
-func (n *Node) beginReconciliation(s *partition, now time.Time) {
+// beginReconciliation starts the reconciliation of a partition that was just taken over.
+func (n *Node) beginReconciliation(p *partition, now time.Time) {
 	w := n.cfg.Params.Workers
 	var facts []start.Facts
-	for _, m := range s.machines {
-		if n.shouldSpeak(m) {
-			facts = append(facts, n.squareFacts(m))
+	for _, m := range p.machines {
+		if n.expectedToReport(m) {
+			facts = append(facts, n.reconcileFacts(m))
 		}
 	}
 	n.loadControl.budget.Fresh(now)
-	grace := min(graceShort, n.seconds(w.ReportS)/2)
-	if s.takeover.cause == standby.HandedOn {
-		grace = 0 // its workers have a controller, and come when they next report
+	grace := min(maxReportGrace, n.seconds(w.ReportS)/2)
+	if p.takeover.cause == standby.HandedOn {
+		grace = 0 // its workers still have a controller and report at their usual interval
 	}
-	s.reconciliation = start.Begin(start.Times{Report: n.seconds(w.ReportS), Grace: grace}, now, facts)
+	p.reconciliation = start.Begin(start.Times{Report: n.seconds(w.ReportS), Grace: grace}, now, facts)
 }
 
-// shouldSpeak says whether a machine's silence means anything: one that is known to be
-// up, or that something is recorded on. What still boots is not waited for.
-func (n *Node) shouldSpeak(m *machine) bool {
+// expectedToReport reports whether a machine's silence means anything: it is known to be up, or
+// tasks are recorded on it. Machines that still boot are not waited for.
+func (n *Node) expectedToReport(m *machine) bool {
 	return m.recorded && !m.returned && (m.rec.Addr != "" || len(m.tasks) > 0)
 }
 
-func (n *Node) squareFacts(m *machine) start.Facts {
+// reconcileFacts returns what package start needs to know of a machine.
+func (n *Node) reconcileFacts(m *machine) start.Facts {
 	f := start.Facts{Name: m.name, Rank: start.Empty, Callable: m.addr != ""}
 	if !m.lastReport.IsZero() {
 		f.LeaseEnds = m.lastReport.Add(n.seconds(n.cfg.Params.Workers.LeaseS))
@@ -106,14 +108,14 @@
 	return f
 }
 
-// addToReconciliation takes in a machine that came to a share held.
-func (n *Node) addToReconciliation(s *partition, m *machine) {
-	if !m.fenced && n.shouldSpeak(m) {
-		s.reconciliation.Add(n.squareFacts(m), time.Now())
+// addToReconciliation adds a machine that was moved to an owned partition.
+func (n *Node) addToReconciliation(p *partition, m *machine) {
+	if !m.fenced && n.expectedToReport(m) {
+		p.reconciliation.Add(n.reconcileFacts(m), time.Now())
 	}
 }
 
-// machineReconciled notes that a machine has spoken under this node's token.
+// machineReconciled records that a machine has reported under this node's token.
 func (n *Node) machineReconciled(m *machine, now time.Time) {
 	n.partitions[m.rec.Share].reconciliation.Heard(m.name)
 	if m.idleSinceUnknown && len(m.tasks) == 0 {
@@ -121,73 +123,73 @@
 	}
 }
 
-// tickReconciliations asks whom it is time to ask, and tells how far the squaring is.
+// tickReconciliations calls the workers whose turn it is, and logs the progress.
 func (n *Node) tickReconciliations(now time.Time) {
 	n.updateWorkerAddrs(now)
-	for _, s := range n.partitions {
-		if s.reconciliation == nil {
+	for _, p := range n.partitions {
+		if p.reconciliation == nil {
 			continue
 		}
-		for _, name := range s.reconciliation.Next(now, n.loadControl.budget.Room(start.Ask)) {
+		for _, name := range p.reconciliation.Next(now, n.loadControl.budget.Room(start.Ask)) {
 			m := n.machines[name]
 			if m == nil || !m.recorded || m.addr == "" || n.loadControl.budget.Call(start.Ask, 1) == 0 {
-				s.reconciliation.Answered(name, false, now)
+				p.reconciliation.Answered(name, false, now)
 				continue
 			}
 			n.fence(m, now)
 		}
-		was := s.reconciliation.Phase()
-		p, tenth, fresh := s.reconciliation.Step(now)
-		if fresh || p != was {
-			all, heard, asked := s.reconciliation.Counts()
-			n.log.Info("share squared", "share", s.index, "phase", p, "tenths", tenth, "machines", all, "heard", heard, "asked", asked,
-				"after_s", now.Sub(s.reconciliation.Since()).Seconds(), "calls_per_s", roundToTenth(n.loadControl.budget.Rate()), "held_back", n.heldBack())
+		was := p.reconciliation.Phase()
+		phase, tenth, fresh := p.reconciliation.Step(now)
+		if fresh || phase != was {
+			all, heard, asked := p.reconciliation.Counts()
+			n.log.Info("share squared", "share", p.index, "phase", phase, "tenths", tenth, "machines", all, "heard", heard, "asked", asked,
+				"after_s", now.Sub(p.reconciliation.Since()).Seconds(), "calls_per_s", roundToTenth(n.loadControl.budget.Rate()), "held_back", n.ordersHeldBack())
 		}
-		if p == start.Serving && was != p {
+		if phase == start.Serving && was != phase {
 			n.replan = true
-			n.excludeGapFromIdle(s, now)
+			n.excludeGapFromIdle(p, now)
 		}
-		n.tellSquare(s)
+		n.updateReconcileMetrics(p)
 	}
 }
 
-// tellSquare brings the metrics up to date.
-func (n *Node) tellSquare(s *partition) {
-	all, heard, _ := s.reconciliation.Counts()
-	n.metrics.unheardMachines.WithLabelValues(strconv.Itoa(s.index)).Set(float64(all - heard))
+// updateReconcileMetrics updates the metrics of a partition's reconciliation.
+func (n *Node) updateReconcileMetrics(p *partition) {
+	all, heard, _ := p.reconciliation.Counts()
+	n.metrics.unheardMachines.WithLabelValues(strconv.Itoa(p.index)).Set(float64(all - heard))
 	n.metrics.orderRate.Set(n.loadControl.budget.Rate())
 	for k := range start.Orders {
 		for _, c := range []struct {
 			outcome string
 			now     int
-			told    *int
-		}{{"given", n.loadControl.budget.Given(k), &n.loadControl.given[k]}, {"held_back", n.loadControl.budget.Held(k), &n.loadControl.held[k]}} {
-			if c.now > *c.told {
-				n.metrics.orders.WithLabelValues(k.String(), c.outcome).Add(float64(c.now - *c.told))
-				*c.told = c.now
+			last    *int
+		}{{"given", n.loadControl.budget.Given(k), &n.loadControl.reportedGiven[k]}, {"held_back", n.loadControl.budget.Held(k), &n.loadControl.reportedHeld[k]}} {
+			if c.now > *c.last {
+				n.metrics.orders.WithLabelValues(k.String(), c.outcome).Add(float64(c.now - *c.last))
+				*c.last = c.now
 			}
 		}
 	}
 }
 
-// tasksAwaitingReport is how many of a job's tasks are on machines that have not spoken since
-// this node took its share: whether they run is not known.
+// tasksAwaitingReport returns how many of a job's tasks are on machines that have not reported
+// since this node took over the partition: it is not known whether they run.
 func (n *Node) tasksAwaitingReport(j *job) int {
-	s := n.partitions[j.partition]
-	if s.reconciliation == nil {
+	p := n.partitions[j.partition]
+	if p.reconciliation == nil {
 		return 0
 	}
 	c := 0
 	for i := range j.tasks {
-		if m := j.tasks[i].machine; m != nil && s.reconciliation.Unheard(m.name) {
+		if m := j.tasks[i].machine; m != nil && p.reconciliation.Unheard(m.name) {
 			c++
 		}
 	}
 	return c
 }
 
-// heldBack is how many orders the budget held back so far.
-func (n *Node) heldBack() int {
+// ordersHeldBack returns how many orders the budget has held back so far.
+func (n *Node) ordersHeldBack() int {
 	c := 0
 	for k := range start.Orders {
 		c += n.loadControl.budget.Held(k)
@@ -195,38 +197,40 @@
 	return c
 }
 
-// reconciling says whether a share held does not serve yet.
+// reconciling reports whether an owned partition is not in the serving phase yet.
 func (n *Node) reconciling() bool {
-	for _, s := range n.partitions {
-		if s.reconciliation != nil && s.reconciliation.Phase() != start.Serving {
+	for _, p := range n.partitions {
+		if p.reconciliation != nil && p.reconciliation.Phase() != start.Serving {
 			return true
 		}
 	}
 	return false
 }
 
-// takeBudget is how many orders of a kind may be given now. Once all shares held serve,
-// the budget bounds calls for reports only: what then has to be ordered is what events
-// ask for, and not the whole fleet at once.
-func (n *Node) takeBudget(k start.Order, want int) int {
+// takeBudget returns how many orders of a kind may be given now. Once all owned partitions are in
+// the serving phase, the budget limits only calls for reports: orders are then caused by single
+// events and don't concern the whole fleet at once.
+func (n *Node) takeBudget(k start.Order, wanted int) int {
 	if !n.reconciling() {
-		return want
+		return wanted
 	}
-	return n.loadControl.budget.Take(k, want)
+	return n.loadControl.budget.Take(k, wanted)
 }
 
-// shedsLoad says whether this node, squaring a share with its actor late, puts off what
-// costs much and matters least. Whoever asked is told so at once, and when to come back.
+// shedsLoad reports whether this node, while it reconciles a partition and its actor is late,
+// rejects expensive requests of low importance. Clients are told at once when to retry.
 func (n *Node) shedsLoad(now time.Time) bool {
-	return n.reconciling() && n.loadControl.budget.Late(now, shedTime)
+	return n.reconciling() && n.loadControl.budget.Late(now, shedPeriod)
 }
 
-// shedTime is for how long after the actor was late that is so.
-const shedTime = time.Second
+// shedPeriod is how long load is shed after the actor was late.
+const shedPeriod = time.Second
 
+// retryLaterAnswer is the answer to requests that are rejected to shed load.
 var retryLaterAnswer = answer{status: 503, retryAfterS: 2, body: errorBody{"this node has just taken a share and is busy: ask again, or another node"}}
 
-// withLoadShedding answers what explains or lists, unless the node sheds that now.
+// withLoadShedding wraps a handler of explanations and listings: while the node sheds load, the
+// request is rejected.
 func (n *Node) withLoadShedding(f func(reply chan<- answer)) func(reply chan<- answer) {
 	return func(reply chan<- answer) {
 		if n.shedsLoad(time.Now()) {
@@ -238,70 +242,70 @@
 	}
 }
 
-// returnableIdle are those of the machines that nothing needs which may go now.
-func (n *Node) returnableIdle(spare []*machine, now time.Time) []*machine {
-	var back []*machine
-	unseen := 0
+// returnableIdle selects, from machines that nothing needs, those that may be returned now.
+func (n *Node) returnableIdle(idleMachines []*machine, now time.Time) []*machine {
+	var toReturn []*machine
+	unknown := 0
 	boot := 0.0
 	for _, t := range n.machineTypes {
 		boot = max(boot, t.BootS)
 	}
-	for _, m := range spare {
+	for _, m := range idleMachines {
 		if m.idleSinceUnknown {
-			unseen++
+			unknown++
 		}
 	}
-	n.loadControl.peakIdleUnknown = max(n.loadControl.peakIdleUnknown, unseen)
-	if unseen == 0 {
+	n.loadControl.peakIdleUnknown = max(n.loadControl.peakIdleUnknown, unknown)
+	if unknown == 0 {
 		n.loadControl.peakIdleUnknown = 0
 	}
-	may := start.Spread(n.loadControl.peakIdleUnknown, n.seconds(boot), n.loadControl.lastIdleReturn, now)
-	for _, m := range spare {
+	allowed := start.Spread(n.loadControl.peakIdleUnknown, n.seconds(boot), n.loadControl.lastIdleReturn, now)
+	for _, m := range idleMachines {
 		if !n.partitions[m.rec.Share].reconciliation.Settled(now) {
 			continue
 		}
 		if m.idleSinceUnknown {
-			if may == 0 {
+			if allowed == 0 {
 				continue
 			}
-			may--
+			allowed--
 			n.loadControl.lastIdleReturn = now
 		}
 		if n.takeBudget(start.Return, 1) == 0 {
-			break // another share is still being squared
+			break // another partition is still being reconciled
 		}
 		n.log.Info("machine returned", "machine", m.name, "notice", false, "blamed_by", 0, "seen_idle", !m.idleSinceUnknown)
-		back = append(back, m)
+		toReturn = append(toReturn, m)
 	}
-	return back
+	return toReturn
 }
 
-// rememberArrival remembers a job that this node saw arrive, whoever holds its share: who takes
-// the share over then knows what to expect.
+// rememberArrival records a job that this node saw arrive, whoever owns its partition, so that a
+// new owner knows what demand to expect.
 func (n *Node) rememberArrival(j *job, now time.Time) {
-	if !n.loaded || now.Sub(n.loadControl.followingSince) < backlogTime {
+	if !n.loaded || now.Sub(n.loadControl.followingSince) < backlogPeriod {
 		return
 	}
-	// By its own time: a node that stood still sees what came meanwhile all at once. (With
-	// only the newest counted, such a node expected nothing and returned a thousand
-	// machines when it was handed a share.)
+	// The job's own submission time counts: a node that was stalled sees the jobs that arrived
+	// meanwhile all at once. (When only the newest were counted, such a node expected no jobs and
+	// returned a thousand machines when it was given a partition.)
 	at := j.submitted
 	if at.After(now) {
 		at = now
 	}
-	s := n.partitions[j.partition]
-	s.recentArrivals = append(s.recentArrivals, arrival{At: at, Spec: j.spec, Team: j.team})
-	if k := len(s.recentArrivals); k > 1 && at.Before(s.recentArrivals[k-2].At) {
-		slices.SortStableFunc(s.recentArrivals, func(a, b arrival) int { return a.At.Compare(b.At) })
+	p := n.partitions[j.partition]
+	p.recentArrivals = append(p.recentArrivals, arrival{At: at, Spec: j.spec, Team: j.team})
+	if k := len(p.recentArrivals); k > 1 && at.Before(p.recentArrivals[k-2].At) {
+		slices.SortStableFunc(p.recentArrivals, func(a, b arrival) int { return a.At.Compare(b.At) })
 	}
-	s.recentArrivals = decide.TrimArrivals(s.recentArrivals, now)
+	p.recentArrivals = decide.TrimArrivals(p.recentArrivals, now)
 }
 
-// excludeGapFromIdle takes the time in which nobody decided anything from what idle machines are
-// taken to have been idle: they could not have been used.
-func (n *Node) excludeGapFromIdle(s *partition, now time.Time) {
-	pause := s.takeover.gap + now.Sub(s.acquiredAt)
-	for _, m := range s.machines {
+// excludeGapFromIdle subtracts the time without an owner, and until this node served the
+// partition, from the idle time of machines: they could not have been used.
+func (n *Node) excludeGapFromIdle(p *partition, now time.Time) {
+	pause := p.takeover.gap + now.Sub(p.acquiredAt)
+	for _, m := range p.machines {
 		if len(m.tasks) == 0 && !m.idleSinceUnknown && !m.idleSince.IsZero() {
 			if m.idleSince = m.idleSince.Add(pause); m.idleSince.After(now) {
 				m.idleSince = now
@@ -310,54 +314,56 @@
 	}
 }
 
-// backlogTime is how long after a node's start what comes is what waited meanwhile, and
-// says nothing of what will come.
-const backlogTime = 5 * time.Second
+// backlogPeriod is how long after a node's start arriving jobs are counted as a backlog, which
+// says nothing about the future rate of arrivals.
+const backlogPeriod = 5 * time.Second
 
-// loadPause is within which a late actor explains that the own lease ended.
-const loadPause = 5 * time.Second
+// overloadWindow is how recently the actor must have been late for load to explain a lost lease.
+const overloadWindow = 5 * time.Second
 
-// noteOverload notes that the own lease ended with so many shares held. If it was this
-// node's own load, it takes fewer for a while, and later: with all as before shares went
-// round, since each take-over cost so much that the next lease lapsed.
-func (n *Node) noteOverload(held int, now time.Time) {
-	o := &n.loadControl
-	if held == 0 || !o.budget.Late(now, loadPause) || now.Sub(n.reachability.stallEnded) < loadPause {
+// noteOverload records that the node's lease expired while it owned partitions. If the cause was
+// its own load, the node takes fewer partitions for a while, and takes them later. Without this
+// the partitions went round among the nodes, since each takeover cost so much that the next lease
+// expired too.
+func (n *Node) noteOverload(owned int, now time.Time) {
+	load := &n.loadControl
+	if owned == 0 || !load.budget.Late(now, overloadWindow) || now.Sub(n.reachability.stallEnded) < overloadWindow {
 		return
 	}
-	if now.Sub(o.lastLapse) > lapseMemory {
-		o.overloadLapses = 0
+	if now.Sub(load.lastLapse) > overloadPeriod {
+		load.overloadLapses = 0
 	}
-	o.overloadLapses++
-	o.lastLapse, o.maxPartitions = now, max(1, held-1)
-	n.log.Info("lease lost by own load", "shares_held", held, "takes_at_most", o.maxPartitions, "pause_s", n.lapsePause().Seconds())
+	load.overloadLapses++
+	load.lastLapse, load.maxPartitions = now, max(1, owned-1)
+	n.log.Info("lease lost by own load", "shares_held", owned, "takes_at_most", load.maxPartitions, "pause_s", n.overloadDelay().Seconds())
 }
 
 const (
-	// lapseMemory is for how long a node takes fewer shares after that.
-	lapseMemory = time.Minute
-	// maxVacancy is how long a share has nobody before a node takes it all the same.
+	// overloadPeriod is how long a node takes fewer partitions after that.
+	overloadPeriod = time.Minute
+	// maxVacancy is how long a partition may have no owner before a node takes it regardless of its
+	// load.
 	maxVacancy = 12 * time.Second
 )
 
-// lapsePause is how much later this node takes shares for now.
-func (n *Node) lapsePause() time.Duration {
+// overloadDelay is by how much this node currently delays taking partitions.
+func (n *Node) overloadDelay() time.Duration {
 	if n.loadControl.overloadLapses == 0 {
 		return 0
 	}
 	return min(4*time.Second, 500*time.Millisecond<<n.loadControl.overloadLapses)
 }
 
-// mayTake says whether this node may take one more share.
-func (n *Node) mayTake(s *partition, held int, now time.Time) bool {
-	o := &n.loadControl
-	return o.overloadLapses == 0 || now.Sub(o.lastLapse) > lapseMemory || held < o.maxPartitions || len(n.liveNodes) < 2 || now.Sub(s.vacantSince) > maxVacancy
+// mayTake reports whether this node may take one more partition.
+func (n *Node) mayTake(p *partition, owned int, now time.Time) bool {
+	load := &n.loadControl
+	return load.overloadLapses == 0 || now.Sub(load.lastLapse) > overloadPeriod || owned < load.maxPartitions || len(n.liveNodes) < 2 || now.Sub(p.vacantSince) > maxVacancy
 }
 
-// mayCome says whether another node could take a share soon: one is heard, or all have
-// just begun.
-func (n *Node) mayCome(now time.Time) bool {
-	if now.Sub(n.startedAt) < startTime {
+// otherNodeMayTake reports whether another node could take a partition soon: one that can is heard
+// from, or this node has only just started, so that others may be starting too.
+func (n *Node) otherNodeMayTake(now time.Time) bool {
+	if now.Sub(n.startedAt) < clusterStartPeriod {
 		return true
 	}
 	for name := range n.peers {
@@ -368,17 +374,17 @@
 	return false
 }
 
-// startTime is within which all come back that ended together.
-const startTime = 10 * time.Second
+// clusterStartPeriod is how long nodes that went down together may take to come back.
+const clusterStartPeriod = 10 * time.Second
 
-// extraTakeDelay is how much later than else this node takes a share: while it squares
-// one, others come first, and so it does after its own load has cost it its lease.
-func (n *Node) extraTakeDelay(held int, now time.Time) time.Duration {
+// extraTakeDelay is by how much this node delays taking a partition: while it reconciles one,
+// other nodes go first, and also after its own load made it lose its lease.
+func (n *Node) extraTakeDelay(owned int, now time.Time) time.Duration {
 	d := time.Duration(0)
-	if now.Sub(n.loadControl.lastLapse) < lapseMemory {
-		d = n.lapsePause()
+	if now.Sub(n.loadControl.lastLapse) < overloadPeriod {
+		d = n.overloadDelay()
 	}
-	if held > 0 && n.reconciling() && n.mayCome(now) {
+	if owned > 0 && n.reconciling() && n.otherNodeMayTake(now) {
 		d += min(3*time.Second, n.seconds(n.cfg.Params.Workers.LeaseS)/10)
 	}
 	return d
--- a/internal/coordination/node/square_test.go
+++ b/internal/coordination/node/square_test.go
@@ -11,89 +11,90 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// A take-over costs its share: only jobs with something to store wait to be stored, and
-// only the share's machines are looked at anew. (With all jobs waiting for their time,
-// each turn looked at all of them, and a start at four times the fleet never ended.)
-func TestTakeOverCostsItsShare(t *testing.T) {
+// A takeover costs only its partition: only jobs with something to store are queued for storing, and
+// only the facts of the partition's machines are recomputed. (When all jobs were queued, each turn of
+// the actor looked at all of them, and a start at four times the fleet never completed.)
+func TestTakeoverCostIsLimitedToPartition(t *testing.T) {
 	b := newTestNode(t)
 	b.addFleet(40, 6)
 	b.watchPut(protocol.BatchKey("other"), protocol.BatchRecord{Share: 1, Machines: []protocol.MachineRecord{{Name: "host-900000", Type: "g4", Zone: "a", Addr: "y:1"}}})
-	b.addJob("job-700001", true) // cancelled, and its end not stored
+	b.addJob("job-700001", true) // cancelled, and its end is not stored
 	b.refreshIndex(time.Now())
 	clear(b.dirty)
 	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
 	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
 	if len(b.dirty) != 1 || !b.dirty[b.jobs["job-700001"]] {
-		t.Errorf("%d jobs to be stored after a take-over", len(b.dirty))
+		t.Errorf("%d jobs to be stored after a takeover", len(b.dirty))
 	}
 	for _, m := range b.planningFacts.staleMachines {
 		if m.rec.Share != 0 {
-			t.Errorf("%s of another share is looked at anew", m.name)
+			t.Errorf("the facts of %s, which is in another partition, are recomputed", m.name)
 		}
 	}
 	if all, heard, _ := b.partitions[0].reconciliation.Counts(); all != 40 || heard != 0 {
-		t.Errorf("%d machines to be squared, %d heard", all, heard)
+		t.Errorf("%d machines to be reconciled, %d have reported", all, heard)
 	}
-	// The report of a machine under the new token squares it; until then its job's state
-	// is not known.
+	// A report of a machine under the new token reconciles it. Until then the state of its job is
+	// not known.
 	j := b.jobs["job-000000"]
 	if n := b.tasksAwaitingReport(j); n != 2 {
-		t.Errorf("%d of 2 tasks on machines that have not spoken", n)
+		t.Errorf("%d of 2 tasks on machines that have not reported", n)
 	}
 	if r := b.jobRow(j, time.Now()); r.State != "unknown" {
 		t.Errorf("state %q, %q", r.State, r.Why)
 	}
 	if m := b.machines["host-001000"]; !b.acceptWorkerReport(m, &protocol.Report{Machine: m.name, Session: 1, Seq: 1, Token: 9}, 9, time.Now()) || b.tasksAwaitingReport(j) != 0 {
-		t.Error("heard, and not squared")
+		t.Error("the machine has reported and is not reconciled")
 	}
 }
 
-// Idleness that nobody saw is not "idle since the take-over", and what this node saw
-// itself is kept through one.
-func TestIdlenessSurvivesOrIsUnknown(t *testing.T) {
+// If no node knows when a machine became idle, it does not count as idle since the takeover. An idle
+// time that this node observed itself is kept through a takeover.
+func TestIdleTimeAcrossTakeover(t *testing.T) {
 	b := newTestNode(t)
-	b.loaded = false // the machines of a start
+	b.loaded = false // as for machines read at the start of the node
 	b.watchPut(protocol.BatchKey("old"), protocol.BatchRecord{Machines: []protocol.MachineRecord{{Name: "host-5", Type: "g4", Zone: "a", Addr: "x:5"}}})
 	b.loaded = true
-	unseen := b.machines["host-5"]
+	unknown := b.machines["host-5"]
 	b.addJob("job-000001", false, protocol.Placement{Task: 0, Attempt: 1, Machine: "host-1"})
 	b.setPhase(b.jobs["job-000001"], 0, phaseWaiting, nil, 0, time.Now())
-	seen := b.machines["host-1"]
-	since := seen.idleSince
+	observed := b.machines["host-1"]
+	since := observed.idleSince
 	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
 	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
 	now := time.Now().Add(time.Hour)
-	b.acceptWorkerReport(unseen, &protocol.Report{Machine: "host-5", Session: 1, Seq: 1, Token: 9}, 9, now)
-	if !unseen.idleSinceUnknown || !unseen.idleSince.Equal(now) {
-		t.Errorf("unseen %v, idle since %v", unseen.idleSinceUnknown, unseen.idleSince)
+	b.acceptWorkerReport(unknown, &protocol.Report{Machine: "host-5", Session: 1, Seq: 1, Token: 9}, 9, now)
+	if !unknown.idleSinceUnknown || !unknown.idleSince.Equal(now) {
+		t.Errorf("idle time unknown %v, idle since %v", unknown.idleSinceUnknown, unknown.idleSince)
 	}
-	if seen.idleSinceUnknown || !seen.idleSince.Equal(since) || since.IsZero() {
-		t.Errorf("unseen %v, idle since %v, was %v", seen.idleSinceUnknown, seen.idleSince, since)
+	if observed.idleSinceUnknown || !observed.idleSince.Equal(since) || since.IsZero() {
+		t.Errorf("idle time unknown %v, idle since %v, was %v", observed.idleSinceUnknown, observed.idleSince, since)
 	}
-	// Of many such machines only some go at a time, and none before the share is settled.
-	var spare []*machine
+	// Of many such machines only some are returned at a time, and none before the partition is
+	// reconciled.
+	var idleMachines []*machine
 	for i := range 100 {
 		m := b.findOrAddMachine(fmt.Sprintf("host-8%05d", i))
 		m.idleSinceUnknown = true
-		spare = append(spare, m)
+		idleMachines = append(idleMachines, m)
 	}
 	b.machineTypes["g4"].BootS = 25
-	s := b.partitions[0]
-	if back := b.returnableIdle(spare, now); len(back) > 0 {
-		t.Errorf("%d returned while the share is squared", len(back))
+	p := b.partitions[0]
+	if toReturn := b.returnableIdle(idleMachines, now); len(toReturn) > 0 {
+		t.Errorf("%d returned while the partition is being reconciled", len(toReturn))
 	}
-	s.reconciliation.Step(now)
+	p.reconciliation.Step(now)
 	now = now.Add(2 * time.Second)
-	if back := b.returnableIdle(spare, now); len(back) != 4 {
+	if back := b.returnableIdle(idleMachines, now); len(back) != 4 {
 		t.Errorf("%d of 100 returned at once with a boot time of 25 s", len(back))
 	}
-	if back := b.returnableIdle(spare, now.Add(100*time.Millisecond)); len(back) != 0 {
+	if back := b.returnableIdle(idleMachines, now.Add(100*time.Millisecond)); len(back) != 0 {
 		t.Errorf("%d more a moment later", len(back))
 	}
 }
 
-// A late node that squares a share answers polls and listings at once with when to come
-// back, except what is final; one that is in time, or serves, answers all.
+// A node that is late while it reconciles a partition answers polls and listings at once with a time
+// to retry, except for final states. A node that is not late, or already serves, answers all.
 func TestLateStartShedsPolls(t *testing.T) {
 	b := newTestNode(t)
 	b.addFleet(20, 0)
@@ -107,64 +108,64 @@
 		case a := <-c:
 			return a.status
 		default:
-			return 0 // to be compared with the store
+			return 0 // waits to be compared with the state service
 		}
 	}
 	if s := poll("job-000000"); s != 0 {
-		t.Errorf("a poll in time is answered %d", s)
+		t.Errorf("a poll of a node that is not late is answered %d", s)
 	}
 	b.loadControl.budget.Turn(time.Now(), time.Second)
 	if s := poll("job-000000"); s != 503 {
 		t.Errorf("a poll of a late node is answered %d", s)
 	}
 	if s := poll("job-800000"); s != 200 {
-		t.Errorf("a poll of what is final is answered %d", s)
+		t.Errorf("a poll of a job with a final state is answered %d", s)
 	}
 	c := make(chan answer, 1)
 	b.withLoadShedding(func(reply chan<- answer) { reply <- answer{status: 200} })(c)
 	if a := <-c; a.status != 503 || a.retryAfterS == 0 {
-		t.Errorf("a listing is answered %d, come back in %d s", a.status, a.retryAfterS)
+		t.Errorf("a listing is answered %d, retry after %d s", a.status, a.retryAfterS)
 	}
 	b.partitions[0].reconciliation.Step(time.Now().Add(time.Minute))
 	if s := poll("job-000000"); s != 0 {
-		t.Errorf("a poll of a node that serves is answered %d", s)
+		t.Errorf("a poll of a node in the serving phase is answered %d", s)
 	}
 }
 
-// A node whose own load cost it its lease takes fewer shares, later; one that stood
-// still, or was cut off, does not.
-func TestOwnLoadTakesFewerShares(t *testing.T) {
+// A node that lost its lease through its own load takes fewer partitions and takes them later; one
+// that was stalled or cut off does not.
+func TestOverloadedNodeTakesFewerPartitions(t *testing.T) {
 	b := newTestNode(t)
 	now := time.Now()
 	b.liveNodes = map[string]time.Time{"n-0": now, "n-1": now}
 	b.partitions[1].vacantSince = now
 	b.noteOverload(2, now)
 	if !b.mayTake(b.partitions[1], 2, now) || b.extraTakeDelay(0, now) != 0 {
-		t.Error("a lease that ended for another cause counts as load")
+		t.Error("a lease that expired for another reason counts as overload")
 	}
 	b.loadControl.budget.Turn(now, time.Second)
 	b.noteOverload(2, now)
 	if b.mayTake(b.partitions[1], 1, now) || !b.mayTake(b.partitions[1], 0, now) || b.extraTakeDelay(0, now) != time.Second {
-		t.Errorf("after its own load: a second share %v, the first one %v, %v later", b.mayTake(b.partitions[1], 1, now), b.mayTake(b.partitions[1], 0, now), b.extraTakeDelay(0, now))
+		t.Errorf("after an overload: may take a second partition %v, a first one %v, delay %v", b.mayTake(b.partitions[1], 1, now), b.mayTake(b.partitions[1], 0, now), b.extraTakeDelay(0, now))
 	}
 	if !b.mayTake(b.partitions[1], 1, now.Add(maxVacancy+time.Second)) {
-		t.Error("nobody takes a share that all others leave")
+		t.Error("a partition that has been vacant for too long is not taken")
 	}
 	b.reachability.stallEnded = now
 	b.loadControl.overloadLapses = 0
 	b.noteOverload(2, now)
 	if b.loadControl.overloadLapses != 0 {
-		t.Error("standing still counts as load")
+		t.Error("a stall counts as overload")
 	}
 }
 
-// A node that ended and is back ends the lease of its former life: its shares are free
-// at once, for itself too.
-func TestFormerLeaseEnds(t *testing.T) {
+// A restarted node ends the lease of its former process: its partitions are free at once, also for
+// itself.
+func TestRestartedNodeEndsItsFormerLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, t.Context(), 3, defaultSettings)
 		time.Sleep(5 * time.Second)
-		held := func() string { // by n-0, as the store has it
+		ownedPartition := func() string { // partition and token that n-0 owns according to the state service
 			for i := range 3 {
 				if it, _ := w.state.Get(t.Context(), protocol.HolderKey(i)); it.Value != nil {
 					var h protocol.HolderRecord
@@ -175,12 +176,12 @@
 			}
 			return ""
 		}
-		before := held()
+		before := ownedPartition()
 		w.stop["n-0"]()
 		w.startNode("n-0")
 		time.Sleep(1500 * time.Millisecond)
-		if after := held(); before == "" || after == "" || after == before {
-			t.Errorf("held %q before, %q 1.5 s after", before, after)
+		if after := ownedPartition(); before == "" || after == "" || after == before {
+			t.Errorf("owned %q before, %q 1.5 s after", before, after)
 		}
 		for _, stop := range w.stop {
 			stop()
@@ -188,54 +189,54 @@
 	})
 }
 
-// While a share is squared nobody is stopped to make room: it may be free on a machine
-// that has not spoken. A fault done on purpose, a share taken for served at once, is found.
-func TestNobodyIsStoppedBeforeTheShareServes(t *testing.T) {
+// No task is preempted while a partition is being reconciled: a machine that has not reported yet may
+// have free resources. The test also checks that it fails if a partition counts as serving at once.
+func TestNoPreemptionBeforePartitionServes(t *testing.T) {
 	for _, sabotaged := range []bool{false, true} {
 		b := newTestNode(t)
 		b.watchPut(protocol.BatchKey("r-0-7-2-0"), protocol.BatchRecord{Machines: []protocol.MachineRecord{{Name: "host-2", Type: "g4", Zone: "a", Addr: "x:2"}, {Name: "host-3", Type: "g4", Zone: "a", Addr: "x:3"}}})
 		low := &protocol.JobSpec{ID: "job-000001", Team: "red", Class: "c", Shape: protocol.Array, Priority: "best_effort", Tasks: 4, CPUs: 4, GPUs: 1, MemoryGB: 8, Image: "i", ImageGB: 1, EstimateS: 900}
-		rec := protocol.JobRecord{Spec: low, Next: 2}
+		record := protocol.JobRecord{Spec: low, Next: 2}
 		var tasks []protocol.TaskReport
 		for i := range 4 {
-			rec.Placed = append(rec.Placed, protocol.Placement{Task: i, Attempt: 1, Machine: "host-1"})
+			record.Placed = append(record.Placed, protocol.Placement{Task: i, Attempt: 1, Machine: "host-1"})
 			tasks = append(tasks, protocol.TaskReport{Task: protocol.TaskID(low.ID, i), Attempt: 1, State: protocol.TaskRunning})
 		}
-		b.watchPut(protocol.JobKey(low.ID), rec)
+		b.watchPut(protocol.JobKey(low.ID), record)
 		b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
 		b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
 		b.sendReport(9, 1, tasks...)
 		urgent := *low
 		urgent.ID, urgent.Priority, urgent.Tasks, urgent.Shape = "job-000002", "critical", 1, protocol.Service
 		b.watchPut(protocol.JobKey(urgent.ID), protocol.JobRecord{Spec: &urgent, Next: 1})
-		s, now := b.partitions[0], time.Now()
+		p, now := b.partitions[0], time.Now()
 		b.RecordContact(now)
 		b.policy.StopRentals = true
 		if sabotaged {
-			s.reconciliation = start.Begin(start.Times{}, now, nil)
+			p.reconciliation = start.Begin(start.Times{}, now, nil)
 		}
-		stopped := func() (n int) {
+		stopped := func() (count int) {
 			for i := range b.jobs[low.ID].tasks {
 				if b.jobs[low.ID].tasks[i].stopRequested {
-					n++
+					count++
 				}
 			}
-			return n
+			return count
 		}
 		b.plan(now)
 		if got := stopped() > 0; got != sabotaged {
-			t.Fatalf("sabotaged %v: %d tasks stopped while two of three machines have not spoken", sabotaged, stopped())
+			t.Fatalf("sabotaged %v: %d tasks stopped while two of three machines have not reported", sabotaged, stopped())
 		}
-		s.reconciliation.Step(now.Add(time.Minute))
+		p.reconciliation.Step(now.Add(time.Minute))
 		if b.plan(now); stopped() == 0 {
-			t.Error("nobody is stopped once the share serves: the test shows nothing")
+			t.Error("no task is stopped once the partition serves: the test shows nothing")
 		}
 	}
 }
 
-// A node that stood still counts what came meanwhile by its own time, in order; and the
-// time in which nobody decided makes no machine idle.
-func TestArrivalsAndIdlenessThroughAStall(t *testing.T) {
+// A node that was stalled counts the jobs that arrived meanwhile by their submission times, in order.
+// The time in which no node placed tasks does not count as idle time of machines.
+func TestArrivalsAndIdleTimeAfterStall(t *testing.T) {
 	b := newTestNode(t)
 	now := time.Now()
 	b.loadControl.followingSince = now.Add(-time.Hour)
@@ -248,19 +249,19 @@
 		ids += a.Spec.ID[9:] + " "
 	}
 	if ids != "1 2 0 " {
-		t.Errorf("arrivals %q, want the three of the last two minutes in order", ids)
+		t.Errorf("arrivals %q, want the three of the last two minutes, in order", ids)
 	}
-	s, m := b.partitions[0], b.machines["host-1"]
+	p, m := b.partitions[0], b.machines["host-1"]
 	m.idleSince, m.idleSinceUnknown = now.Add(-40*time.Second), false
-	s.acquiredAt, s.takeover.gap = now.Add(-8*time.Second), 4*time.Second
-	b.excludeGapFromIdle(s, now)
+	p.acquiredAt, p.takeover.gap = now.Add(-8*time.Second), 4*time.Second
+	b.excludeGapFromIdle(p, now)
 	if idle := now.Sub(m.idleSince); idle != 28*time.Second {
-		t.Errorf("idle for %v, of 40 s in which nobody decided for 12", idle)
+		t.Errorf("idle for %v; no node placed tasks for 12 of 40 s", idle)
 	}
 }
 
-// A node that turns workers' connections away does not take their silence for theirs.
-func TestTurnedAwayIsNotSilent(t *testing.T) {
+// A node that refuses connections of workers does not count these workers as silent.
+func TestRefusedWorkersAreNotSilent(t *testing.T) {
 	b := newTestNode(t)
 	b.addFleet(5, 0)
 	now := time.Now().Add(time.Hour)
@@ -269,33 +270,33 @@
 	m.trackedSince = now.Add(-time.Minute)
 	b.cfg.Params.Workers.LeaseS = 3600
 	if !b.presumedDead(m, now) {
-		t.Fatal("a minute's silence is not noticed")
+		t.Fatal("a silence of one minute is not detected")
 	}
 	closed := int64(0)
 	b.ClosedConnections = func() int64 { return closed }
 	b.noteRefusedConnections(now)
 	if !b.presumedDead(m, now) {
-		t.Error("nothing was turned away, and silence does not count")
+		t.Error("no connection was refused, and silence does not count")
 	}
 	closed = 3
 	b.noteRefusedConnections(now)
 	if b.presumedDead(m, now) || b.silent(m, now) {
-		t.Error("given up for a silence of this node's own making")
+		t.Error("given up for a silence that this node has caused")
 	}
 	b.RecordContact(now.Add(time.Minute))
 	m.lastFencedReport = now.Add(-time.Second)
 	b.cfg.Params.Workers.LeaseS = 36
 	b.noteRefusedConnections(now)
-	for i := range 120 { // a node that turns workers away all the time still notices the dead
+	for i := range 120 { // a node that keeps refusing workers still detects dead machines
 		closed++
 		b.noteRefusedConnections(now.Add(time.Duration(i) * time.Second))
 	}
 	if b.RecordContact(now.Add(2 * time.Minute)); !b.presumedDead(m, now.Add(2*time.Minute)) {
-		t.Error("never given up, since others are turned away")
+		t.Error("never given up, because other workers are being refused")
 	}
 	m.lastFencedReport = time.Time{}
 	b.noteRefusedConnections(now.Add(time.Minute))
 	if !b.presumedDead(m, now.Add(time.Minute)) {
-		t.Error("silence does not count long after")
+		t.Error("silence does not count long after the last refusal")
 	}
 }
--- a/internal/coordination/node/starts.go
+++ b/internal/coordination/node/starts.go
@@ -8,32 +8,32 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// Starts go out in answers to reports. Where workers report every few seconds and
-// an aim leaves ten for fetching and starting, a machine that has just reported is
-// told directly instead. A direct command may be held on its way and executed
-// minutes later, as long as token and session match. So while one is under way,
-// and after one that got no answer, nothing that the machine lists or lacks is
-// taken as proof and it gets no orders (it is in doubt), until
-//   - its answer comes, or
-//   - a fenced report lists the tasks: then the command was executed, or
+// Starts are normally sent in answers to reports. If workers report only every few seconds and the
+// target leaves ten seconds for fetching and starting, a machine that has just reported is called
+// directly instead. A direct command may be delayed and executed minutes later, as long as token
+// and session match. So while a direct start is in flight, and after one that was not answered,
+// no task that the machine reports or fails to report is taken as proof, and the machine gets no
+// commands except safe stops. This ends when
+//   - the answer arrives, or
+//   - a report under the current token lists the tasks: then the command was executed, or
 //   - the machine's token is raised and a report carries it: then it never will be.
 //
-// Jobs of the gateway are never started directly: when the site loses them there is
+// Jobs of the gateway are never started directly: when the site loses its lease for them there is
 // no time to wait for any of this (see sitejobs.go).
 
-// maxDirectStarts is how many direct starts a node has under way at a time.
+// maxDirectStarts is how many direct starts a node may have in flight.
 const maxDirectStarts = 16
 
-// worthwhile is how much sooner than with the next report a direct start must be.
-const worthwhile = 700 * time.Millisecond
+// minTimeSaved is how much earlier than the next report a direct start must be to be sent.
+const minTimeSaved = 700 * time.Millisecond
 
-// tryDirectStart starts directly what is stored for a machine, if its next report is
-// some time off. It returns false if this should be tried again, since after a take-over
-// starts are under a budget.
+// tryDirectStart sends the stored starts of a machine directly if its next report is not due
+// soon. It returns false if it should be tried again, because the budget limits starts after a
+// takeover.
 func (n *Node) tryDirectStart(m *machine, now time.Time) bool {
-	next := time.Duration(0.75 * n.cfg.Params.Workers.ReportS * float64(time.Second))
+	minReportInterval := time.Duration(0.75 * n.cfg.Params.Workers.ReportS * float64(time.Second))
 	if !n.usable(m, now) || m.deferred != nil || m.startInFlight || m.addr == "" || n.directStarts >= maxDirectStarts ||
-		m.lastReport.Add(next).Sub(now) < worthwhile || !n.owns(n.partitions[m.rec.Share]) || !n.mayExtendLeases(now) || n.zoneUnreachable(m.rec.Zone, now) {
+		m.lastReport.Add(minReportInterval).Sub(now) < minTimeSaved || !n.owns(n.partitions[m.rec.Share]) || !n.mayExtendLeases(now) || n.zoneUnreachable(m.rec.Zone, now) {
 		return true
 	}
 	if !n.logReadable(n.partitions[m.rec.Share]) || n.takeBudget(start.Start, 1) == 0 {
@@ -43,9 +43,9 @@
 	return true
 }
 
-// sendDirectStarts starts directly what is stored for a machine and was not sent to it yet.
+// sendDirectStarts sends the stored starts of a machine that have not been sent yet.
 func (n *Node) sendDirectStarts(m *machine, now time.Time) {
-	o := protocol.Orders{Token: n.fencingToken(m), Session: m.session}
+	orders := protocol.Orders{Token: n.fencingToken(m), Session: m.session}
 	var tasks []directStart
 	for k := range m.tasks {
 		j, t := k.job, &k.job.tasks[k.task]
@@ -54,7 +54,7 @@
 			continue
 		}
 		t.startSentAt = now
-		o.Commands = append(o.Commands, protocol.Command{Op: protocol.OpStart, Task: protocol.TaskID(j.id, k.task), Attempt: t.attempt})
+		orders.Commands = append(orders.Commands, protocol.Command{Op: protocol.OpStart, Task: protocol.TaskID(j.id, k.task), Attempt: t.attempt})
 		tasks = append(tasks, directStart{protocol.TaskID(j.id, k.task), t.attempt})
 	}
 	if len(tasks) == 0 {
@@ -64,12 +64,12 @@
 	n.directStarts++
 	addr := m.addr
 	n.spawn(func(ctx context.Context) {
-		r, executed, err := n.workers.Command(ctx, addr, o)
+		r, executed, err := n.workers.Command(ctx, addr, orders)
 		n.post(func() {
 			n.directStarts--
 			m.startInFlight = false
-			if n.machines[m.name] != m || !m.recorded || !n.owns(n.partitions[m.rec.Share]) || n.fencingToken(m) != o.Token {
-				return // the token was raised meanwhile: a late command does nothing
+			if n.machines[m.name] != m || !m.recorded || !n.owns(n.partitions[m.rec.Share]) || n.fencingToken(m) != orders.Token {
+				return // the token was raised meanwhile: a late command has no effect
 			}
 			if err != nil || r == nil || r.Machine != m.name {
 				n.log.Info("direct start not answered", "machine", m.name, "tasks", len(tasks), "why", err)
@@ -78,21 +78,21 @@
 				return
 			}
 			now := time.Now()
-			if executed && r.Token == o.Token && n.acceptDirectAnswer(m, r, o.Token, now) {
+			if executed && r.Token == orders.Token && n.acceptDirectAnswer(m, r, orders.Token, now) {
 				n.observeTasks(m, r, now)
 			}
 		})
 	})
 }
 
-// directStart is a task that was started directly.
+// directStart identifies an attempt of a task that was started directly.
 type directStart struct {
 	task    string
 	attempt uint64
 }
 
-// hasUnconfirmedStart says whether a direct start may still be executed that a machine does
-// not show. A report that lists all of them ends the doubt.
+// hasUnconfirmedStart reports whether a direct start may still be executed. A report that lists
+// all of these tasks confirms them.
 func (m *machine) hasUnconfirmedStart(r *protocol.Report) bool {
 	if m.startInFlight {
 		return true
@@ -113,15 +113,15 @@
 	return false
 }
 
-// fenceUnconfirmedStarts raises the tokens of machines of a share that are in doubt.
-func (n *Node) fenceUnconfirmedStarts(s *partition) {
-	var ms []*machine
-	for _, m := range s.machines {
+// fenceUnconfirmedStarts raises the tokens of the partition's machines that have unconfirmed starts.
+func (n *Node) fenceUnconfirmedStarts(p *partition) {
+	var machines []*machine
+	for _, m := range p.machines {
 		if len(m.unconfirmedStarts) > 0 && !m.moving && !m.returned && !m.returning && !m.batch.storing {
-			ms = append(ms, m)
+			machines = append(machines, m)
 		}
 	}
-	if len(ms) > 0 {
-		n.moveMachines(ms, s.index, s.index)
+	if len(machines) > 0 {
+		n.moveMachines(machines, p.index, p.index)
 	}
 }
--- a/internal/coordination/node/starts_test.go
+++ b/internal/coordination/node/starts_test.go
@@ -8,10 +8,10 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// scriptedWorkers are workers whose answers the test gives.
+// scriptedWorkers are workers whose answers the test provides.
 type scriptedWorkers struct {
 	orders  chan protocol.Orders
-	answers chan *protocol.Report // nil: none comes
+	answers chan *protocol.Report // nil: no answer
 }
 
 func (m *scriptedWorkers) Command(_ context.Context, _ string, o protocol.Orders) (*protocol.Report, bool, error) {
@@ -26,11 +26,11 @@
 	return nil, errNoAnswer
 }
 
-// startOne has job-1 started directly on host-1, and returns what the worker got.
-func startOne(t *testing.T) (*testNode, *job, *scriptedWorkers) {
+// startJobDirectly starts job-1 directly on host-1 and returns the workers after checking the command.
+func startJobDirectly(t *testing.T) (*testNode, *job, *scriptedWorkers) {
 	b := newTestNode(t)
-	w := &scriptedWorkers{make(chan protocol.Orders, 1), make(chan *protocol.Report, 1)}
-	b.workers = w
+	workers := &scriptedWorkers{make(chan protocol.Orders, 1), make(chan *protocol.Report, 1)}
+	b.workers = workers
 	b.cfg.Params.Workers.ReportS = 6
 	b.sendReport(7, 1)
 	m := b.machines["host-1"]
@@ -38,18 +38,18 @@
 	m.addr = "x:1"
 	j := b.addJob("job-1", false, placedOnHost1)
 	b.tryDirectStart(m, time.Now())
-	if o := <-w.orders; len(o.Commands) != 1 || o.Commands[0].Op != protocol.OpStart || o.Token != 7 || o.Session != 1 {
-		t.Fatalf("the worker was sent %+v", o)
+	if sent := <-workers.orders; len(sent.Commands) != 1 || sent.Commands[0].Op != protocol.OpStart || sent.Token != 7 || sent.Session != 1 {
+		t.Fatalf("the worker was sent %+v", sent)
 	}
-	return b, j, w
+	return b, j, workers
 }
 
-// A direct start that got no answer may be executed minutes later. Until that is
-// excluded, the machine's list proves nothing and nothing is cleared there.
+// A direct start that was not answered may be executed minutes later. Until that is ruled out, the
+// machine's task list proves nothing and no task is marked as gone.
 func TestUnansweredDirectStartProvesNothing(t *testing.T) {
-	b, j, w := startOne(t)
+	b, j, workers := startJobDirectly(t)
 	m := b.machines["host-1"]
-	empty := func(seq uint64, token uint64) *answer {
+	reportNoTasks := func(seq uint64, token uint64) *answer {
 		t.Helper()
 		a := b.sendReport(token, seq)
 		if a == nil {
@@ -58,62 +58,61 @@
 		return a
 	}
 	j.cancelled = true
-	if a := empty(2, 7); a == nil || len(a.body.(protocol.Orders).Commands) != 0 || j.tasks[0].outcome != outcomeNone {
-		t.Fatal("a list is believed while a direct start is under way")
+	if a := reportNoTasks(2, 7); a == nil || len(a.body.(protocol.Orders).Commands) != 0 || j.tasks[0].outcome != outcomeNone {
+		t.Fatal("a task list is taken as proof while a direct start is in flight")
 	}
-	w.answers <- nil
+	workers.answers <- nil
 	(<-b.mailbox)()
-	if empty(3, 7); j.tasks[0].outcome != outcomeNone {
-		t.Fatal("a list is believed after a direct start without an answer")
+	if reportNoTasks(3, 7); j.tasks[0].outcome != outcomeNone {
+		t.Fatal("a task list is taken as proof after an unanswered direct start")
 	}
 	if b.usable(m, time.Now()) {
-		t.Fatal("more is placed on a machine in doubt")
+		t.Fatal("a machine with an unconfirmed start is usable for new tasks")
 	}
 	b.fenceUnconfirmedStarts(b.partitions[0])
 	if !m.moving {
 		t.Fatal("the token is not being raised")
 	}
 	b.watchPut(protocol.BatchKey("m-0-8"), protocol.BatchRecord{Share: 0, Token: 8, Machines: []protocol.MachineRecord{{Name: "host-1", Type: "g4", Zone: "a"}}})
-	if empty(4, 7); j.tasks[0].outcome != outcomeNone {
-		t.Fatal("a list under the old token is believed")
+	if reportNoTasks(4, 7); j.tasks[0].outcome != outcomeNone {
+		t.Fatal("a task list under the old token is taken as proof")
 	}
-	if empty(5, 8); j.tasks[0].outcome != outcomeGone {
-		t.Fatal("a list under the raised token is not believed")
+	if reportNoTasks(5, 8); j.tasks[0].outcome != outcomeGone {
+		t.Fatal("a task list under the raised token is not taken as proof")
 	}
 }
 
 // A report that lists the task shows that the start was executed.
-func TestListedTaskEndsTheDoubt(t *testing.T) {
-	b, j, w := startOne(t)
-	w.answers <- nil
+func TestListedTaskConfirmsDirectStart(t *testing.T) {
+	b, j, workers := startJobDirectly(t)
+	workers.answers <- nil
 	(<-b.mailbox)()
 	b.sendReport(7, 2, protocol.TaskReport{Task: "job-1/0", Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseDone})
 	if m := b.machines["host-1"]; len(m.unconfirmedStarts) != 0 || j.tasks[0].outcome != outcomeFinished {
-		t.Fatalf("doubt %v, fact %v", m.unconfirmedStarts, j.tasks[0].outcome)
+		t.Fatalf("unconfirmed starts %v, outcome %v", m.unconfirmedStarts, j.tasks[0].outcome)
 	}
 }
 
-// An answered direct start needs no more, and a machine that reports soon is
-// not called.
+// After an answered direct start nothing is left to confirm, and a machine whose report is due soon
+// is not called.
 func TestDirectStartAnswered(t *testing.T) {
-	b, j, w := startOne(t)
+	b, j, workers := startJobDirectly(t)
 	m := b.machines["host-1"]
-	w.answers <- &protocol.Report{Machine: "host-1", Session: 1, Seq: 2, Token: 7, Tasks: []protocol.TaskReport{{Task: "job-1/0", Attempt: 1, State: protocol.TaskFetching}}}
+	workers.answers <- &protocol.Report{Machine: "host-1", Session: 1, Seq: 2, Token: 7, Tasks: []protocol.TaskReport{{Task: "job-1/0", Attempt: 1, State: protocol.TaskFetching}}}
 	(<-b.mailbox)()
 	if m.startInFlight || len(m.unconfirmedStarts) != 0 || j.tasks[0].reportedState != reportedFetching {
-		t.Fatalf("calling %v, doubt %v, seen %v", m.startInFlight, m.unconfirmedStarts, j.tasks[0].reportedState)
+		t.Fatalf("start in flight %v, unconfirmed starts %v, reported state %v", m.startInFlight, m.unconfirmedStarts, j.tasks[0].reportedState)
 	}
 	j.tasks[0].reportedState, j.tasks[0].startSentAt = reportedNone, time.Time{}
 	b.tryDirectStart(m, m.lastReport.Add(4500*time.Millisecond))
 	if m.startInFlight {
-		t.Fatal("called though its report is due")
+		t.Fatal("the machine is called although its report is due")
 	}
 }
 
-// A gang of which only a part is recorded when a share is taken over is given up
-// and placed anew. (Found with simulated troubles: tasks recorded but never
-// started kept their gang waiting for ever.)
-func TestPartOfAGangIsGivenUpAfterATakeOver(t *testing.T) {
+// A gang of which only a part is recorded when a partition is taken over is abandoned and placed
+// again. Without this, tasks that were recorded but never started kept their gang waiting forever.
+func TestPartialGangIsAbandonedAfterTakeover(t *testing.T) {
 	b := newTestNode(t)
 	spec := &protocol.JobSpec{ID: "job-1", Team: "red", Class: "c", Shape: protocol.Gang, Priority: "high", Tasks: 2, CPUs: 4, GPUs: 1, Image: "i"}
 	b.watchPut(protocol.JobKey("job-1"), protocol.JobRecord{Spec: spec, Next: 2, Chunk: protocol.Chunk{Placed: []protocol.Placement{placedOnHost1}}})
@@ -122,6 +121,6 @@
 	b.sendReport(8, 1)
 	b.rejectDeferred(b.machines["host-1"])
 	if j.tasks[0].outcome != outcomeGone {
-		t.Fatal("a task of a gang that cannot start is still waited for")
+		t.Fatal("a task of a gang that cannot start is not given up")
 	}
 }
--- a/internal/coordination/node/unreported.go
+++ b/internal/coordination/node/unreported.go
@@ -8,15 +8,15 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// A worker may be unable to connect to any controller while direct calls still reach it.
-// Such calls don't renew its lease, but their answers are reports: they tell which tasks
-// have completed, and prove tasks gone. So the owner polls silent machines that have tasks.
-// One that answers is kept until its lease ends, since some of its tasks complete by then.
-// The others are stopped in time, so that they save and go on elsewhere, but replicas run to
-// its end and start again there.
+// A worker may be unable to connect to any controller while direct calls still reach it. Such calls
+// don't renew its lease, but their answers are reports: they show which tasks have completed, and
+// prove tasks gone. So the owner polls silent machines that have tasks. A machine that answers is
+// kept until its lease expires, since some of its tasks complete by then. Tasks that would not
+// complete are stopped early enough to save a checkpoint and continue elsewhere. Replicas of
+// services run until the lease expires and are started again on the same machine.
 
-// pollSilent polls silent machines that have tasks and stops the tasks that are to leave
-// them, as far as the budget of direct calls allows.
+// pollSilent polls silent machines that have tasks and stops the tasks that should leave them, as
+// far as the budget for direct calls allows.
 func (n *Node) pollSilent(machines []*machine, now time.Time) {
 	for _, m := range machines {
 		if !n.mayPoll(m, now) {
@@ -34,7 +34,7 @@
 	}
 }
 
-// mayPoll says whether a machine is silent, has tasks and may be called directly.
+// mayPoll reports whether a machine is silent, has tasks and may be called directly.
 func (n *Node) mayPoll(m *machine, now time.Time) bool {
 	return len(m.tasks) > 0 && m.fenced && !m.lastFencedReport.IsZero() && m.addr != "" && m.deferred == nil &&
 		!m.pollInFlight && !m.startInFlight && !m.moving && !m.returning && !m.returned &&
@@ -68,7 +68,7 @@
 	return interval
 }
 
-// pendingStops are commands that stop the tasks that are to leave a machine.
+// pendingStops returns commands that stop the tasks that should leave a machine.
 func (n *Node) pendingStops(m *machine) []protocol.Command {
 	commands := []protocol.Command{}
 	for k := range m.tasks {
@@ -79,7 +79,7 @@
 	return commands
 }
 
-// onPolled takes in the answer to a poll that was sent under a token.
+// onPolled processes the answer to a poll that was sent under a token.
 func (n *Node) onPolled(m *machine, r *protocol.Report, token uint64, now time.Time) {
 	n.noteWorkerContact(now)
 	if r.Machine != m.name || n.machines[m.name] != m || !m.recorded || !n.owns(n.partitions[m.rec.Share]) || n.fencingToken(m) != token || r.Token != token {
@@ -87,7 +87,7 @@
 	}
 	expired, first := r.Session > m.session, !m.reachableOnlyDirectly()
 	if !n.acceptDirectAnswer(m, r, token, now) {
-		return // a report of the worker's own has come meanwhile
+		return // the worker has sent a report of its own meanwhile
 	}
 	if first && m.reachableOnlyDirectly() {
 		n.log.Info("worker answers but does not report", "machine", m.name, "tasks", len(m.tasks), "silent_s", roundToTenth(now.Sub(n.silentSince(m)).Seconds()))
@@ -106,8 +106,9 @@
 // expiryMargin is how long after the estimated end of a lease a machine is polled.
 const expiryMargin = 200 * time.Millisecond
 
-// acceptDirectAnswer takes in the frame of the answer to a direct call; false if a newer report was
-// taken in already. It does not show that the worker reaches this node.
+// acceptDirectAnswer accepts the header of the report in the answer to a direct call. It returns
+// false if a newer report was accepted already. The answer does not show that the worker can reach
+// this node.
 func (n *Node) acceptDirectAnswer(m *machine, r *protocol.Report, token uint64, now time.Time) bool {
 	if !n.acceptReportHeader(m, r, token, now) {
 		return false
@@ -116,16 +117,16 @@
 	switch {
 	case r.Token != token:
 	case m.lastFencedReport.IsZero():
-		m.lastFencedReport = now // it is up; its reports have as long to come as after one
+		m.lastFencedReport = now // the machine is up; its silence timeout starts as after a report
 	case now.Sub(n.silentSince(m)) > n.overdueTimeout():
 		m.lastDirectAnswer = now
 	}
 	return true
 }
 
-// noteAbsent notes tasks gone that the answer to a poll proves not to be on a machine. The
-// token that it carries fences off the starts of earlier owners. A start of this owner was
-// never sent, or belongs to a session that has expired, in which case the worker drops it.
+// noteAbsent marks tasks as gone that the answer to a poll proves not to be on a machine. The token
+// in the poll fences off the starts of earlier owners. A start of this owner was never sent, or
+// belongs to a session that has expired, in which case the worker drops it.
 func (n *Node) noteAbsent(m *machine, r *protocol.Report, expired bool, now time.Time) {
 	listed := make(map[directStart]bool, len(r.Tasks))
 	for i := range r.Tasks {
@@ -154,9 +155,9 @@
 	}
 }
 
-// restartable says whether a task that ended with its machine's lease is to be started again
-// there, for another lease: a replica, since elsewhere it would wait for its image, and any
-// task but a gang's while none can be placed elsewhere.
+// restartable reports whether a task that ended with its machine's lease should be started again
+// there, under another lease: a replica, since elsewhere it would wait for its image, and any task
+// that is not of a gang while no task can be placed elsewhere.
 func (n *Node) restartable(m *machine, j *job, t *task, now time.Time) bool {
 	return !t.runningSince.IsZero() && (j.spec.Shape == protocol.Service || j.spec.Shape == protocol.Array && !n.canPlace(now)) &&
 		j.claim == 0 && !n.shouldStop(j, t) && !n.overLimit(j.team) && !m.spotNotice &&
@@ -166,28 +167,30 @@
 // restartDirectly starts the tasks of a silent machine that were not sent in its session.
 func (n *Node) restartDirectly(m *machine, now time.Time) {
 	if m.startInFlight || m.deferred != nil || len(m.unconfirmedStarts) > 0 || n.directStarts >= maxDirectStarts || n.zoneUnreachable(m.rec.Zone, now) || n.takeBudget(start.Start, 1) == 0 {
-		return // its next poll finds them again
+		return // the next poll finds them again
 	}
 	n.sendDirectStarts(m, now)
 }
 
-// canPlace says whether placements can be stored now.
+// canPlace reports whether placements can be stored now.
 func (n *Node) canPlace(now time.Time) bool { return n.sinceContact(now) <= 2*time.Second }
 
-// reachableOnlyDirectly says whether a machine has answered a direct call when its reports had stopped:
-// its worker lives, but reaches no controller.
+// reachableOnlyDirectly reports whether a machine has answered a direct call while its reports
+// were overdue: its worker is alive but reaches no controller.
 func (m *machine) reachableOnlyDirectly() bool {
 	return !m.lastFencedReport.IsZero() && m.lastDirectAnswer.After(m.lastFencedReport)
 }
 
-// worksUntilLeaseEnd says whether a silent machine is known to go on with its tasks until its lease ends.
+// worksUntilLeaseEnd reports whether a silent machine is known to continue its tasks until its
+// lease expires.
 func (n *Node) worksUntilLeaseEnd(m *machine, now time.Time) bool {
 	return len(m.tasks) > 0 && m.reachableOnlyDirectly() && now.Before(n.leaseEnds(m).Add(n.seconds(n.cfg.Params.Workers.ReportS)/2)) &&
 		now.Sub(m.lastDirectAnswer).Seconds() < 2.5*n.cfg.Params.Workers.ReportS
 }
 
-// leaseEnds is when a machine's lease ends if no other report of it is answered. It serves to
-// plan and proves nothing: after a take-over it may be known only that it had not ended.
+// leaseEnds estimates when a machine's lease expires if no other report of it is answered. The
+// estimate is for planning and proves nothing: after a takeover the node may know only that the
+// lease had not expired at some time.
 func (n *Node) leaseEnds(m *machine) time.Time {
 	lease := n.seconds(n.cfg.Params.Workers.LeaseS)
 	end := latest(m.lastReport, m.leaseExpirySeen).Add(lease)
@@ -197,39 +200,39 @@
 	return end
 }
 
-// leavingTasks are the tasks of a silent machine that are to be stopped now, because they
-// would not complete before its lease ends: all of them once it would be given up, if they can
-// be placed elsewhere, and those that save while there is time to save. With most of a zone
-// silent the cause is most likely the network or this node itself, and nothing is stopped.
+// leavingTasks returns the tasks of a silent machine that should be stopped now, because they would
+// not complete before its lease expires: all of them after the silence timeout, if they can be
+// placed elsewhere, and tasks with checkpoints while there is time to save. If most machines of a
+// zone are silent, the cause is most likely the network or this node, and nothing is stopped.
 func (n *Node) leavingTasks(m *machine, now time.Time) []taskKey {
 	silence := now.Sub(latest(n.silentSince(m), n.reachability.zoneUnreachableAt[m.rec.Zone]))
 	if !m.reachableOnlyDirectly() || silence.Seconds() <= n.silentAfterS() {
 		return nil
 	}
-	left := n.leaseEnds(m).Sub(now)
+	remaining := n.leaseEnds(m).Sub(now)
 	var leaving []taskKey
 	for k := range m.tasks {
 		j, t := k.job, &k.job.tasks[k.task]
-		if t.phase != phasePlaced || t.outcome != outcomeNone || n.shouldStop(j, t) || !endsWithLease(j, t, left, now) {
+		if t.phase != phasePlaced || t.outcome != outcomeNone || n.shouldStop(j, t) || !endsWithLease(j, t, remaining, now) {
 			continue
 		}
 		limit := n.silenceTimeout()
 		if j.spec.Shape == protocol.Service {
-			limit = maxZoneOutage // it is started again there when the lease has ended
+			limit = maxZoneOutage // it is started again there when the lease has expired
 		}
 		movable := silence > limit && n.canPlace(now)
-		if mustSave := j.spec.CheckpointS > 0 && left < n.saveTime(j); movable || mustSave {
+		if mustSave := j.spec.CheckpointS > 0 && remaining < n.saveTime(j); movable || mustSave {
 			leaving = append(leaving, k)
 		}
 	}
 	return leaving
 }
 
-// endsWithLease says whether a task is not expected to complete while its machine's lease
-// runs for so long.
-func endsWithLease(j *job, t *task, left time.Duration, now time.Time) bool {
-	needs := time.Duration(j.spec.EstimateS*float64(time.Second)) - now.Sub(latest(t.phaseSince, t.runningSince))
-	return j.spec.Shape == protocol.Service || needs > left
+// endsWithLease reports whether a task is not expected to complete within the rest of its machine's
+// lease.
+func endsWithLease(j *job, t *task, remaining time.Duration, now time.Time) bool {
+	needed := time.Duration(j.spec.EstimateS*float64(time.Second)) - now.Sub(latest(t.phaseSince, t.runningSince))
+	return j.spec.Shape == protocol.Service || needed > remaining
 }
 
 // saveMargin is how much earlier than necessary tasks are told to save.
@@ -244,7 +247,7 @@
 	return n.seconds(s) + saveMargin
 }
 
-// evacuate makes tasks leave a silent machine; the next poll tells it. The other tasks of
+// evacuate makes tasks leave a silent machine; the next poll sends the commands. The other tasks of
 // their gangs are told directly: all must be told within gang_peer_s to save.
 func (n *Node) evacuate(m *machine, leaving []taskKey, now time.Time) {
 	if len(leaving) == 0 {
@@ -253,7 +256,7 @@
 	n.log.Info("silent machine evacuated", "machine", m.name, "tasks", len(leaving), "of", len(m.tasks), "lease_left_s", roundToTenth(n.leaseEnds(m).Sub(now).Seconds()))
 	for _, k := range leaving {
 		if n.shouldStop(k.job, &k.job.tasks[k.task]) {
-			continue // with another task of its gang
+			continue // stopped with another task of its gang
 		}
 		n.stopTask(k.job, k.task)
 		if k.job.spec.Shape == protocol.Gang {
