--- a/internal/coordination/node/workers.go
+++ b/internal/coordination/node/workers.go
@@ -12,77 +12,78 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
+// taskKey identifies a task of a job.
 type taskKey struct {
 	job  *job
 	task int
 }
 
-// machine is a rented machine: its record, what its team of tasks takes, and
-// what its worker last said.
+// machine is a machine of the fleet: its record, the tasks on it and the resources that they
+// use, and the latest state reported by its worker.
 type machine struct {
 	name     string
-	recorded bool // it has a record
+	recorded bool // it has a record in the state service
 	rec      protocol.MachineRecord
-	batch    *batch // what it is recorded in
+	batch    *batch // the batch that contains its record
 	tasks    map[taskKey]struct{}
 	used     Resources
 
 	addr              string
-	trackedSince      time.Time // when this node first saw the record, or took the share over
-	lastFencedReport  time.Time // last fenced report
+	trackedSince      time.Time // start of the silence timeouts: record first seen, or partition taken over
+	lastFencedReport  time.Time // last report that carried the current token
 	session           uint64
 	seq               uint64
-	fenced            bool // a report of the present token has come
-	spotNotice        bool // to be taken by the cloud
+	fenced            bool // a report with the current token has arrived
+	spotNotice        bool // the cloud has announced that it will reclaim the machine
 	returning         bool
 	returnRetryAt     time.Time
-	idleSince         time.Time // zero: something is recorded on it
+	idleSince         time.Time // zero: tasks are recorded on it
 	idleSinceUnknown  bool      // this node did not see it become idle
 	moving            bool
-	faults            machineFaults // of being faulty
-	returned          bool          // returned: the cloud said so
-	startInFlight     bool          // a direct start is under way
+	faults            machineFaults // evidence that the machine is faulty
+	returned          bool          // the cloud has confirmed its return
+	startInFlight     bool          // a direct start is in flight
 	unconfirmedStarts []directStart // direct starts that were not answered
-	pollInFlight      bool          // a poll is under way; see unreported.go
-	nextPoll          time.Time     // not to be polled before
-	lastDirectAnswer  time.Time     // when a poll was last answered
-	leaseExpirySeen   time.Time     // when a poll last showed that its lease had ended
-	lastReport        time.Time     // when its last report came, here or, by its hints, at its holder
-	lastHint          time.Time     // when its holder last told of it
-	unlisted          bool          // the cloud's last list lacks it
+	pollInFlight      bool          // a poll is in flight; see unreported.go
+	nextPoll          time.Time     // earliest time of the next poll
+	lastDirectAnswer  time.Time     // when it last answered a direct call while its reports were overdue
+	leaseExpirySeen   time.Time     // when a poll last showed that its lease had expired
+	lastReport        time.Time     // when it last reported, to this node or, according to hints, to its owner
+	lastHint          time.Time     // when a hint of its owner last mentioned it
+	unlisted          bool          // missing from the cloud's last list
 	firstSeen         time.Time     // when this node first saw its record
-	avoidUntil        time.Time     // place nothing new before
-	wakeAt            time.Time     // when to answer a parked report; zero: when its time is up
+	avoidUntil        time.Time     // no new tasks are placed on it before
+	answerAt          time.Time     // when to answer the deferred report; zero: at its deadline
 	deferred          *deferredReport
 	images            []protocol.CachedImage // most recently used last
-	secPerGB          float64                // learned seconds per GB fetched; 0: unknown
+	secPerGB          float64                // measured seconds per GB fetched; 0: unknown
 	fetchSince        map[string]time.Time
 	heldBack          bool
-	earmarkedFor      *job // a gang that room is being gathered for
+	earmarkedFor      *job // job for which free resources on it are kept
 	earmarkedUntil    time.Time
-	gangReservation   bool           // the earmark is a reservation
-	needed            bool           // by what waits or is expected
-	facts             decide.Machine // what decisions see of it; see facts.go
-	factsStale        bool           // the facts are older than the rest
+	gangReservation   bool           // they are kept by a gang's reservation, not by preemption
+	needed            bool           // by waiting or expected jobs
+	facts             decide.Machine // what package decide knows of it; see facts.go
+	factsStale        bool           // the facts must be rebuilt
 }
 
-// deferredReport is a report whose answer waits a moment, so that a start can go out
-// as soon as it is stored.
+// deferredReport is a report whose answer is delayed so that a start can be sent as soon as it
+// is stored.
 type deferredReport struct {
 	report *protocol.Report
 	until  time.Time
 	reply  chan<- answer
 }
 
-// answer is what a request gets.
+// answer is the answer to a request.
 type answer struct {
 	status      int
 	body        any
 	retryAfterS int
 }
 
-// findOrAddMachine finds a machine by name, or makes a place for one whose record has
-// not come (yet).
+// findOrAddMachine returns the machine of that name. If its record has not been read yet, it
+// adds a machine without a record.
 func (n *Node) findOrAddMachine(name string) *machine {
 	m := n.machines[name]
 	if m == nil {
@@ -94,29 +95,29 @@
 	return m
 }
 
-func (n *Node) setMachine(b *batch, r protocol.MachineRecord) {
-	m := n.findOrAddMachine(r.Name)
-	if m.recorded && m.batch != b && r.Token < m.rec.Token {
-		// A rental's change that was executed long after it was sent, when its answer was
-		// lost, the change tried again and the machine moved meanwhile. It was moved: the
-		// higher token tells, in whatever order the two are read. The batch is mended by
-		// its holder.
-		n.log.Warn("a record of a machine is older than its move, and is dropped", "machine", r.Name, "batch", b.key, "moved_in", m.batch.key)
+// setMachine applies a machine record read from a batch.
+func (n *Node) setMachine(b *batch, rec protocol.MachineRecord) {
+	m := n.findOrAddMachine(rec.Name)
+	if m.recorded && m.batch != b && rec.Token < m.rec.Token {
+		// A rental's write was executed late: its answer was lost, the write was retried, and
+		// the machine was moved in between. The higher token identifies the newer record, in
+		// whatever order the two are read. The owner repairs the batch.
+		n.log.Warn("ignoring a machine record that is older than the last move of the machine", "machine", rec.Name, "batch", b.key, "moved_in", m.batch.key)
 		n.metrics.guardRefusals.WithLabelValues("old_record").Inc()
 		b.markDirty(time.Now())
 		return
 	}
 	m.batch = b
 	n.markStale(m)
-	if m.recorded && (m.rec.Share != r.Share || m.rec.Token != r.Token) {
+	if m.recorded && (m.rec.Share != rec.Share || m.rec.Token != rec.Token) {
 		n.removeFromPartition(m)
 		m.unfence()
 		m.moving = false
 		n.rejectDeferred(m)
-		// A holder gives a machine it has never heard time from now on: without
-		// this every moved machine was at once given up as one that never booted.
+		// The silence timeout of a machine that this owner has never heard from starts now.
+		// Otherwise every moved machine was at once given up as one that never booted.
 		m.trackedSince, m.lastFencedReport = time.Now(), time.Time{}
-		m.avoidUntil = time.Time{} // it was kept free for this
+		m.avoidUntil = time.Time{} // it was kept free for the move
 	}
 	if !m.recorded {
 		m.unfence()
@@ -125,14 +126,15 @@
 		m.firstSeen = m.trackedSince
 	}
 	m.recorded = true
-	m.rec = r
+	m.rec = rec
 	n.adoption.Drop(m.name)
-	if r.Addr != "" {
-		m.addr = r.Addr
+	if rec.Addr != "" {
+		m.addr = rec.Addr
 	}
 	n.addToPartition(m)
 }
 
+// dropMachine marks a machine as unrecorded, because its batch no longer contains it.
 func (n *Node) dropMachine(name string) {
 	m := n.machines[name]
 	if m == nil {
@@ -141,30 +143,31 @@
 	if m.recorded {
 		n.removeFromPartition(m)
 	}
-	// It is forgotten with the next look at the machines, not at once: a move's
-	// two halves may be seen in either order, and its images are still there.
+	// It is removed by the next check of the machines, not at once: the two writes of a move
+	// may be seen in either order, and the machine still has its images.
 	m.recorded = false
 	n.markStale(m)
 	n.rejectDeferred(m)
 }
 
-// unfence forgets what the worker said under an earlier token.
+// unfence discards what the worker reported under an earlier token.
 func (m *machine) unfence() {
 	m.fenced = false
-	m.unconfirmedStarts = nil // the token is a higher one: what is late does nothing
+	m.unconfirmedStarts = nil // the token is higher now: late commands have no effect
 }
 
-// fencingToken is what entitles this node to command a machine.
+// fencingToken returns the token under which this node commands a machine.
 func (n *Node) fencingToken(m *machine) uint64 {
 	return max(n.partitions[m.rec.Share].owner.Token, m.rec.Token)
 }
 
-// mayExtendLeases says whether leases may still be extended. Without the store a cancellation
-// may be missed. If users are told of one only when nothing of the job is left, that is
-// no harm; else the last answer must be early enough for the lease to end within cancel_s
-// of it. That counts from when this node last knew all that was stored, not from its last
-// answered call: with the watch silent for seconds before an outage, and other calls
-// answered, it missed what had been told meanwhile (TestGap).
+// mayExtendLeases reports whether answers to reports may still extend the workers' leases.
+// Without the state service a cancellation may be missed. That does no harm if users are told
+// of a cancellation only when nothing of the job is left. Otherwise the last answer must be early
+// enough for the lease to end within cancel_s of the cancellation. The time counts from when this
+// node last knew everything stored, not from its last answered call: when the watch was silent
+// for seconds before an outage while other calls were answered, the node missed cancellations
+// that users had been told of meanwhile (TestGap).
 func (n *Node) mayExtendLeases(now time.Time) bool {
 	if n.confirmsCancelAfterStop() {
 		return true
@@ -183,12 +186,12 @@
 	}
 	m := n.machines[r.Machine]
 	if m == nil || !m.recorded {
-		n.onStray(r, now, reply)
+		n.onUnrecordedReport(r, now, reply)
 		return
 	}
-	s := n.partitions[m.rec.Share]
-	if !n.owns(s) {
-		n.redirect(r, s, m, now, reply)
+	p := n.partitions[m.rec.Share]
+	if !n.owns(p) {
+		n.redirect(r, p, m, now, reply)
 		return
 	}
 	if !n.mayExtendLeases(now) {
@@ -198,14 +201,14 @@
 	}
 	token := n.fencingToken(m)
 	if r.Token > token {
-		// Somebody is entitled after us, and our replica does not show it yet.
+		// Another node has become the owner, and this replica does not show it yet.
 		n.metrics.guardRefusals.WithLabelValues("token").Inc()
 		reply <- answer{status: 503}
 		return
 	}
 	if !n.acceptWorkerReport(m, r, token, now) {
-		// An old report, held on its way or overtaken by the answer to a direct
-		// call: what it lists may be long gone. Its answer gives no orders.
+		// An old report, delayed on its way or overtaken by the answer to a direct call: its
+		// task list may be out of date. The answer contains no commands.
 		n.metrics.guardRefusals.WithLabelValues("old_report").Inc()
 		reply <- answer{status: 200, body: protocol.Orders{Token: token, Commands: []protocol.Command{}}}
 		return
@@ -215,24 +218,25 @@
 		reply <- answer{status: 200, body: protocol.Orders{Token: token, Commands: n.stopsForReport(r, now)}}
 		return
 	}
-	cmds := n.orders(m, r, now)
+	cmds := n.commandsFor(m, r, now)
 	if len(cmds) == 0 && n.deferAnswer(m, r, now, reply) {
 		return
 	}
 	reply <- answer{status: 200, body: protocol.Orders{Token: token, Commands: cmds}}
 }
 
-// stopsForReport stop what a report lists and nobody wants any more. They are safe in every answer,
-// also where nothing else may be ordered or concluded: a halt names an attempt of a job that
-// is over, or that may not run here, whoever holds the share. (With a machine in doubt for
-// as long as the state service was down, what was cancelled ran on all that time.)
+// stopsForReport returns commands that stop the reported tasks that are no longer wanted. They
+// are safe in every answer, also where nothing else may be commanded or concluded: each one names
+// an attempt of a job that is over, or that may not run here, whoever owns the partition.
+// (Without them, cancelled tasks on a machine with an unconfirmed start ran on for as long as
+// the state service was down.)
 func (n *Node) stopsForReport(r *protocol.Report, now time.Time) []protocol.Command {
 	cmds := []protocol.Command{}
 	for i := range r.Tasks {
 		tr := &r.Tasks[i]
 		id, _, _ := protocol.ParseTaskID(tr.Task)
-		// With a gateway and no lease also what this node does not know: a replica that
-		// is behind does not know the newest jobs of the gateway.
+		// If there is a gateway and the site's lease has expired, unknown jobs are stopped too: a
+		// replica that lags does not know the gateway's newest jobs.
 		j := n.jobs[id]
 		if (j != nil && (j.cancelled || n.cancelledByHint(j) || n.blockedBySiteLease(j, now)) || j == nil && n.SiteDaemonHost != "" && n.gatewayJobsBlocked(now)) && tr.State != protocol.TaskExited {
 			cmds = append(cmds, protocol.Command{Op: protocol.OpStop, Task: tr.Task, Attempt: tr.Attempt})
@@ -241,8 +245,8 @@
 	return cmds
 }
 
-// acceptWorkerReport takes in the frame of a report that shows that the worker reaches this node, or that
-// this node has just reached it for the first time; false if a newer one was heard already.
+// acceptWorkerReport accepts the header of a report that the worker has sent by itself, which
+// shows that it reaches this node. It returns false if a newer report was accepted already.
 func (n *Node) acceptWorkerReport(m *machine, r *protocol.Report, token uint64, now time.Time) bool {
 	if !n.acceptReportHeader(m, r, token, now) {
 		return false
@@ -253,22 +257,23 @@
 	return true
 }
 
-// acceptReportHeader takes in a report's frame; false if a newer one was accepted already.
-func (n *Node) acceptReportHeader(m *machine, r *protocol.Report, token uint64, now time.Time) bool {
-	if r.Session < m.session || r.Session == m.session && r.Seq <= m.seq {
+// acceptReportHeader accepts everything in a report except its tasks. It returns false if a newer
+// report was accepted already.
+func (n *Node) acceptReportHeader(m *machine, report *protocol.Report, token uint64, now time.Time) bool {
+	if report.Session < m.session || report.Session == m.session && report.Seq <= m.seq {
 		return false
 	}
-	n.answerParked(m, now) // an earlier report's answer is not waited for any more
-	if m.session != 0 && r.Session > m.session {
+	n.answerDeferred(m, now) // the worker no longer waits for the answer to an earlier report
+	if m.session != 0 && report.Session > m.session {
 		n.log.Info("worker's lease ran out", "machine", m.name, "tasks", len(m.tasks), "silent_s", roundToTenth(now.Sub(n.silentSince(m)).Seconds()))
 	}
-	m.session, m.seq = r.Session, r.Seq
+	m.session, m.seq = report.Session, report.Seq
 	n.markStale(m)
-	if r.Addr != "" && r.Addr != m.rec.Addr {
-		m.addr = r.Addr
+	if report.Addr != "" && report.Addr != m.rec.Addr {
+		m.addr = report.Addr
 		m.batch.markDirty(now)
 	}
-	if r.Token == token {
+	if report.Token == token {
 		if !m.fenced {
 			n.log.Debug("machine is fenced", "machine", m.name, "token", token)
 			n.replan = true
@@ -278,33 +283,33 @@
 	} else {
 		n.partitions[m.rec.Share].reconciliation.Seen(m.name, now)
 	}
-	notice := r.NoticeS != nil
+	notice := report.NoticeS != nil
 	if notice && !m.spotNotice {
-		n.log.Info("spot notice", "machine", m.name, "seconds", *r.NoticeS)
-		n.drain(m, *r.NoticeS)
+		n.log.Info("spot notice", "machine", m.name, "seconds", *report.NoticeS)
+		n.drain(m, *report.NoticeS)
 	}
 	m.spotNotice = notice
 	return true
 }
 
-// orders takes a fenced report's task list as the truth about the machine,
-// notes what it proves, and says what the worker is to do.
-func (n *Node) orders(m *machine, r *protocol.Report, now time.Time) []protocol.Command {
+// commandsFor takes the task list of a report under the current token as the state of the
+// machine, records the outcomes that it proves, and returns the commands for the worker.
+func (n *Node) commandsFor(m *machine, r *protocol.Report, now time.Time) []protocol.Command {
 	cmds := []protocol.Command{}
 	listed := make(map[taskKey]bool, len(r.Tasks))
 	for i := range r.Tasks {
 		tr := &r.Tasks[i]
-		id, num, _ := protocol.ParseTaskID(tr.Task)
+		id, number, _ := protocol.ParseTaskID(tr.Task)
 		j := n.jobs[id]
 		var t *task
-		if j != nil && num < len(j.tasks) {
-			t = &j.tasks[num]
+		if j != nil && number < len(j.tasks) {
+			t = &j.tasks[number]
 		}
-		if t == nil && n.mayBeInCorruptValue(id, num) {
+		if t == nil && n.mayBeInCorruptValue(id, number) {
 			continue
 		}
 		if t == nil || t.phase != phasePlaced || t.machine != m || t.attempt != tr.Attempt {
-			// Not recorded here: over, or left behind by an earlier holder.
+			// Not recorded here: the task is over, or was left behind by an earlier owner.
 			if tr.State == protocol.TaskExited {
 				cmds = append(cmds, protocol.Command{Op: protocol.OpForget, Task: tr.Task, Attempt: tr.Attempt})
 			} else {
@@ -312,8 +317,8 @@
 			}
 			continue
 		}
-		listed[taskKey{j, num}] = true
-		n.observeTask(m, j, num, tr, now)
+		listed[taskKey{j, number}] = true
+		n.observeTask(m, j, number, tr, now)
 		if tr.State != protocol.TaskExited && n.shouldStop(j, t) && (tr.State != protocol.TaskSaving || j.cancelled || n.cancelledByHint(j) || n.blockedBySiteLease(j, now)) {
 			grace := t.stopGraceS
 			if j.cancelled || n.cancelledByHint(j) || n.blockedBySiteLease(j, now) {
@@ -329,18 +334,18 @@
 		}
 		switch {
 		case n.shouldStop(j, t) || m.returning:
-			// Any start of ours went out in an answer to an earlier report, and
-			// earlier holders' starts are fenced off: it is not there and never will be.
+			// Any start sent by this node was in an answer to an earlier report, and the token
+			// fences off the starts of earlier owners: the task is not there and never will be.
 			n.recordOutcome(j, k.task, outcomeGone)
 		case n.overLimit(j.team):
-			// An earlier holder gave the place of a task that was over to another one
-			// and did not store its end; if the lease ended since, neither is listed.
-			// Both are not to be started; this one is proven not to be there.
+			// An earlier owner gave the place of a task that was over to another one and did
+			// not store its end. If the lease has expired since, the report lists neither.
+			// Not both may be started; this one is proven not to be there.
 			n.recordOutcome(j, k.task, outcomeGone)
 		case j.spec.Shape == protocol.Gang && j.storedPlacements() < len(j.tasks):
-			// A gang starts only once all of it is stored.
+			// A gang starts only once all its placements are stored.
 		case j.spec.Shape == protocol.Gang && t.reportedState >= reportedRunning:
-			// It ran and was lost with its lease: the gang must start anew.
+			// It ran and was lost when the lease expired: the gang must start again.
 			n.runLost(j, t, now)
 			n.recordOutcome(j, k.task, outcomeGone)
 		default:
@@ -353,7 +358,7 @@
 	return cmds
 }
 
-// storedPlacements counts the tasks with a stored machine.
+// storedPlacements returns the number of tasks whose machine is stored.
 func (j *job) storedPlacements() int {
 	c := 0
 	for i := range j.tasks {
@@ -364,12 +369,12 @@
 	return c
 }
 
-// shouldStop says whether a placed task is to leave its machine.
+// shouldStop reports whether a placed task should leave its machine.
 func (n *Node) shouldStop(j *job, t *task) bool {
 	return j.cancelled || n.cancelledByHint(j) || j.abortAttempt || t.stopRequested || j.claim > 0 && n.blockedBySiteLease(j, time.Now())
 }
 
-// observeTask learns from one listed task of ours.
+// observeTask applies the reported state of one task that is recorded on the machine.
 func (n *Node) observeTask(m *machine, j *job, i int, tr *protocol.TaskReport, now time.Time) {
 	t := &j.tasks[i]
 	n.markStale(m)
@@ -386,13 +391,13 @@
 		}
 		if j.firstRunningAt.IsZero() && tr.State == protocol.TaskRunning {
 			j.firstRunningAt = now
-			if !t.startSentAt.IsZero() { // else it ran before this node took the share over
+			if !t.startSentAt.IsZero() { // otherwise it ran before this node took over the partition
 				observeSince(n.metrics.start.WithLabelValues(n.metrics.classLabel(j.spec.Class)), j.submitted, now)
 				n.log.Info("job started", "job", j.id, "class", j.spec.Class, "wait_s", now.Sub(j.submitted).Seconds(), "image_gb", j.spec.ImageGB)
 			}
 		}
 		if was != t.reportedState {
-			m.fetched(j.spec.Image, j.spec.ImageGB, n.machineTypes[m.rec.Type], now)
+			m.noteImageFetched(j.spec.Image, j.spec.ImageGB, n.machineTypes[m.rec.Type], now)
 		}
 		if tr.State == protocol.TaskRunning {
 			n.noteTaskSuccess(j, t, m, false, now)
@@ -401,7 +406,7 @@
 		if tr.Cause == protocol.CauseDone {
 			n.runEnded(j, t, now)
 			n.recordOutcome(j, i, outcomeFinished)
-			m.fetched(j.spec.Image, j.spec.ImageGB, n.machineTypes[m.rec.Type], now)
+			m.noteImageFetched(j.spec.Image, j.spec.ImageGB, n.machineTypes[m.rec.Type], now)
 			n.noteTaskSuccess(j, t, m, true, now)
 			return
 		}
@@ -410,8 +415,8 @@
 			j.history.addEvent(now, "a task ended on "+m.name+": "+tr.Cause)
 			n.log.Info("task exited", "task", tr.Task, "machine", m.name, "cause", tr.Cause, "saved", tr.Saved)
 			if j.step != nil && ticket.Counts(tr.Cause) {
-				// Counted with the end itself: both are in one change, and a repeated
-				// report, or another holder, finds the end noted or stored.
+				// Counted together with the end, in the same change: a repeated report, or another
+				// owner, finds the end already recorded or stored.
 				t.unstoredError, j.hasErrors = true, true
 			}
 			switch tr.Cause {
@@ -425,35 +430,34 @@
 	}
 }
 
-// fetched learns that a machine has an image: what fetching it cost, and that
-// it is cached now.
-func (m *machine) fetched(image string, gb float64, t *protocol.MachineType, now time.Time) {
+// noteImageFetched records that an image is cached on the machine, and how long the fetch took.
+func (m *machine) noteImageFetched(image string, imageGB float64, machineType *protocol.MachineType, now time.Time) {
 	if since, ok := m.fetchSince[image]; ok {
 		delete(m.fetchSince, image)
-		if gb > 0 {
-			if took := now.Sub(since).Seconds() / gb; m.secPerGB == 0 {
+		if imageGB > 0 {
+			if took := now.Sub(since).Seconds() / imageGB; m.secPerGB == 0 {
 				m.secPerGB = took
 			} else {
 				m.secPerGB += 0.3 * (took - m.secPerGB)
 			}
 		}
 	}
-	total := gb
+	total := imageGB
 	kept := m.images[:0]
-	for _, im := range m.images {
-		if im.Name != image {
-			kept = append(kept, im)
-			total += im.GB
+	for _, cached := range m.images {
+		if cached.Name != image {
+			kept = append(kept, cached)
+			total += cached.GB
 		}
 	}
-	m.images = append(kept, protocol.CachedImage{Name: image, GB: gb})
-	for t != nil && total > t.CacheGB && len(m.images) > 1 {
+	m.images = append(kept, protocol.CachedImage{Name: image, GB: imageGB})
+	for machineType != nil && total > machineType.CacheGB && len(m.images) > 1 {
 		total -= m.images[0].GB
 		m.images = m.images[1:]
 	}
 }
 
-// hasImage says whether a machine holds an image or is fetching it.
+// hasImage reports whether an image is cached on the machine or being fetched.
 func (m *machine) hasImage(image string) bool {
 	if _, ok := m.fetchSince[image]; ok {
 		return true
@@ -466,40 +470,40 @@
 	return false
 }
 
-// findTime is what a worker may take to find another node when its own falls
-// silent: it waits 4 s for an answer and 1 s more, and may be sent on once.
-const findTime = 6500 * time.Millisecond
+// failoverTime is how long a worker may take to find another node when its own stops answering:
+// it waits 4 s for an answer, then 1 s, and may be redirected once.
+const failoverTime = 6500 * time.Millisecond
 
-// parkTime is how long the answer to a report may wait for a start. A lease counts
-// from when the last answered report was sent: what the answer waits is missing when
-// the node falls silent before the next one.
-func (n *Node) parkTime(m *machine) time.Duration {
+// maxDeferral is how long the answer to a report may be deferred to wait for a start. A lease
+// counts from when the last answered report was sent, so the deferral shortens it if this node
+// fails before the next report.
+func (n *Node) maxDeferral(m *machine) time.Duration {
 	p := n.cfg.Params.Workers
-	w := min(n.seconds(p.ReportS), max(0, n.seconds(p.LeaseS-1.25*p.ReportS)-findTime))
+	wait := min(n.seconds(p.ReportS), max(0, n.seconds(p.LeaseS-1.25*p.ReportS)-failoverTime))
 	for k := range m.tasks {
 		if k.job.spec.Shape != protocol.Service {
 			// The end of a task is not reported before this report is answered.
-			return min(w*55/100, 3300*time.Millisecond)
+			return min(wait*55/100, 3300*time.Millisecond)
 		}
 	}
-	return min(w, 3300*time.Millisecond)
+	return min(wait, 3300*time.Millisecond)
 }
 
-// deferAnswer lets an answer wait. A worker drops answers after 4 s, so it never waits
-// longer than 3.3.
+// deferAnswer defers the answer to a report. A worker drops answers after 4 s, so the deferral
+// is never longer than 3.3 s.
 func (n *Node) deferAnswer(m *machine, r *protocol.Report, now time.Time, reply chan<- answer) bool {
-	if m.spotNotice || m.returning || len(m.tasks) > 0 && !n.hasCapacity(m) && !m.pendingFacts() {
+	if m.spotNotice || m.returning || len(m.tasks) > 0 && !n.hasCapacity(m) && !m.hasPendingOutcomes() {
 		return false
 	}
-	m.wakeAt = time.Time{}
-	m.deferred = &deferredReport{report: r, until: now.Add(n.parkTime(m)), reply: reply}
+	m.answerAt = time.Time{}
+	m.deferred = &deferredReport{report: r, until: now.Add(n.maxDeferral(m)), reply: reply}
 	heap.Push(&n.dueAnswers, dueReport{m.deferred.until, m})
 	return true
 }
 
-// pendingFacts says whether something of a machine's tasks is about to be
-// stored, after which there will be orders.
-func (m *machine) pendingFacts() bool {
+// hasPendingOutcomes reports whether outcomes of tasks of the machine are about to be stored, after
+// which there will be commands for it.
+func (m *machine) hasPendingOutcomes() bool {
 	for k := range m.tasks {
 		if k.job.tasks[k.task].outcome != outcomeNone {
 			return true
@@ -508,15 +512,15 @@
 	return false
 }
 
-// dueReport says when a machine's parked report may have to be answered. An
-// entry that was overtaken is ignored when its time comes.
+// dueReport is the time at which the deferred report of a machine may have to be answered. An
+// entry that is out of date is ignored when its time comes.
 type dueReport struct {
-	at time.Time
-	m  *machine
+	at      time.Time
+	machine *machine
 }
 
-// dueHeap holds them, the earliest first: looking through the whole fleet at
-// every event cost a small controller most of its time.
+// dueHeap orders these entries by time. Searching the whole fleet on every event took most of
+// the processor time of a small controller.
 type dueHeap []dueReport
 
 func (h dueHeap) Len() int           { return len(h) }
@@ -530,88 +534,89 @@
 	return x
 }
 
-// scheduleAnswer makes a machine's parked report be answered in a while.
+// scheduleAnswer makes the deferred report of a machine be answered at a given time at the latest.
 func (n *Node) scheduleAnswer(m *machine, at time.Time) {
-	if m.deferred != nil && (m.wakeAt.IsZero() || at.Before(m.wakeAt)) {
-		m.wakeAt = at
+	if m.deferred != nil && (m.answerAt.IsZero() || at.Before(m.answerAt)) {
+		m.answerAt = at
 		heap.Push(&n.dueAnswers, dueReport{at, m})
 	}
 }
 
-// answerParked answers a waiting report with what is to be done by now.
-func (n *Node) answerParked(m *machine, now time.Time) {
-	p := m.deferred
-	if p == nil {
+// answerDeferred answers a deferred report with the commands for the machine as of now.
+func (n *Node) answerDeferred(m *machine, now time.Time) {
+	deferred := m.deferred
+	if deferred == nil {
 		return
 	}
-	m.deferred, m.wakeAt = nil, time.Time{}
+	m.deferred, m.answerAt = nil, time.Time{}
 	if !n.mayExtendLeases(now) {
-		p.reply <- answer{status: 503}
+		deferred.reply <- answer{status: 503}
 		return
 	}
-	cmds := n.stopsForReport(p.report, now)
+	cmds := n.stopsForReport(deferred.report, now)
 	if n.logReadable(n.partitions[m.rec.Share]) {
-		cmds = n.orders(m, p.report, now)
+		cmds = n.commandsFor(m, deferred.report, now)
 	}
-	p.reply <- answer{status: 200, body: protocol.Orders{Token: n.fencingToken(m), Commands: cmds}}
+	deferred.reply <- answer{status: 200, body: protocol.Orders{Token: n.fencingToken(m), Commands: cmds}}
 }
 
-// rejectDeferred turns a waiting report away: this node may not act for it any more.
+// rejectDeferred rejects a deferred report, because this node may no longer answer it.
 func (n *Node) rejectDeferred(m *machine) {
-	if p := m.deferred; p != nil {
+	if deferred := m.deferred; deferred != nil {
 		m.deferred = nil
-		p.reply <- answer{status: 503}
+		deferred.reply <- answer{status: 503}
 	}
 }
 
+// answerDueReports answers the deferred reports whose time has come.
 func (n *Node) answerDueReports(now time.Time) {
 	for len(n.dueAnswers) > 0 && !now.Before(n.dueAnswers[0].at) {
-		m := heap.Pop(&n.dueAnswers).(dueReport).m
-		if m.deferred != nil && (!m.wakeAt.IsZero() && !now.Before(m.wakeAt) || !now.Before(m.deferred.until)) {
-			n.answerParked(m, now)
+		m := heap.Pop(&n.dueAnswers).(dueReport).machine
+		if m.deferred != nil && (!m.answerAt.IsZero() && !now.Before(m.answerAt) || !now.Before(m.deferred.until)) {
+			n.answerDeferred(m, now)
 		}
 	}
 }
 
-// redirect answers for a machine of a share that another node holds.
-func (n *Node) redirect(r *protocol.Report, s *partition, m *machine, now time.Time, reply chan<- answer) {
-	h := s.owner.Node
-	if o, ok := n.answerForOwner(m, r, now); ok && h != n.cfg.Node {
-		reply <- answer{status: 200, body: o}
+// redirect answers a machine of a partition that another node owns.
+func (n *Node) redirect(r *protocol.Report, p *partition, m *machine, now time.Time, reply chan<- answer) {
+	owner := p.owner.Node
+	if orders, ok := n.answerForOwner(m, r, now); ok && owner != n.cfg.Node {
+		reply <- answer{status: 200, body: orders}
 		return
 	}
-	if s.owner.Token == 0 || h == n.cfg.Node || n.sinceContact(now) > leaseTTL && !n.receivesHints(h, now) {
+	if p.owner.Token == 0 || owner == n.cfg.Node || n.sinceContact(now) > leaseTTL && !n.receivesHints(owner, now) {
 		reply <- answer{status: 503}
 		return
 	}
-	reply <- answer{status: 421, body: protocol.Redirect{ReportTo: h}}
+	reply <- answer{status: 421, body: protocol.Redirect{ReportTo: owner}}
 }
 
-// fence shows a machine this node's token directly, without orders, so that an
-// earlier holder who still answers it is cut off, and takes its report.
+// fence sends this node's token to a machine directly, without commands, and processes the
+// report in the answer. An earlier owner that still answers the machine is fenced off by this.
 func (n *Node) fence(m *machine, now time.Time) {
-	n.command(m, protocol.Orders{Token: n.fencingToken(m), Session: max(1, m.session), Commands: []protocol.Command{}}, func(ok bool) {
+	n.sendCommand(m, protocol.Orders{Token: n.fencingToken(m), Session: max(1, m.session), Commands: []protocol.Command{}}, func(ok bool) {
 		n.loadControl.budget.Ended()
 		n.partitions[m.rec.Share].reconciliation.Answered(m.name, ok, time.Now())
 	})
 }
 
-// sendStops tells a worker directly to stop tasks that make room for others. A
-// stop names an attempt that nobody wants any more, so it may arrive late.
+// sendStops tells a worker directly to stop tasks whose place is needed. A stop names an attempt
+// that is no longer wanted, so it may arrive late.
 func (n *Node) sendStops(m *machine) {
 	if m.addr == "" || !m.fenced {
 		return
 	}
 	o := protocol.Orders{Token: n.fencingToken(m), Session: m.session, Commands: n.pendingStops(m)}
 	if len(o.Commands) == 0 || n.takeBudget(start.Stop, 1) == 0 {
-		return // its next report is answered with them
+		return // the answer to its next report contains them
 	}
-	n.command(m, o, func(bool) {})
+	n.sendCommand(m, o, func(bool) {})
 }
 
-// command sends orders directly and takes the report that comes back, if this
-// node is still entitled by then.
-func (n *Node) command(m *machine, o protocol.Orders, ended func(ok bool)) {
+// sendCommand sends orders directly and accepts the report in the answer, if this node still
+// owns the machine's partition under the same token.
+func (n *Node) sendCommand(m *machine, o protocol.Orders, ended func(ok bool)) {
 	addr := m.addr
 	n.spawn(func(ctx context.Context) {
 		r, ok, err := n.workers.Command(ctx, addr, o)
@@ -635,7 +640,7 @@
 	})
 }
 
-// observeTasks takes a directly asked report's facts and gives no orders.
+// observeTasks applies the task states in the answer to a direct call and gives no commands.
 func (n *Node) observeTasks(m *machine, r *protocol.Report, now time.Time) {
 	for i := range r.Tasks {
 		tr := &r.Tasks[i]
