--- a/internal/coordination/node/batches.go
+++ b/internal/coordination/node/batches.go
@@ -65,17 +65,17 @@
 // writeKeeping returns the write that stores the batch with only the machines for which keep
 // returns true; keep may change them. A batch without machines is deleted.
 func (b *batch) writeKeeping(keep func(r *protocol.MachineRecord) bool) storage.Write {
-	rec := b.rec
-	rec.Machines = nil
+	record := b.rec
+	record.Machines = nil
 	for _, r := range b.rec.Machines {
 		if keep(&r) {
-			rec.Machines = append(rec.Machines, r)
+			record.Machines = append(record.Machines, r)
 		}
 	}
-	if len(rec.Machines) == 0 {
+	if len(record.Machines) == 0 {
 		return storage.Write{Delete: b.key}
 	}
-	return storage.Write{Put: b.key, Value: mustJSON(rec)}
+	return storage.Write{Put: b.key, Value: mustJSON(record)}
 }
 
 // batchCapacity is how many machines of a kind fit into one stored value.
@@ -91,13 +91,13 @@
 	var batches []protocol.BatchRecord
 	kind := protocol.MachineRecord{Type: req.Type, Zone: req.Zone, Spot: req.Spot}
 	for part := range slices.Chunk(names, n.batchCapacity(kind)) {
-		rec := protocol.BatchRecord{Share: p.index}
+		record := protocol.BatchRecord{Share: p.index}
 		for _, name := range part {
 			r := kind
 			r.Name = name
-			rec.Machines = append(rec.Machines, r)
+			record.Machines = append(record.Machines, r)
 		}
-		batches = append(batches, rec)
+		batches = append(batches, record)
 	}
 	pending := len(batches)
 	if pending == 0 {
--- a/internal/coordination/node/machines.go
+++ b/internal/coordination/node/machines.go
@@ -92,14 +92,14 @@
 // onUnrecordedReport answers a machine without a record: it ran before the first controller
 // did, or the answer to its rental was lost, or is still being stored, or it was rented late.
 // The leader adopts such machines (adopt.go).
-func (n *Node) onUnrecordedReport(r *protocol.Report, now time.Time, reply chan<- answer) {
+func (n *Node) onUnrecordedReport(report *protocol.Report, now time.Time, reply chan<- answer) {
 	leader := n.partitions[0].owner
-	if _, returned := n.cloudState.returned[r.Machine]; !returned {
-		n.adoption.Heard(protocol.MachineRecord{Name: r.Machine, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Addr: r.Addr}, now)
+	if _, returned := n.cloudState.returned[report.Machine]; !returned {
+		n.adoption.Heard(protocol.MachineRecord{Name: report.Machine, Type: report.Type, Zone: report.Zone, Spot: report.Spot, Addr: report.Addr}, now)
 	}
 	switch {
 	case n.isLeader():
-		n.noteUnrecorded(r.Machine, now)
+		n.noteUnrecorded(report.Machine, now)
 		reply <- answer{status: 503}
 	case leader.Token != 0 && leader.Node != n.cfg.Node:
 		reply <- answer{status: 421, body: protocol.Redirect{ReportTo: leader.Node}}
@@ -234,12 +234,12 @@
 				empty++
 			}
 			used, free = used.Add(m.used, 1), free.Add(n.available(m), 1)
-			u := types[m.rec.Type]
-			if u == nil {
-				u = &typeUsage{}
-				types[m.rec.Type] = u
+			usage := types[m.rec.Type]
+			if usage == nil {
+				usage = &typeUsage{}
+				types[m.rec.Type] = usage
 			}
-			u.add(m, n.machineTypes[m.rec.Type])
+			usage.add(m, n.machineTypes[m.rec.Type])
 		}
 		for _, j := range p.jobs {
 			waitingTasks += n.preemptionDemand(j, now)
@@ -275,12 +275,12 @@
 func formatTypeUsage(types map[string]*typeUsage) string {
 	var out []string
 	for _, name := range slices.Sorted(maps.Keys(types)) {
-		u := types[name]
+		usage := types[name]
 		fraction := 0.0
-		if u.cpus > 0 {
-			fraction = u.cpusUsed / u.cpus
+		if usage.cpus > 0 {
+			fraction = usage.cpusUsed / usage.cpus
 		}
-		out = append(out, fmt.Sprintf("%s: %d up, %d empty, %d with CPU tasks only, %.2f of CPUs", name, u.up, u.empty, u.cpuOnly, fraction))
+		out = append(out, fmt.Sprintf("%s: %d up, %d empty, %d with CPU tasks only, %.2f of CPUs", name, usage.up, usage.empty, usage.cpuOnly, fraction))
 	}
 	return strings.Join(out, "; ")
 }
--- a/internal/coordination/node/moves.go
+++ b/internal/coordination/node/moves.go
@@ -95,9 +95,9 @@
 	return true
 }
 
-// canShiftTasks reports whether all tasks on a machine that are at least as urgent as a rank
+// canRelocateTasks reports whether all tasks on a machine that are at least as urgent as a rank
 // need none of its GPUs and could run elsewhere in the partition, and the others may be stopped.
-func (n *Node) canShiftTasks(m *machine, rank int, now time.Time) bool {
+func (n *Node) canRelocateTasks(m *machine, rank int, now time.Time) bool {
 	return n.view(n.partitions[m.rec.Share], now).CanRelocate(n.currentFacts(m), rank)
 }
 
@@ -152,7 +152,7 @@
 		return
 	}
 	unguaranteedOnly := n.onlyUnguaranteed(m) && !n.guaranteedWorkWaits(m.rec.Share, now)
-	if !unguaranteedOnly && !n.allOutranked(m, move.Rank) && !n.canShiftTasks(m, move.Rank, now) || n.hasStoppingTask(m) {
+	if !unguaranteedOnly && !n.allOutranked(m, move.Rank) && !n.canRelocateTasks(m, move.Rank, now) || n.hasStoppingTask(m) {
 		return
 	}
 	n.log.Info("work stopped for another share", "machine", m.name, "tasks", len(m.tasks), "share", move.Share, "guests", unguaranteedOnly)
--- a/internal/coordination/node/square.go
+++ b/internal/coordination/node/square.go
@@ -68,7 +68,7 @@
 
 // beginReconciliation starts the reconciliation of a partition that was just taken over.
 func (n *Node) beginReconciliation(p *partition, now time.Time) {
-	w := n.cfg.Params.Workers
+	params := n.cfg.Params.Workers
 	var facts []start.Facts
 	for _, m := range p.machines {
 		if n.expectedToReport(m) {
@@ -76,11 +76,11 @@
 		}
 	}
 	n.loadControl.budget.Fresh(now)
-	grace := min(maxReportGrace, n.seconds(w.ReportS)/2)
+	grace := min(maxReportGrace, n.seconds(params.ReportS)/2)
 	if p.takeover.cause == standby.HandedOn {
 		grace = 0 // its workers still have a controller and report at their usual interval
 	}
-	p.reconciliation = start.Begin(start.Times{Report: n.seconds(w.ReportS), Grace: grace}, now, facts)
+	p.reconciliation = start.Begin(start.Times{Report: n.seconds(params.ReportS), Grace: grace}, now, facts)
 }
 
 // expectedToReport reports whether a machine's silence means anything: it is known to be up, or
@@ -246,9 +246,9 @@
 func (n *Node) returnableIdle(idleMachines []*machine, now time.Time) []*machine {
 	var toReturn []*machine
 	unknown := 0
-	boot := 0.0
+	bootS := 0.0
 	for _, t := range n.machineTypes {
-		boot = max(boot, t.BootS)
+		bootS = max(bootS, t.BootS)
 	}
 	for _, m := range idleMachines {
 		if m.idleSinceUnknown {
@@ -259,7 +259,7 @@
 	if unknown == 0 {
 		n.loadControl.peakIdleUnknown = 0
 	}
-	allowed := start.Spread(n.loadControl.peakIdleUnknown, n.seconds(boot), n.loadControl.lastIdleReturn, now)
+	allowed := start.Spread(n.loadControl.peakIdleUnknown, n.seconds(bootS), n.loadControl.lastIdleReturn, now)
 	for _, m := range idleMachines {
 		if !n.partitions[m.rec.Share].reconciliation.Settled(now) {
 			continue
--- a/internal/coordination/node/starts.go
+++ b/internal/coordination/node/starts.go
@@ -64,22 +64,22 @@
 	n.directStarts++
 	addr := m.addr
 	n.spawn(func(ctx context.Context) {
-		r, executed, err := n.workers.Command(ctx, addr, orders)
+		report, executed, err := n.workers.Command(ctx, addr, orders)
 		n.post(func() {
 			n.directStarts--
 			m.startInFlight = false
 			if n.machines[m.name] != m || !m.recorded || !n.owns(n.partitions[m.rec.Share]) || n.fencingToken(m) != orders.Token {
 				return // the token was raised meanwhile: a late command has no effect
 			}
-			if err != nil || r == nil || r.Machine != m.name {
+			if err != nil || report == nil || report.Machine != m.name {
 				n.log.Info("direct start not answered", "machine", m.name, "tasks", len(tasks), "why", err)
 				m.unconfirmedStarts = tasks
 				n.markStale(m)
 				return
 			}
 			now := time.Now()
-			if executed && r.Token == orders.Token && n.acceptDirectAnswer(m, r, orders.Token, now) {
-				n.observeTasks(m, r, now)
+			if executed && report.Token == orders.Token && n.acceptDirectAnswer(m, report, orders.Token, now) {
+				n.observeTasks(m, report, now)
 			}
 		})
 	})
@@ -93,7 +93,7 @@
 
 // hasUnconfirmedStart reports whether a direct start may still be executed. A report that lists
 // all of these tasks confirms them.
-func (m *machine) hasUnconfirmedStart(r *protocol.Report) bool {
+func (m *machine) hasUnconfirmedStart(report *protocol.Report) bool {
 	if m.startInFlight {
 		return true
 	}
@@ -101,8 +101,8 @@
 		return false
 	}
 	listed := map[directStart]bool{}
-	for i := range r.Tasks {
-		listed[directStart{r.Tasks[i].Task, r.Tasks[i].Attempt}] = true
+	for i := range report.Tasks {
+		listed[directStart{report.Tasks[i].Task, report.Tasks[i].Attempt}] = true
 	}
 	for _, s := range m.unconfirmedStarts {
 		if !listed[s] {
--- a/internal/coordination/node/unreported.go
+++ b/internal/coordination/node/unreported.go
@@ -48,12 +48,12 @@
 	addr := m.addr
 	n.spawn(func(ctx context.Context) {
 		// The body of a refusal is a report, too.
-		r, _, err := n.workers.Command(ctx, addr, orders)
+		report, _, err := n.workers.Command(ctx, addr, orders)
 		n.post(func() {
 			m.pollInFlight = false
 			n.loadControl.budget.Ended()
-			if err == nil && r != nil {
-				n.onPolled(m, r, orders.Token, time.Now())
+			if err == nil && report != nil {
+				n.onPolled(m, report, orders.Token, time.Now())
 			}
 		})
 	})
@@ -80,25 +80,25 @@
 }
 
 // onPolled processes the answer to a poll that was sent under a token.
-func (n *Node) onPolled(m *machine, r *protocol.Report, token uint64, now time.Time) {
+func (n *Node) onPolled(m *machine, report *protocol.Report, token uint64, now time.Time) {
 	n.noteWorkerContact(now)
-	if r.Machine != m.name || n.machines[m.name] != m || !m.recorded || !n.owns(n.partitions[m.rec.Share]) || n.fencingToken(m) != token || r.Token != token {
+	if report.Machine != m.name || n.machines[m.name] != m || !m.recorded || !n.owns(n.partitions[m.rec.Share]) || n.fencingToken(m) != token || report.Token != token {
 		return
 	}
-	expired, first := r.Session > m.session, !m.reachableOnlyDirectly()
-	if !n.acceptDirectAnswer(m, r, token, now) {
+	expired, first := report.Session > m.session, !m.reachableOnlyDirectly()
+	if !n.acceptDirectAnswer(m, report, token, now) {
 		return // the worker has sent a report of its own meanwhile
 	}
 	if first && m.reachableOnlyDirectly() {
 		n.log.Info("worker answers but does not report", "machine", m.name, "tasks", len(m.tasks), "silent_s", roundToTenth(now.Sub(n.silentSince(m)).Seconds()))
 	}
-	n.observeTasks(m, r, now)
+	n.observeTasks(m, report, now)
 	if expired {
 		m.unconfirmedStarts, m.leaseExpirySeen = nil, now
 	}
-	n.noteAbsent(m, r, expired, now)
+	n.recordAbsentTasks(m, report, expired, now)
 	m.nextPoll = now.Add(n.pollInterval(m))
-	if end := n.leaseEnds(m).Add(expiryMargin); end.After(now) && end.Before(m.nextPoll) {
+	if end := n.estimatedLeaseEnd(m).Add(expiryMargin); end.After(now) && end.Before(m.nextPoll) {
 		m.nextPoll = end
 	}
 }
@@ -109,13 +109,13 @@
 // acceptDirectAnswer accepts the header of the report in the answer to a direct call. It returns
 // false if a newer report was accepted already. The answer does not show that the worker can reach
 // this node.
-func (n *Node) acceptDirectAnswer(m *machine, r *protocol.Report, token uint64, now time.Time) bool {
-	if !n.acceptReportHeader(m, r, token, now) {
+func (n *Node) acceptDirectAnswer(m *machine, report *protocol.Report, token uint64, now time.Time) bool {
+	if !n.acceptReportHeader(m, report, token, now) {
 		return false
 	}
 	n.markStale(m)
 	switch {
-	case r.Token != token:
+	case report.Token != token:
 	case m.lastFencedReport.IsZero():
 		m.lastFencedReport = now // the machine is up; its silence timeout starts as after a report
 	case now.Sub(n.silentSince(m)) > n.overdueTimeout():
@@ -124,13 +124,13 @@
 	return true
 }
 
-// noteAbsent marks tasks as gone that the answer to a poll proves not to be on a machine. The token
+// recordAbsentTasks marks tasks as gone that the answer to a poll proves not to be on a machine. The token
 // in the poll fences off the starts of earlier owners. A start of this owner was never sent, or
 // belongs to a session that has expired, in which case the worker drops it.
-func (n *Node) noteAbsent(m *machine, r *protocol.Report, expired bool, now time.Time) {
-	listed := make(map[directStart]bool, len(r.Tasks))
-	for i := range r.Tasks {
-		listed[directStart{r.Tasks[i].Task, r.Tasks[i].Attempt}] = true
+func (n *Node) recordAbsentTasks(m *machine, report *protocol.Report, expired bool, now time.Time) {
+	listed := make(map[directStart]bool, len(report.Tasks))
+	for i := range report.Tasks {
+		listed[directStart{report.Tasks[i].Task, report.Tasks[i].Attempt}] = true
 	}
 	restart := false
 	for k := range m.tasks {
@@ -184,14 +184,14 @@
 // worksUntilLeaseEnd reports whether a silent machine is known to continue its tasks until its
 // lease expires.
 func (n *Node) worksUntilLeaseEnd(m *machine, now time.Time) bool {
-	return len(m.tasks) > 0 && m.reachableOnlyDirectly() && now.Before(n.leaseEnds(m).Add(n.seconds(n.cfg.Params.Workers.ReportS)/2)) &&
+	return len(m.tasks) > 0 && m.reachableOnlyDirectly() && now.Before(n.estimatedLeaseEnd(m).Add(n.seconds(n.cfg.Params.Workers.ReportS)/2)) &&
 		now.Sub(m.lastDirectAnswer).Seconds() < 2.5*n.cfg.Params.Workers.ReportS
 }
 
-// leaseEnds estimates when a machine's lease expires if no other report of it is answered. The
+// estimatedLeaseEnd estimates when a machine's lease expires if no other report of it is answered. The
 // estimate is for planning and proves nothing: after a takeover the node may know only that the
 // lease had not expired at some time.
-func (n *Node) leaseEnds(m *machine) time.Time {
+func (n *Node) estimatedLeaseEnd(m *machine) time.Time {
 	lease := n.seconds(n.cfg.Params.Workers.LeaseS)
 	end := latest(m.lastReport, m.leaseExpirySeen).Add(lease)
 	if end.Before(m.lastFencedReport) {
@@ -209,7 +209,7 @@
 	if !m.reachableOnlyDirectly() || silence.Seconds() <= n.silentAfterS() {
 		return nil
 	}
-	remaining := n.leaseEnds(m).Sub(now)
+	remaining := n.estimatedLeaseEnd(m).Sub(now)
 	var leaving []taskKey
 	for k := range m.tasks {
 		j, t := k.job, &k.job.tasks[k.task]
@@ -240,11 +240,11 @@
 
 // saveTime is how long before the end of a lease a task must be told to save.
 func (n *Node) saveTime(j *job) time.Duration {
-	s := j.spec.SaveS
+	seconds := j.spec.SaveS
 	if j.spec.Shape == protocol.Gang {
-		s += n.cfg.Params.Workers.GangPeerS
+		seconds += n.cfg.Params.Workers.GangPeerS
 	}
-	return n.seconds(s) + saveMargin
+	return n.seconds(seconds) + saveMargin
 }
 
 // evacuate makes tasks leave a silent machine; the next poll sends the commands. The other tasks of
@@ -253,7 +253,7 @@
 	if len(leaving) == 0 {
 		return
 	}
-	n.log.Info("silent machine evacuated", "machine", m.name, "tasks", len(leaving), "of", len(m.tasks), "lease_left_s", roundToTenth(n.leaseEnds(m).Sub(now).Seconds()))
+	n.log.Info("silent machine evacuated", "machine", m.name, "tasks", len(leaving), "of", len(m.tasks), "lease_left_s", roundToTenth(n.estimatedLeaseEnd(m).Sub(now).Seconds()))
 	for _, k := range leaving {
 		if n.shouldStop(k.job, &k.job.tasks[k.task]) {
 			continue // stopped with another task of its gang
--- a/internal/coordination/node/workers.go
+++ b/internal/coordination/node/workers.go
@@ -96,18 +96,18 @@
 }
 
 // setMachine applies a machine record read from a batch.
-func (n *Node) setMachine(b *batch, rec protocol.MachineRecord) {
+func (n *Node) setMachine(batch *batch, rec protocol.MachineRecord) {
 	m := n.findOrAddMachine(rec.Name)
-	if m.recorded && m.batch != b && rec.Token < m.rec.Token {
+	if m.recorded && m.batch != batch && rec.Token < m.rec.Token {
 		// A rental's write was executed late: its answer was lost, the write was retried, and
 		// the machine was moved in between. The higher token identifies the newer record, in
 		// whatever order the two are read. The owner repairs the batch.
-		n.log.Warn("ignoring a machine record that is older than the last move of the machine", "machine", rec.Name, "batch", b.key, "moved_in", m.batch.key)
+		n.log.Warn("ignoring a machine record that is older than the last move of the machine", "machine", rec.Name, "batch", batch.key, "moved_in", m.batch.key)
 		n.metrics.guardRefusals.WithLabelValues("old_record").Inc()
-		b.markDirty(time.Now())
+		batch.markDirty(time.Now())
 		return
 	}
-	m.batch = b
+	m.batch = batch
 	n.markStale(m)
 	if m.recorded && (m.rec.Share != rec.Share || m.rec.Token != rec.Token) {
 		n.removeFromPartition(m)
@@ -172,26 +172,26 @@
 	if n.confirmsCancelAfterStop() {
 		return true
 	}
-	w := n.cfg.Params.Workers
-	limit := (w.CancelS-w.LeaseS)*0.99 - 2
+	params := n.cfg.Params.Workers
+	limit := (params.CancelS-params.LeaseS)*0.99 - 2
 	return now.Sub(n.completeAt).Seconds() < limit
 }
 
 // onReport answers a worker's report. It calls reply exactly once, perhaps later.
-func (n *Node) onReport(r *protocol.Report, now time.Time, reply chan<- answer) {
+func (n *Node) onReport(report *protocol.Report, now time.Time, reply chan<- answer) {
 	n.noteWorkerContact(now)
 	if !n.loaded {
 		reply <- answer{status: 503}
 		return
 	}
-	m := n.machines[r.Machine]
+	m := n.machines[report.Machine]
 	if m == nil || !m.recorded {
-		n.onUnrecordedReport(r, now, reply)
+		n.onUnrecordedReport(report, now, reply)
 		return
 	}
 	p := n.partitions[m.rec.Share]
 	if !n.owns(p) {
-		n.redirect(r, p, m, now, reply)
+		n.redirect(report, p, m, now, reply)
 		return
 	}
 	if !n.mayExtendLeases(now) {
@@ -200,13 +200,13 @@
 		return
 	}
 	token := n.fencingToken(m)
-	if r.Token > token {
+	if report.Token > token {
 		// Another node has become the owner, and this replica does not show it yet.
 		n.metrics.guardRefusals.WithLabelValues("token").Inc()
 		reply <- answer{status: 503}
 		return
 	}
-	if !n.acceptWorkerReport(m, r, token, now) {
+	if !n.acceptWorkerReport(m, report, token, now) {
 		// An old report, delayed on its way or overtaken by the answer to a direct call: its
 		// task list may be out of date. The answer contains no commands.
 		n.metrics.guardRefusals.WithLabelValues("old_report").Inc()
@@ -214,12 +214,12 @@
 		return
 	}
 	m.lastReport = now
-	if !m.fenced || m.hasUnconfirmedStart(r) || !n.logReadable(n.partitions[m.rec.Share]) {
-		reply <- answer{status: 200, body: protocol.Orders{Token: token, Commands: n.stopsForReport(r, now)}}
+	if !m.fenced || m.hasUnconfirmedStart(report) || !n.logReadable(n.partitions[m.rec.Share]) {
+		reply <- answer{status: 200, body: protocol.Orders{Token: token, Commands: n.stopsForReport(report, now)}}
 		return
 	}
-	cmds := n.commandsFor(m, r, now)
-	if len(cmds) == 0 && n.deferAnswer(m, r, now, reply) {
+	cmds := n.commandsFor(m, report, now)
+	if len(cmds) == 0 && n.deferAnswer(m, report, now, reply) {
 		return
 	}
 	reply <- answer{status: 200, body: protocol.Orders{Token: token, Commands: cmds}}
@@ -230,16 +230,16 @@
 // an attempt of a job that is over, or that may not run here, whoever owns the partition.
 // (Without them, cancelled tasks on a machine with an unconfirmed start ran on for as long as
 // the state service was down.)
-func (n *Node) stopsForReport(r *protocol.Report, now time.Time) []protocol.Command {
+func (n *Node) stopsForReport(report *protocol.Report, now time.Time) []protocol.Command {
 	cmds := []protocol.Command{}
-	for i := range r.Tasks {
-		tr := &r.Tasks[i]
-		id, _, _ := protocol.ParseTaskID(tr.Task)
+	for i := range report.Tasks {
+		taskReport := &report.Tasks[i]
+		id, _, _ := protocol.ParseTaskID(taskReport.Task)
 		// If there is a gateway and the site's lease has expired, unknown jobs are stopped too: a
 		// replica that lags does not know the gateway's newest jobs.
 		j := n.jobs[id]
-		if (j != nil && (j.cancelled || n.cancelledByHint(j) || n.blockedBySiteLease(j, now)) || j == nil && n.SiteDaemonHost != "" && n.gatewayJobsBlocked(now)) && tr.State != protocol.TaskExited {
-			cmds = append(cmds, protocol.Command{Op: protocol.OpStop, Task: tr.Task, Attempt: tr.Attempt})
+		if (j != nil && (j.cancelled || n.cancelledByHint(j) || n.blockedBySiteLease(j, now)) || j == nil && n.SiteDaemonHost != "" && n.gatewayJobsBlocked(now)) && taskReport.State != protocol.TaskExited {
+			cmds = append(cmds, protocol.Command{Op: protocol.OpStop, Task: taskReport.Task, Attempt: taskReport.Attempt})
 		}
 	}
 	return cmds
@@ -247,11 +247,11 @@
 
 // acceptWorkerReport accepts the header of a report that the worker has sent by itself, which
 // shows that it reaches this node. It returns false if a newer report was accepted already.
-func (n *Node) acceptWorkerReport(m *machine, r *protocol.Report, token uint64, now time.Time) bool {
-	if !n.acceptReportHeader(m, r, token, now) {
+func (n *Node) acceptWorkerReport(m *machine, report *protocol.Report, token uint64, now time.Time) bool {
+	if !n.acceptReportHeader(m, report, token, now) {
 		return false
 	}
-	if r.Token == token {
+	if report.Token == token {
 		m.lastFencedReport = now
 	}
 	return true
@@ -294,12 +294,12 @@
 
 // commandsFor takes the task list of a report under the current token as the state of the
 // machine, records the outcomes that it proves, and returns the commands for the worker.
-func (n *Node) commandsFor(m *machine, r *protocol.Report, now time.Time) []protocol.Command {
+func (n *Node) commandsFor(m *machine, report *protocol.Report, now time.Time) []protocol.Command {
 	cmds := []protocol.Command{}
-	listed := make(map[taskKey]bool, len(r.Tasks))
-	for i := range r.Tasks {
-		tr := &r.Tasks[i]
-		id, number, _ := protocol.ParseTaskID(tr.Task)
+	listed := make(map[taskKey]bool, len(report.Tasks))
+	for i := range report.Tasks {
+		taskReport := &report.Tasks[i]
+		id, number, _ := protocol.ParseTaskID(taskReport.Task)
 		j := n.jobs[id]
 		var t *task
 		if j != nil && number < len(j.tasks) {
@@ -308,23 +308,23 @@
 		if t == nil && n.mayBeInCorruptValue(id, number) {
 			continue
 		}
-		if t == nil || t.phase != phasePlaced || t.machine != m || t.attempt != tr.Attempt {
+		if t == nil || t.phase != phasePlaced || t.machine != m || t.attempt != taskReport.Attempt {
 			// Not recorded here: the task is over, or was left behind by an earlier owner.
-			if tr.State == protocol.TaskExited {
-				cmds = append(cmds, protocol.Command{Op: protocol.OpForget, Task: tr.Task, Attempt: tr.Attempt})
+			if taskReport.State == protocol.TaskExited {
+				cmds = append(cmds, protocol.Command{Op: protocol.OpForget, Task: taskReport.Task, Attempt: taskReport.Attempt})
 			} else {
-				cmds = append(cmds, protocol.Command{Op: protocol.OpStop, Task: tr.Task, Attempt: tr.Attempt})
+				cmds = append(cmds, protocol.Command{Op: protocol.OpStop, Task: taskReport.Task, Attempt: taskReport.Attempt})
 			}
 			continue
 		}
 		listed[taskKey{j, number}] = true
-		n.observeTask(m, j, number, tr, now)
-		if tr.State != protocol.TaskExited && n.shouldStop(j, t) && (tr.State != protocol.TaskSaving || j.cancelled || n.cancelledByHint(j) || n.blockedBySiteLease(j, now)) {
+		n.observeTask(m, j, number, taskReport, now)
+		if taskReport.State != protocol.TaskExited && n.shouldStop(j, t) && (taskReport.State != protocol.TaskSaving || j.cancelled || n.cancelledByHint(j) || n.blockedBySiteLease(j, now)) {
 			grace := t.stopGraceS
 			if j.cancelled || n.cancelledByHint(j) || n.blockedBySiteLease(j, now) {
 				grace = 0
 			}
-			cmds = append(cmds, protocol.Command{Op: protocol.OpStop, Task: tr.Task, Attempt: tr.Attempt, GraceS: grace})
+			cmds = append(cmds, protocol.Command{Op: protocol.OpStop, Task: taskReport.Task, Attempt: taskReport.Attempt, GraceS: grace})
 		}
 	}
 	for k := range m.tasks {
@@ -375,21 +375,21 @@
 }
 
 // observeTask applies the reported state of one task that is recorded on the machine.
-func (n *Node) observeTask(m *machine, j *job, i int, tr *protocol.TaskReport, now time.Time) {
-	t := &j.tasks[i]
+func (n *Node) observeTask(m *machine, j *job, number int, report *protocol.TaskReport, now time.Time) {
+	t := &j.tasks[number]
 	n.markStale(m)
 	was := t.reportedState
-	t.reportedState = reportedStates[tr.State]
-	switch tr.State {
+	t.reportedState = reportedStates[report.State]
+	switch report.State {
 	case protocol.TaskFetching:
 		if _, ok := m.fetchSince[j.spec.Image]; !ok {
 			m.fetchSince[j.spec.Image] = now
 		}
 	case protocol.TaskWaiting, protocol.TaskRunning:
 		if was != reportedRunning && t.reportedState == reportedRunning {
-			n.runStarted(j, i, now)
+			n.runStarted(j, number, now)
 		}
-		if j.firstRunningAt.IsZero() && tr.State == protocol.TaskRunning {
+		if j.firstRunningAt.IsZero() && report.State == protocol.TaskRunning {
 			j.firstRunningAt = now
 			if !t.startSentAt.IsZero() { // otherwise it ran before this node took over the partition
 				observeSince(n.metrics.start.WithLabelValues(n.metrics.classLabel(j.spec.Class)), j.submitted, now)
@@ -399,34 +399,34 @@
 		if was != t.reportedState {
 			m.noteImageFetched(j.spec.Image, j.spec.ImageGB, n.machineTypes[m.rec.Type], now)
 		}
-		if tr.State == protocol.TaskRunning {
+		if report.State == protocol.TaskRunning {
 			n.noteTaskSuccess(j, t, m, false, now)
 		}
 	case protocol.TaskExited:
-		if tr.Cause == protocol.CauseDone {
+		if report.Cause == protocol.CauseDone {
 			n.runEnded(j, t, now)
-			n.recordOutcome(j, i, outcomeFinished)
+			n.recordOutcome(j, number, outcomeFinished)
 			m.noteImageFetched(j.spec.Image, j.spec.ImageGB, n.machineTypes[m.rec.Type], now)
 			n.noteTaskSuccess(j, t, m, true, now)
 			return
 		}
 		if t.outcome == outcomeNone {
-			j.history.countFailedStart(tr.Cause)
-			j.history.addEvent(now, "a task ended on "+m.name+": "+tr.Cause)
-			n.log.Info("task exited", "task", tr.Task, "machine", m.name, "cause", tr.Cause, "saved", tr.Saved)
-			if j.step != nil && ticket.Counts(tr.Cause) {
+			j.history.countFailedStart(report.Cause)
+			j.history.addEvent(now, "a task ended on "+m.name+": "+report.Cause)
+			n.log.Info("task exited", "task", report.Task, "machine", m.name, "cause", report.Cause, "saved", report.Saved)
+			if j.step != nil && ticket.Counts(report.Cause) {
 				// Counted together with the end, in the same change: a repeated report, or another
 				// owner, finds the end already recorded or stored.
 				t.unstoredError, j.hasErrors = true, true
 			}
-			switch tr.Cause {
+			switch report.Cause {
 			case protocol.CauseError:
-				n.noteTaskFailure(j, tr.Attempt, m, now)
+				n.noteTaskFailure(j, report.Attempt, m, now)
 			case protocol.CauseNoRoom, protocol.CauseBusy, protocol.CauseUnknown:
 				m.avoidUntil = now.Add(3 * time.Second)
 			}
 		}
-		n.recordOutcome(j, i, outcomeGone)
+		n.recordOutcome(j, number, outcomeGone)
 	}
 }
 
@@ -478,8 +478,8 @@
 // counts from when the last answered report was sent, so the deferral shortens it if this node
 // fails before the next report.
 func (n *Node) maxDeferral(m *machine) time.Duration {
-	p := n.cfg.Params.Workers
-	wait := min(n.seconds(p.ReportS), max(0, n.seconds(p.LeaseS-1.25*p.ReportS)-failoverTime))
+	params := n.cfg.Params.Workers
+	wait := min(n.seconds(params.ReportS), max(0, n.seconds(params.LeaseS-1.25*params.ReportS)-failoverTime))
 	for k := range m.tasks {
 		if k.job.spec.Shape != protocol.Service {
 			// The end of a task is not reported before this report is answered.
@@ -491,12 +491,12 @@
 
 // deferAnswer defers the answer to a report. A worker drops answers after 4 s, so the deferral
 // is never longer than 3.3 s.
-func (n *Node) deferAnswer(m *machine, r *protocol.Report, now time.Time, reply chan<- answer) bool {
+func (n *Node) deferAnswer(m *machine, report *protocol.Report, now time.Time, reply chan<- answer) bool {
 	if m.spotNotice || m.returning || len(m.tasks) > 0 && !n.hasCapacity(m) && !m.hasPendingOutcomes() {
 		return false
 	}
 	m.answerAt = time.Time{}
-	m.deferred = &deferredReport{report: r, until: now.Add(n.maxDeferral(m)), reply: reply}
+	m.deferred = &deferredReport{report: report, until: now.Add(n.maxDeferral(m)), reply: reply}
 	heap.Push(&n.dueAnswers, dueReport{m.deferred.until, m})
 	return true
 }
@@ -579,9 +579,9 @@
 }
 
 // redirect answers a machine of a partition that another node owns.
-func (n *Node) redirect(r *protocol.Report, p *partition, m *machine, now time.Time, reply chan<- answer) {
+func (n *Node) redirect(report *protocol.Report, p *partition, m *machine, now time.Time, reply chan<- answer) {
 	owner := p.owner.Node
-	if orders, ok := n.answerForOwner(m, r, now); ok && owner != n.cfg.Node {
+	if orders, ok := n.answerForOwner(m, report, now); ok && owner != n.cfg.Node {
 		reply <- answer{status: 200, body: orders}
 		return
 	}
@@ -607,47 +607,47 @@
 	if m.addr == "" || !m.fenced {
 		return
 	}
-	o := protocol.Orders{Token: n.fencingToken(m), Session: m.session, Commands: n.pendingStops(m)}
-	if len(o.Commands) == 0 || n.takeBudget(start.Stop, 1) == 0 {
+	orders := protocol.Orders{Token: n.fencingToken(m), Session: m.session, Commands: n.pendingStops(m)}
+	if len(orders.Commands) == 0 || n.takeBudget(start.Stop, 1) == 0 {
 		return // the answer to its next report contains them
 	}
-	n.sendCommand(m, o, func(bool) {})
+	n.sendCommand(m, orders, func(bool) {})
 }
 
 // sendCommand sends orders directly and accepts the report in the answer, if this node still
 // owns the machine's partition under the same token.
-func (n *Node) sendCommand(m *machine, o protocol.Orders, ended func(ok bool)) {
+func (n *Node) sendCommand(m *machine, orders protocol.Orders, ended func(executed bool)) {
 	addr := m.addr
 	n.spawn(func(ctx context.Context) {
-		r, ok, err := n.workers.Command(ctx, addr, o)
-		if err == nil && !ok && r != nil && r.Session != o.Session && len(o.Commands) == 0 {
-			o.Session = r.Session
-			r, ok, err = n.workers.Command(ctx, addr, o)
+		report, ok, err := n.workers.Command(ctx, addr, orders)
+		if err == nil && !ok && report != nil && report.Session != orders.Session && len(orders.Commands) == 0 {
+			orders.Session = report.Session
+			report, ok, err = n.workers.Command(ctx, addr, orders)
 		}
 		n.post(func() {
-			ended(err == nil && r != nil)
+			ended(err == nil && report != nil)
 			now := time.Now()
 			if err == nil {
 				n.noteWorkerContact(now)
 			}
-			if err != nil || !ok || r == nil || r.Machine != m.name || n.machines[m.name] != m || !n.owns(n.partitions[m.rec.Share]) || n.fencingToken(m) != o.Token {
+			if err != nil || !ok || report == nil || report.Machine != m.name || n.machines[m.name] != m || !n.owns(n.partitions[m.rec.Share]) || n.fencingToken(m) != orders.Token {
 				return
 			}
-			if r.Token == o.Token && n.acceptDirectAnswer(m, r, o.Token, now) {
-				n.observeTasks(m, r, now)
+			if report.Token == orders.Token && n.acceptDirectAnswer(m, report, orders.Token, now) {
+				n.observeTasks(m, report, now)
 			}
 		})
 	})
 }
 
 // observeTasks applies the task states in the answer to a direct call and gives no commands.
-func (n *Node) observeTasks(m *machine, r *protocol.Report, now time.Time) {
-	for i := range r.Tasks {
-		tr := &r.Tasks[i]
-		id, num, _ := protocol.ParseTaskID(tr.Task)
+func (n *Node) observeTasks(m *machine, report *protocol.Report, now time.Time) {
+	for i := range report.Tasks {
+		taskReport := &report.Tasks[i]
+		id, num, _ := protocol.ParseTaskID(taskReport.Task)
 		if j := n.jobs[id]; j != nil && num < len(j.tasks) {
-			if t := &j.tasks[num]; t.phase == phasePlaced && t.machine == m && t.attempt == tr.Attempt {
-				n.observeTask(m, j, num, tr, now)
+			if t := &j.tasks[num]; t.phase == phasePlaced && t.machine == m && t.attempt == taskReport.Attempt {
+				n.observeTask(m, j, num, taskReport, now)
 			}
 		}
 	}
