--- a/internal/coordination/node/machine_meetings_test.go
+++ b/internal/coordination/node/machine_meetings_test.go
@@ -487,13 +487,13 @@
 		first := 4000 + 100*w.eventCount("rounds without reports") + 10*round
 		w.addUsersFor(arrayFor("red", first, 3, "high", 60), arrayFor("blue", first+1, 3, "high", 60), arrayFor("green", first+2, 3, "high", 60))
 		time.Sleep(w.randDuration(14*time.Second, 20*time.Second))
-		mute := w.muteHalf()
+		silenced := w.blockReportsOfHalf()
 		back := func() {}
 		if round%2 == 0 {
 			back = w.replaceOwner(w.randInt(3), round == 2)
 		}
 		stopped := make(chan bool)
-		go w.watchDirectStops(mute, stopped)
+		go w.watchDirectStops(silenced, stopped)
 		w.cancelRunningJobs(3, 0)
 		duration := time.Duration(lease * float64(time.Second))
 		if round < 2 {
@@ -512,15 +512,15 @@
 	w.recordEvent("rounds without reports")
 }
 
-// muteHalf makes half of the busy machines unable to reach any controller.
-func (w *simCluster) muteHalf() (mute []string) {
+// blockReportsOfHalf makes half of the busy machines unable to reach any controller.
+func (w *simCluster) blockReportsOfHalf() (silenced []string) {
 	for i, machine := range w.busyMachines() {
 		if i%2 == 0 {
-			mute = append(mute, machine)
+			silenced = append(silenced, machine)
 			w.withLock(func() { w.noOutbound[machine] = true })
 		}
 	}
-	return mute
+	return silenced
 }
 
 // watchDirectStops records tasks that are stopped on some machines, until end is closed.
@@ -585,12 +585,11 @@
 	}
 }
 
-// injectedDefect is a check that the owner of a partition omits. The test of a scenario must detect
-// it.
+// injectedDefect is a defect of an owner or of the simulation that the test of a scenario must detect.
 type injectedDefect struct {
 	name     string
 	scenario int                         // index of the scenario that detects it
-	expected string                      // part of the expected complaint
+	expected string                      // part of the violation that must be reported
 	leftOut  string                      // a check that the simulation omits
 	apply    func(n *Node, p *partition) // called a few times a second for each partition that a node owns
 }
--- a/internal/coordination/node/unreported.go
+++ b/internal/coordination/node/unreported.go
@@ -124,9 +124,9 @@
 	return true
 }
 
-// recordAbsentTasks marks tasks as gone that the answer to a poll proves not to be on a machine. The token
-// in the poll fences off the starts of earlier owners. A start of this owner was never sent, or
-// belongs to a session that has expired, in which case the worker drops it.
+// recordAbsentTasks marks tasks as gone that the answer to a poll proves not to be on a machine. The
+// token in the poll fences off the starts of earlier owners. A start of this owner was never sent,
+// or belongs to a session that has expired, in which case the worker drops it.
 func (n *Node) recordAbsentTasks(m *machine, report *protocol.Report, expired bool, now time.Time) {
 	listed := make(map[directStart]bool, len(report.Tasks))
 	for i := range report.Tasks {
@@ -188,8 +188,8 @@
 		now.Sub(m.lastDirectAnswer).Seconds() < 2.5*n.cfg.Params.Workers.ReportS
 }
 
-// estimatedLeaseEnd estimates when a machine's lease expires if no other report of it is answered. The
-// estimate is for planning and proves nothing: after a takeover the node may know only that the
+// estimatedLeaseEnd estimates when a machine's lease expires if no other report of it is answered.
+// The estimate is for planning and proves nothing: after a takeover the node may know only that the
 // lease had not expired at some time.
 func (n *Node) estimatedLeaseEnd(m *machine) time.Time {
 	lease := n.seconds(n.cfg.Params.Workers.LeaseS)
