--- a/cmd/dapplestage/console_test.go
+++ b/cmd/dapplestage/console_test.go
@@ -46,9 +46,9 @@
 			io.WriteString(w, `{"error":"no such job"}`)
 		default:
 			v := r.URL.Query()
-			q := ledger.Query{State: v.Get("state"), Text: v.Get("q"), After: v.Get("after"), Most: 100}
+			q := ledger.Query{State: v.Get("state"), Text: v.Get("q"), After: v.Get("after"), Limit: 100}
 			p := ledger.NewPage("n-0", time.Now())
-			p.Since = time.Now().Add(-time.Hour).UnixMilli()
+			p.RememberedSince = time.Now().Add(-time.Hour).UnixMilli()
 			for i := range rows {
 				p.Add(&q, ledger.Row{Job: fmt.Sprintf("job-%06d", i), Team: "shop", Class: "<i>album", State: ledger.States[i%len(ledger.States)], Why: "a task runs for 90 s", Tasks: 4, Lost: i % 2, LostMS: time.Now().UnixMilli()})
 			}
--- a/cmd/dapplestage/gateway.go
+++ b/cmd/dapplestage/gateway.go
@@ -54,7 +54,7 @@
 			if err != nil {
 				return failed(err)
 			}
-			left, err := ring.Left()
+			left, err := ring.RemainingValidity()
 			if err != nil {
 				return failed(err)
 			}
@@ -68,9 +68,9 @@
 }
 
 func keyFiles(s *wire.Settings) keys.Files {
-	f := keys.Files{Member: s.Path(s.Keys.Member), Authority: s.Path(s.Keys.Authority), Revoked: s.Path(s.Keys.Revoked)}
+	f := keys.Files{Member: s.ResolvePath(s.Keys.Member), Authority: s.ResolvePath(s.Keys.Authority), Revoked: s.ResolvePath(s.Keys.Revoked)}
 	if s.Keys.Dir != "" {
-		in := keys.In(s.Path(s.Keys.Dir), s.Member)
+		in := keys.FilesIn(s.ResolvePath(s.Keys.Dir), s.Member)
 		for _, p := range []struct{ to, from *string }{{&f.Member, &in.Member}, {&f.Authority, &in.Authority}, {&f.Revoked, &in.Revoked}} {
 			if *p.to == "" {
 				*p.to = *p.from
@@ -82,8 +82,8 @@
 
 func memberConfig(s *wire.Settings) gateway.Config {
 	second := func(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
-	c := gateway.Config{Lease: second(s.LeaseS), Stop: gateway.StopBound(second(s.ControllersS), second(s.WorkersLeaseS)), InFlight: s.InFlight,
-		Route: gateway.RouteConfig{PerSecond: s.Route.PerSecond, RampS: s.Route.RampS, StaleS: s.Route.StaleS, OpenPerSite: s.Route.Open, MoveAfterS: s.Route.MoveAfterS}}
+	c := gateway.Config{LeaseTime: second(s.LeaseS), StopTime: gateway.StopBound(second(s.ControllerLeaseS), second(s.MaxWorkerLeaseS)), MaxInFlight: s.MaxInFlight,
+		Route: gateway.RouteConfig{JobsPerSecond: s.Route.PerSecond, RampS: s.Route.RampS, HintMaxAgeS: s.Route.StaleS, MaxOpenPerSite: s.Route.Open, MoveAfterS: s.Route.MoveAfterS}}
 	for i, m := range s.Members {
 		c.Members = append(c.Members, gateway.Member{Name: m.Name, Site: m.Site})
 		if m.Name == s.Member {
@@ -95,7 +95,7 @@
 
 // member is a member of a gateway as it runs.
 type member struct {
-	ring     *keys.Ring
+	ring     *keys.Keyring
 	peers    []*rpc.Peer    // by number
 	numbers  map[string]int // of the members, by name
 	checksum uint64         // of what all members must agree on
@@ -157,7 +157,7 @@
 	serve(func() error { return m.receive(ctx, ln, cfg.Self, d) })
 	if st.local != nil {
 		serve(func() error {
-			return transport.Serve(ctx, st.local, d.LeaseHandler(time.Duration(s.ControllersS*float64(time.Second))))
+			return transport.Serve(ctx, st.local, d.LeaseHandler(time.Duration(s.ControllerLeaseS*float64(time.Second))))
 		})
 	}
 	serve(func() error { return transport.Serve(ctx, api, d.API(keyMetrics(ring, m.peers)...)) })
@@ -165,7 +165,7 @@
 	return d.Run()
 }
 
-func newMember(s *wire.Settings, ring *keys.Ring, log *slog.Logger) *member {
+func newMember(s *wire.Settings, ring *keys.Keyring, log *slog.Logger) *member {
 	m := &member{ring: ring, checksum: s.Checksum(), numbers: map[string]int{}, log: log}
 	for i, other := range s.Members {
 		m.numbers[other.Name] = i
@@ -176,7 +176,7 @@
 
 // send sends a message to a member.
 func (m *member) send(to int, e *wire.Envelope) {
-	e.Config = m.checksum
+	e.ConfigChecksum = m.checksum
 	m.peers[to].Send(wire.Encode(e))
 }
 
@@ -186,7 +186,7 @@
 		i, ok := m.numbers[name]
 		return ok && i != self
 	}
-	return rpc.Server(ctx, ln, m.ring, isOther, m.log, func(from string, data []byte) error {
+	return rpc.Serve(ctx, ln, m.ring, isOther, m.log, func(from string, data []byte) error {
 		if len(data) == 0 {
 			return nil
 		}
@@ -194,10 +194,10 @@
 		if err != nil {
 			return err
 		}
-		if e.Config != m.checksum {
+		if e.ConfigChecksum != m.checksum {
 			return fmt.Errorf("%s has other members or times in its file", from)
 		}
-		d.Take(m.numbers[from], e)
+		d.Receive(m.numbers[from], e)
 		return nil
 	})
 }
@@ -206,7 +206,7 @@
 // journal.
 func openStored(ctx context.Context, s *wire.Settings, site *protocol.Settings, log *slog.Logger) (*stored, error) {
 	if !s.IsSite() {
-		j, items, start, err := gateway.OpenJournal(s.Path(s.Journal.Path), s.Member)
+		j, items, start, err := gateway.OpenJournal(s.ResolvePath(s.Journal.Path), s.Member)
 		if err != nil {
 			return nil, err
 		}
@@ -247,13 +247,13 @@
 	}
 }
 
-func keyMetrics(ring *keys.Ring, peers []*rpc.Peer) []prometheus.Collector {
+func keyMetrics(ring *keys.Keyring, peers []*rpc.Peer) []prometheus.Collector {
 	return []prometheus.Collector{
 		prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "dapplestage_gateway_certificates_refused_total", Help: "Certificates of others that were refused."},
 			func() float64 { return float64(ring.Refused()) }),
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "dapplestage_gateway_certificate_left_seconds", Help: "How long this member's certificate is valid."},
 			func() float64 {
-				left, err := ring.Left()
+				left, err := ring.RemainingValidity()
 				if err != nil {
 					return -1
 				}
@@ -320,7 +320,7 @@
 			if asJSON {
 				return printJSON(cmd.OutOrStdout(), v)
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s: %s, held by %s under claim %d, agreed %v, stopped there %v\n", v.ID, v.Final, v.Holder, v.Epoch, v.Agreed, v.Stopped)
+			fmt.Fprintf(cmd.OutOrStdout(), "%s: %s, held by %s under claim %d, agreed %v, stopped there %v\n", v.ID, v.Final, v.Owner, v.Epoch, v.Agreed, v.Stopped)
 			return nil
 		}),
 		make("drain --addr IP:PORT", "Hand the jobs of a site over and give it none (its own daemon's address)", cobra.NoArgs, drain(true)),
@@ -329,7 +329,7 @@
 }
 
 func printMembers(out io.Writer, s gateway.Status) {
-	fmt.Fprintf(out, "%s: %d open jobs, %d ended; %d changes and %d handoffs under way, %d undecided\n", s.Member, s.Open, s.Final, s.UnderWay, s.Handoffs, s.Undecided)
+	fmt.Fprintf(out, "%s: %d open jobs, %d ended; %d changes and %d handoffs under way, %d undecided\n", s.Member, s.OpenJobs, s.FinalJobs, s.ChangesInFlight, s.Handoffs, s.Undecided)
 	if !s.Majority {
 		fmt.Fprintln(out, "TOO FEW MEMBERS ARE HEARD: nothing can be decided, users get 503")
 	}
@@ -341,17 +341,17 @@
 	fmt.Fprintln(w, "\nMEMBER\tSTATE\tSINCE\tHOLDS\tTO BE TOLD\tDRAINED\tWAITING\tFREE GPUS\tAS OF\tLEASE")
 	for _, m := range s.Members {
 		if !m.Site {
-			fmt.Fprintf(w, "%s\t%s\t%g s\t\t\t\t\t\t\t\n", m.Name, m.State, m.SinceS)
+			fmt.Fprintf(w, "%s\t%s\t%g s\t\t\t\t\t\t\t\n", m.Name, m.State, m.SilentS)
 			continue
 		}
 		load, age := "unknown\tunknown", "never"
-		if m.HintAge >= 0 {
-			age = fmt.Sprintf("%g s ago", m.HintAge)
+		if m.HintAgeS >= 0 {
+			age = fmt.Sprintf("%g s ago", m.HintAgeS)
 			if m.State != "unknown" {
-				load = fmt.Sprintf("%d\t%g", m.Waiting, m.FreeGPU)
+				load = fmt.Sprintf("%d\t%g", m.WaitingTasks, m.FreeGPUs)
 			}
 		}
-		fmt.Fprintf(w, "%s\t%s\t%g s\t%d\t%d\t%s\t%s\t%s\t%s\n", m.Name, m.State, m.SinceS, m.Holds, m.Left, m.Drained, load, age, m.Lease)
+		fmt.Fprintf(w, "%s\t%s\t%g s\t%d\t%d\t%s\t%s\t%s\t%s\n", m.Name, m.State, m.SilentS, m.OwnedJobs, m.UnackedNotices, m.Drained, load, age, m.Lease)
 	}
 }
 
@@ -392,7 +392,7 @@
 		return keys.Revoke(dir, args[0], time.Now())
 	})
 	add("show", "Show the certificates", cobra.NoArgs, func(cmd *cobra.Command, _ []string) error {
-		lines, err := keys.Show(dir, time.Now())
+		lines, err := keys.Describe(dir, time.Now())
 		for _, l := range lines {
 			fmt.Fprintln(cmd.OutOrStdout(), l)
 		}
--- a/cmd/dapplestage/main.go
+++ b/cmd/dapplestage/main.go
@@ -124,7 +124,7 @@
 
 // extras are what the daemon's flags name, read and checked.
 type extras struct {
-	classes ticket.Table
+	classes ticket.ClassTable
 	account *node.AccountSettings // nil: nothing is stored
 }
 
@@ -263,8 +263,8 @@
 	}
 	connectSiblings(ctx, cfg, n)
 	serve(func() error { return transport.AcceptFrames(ctx, peers, node.HintTimeout, n.ReceiveHint, n.AnswerPeer) })
-	front := transport.NewFront(ctx, api, frontLimits(cfg.Params.Quota), n.FromWorker)
-	n.OnLoaded, n.ClosedConnections = front.Ready, front.Closed
+	front := transport.NewAdmissionListener(ctx, api, frontLimits(cfg.Params.Quota), n.FromWorker)
+	n.OnLoaded, n.ClosedConnections = front.Ready, front.Rejected
 	serve(func() error { return transport.Serve(ctx, front, n.API()) })
 	return nil
 }
@@ -272,14 +272,14 @@
 // connectSiblings sends the node's hints and questions to the other controllers.
 func connectSiblings(ctx context.Context, cfg *protocol.Settings, n *node.Node) {
 	addrs := map[string]string{}
-	for _, s := range cfg.Siblings {
+	for _, s := range cfg.Peers {
 		addrs[s.Node] = s.Addr
 	}
 	n.AskPeer = func(ctx context.Context, name string, question []byte) ([]byte, error) {
-		return transport.AskFrame(ctx, addrs[name], node.AskTimeout, question)
+		return transport.SendRequest(ctx, addrs[name], node.AskTimeout, question)
 	}
-	for _, s := range cfg.Siblings {
-		go transport.SendFrames(ctx, s.Addr, node.HintInterval, node.HintTimeout, n.Hint, func(e transport.Event) { n.OnConnEvent(s.Node, e) })
+	for _, s := range cfg.Peers {
+		go transport.SendFrames(ctx, s.Addr, node.HintInterval, node.HintTimeout, n.Hint, func(e transport.ConnEvent) { n.OnConnEvent(s.Node, e) })
 	}
 }
 
@@ -287,17 +287,17 @@
 // that one turn's processor time covers, as many waiting as two and a half seconds cover (at
 // 0.4 ms each, as measured on the bench's simulated machines; a worker waits for four), and sockets enough for calls to
 // the state service, the cloud, workers and siblings.
-func frontLimits(q protocol.MachineQuota) transport.FrontLimits {
-	l := transport.FrontLimits{Young: 16, Waiting: int(min(1500, max(160, 2.5*q.Cores/0.0004))), Early: 20, Rate: int(max(100, q.Cores/0.00025))}
+func frontLimits(q protocol.NodeQuota) transport.AdmissionLimits {
+	l := transport.AdmissionLimits{LowPriorityActive: 16, LowPriorityQueued: int(min(1500, max(160, 2.5*q.Cores/0.0004))), RateBeforeReady: 20, AcceptRate: int(max(100, q.Cores/0.00025))}
 	if q.FDLimit > 0 {
-		l.Open = max(q.FDLimit/2, q.FDLimit-130-q.FDLimit/32)
+		l.MaxOpen = max(q.FDLimit/2, q.FDLimit-130-q.FDLimit/32)
 	}
 	return l
 }
 
 // planMachine fits the runtime to the machine: one thread at a time, and memory
 // returned well before the limit at which the process would be killed.
-func planMachine(q protocol.MachineQuota) {
+func planMachine(q protocol.NodeQuota) {
 	if q.Cores < 2 {
 		runtime.GOMAXPROCS(1)
 	}
--- a/cmd/dapplestage/report.go
+++ b/cmd/dapplestage/report.go
@@ -72,7 +72,7 @@
 		d, err := one.gather(ctx, q, since)
 		if err != nil {
 			errs = append(errs, err)
-			d = report.LostSite(one.name, time.Now(), err)
+			d = report.UnreachableSite(one.name, time.Now(), err)
 		}
 		d.Site = one.name
 		out = append(out, d)
@@ -104,7 +104,7 @@
 }
 
 func (s *site) page(ctx context.Context, q ledger.Query, since float64) (*ledger.Page, error) {
-	v := url.Values{"limit": {strconv.Itoa(q.Most)}}
+	v := url.Values{"limit": {strconv.Itoa(q.Limit)}}
 	for k, x := range map[string]string{"state": q.State, "team": q.Team, "class": q.Class, "zone": q.Zone, "image": q.Image, "q": q.Text, "after": q.After} {
 		if x != "" {
 			v.Set(k, x)
@@ -124,8 +124,8 @@
 	if err := s.get(ctx, "/admin/samples", &view); err != nil {
 		return nil, err
 	}
-	q.Most = ledger.MostRows
-	d, err := report.Gather(func(after string) (*ledger.Page, error) {
+	q.Limit = ledger.MaxRows
+	d, err := report.Collect(func(after string) (*ledger.Page, error) {
 		q.After = after
 		// The time that pages take must not let rows fall out between two of them.
 		at := time.Duration(0)
@@ -133,7 +133,7 @@
 			at = since + time.Since(began)
 		}
 		return s.page(ctx, q, at.Seconds())
-	}, view.Samples, report.MostRows)
+	}, view.Samples, report.MaxRows)
 	if err != nil {
 		return nil, err
 	}
@@ -243,12 +243,12 @@
 // only leaves the jobs of a list in a report. What the account does not remember is asked
 // for by its id: how a job ended is kept for ever.
 func (s *site) only(ctx context.Context, d *report.Data, ids []string) {
-	for _, id := range d.Only(ids) {
+	for _, id := range d.KeepJobs(ids) {
 		var st protocol.JobStatus
 		switch err := s.get(ctx, "/api/jobs/"+id, &st); {
 		case err != nil:
 			d.Unknown = append(d.Unknown, fmt.Sprintf("%s: %v", id, err))
-		case ledger.Over(st.Status):
+		case ledger.IsFinal(st.Status):
 			d.Rows = append(d.Rows, ledger.Row{Job: id, State: st.Status, Done: st.Done, AsOf: time.Now().UnixMilli(), Why: "ended before what is remembered"})
 		default:
 			d.Rows = append(d.Rows, ledger.Row{Job: id, State: ledger.Unknown, Done: st.Done, Running: st.Running, AsOf: time.Now().UnixMilli(), Why: "its user is told " + st.Status})
@@ -367,11 +367,11 @@
 
 func printAccount(out io.Writer, d *report.Data, all bool) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintf(w, "as of %s, told by %s; what ended is remembered since %s\n", time.UnixMilli(d.AsOf).UTC().Format(time.RFC3339), d.Node, time.UnixMilli(d.Remembers).UTC().Format(time.RFC3339))
+	fmt.Fprintf(w, "as of %s, told by %s; what ended is remembered since %s\n", time.UnixMilli(d.AsOf).UTC().Format(time.RFC3339), d.Node, time.UnixMilli(d.RememberedSince).UTC().Format(time.RFC3339))
 	for _, u := range d.Unknown {
 		fmt.Fprintln(w, "not known:", plain(u))
 	}
-	if d.Remembers > d.Since {
+	if d.RememberedSince > d.Since {
 		fmt.Fprintln(w, "not known: what ended before that")
 	}
 	fmt.Fprintln(w, "\nSTATE\tJOBS\tOF THESE LOST RUNS\tRUNS LOST")
@@ -419,7 +419,7 @@
 			}
 			ctx, stop := context.WithCancel(cmd.Context())
 			defer stop()
-			m := console.New(func(a console.Ask) console.Answer { return s.all[a.Site].consoleAsk(ctx, a) }, time.Now, s.names()...)
+			m := console.New(func(a console.Request) console.Answer { return s.all[a.SiteIndex].consoleAsk(ctx, a) }, time.Now, s.names()...)
 			_, err := tea.NewProgram(m, tea.WithAltScreen(), tea.WithContext(ctx), tea.WithFPS(10)).Run()
 			return failed(err)
 		}}
@@ -427,8 +427,8 @@
 	return c
 }
 
-func (s *site) consoleAsk(ctx context.Context, a console.Ask) console.Answer {
-	out := console.Answer{Ask: a}
+func (s *site) consoleAsk(ctx context.Context, a console.Request) console.Answer {
+	out := console.Answer{Request: a}
 	if a.Job == "" {
 		out.Page, out.Err = s.page(ctx, a.Query, 0)
 		if out.Err == nil {
@@ -436,7 +436,7 @@
 		}
 		return out
 	}
-	p, err := s.page(ctx, ledger.Query{Text: a.Job, Most: 5}, 0)
+	p, err := s.page(ctx, ledger.Query{Text: a.Job, Limit: 5}, 0)
 	if err != nil {
 		out.Err = err
 		return out
@@ -457,7 +457,7 @@
 		b = append(b, '\n')
 		printWhy(&b, &w)
 	}
-	out.Job = strings.Split(strings.TrimRight(string(b), "\n"), "\n")
+	out.JobLines = strings.Split(strings.TrimRight(string(b), "\n"), "\n")
 	return out
 }
 
@@ -476,7 +476,7 @@
 	if r.Why != "" {
 		fmt.Fprintf(b, "%s\n", r.Why)
 	}
-	for i, e := range r.Story {
+	for i, e := range r.Events {
 		if i == 0 {
 			fmt.Fprintf(b, "\nas %s saw it:\n", r.Node)
 		}
--- a/cmd/dapplestage/state.go
+++ b/cmd/dapplestage/state.go
@@ -36,11 +36,11 @@
 		return nil, 0, fmt.Errorf("%w: --state %q is not IP:PORT", errUsage, addr)
 	}
 	store := storage.NewStore(addr, protocol.StateSettings{RPS: perSecond / 0.9}, 1)
-	items, rev, err := store.List(ctx, protocol.Root)
+	items, rev, err := store.List(ctx, protocol.WatchedRoot)
 	if err != nil {
 		return nil, 0, fmt.Errorf("%s: %w", addr, err)
 	}
-	return packed.Read(items, packed.Slots), rev, nil
+	return packed.ReadState(items, packed.Slots), rev, nil
 }
 
 // stateCommand is `dapplestage state`: it reads the state service by its protocol, also
@@ -72,7 +72,7 @@
 	inspect.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	c.AddCommand(inspect, sub("verify", "What is damaged, and where; exits with 1 if anything is", func(out io.Writer, s *packed.State, rev uint64) error {
 		for _, p := range s.Problems {
-			fmt.Fprintf(out, "%s: %s\n", plain(p.Key), plain(p.Why))
+			fmt.Fprintf(out, "%s: %s\n", plain(p.Key), plain(p.Reason))
 		}
 		fmt.Fprintf(out, "%d jobs read as of revision %d, %d problems\n", len(s.Jobs), rev, len(s.Problems))
 		if len(s.Problems) > 0 {
@@ -93,16 +93,16 @@
 
 // stateView is what there is in the state service.
 type stateView struct {
-	Revision uint64                 `json:"revision"`
-	At       int64                  `json:"as_of_ms"`
-	Kinds    map[string]packed.Kind `json:"kinds"`
-	Logs     map[int]ringView       `json:"logs"`
-	Inboxes  map[string]ringView    `json:"inboxes"`
-	Jobs     int                    `json:"jobs"`
-	Alone    int                    `json:"in_records"` // jobs with a record of their own
-	Tasks    map[string]int         `json:"tasks"`
-	Empty    bool                   `json:"entries_empty"` // an earlier version may be started
-	Problems int                    `json:"problems"`
+	Revision uint64                        `json:"revision"`
+	At       int64                         `json:"as_of_ms"`
+	Kinds    map[string]packed.ValueTotals `json:"kinds"`
+	Logs     map[int]ringView              `json:"logs"`
+	Inboxes  map[string]ringView           `json:"inboxes"`
+	Jobs     int                           `json:"jobs"`
+	Alone    int                           `json:"in_records"` // jobs with a record of their own
+	Tasks    map[string]int                `json:"tasks"`
+	Empty    bool                          `json:"entries_empty"` // an earlier version may be started
+	Problems int                           `json:"problems"`
 }
 
 type ringView struct {
@@ -111,15 +111,15 @@
 }
 
 func viewState(s *packed.State, rev uint64) *stateView {
-	v := &stateView{Revision: rev, At: time.Now().UnixMilli(), Kinds: s.Kinds, Logs: map[int]ringView{}, Inboxes: map[string]ringView{}, Jobs: len(s.Jobs), Tasks: map[string]int{}, Empty: true, Problems: len(s.Problems)}
+	v := &stateView{Revision: rev, At: time.Now().UnixMilli(), Kinds: s.ValuesByKind, Logs: map[int]ringView{}, Inboxes: map[string]ringView{}, Jobs: len(s.Jobs), Tasks: map[string]int{}, Empty: true, Problems: len(s.Problems)}
 	for i, r := range s.Logs {
-		v.Logs[i], v.Empty = ringView{r.Last(), r.Jobs()}, v.Empty && r.Empty()
+		v.Logs[i], v.Empty = ringView{r.LastSeq(), r.JobCount()}, v.Empty && r.Empty()
 	}
 	for n, r := range s.Inboxes {
-		v.Inboxes[n], v.Empty = ringView{r.Last(), r.Jobs()}, v.Empty && r.Empty()
+		v.Inboxes[n], v.Empty = ringView{r.LastSeq(), r.JobCount()}, v.Empty && r.Empty()
 	}
 	for _, j := range s.Jobs {
-		if j.Record {
+		if j.HasRecord {
 			v.Alone++
 		}
 		v.Tasks["done"] += j.Done
--- a/cmd/dapplestage/state_test.go
+++ b/cmd/dapplestage/state_test.go
@@ -21,19 +21,19 @@
 		return &protocol.JobSpec{ID: id, Team: "red", Class: "c", Shape: "sweep", Tasks: tasks}
 	}
 	sound := map[string]any{
-		protocol.JobKey("job-1"):      protocol.JobRecord{Spec: spec("job-1", 3), Next: 2, Chunk: protocol.Chunk{Placed: []protocol.Placement{{Task: 0, Attempt: 1, Machine: "host-1"}}}},
+		protocol.JobKey("job-1"):      protocol.JobRecord{Spec: spec("job-1", 3), NextAttempt: 2, Chunk: protocol.Chunk{Placed: []protocol.Placement{{Task: 0, Attempt: 1, Machine: "host-1"}}}},
 		protocol.BatchKey("b"):        protocol.BatchRecord{Machines: []protocol.MachineRecord{{Name: "host-1"}}},
-		protocol.InboxKey("n-0", 1):   protocol.Entry{Version: 1, Seq: 1, Jobs: []protocol.Accepted{{Spec: spec("job-2", 4)}, {Spec: spec("job-3", 1)}}},
-		protocol.LogKey(0, 1):         protocol.Entry{Version: 1, Seq: 1, Machines: []string{"host-1"}, Parts: []protocol.Part{{Job: "job-2", Next: 5, Placed: []protocol.Run{{1, 2, 4, 0}}, Done: [][2]int{{0, 0}}}, {Job: "job-3", End: "done", Tasks: 1}}},
-		protocol.LogKey(0, 2):         protocol.Entry{Version: 1, Seq: 2, Parts: []protocol.Part{{Job: "job-1", Next: 2, Gone: [][2]int{{0, 0}}}}},
-		protocol.HolderKey(0):         protocol.HolderRecord{Node: "n-0", Token: 1},
+		protocol.InboxKey("n-0", 1):   protocol.Entry{Version: 1, Seq: 1, Jobs: []protocol.AcceptedJob{{Spec: spec("job-2", 4)}, {Spec: spec("job-3", 1)}}},
+		protocol.LogKey(0, 1):         protocol.Entry{Version: 1, Seq: 1, Machines: []string{"host-1"}, Parts: []protocol.Part{{Job: "job-2", NextAttempt: 5, Placed: []protocol.PlacedRange{{1, 2, 4, 0}}, Done: [][2]int{{0, 0}}}, {Job: "job-3", FinalStatus: "done", Tasks: 1}}},
+		protocol.LogKey(0, 2):         protocol.Entry{Version: 1, Seq: 2, Parts: []protocol.Part{{Job: "job-1", NextAttempt: 2, Unplaced: [][2]int{{0, 0}}}}},
+		protocol.OwnerKey(0):          protocol.OwnerRecord{Node: "n-0", Token: 1},
 		protocol.ChunkKey("job-1", 2): protocol.Chunk{},
 	}
 	damaged := map[string]any{
-		protocol.JobKey("job-1"):    protocol.JobRecord{Spec: spec("job-1", 2), Next: 1, Chunk: protocol.Chunk{Placed: []protocol.Placement{{Task: 7, Attempt: 1, Machine: "host-1"}}}},
+		protocol.JobKey("job-1"):    protocol.JobRecord{Spec: spec("job-1", 2), NextAttempt: 1, Chunk: protocol.Chunk{Placed: []protocol.Placement{{Task: 7, Attempt: 1, Machine: "host-1"}}}},
 		protocol.JobKey("job-4"):    "what is this",
 		protocol.LogKey(1, 1):       protocol.Entry{Version: 9, Seq: 1},
-		protocol.LogKey(1, 3):       protocol.Entry{Version: 1, Seq: 3, Machines: []string{"host-8"}, Parts: []protocol.Part{{Job: "job-1", Placed: []protocol.Run{{0, 0, 4, 0}}}}},
+		protocol.LogKey(1, 3):       protocol.Entry{Version: 1, Seq: 3, Machines: []string{"host-8"}, Parts: []protocol.Part{{Job: "job-1", Placed: []protocol.PlacedRange{{0, 0, 4, 0}}}}},
 		protocol.InboxKey("n-0", 1): protocol.Entry{Version: 1, Seq: 2},
 	}
 	serve := func(state map[string]any) (addr string, written *bool) {
@@ -43,7 +43,7 @@
 			items := []storage.Item{}
 			for k, v := range state {
 				data, _ := json.Marshal(v)
-				items = append(items, storage.Item{Key: k, Value: data, Stamp: 3})
+				items = append(items, storage.Item{Key: k, Value: data, Revision: 3})
 			}
 			json.NewEncoder(w).Encode(map[string]any{"items": items, "hasNext": false, "epoch": 7})
 		}))
--- a/cmd/dapplestage/ticket.go
+++ b/cmd/dapplestage/ticket.go
@@ -76,7 +76,7 @@
 	var data []byte
 	var err error
 	if path == "-" {
-		data, err = io.ReadAll(io.LimitReader(os.Stdin, format.MaxText+1))
+		data, err = io.ReadAll(io.LimitReader(os.Stdin, format.MaxTextBytes+1))
 	} else {
 		data, err = os.ReadFile(path)
 	}
@@ -128,7 +128,7 @@
 	if err != nil {
 		return err
 	}
-	data, err := t.Print()
+	data, err := t.EncodeJSON()
 	if err == nil {
 		fmt.Fprintln(out, string(data))
 	}
@@ -164,7 +164,7 @@
 // checkedSteps are a plan's steps, with the first tasks of each.
 func checkedSteps(plan *format.Plan, show int) (steps []checkedStep) {
 	for _, s := range plan.Steps {
-		v := checkedStep{Step: s.Name, Tasks: s.Space.Len(), CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Builds: s.Builds, Region: s.Region}
+		v := checkedStep{Step: s.Name, Tasks: s.Space.Len(), CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Builds: s.Types, Region: s.Zone}
 		for _, d := range s.Deps {
 			v.After = append(v.After, plan.Steps[d].Name)
 		}
@@ -351,7 +351,7 @@
 	if err != nil {
 		return err
 	}
-	a, err := ticket.Admit(s, view.Classes, ticket.Limits{ValueBytes: 64 << 10})
+	a, err := ticket.Admit(s, view.Classes, ticket.Limits{MaxValueBytes: 64 << 10})
 	if err != nil {
 		return err
 	}
@@ -447,7 +447,7 @@
 		fmt.Fprintln(out, "why:", st.Why)
 	}
 	if t := st.Terms; t != nil {
-		fmt.Fprintf(out, "urgency %s%s, retries a task %s, failed tasks survived %s\n", t.Urgency, askedText(t.AskedUrgency != "", t.AskedUrgency), granted(t.Retries), granted(t.FailedTasks))
+		fmt.Fprintf(out, "urgency %s%s, retries a task %s, failed tasks survived %s\n", t.Priority, askedText(t.RequestedPriority != "", t.RequestedPriority), granted(t.MaxRetries), granted(t.MaxFailedTasks))
 	}
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	defer w.Flush()
@@ -457,8 +457,8 @@
 	}
 }
 
-func granted(g protocol.Granted) string {
-	return strconv.Itoa(g.Granted) + askedText(g.Asked != nil && *g.Asked != g.Granted, g.Asked)
+func granted(g protocol.GrantedLimit) string {
+	return strconv.Itoa(g.Granted) + askedText(g.Requested != nil && *g.Requested != g.Granted, g.Requested)
 }
 
 func askedText(other bool, asked any) string {
@@ -572,7 +572,7 @@
 		if slices.Contains(v.Stored, lot) {
 			from = "operators"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%d\t%d\t%g\t%g\t%g\t%s\t%s\n", lot, c.Urgency, strings.Join(c.Shapes, ","), c.Retries, c.Over, c.Failed, c.Tasks, c.VCPUs, c.Cards, c.MemGB, c.Bundle, from)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%d\t%d\t%g\t%g\t%g\t%s\t%s\n", lot, c.MaxUrgency, strings.Join(c.Shapes, ","), c.MaxRetries, c.OnExcess, c.MaxFailedTasks, c.MaxTasks, c.CPUs, c.GPUs, c.MemoryGB, c.Image, from)
 	}
 	return w.Flush()
 }
--- a/cmd/lab/load.go
+++ b/cmd/lab/load.go
@@ -224,12 +224,12 @@
 			var items []wire.Item
 			for k := i; k < min(n, i+100); k++ {
 				id := fmt.Sprintf("job-%09d", k)
-				it := wire.Item{Kind: wire.State, ID: id, Exists: true, Ballot: wire.Ballot{N: uint64(k), Who: 256}, Accepted: wire.Ballot{N: uint64(k), Who: 256},
-					Record: wire.Record{Epoch: 1, Holder: 2, CreatedMS: 1, Tasks: 1, Final: final}}
+				it := wire.Item{Kind: wire.RegisterState, ID: id, HasRecord: true, Ballot: wire.Ballot{Number: uint64(k), Proposer: 256}, Accepted: wire.Ballot{Number: uint64(k), Proposer: 256},
+					Record: wire.Record{Epoch: 1, Owner: 2, CreatedMS: 1, Tasks: 1, Outcome: final}}
 				if final == wire.Open {
 					it.Record.Spec = submission(id, "red", 1, 1)
 				} else {
-					it.Committed, it.Record.By = true, 2
+					it.Committed, it.Record.FinishedBy = true, 2
 				}
 				items = append(items, it)
 			}
@@ -246,7 +246,7 @@
 		return g, err
 	}
 	defer j.Close()
-	core := gateway.New(gateway.Config{Members: []gateway.Member{{Name: "gate"}, {Name: "quito", Site: true}, {Name: "xela", Site: true}}, Lease: 8 * time.Second, Stop: 17 * time.Second, InFlight: 500},
+	core := gateway.New(gateway.Config{Members: []gateway.Member{{Name: "gate"}, {Name: "quito", Site: true}, {Name: "xela", Site: true}}, LeaseTime: 8 * time.Second, StopTime: 17 * time.Second, MaxInFlight: 500},
 		start, items, 1, slog.New(slog.DiscardHandler), 0)
 	g.Start = time.Since(begun).Seconds()
 	items = nil
--- a/cmd/lab/proof.go
+++ b/cmd/lab/proof.go
@@ -127,7 +127,7 @@
 
 func memberTimes(t times) gateway.Config {
 	second := func(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
-	return gateway.Config{Members: make([]gateway.Member, 3), Lease: second(t.lease), Stop: gateway.StopBound(second(t.controllers), second(t.workersLease))}
+	return gateway.Config{Members: make([]gateway.Member, 3), LeaseTime: second(t.lease), StopTime: gateway.StopBound(second(t.controllers), second(t.workersLease))}
 }
 
 // told is one answer that a user got.
@@ -696,7 +696,7 @@
 		}
 		has := 0
 		for _, s := range stores {
-			if it, ok := s[u.id]; ok && it.Record.Final == want {
+			if it, ok := s[u.id]; ok && it.Record.Outcome == want {
 				has++
 			}
 		}
--- a/cmd/lab/report.go
+++ b/cmd/lab/report.go
@@ -162,15 +162,15 @@
 
 // checkSums holds a node's sums and rows to the number of jobs accepted.
 func (r *reportRun) checkSums(ctx context.Context, api, name string, rows map[string]ledger.Row, page *ledger.Page) {
-	if r.stopped != "" || len(rows) == len(r.jobs) && sum(page.Sums) == len(rows) {
+	if r.stopped != "" || len(rows) == len(r.jobs) && sum(page.JobsByState) == len(rows) {
 		return
 	}
 	// A job may have been accepted a moment ago by the other node, or a share be on its way
 	// from one to the other while pages are asked for.
 	time.Sleep(600 * time.Millisecond)
 	again, page, err := r.farm.account(ctx, api)
-	if err == nil && (len(again) != len(r.jobs) || len(page.Unknown) == 0 && sum(page.Sums) != len(again)) {
-		r.wrong = append(r.wrong, fmt.Sprintf("%s tells of %d jobs in %d rows, %d were accepted", name, sum(page.Sums), len(again), len(r.jobs)))
+	if err == nil && (len(again) != len(r.jobs) || len(page.Unknown) == 0 && sum(page.JobsByState) != len(again)) {
+		r.wrong = append(r.wrong, fmt.Sprintf("%s tells of %d jobs in %d rows, %d were accepted", name, sum(page.JobsByState), len(again), len(r.jobs)))
 	}
 }
 
--- a/cmd/lab/tickets.go
+++ b/cmd/lab/tickets.go
@@ -286,8 +286,8 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	classes := ticket.Table{"preview": {Lot: "preview", Urgency: "high", Shapes: []string{"sweep"}, Over: ticket.Grant, Retries: farmRetries, Failed: 3, Tasks: 100000, VCPUs: 2, Cards: 1, MemGB: 8, Bundle: "img-1", SizeGB: 1, Loaners: true, ExpectS: 0.8}}
-	a, err := ticket.Admit(s, classes, ticket.Limits{ValueBytes: 8000})
+	classes := ticket.ClassTable{"preview": {Name: "preview", MaxUrgency: "high", Shapes: []string{"sweep"}, OnExcess: ticket.ReduceExcess, MaxRetries: farmRetries, MaxFailedTasks: 3, MaxTasks: 100000, CPUs: 2, GPUs: 1, MemoryGB: 8, Image: "img-1", ImageGB: 1, Spot: true, EstimateS: 0.8}}
+	a, err := ticket.Admit(s, classes, ticket.Limits{MaxValueBytes: 8000})
 	return s, a, err
 }
 
@@ -298,7 +298,7 @@
 		return nil, err
 	}
 	rec := a.Record
-	granted := rec.Terms.Retries.Granted
+	granted := rec.Terms.MaxRetries.Granted
 	atOnce := strings.HasPrefix(t.name, standin.Hopeless) && t.failed == 0
 	status := protocol.JobDone
 	if strings.HasPrefix(t.name, standin.Hopeless) {
@@ -374,10 +374,10 @@
 	atOnce := strings.HasPrefix(t.name, standin.Hopeless) && t.failed == 0
 	terms := told.Terms
 	asked := -1
-	if terms != nil && terms.Retries.Asked != nil {
-		asked = *terms.Retries.Asked
+	if terms != nil && terms.MaxRetries.Requested != nil {
+		asked = *terms.MaxRetries.Requested
 	}
-	lines := []string{fmt.Sprintf("%s retries asked %d granted %d urgency %s", t.name, asked, terms.Retries.Granted, terms.Urgency), t.name + " " + told.Status}
+	lines := []string{fmt.Sprintf("%s retries asked %d granted %d urgency %s", t.name, asked, terms.MaxRetries.Granted, terms.Priority), t.name + " " + told.Status}
 	if t.cancelled {
 		return lines, nil
 	}
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -154,7 +154,7 @@
 	r := httprouter.New()
 	r.POST("/commands", func(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 		var o protocol.Orders
-		if json.NewDecoder(io.LimitReader(r.Body, protocol.MaxBody)).Decode(&o) != nil {
+		if json.NewDecoder(io.LimitReader(r.Body, protocol.MaxBodyBytes)).Decode(&o) != nil {
 			send(w, 400, struct{}{})
 			return
 		}
@@ -221,7 +221,7 @@
 func (h stateHandlers) get(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 	it, _ := h.state.Get(r.Context(), strings.TrimPrefix(p.ByName("key"), "/"))
 	if it.Value == nil {
-		send(w, 404, object{"epoch": it.Stamp})
+		send(w, 404, object{"epoch": it.Revision})
 		return
 	}
 	send(w, 200, it)
@@ -236,7 +236,7 @@
 		If     []storage.Cond
 		Writes []storage.Write
 	}
-	if err := json.NewDecoder(io.LimitReader(r.Body, protocol.MaxBody)).Decode(&t); err != nil {
+	if err := json.NewDecoder(io.LimitReader(r.Body, protocol.MaxBodyBytes)).Decode(&t); err != nil {
 		send(w, 400, object{"error": err.Error()})
 		return
 	}
@@ -284,9 +284,9 @@
 	events := []object{}
 	for _, it := range items {
 		if it.Value == nil {
-			events = append(events, object{"drop": it.Key, "stamp": it.Stamp})
+			events = append(events, object{"drop": it.Key, "stamp": it.Revision})
 		} else {
-			events = append(events, object{"put": it.Key, "v": it.Value, "stamp": it.Stamp})
+			events = append(events, object{"put": it.Key, "v": it.Value, "stamp": it.Revision})
 		}
 	}
 	send(w, 200, object{"epoch": rev, "events": events})
@@ -347,7 +347,7 @@
 }
 
 func (h cloudHandlers) upload(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	data, _ := io.ReadAll(io.LimitReader(r.Body, protocol.MaxBody))
+	data, _ := io.ReadAll(io.LimitReader(r.Body, protocol.MaxBodyBytes))
 	s, err := protocol.ParseJob(data)
 	if err != nil {
 		send(w, 400, map[string]string{"error": err.Error()})
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -17,96 +17,96 @@
 	"dapplestage.example/dapplestage/internal/coordination/ledger"
 )
 
-// Ask is a question: a page of the account, or one job.
-type Ask struct {
-	Site  int // by number
-	Query ledger.Query
-	Job   string // one job's reasons, instead of a page
+// Request is a question: a page of the account, or one job.
+type Request struct {
+	SiteIndex int // by number
+	Query     ledger.Query
+	Job       string // one job's reasons, instead of a page
 }
 
 // Answer is what came of a question.
 type Answer struct {
-	Ask  Ask
-	Page *ledger.Page
-	Job  []string // lines about one job
-	Node string   // that answered
-	Err  error
+	Request  Request
+	Page     *ledger.Page
+	JobLines []string // lines about one job
+	Node     string   // that answered
+	Err      error
 }
 
-// Asker asks a node and returns its answer.
-type Asker func(Ask) Answer
+// FetchFunc asks a node and returns its answer.
+type FetchFunc func(Request) Answer
 
 // Views of the console.
 const (
-	overview = iota
-	teams
-	classes
-	zones
-	jobs
-	oneJob
+	viewOverview = iota
+	viewTeams
+	viewClasses
+	viewZones
+	viewJobs
+	viewJob
 )
 
-var views = []string{"overview", "teams", "classes", "machines", "jobs"}
+var viewNames = []string{"overview", "teams", "classes", "machines", "jobs"}
 
-// Pause is how often a node is asked.
-const Pause = 2 * time.Second
+// RequestInterval is how often a node is asked.
+const RequestInterval = 2 * time.Second
 
 // Model is the console's state.
 type Model struct {
-	ask     Asker
-	now     func() time.Time
-	view    int
-	back    int // the view that a job was opened from
-	query   ledger.Query
-	typing  bool
-	cursor  int
-	cursors []string // pages before this one
-	sites   []string // names; empty: one without a name
-	at      int      // the site that is shown
-	known   []shown  // what was last known of each
-	shown            // of the site that is shown
-	job     string
-	lines   []string
-	asking  bool
-	next    time.Time // when to ask again
-	width   int
-	height  int
-}
-
-// shown is what is known of a site, and since when.
-type shown struct {
-	page *ledger.Page
-	err  error
-	node string
-	got  time.Time // when the page came
+	fetch          FetchFunc
+	now            func() time.Time
+	view           int
+	previousView   int // the view that a job was opened from
+	query          ledger.Query
+	typing         bool
+	cursor         int
+	previousPages  []string    // pages before this one
+	sites          []string    // names; empty: one without a name
+	siteIndex      int         // the site that is shown
+	siteStates     []siteState // what was last known of each
+	siteState                  // of the site that is shown
+	job            string
+	jobLines       []string
+	requestPending bool
+	nextRequest    time.Time // when to ask again
+	width          int
+	height         int
+}
+
+// siteState is what is known of a site, and since when.
+type siteState struct {
+	page       *ledger.Page
+	err        error
+	node       string
+	receivedAt time.Time // when the page came
 }
 
 // New makes a console of some sites.
-func New(ask Asker, now func() time.Time, sites ...string) *Model {
-	return &Model{ask: ask, now: now, sites: sites, known: make([]shown, max(1, len(sites))), query: ledger.Query{Most: 100}, width: 80, height: 24}
+func New(ask FetchFunc, now func() time.Time, sites ...string) *Model {
+	return &Model{fetch: ask, now: now, sites: sites, siteStates: make([]siteState, max(1, len(sites))), query: ledger.Query{Limit: 100}, width: 80, height: 24}
 }
 
 // tick says that time has passed.
 type tick time.Time
 
-func later() tea.Cmd {
+func scheduleTick() tea.Cmd {
 	return tea.Tick(250*time.Millisecond, func(t time.Time) tea.Msg { return tick(t) })
 }
 
 // Init begins.
-func (m *Model) Init() tea.Cmd { return tea.Batch(m.question(), later()) }
+func (m *Model) Init() tea.Cmd { return tea.Batch(m.requestIfDue(), scheduleTick()) }
 
-// question asks if it is time to and nothing is under way.
-func (m *Model) question() tea.Cmd {
-	if m.asking || m.now().Before(m.next) {
+// requestIfDue asks if it is time to and nothing is under way.
+func (m *Model) requestIfDue() tea.Cmd {
+	if m.requestPending || m.now().Before(m.nextRequest) {
 		return nil
 	}
-	m.asking, m.next = true, m.now().Add(Pause)
-	a := Ask{Site: m.at, Query: m.query}
-	if m.view == oneJob {
+	m.requestPending, m.nextRequest = true, m.now().Add(RequestInterval)
+	a := Request{SiteIndex: m.siteIndex, Query: m.query}
+	if m.view == viewJob {
 		a.Job = m.job
 	}
-	return func() tea.Msg { return m.ask(a) }
+	return func() tea.Msg { return m.fetch(a) }
 }
 
 // Update takes in a key, an answer or time.
@@ -115,12 +115,12 @@
 	case tea.WindowSizeMsg:
 		m.width, m.height = max(20, msg.Width), max(8, msg.Height)
 	case tick:
-		return m, tea.Batch(m.question(), later())
+		return m, tea.Batch(m.requestIfDue(), scheduleTick())
 	case Answer:
-		m.asking = false
-		if msg.Ask.Site != m.at {
-			m.next = time.Time{} // another site is shown now
-			return m, m.question()
+		m.requestPending = false
+		if msg.Request.SiteIndex != m.siteIndex {
+			m.nextRequest = time.Time{} // another site is shown now
+			return m, m.requestIfDue()
 		}
 		if msg.Err != nil {
 			m.err = msg.Err
@@ -128,78 +128,78 @@
 		}
 		m.node = msg.Node
 		switch {
-		case msg.Ask.Job != "":
-			if m.view == oneJob && msg.Ask.Job == m.job {
-				m.err, m.lines, m.got = nil, msg.Job, m.now()
+		case msg.Request.Job != "":
+			if m.view == viewJob && msg.Request.Job == m.job {
+				m.err, m.jobLines, m.receivedAt = nil, msg.JobLines, m.now()
 			}
-		case msg.Ask.Query == m.query:
-			m.err, m.page, m.got = nil, msg.Page, m.now()
+		case msg.Request.Query == m.query:
+			m.err, m.page, m.receivedAt = nil, msg.Page, m.now()
 			m.cursor = max(0, min(m.cursor, len(msg.Page.Rows)-1))
 		default:
-			m.next = time.Time{} // the question has changed meanwhile
+			m.nextRequest = time.Time{} // the question has changed meanwhile
 		}
 	case tea.KeyMsg:
-		return m, m.key(msg.String(), msg.Runes)
+		return m, m.handleKey(msg.String(), msg.Runes)
 	}
 	return m, nil
 }
 
-// key does what a key asks for.
-func (m *Model) key(key string, runes []rune) tea.Cmd {
+// handleKey does what a key asks for.
+func (m *Model) handleKey(key string, runes []rune) tea.Cmd {
 	switch {
 	case key == "ctrl+c", key == "q" && !m.typing:
 		return tea.Quit
 	case m.typing:
-		m.typeKey(key, runes)
-	case !m.choose(key):
+		m.handleSearchKey(key, runes)
+	case !m.handleFilterKey(key):
 		m.navigate(key)
 	}
-	return m.question()
+	return m.requestIfDue()
 }
 
-// mostTyped is how long a text to search for may be.
-const mostTyped = 60
+// maxSearchLength is how long a text to search for may be.
+const maxSearchLength = 60
 
-// typeKey takes a key while a text to search for is typed.
-func (m *Model) typeKey(key string, runes []rune) {
+// handleSearchKey takes a key while a text to search for is typed.
+func (m *Model) handleSearchKey(key string, runes []rune) {
 	switch key {
 	case "enter":
 		m.typing = false
-		m.first()
+		m.firstPage()
 	case "esc":
 		m.typing, m.query.Text = false, ""
-		m.first()
+		m.firstPage()
 	case "backspace":
 		if r := []rune(m.query.Text); len(r) > 0 {
 			m.query.Text = string(r[:len(r)-1])
 		}
 	default:
 		for _, r := range runes {
-			if unicode.IsPrint(r) && len(m.query.Text) < mostTyped {
+			if unicode.IsPrint(r) && len(m.query.Text) < maxSearchLength {
 				m.query.Text += string(r)
 			}
 		}
 	}
 }
 
-// choose takes a key that changes which jobs are listed; false if it is none.
-func (m *Model) choose(key string) bool {
+// handleFilterKey takes a key that changes which jobs are listed; false if it is none.
+func (m *Model) handleFilterKey(key string) bool {
 	switch key {
 	case "/":
-		m.view, m.typing = jobs, true
+		m.view, m.typing = viewJobs, true
 		return true
 	case "s":
-		m.view, m.query.State = jobs, ledger.Stuck
+		m.view, m.query.State = viewJobs, ledger.Stuck
 	case "u":
-		m.view, m.query.State = jobs, ledger.Unknown
+		m.view, m.query.State = viewJobs, ledger.Unknown
 	case "f":
-		m.view, m.query.State = jobs, nextState(m.query.State)
+		m.view, m.query.State = viewJobs, nextState(m.query.State)
 	case "c":
-		m.query = ledger.Query{Most: m.query.Most}
+		m.query = ledger.Query{Limit: m.query.Limit}
 	default:
 		return false
 	}
-	m.first()
+	m.firstPage()
 	return true
 }
 
@@ -218,90 +218,92 @@
 	case "1", "2", "3", "4", "5":
 		m.view, m.cursor = int(key[0]-'1'), 0
 	case "tab":
-		m.view, m.cursor = (min(m.view, jobs)+1)%len(views), 0
+		m.view, m.cursor = (min(m.view, viewJobs)+1)%len(viewNames), 0
 	case "x":
 		m.nextSite()
 	case "up", "k":
 		m.cursor = max(0, m.cursor-1)
 	case "down", "j":
-		m.cursor = min(m.cursor+1, max(0, m.rows()-1))
+		m.cursor = min(m.cursor+1, max(0, m.rowCount()-1))
 	case "pgdown", "n":
 		m.nextPage()
 	case "pgup", "p":
 		m.previousPage()
 	case "enter":
-		m.open()
+		m.openSelected()
 	case "esc":
-		m.leaveJob()
+		m.closeJob()
 	}
 }
 
 // nextSite shows the next site. What was known of it is shown with its age until it answers.
 func (m *Model) nextSite() {
-	m.known[m.at] = m.shown
-	m.at = (m.at + 1) % len(m.known)
-	m.shown = m.known[m.at]
-	m.leaveJob()
-	m.first()
+	m.siteStates[m.siteIndex] = m.siteState
+	m.siteIndex = (m.siteIndex + 1) % len(m.siteStates)
+	m.siteState = m.siteStates[m.siteIndex]
+	m.closeJob()
+	m.firstPage()
 }
 
-// leaveJob goes back to the view that a job was opened from.
-func (m *Model) leaveJob() {
-	if m.view == oneJob {
-		m.view = m.back
+// closeJob goes back to the view that a job was opened from.
+func (m *Model) closeJob() {
+	if m.view == viewJob {
+		m.view = m.previousView
 	}
 }
 
 func (m *Model) nextPage() {
-	if m.view == jobs && m.page != nil && m.page.After != "" {
-		m.cursors = append(m.cursors, m.query.After)
-		m.query.After, m.cursor, m.next = m.page.After, 0, time.Time{}
+	if m.view == viewJobs && m.page != nil && m.page.After != "" {
+		m.previousPages = append(m.previousPages, m.query.After)
+		m.query.After, m.cursor, m.nextRequest = m.page.After, 0, time.Time{}
 	}
 }
 
 func (m *Model) previousPage() {
-	if l := len(m.cursors); m.view == jobs && l > 0 {
-		m.query.After, m.cursors, m.cursor, m.next = m.cursors[l-1], m.cursors[:l-1], 0, time.Time{}
+	if l := len(m.previousPages); m.view == viewJobs && l > 0 {
+		m.query.After, m.previousPages, m.cursor, m.nextRequest = m.previousPages[l-1], m.previousPages[:l-1], 0, time.Time{}
 	}
 }
 
-// first goes to the first page of what is chosen, at once.
-func (m *Model) first() { m.query.After, m.cursors, m.cursor, m.next = "", nil, 0, time.Time{} }
+// firstPage goes to the first page of what is chosen, at once.
+func (m *Model) firstPage() {
+	m.query.After, m.previousPages, m.cursor, m.nextRequest = "", nil, 0, time.Time{}
+}
 
-// open opens the row under the cursor: a job, or the jobs of a team, class or zone.
-func (m *Model) open() {
+// openSelected opens the row under the cursor: a job, or the jobs of a team, class or zone.
+func (m *Model) openSelected() {
 	switch m.view {
-	case jobs, overview:
-		if rows := m.chosen(); m.cursor < len(rows) {
-			m.job, m.lines, m.back, m.view, m.next = rows[m.cursor].Job, nil, m.view, oneJob, time.Time{}
+	case viewJobs, viewOverview:
+		if rows := m.listedJobs(); m.cursor < len(rows) {
+			m.job, m.jobLines, m.previousView, m.view, m.nextRequest = rows[m.cursor].Job, nil, m.view, viewJob, time.Time{}
 		}
-	case teams, classes, zones:
-		if names := m.names(); m.cursor < len(names) {
-			m.openNamed(names[m.cursor])
+	case viewTeams, viewClasses, viewZones:
+		if names := m.listedNames(); m.cursor < len(names) {
+			m.openGroup(names[m.cursor])
 		}
 	}
 }
 
-func (m *Model) openNamed(name string) {
-	m.query = ledger.Query{Most: m.query.Most}
+func (m *Model) openGroup(name string) {
+	m.query = ledger.Query{Limit: m.query.Limit}
 	switch m.view {
-	case teams:
+	case viewTeams:
 		m.query.Team = name
-	case classes:
+	case viewClasses:
 		m.query.Class = name
-	case zones:
+	case viewZones:
 		m.query.Zone = name
 	}
-	m.view = jobs
-	m.first()
+	m.view = viewJobs
+	m.firstPage()
 }
 
-// chosen are the jobs that the view lists.
-func (m *Model) chosen() []ledger.Row {
+// listedJobs are the jobs that the view lists.
+func (m *Model) listedJobs() []ledger.Row {
 	switch {
 	case m.page == nil:
 		return nil
-	case m.view == overview:
+	case m.view == viewOverview:
 		var out []ledger.Row
 		for _, r := range m.page.Rows {
 			if r.State == ledger.Stuck || r.State == ledger.Unknown {
@@ -313,32 +315,32 @@
 	return m.page.Rows
 }
 
-// names are what the view lists that is not jobs.
-func (m *Model) names() []string {
+// listedNames are what the view lists that is not jobs.
+func (m *Model) listedNames() []string {
 	if m.page == nil {
 		return nil
 	}
 	switch m.view {
-	case teams, classes:
+	case viewTeams, viewClasses:
 		of := m.page.Teams
-		if m.view == classes {
+		if m.view == viewClasses {
 			of = m.page.Classes
 		}
 		return slices.SortedFunc(maps.Keys(of), func(a, b string) int {
 			x, y := of[a], of[b]
 			return cmp.Or(y[ledger.Stuck]-x[ledger.Stuck], y[ledger.Unknown]-x[ledger.Unknown], y[ledger.Waiting]-x[ledger.Waiting], strings.Compare(a, b))
 		})
-	case zones:
+	case viewZones:
 		return slices.Sorted(maps.Keys(m.page.Zones))
 	}
 	return nil
 }
 
-func (m *Model) rows() int {
-	if m.view == teams || m.view == classes || m.view == zones {
-		return len(m.names())
+func (m *Model) rowCount() int {
+	if m.view == viewTeams || m.view == viewClasses || m.view == viewZones {
+		return len(m.listedNames())
 	}
-	return len(m.chosen())
+	return len(m.listedJobs())
 }
 
 // frameLines are the lines of the screen around the body: two above it and two below.
@@ -346,50 +348,50 @@
 
 // View draws the screen, no wider and no higher than it is. Nothing depends on colour.
 func (m *Model) View() string {
-	lines := []string{m.head(), m.stateLine()}
-	lines = append(lines, m.body(m.height-frameLines)...)
-	lines = append(lines, m.chosenLine(), "1-5 tab  enter esc  / search  f state  s stuck  u unknown  c all  n p page  q quit")
+	lines := []string{m.headLine(), m.stateLine()}
+	lines = append(lines, m.bodyLines(m.height-frameLines)...)
+	lines = append(lines, m.filterLine(), "1-5 tab  enter esc  / search  f state  s stuck  u unknown  c all  n p page  q quit")
 	for i, l := range lines {
-		lines[i] = cut(l, m.width)
+		lines[i] = fitLine(l, m.width)
 	}
 	return strings.Join(lines, "\n")
 }
 
-// head is the line with the views, and the site where there are several.
-func (m *Model) head() string {
+// headLine is the line with the views, and the site where there are several.
+func (m *Model) headLine() string {
 	head := "dapplestage"
 	if len(m.sites) > 1 {
 		head = "" // the sites' name takes its place
 	}
-	for i, v := range views {
+	for i, v := range viewNames {
 		mark := fmt.Sprintf(" %d:%s", i+1, v)
-		if i == m.view || m.view == oneJob && i == m.back {
+		if i == m.view || m.view == viewJob && i == m.previousView {
 			mark = fmt.Sprintf(" [%d:%s]", i+1, v)
 		}
 		head += mark
 	}
 	if len(m.sites) > 1 {
-		head += "  " + m.sites[m.at] + " (x: next)"
+		head += "  " + m.sites[m.siteIndex] + " (x: next)"
 	}
 	return head
 }
 
-// body is the view's lines, as many as there is room for.
-func (m *Model) body(height int) []string {
+// bodyLines is the view's lines, as many as there is room for.
+func (m *Model) bodyLines(height int) []string {
 	var rows []string
 	switch {
-	case m.view == oneJob && m.lines == nil:
+	case m.view == viewJob && m.jobLines == nil:
 		rows = []string{"asking about " + m.job + " ..."}
-	case m.view == oneJob:
-		rows = m.lines
+	case m.view == viewJob:
+		rows = m.jobLines
 	case m.page == nil:
 		rows = []string{"asking ..."}
 	default:
-		rows = m.table()
+		rows = m.tableLines()
 	}
 	// The cursor stays on the screen, and the heading with it.
-	if m.view != oneJob && len(rows) > 0 {
-		heads := m.heads()
+	if m.view != viewJob && len(rows) > 0 {
+		heads := m.headingLines()
 		if at := heads + m.cursor; at >= height {
 			from := at - height + 1
 			rows = append(slices.Clone(rows[:heads]), rows[min(len(rows), heads+from):]...)
@@ -400,8 +402,8 @@
 	return out
 }
 
-// cut makes a line safe and as wide as the screen: names are whatever users chose.
-func cut(s string, width int) string {
+// fitLine makes a line safe and as wide as the screen: names are whatever users chose.
+func fitLine(s string, width int) string {
 	out := make([]rune, 0, width)
 	for _, r := range s {
 		if !unicode.IsPrint(r) {
@@ -417,18 +419,18 @@
 }
 
 func (m *Model) stateLine() string {
-	if m.got.IsZero() {
+	if m.receivedAt.IsZero() {
 		if m.err != nil {
 			return "NOT KNOWN: " + m.err.Error()
 		}
 		return ""
 	}
-	age := m.now().Sub(m.got)
+	age := m.now().Sub(m.receivedAt)
 	s := fmt.Sprintf("as %s told it %.0f s ago", m.node, age.Seconds())
 	if m.err != nil {
 		s = fmt.Sprintf("NOT KNOWN since %.0f s: %v", age.Seconds(), m.err)
-	} else if m.page != nil && m.page.StateAge > 3 {
-		s += fmt.Sprintf("; the state service answered %.0f s before", m.page.StateAge)
+	} else if m.page != nil && m.page.SinceStateAnswer > 3 {
+		s += fmt.Sprintf("; the state service answered %.0f s before", m.page.SinceStateAnswer)
 	}
 	if m.page != nil && len(m.page.Unknown) > 0 {
 		s += "; " + m.page.Unknown[0]
@@ -439,7 +441,7 @@
 	return s
 }
 
-func (m *Model) chosenLine() string {
+func (m *Model) filterLine() string {
 	var parts []string
 	for _, p := range [][2]string{{"state", m.query.State}, {"team", m.query.Team}, {"class", m.query.Class}, {"zone", m.query.Zone}, {"search", m.query.Text}} {
 		if p[1] != "" || p[0] == "search" && m.typing {
@@ -450,71 +452,71 @@
 	if m.typing {
 		s += "_"
 	}
-	if len(m.cursors) > 0 {
-		s += fmt.Sprintf("  page %d", len(m.cursors)+1)
+	if len(m.previousPages) > 0 {
+		s += fmt.Sprintf("  page %d", len(m.previousPages)+1)
 	}
-	if m.view == jobs && m.page != nil && m.page.After != "" {
+	if m.view == viewJobs && m.page != nil && m.page.After != "" {
 		s += "  more: n"
 	}
 	return s
 }
 
-// heads is how many lines stand above a view's list.
-func (m *Model) heads() int {
-	if m.view == overview {
+// headingLines is how many lines stand above a view's list.
+func (m *Model) headingLines() int {
+	if m.view == viewOverview {
 		return len(ledger.States) + 3
 	}
 	return 1
 }
 
-func (m *Model) mark(i int) string {
+func (m *Model) cursorMark(i int) string {
 	if i == m.cursor {
 		return "> "
 	}
 	return "  "
 }
 
-func (m *Model) table() []string {
+func (m *Model) tableLines() []string {
 	p := m.page
 	var out []string
 	switch m.view {
-	case overview:
+	case viewOverview:
 		for _, s := range ledger.States {
 			note := ""
 			switch {
-			case p.Sums[s] == 0:
+			case p.JobsByState[s] == 0:
 			case s == ledger.Stuck:
 				note = "  <- look"
 			case s == ledger.Unknown:
 				note = "  <- not known, not fine"
 			}
-			out = append(out, fmt.Sprintf("  %-10s %8d jobs%s", s, p.Sums[s], note))
+			out = append(out, fmt.Sprintf("  %-10s %8d jobs%s", s, p.JobsByState[s], note))
 		}
 		out = append(out, "", fmt.Sprintf("  %-26s %-16s %-12s %s", "STUCK, NOT KNOWN (of this page)", "TEAM", "CLASS", "WHY"))
 		out = append(out, "")
-		for i, r := range m.chosen() {
-			out = append(out, fmt.Sprintf("%s%-26s %-16.16s %-12.12s %s", m.mark(i), r.Job, r.Team, r.Class, r.Why))
+		for i, r := range m.listedJobs() {
+			out = append(out, fmt.Sprintf("%s%-26s %-16.16s %-12.12s %s", m.cursorMark(i), r.Job, r.Team, r.Class, r.Why))
 		}
-	case teams, classes:
+	case viewTeams, viewClasses:
 		of, name := p.Teams, "TEAM"
-		if m.view == classes {
+		if m.view == viewClasses {
 			of, name = p.Classes, "CLASS"
 		}
 		out = append(out, fmt.Sprintf("  %-24s %6s %6s %6s %6s %6s %6s %6s", name, "STUCK", "UNKNWN", "WAIT", "START", "RUN", "FAILED", "DONE"))
-		for i, t := range m.names() {
+		for i, t := range m.listedNames() {
 			s := of[t]
-			out = append(out, fmt.Sprintf("%s%-24.24s %6d %6d %6d %6d %6d %6d %6d", m.mark(i), t, s[ledger.Stuck], s[ledger.Unknown], s[ledger.Waiting], s[ledger.Starting], s[ledger.Running], s[ledger.Failed], s[ledger.Done]))
+			out = append(out, fmt.Sprintf("%s%-24.24s %6d %6d %6d %6d %6d %6d %6d", m.cursorMark(i), t, s[ledger.Stuck], s[ledger.Unknown], s[ledger.Waiting], s[ledger.Starting], s[ledger.Running], s[ledger.Failed], s[ledger.Done]))
 		}
-	case zones:
+	case viewZones:
 		out = append(out, fmt.Sprintf("  %-20s %6s %8s %8s %7s %8s %12s", "ZONE", "UP", "BOOTING", "DRAINED", "SILENT", "UNKNOWN", "GPUS USED"))
-		for i, z := range m.names() {
+		for i, z := range m.listedNames() {
 			s := p.Zones[z]
-			out = append(out, fmt.Sprintf("%s%-20.20s %6d %8d %8d %7d %8d %6g/%g", m.mark(i), z, s.Up, s.Booting, s.Drained, s.Silent, s.Unknown, s.Used, s.GPUs))
+			out = append(out, fmt.Sprintf("%s%-20.20s %6d %8d %8d %7d %8d %6g/%g", m.cursorMark(i), z, s.Up, s.Booting, s.Drained, s.Silent, s.Unknown, s.Used, s.GPUs))
 		}
-	case jobs:
+	case viewJobs:
 		out = append(out, fmt.Sprintf("  %-20s %-12s %-10s %-9s %9s %5s  %s", "JOB", "TEAM", "CLASS", "STATE", "DONE", "RUN", "WHY"))
 		for i, r := range p.Rows {
-			out = append(out, fmt.Sprintf("%s%-20.20s %-12.12s %-10.10s %-9s %9s %5d  %s", m.mark(i), r.Job, r.Team, r.Class, r.State, fmt.Sprintf("%d/%d", r.Done, r.Tasks), r.Running, r.Why))
+			out = append(out, fmt.Sprintf("%s%-20.20s %-12.12s %-10.10s %-9s %9s %5d  %s", m.cursorMark(i), r.Job, r.Team, r.Class, r.State, fmt.Sprintf("%d/%d", r.Done, r.Tasks), r.Running, r.Why))
 		}
 		if len(p.Rows) == 0 {
 			out = append(out, "  no such jobs")
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -14,49 +14,49 @@
 	"dapplestage.example/dapplestage/internal/coordination/ledger"
 )
 
-// rig is a console with a clock and a node of its own.
-type rig struct {
+// testConsole is a console with a clock and a node of its own.
+type testConsole struct {
 	*Model
-	now   time.Time
-	asked []Ask
-	fail  error
-	rows  int
+	now      time.Time
+	requests []Request
+	fetchErr error
+	jobCount int
 }
 
-func newRig(rows int) *rig {
-	r := &rig{now: time.Unix(1e9, 0), rows: rows}
-	r.Model = New(func(a Ask) Answer {
-		r.asked = append(r.asked, a)
-		if r.fail != nil {
-			return Answer{Ask: a, Err: r.fail}
+func newTestConsole(rows int) *testConsole {
+	r := &testConsole{now: time.Unix(1e9, 0), jobCount: rows}
+	r.Model = New(func(a Request) Answer {
+		r.requests = append(r.requests, a)
+		if r.fetchErr != nil {
+			return Answer{Request: a, Err: r.fetchErr}
 		}
 		if a.Job != "" {
-			return Answer{Ask: a, Job: []string{a.Job + " waits", "because: team limit"}, Node: "n-0"}
+			return Answer{Request: a, JobLines: []string{a.Job + " waits", "because: team limit"}, Node: "n-0"}
 		}
 		p := ledger.NewPage("n-0", r.now)
-		for i := range r.rows {
+		for i := range r.jobCount {
 			p.Add(&a.Query, ledger.Row{Job: fmt.Sprintf("job-%06d", i), Team: fmt.Sprint("shop-", i%7), Class: "album", State: ledger.States[i%len(ledger.States)], Why: "\x1b[2Jbecause\nof", Tasks: 5, Zones: []string{"a"}})
 		}
 		p.Zones["a"] = ledger.ZoneSums{Up: 4}
 		p.Finish(&a.Query)
-		return Answer{Ask: a, Page: p, Node: "n-0"}
+		return Answer{Request: a, Page: p, Node: "n-0"}
 	}, func() time.Time { return r.now })
-	r.do(r.question())
+	r.runCommand(r.requestIfDue())
 	return r
 }
 
-// do runs what an update asks for: questions only, time is the test's.
-func (r *rig) do(c tea.Cmd) {
+// runCommand runs what an update asks for: questions only, time is the test's.
+func (r *testConsole) runCommand(c tea.Cmd) {
 	if c == nil {
 		return
 	}
 	if a, ok := c().(Answer); ok {
 		_, c := r.Update(a)
-		r.do(c)
+		r.runCommand(c)
 	}
 }
 
-func (r *rig) press(keys ...string) {
+func (r *testConsole) press(keys ...string) {
 	for _, k := range keys {
 		msg := tea.KeyMsg{Type: tea.KeyRunes, Runes: []rune(k)}
 		switch k {
@@ -74,19 +74,19 @@
 			msg = tea.KeyMsg{Type: tea.KeyBackspace}
 		}
 		_, c := r.Update(msg)
-		r.do(c)
+		r.runCommand(c)
 	}
 }
 
-func (r *rig) pass(d time.Duration) {
+func (r *testConsole) advance(d time.Duration) {
 	for range int(d / (250 * time.Millisecond)) {
 		r.now = r.now.Add(250 * time.Millisecond)
-		r.do(r.question())
+		r.runCommand(r.requestIfDue())
 	}
 }
 
 func TestViews(t *testing.T) {
-	r := newRig(300)
+	r := newTestConsole(300)
 	for _, c := range []struct {
 		keys []string
 		want string
@@ -98,7 +98,7 @@
 		{[]string{"c", "tab"}, "[1:overview]"},
 	} {
 		r.press(c.keys...)
-		r.pass(3 * time.Second)
+		r.advance(3 * time.Second)
 		if v := r.View(); !strings.Contains(v, c.want) {
 			t.Errorf("after %v: %q is not on\n%s", c.keys, c.want, v)
 		}
@@ -111,17 +111,17 @@
 func TestAnyKeys(t *testing.T) {
 	keys := []string{"1", "2", "3", "4", "5", "tab", "/", "s", "u", "f", "c", "up", "down", "n", "p", "enter", "esc", "backspace", "x", "é", "0", "a"}
 	rapid.Check(t, func(t *rapid.T) {
-		r := newRig(rapid.SampledFrom([]int{0, 1, 30, 250}).Draw(t, "rows"))
+		r := newTestConsole(rapid.SampledFrom([]int{0, 1, 30, 250}).Draw(t, "rows"))
 		w, h := rapid.IntRange(1, 200).Draw(t, "width"), rapid.IntRange(1, 60).Draw(t, "height")
 		r.Update(tea.WindowSizeMsg{Width: w, Height: h})
 		for range rapid.IntRange(0, 40).Draw(t, "steps") {
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0:
-				r.pass(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
+				r.advance(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
 			case 1:
-				r.fail = errors.New("n-0 does not answer")
+				r.fetchErr = errors.New("n-0 does not answer")
 			case 2:
-				r.fail = nil
+				r.fetchErr = nil
 			default:
 				r.press(rapid.SampledFrom(keys).Draw(t, "key"))
 			}
@@ -139,12 +139,12 @@
 }
 
 func TestAskingIsBounded(t *testing.T) {
-	r := newRig(10)
+	r := newTestConsole(10)
 	for range 200 {
 		r.press("down", "up", "2", "5")
 		r.now = r.now.Add(50 * time.Millisecond)
 	}
-	if n := len(r.asked); n > 7 {
+	if n := len(r.requests); n > 7 {
 		t.Errorf("%d questions in 10 s", n)
 	}
 }
@@ -152,31 +152,31 @@
 // Of a site that is lost what was known stays, with its age, and the other one is a key
 // away.
 func TestTwoSites(t *testing.T) {
-	r := newRig(5)
-	inner := r.ask
+	r := newTestConsole(5)
+	inner := r.fetch
 	lost := false
-	r.Model = New(func(a Ask) Answer {
-		if a.Site == 1 && lost {
-			return Answer{Ask: a, Err: errors.New("no controller of xela answers")}
+	r.Model = New(func(a Request) Answer {
+		if a.SiteIndex == 1 && lost {
+			return Answer{Request: a, Err: errors.New("no controller of xela answers")}
 		}
 		return inner(a)
 	}, func() time.Time { return r.now }, "quito", "xela")
-	r.pass(3 * time.Second)
+	r.advance(3 * time.Second)
 	r.press("x")
-	r.pass(3 * time.Second)
+	r.advance(3 * time.Second)
 	if v := r.View(); !strings.Contains(v, "xela (x: next)") || !strings.Contains(v, "stuck ") {
 		t.Error(v)
 	}
 	lost = true
 	r.press("x")
-	r.pass(20 * time.Second)
+	r.advance(20 * time.Second)
 	r.press("x")
-	r.pass(3 * time.Second)
+	r.advance(3 * time.Second)
 	if v := r.View(); !strings.Contains(v, "NOT KNOWN since 2") || !strings.Contains(v, "no controller of xela") || !strings.Contains(v, "running") {
 		t.Error(v)
 	}
 	r.press("x")
-	r.pass(3 * time.Second)
+	r.advance(3 * time.Second)
 	if v := r.View(); strings.Contains(v, "NOT KNOWN since") || !strings.Contains(v, "quito") {
 		t.Error(v)
 	}
@@ -185,14 +185,14 @@
 // A node that dies while the console runs: what was known stays, marked with its age,
 // and is not shown as fine.
 func TestDeadNode(t *testing.T) {
-	r := newRig(10)
-	r.fail = errors.New("n-0 does not answer")
-	r.pass(10 * time.Second)
+	r := newTestConsole(10)
+	r.fetchErr = errors.New("n-0 does not answer")
+	r.advance(10 * time.Second)
 	if v := r.View(); !strings.Contains(v, "NOT KNOWN since 10 s: n-0 does not answer") || !strings.Contains(v, "running") {
 		t.Error(v)
 	}
-	r.fail = nil
-	r.pass(3 * time.Second)
+	r.fetchErr = nil
+	r.advance(3 * time.Second)
 	if v := r.View(); strings.Contains(v, "NOT KNOWN since") {
 		t.Error(v)
 	}
--- a/internal/coordination/decide/place.go
+++ b/internal/coordination/decide/place.go
@@ -14,7 +14,7 @@
 // Placement is what Place decides.
 type Placement struct {
 	Machines   []*Machine  // a machine for each task that is placed
-	MaxFetchS  float64     // what the last of them has to fetch
+	LastFetchS float64     // what the last of them has to fetch
 	Preemption *Preemption // room to be made where the job's image is
 	IdlesGPUs  bool        // some of them idle GPUs there, for as long as the job is there
 	Reason     Reason      // why not all that wait are placed; None if they are
@@ -80,7 +80,7 @@
 	case len(picked) == 0:
 		return Placement{Reason: NoFreeMachine, BlockedByReservation: v.blockedByReservations(j, 0)}
 	}
-	p := Placement{MaxFetchS: picked[len(picked)-1].Cost}
+	p := Placement{LastFetchS: picked[len(picked)-1].Cost}
 	service := j.Spec.Shape == protocol.Service // what ends gives GPUs back
 	idling := 0
 	for _, s := range picked {
--- a/internal/coordination/duty/adopt.go
+++ b/internal/coordination/duty/adopt.go
@@ -28,8 +28,8 @@
 
 const (
 	Wait Step = iota
-	Raise
-	Record
+	RaiseFence
+	RecordMachines
 )
 
 // Adoption takes up machines without a record.
@@ -49,15 +49,15 @@
 const (
 	// again is after a step that failed.
 	again = time.Second
-	// quiet is after how long without a report a machine is forgotten here.
-	quiet = 15 * time.Second
+	// reportTimeout is after how long without a report a machine is forgotten here.
+	reportTimeout = 15 * time.Second
 )
 
 // NewAdoption has heard of none.
 func NewAdoption() *Adoption { return &Adoption{heard: map[string]stray{}} }
 
-// Heard notes a report of a machine that has no record.
-func (a *Adoption) Heard(r protocol.MachineRecord, now time.Time) {
+// NoteReport notes a report of a machine that has no record.
+func (a *Adoption) NoteReport(r protocol.MachineRecord, now time.Time) {
 	s, ok := a.heard[r.Name]
 	if !ok {
 		s.first = now
@@ -66,12 +66,12 @@
 	a.heard[r.Name] = s
 }
 
-// Drop forgets a machine: it is recorded, or on its way back.
-func (a *Adoption) Drop(name string) { delete(a.heard, name) }
+// Remove forgets a machine: it is recorded, or on its way back.
+func (a *Adoption) Remove(name string) { delete(a.heard, name) }
 
-// Expects says whether machines without a record report here, so that they will be taken
+// HasUnrecorded says whether machines without a record report here, so that they will be taken
 // up soon by whoever may.
-func (a *Adoption) Expects(now time.Time) bool {
+func (a *Adoption) HasUnrecorded(now time.Time) bool {
 	a.forget(now)
 	return len(a.heard) > 0
 }
@@ -81,17 +81,17 @@
 
 func (a *Adoption) forget(now time.Time) {
 	for name, s := range a.heard {
-		if now.Sub(s.last) > quiet {
+		if now.Sub(s.last) > reportTimeout {
 			delete(a.heard, name)
 		}
 	}
 }
 
-// Look says what to do next. may says that this node has the duty, patience for how long
+// Next says what to do next. may says that this node has the duty, patience for how long
 // a machine's own rental has had time to be recorded, caught up to which revision all
 // that is stored is known here, pause the time between two rounds: each one overtakes
 // rentals under way.
-func (a *Adoption) Look(may bool, patience, pause time.Duration, caught uint64, now time.Time) (Step, []protocol.MachineRecord) {
+func (a *Adoption) Next(may bool, patience, pause time.Duration, caught uint64, now time.Time) (Step, []protocol.MachineRecord) {
 	a.forget(now)
 	switch {
 	case !may:
@@ -114,7 +114,7 @@
 			return Wait, nil
 		}
 		a.busy = true
-		return Raise, nil
+		return RaiseFence, nil
 	case caught < a.fence:
 		return Wait, nil
 	}
@@ -132,20 +132,20 @@
 		return cmp.Or(cmp.Compare(a.Type, b.Type), cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Name, b.Name))
 	})
 	a.busy = true
-	return Record, recs
+	return RecordMachines, recs
 }
 
-// Raised notes how raising the fence ended: at which revision, or not (0).
-func (a *Adoption) Raised(epoch uint64, now time.Time) {
+// FenceRaised notes how raising the fence ended: at which revision, or not (0).
+func (a *Adoption) FenceRaised(epoch uint64, now time.Time) {
 	a.busy, a.fence = false, epoch
 	if epoch == 0 {
 		a.taking, a.next = nil, now.Add(again)
 	}
 }
 
-// Recorded notes that recording some of them has ended. If it was not stored, another one
+// RecordingEnded notes that recording some of them has ended. If it was not stored, another one
 // may have the duty by now, or the fence was raised again: all begins anew.
-func (a *Adoption) Recorded(ok bool, now time.Time) {
+func (a *Adoption) RecordingEnded(ok bool, now time.Time) {
 	a.busy = false
 	if !ok {
 		a.fence, a.taking, a.next = 0, nil, now.Add(again)
--- a/internal/coordination/duty/adopt_test.go
+++ b/internal/coordination/duty/adopt_test.go
@@ -52,22 +52,22 @@
 	may := m.holder == i && n.caught >= m.changed
 	for name, at := range m.records {
 		if at <= n.caught {
-			n.Drop(name)
+			n.Remove(name)
 		}
 	}
-	switch step, recs := n.Look(may, 0, 0, n.caught, now); step {
-	case Raise:
+	switch step, recs := n.Next(may, 0, 0, n.caught, now); step {
+	case RaiseFence:
 		was := m.fence
 		m.flight = append(m.flight, func() {
 			if m.holder != i || m.changed != stamp || m.fence != was {
-				n.Raised(0, now)
+				n.FenceRaised(0, now)
 				return
 			}
 			m.rev++
 			m.fence = m.rev
-			n.Raised(m.rev, now)
+			n.FenceRaised(m.rev, now)
 		})
-	case Record:
+	case RecordMachines:
 		fence := n.Fence()
 		m.flight = append(m.flight, func() {
 			if ok := m.holder == i && m.changed == stamp && m.fence == fence; ok {
@@ -75,12 +75,12 @@
 				for _, r := range recs {
 					m.record(r.Name)
 					n.own[r.Name] = true
-					n.Drop(r.Name)
+					n.Remove(r.Name)
 				}
-				n.Recorded(true, now)
+				n.RecordingEnded(true, now)
 				return
 			}
-			n.Recorded(false, now)
+			n.RecordingEnded(false, now)
 		})
 	}
 }
@@ -119,7 +119,7 @@
 			if len(up) > 0 {
 				name := up[rapid.IntRange(0, len(up)-1).Draw(t, "machine")]
 				if at, ok := m.records[name]; !m.nodes[node].own[name] && (!ok || at > m.nodes[node].caught) {
-					m.nodes[node].Heard(protocol.MachineRecord{Name: name}, now)
+					m.nodes[node].NoteReport(protocol.MachineRecord{Name: name}, now)
 				}
 			}
 		case 5: // the duty changes hands
@@ -181,10 +181,10 @@
 	now := time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 	a := NewAdoption()
 	for i := range 3 {
-		a.Heard(protocol.MachineRecord{Name: fmt.Sprint("host-", i)}, now)
+		a.NoteReport(protocol.MachineRecord{Name: fmt.Sprint("host-", i)}, now)
 	}
 	look := func(may bool, caught uint64) (Step, int) {
-		s, recs := a.Look(may, time.Second, 10*time.Second, caught, now)
+		s, recs := a.Next(may, time.Second, 10*time.Second, caught, now)
 		return s, len(recs)
 	}
 	expect := func(what string, s Step, n int, is Step, k int) {
@@ -199,29 +199,29 @@
 	s, n = look(false, 0)
 	expect("without the duty", s, n, Wait, 0)
 	s, n = look(true, 0)
-	expect("then", s, n, Raise, 0)
-	a.Heard(protocol.MachineRecord{Name: "later"}, now)
-	a.Raised(7, now)
+	expect("then", s, n, RaiseFence, 0)
+	a.NoteReport(protocol.MachineRecord{Name: "later"}, now)
+	a.FenceRaised(7, now)
 	s, n = look(true, 6)
 	expect("before all is seen", s, n, Wait, 0)
-	a.Drop("host-1")
+	a.Remove("host-1")
 	s, n = look(true, 7)
-	expect("with one recorded meanwhile, and one that came after the fence", s, n, Record, 2)
-	a.Recorded(true, now)
-	a.Drop("host-0") // a first change held only that
+	expect("with one recorded meanwhile, and one that came after the fence", s, n, RecordMachines, 2)
+	a.RecordingEnded(true, now)
+	a.Remove("host-0") // a first change held only that
 	s, n = look(true, 7)
-	expect("the rest", s, n, Record, 1)
-	a.Recorded(true, now)
-	a.Drop("host-2")
+	expect("the rest", s, n, RecordMachines, 1)
+	a.RecordingEnded(true, now)
+	a.Remove("host-2")
 	s, n = look(true, 7)
 	expect("all are", s, n, Wait, 0)
 	now = now.Add(5 * time.Second)
 	s, n = look(true, 7)
 	expect("within the pause", s, n, Wait, 0)
-	now = now.Add(quiet)
+	now = now.Add(reportTimeout)
 	s, n = look(true, 7)
 	expect("after the last one fell silent", s, n, Wait, 0)
-	if a.Expects(now) {
+	if a.HasUnrecorded(now) {
 		t.Error("a silent machine is expected")
 	}
 }
--- a/internal/coordination/gateway/api.go
+++ b/internal/coordination/gateway/api.go
@@ -22,20 +22,20 @@
 	r := httprouter.New()
 	r.RedirectTrailingSlash, r.RedirectFixedPath = false, false
 	reg := prometheus.NewRegistry()
-	m := newMeters(reg, d)
+	m := newMetrics(reg, d)
 	reg.MustRegister(extra...)
 	r.POST("/api/jobs", func(w http.ResponseWriter, r *http.Request, _ httprouter.Params) { d.postJob(w, r, m) })
 	r.GET("/api/jobs/:id", func(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
-		d.serve(w, r, m, Request{Kind: Poll, ID: p.ByName("id")})
+		d.serveRequest(w, r, m, Request{Kind: Poll, ID: p.ByName("id")})
 	})
 	r.POST("/api/jobs/:id/cancel", func(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
-		io.Copy(io.Discard, io.LimitReader(r.Body, protocol.MaxBody))
-		d.serve(w, r, m, Request{Kind: Cancel, ID: p.ByName("id")})
+		io.Copy(io.Discard, io.LimitReader(r.Body, protocol.MaxBodyBytes))
+		d.serveRequest(w, r, m, Request{Kind: Cancel, ID: p.ByName("id")})
 	})
 	r.GET("/ready", d.getReady)
 	r.GET("/admin/gateway/status", func(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 		if s, ok := d.Status(r); ok {
-			reply(w, http.StatusOK, 0, s)
+			writeJSON(w, http.StatusOK, 0, s)
 		}
 	})
 	r.GET("/admin/gateway/jobs/:id", d.getJobView)
@@ -44,8 +44,8 @@
 	return r
 }
 
-func (d *Daemon) postJob(w http.ResponseWriter, r *http.Request, m *meters) {
-	data, err := io.ReadAll(io.LimitReader(r.Body, protocol.MaxBody+1))
+func (d *Daemon) postJob(w http.ResponseWriter, r *http.Request, m *metrics) {
+	data, err := io.ReadAll(io.LimitReader(r.Body, protocol.MaxBodyBytes+1))
 	var s *protocol.JobSpec
 	if err == nil {
 		s, err = protocol.ParseJob(data)
@@ -55,18 +55,18 @@
 		stored, err = json.Marshal(s)
 	}
 	if err != nil {
-		reply(w, http.StatusBadRequest, 0, errorBody{err.Error()})
+		writeJSON(w, http.StatusBadRequest, 0, errorBody{err.Error()})
 		return
 	}
-	d.serve(w, r, m, Request{Kind: Submit, ID: s.ID, Spec: s, Body: stored, NowMS: uint64(time.Now().UnixMilli())})
+	d.serveRequest(w, r, m, Request{Kind: Submit, ID: s.ID, Spec: s, Body: stored, NowMS: uint64(time.Now().UnixMilli())})
 }
 
 func (d *Daemon) getReady(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	if s, ok := d.Status(r); ok && s.Majority && s.Store == "ok" {
-		reply(w, http.StatusOK, 0, struct{}{})
+		writeJSON(w, http.StatusOK, 0, struct{}{})
 		return
 	}
-	reply(w, http.StatusServiceUnavailable, 1, errorBody{"no majority of members is heard, or the store can't be written"})
+	writeJSON(w, http.StatusServiceUnavailable, 1, errorBody{"no majority of members is heard, or the store can't be written"})
 }
 
 func (d *Daemon) getJobView(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
@@ -74,13 +74,13 @@
 		v  JobView
 		ok bool
 	}
-	f, ok := ask(d, r.Context(), func() found { v, ok := d.core.view(p.ByName("id")); return found{v, ok} })
+	f, ok := runOnCore(d, r.Context(), func() found { v, ok := d.core.jobView(p.ByName("id")); return found{v, ok} })
 	switch {
 	case !ok:
 	case !f.ok:
-		reply(w, http.StatusNotFound, 0, errorBody{"this member knows no such job"})
+		writeJSON(w, http.StatusNotFound, 0, errorBody{"this member knows no such job"})
 	default:
-		reply(w, http.StatusOK, 0, f.v)
+		writeJSON(w, http.StatusOK, 0, f.v)
 	}
 }
 
@@ -88,7 +88,7 @@
 	Error string `json:"error"`
 }
 
-func reply(w http.ResponseWriter, status, retryS int, body any) {
+func writeJSON(w http.ResponseWriter, status, retryS int, body any) {
 	data, err := json.Marshal(body)
 	if err != nil {
 		status, data = http.StatusInternalServerError, []byte("{}")
@@ -103,41 +103,41 @@
 	w.Write(data)
 }
 
-// mostAnswer is how long a user is kept waiting; the core answers within
+// answerTimeout is how long a user is kept waiting; the core answers within
 // userPatience of when it sees the request.
-const mostAnswer = 4 * time.Second
+const answerTimeout = 4 * time.Second
 
-func (d *Daemon) serve(w http.ResponseWriter, r *http.Request, m *meters, q Request) {
+func (d *Daemon) serveRequest(w http.ResponseWriter, r *http.Request, m *metrics, q Request) {
 	if !protocol.ValidJobID(q.ID) {
-		reply(w, http.StatusNotFound, 0, errorBody{"no such job"})
+		writeJSON(w, http.StatusNotFound, 0, errorBody{"no such job"})
 		return
 	}
 	came := time.Now()
-	a, ok := d.do(r.Context(), q)
+	a, ok := d.request(r.Context(), q)
 	if !ok {
-		reply(w, http.StatusServiceUnavailable, 1, errorBody{"overloaded, or ending"})
+		writeJSON(w, http.StatusServiceUnavailable, 1, errorBody{"overloaded, or ending"})
 		return
 	}
 	kind := []string{"submit", "poll", "cancel"}[q.Kind]
 	m.requests.WithLabelValues(kind, strconv.Itoa(a.Code)).Inc()
-	m.took.WithLabelValues(kind).Observe(time.Since(came).Seconds())
-	if a.Why != "" {
-		reply(w, a.Code, a.RetryS, errorBody{a.Why})
+	m.duration.WithLabelValues(kind).Observe(time.Since(came).Seconds())
+	if a.Reason != "" {
+		writeJSON(w, a.Code, a.RetryS, errorBody{a.Reason})
 		return
 	}
-	reply(w, a.Code, a.RetryS, a.State)
+	writeJSON(w, a.Code, a.RetryS, a.State)
 }
 
-// do asks the core for a user and waits for its answer.
-func (d *Daemon) do(ctx context.Context, q Request) (Answer, bool) {
-	ctx, cancel := context.WithTimeout(ctx, mostAnswer)
+// request asks the core for a user and waits for its answer.
+func (d *Daemon) request(ctx context.Context, q Request) (Answer, bool) {
+	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
 	answers := make(chan Answer, 1)
-	d.post(func() {
-		d.token++
-		q.Token = d.token
-		d.asks[q.Token] = answers
-		d.run(d.core.Do(d.now(), q))
+	d.enqueue(func() {
+		d.lastToken++
+		q.Token = d.lastToken
+		d.pendingAnswers[q.Token] = answers
+		d.applyEffects(d.core.HandleRequest(d.now(), q))
 	})
 	select {
 	case a := <-answers:
@@ -150,11 +150,11 @@
 
 // Status is what the member knows.
 func (d *Daemon) Status(r *http.Request) (Status, bool) {
-	return ask(d, r.Context(), func() Status {
+	return runOnCore(d, r.Context(), func() Status {
 		s := d.core.status()
 		s.Store = "ok"
-		if d.storeAt != nil {
-			s.Store = fmt.Sprintf("not written for %.0f s: %v", time.Since(d.late).Seconds(), d.storeAt)
+		if d.storeErr != nil {
+			s.Store = fmt.Sprintf("not written for %.0f s: %v", time.Since(d.storeFailingSince).Seconds(), d.storeErr)
 		}
 		return s
 	})
@@ -173,18 +173,18 @@
 	}
 	switch {
 	case err != nil || c.On == nil:
-		reply(w, http.StatusBadRequest, 0, errorBody{`need {"on":true} or {"on":false}`})
+		writeJSON(w, http.StatusBadRequest, 0, errorBody{`need {"on":true} or {"on":false}`})
 		return
 	case d.site == nil:
-		reply(w, http.StatusBadRequest, 0, errorBody{"this member is no site's: ask the site's own daemon"})
+		writeJSON(w, http.StatusBadRequest, 0, errorBody{"this member is no site's: ask the site's own daemon"})
 		return
 	}
-	if err := d.drained(r.Context(), *c.On); err != nil {
-		reply(w, http.StatusServiceUnavailable, 2, errorBody{"not stored: " + err.Error()})
+	if err := d.setDrained(r.Context(), *c.On); err != nil {
+		writeJSON(w, http.StatusServiceUnavailable, 2, errorBody{"not stored: " + err.Error()})
 		return
 	}
 	if s, ok := d.Status(r); ok {
-		reply(w, http.StatusOK, 0, s)
+		writeJSON(w, http.StatusOK, 0, s)
 	}
 }
 
@@ -196,21 +196,21 @@
 		// this member knows of none. If it does, a majority is asked how the job is,
 		// since nobody may be told less than before; 409 says that it can't be.
 		id := p.ByName("id")
-		known, ok := ask(d, r.Context(), func() bool { reg := d.core.regs[id]; return reg != nil && reg.exists })
+		known, ok := runOnCore(d, r.Context(), func() bool { reg := d.core.registers[id]; return reg != nil && reg.hasRecord })
 		if ok && !known {
-			reply(w, http.StatusNotFound, 0, errorBody{"no job of the gateway"})
+			writeJSON(w, http.StatusNotFound, 0, errorBody{"no job of the gateway"})
 			return
 		}
-		if a, ok := d.do(r.Context(), Request{Kind: Poll, ID: id}); ok && a.Code == http.StatusOK {
-			reply(w, http.StatusOK, 0, a.State)
+		if a, ok := d.request(r.Context(), Request{Kind: Poll, ID: id}); ok && a.Code == http.StatusOK {
+			writeJSON(w, http.StatusOK, 0, a.State)
 			return
 		}
-		reply(w, http.StatusConflict, 1, errorBody{"a job of the gateway; how it is can't be told now"})
+		writeJSON(w, http.StatusConflict, 1, errorBody{"a job of the gateway; how it is can't be told now"})
 	})
 	r.GET("/site/lease", func(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-		l, ok := d.Lease(r.Context(), most)
+		l, ok := d.SiteLease(r.Context(), most)
 		if !ok {
-			reply(w, http.StatusServiceUnavailable, 1, errorBody{"ending"})
+			writeJSON(w, http.StatusServiceUnavailable, 1, errorBody{"ending"})
 			return
 		}
 		w.Header().Set("Content-Type", "application/octet-stream")
@@ -219,19 +219,19 @@
 	return r
 }
 
-// meters are the member's figures for Prometheus. Labels are bounded: kinds of
+// metrics are the member's figures for Prometheus. Labels are bounded: kinds of
 // requests, status codes and the members' names.
-type meters struct {
+type metrics struct {
 	requests *prometheus.CounterVec
-	took     *prometheus.HistogramVec
+	duration *prometheus.HistogramVec
 }
 
-func newMeters(reg *prometheus.Registry, d *Daemon) *meters {
-	m := &meters{
+func newMetrics(reg *prometheus.Registry, d *Daemon) *metrics {
+	m := &metrics{
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "dapplestage_gateway_requests_total", Help: "Users' requests by kind and status."}, []string{"kind", "status"}),
-		took: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "dapplestage_gateway_request_seconds", Help: "Time to answer a user.",
+		duration: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "dapplestage_gateway_request_seconds", Help: "Time to answer a user.",
 			Buckets: []float64{.005, .01, .03, .1, .2, .5, 1, 2.5}}, []string{"kind"})}
-	reg.MustRegister(m.requests, m.took, &coreCollector{d})
+	reg.MustRegister(m.requests, m.duration, &coreCollector{d})
 	return m
 }
 
@@ -239,25 +239,25 @@
 type coreCollector struct{ d *Daemon }
 
 var (
-	descOpen    = prometheus.NewDesc("dapplestage_gateway_open_jobs", "Jobs without a final answer, by the site that holds them.", []string{"site"}, nil)
-	descHeard   = prometheus.NewDesc("dapplestage_gateway_member_heard_seconds", "Since when a member was not heard.", []string{"member"}, nil)
-	descHanding = prometheus.NewDesc("dapplestage_gateway_handoffs_under_way", "Jobs being handed over.", nil, nil)
-	descEvents  = prometheus.NewDesc("dapplestage_gateway_events_total", "What happened, by kind.", []string{"kind"}, nil)
-	descStore   = prometheus.NewDesc("dapplestage_gateway_store_ok", "1 if the member's store can be written.", nil, nil)
+	descOpenJobs      = prometheus.NewDesc("dapplestage_gateway_open_jobs", "Jobs without a final answer, by the site that holds them.", []string{"site"}, nil)
+	descMemberSilence = prometheus.NewDesc("dapplestage_gateway_member_heard_seconds", "Since when a member was not heard.", []string{"member"}, nil)
+	descHandoffs      = prometheus.NewDesc("dapplestage_gateway_handoffs_under_way", "Jobs being handed over.", nil, nil)
+	descEvents        = prometheus.NewDesc("dapplestage_gateway_events_total", "What happened, by kind.", []string{"kind"}, nil)
+	descStoreOK       = prometheus.NewDesc("dapplestage_gateway_store_ok", "1 if the member's store can be written.", nil, nil)
 )
 
 // Describe implements prometheus.Collector.
 func (c *coreCollector) Describe(ch chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{descOpen, descHeard, descHanding, descEvents, descStore} {
+	for _, d := range []*prometheus.Desc{descOpenJobs, descMemberSilence, descHandoffs, descEvents, descStoreOK} {
 		ch <- d
 	}
 }
 
 // Collect implements prometheus.Collector.
 func (c *coreCollector) Collect(ch chan<- prometheus.Metric) {
-	s, ok := ask(c.d, c.d.ctx, func() Status {
+	s, ok := runOnCore(c.d, c.d.ctx, func() Status {
 		s := c.d.core.status()
-		if c.d.storeAt == nil {
+		if c.d.storeErr == nil {
 			s.Store = "ok"
 		}
 		return s
@@ -267,16 +267,16 @@
 	}
 	for _, m := range s.Members {
 		if m.Site {
-			ch <- prometheus.MustNewConstMetric(descOpen, prometheus.GaugeValue, float64(m.Holds), m.Name)
+			ch <- prometheus.MustNewConstMetric(descOpenJobs, prometheus.GaugeValue, float64(m.OwnedJobs), m.Name)
 		}
-		ch <- prometheus.MustNewConstMetric(descHeard, prometheus.GaugeValue, m.SinceS, m.Name)
+		ch <- prometheus.MustNewConstMetric(descMemberSilence, prometheus.GaugeValue, m.SilentS, m.Name)
 	}
-	ch <- prometheus.MustNewConstMetric(descHanding, prometheus.GaugeValue, float64(s.Handoffs))
+	ch <- prometheus.MustNewConstMetric(descHandoffs, prometheus.GaugeValue, float64(s.Handoffs))
 	store := 0.0
 	if s.Store == "ok" {
 		store = 1
 	}
-	ch <- prometheus.MustNewConstMetric(descStore, prometheus.GaugeValue, store)
+	ch <- prometheus.MustNewConstMetric(descStoreOK, prometheus.GaugeValue, store)
 	n := s.Counts
 	for kind, v := range map[string]uint64{"accepted": n.Accepted, "finished": n.Finished, "cancelled": n.Cancelled, "taken_from_lost_site": n.Forced,
 		"handed_over": n.Moved, "ballot_refused": n.Nacks, "lease_denied": n.Denied, "turned_away": n.Refused, "stale_claim": n.Stale} {
--- a/internal/coordination/gateway/daemon.go
+++ b/internal/coordination/gateway/daemon.go
@@ -31,69 +31,69 @@
 
 // Daemon runs a member: one routine owns the core, everything else talks to it.
 type Daemon struct {
-	core    *Core
-	cfg     Config
-	log     *slog.Logger
-	ctx     context.Context
-	fail    context.CancelCauseFunc
-	inbox   chan func()
-	start   time.Time
-	store   Store
-	send    func(to int, e *wire.Envelope)
-	site    Site
-	batches chan Batch
-	calls   chan Call
-	asks    map[uint64]chan<- Answer
-	token   uint64
-	late    time.Time // when the store first failed to write what waits
-	storeAt error
+	core              *Core
+	cfg               Config
+	log               *slog.Logger
+	ctx               context.Context
+	stop              context.CancelCauseFunc
+	mailbox           chan func()
+	startedAt         time.Time
+	store             Store
+	send              func(to int, e *wire.Envelope)
+	site              Site
+	batches           chan Batch
+	calls             chan Call
+	pendingAnswers    map[uint64]chan<- Answer
+	lastToken         uint64
+	storeFailingSince time.Time // when the store first failed to write what waits
+	storeErr          error
 }
 
 // NewDaemon makes a member that lives until ctx ends. start is higher with each
 // start of the member; items are what it has stored; send must not block; site is
 // nil for a gateway.
 func NewDaemon(ctx context.Context, cfg Config, start uint32, items []wire.Item, store Store, send func(to int, e *wire.Envelope), site Site, seed uint64, log *slog.Logger) *Daemon {
-	d := &Daemon{cfg: cfg, log: log, inbox: make(chan func(), 4096), start: time.Now(), store: store, send: send, site: site,
-		batches: make(chan Batch, 4096), calls: make(chan Call, 4*mostCalls), asks: map[uint64]chan<- Answer{}}
-	d.ctx, d.fail = context.WithCancelCause(ctx)
+	d := &Daemon{cfg: cfg, log: log, mailbox: make(chan func(), 4096), startedAt: time.Now(), store: store, send: send, site: site,
+		batches: make(chan Batch, 4096), calls: make(chan Call, 4*maxCallsInFlight), pendingAnswers: map[uint64]chan<- Answer{}}
+	d.ctx, d.stop = context.WithCancelCause(ctx)
 	d.core = New(cfg, start, items, seed, log, 0)
 	return d
 }
 
 // now is the steady clock of the member.
-func (d *Daemon) now() time.Duration { return time.Since(d.start) }
+func (d *Daemon) now() time.Duration { return time.Since(d.startedAt) }
 
-// post hands f to the routine that owns the core.
-func (d *Daemon) post(f func()) {
+// enqueue hands f to the routine that owns the core.
+func (d *Daemon) enqueue(f func()) {
 	select {
-	case d.inbox <- f:
+	case d.mailbox <- f:
 	case <-d.ctx.Done():
 	}
 }
 
-// tickEvery is how often the core looks at what is due.
-const tickEvery = 20 * time.Millisecond
+// tickInterval is how often the core looks at what is due.
+const tickInterval = 20 * time.Millisecond
 
 // Run serves until the daemon's context ends, and says why it ended.
 func (d *Daemon) Run() error {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		d.write()
+		d.storeBatches()
 	}()
 	if d.site != nil {
-		go d.callSite()
-		go d.askHints()
+		go d.sendCalls()
+		go d.pollHints()
 	}
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for d.ctx.Err() == nil {
 		select {
 		case <-d.ctx.Done():
-		case f := <-d.inbox:
+		case f := <-d.mailbox:
 			f()
 		case <-tick.C:
-			d.run(d.core.Tick(d.now()))
+			d.applyEffects(d.core.Tick(d.now()))
 		}
 	}
 	<-done
@@ -103,8 +103,8 @@
 	return nil
 }
 
-// run carries out effects.
-func (d *Daemon) run(e Effects) {
+// applyEffects carries out effects.
+func (d *Daemon) applyEffects(e Effects) {
 	for _, b := range e.Store {
 		select {
 		case d.batches <- b:
@@ -115,16 +115,16 @@
 	for to := range d.cfg.Members {
 		if items := e.Send[to]; to != d.cfg.Self && (len(items) > 0 || e.Hint != nil) {
 			// A message that is too long is sent in parts: the order does not matter.
-			for len(items) > mostItems {
-				d.send(to, &wire.Envelope{Items: items[:mostItems]})
-				items = items[mostItems:]
+			for len(items) > maxItemsPerMessage {
+				d.send(to, &wire.Envelope{Items: items[:maxItemsPerMessage]})
+				items = items[maxItemsPerMessage:]
 			}
 			d.send(to, &wire.Envelope{Items: items, Hint: e.Hint})
 		}
 	}
 	for _, a := range e.Answers {
-		if ch := d.asks[a.Token]; ch != nil {
-			delete(d.asks, a.Token)
+		if ch := d.pendingAnswers[a.Token]; ch != nil {
+			delete(d.pendingAnswers, a.Token)
 			ch <- a
 		}
 	}
@@ -132,16 +132,16 @@
 		select {
 		case d.calls <- c:
 		default: // never more than mostCalls are under way
-			d.fail(fmt.Errorf("%w: calls pile up", ErrFatal))
+			d.stop(fmt.Errorf("%w: calls pile up", ErrFatal))
 		}
 	}
 }
 
-// mostItems bounds a message.
-const mostItems = 1000
+// maxItemsPerMessage bounds a message.
+const maxItemsPerMessage = 1000
 
-// write stores batches in order, all that wait at once (group commit).
-func (d *Daemon) write() {
+// storeBatches stores batches in order, all that wait at once (group commit).
+func (d *Daemon) storeBatches() {
 	for {
 		var batch Batch
 		select {
@@ -170,16 +170,16 @@
 				more = false
 			}
 		}
-		if !d.writeAll(items) {
+		if !d.storeItems(items) {
 			return
 		}
-		d.post(func() { d.run(d.core.Stored(d.now(), batch.Seq)) })
+		d.enqueue(func() { d.applyEffects(d.core.BatchStored(d.now(), batch.Seq)) })
 	}
 }
 
-// writeAll tries until the items are durable. Meanwhile this member promises and
+// storeItems tries until the items are durable. Meanwhile this member promises and
 // accepts nothing more, since nothing is told before it is stored.
-func (d *Daemon) writeAll(items []wire.Item) bool {
+func (d *Daemon) storeItems(items []wire.Item) bool {
 	for try := 0; ; try++ {
 		err := d.store.Write(d.ctx, items)
 		switch {
@@ -187,23 +187,23 @@
 			if try > 0 {
 				d.log.Info("store written again", "items", len(items), "tries", try+1)
 			}
-			d.post(func() { d.storeAt = nil })
+			d.enqueue(func() { d.storeErr = nil })
 			return true
 		case d.ctx.Err() != nil:
 			return false
 		case errors.Is(err, ErrFatal):
 			d.log.Error("member ends", "why", err)
-			d.fail(err)
+			d.stop(err)
 			return false
 		}
 		if try%10 == 0 {
 			d.log.Error("store can't be written: this member answers nothing new", "why", err, "items", len(items))
 		}
-		d.post(func() {
-			if d.storeAt == nil {
-				d.late = time.Now()
+		d.enqueue(func() {
+			if d.storeErr == nil {
+				d.storeFailingSince = time.Now()
 			}
-			d.storeAt = err
+			d.storeErr = err
 		})
 		select {
 		case <-d.ctx.Done():
@@ -213,12 +213,12 @@
 	}
 }
 
-// gather is how long calls wait for others to go with.
-const gather = 15 * time.Millisecond
+// callBatchDelay is how long calls wait for others to go with.
+const callBatchDelay = 15 * time.Millisecond
 
-// callSite takes calls to the controllers, many in one request, several requests
+// sendCalls takes calls to the controllers, many in one request, several requests
 // under way.
-func (d *Daemon) callSite() {
+func (d *Daemon) sendCalls() {
 	slots := make(chan struct{}, 4)
 	for {
 		var calls []Call
@@ -228,7 +228,7 @@
 		case c := <-d.calls:
 			calls = append(calls, c)
 		}
-		wait := time.After(gather)
+		wait := time.After(callBatchDelay)
 		for more := true; more && len(calls) < 64; {
 			select {
 			case c := <-d.calls:
@@ -245,34 +245,34 @@
 		go func() {
 			defer func() { <-slots }()
 			got := d.site.Call(d.ctx, calls)
-			known := map[callName]bool{}
+			known := map[callKey]bool{}
 			for i := range got {
-				known[callID(&got[i].Call)] = true
+				known[callKeyOf(&got[i].Call)] = true
 			}
 			for _, c := range calls {
-				if !known[callID(&c)] {
-					got = append(got, Result{Call: c, Code: wire.Busy})
+				if !known[callKeyOf(&c)] {
+					got = append(got, Result{Call: c, Code: wire.Unavailable})
 				}
 			}
-			d.post(func() { d.run(d.core.SiteDone(d.now(), got)) })
+			d.enqueue(func() { d.applyEffects(d.core.SiteResults(d.now(), got)) })
 		}()
 	}
 }
 
-// callName is what names a call among others.
-type callName struct {
+// callKey is what names a call among others.
+type callKey struct {
 	kind  wire.Kind
 	id    string
 	epoch uint32
 }
 
-func callID(c *Call) callName { return callName{c.Kind, c.ID, c.Epoch} }
+func callKeyOf(c *Call) callKey { return callKey{c.Kind, c.ID, c.Epoch} }
 
-// askHints asks the controllers how the site is, every other second.
-func (d *Daemon) askHints() {
+// pollHints asks the controllers how the site is, every other second.
+func (d *Daemon) pollHints() {
 	for d.ctx.Err() == nil {
 		if h := d.site.Hint(d.ctx); h != nil {
-			d.post(func() { d.core.SetHint(d.now(), h) })
+			d.enqueue(func() { d.core.SetHint(d.now(), h) })
 		}
 		select {
 		case <-d.ctx.Done():
@@ -281,15 +281,15 @@
 	}
 }
 
-// Take takes in a message of another member.
-func (d *Daemon) Take(from int, e *wire.Envelope) {
-	d.post(func() { d.run(d.core.Receive(d.now(), from, e)) })
+// Receive takes in a message of another member.
+func (d *Daemon) Receive(from int, e *wire.Envelope) {
+	d.enqueue(func() { d.applyEffects(d.core.Receive(d.now(), from, e)) })
 }
 
-// ask runs f on the routine that owns the core and returns what it returns.
-func ask[T any](d *Daemon, ctx context.Context, f func() T) (v T, ok bool) {
+// runOnCore runs f on the routine that owns the core and returns what it returns.
+func runOnCore[T any](d *Daemon, ctx context.Context, f func() T) (v T, ok bool) {
 	reply := make(chan T, 1)
-	d.post(func() { reply <- f() })
+	d.enqueue(func() { reply <- f() })
 	select {
 	case v = <-reply:
 		return v, true
@@ -299,18 +299,18 @@
 	return v, false
 }
 
-// Lease is what the site's controllers are told now.
-func (d *Daemon) Lease(ctx context.Context, most time.Duration) (wire.Lease, bool) {
-	return ask(d, ctx, func() wire.Lease { return d.core.Lease(d.now(), most) })
+// SiteLease is what the site's controllers are told now.
+func (d *Daemon) SiteLease(ctx context.Context, most time.Duration) (wire.Lease, bool) {
+	return runOnCore(d, ctx, func() wire.Lease { return d.core.SiteLease(d.now(), most) })
 }
 
-// drained drains the site, or takes it back into service; it is stored first.
-func (d *Daemon) drained(ctx context.Context, on bool) error {
-	ctx, cancel := context.WithTimeout(ctx, userPatience)
+// setDrained drains the site, or takes it back into service; it is stored first.
+func (d *Daemon) setDrained(ctx context.Context, on bool) error {
+	ctx, cancel := context.WithTimeout(ctx, userTimeout)
 	defer cancel()
-	seq, ok := ask(d, ctx, func() uint64 { d.run(d.core.SetDrained(d.now(), on)); return d.core.seq })
+	seq, ok := runOnCore(d, ctx, func() uint64 { d.applyEffects(d.core.SetDrained(d.now(), on)); return d.core.lastBatchSeq })
 	for ok {
-		stored, again := ask(d, ctx, func() uint64 { return d.core.stored })
+		stored, again := runOnCore(d, ctx, func() uint64 { return d.core.storedSeq })
 		if stored >= seq {
 			return nil
 		}
--- a/internal/coordination/gateway/duty.go
+++ b/internal/coordination/gateway/duty.go
@@ -8,49 +8,49 @@
 	wire "dapplestage.example/dapplestage/internal/protocol/gateway"
 )
 
-// duty is what a site's member does for its own site: it keeps the site's lease,
+// siteAgent is what a site's member does for its own site: it keeps the site's lease,
 // has the jobs run that the site holds, has the others stopped, and proposes what
 // became of them.
-type duty struct {
-	c       *Core
+type siteAgent struct {
+	core    *Core
 	session uint32
 
-	renewed time.Duration // when the lease was last asked for
-	nonce   uint64
-	asked   map[uint64]time.Duration // when each renewal under way was sent
-	grants  map[uint64]uint32
-	until   time.Duration // of the lease
-
-	work    map[string]*work
-	dead    map[string]uint32 // claims below are stored as dead at the site
-	deadQ   []string
-	floor   uint64
-	drained bool
-	calls   int
-	tended  time.Duration
+	lastRenewal time.Duration // when the lease was last asked for
+	nonce       uint64
+	renewalSent map[uint64]time.Duration // when each renewal under way was sent
+	grantVotes  map[uint64]uint32
+	leaseExpiry time.Duration // of the lease
+
+	assignments   map[string]*assignment
+	revoked       map[string]uint32 // claims below are stored as dead at the site
+	revokedOrder  []string
+	minRevision   uint64
+	drained       bool
+	callsInFlight int
+	lastScan      time.Duration
 }
 
-// work is one job that the site holds, or has to see stopped.
-type work struct {
-	epoch uint32
-	spec  []byte
-	made  uint64 // when it was accepted
-	need  *protocol.JobSpec
-	since time.Duration
-
-	stop    bool   // nothing of it may run here
-	below   uint32 // claims below are to be dead
-	yield   bool   // they are given up before anybody has the job instead
-	leave   bool   // hand it over: stop, prove it, release
-	bar     bool   // and never take it again
-	sub     bool   // the controllers have it
-	calling bool
-	next    time.Duration
-	asked   time.Duration
-	began   bool // some task was placed
-	told    progress
-	ending  bool // a change of its record is under way
-	tries   int  // calls in a row that brought nothing
+// assignment is one job that the site holds, or has to see stopped.
+type assignment struct {
+	epoch      uint32
+	spec       []byte
+	createdMS  uint64 // when it was accepted
+	parsedSpec *protocol.JobSpec
+	addedAt    time.Duration
+
+	mustStop      bool   // nothing of it may run here
+	revokeBelow   uint32 // claims below are to be dead
+	voluntary     bool   // they are given up before anybody has the job instead
+	handOver      bool   // hand it over: stop, prove it, release
+	excludeSite   bool   // and never take it again
+	submitted     bool   // the controllers have it
+	callInFlight  bool
+	nextCall      time.Duration
+	lastCall      time.Duration
+	everPlaced    bool // some task was placed
+	lastProgress  progress
+	changePending bool // a change of its record is under way
+	failedCalls   int  // calls in a row that brought nothing
 }
 
 // Call is something asked of the site's controllers, and its result.
@@ -65,309 +65,311 @@
 
 // Result is a call's end. Code Busy: nothing is known to have happened.
 type Result struct {
-	Call    Call
-	Code    uint8
-	Done    uint32
-	Running uint32
-	Rev     uint64 // of the state service, with which a stop was stored
-	Why     string
+	Call     Call
+	Code     uint8
+	Done     uint32
+	Running  uint32
+	Revision uint64 // of the state service, with which a stop was stored
+	Reason   string
 }
 
 // Times of the duty.
 const (
-	tendEvery = 100 * time.Millisecond // new work is tended at once
-	pollEvery = time.Second
-	callAgain = time.Second
-	mostCalls = 256
-	mostDead  = 50000
+	scanInterval     = 100 * time.Millisecond // new work is tended at once
+	pollInterval     = time.Second
+	callRetryBase    = time.Second
+	maxCallsInFlight = 256
+	maxRevoked       = 50000
 )
 
-func newDuty(c *Core) *duty {
-	d := &duty{c: c, session: c.inc, renewed: c.now - time.Hour, asked: map[uint64]time.Duration{}, grants: map[uint64]uint32{},
-		until: c.now - time.Hour, work: map[string]*work{}, dead: map[string]uint32{}}
+func newSiteAgent(c *Core) *siteAgent {
+	d := &siteAgent{core: c, session: c.incarnation, lastRenewal: c.now - time.Hour, renewalSent: map[uint64]time.Duration{}, grantVotes: map[uint64]uint32{},
+		leaseExpiry: c.now - time.Hour, assignments: map[string]*assignment{}, revoked: map[string]uint32{}}
 	return d
 }
 
 // tick asks for the lease and for what is due of the controllers.
-func (d *duty) tick() {
-	c := d.c
-	if c.now-d.renewed >= c.cfg.Lease/5 {
-		d.renew()
+func (d *siteAgent) tick() {
+	c := d.core
+	if c.now-d.lastRenewal >= c.cfg.LeaseTime/5 {
+		d.renewLease()
 	}
-	if c.now-d.tended < tendEvery {
+	if c.now-d.lastScan < scanInterval {
 		return
 	}
-	d.tended = c.now
-	for _, id := range sortedKeys(d.work) {
-		if d.calls >= mostCalls {
+	d.lastScan = c.now
+	for _, id := range sortedKeys(d.assignments) {
+		if d.callsInFlight >= maxCallsInFlight {
 			break
 		}
-		d.tend(id, d.work[id])
+		d.callControllers(id, d.assignments[id])
 	}
 }
 
-func (d *duty) renew() {
-	c := d.c
-	d.renewed = c.now
+func (d *siteAgent) renewLease() {
+	c := d.core
+	d.lastRenewal = c.now
 	d.nonce++
-	d.asked[d.nonce] = c.now
+	d.renewalSent[d.nonce] = c.now
 	for m := range c.cfg.Members {
-		c.post(m, wire.Item{Kind: wire.Renew, Ballot: wire.Ballot{N: d.nonce, Who: d.session}})
+		c.send(m, wire.Item{Kind: wire.RenewLease, Ballot: wire.Ballot{Number: d.nonce, Proposer: d.session}})
 	}
-	for n, at := range d.asked {
-		if c.now-at > c.cfg.Lease {
-			delete(d.asked, n)
-			delete(d.grants, n)
+	for n, at := range d.renewalSent {
+		if c.now-at > c.cfg.LeaseTime {
+			delete(d.renewalSent, n)
+			delete(d.grantVotes, n)
 		}
 	}
 }
 
-// valid says whether the site may run gateway jobs.
-func (d *duty) valid() bool { return d.c.now < d.until || d.c.cfg.Faults.IgnoreLease }
+// leaseValid says whether the site may run gateway jobs.
+func (d *siteAgent) leaseValid() bool {
+	return d.core.now < d.leaseExpiry || d.core.cfg.Faults.IgnoreLease
+}
 
-// take handles what members that grant the lease say.
-func (d *duty) take(from int, it *wire.Item) {
-	c := d.c
+// onLeaseItem handles what members that grant the lease say.
+func (d *siteAgent) onLeaseItem(from int, it *wire.Item) {
+	c := d.core
 	switch it.Kind {
-	case wire.Grant:
-		sent, ok := d.asked[it.Ballot.N]
-		if !ok || it.Ballot.Who != d.session {
+	case wire.LeaseGranted:
+		sent, ok := d.renewalSent[it.Ballot.Number]
+		if !ok || it.Ballot.Proposer != d.session {
 			return
 		}
-		d.grants[it.Ballot.N] |= bit(from)
-		if ones(d.grants[it.Ballot.N]) >= c.majority() {
-			if d.until < c.now {
-				c.log.Info("site has its lease", "jobs", len(d.work))
+		d.grantVotes[it.Ballot.Number] |= memberBit(from)
+		if bitCount(d.grantVotes[it.Ballot.Number]) >= c.majority() {
+			if d.leaseExpiry < c.now {
+				c.log.Info("site has its lease", "jobs", len(d.assignments))
 			}
 			// It counts from when it was asked for, whenever the answers came.
-			d.until = max(d.until, sent+c.cfg.Lease)
+			d.leaseExpiry = max(d.leaseExpiry, sent+c.cfg.LeaseTime)
 		}
 	case wire.Notice:
-		d.notice(from, it)
+		d.onNotice(from, it)
 	}
 }
 
-// notice learns what a member that grants the lease says of a job that concerns the site.
-func (d *duty) notice(from int, it *wire.Item) {
-	c := d.c
+// onNotice learns what a member that grants the lease says of a job that concerns the site.
+func (d *siteAgent) onNotice(from int, it *wire.Item) {
+	c := d.core
 	if it.Committed {
-		d.learn(it.ID, &it.Record)
-		d.confirm(from, it.ID, &it.Record)
+		d.applyRecord(it.ID, &it.Record)
+		d.acknowledge(from, it.ID, &it.Record)
 		return
 	}
-	if d.dead[it.ID] >= it.Record.Epoch {
-		d.confirm(from, it.ID, &it.Record)
+	if d.revoked[it.ID] >= it.Record.Epoch {
+		d.acknowledge(from, it.ID, &it.Record)
 		return
 	}
-	if rec := &it.Record; rec.Prev == num(c.cfg.Self) && rec.Final == wire.Open && c.now >= d.until {
+	if rec := &it.Record; rec.PrevOwner == memberNumber(c.cfg.Self) && rec.Outcome == wire.Open && c.now >= d.leaseExpiry {
 		// Some members have accepted that this site lost the job, others still grant
 		// it time, and so neither the claim nor the lease finds a majority. Without a
 		// lease the site runs nothing anyway: it gives the claim up by itself.
-		if w := d.work[it.ID]; w == nil || !w.stop {
-			d.work[it.ID] = &work{stop: true, yield: true, below: rec.Epoch, epoch: rec.Epoch - 1, since: c.now}
+		if w := d.assignments[it.ID]; w == nil || !w.mustStop {
+			d.assignments[it.ID] = &assignment{mustStop: true, voluntary: true, revokeBelow: rec.Epoch, epoch: rec.Epoch - 1, addedAt: c.now}
 		}
 		return
 	}
-	if len(c.rounds) < c.cfg.InFlight {
-		c.propose(it.ID, op{kind: opLearn}, dutyPatience, nil)
+	if len(c.rounds) < c.cfg.MaxInFlight {
+		c.propose(it.ID, op{kind: opLearn}, backgroundTimeout, nil)
 	}
 }
 
-// ack says, as this start of the daemon, that claims below an epoch are dead here.
-func (d *duty) ack(id string, epoch uint32) wire.Item {
-	return wire.Item{Kind: wire.Ack, ID: id, Ballot: wire.Ballot{Who: d.session}, Record: wire.Record{Epoch: epoch}}
+// newAck says, as this start of the daemon, that claims below an epoch are dead here.
+func (d *siteAgent) newAck(id string, epoch uint32) wire.Item {
+	return wire.Item{Kind: wire.Ack, ID: id, Ballot: wire.Ballot{Proposer: d.session}, Record: wire.Record{Epoch: epoch}}
 }
 
-// confirm tells a member that grants the lease what the site knows: not only that it has been told, but
+// acknowledge tells a member that grants the lease what the site knows: not only that it has been told, but
 // that its controllers will not run the job any more.
-func (d *duty) confirm(to int, id string, rec *wire.Record) {
-	concerns, blocks := concerned(rec, d.c.cfg.Self)
-	it := d.ack(id, rec.Epoch)
+func (d *siteAgent) acknowledge(to int, id string, rec *wire.Record) {
+	concerns, blocks := noticeRequired(rec, d.core.cfg.Self)
+	it := d.newAck(id, rec.Epoch)
 	switch {
 	case concerns && !blocks:
-	case d.dead[id] >= deadBelow(rec):
-		it.Record.Epoch, it.Durable, it.Why = deadBelow(rec), true, ackDead
-	case d.work[id] != nil && d.work[id].stop && d.work[id].below >= deadBelow(rec):
-		it.Record.Epoch = deadBelow(rec)
+	case d.revoked[id] >= revokedBelow(rec):
+		it.Record.Epoch, it.Durable, it.Code = revokedBelow(rec), true, ackRevoked
+	case d.assignments[id] != nil && d.assignments[id].mustStop && d.assignments[id].revokeBelow >= revokedBelow(rec):
+		it.Record.Epoch = revokedBelow(rec)
 	default:
 		return
 	}
-	d.c.post(to, it)
+	d.core.send(to, it)
 }
 
-// learn takes in a record that a majority has agreed on.
-func (d *duty) learn(id string, rec *wire.Record) {
-	c := d.c
-	w := d.work[id]
-	if rec.Final == wire.Open && rec.Holder == num(c.cfg.Self) {
+// applyRecord takes in a record that a majority has agreed on.
+func (d *siteAgent) applyRecord(id string, rec *wire.Record) {
+	c := d.core
+	w := d.assignments[id]
+	if rec.Outcome == wire.Open && rec.Owner == memberNumber(c.cfg.Self) {
 		switch {
-		case w != nil && (w.epoch > rec.Epoch || w.epoch == rec.Epoch && !w.stop || w.stop && w.below > rec.Epoch):
+		case w != nil && (w.epoch > rec.Epoch || w.epoch == rec.Epoch && !w.mustStop || w.mustStop && w.revokeBelow > rec.Epoch):
 			return
 		case rec.Stopped:
 			return
-		case d.dead[id] > rec.Epoch:
+		case d.revoked[id] > rec.Epoch:
 			// Given up here, and nobody has it instead: released in order.
-			d.work[id] = &work{epoch: rec.Epoch, spec: rec.Spec, made: rec.CreatedMS, since: c.now, leave: true}
+			d.assignments[id] = &assignment{epoch: rec.Epoch, spec: rec.Spec, createdMS: rec.CreatedMS, addedAt: c.now, handOver: true}
 			return
 		}
-		d.begin(id, &work{epoch: rec.Epoch, spec: rec.Spec, made: rec.CreatedMS, since: c.now})
+		d.addAssignment(id, &assignment{epoch: rec.Epoch, spec: rec.Spec, createdMS: rec.CreatedMS, addedAt: c.now})
 		for m := range c.cfg.Members {
-			c.post(m, d.ack(id, rec.Epoch))
+			c.send(m, d.newAck(id, rec.Epoch))
 		}
 		return
 	}
-	below := deadBelow(rec)
-	concerns, blocks := concerned(rec, c.cfg.Self)
+	below := revokedBelow(rec)
+	concerns, blocks := noticeRequired(rec, c.cfg.Self)
 	switch {
-	case rec.Final != wire.Open && rec.By == num(c.cfg.Self):
-		delete(d.work, id)
-	case w != nil && !w.stop && w.epoch >= below:
+	case rec.Outcome != wire.Open && rec.FinishedBy == memberNumber(c.cfg.Self):
+		delete(d.assignments, id)
+	case w != nil && !w.mustStop && w.epoch >= below:
 		// Older than what is known: somebody missed what came after.
-	case w != nil && w.stop && w.below >= below:
-	case d.dead[id] >= below:
-		delete(d.work, id)
-	case w != nil && (w.stop || w.epoch < below) || concerns && blocks:
-		if w != nil && !w.stop {
+	case w != nil && w.mustStop && w.revokeBelow >= below:
+	case d.revoked[id] >= below:
+		delete(d.assignments, id)
+	case w != nil && (w.mustStop || w.epoch < below) || concerns && blocks:
+		if w != nil && !w.mustStop {
 			c.counts.Stale++
 		}
-		d.begin(id, &work{stop: true, below: below, epoch: below - 1, since: c.now})
+		d.addAssignment(id, &assignment{mustStop: true, revokeBelow: below, epoch: below - 1, addedAt: c.now})
 	}
 }
 
-// begin takes up work, at once where there is room for another call.
-func (d *duty) begin(id string, w *work) {
-	d.work[id] = w
-	if d.calls < mostCalls {
-		d.tend(id, w)
+// addAssignment takes up work, at once where there is room for another call.
+func (d *siteAgent) addAssignment(id string, w *assignment) {
+	d.assignments[id] = w
+	if d.callsInFlight < maxCallsInFlight {
+		d.callControllers(id, w)
 	}
 }
 
-// tend asks the controllers for what a job needs next.
-func (d *duty) tend(id string, w *work) {
-	c := d.c
-	if w.calling || c.now < w.next || w.ending {
+// callControllers asks the controllers for what a job needs next.
+func (d *siteAgent) callControllers(id string, w *assignment) {
+	c := d.core
+	if w.callInFlight || c.now < w.nextCall || w.changePending {
 		return
 	}
 	call := Call{Kind: wire.Poll, ID: id, Epoch: w.epoch}
 	switch {
-	case w.stop:
+	case w.mustStop:
 		call.Kind = wire.Stop
-	case d.drained && !w.leave:
-		w.leave = true
+	case d.drained && !w.handOver:
+		w.handOver = true
 		call.Kind = wire.Stop
-	case w.leave:
+	case w.handOver:
 		call.Kind = wire.Stop
-	case !w.sub:
-		if !d.valid() {
+	case !w.submitted:
+		if !d.leaseValid() {
 			return
 		}
-		call.Kind, call.Spec, call.CreatedMS = wire.Submit, w.spec, w.made
+		call.Kind, call.Spec, call.CreatedMS = wire.Submit, w.spec, w.createdMS
 	}
-	w.calling, w.asked = true, c.now
-	d.calls++
-	c.out.Calls = append(c.out.Calls, call)
+	w.callInFlight, w.lastCall = true, c.now
+	d.callsInFlight++
+	c.effects.Calls = append(c.effects.Calls, call)
 }
 
-// SiteDone takes in what the controllers answered.
-func (c *Core) SiteDone(now time.Duration, rs []Result) Effects {
+// SiteResults takes in what the controllers answered.
+func (c *Core) SiteResults(now time.Duration, rs []Result) Effects {
 	return c.step(now, func() {
 		for i := range rs {
-			c.site.done(&rs[i])
+			c.site.onResult(&rs[i])
 		}
 	})
 }
 
-func (d *duty) done(r *Result) {
-	c := d.c
-	d.calls--
+func (d *siteAgent) onResult(r *Result) {
+	c := d.core
+	d.callsInFlight--
 	id := r.Call.ID
-	w := d.work[id]
-	if r.Rev > d.floor {
-		d.floor = r.Rev // what was stored with it must be known before more is run
+	w := d.assignments[id]
+	if r.Revision > d.minRevision {
+		d.minRevision = r.Revision // what was stored with it must be known before more is run
 	}
 	if w == nil {
 		return
 	}
-	w.calling = false
-	if r.Code == wire.Busy {
-		w.tries++
+	w.callInFlight = false
+	if r.Code == wire.Unavailable {
+		w.failedCalls++
 	} else {
-		w.tries = 0
+		w.failedCalls = 0
 	}
-	w.next = c.now + c.again(w.tries, w.stop)
+	w.nextCall = c.now + c.callRetryDelay(w.failedCalls, w.mustStop)
 	if r.Call.Epoch != w.epoch {
-		w.next = c.now
+		w.nextCall = c.now
 		return // of an earlier claim
 	}
-	if r.Code == wire.Ended {
-		d.ended(id, w, r)
+	if r.Code == wire.Completed {
+		d.proposeFinished(id, w, r)
 		return
 	}
 	switch r.Call.Kind {
 	case wire.Submit:
 		switch r.Code {
-		case wire.Held:
-			w.sub, w.next = true, c.now+pollEvery/2
+		case wire.Active:
+			w.submitted, w.nextCall = true, c.now+pollInterval/2
 		case wire.Refused, wire.Conflict:
-			c.log.Warn("site can't run a job that it was given", "job", id, "why", r.Why)
-			w.leave, w.bar, w.next = true, true, c.now
-		case wire.Over:
+			c.log.Warn("site can't run a job that it was given", "job", id, "why", r.Reason)
+			w.handOver, w.excludeSite, w.nextCall = true, true, c.now
+		case wire.ClaimEnded:
 			// Its claim was ended here, which only this daemon or an earlier one asks for.
-			w.leave, w.next = true, c.now
+			w.handOver, w.nextCall = true, c.now
 		}
 	case wire.Poll:
 		switch r.Code {
-		case wire.Held:
-			d.show(id, w, r)
-		case wire.Missing:
-			w.sub, w.next = false, c.now
-		case wire.Over:
-			w.leave, w.next = true, c.now
+		case wire.Active:
+			d.reportProgress(id, w, r)
+		case wire.NotFound:
+			w.submitted, w.nextCall = false, c.now
+		case wire.ClaimEnded:
+			w.handOver, w.nextCall = true, c.now
 		}
 	case wire.Stop:
-		d.stopped(id, w, r)
+		d.onStopResult(id, w, r)
 	}
 }
 
-// again is when a call that brought nothing is made again: later and later, not all
+// callRetryDelay is when a call that brought nothing is made again: later and later, not all
 // at once, so that a site in trouble is asked less. What keeps the site from its
 // lease is asked for again soon.
-func (c *Core) again(tries int, urgent bool) time.Duration {
-	wait := callAgain << min(max(tries-1, 0), 4)
+func (c *Core) callRetryDelay(tries int, urgent bool) time.Duration {
+	wait := callRetryBase << min(max(tries-1, 0), 4)
 	if urgent {
-		wait = min(wait, 2*callAgain)
+		wait = min(wait, 2*callRetryBase)
 	}
 	return wait*3/4 + time.Duration(c.rng.Int64N(int64(wait/2)))
 }
 
-// show tells the other members how far a job is, and lets go of it if it waits in
+// reportProgress tells the other members how far a job is, and lets go of it if it waits in
 // vain here while there is room elsewhere.
-func (d *duty) show(id string, w *work, r *Result) {
-	c := d.c
-	w.next = c.now + pollEvery + time.Duration(len(d.work))*time.Millisecond
-	if p := (progress{r.Done, r.Running}); p != w.told {
-		w.told = p
+func (d *siteAgent) reportProgress(id string, w *assignment, r *Result) {
+	c := d.core
+	w.nextCall = c.now + pollInterval + time.Duration(len(d.assignments))*time.Millisecond
+	if p := (progress{r.Done, r.Running}); p != w.lastProgress {
+		w.lastProgress = p
 		c.progress[id] = p
 		for m := range c.cfg.Members {
 			if m != c.cfg.Self {
-				c.post(m, wire.Item{Kind: wire.Progress, ID: id, Record: wire.Record{Tasks: r.Done}, Running: r.Running})
+				c.send(m, wire.Item{Kind: wire.Progress, ID: id, Record: wire.Record{Tasks: r.Done}, Running: r.Running})
 			}
 		}
 	}
-	w.began = w.began || r.Running > 0 || r.Done > 0
+	w.everPlaced = w.everPlaced || r.Running > 0 || r.Done > 0
 	// With each claim it waits longer, so that it is not sent to and fro.
-	if after := c.cfg.Route.MoveAfterS * float64(min(w.epoch, 20)); !w.began && after > 0 && (c.now-w.since).Seconds() > after && d.roomElsewhere(w) {
-		c.log.Info("job waits in vain and is handed over", "job", id, "waited_s", (c.now - w.since).Seconds())
-		w.leave, w.next = true, c.now
+	if after := c.cfg.Route.MoveAfterS * float64(min(w.epoch, 20)); !w.everPlaced && after > 0 && (c.now-w.addedAt).Seconds() > after && d.otherSiteHasCapacity(w) {
+		c.log.Info("job waits in vain and is handed over", "job", id, "waited_s", (c.now - w.addedAt).Seconds())
+		w.handOver, w.nextCall = true, c.now
 	}
 }
 
-// roomElsewhere says whether another site could start all of a job now.
-func (d *duty) roomElsewhere(w *work) bool {
-	c := d.c
-	if w.need == nil {
-		w.need = &protocol.JobSpec{}
-		if json.Unmarshal(w.spec, w.need) != nil {
+// otherSiteHasCapacity says whether another site could start all of a job now.
+func (d *siteAgent) otherSiteHasCapacity(w *assignment) bool {
+	c := d.core
+	if w.parsedSpec == nil {
+		w.parsedSpec = &protocol.JobSpec{}
+		if json.Unmarshal(w.spec, w.parsedSpec) != nil {
 			return false
 		}
 	}
@@ -376,118 +378,118 @@
 			continue
 		}
 		h := c.hints[i].hint
-		if h != nil && !c.away(i) && !h.Drained && h.Waiting == 0 && CanRun(w.need, h) && h.FreeGPUs >= w.need.GPUs*float64(atOnce(w.need)) {
+		if h != nil && !c.unreachable(i) && !h.Drained && h.Waiting == 0 && CanRun(w.parsedSpec, h) && h.FreeGPUs >= w.parsedSpec.GPUs*float64(minTasksToStart(w.parsedSpec)) {
 			return true
 		}
 	}
 	return false
 }
 
-// stopped learns how far a stop is.
-func (d *duty) stopped(id string, w *work, r *Result) {
-	c := d.c
+// onStopResult learns how far a stop is.
+func (d *siteAgent) onStopResult(id string, w *assignment, r *Result) {
+	c := d.core
 	switch {
-	case r.Code != wire.Over && r.Code != wire.Held && r.Code != wire.Conflict:
+	case r.Code != wire.ClaimEnded && r.Code != wire.Active && r.Code != wire.Conflict:
 		return // ask again
-	case w.stop && w.yield && r.Code == wire.Held:
-		w.next = c.now + pollEvery/2 // its tasks are still leaving
-	case w.stop && w.yield:
-		d.bury(id, w.below)
+	case w.mustStop && w.voluntary && r.Code == wire.Active:
+		w.nextCall = c.now + pollInterval/2 // its tasks are still leaving
+	case w.mustStop && w.voluntary:
+		d.recordRevoked(id, w.revokeBelow)
 		for m := range c.cfg.Members {
-			c.post(m, wire.Item{Kind: wire.Ack, ID: id, Durable: true, Why: ackDead, Record: wire.Record{Epoch: w.below}})
+			c.send(m, wire.Item{Kind: wire.Ack, ID: id, Durable: true, Code: ackRevoked, Record: wire.Record{Epoch: w.revokeBelow}})
 		}
 		// Perhaps the other claim never finds a majority: then this one is released.
-		w.ending = true
-		c.propose(id, op{kind: opLearn}, dutyPatience, func(rec wire.Record, exists bool, o outcome) {
-			w.ending = false
-			if o == unknown || d.work[id] != w {
+		w.changePending = true
+		c.propose(id, op{kind: opLearn}, backgroundTimeout, func(rec wire.Record, exists bool, o opResult) {
+			w.changePending = false
+			if o == resultUnknown || d.assignments[id] != w {
 				return
 			}
-			delete(d.work, id)
-			d.learn(id, &rec)
+			delete(d.assignments, id)
+			d.applyRecord(id, &rec)
 		})
-	case w.stop:
+	case w.mustStop:
 		// Stored: the controllers start nothing of it, whoever runs them.
-		d.bury(id, w.below)
-		delete(d.work, id)
-		if reg := c.regs[id]; reg != nil && reg.exists {
-			rec := reg.rec
+		d.recordRevoked(id, w.revokeBelow)
+		delete(d.assignments, id)
+		if reg := c.registers[id]; reg != nil && reg.hasRecord {
+			rec := reg.record
 			for m := range c.cfg.Members {
-				d.confirm(m, id, &rec)
+				d.acknowledge(m, id, &rec)
 			}
 		}
-	case r.Code == wire.Over || r.Code == wire.Conflict:
-		w.ending = true
-		c.propose(id, op{kind: opRelease, site: c.cfg.Self, epoch: w.epoch, bar: w.bar}, dutyPatience, func(rec wire.Record, exists bool, o outcome) {
-			w.ending = false
-			if o == unknown || d.work[id] != w {
+	case r.Code == wire.ClaimEnded || r.Code == wire.Conflict:
+		w.changePending = true
+		c.propose(id, op{kind: opRelease, site: c.cfg.Self, epoch: w.epoch, excludeSite: w.excludeSite}, backgroundTimeout, func(rec wire.Record, exists bool, o opResult) {
+			w.changePending = false
+			if o == resultUnknown || d.assignments[id] != w {
 				return
 			}
-			delete(d.work, id)
-			d.bury(id, w.epoch+1)
-			if reg := c.regs[id]; reg != nil && rec.Final == wire.Open && rec.Stopped {
-				r := register{rec: rec}
-				c.reclaim(id, &r)
+			delete(d.assignments, id)
+			d.recordRevoked(id, w.epoch+1)
+			if reg := c.registers[id]; reg != nil && rec.Outcome == wire.Open && rec.Stopped {
+				r := register{record: rec}
+				c.proposeReclaim(id, &r)
 			}
 		})
 	default:
-		w.next = c.now + pollEvery/2 // its tasks are still leaving
+		w.nextCall = c.now + pollInterval/2 // its tasks are still leaving
 	}
 }
 
-// bury remembers that claims below an epoch are dead at the site.
-func (d *duty) bury(id string, below uint32) {
-	if _, ok := d.dead[id]; !ok {
-		d.deadQ = append(d.deadQ, id)
-		if len(d.deadQ) > mostDead {
-			delete(d.dead, d.deadQ[0])
-			d.deadQ = d.deadQ[1:]
+// recordRevoked remembers that claims below an epoch are dead at the site.
+func (d *siteAgent) recordRevoked(id string, below uint32) {
+	if _, ok := d.revoked[id]; !ok {
+		d.revokedOrder = append(d.revokedOrder, id)
+		if len(d.revokedOrder) > maxRevoked {
+			delete(d.revoked, d.revokedOrder[0])
+			d.revokedOrder = d.revokedOrder[1:]
 		}
 	}
-	d.dead[id] = max(d.dead[id], below)
+	d.revoked[id] = max(d.revoked[id], below)
 }
 
-// ended offers what the site has completed: it counts unless something else does.
-func (d *duty) ended(id string, w *work, r *Result) {
-	c := d.c
-	w.ending = true
-	c.propose(id, op{kind: opFinish, site: c.cfg.Self, tasks: r.Done}, dutyPatience, func(rec wire.Record, exists bool, o outcome) {
-		w.ending = false
-		if o == unknown || d.work[id] != w {
+// proposeFinished offers what the site has completed: it counts unless something else does.
+func (d *siteAgent) proposeFinished(id string, w *assignment, r *Result) {
+	c := d.core
+	w.changePending = true
+	c.propose(id, op{kind: opFinish, site: c.cfg.Self, tasks: r.Done}, backgroundTimeout, func(rec wire.Record, exists bool, o opResult) {
+		w.changePending = false
+		if o == resultUnknown || d.assignments[id] != w {
 			return
 		}
-		if o == changed {
+		if o == resultChanged {
 			c.counts.Finished++
 		}
-		delete(d.work, id)
-		d.bury(id, ^uint32(0))
+		delete(d.assignments, id)
+		d.recordRevoked(id, ^uint32(0))
 		for m := range c.cfg.Members {
-			d.confirm(m, id, &rec)
+			d.acknowledge(m, id, &rec)
 		}
 	})
 }
 
-// Lease is what the site's controllers are told: how long from now on they may run
+// SiteLease is what the site's controllers are told: how long from now on they may run
 // gateway jobs, which of them not, and how much of the state service they must
 // have seen.
-func (c *Core) Lease(now, most time.Duration) wire.Lease {
+func (c *Core) SiteLease(now, most time.Duration) wire.Lease {
 	c.now = max(c.now, now)
 	d := c.site
-	l := wire.Lease{Floor: d.floor}
-	for id, w := range d.work {
-		if w.stop {
-			l.Dead = append(l.Dead, id)
+	l := wire.Lease{MinRevision: d.minRevision}
+	for id, w := range d.assignments {
+		if w.mustStop {
+			l.LostJobs = append(l.LostJobs, id)
 		}
 	}
-	if len(l.Dead) > wire.MaxDead {
-		return wire.Lease{Floor: d.floor} // too much to tell: nothing may run until it is stored
+	if len(l.LostJobs) > wire.MaxLostJobs {
+		return wire.Lease{MinRevision: d.minRevision} // too much to tell: nothing may run until it is stored
 	}
-	left := d.until - c.now
+	left := d.leaseExpiry - c.now
 	if c.cfg.Faults.IgnoreLease {
 		left = most
 	}
 	if left > 0 {
-		l.LeftMS = uint32(min(left, most).Milliseconds())
+		l.RemainingMS = uint32(min(left, most).Milliseconds())
 	}
 	return l
 }
@@ -495,31 +497,31 @@
 // SetDrained drains the site or takes it back into service. It lasts once the batch
 // is durable.
 func (c *Core) SetDrained(now time.Duration, on bool) Effects {
-	return c.step(now, func() { c.site.drain(on) })
+	return c.step(now, func() { c.site.setDrained(on) })
 }
 
-func (d *duty) drain(on bool) {
-	c := d.c
+func (d *siteAgent) setDrained(on bool) {
+	c := d.core
 	if d.drained == on {
 		return
 	}
 	d.drained = on
-	c.siteDirty = true
+	c.siteStateDirty = true
 	if h := c.hints[c.cfg.Self].hint; h != nil {
 		h.Drained = on
 	}
 	if !on {
-		for _, w := range d.work {
-			if w.leave && !w.bar && !w.calling && !w.ending && w.asked == 0 {
-				w.leave = false // not asked to stop yet
+		for _, w := range d.assignments {
+			if w.handOver && !w.excludeSite && !w.callInFlight && !w.changePending && w.lastCall == 0 {
+				w.handOver = false // not asked to stop yet
 			}
 		}
 	}
-	c.log.Info("site drained", "on", on, "jobs", len(d.work))
+	c.log.Info("site drained", "on", on, "jobs", len(d.assignments))
 }
 
 // SetHint takes in what the site's controllers say of themselves.
 func (c *Core) SetHint(now time.Duration, h *wire.Hint) {
 	h.Drained = c.site.drained
-	c.hints[c.cfg.Self] = hintAt{max(c.now, now), h}
+	c.hints[c.cfg.Self] = receivedHint{max(c.now, now), h}
 }
--- a/internal/coordination/gateway/policy_test.go
+++ b/internal/coordination/gateway/policy_test.go
@@ -18,29 +18,29 @@
 		ends := 0
 		for range rapid.IntRange(1, 40).Draw(t, "changes") {
 			o := op{kind: opKind(rapid.IntRange(0, int(opCancel)).Draw(t, "kind")), site: rapid.IntRange(0, 3).Draw(t, "site"),
-				epoch: uint32(rapid.IntRange(0, 6).Draw(t, "epoch")), bar: rapid.Bool().Draw(t, "bar"), spec: []byte("{}")}
-			next, got := apply(rec, exists, o)
-			if got != changed {
-				if exists && (next.Epoch != rec.Epoch || next.Final != rec.Final || next.Holder != rec.Holder) {
+				epoch: uint32(rapid.IntRange(0, 6).Draw(t, "epoch")), excludeSite: rapid.Bool().Draw(t, "bar"), spec: []byte("{}")}
+			next, got := applyOp(rec, exists, o)
+			if got != resultChanged {
+				if exists && (next.Epoch != rec.Epoch || next.Outcome != rec.Outcome || next.Owner != rec.Owner) {
 					t.Fatalf("%v changed a record without saying so", o.kind)
 				}
 				continue
 			}
-			if rec.Final != wire.Open {
+			if rec.Outcome != wire.Open {
 				t.Fatalf("a final record was changed by %v", o.kind)
 			}
 			switch {
 			case exists && o.kind == opClaim:
-				if next.Epoch != rec.Epoch+1 || o.epoch != rec.Epoch || next.Holder == rec.Holder {
+				if next.Epoch != rec.Epoch+1 || o.epoch != rec.Epoch || next.Owner == rec.Owner {
 					t.Fatalf("claim of epoch %d made %+v of %+v", o.epoch, next, rec)
 				}
-				if forced := !rec.Stopped; forced != (next.Prev == rec.Holder) {
-					t.Fatalf("forced is %v, previous %d of holder %d", forced, next.Prev, rec.Holder)
+				if forced := !rec.Stopped; forced != (next.PrevOwner == rec.Owner) {
+					t.Fatalf("forced is %v, previous %d of holder %d", forced, next.PrevOwner, rec.Owner)
 				}
 			case exists && next.Epoch != rec.Epoch:
 				t.Fatalf("%v changed the epoch", o.kind)
 			}
-			if next.Final != wire.Open {
+			if next.Outcome != wire.Open {
 				ends++
 			}
 			rec, exists = next, true
@@ -64,8 +64,8 @@
 func drawSites(t *rapid.T) []SiteView {
 	var out []SiteView
 	for i := range rapid.IntRange(1, 4).Draw(t, "sites") {
-		v := SiteView{Site: i, Away: rapid.Bool().Draw(t, "away"), Barred: rapid.IntRange(0, 4).Draw(t, "barred") == 0,
-			AgeS: rapid.Float64Range(0, 30).Draw(t, "age"), Allowed: rapid.IntRange(0, 3).Draw(t, "allowed") > 0, Open: rapid.SampledFrom([]int{0, 19999, 20000}).Draw(t, "open")}
+		v := SiteView{Site: i, Unavailable: rapid.Bool().Draw(t, "away"), Excluded: rapid.IntRange(0, 4).Draw(t, "barred") == 0,
+			HintAgeS: rapid.Float64Range(0, 30).Draw(t, "age"), WithinRate: rapid.IntRange(0, 3).Draw(t, "allowed") > 0, OpenJobs: rapid.SampledFrom([]int{0, 19999, 20000}).Draw(t, "open")}
 		if rapid.IntRange(0, 4).Draw(t, "known") > 0 {
 			v.Hint = &wire.Hint{Drained: rapid.IntRange(0, 4).Draw(t, "drained") == 0, GPUs: 8, FreeGPUs: float64(rapid.IntRange(0, 8).Draw(t, "free")),
 				Waiting: rapid.IntRange(0, 50).Draw(t, "waiting"),
@@ -82,24 +82,24 @@
 	rapid.Check(t, func(t *rapid.T) {
 		spec, sites := drawSpec(t), drawSites(t)
 		to, v := Route(spec, sites, DefaultRoute())
-		if v != fits {
+		if v != routeFound {
 			for _, s := range sites {
-				if v == neverFits && !s.Barred && (s.Hint == nil || CanRun(spec, s.Hint)) {
+				if v == routeNeverFits && !s.Excluded && (s.Hint == nil || CanRun(spec, s.Hint)) {
 					t.Fatalf("called impossible though site %d is unknown or could run it", s.Site)
 				}
-				if s.Hint != nil && !s.Barred && !s.Away && !s.Hint.Drained && s.Allowed && s.Open < 20000 && CanRun(spec, s.Hint) {
+				if s.Hint != nil && !s.Excluded && !s.Unavailable && !s.Hint.Drained && s.WithinRate && s.OpenJobs < 20000 && CanRun(spec, s.Hint) {
 					t.Fatalf("%v though site %d can take it", v, s.Site)
 				}
 			}
 			return
 		}
 		s := sites[to]
-		if s.Hint == nil || s.Barred || s.Away || s.Hint.Drained || !s.Allowed || s.Open >= 20000 || !CanRun(spec, s.Hint) {
+		if s.Hint == nil || s.Excluded || s.Unavailable || s.Hint.Drained || !s.WithinRate || s.OpenJobs >= 20000 || !CanRun(spec, s.Hint) {
 			t.Fatalf("site %d was chosen: %+v", to, s)
 		}
 		// More work there never makes another choice worse for it: the choice is stable.
 		s.Hint.Waiting = 0
-		if again, v := Route(spec, sites, DefaultRoute()); v != fits || again != to {
+		if again, v := Route(spec, sites, DefaultRoute()); v != routeFound || again != to {
 			t.Fatalf("less work at site %d moved the job to %d", to, again)
 		}
 	})
@@ -108,14 +108,14 @@
 // TestSlowStart: a site that came back is given a twentieth at first, and its whole
 // rate after the ramp; it is never given more than the rate in a second.
 func TestSlowStart(t *testing.T) {
-	cfg := RouteConfig{PerSecond: 40, RampS: 60}
-	var b budget
-	b.back(0, true)
+	cfg := RouteConfig{JobsPerSecond: 40, RampS: 60}
+	var b routeLimit
+	b.setAvailable(0, true)
 	given := make([]int, 80)
 	for ms := 0; ms < 80_000; ms += 10 {
 		now := time.Duration(ms) * time.Millisecond
 		if b.allowed(now, cfg) {
-			b.take(now)
+			b.takeToken(now)
 			given[ms/1000]++
 		}
 	}
@@ -127,8 +127,8 @@
 			t.Errorf("given fell from %d to %d in second %d", given[i-8], given[i], i)
 		}
 	}
-	b.back(80*time.Second, false)
-	b.back(90*time.Second, true)
+	b.setAvailable(80*time.Second, false)
+	b.setAvailable(90*time.Second, true)
 	if r := b.rate(90*time.Second, cfg); r > 2.1 {
 		t.Errorf("rate %v after it came back again", r)
 	}
--- a/internal/coordination/gateway/route.go
+++ b/internal/coordination/gateway/route.go
@@ -13,14 +13,14 @@
 
 // RouteConfig are the limits of routing.
 type RouteConfig struct {
-	// PerSecond is how many jobs a second a site is given at most.
-	PerSecond float64
+	// JobsPerSecond is how many jobs a second a site is given at most.
+	JobsPerSecond float64
 	// RampS is how long a site that came back takes to be given as many as others.
 	RampS float64
-	// StaleS is the age from which a hint says nothing of load.
-	StaleS float64
-	// OpenPerSite is how many unfinished jobs a site holds at most; 0: any number.
-	OpenPerSite int
+	// HintMaxAgeS is the age from which a hint says nothing of load.
+	HintMaxAgeS float64
+	// MaxOpenPerSite is how many unfinished jobs a site holds at most; 0: any number.
+	MaxOpenPerSite int
 	// MoveAfterS is how long a job may wait at a site without any task placed while
 	// another site has room for it; 0: for ever.
 	MoveAfterS float64
@@ -28,41 +28,41 @@
 
 // DefaultRoute are the limits that a gateway starts with.
 func DefaultRoute() RouteConfig {
-	return RouteConfig{PerSecond: 50, RampS: 60, StaleS: 10, OpenPerSite: 20000, MoveAfterS: 60}
+	return RouteConfig{JobsPerSecond: 50, RampS: 60, HintMaxAgeS: 10, MaxOpenPerSite: 20000, MoveAfterS: 60}
 }
 
 // SiteView is what is known of one site.
 type SiteView struct {
-	Site     int
-	Away     bool // not heard of, or without a lease
-	Barred   bool // the job can never run there
-	AgeS     float64
-	Hint     *wire.Hint
-	UnderWay float64 // jobs given to it that its hint can't show yet
-	Open     int     // unfinished jobs that it holds
-	Allowed  bool    // within its rate
+	Site        int
+	Unavailable bool // not heard of, or without a lease
+	Excluded    bool // the job can never run there
+	HintAgeS    float64
+	Hint        *wire.Hint
+	UnseenJobs  float64 // jobs given to it that its hint can't show yet
+	OpenJobs    int     // unfinished jobs that it holds
+	WithinRate  bool    // within its rate
 }
 
-// verdict says whether a job can be routed.
-type verdict uint8
+// routeResult says whether a job can be routed.
+type routeResult uint8
 
 const (
-	fits      verdict = iota
-	neverFits         // no site can ever run it, and all sites are known
-	full              // only sites that have been given enough for now
-	nobody            // no site that could is known to be there
+	routeFound     routeResult = iota
+	routeNeverFits             // no site can ever run it, and all sites are known
+	routeSitesFull             // only sites that have been given enough for now
+	routeNoSite                // no site that could is known to be there
 )
 
 // Route chooses the site for a job: of those that can run it and are there, the
 // one with the least work waiting a GPU, counting an image that it lacks and a
 // guarantee that its team has used up there as work. What is unknown is never
 // taken for good news: a site without a fresh hint comes after all others.
-func Route(spec *protocol.JobSpec, sites []SiteView, cfg RouteConfig) (site int, v verdict) {
+func Route(spec *protocol.JobSpec, sites []SiteView, cfg RouteConfig) (site int, v routeResult) {
 	best, at := math.Inf(1), -1
 	known, able, there := 0, 0, 0
 	for i := range sites {
 		s := &sites[i]
-		if s.Barred {
+		if s.Excluded {
 			known++
 			continue
 		}
@@ -74,36 +74,36 @@
 			continue
 		}
 		able++
-		if s.Away || s.Hint.Drained {
+		if s.Unavailable || s.Hint.Drained {
 			continue
 		}
 		there++
-		if !s.Allowed || cfg.OpenPerSite > 0 && s.Open >= cfg.OpenPerSite {
+		if !s.WithinRate || cfg.MaxOpenPerSite > 0 && s.OpenJobs >= cfg.MaxOpenPerSite {
 			continue
 		}
-		if c := cost(spec, s, cfg); c < best {
+		if c := routingCost(spec, s, cfg); c < best {
 			best, at = c, s.Site
 		}
 	}
 	switch {
 	case at >= 0:
-		return at, fits
+		return at, routeFound
 	case there > 0:
-		return 0, full
+		return 0, routeSitesFull
 	case able == 0 && known == len(sites) && known > 0:
-		return 0, neverFits
+		return 0, routeNeverFits
 	}
-	return 0, nobody
+	return 0, routeNoSite
 }
 
-// cost is about how many tasks wait before the job, for each GPU that is up.
-func cost(spec *protocol.JobSpec, s *SiteView, cfg RouteConfig) float64 {
+// routingCost is about how many tasks wait before the job, for each GPU that is up.
+func routingCost(spec *protocol.JobSpec, s *SiteView, cfg RouteConfig) float64 {
 	h := s.Hint
-	if s.AgeS > cfg.StaleS {
-		return 1e6 + s.UnderWay
+	if s.HintAgeS > cfg.HintMaxAgeS {
+		return 1e6 + s.UnseenJobs
 	}
-	c := (float64(h.Waiting) + s.UnderWay) / max(1, h.GPUs)
-	if free := h.FreeGPUs - s.UnderWay*max(spec.GPUs, 0.25); free < spec.GPUs*float64(atOnce(spec)) {
+	c := (float64(h.Waiting) + s.UnseenJobs) / max(1, h.GPUs)
+	if free := h.FreeGPUs - s.UnseenJobs*max(spec.GPUs, 0.25); free < spec.GPUs*float64(minTasksToStart(spec)) {
 		c += 0.5 // it would have to wait, or machines to be rented
 	}
 	if !slices.Contains(h.Images, spec.Image) {
@@ -112,7 +112,7 @@
 	for i := range h.Teams {
 		if t := &h.Teams[i]; t.Name == spec.Team {
 			c += float64(t.Waiting) / max(1, h.GPUs)
-			if t.GPUs > 0 && t.UsedGPU+spec.GPUs*float64(atOnce(spec)) > t.GPUs {
+			if t.GPUs > 0 && t.UsedGPUs+spec.GPUs*float64(minTasksToStart(spec)) > t.GPUs {
 				c++ // beyond its guarantee there
 			}
 		}
@@ -120,7 +120,7 @@
 	return c
 }
 
-func atOnce(spec *protocol.JobSpec) int {
+func minTasksToStart(spec *protocol.JobSpec) int {
 	if spec.Shape == protocol.Array {
 		return 1
 	}
@@ -134,7 +134,7 @@
 	if at < 0 {
 		return false
 	}
-	t, n := &h.Teams[at], float64(atOnce(spec))
+	t, n := &h.Teams[at], float64(minTasksToStart(spec))
 	if t.GPUsMax > 0 && spec.GPUs*n > t.GPUsMax+1e-3 || t.CPUsMax > 0 && spec.CPUs*n > t.CPUsMax+1e-3 {
 		return false
 	}
@@ -150,48 +150,48 @@
 	return false
 }
 
-// budget is how many jobs a site is given: a token bucket whose rate rises slowly
+// routeLimit is how many jobs a site is given: a token bucket whose rate rises slowly
 // after the site has come back, so that a site in trouble gets less, not more.
-type budget struct {
-	tokens  float64
-	filled  time.Duration
-	since   time.Duration // when the site was last found back
-	there   bool
-	recent  float64 // given lately, decaying
-	decayed time.Duration
+type routeLimit struct {
+	tokens         float64
+	lastRefill     time.Duration
+	availableSince time.Duration // when the site was last found back
+	available      bool
+	recentJobs     float64 // given lately, decaying
+	lastDecay      time.Duration
 }
 
-// back notes whether a site is there.
-func (b *budget) back(now time.Duration, there bool) {
-	if there && !b.there {
-		b.since, b.tokens, b.filled = now, 1, now
+// setAvailable notes whether a site is there.
+func (b *routeLimit) setAvailable(now time.Duration, there bool) {
+	if there && !b.available {
+		b.availableSince, b.tokens, b.lastRefill = now, 1, now
 	}
-	b.there = there
+	b.available = there
 }
 
 // rate is how many jobs a second the site is given now: a twentieth at first.
-func (b *budget) rate(now time.Duration, cfg RouteConfig) float64 {
+func (b *routeLimit) rate(now time.Duration, cfg RouteConfig) float64 {
 	if cfg.RampS <= 0 {
-		return cfg.PerSecond
+		return cfg.JobsPerSecond
 	}
-	part := min(1, 0.05+0.95*(now-b.since).Seconds()/cfg.RampS)
-	return cfg.PerSecond * part
+	part := min(1, 0.05+0.95*(now-b.availableSince).Seconds()/cfg.RampS)
+	return cfg.JobsPerSecond * part
 }
 
-func (b *budget) allowed(now time.Duration, cfg RouteConfig) bool {
+func (b *routeLimit) allowed(now time.Duration, cfg RouteConfig) bool {
 	r := b.rate(now, cfg)
-	b.tokens = min(max(1, r), b.tokens+r*(now-b.filled).Seconds())
-	b.filled = now
+	b.tokens = min(max(1, r), b.tokens+r*(now-b.lastRefill).Seconds())
+	b.lastRefill = now
 	return b.tokens >= 1
 }
 
-func (b *budget) take(now time.Duration) {
+func (b *routeLimit) takeToken(now time.Duration) {
 	b.tokens--
-	b.recent = b.underWay(now) + 1
-	b.decayed = now
+	b.recentJobs = b.unseenJobs(now) + 1
+	b.lastDecay = now
 }
 
-// underWay is about how many jobs were given that the site's hint can't show yet.
-func (b *budget) underWay(now time.Duration) float64 {
-	return b.recent * math.Exp(-(now-b.decayed).Seconds()/2)
+// unseenJobs is about how many jobs were given that the site's hint can't show yet.
+func (b *routeLimit) unseenJobs(now time.Duration) float64 {
+	return b.recentJobs * math.Exp(-(now-b.lastDecay).Seconds()/2)
 }
--- a/internal/coordination/gateway/sim_test.go
+++ b/internal/coordination/gateway/sim_test.go
@@ -35,188 +35,188 @@
 	f   func()
 }
 
-type events []event
+type eventQueue []event
 
-func (h events) Len() int { return len(h) }
-func (h events) Less(i, j int) bool {
+func (h eventQueue) Len() int { return len(h) }
+func (h eventQueue) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
-func (h events) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *events) Push(x any)   { *h = append(*h, x.(event)) }
-func (h *events) Pop() any {
+func (h eventQueue) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *eventQueue) Push(x any)   { *h = append(*h, x.(event)) }
+func (h *eventQueue) Pop() any {
 	x := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
 	return x
 }
 
 type sim struct {
-	rng     *rand.Rand
-	now     time.Duration
-	q       events
-	n       int
-	members []*simMember
-	sites   []*simSite // by member; nil: a gateway
-	cut     map[[2]int]time.Duration
-	lossy   float64
-	jobs    []*simJob
-	token   uint64
-	asks    map[uint64]func(Answer)
-	broken  []string
-	trace   []string
-	faults  Faults
-	calm    bool
-	pace    time.Duration // of a site's store; 0: milliseconds
+	rng            *rand.Rand
+	now            time.Duration
+	queue          eventQueue
+	eventSeq       int
+	members        []*simMember
+	sites          []*simSite // by member; nil: a gateway
+	cutUntil       map[[2]int]time.Duration
+	lossRate       float64
+	jobs           []*simJob
+	lastToken      uint64
+	pendingAnswers map[uint64]func(Answer)
+	violations     []string
+	trace          []string
+	faults         Faults
+	faultsStopped  bool
+	storeTime      time.Duration // of a site's store; 0: milliseconds
 	// before, if set, is asked before a member's effects are carried out; 0: all of
 	// them, 1: none, 2: only what is to be stored.
-	before func(m *simMember, e *Effects) int
+	beforeEffects func(m *simMember, e *Effects) int
 }
 
 type simMember struct {
-	s       *sim
-	i       int
-	core    *Core
-	inc     uint32
-	up      bool
-	gen     int
-	stall   time.Duration
-	rate    float64
-	offset  time.Duration
-	disk    map[string]wire.Item
-	slow    time.Duration // its store stands still until then
-	queue   []Batch
-	writing bool
-	drained bool
+	sim               *sim
+	index             int
+	core              *Core
+	incarnation       uint32
+	running           bool
+	generation        int
+	stalledUntil      time.Duration
+	clockRate         float64
+	clockOffset       time.Duration
+	disk              map[string]wire.Item
+	storeStalledUntil time.Duration // its store stands still until then
+	batches           []Batch
+	writing           bool
+	drained           bool
 }
 
 // simSite is a site's controllers and workers, which need its daemon only for the
 // lease and to be told of jobs.
 type simSite struct {
-	s         *sim
-	i         int
-	jobs      map[string]*siteJob
-	tombstone map[string]uint32
-	done      map[string]uint32
-	rev       uint64
-	seen      uint64 // the replica's revision
-	gate      time.Duration
-	floor     uint64
-	dead      map[string]bool
-	up        bool
-	cutOff    time.Duration // daemon and controllers can't reach one another until then
-}
-
-type siteJob struct {
-	claim   uint32
-	stop    bool
-	started bool          // a task is on a machine
-	leaving time.Duration // when it will be gone; 0: it is not leaving
-	left    time.Duration // work
+	sim               *sim
+	index             int
+	jobs              map[string]*simSiteJob
+	tombstones        map[string]uint32
+	done              map[string]uint32
+	revision          uint64
+	replicaRevision   uint64 // the replica's revision
+	leaseExpiry       time.Duration
+	minRevision       uint64
+	revoked           map[string]bool
+	running           bool
+	disconnectedUntil time.Duration // daemon and controllers can't reach one another until then
+}
+
+type simSiteJob struct {
+	epoch         uint32
+	stopRequested bool
+	started       bool          // a task is on a machine
+	stopsAt       time.Duration // when it will be gone; 0: it is not leaving
+	remaining     time.Duration // work
 }
 
 type simJob struct {
-	id        string
-	work      time.Duration
-	sentAt    time.Duration
-	accepted  bool
-	asked     bool // to cancel
-	toldFinal string
-	toldAt    time.Duration
+	id              string
+	runTime         time.Duration
+	submittedAt     time.Duration
+	accepted        bool
+	cancelRequested bool // to cancel
+	finalStatus     string
+	finalAt         time.Duration
 }
 
 func newSim(seed uint64, faults Faults, names []Member) *sim {
-	s := &sim{rng: rand.New(rand.NewPCG(seed, 99)), cut: map[[2]int]time.Duration{}, asks: map[uint64]func(Answer){}, faults: faults}
+	s := &sim{rng: rand.New(rand.NewPCG(seed, 99)), cutUntil: map[[2]int]time.Duration{}, pendingAnswers: map[uint64]func(Answer){}, faults: faults}
 	for i, m := range names {
-		mem := &simMember{s: s, i: i, disk: map[string]wire.Item{}, rate: 1 + s.rng.Float64()*0.0005, offset: time.Duration(s.rng.Int64N(int64(time.Hour)))}
+		mem := &simMember{sim: s, index: i, disk: map[string]wire.Item{}, clockRate: 1 + s.rng.Float64()*0.0005, clockOffset: time.Duration(s.rng.Int64N(int64(time.Hour)))}
 		s.members = append(s.members, mem)
 		var site *simSite
 		if m.Site {
-			site = &simSite{s: s, i: i, jobs: map[string]*siteJob{}, tombstone: map[string]uint32{}, done: map[string]uint32{}, up: true, dead: map[string]bool{}}
-			s.after(100*time.Millisecond, site.step)
-			s.after(s.span(0, 500*time.Millisecond), site.pull)
+			site = &simSite{sim: s, index: i, jobs: map[string]*simSiteJob{}, tombstones: map[string]uint32{}, done: map[string]uint32{}, running: true, revoked: map[string]bool{}}
+			s.schedule(100*time.Millisecond, site.step)
+			s.schedule(s.randDuration(0, 500*time.Millisecond), site.fetchLease)
 		}
 		s.sites = append(s.sites, site)
 	}
 	for _, m := range s.members {
-		m.boot(names)
+		m.start(names)
 	}
 	return s
 }
 
-func (s *sim) after(d time.Duration, f func()) {
-	s.n++
-	heap.Push(&s.q, event{s.now + d, s.n, f})
+func (s *sim) schedule(d time.Duration, f func()) {
+	s.eventSeq++
+	heap.Push(&s.queue, event{s.now + d, s.eventSeq, f})
 }
 
-func (s *sim) span(a, b time.Duration) time.Duration {
+func (s *sim) randDuration(a, b time.Duration) time.Duration {
 	return a + time.Duration(s.rng.Int64N(int64(b-a)))
 }
 
 func (s *sim) run(until time.Duration) {
-	for len(s.q) > 0 && s.q[0].at <= until {
-		e := heap.Pop(&s.q).(event)
+	for len(s.queue) > 0 && s.queue[0].at <= until {
+		e := heap.Pop(&s.queue).(event)
 		s.now = e.at
 		e.f()
 	}
 	s.now = until
 }
 
-func (s *sim) say(format string, a ...any) {
+func (s *sim) logf(format string, a ...any) {
 	s.trace = append(s.trace, fmt.Sprintf("%8.3f ", s.now.Seconds())+fmt.Sprintf(format, a...))
 }
 
-func (s *sim) breaks(format string, a ...any) {
-	s.say("BROKEN "+format, a...)
-	s.broken = append(s.broken, fmt.Sprintf(format, a...))
+func (s *sim) violation(format string, a ...any) {
+	s.logf("BROKEN "+format, a...)
+	s.violations = append(s.violations, fmt.Sprintf(format, a...))
 }
 
 func (m *simMember) clock() time.Duration {
-	return m.offset + time.Duration(float64(m.s.now)*m.rate)
+	return m.clockOffset + time.Duration(float64(m.sim.now)*m.clockRate)
 }
 
-func (m *simMember) boot(names []Member) {
-	m.inc++
-	m.gen++
-	m.up = true
-	m.queue, m.writing = nil, false
+func (m *simMember) start(names []Member) {
+	m.incarnation++
+	m.generation++
+	m.running = true
+	m.batches, m.writing = nil, false
 	var items []wire.Item
 	for _, id := range sortedKeys(m.disk) {
 		items = append(items, m.disk[id])
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	if os.Getenv("SIM_LOG") != "" {
-		log = slog.New(slog.NewTextHandler(os.Stdout, nil)).With("member", m.i)
+		log = slog.New(slog.NewTextHandler(os.Stdout, nil)).With("member", m.index)
 	}
-	cfg := Config{Members: names, Self: m.i, Lease: simLease, Stop: StopBound(simControllers, simWorkers), InFlight: 500, Route: DefaultRoute(), Faults: m.s.faults}
-	m.core = New(cfg, m.inc, items, uint64(m.inc)*31+uint64(m.i), log, m.clock())
-	if m.s.sites[m.i] != nil {
-		m.run(m.core.SetDrained(m.clock(), m.drained))
+	cfg := Config{Members: names, Self: m.index, LeaseTime: simLease, StopTime: StopBound(simControllers, simWorkers), MaxInFlight: 500, Route: DefaultRoute(), Faults: m.sim.faults}
+	m.core = New(cfg, m.incarnation, items, uint64(m.incarnation)*31+uint64(m.index), log, m.clock())
+	if m.sim.sites[m.index] != nil {
+		m.applyEffects(m.core.SetDrained(m.clock(), m.drained))
 	}
-	gen := m.gen
+	gen := m.generation
 	var tick func()
 	tick = func() {
-		if m.gen != gen {
+		if m.generation != gen {
 			return
 		}
-		if m.s.now >= m.stall {
-			if site := m.s.sites[m.i]; site != nil {
+		if m.sim.now >= m.stalledUntil {
+			if site := m.sim.sites[m.index]; site != nil {
 				m.core.SetHint(m.clock(), site.hint())
 			}
-			m.run(m.core.Tick(m.clock()))
+			m.applyEffects(m.core.Tick(m.clock()))
 		}
-		m.s.after(50*time.Millisecond, tick)
+		m.sim.schedule(50*time.Millisecond, tick)
 	}
 	tick()
 }
 
-// awake runs f when the member runs again, if it is the same process then.
-func (m *simMember) awake(f func()) {
-	gen := m.gen
+// whenRunning runs f when the member runs again, if it is the same process then.
+func (m *simMember) whenRunning(f func()) {
+	gen := m.generation
 	var try func()
 	try = func() {
 		switch {
-		case m.gen != gen || !m.up:
-		case m.s.now < m.stall:
-			m.s.after(m.stall-m.s.now+m.s.span(0, 5*time.Millisecond), try)
+		case m.generation != gen || !m.running:
+		case m.sim.now < m.stalledUntil:
+			m.sim.schedule(m.stalledUntil-m.sim.now+m.sim.randDuration(0, 5*time.Millisecond), try)
 		default:
 			f()
 		}
@@ -224,10 +224,10 @@
 	try()
 }
 
-func (m *simMember) run(e Effects) {
-	s := m.s
-	if s.before != nil {
-		switch s.before(m, &e) {
+func (m *simMember) applyEffects(e Effects) {
+	s := m.sim
+	if s.beforeEffects != nil {
+		switch s.beforeEffects(m, &e) {
 		case 1:
 			return
 		case 2:
@@ -236,39 +236,39 @@
 	}
 	for to := range s.members {
 		items := e.Send[to]
-		if to == m.i || len(items) == 0 && e.Hint == nil {
+		if to == m.index || len(items) == 0 && e.Hint == nil {
 			continue
 		}
-		s.deliver(m.i, to, wire.Encode(&wire.Envelope{Items: items, Hint: e.Hint}))
+		s.deliver(m.index, to, wire.Encode(&wire.Envelope{Items: items, Hint: e.Hint}))
 	}
-	m.queue = append(m.queue, e.Store...)
-	m.write()
+	m.batches = append(m.batches, e.Store...)
+	m.storeBatches()
 	for _, a := range e.Answers {
-		if f := s.asks[a.Token]; f != nil {
-			delete(s.asks, a.Token)
-			s.after(s.span(time.Millisecond, 10*time.Millisecond), func() { f(a) })
+		if f := s.pendingAnswers[a.Token]; f != nil {
+			delete(s.pendingAnswers, a.Token)
+			s.schedule(s.randDuration(time.Millisecond, 10*time.Millisecond), func() { f(a) })
 		}
 	}
 	for _, call := range e.Calls {
-		s.sites[m.i].call(m, call)
+		s.sites[m.index].handleCall(m, call)
 	}
 }
 
-// write stores all batches that wait, one write at a time.
-func (m *simMember) write() {
-	s := m.s
-	if m.writing || len(m.queue) == 0 {
+// storeBatches stores all batches that wait, one write at a time.
+func (m *simMember) storeBatches() {
+	s := m.sim
+	if m.writing || len(m.batches) == 0 {
 		return
 	}
 	m.writing = true
-	took := s.span(2*time.Millisecond, 30*time.Millisecond)
-	if s.pace > 0 && s.sites[m.i] != nil {
-		took = s.span(s.pace/2, s.pace)
-	}
-	batch, gen := m.queue, m.gen
-	m.queue = nil
-	s.after(max(0, m.slow-s.now)+took, func() {
-		if m.gen != gen && s.rng.IntN(2) == 0 {
+	took := s.randDuration(2*time.Millisecond, 30*time.Millisecond)
+	if s.storeTime > 0 && s.sites[m.index] != nil {
+		took = s.randDuration(s.storeTime/2, s.storeTime)
+	}
+	batch, gen := m.batches, m.generation
+	m.batches = nil
+	s.schedule(max(0, m.storeStalledUntil-s.now)+took, func() {
+		if m.generation != gen && s.rng.IntN(2) == 0 {
 			return // ended before it was written
 		}
 		for _, b := range batch {
@@ -276,15 +276,15 @@
 				if it.Kind == wire.SiteState {
 					continue // the sim drains again by itself
 				}
-				if old, ok := m.disk[it.ID]; !ok || m.gen == gen || !it.Accepted.Less(old.Accepted) && !it.Ballot.Less(old.Ballot) {
+				if old, ok := m.disk[it.ID]; !ok || m.generation == gen || !it.Accepted.Less(old.Accepted) && !it.Ballot.Less(old.Ballot) {
 					m.disk[it.ID] = it
 				}
 			}
 		}
-		if m.gen == gen {
+		if m.generation == gen {
 			m.writing = false
-			m.awake(func() { m.run(m.core.Stored(m.clock(), batch[len(batch)-1].Seq)) })
-			m.write()
+			m.whenRunning(func() { m.applyEffects(m.core.BatchStored(m.clock(), batch[len(batch)-1].Seq)) })
+			m.storeBatches()
 		}
 	})
 }
@@ -292,13 +292,13 @@
 // deliver carries a message. Through a cut it is lost, or held and delivered
 // minutes late; now and then it comes twice.
 func (s *sim) deliver(from, to int, data []byte) {
-	wait := s.span(time.Millisecond, 15*time.Millisecond)
-	if end := s.cut[[2]int{from, to}]; s.now < end {
+	wait := s.randDuration(time.Millisecond, 15*time.Millisecond)
+	if end := s.cutUntil[[2]int{from, to}]; s.now < end {
 		if s.rng.IntN(2) == 0 {
 			return
 		}
 		wait += end - s.now
-	} else if s.rng.Float64() < s.lossy {
+	} else if s.rng.Float64() < s.lossRate {
 		return
 	}
 	times := 1
@@ -306,20 +306,20 @@
 		times = 2
 	}
 	for range times {
-		s.after(wait, func() {
+		s.schedule(wait, func() {
 			m := s.members[to]
-			if !m.up {
+			if !m.running {
 				return
 			}
-			m.awake(func() {
+			m.whenRunning(func() {
 				e, err := wire.Decode(data)
 				if err != nil {
 					panic(err)
 				}
-				m.run(m.core.Receive(m.clock(), from, e))
+				m.applyEffects(m.core.Receive(m.clock(), from, e))
 			})
 		})
-		wait += s.span(0, 20*time.Second)
+		wait += s.randDuration(0, 20*time.Second)
 	}
 }
 
@@ -337,110 +337,110 @@
 		Teams: []wire.TeamHint{{Name: "red", GPUsMax: 100}}}
 }
 
-// call carries what the daemon asks to the controllers, where it may be done late,
+// handleCall carries what the daemon asks to the controllers, where it may be done late,
 // and the answer back.
-func (x *simSite) call(m *simMember, call Call) {
-	s := x.s
-	to := s.span(time.Millisecond, 60*time.Millisecond)
-	gen := m.gen
+func (x *simSite) handleCall(m *simMember, call Call) {
+	s := x.sim
+	to := s.randDuration(time.Millisecond, 60*time.Millisecond)
+	gen := m.generation
 	back := func(r Result) {
 		r.Call = call
-		s.after(s.span(time.Millisecond, 10*time.Millisecond), func() {
-			if m.gen == gen && m.up {
-				m.awake(func() { m.run(m.core.SiteDone(m.clock(), []Result{r})) })
+		s.schedule(s.randDuration(time.Millisecond, 10*time.Millisecond), func() {
+			if m.generation == gen && m.running {
+				m.whenRunning(func() { m.applyEffects(m.core.SiteResults(m.clock(), []Result{r})) })
 			}
 		})
 	}
-	if s.now < x.cutOff || !x.up || s.now < m.slow {
+	if s.now < x.disconnectedUntil || !x.running || s.now < m.storeStalledUntil {
 		if s.rng.IntN(2) == 0 { // held, and done when nobody waits any more
-			s.after(max(x.cutOff, m.slow)-s.now+s.span(0, 30*time.Second), func() { x.do(call) })
+			s.schedule(max(x.disconnectedUntil, m.storeStalledUntil)-s.now+s.randDuration(0, 30*time.Second), func() { x.execute(call) })
 		}
-		s.after(1500*time.Millisecond, func() { back(Result{Code: wire.Busy}) })
+		s.schedule(1500*time.Millisecond, func() { back(Result{Code: wire.Unavailable}) })
 		return
 	}
-	s.after(to, func() { back(x.do(call)) })
+	s.schedule(to, func() { back(x.execute(call)) })
 }
 
-// do is what the controllers do with a call, each by one conditional write.
-func (x *simSite) do(c Call) Result {
+// execute is what the controllers do with a call, each by one conditional write.
+func (x *simSite) execute(c Call) Result {
 	j := x.jobs[c.ID]
 	if n, ok := x.done[c.ID]; ok {
-		return Result{Code: wire.Ended, Done: n}
+		return Result{Code: wire.Completed, Done: n}
 	}
-	tombstone, dead := x.tombstone[c.ID]
+	tombstone, dead := x.tombstones[c.ID]
 	switch c.Kind {
 	case wire.Submit:
 		switch {
-		case j != nil && j.claim == c.Epoch:
-			return Result{Code: wire.Held}
-		case j != nil && !j.stop && j.claim < c.Epoch:
-			x.rev++
-			j.claim = c.Epoch
-			return Result{Code: wire.Held, Rev: x.rev}
+		case j != nil && j.epoch == c.Epoch:
+			return Result{Code: wire.Active}
+		case j != nil && !j.stopRequested && j.epoch < c.Epoch:
+			x.revision++
+			j.epoch = c.Epoch
+			return Result{Code: wire.Active, Revision: x.revision}
 		case j != nil:
-			return Result{Code: wire.Busy}
+			return Result{Code: wire.Unavailable}
 		case dead && tombstone >= c.Epoch:
-			return Result{Code: wire.Over}
+			return Result{Code: wire.ClaimEnded}
 		}
-		x.rev++
-		delete(x.tombstone, c.ID)
-		x.jobs[c.ID] = &siteJob{claim: c.Epoch, left: x.s.job(c.ID).work}
-		return Result{Code: wire.Held, Rev: x.rev}
+		x.revision++
+		delete(x.tombstones, c.ID)
+		x.jobs[c.ID] = &simSiteJob{epoch: c.Epoch, remaining: x.sim.findJob(c.ID).runTime}
+		return Result{Code: wire.Active, Revision: x.revision}
 	case wire.Stop:
-		if j != nil && j.claim <= c.Epoch {
-			if !j.stop {
-				x.rev++
-				j.stop, j.claim = true, c.Epoch
+		if j != nil && j.epoch <= c.Epoch {
+			if !j.stopRequested {
+				x.revision++
+				j.stopRequested, j.epoch = true, c.Epoch
 			}
 			if j.started {
-				return Result{Code: wire.Held, Rev: x.rev}
+				return Result{Code: wire.Active, Revision: x.revision}
 			}
 			delete(x.jobs, c.ID)
 		}
-		if j == nil || j.claim <= c.Epoch {
+		if j == nil || j.epoch <= c.Epoch {
 			if !dead || tombstone < c.Epoch {
-				x.rev++
-				x.tombstone[c.ID] = c.Epoch
+				x.revision++
+				x.tombstones[c.ID] = c.Epoch
 			}
 		}
-		return Result{Code: wire.Over, Rev: x.rev}
+		return Result{Code: wire.ClaimEnded, Revision: x.revision}
 	}
 	switch {
 	case j == nil && dead && tombstone >= c.Epoch:
-		return Result{Code: wire.Over}
+		return Result{Code: wire.ClaimEnded}
 	case j == nil:
-		return Result{Code: wire.Missing}
-	case j.claim != c.Epoch:
-		return Result{Code: wire.Busy}
+		return Result{Code: wire.NotFound}
+	case j.epoch != c.Epoch:
+		return Result{Code: wire.Unavailable}
 	}
-	r := Result{Code: wire.Held}
+	r := Result{Code: wire.Active}
 	if j.started {
 		r.Running = 1
 	}
 	return r
 }
 
-// pull asks the daemon how long gateway jobs may run. What the answer says counts
+// fetchLease asks the daemon how long gateway jobs may run. What the answer says counts
 // from when it was asked for.
-func (x *simSite) pull() {
-	s, m := x.s, x.s.members[x.i]
-	s.after(500*time.Millisecond, x.pull)
-	if !x.up || !m.up || s.now < x.cutOff {
+func (x *simSite) fetchLease() {
+	s, m := x.sim, x.sim.members[x.index]
+	s.schedule(500*time.Millisecond, x.fetchLease)
+	if !x.running || !m.running || s.now < x.disconnectedUntil {
 		return
 	}
 	sent := s.now
-	s.after(s.span(time.Millisecond, 20*time.Millisecond), func() {
-		m.awake(func() {
-			l := m.core.Lease(m.clock(), simControllers)
-			s.after(s.span(time.Millisecond, 20*time.Millisecond), func() {
-				if !x.up {
+	s.schedule(s.randDuration(time.Millisecond, 20*time.Millisecond), func() {
+		m.whenRunning(func() {
+			l := m.core.SiteLease(m.clock(), simControllers)
+			s.schedule(s.randDuration(time.Millisecond, 20*time.Millisecond), func() {
+				if !x.running {
 					return
 				}
-				x.gate = max(x.gate, sent+time.Duration(float64(l.LeftMS)*(1-drift))*time.Millisecond)
-				x.floor = max(x.floor, l.Floor)
-				x.dead = map[string]bool{}
-				for _, id := range l.Dead {
-					x.dead[id] = true
+				x.leaseExpiry = max(x.leaseExpiry, sent+time.Duration(float64(l.RemainingMS)*(1-maxClockDrift))*time.Millisecond)
+				x.minRevision = max(x.minRevision, l.MinRevision)
+				x.revoked = map[string]bool{}
+				for _, id := range l.LostJobs {
+					x.revoked[id] = true
 				}
 			})
 		})
@@ -450,10 +450,10 @@
 // step is what controllers and workers do by themselves.
 func (x *simSite) step() {
 	const dt = 100 * time.Millisecond
-	s := x.s
-	s.after(dt, x.step)
+	s := x.sim
+	s.schedule(dt, x.step)
 	if s.rng.IntN(2) == 0 {
-		x.seen = x.rev
+		x.replicaRevision = x.revision
 	}
 	running := 0
 	for _, j := range x.jobs {
@@ -463,43 +463,43 @@
 	}
 	for _, id := range sortedKeys(x.jobs) {
 		j := x.jobs[id]
-		open := x.up && s.now < x.gate && x.seen >= x.floor && !x.dead[id] && !j.stop
+		open := x.running && s.now < x.leaseExpiry && x.replicaRevision >= x.minRevision && !x.revoked[id] && !j.stopRequested
 		switch {
 		case !j.started && open && running < 8:
-			j.started, j.leaving = true, 0
+			j.started, j.stopsAt = true, 0
 			running++
-			s.say("site %d starts %s claim %d", x.i, id, j.claim)
+			s.logf("site %d starts %s claim %d", x.index, id, j.epoch)
 			for _, o := range s.sites {
 				if o != nil && o != x && o.jobs[id] != nil && o.jobs[id].started {
-					s.breaks("%s runs at site %d and starts at site %d", id, o.i, x.i)
+					s.violation("%s runs at site %d and starts at site %d", id, o.index, x.index)
 				}
 			}
-		case j.started && !open && j.leaving == 0:
+		case j.started && !open && j.stopsAt == 0:
 			// Its worker may get no answer, and goes on until its own lease ends.
-			j.leaving = s.now + s.span(0, simWorkers)
-			s.say("site %d stops %s", x.i, id)
-		case j.started && j.leaving != 0 && s.now >= j.leaving:
-			j.started, j.leaving = false, 0
-			if j.stop {
+			j.stopsAt = s.now + s.randDuration(0, simWorkers)
+			s.logf("site %d stops %s", x.index, id)
+		case j.started && j.stopsAt != 0 && s.now >= j.stopsAt:
+			j.started, j.stopsAt = false, 0
+			if j.stopRequested {
 				delete(x.jobs, id)
-				x.tombstone[id] = j.claim
+				x.tombstones[id] = j.epoch
 			}
 		case j.started:
-			j.left -= dt
-			if j.left <= 0 && x.up {
+			j.remaining -= dt
+			if j.remaining <= 0 && x.running {
 				delete(x.jobs, id)
-				x.rev++
+				x.revision++
 				x.done[id] = 1
-				s.say("site %d has done %s", x.i, id)
+				s.logf("site %d has done %s", x.index, id)
 			}
 		}
-		if sj := s.job(id); j.started && sj.toldFinal == protocol.JobCancelled && s.now > sj.toldAt+simCancel {
-			s.breaks("%s runs at site %d %v after its user was told that it is cancelled", id, x.i, s.now-sj.toldAt)
+		if sj := s.findJob(id); j.started && sj.finalStatus == protocol.JobCancelled && s.now > sj.finalAt+simCancel {
+			s.violation("%s runs at site %d %v after its user was told that it is cancelled", id, x.index, s.now-sj.finalAt)
 		}
 	}
 }
 
-func (s *sim) job(id string) *simJob {
+func (s *sim) findJob(id string) *simJob {
 	for _, j := range s.jobs {
 		if j.id == id {
 			return j
@@ -508,22 +508,22 @@
 	return nil
 }
 
-// ask is a user's request to one member; the answer may be lost.
-func (s *sim) ask(m *simMember, q Request, then func(Answer)) {
-	s.token++
-	q.Token = s.token
-	s.asks[q.Token] = then
-	s.after(s.span(time.Millisecond, 10*time.Millisecond), func() {
-		if m.up && s.now >= m.stall {
-			m.run(m.core.Do(m.clock(), q))
+// userRequest is a user's request to one member; the answer may be lost.
+func (s *sim) userRequest(m *simMember, q Request, then func(Answer)) {
+	s.lastToken++
+	q.Token = s.lastToken
+	s.pendingAnswers[q.Token] = then
+	s.schedule(s.randDuration(time.Millisecond, 10*time.Millisecond), func() {
+		if m.running && s.now >= m.stalledUntil {
+			m.applyEffects(m.core.HandleRequest(m.clock(), q))
 		}
 	})
 }
 
-func (s *sim) anyMember() *simMember { return s.members[s.rng.IntN(len(s.members))] }
+func (s *sim) randomMember() *simMember { return s.members[s.rng.IntN(len(s.members))] }
 
-// user submits a job and asks until it is over, at any member.
-func (s *sim) user(j *simJob) {
+// runUser submits a job and asks until it is over, at any member.
+func (s *sim) runUser(j *simJob) {
 	spec := &protocol.JobSpec{ID: j.id, Team: "red", Shape: protocol.Array, Tasks: 1, CPUs: 1, GPUs: 1, MemoryGB: 1, EstimateS: 5}
 	var submit, poll, cancel func()
 	submit = func() {
@@ -531,155 +531,155 @@
 			return
 		}
 		known := *j
-		s.ask(s.anyMember(), Request{Kind: Submit, ID: j.id, Spec: spec, Body: []byte(`{"id":"` + j.id + `","crew":"red","shape":"sweep","pieces":1,"cards":1}`)}, func(a Answer) {
-			s.told(j, known, a)
+		s.userRequest(s.randomMember(), Request{Kind: Submit, ID: j.id, Spec: spec, Body: []byte(`{"id":"` + j.id + `","crew":"red","shape":"sweep","pieces":1,"cards":1}`)}, func(a Answer) {
+			s.checkAnswer(j, known, a)
 			if a.Code == 201 || a.Code == 200 {
 				j.accepted = true
 			}
 		})
-		s.after(s.span(time.Second, 4*time.Second), submit)
+		s.schedule(s.randDuration(time.Second, 4*time.Second), submit)
 	}
 	poll = func() {
-		if j.toldFinal != "" && s.rng.IntN(4) != 0 {
-			s.after(s.span(10*time.Second, 20*time.Second), poll)
+		if j.finalStatus != "" && s.rng.IntN(4) != 0 {
+			s.schedule(s.randDuration(10*time.Second, 20*time.Second), poll)
 			return
 		}
 		known := *j
-		s.ask(s.anyMember(), Request{Kind: Poll, ID: j.id}, func(a Answer) { s.told(j, known, a) })
-		s.after(s.span(2*time.Second, 5*time.Second), poll)
+		s.userRequest(s.randomMember(), Request{Kind: Poll, ID: j.id}, func(a Answer) { s.checkAnswer(j, known, a) })
+		s.schedule(s.randDuration(2*time.Second, 5*time.Second), poll)
 	}
 	cancel = func() {
-		if j.toldFinal != "" {
+		if j.finalStatus != "" {
 			return
 		}
-		j.asked = true
+		j.cancelRequested = true
 		known := *j
-		s.ask(s.anyMember(), Request{Kind: Cancel, ID: j.id}, func(a Answer) { s.told(j, known, a) })
-		s.after(s.span(time.Second, 3*time.Second), cancel)
+		s.userRequest(s.randomMember(), Request{Kind: Cancel, ID: j.id}, func(a Answer) { s.checkAnswer(j, known, a) })
+		s.schedule(s.randDuration(time.Second, 3*time.Second), cancel)
 	}
-	j.sentAt = s.now
+	j.submittedAt = s.now
 	submit()
-	s.after(time.Second, poll)
+	s.schedule(time.Second, poll)
 	if s.rng.IntN(4) == 0 {
-		s.after(s.span(0, 60*time.Second), cancel)
+		s.schedule(s.randDuration(0, 60*time.Second), cancel)
 	}
 }
 
-// told checks what a user hears against all it had heard when it asked: answers to
+// checkAnswer checks what a user hears against all it had heard when it asked: answers to
 // requests under way at once may come in any order.
-func (s *sim) told(j *simJob, known simJob, a Answer) {
-	s.say("user of %s is told %d %s", j.id, a.Code, a.State.Status)
+func (s *sim) checkAnswer(j *simJob, known simJob, a Answer) {
+	s.logf("user of %s is told %d %s", j.id, a.Code, a.State.Status)
 	switch {
 	case a.Code == 404 && known.accepted:
-		s.breaks("%s was accepted and is unknown", j.id)
+		s.violation("%s was accepted and is unknown", j.id)
 	case a.Code == 422:
-		s.breaks("%s is called impossible", j.id)
+		s.violation("%s is called impossible", j.id)
 	case a.Code != 200 && a.Code != 201:
 		return
 	}
 	st := a.State.Status
 	final := st == protocol.JobDone || st == protocol.JobCancelled
 	switch {
-	case known.toldFinal != "" && st != known.toldFinal, final && j.toldFinal != "" && st != j.toldFinal:
-		s.breaks("%s was called %s and is called %s", j.id, j.toldFinal, st)
-	case st == protocol.JobCancelled && !j.asked:
-		s.breaks("%s is cancelled and nobody asked", j.id)
+	case known.finalStatus != "" && st != known.finalStatus, final && j.finalStatus != "" && st != j.finalStatus:
+		s.violation("%s was called %s and is called %s", j.id, j.finalStatus, st)
+	case st == protocol.JobCancelled && !j.cancelRequested:
+		s.violation("%s is cancelled and nobody asked", j.id)
 	case st == protocol.JobDone:
 		ok := false
 		for _, x := range s.sites {
 			ok = ok || x != nil && x.done[j.id] > 0
 		}
 		if !ok {
-			s.breaks("%s is called done and no site has done it", j.id)
+			s.violation("%s is called done and no site has done it", j.id)
 		}
 	}
-	if final && j.toldFinal == "" {
-		j.toldFinal, j.toldAt = st, s.now
+	if final && j.finalStatus == "" {
+		j.finalStatus, j.finalAt = st, s.now
 	}
 }
 
-// trouble does something bad, and arranges for its end.
-func (s *sim) trouble(names []Member) {
-	if s.calm {
+// injectFaults does something bad, and arranges for its end.
+func (s *sim) injectFaults(names []Member) {
+	if s.faultsStopped {
 		return
 	}
-	s.after(s.span(2*time.Second, 25*time.Second), func() { s.trouble(names) })
-	m := s.anyMember()
-	long := s.span(time.Second, 70*time.Second)
+	s.schedule(s.randDuration(2*time.Second, 25*time.Second), func() { s.injectFaults(names) })
+	m := s.randomMember()
+	long := s.randDuration(time.Second, 70*time.Second)
 	switch s.rng.IntN(9) {
 	case 0, 1:
-		if m.up {
-			s.say("member %d ends for %v", m.i, long)
-			m.up = false
-			m.gen++
-			s.after(long, func() { m.boot(names) })
+		if m.running {
+			s.logf("member %d ends for %v", m.index, long)
+			m.running = false
+			m.generation++
+			s.schedule(long, func() { m.start(names) })
 		}
 	case 2:
-		s.say("member %d stands still for %v", m.i, long)
-		m.stall = max(m.stall, s.now+long)
+		s.logf("member %d stands still for %v", m.index, long)
+		m.stalledUntil = max(m.stalledUntil, s.now+long)
 	case 3, 4:
-		o := s.anyMember()
-		s.say("no way from %d to %d for %v", m.i, o.i, long)
-		s.cut[[2]int{m.i, o.i}] = s.now + long
+		o := s.randomMember()
+		s.logf("no way from %d to %d for %v", m.index, o.index, long)
+		s.cutUntil[[2]int{m.index, o.index}] = s.now + long
 		if s.rng.IntN(3) > 0 {
-			s.cut[[2]int{o.i, m.i}] = s.now + long
+			s.cutUntil[[2]int{o.index, m.index}] = s.now + long
 		}
 	case 5:
-		s.say("store of %d slow for %v", m.i, long)
-		m.slow = s.now + long
+		s.logf("store of %d slow for %v", m.index, long)
+		m.storeStalledUntil = s.now + long
 	case 6:
-		if x := s.sites[m.i]; x != nil {
-			s.say("daemon and controllers of %d apart for %v", m.i, long)
-			x.cutOff = s.now + long
+		if x := s.sites[m.index]; x != nil {
+			s.logf("daemon and controllers of %d apart for %v", m.index, long)
+			x.disconnectedUntil = s.now + long
 		}
 	case 7:
-		if x := s.sites[m.i]; x != nil && x.up {
-			s.say("controllers of %d end for %v", m.i, long)
-			x.up, x.gate = false, 0
-			s.after(long, func() { x.up = true })
+		if x := s.sites[m.index]; x != nil && x.running {
+			s.logf("controllers of %d end for %v", m.index, long)
+			x.running, x.leaseExpiry = false, 0
+			s.schedule(long, func() { x.running = true })
 		}
 	case 8:
-		if s.sites[m.i] != nil {
+		if s.sites[m.index] != nil {
 			m.drained = !m.drained
-			s.say("member %d drained %v", m.i, m.drained)
-			if m.up {
-				m.run(m.core.SetDrained(m.clock(), m.drained))
+			s.logf("member %d drained %v", m.index, m.drained)
+			if m.running {
+				m.applyEffects(m.core.SetDrained(m.clock(), m.drained))
 			}
 		}
 	}
 }
 
-// play runs one seed to its end.
-func play(seed uint64, faults Faults, names []Member) *sim {
+// runSim runs one seed to its end.
+func runSim(seed uint64, faults Faults, names []Member) *sim {
 	s := newSim(seed, faults, names)
-	s.lossy = s.rng.Float64() * 0.05
+	s.lossRate = s.rng.Float64() * 0.05
 	if seed%4 == 3 { // the sites' rates of changes are nearly used up
-		s.pace = 400 * time.Millisecond
+		s.storeTime = 400 * time.Millisecond
 	}
-	s.after(5*time.Second, func() { s.trouble(names) })
+	s.schedule(5*time.Second, func() { s.injectFaults(names) })
 	for i := range 14 {
-		j := &simJob{id: fmt.Sprintf("job-%06d", i), work: s.span(time.Second, 40*time.Second)}
+		j := &simJob{id: fmt.Sprintf("job-%06d", i), runTime: s.randDuration(time.Second, 40*time.Second)}
 		s.jobs = append(s.jobs, j)
-		s.after(s.span(time.Second, 150*time.Second), func() { s.user(j) })
+		s.schedule(s.randDuration(time.Second, 150*time.Second), func() { s.runUser(j) })
 	}
 	s.run(200 * time.Second)
-	s.calm = true
-	s.cut, s.lossy = map[[2]int]time.Duration{}, 0
+	s.faultsStopped = true
+	s.cutUntil, s.lossRate = map[[2]int]time.Duration{}, 0
 	for _, m := range s.members {
-		m.stall, m.slow, m.drained = 0, 0, false
-		if s.sites[m.i] != nil && m.up {
-			m.run(m.core.SetDrained(m.clock(), false))
+		m.stalledUntil, m.storeStalledUntil, m.drained = 0, 0, false
+		if s.sites[m.index] != nil && m.running {
+			m.applyEffects(m.core.SetDrained(m.clock(), false))
 		}
 	}
 	for _, x := range s.sites {
 		if x != nil {
-			x.cutOff = 0
+			x.disconnectedUntil = 0
 		}
 	}
 	s.run(480 * time.Second)
 	for _, j := range s.jobs {
-		if j.accepted && j.toldFinal == "" {
-			s.breaks("%s was accepted and has no final answer", j.id)
+		if j.accepted && j.finalStatus == "" {
+			s.violation("%s was accepted and has no final answer", j.id)
 		}
 		s.checkStores(j)
 	}
@@ -689,32 +689,32 @@
 // checkStores compares what a user was told with what the stores hold: of every
 // majority at least one member must know it.
 func (s *sim) checkStores(j *simJob) {
-	if j.toldFinal == "" {
+	if j.finalStatus == "" {
 		return
 	}
 	want := wire.Done
-	if j.toldFinal == protocol.JobCancelled {
+	if j.finalStatus == protocol.JobCancelled {
 		want = wire.Cancelled
 	}
 	has := 0
 	var top wire.Item
 	for _, m := range s.members {
 		it, ok := m.disk[j.id]
-		if ok && it.Record.Final == want {
+		if ok && it.Record.Outcome == want {
 			has++
 		}
-		if ok && it.Committed && it.Record.Final != wire.Open && it.Record.Final != want {
-			s.breaks("member %d holds another end of %s as agreed on", m.i, j.id)
+		if ok && it.Committed && it.Record.Outcome != wire.Open && it.Record.Outcome != want {
+			s.violation("member %d holds another end of %s as agreed on", m.index, j.id)
 		}
 		if ok && top.Accepted.Less(it.Accepted) {
 			top = it
 		}
 	}
 	if has < len(s.members)/2+1 {
-		s.breaks("%s: its end is stored by %d of %d members", j.id, has, len(s.members))
+		s.violation("%s: its end is stored by %d of %d members", j.id, has, len(s.members))
 	}
-	if top.Record.Final != want {
-		s.breaks("%s: the latest record does not hold its end", j.id)
+	if top.Record.Outcome != want {
+		s.violation("%s: the latest record does not hold its end", j.id)
 	}
 }
 
@@ -723,9 +723,9 @@
 	threeSites = []Member{{"gate", false}, {"quito", true}, {"tikal", true}, {"xela", true}}
 )
 
-func report(t *testing.T, seed uint64, s *sim) {
+func reportViolations(t *testing.T, seed uint64, s *sim) {
 	t.Helper()
-	t.Errorf("seed %d: %v", seed, s.broken)
+	t.Errorf("seed %d: %v", seed, s.violations)
 	if os.Getenv("SIM_TRACE") != "" {
 		for _, l := range s.trace {
 			t.Log(l)
@@ -733,8 +733,8 @@
 	}
 }
 
-// seeds is how many seeds each setup plays; SIM_SEEDS asks for more.
-func seeds() uint64 {
+// seedCount is how many seeds each setup plays; SIM_SEEDS asks for more.
+func seedCount() uint64 {
 	if n, err := strconv.ParseUint(os.Getenv("SIM_SEEDS"), 10, 64); err == nil {
 		return n
 	}
@@ -752,12 +752,12 @@
 		for part := range 4 {
 			t.Run(fmt.Sprintf("%s %d", name, part), func(t *testing.T) {
 				t.Parallel()
-				for seed := uint64(part); seed < seeds(); seed += 4 {
+				for seed := uint64(part); seed < seedCount(); seed += 4 {
 					if one := os.Getenv("SIM_SEED"); one != "" && one != fmt.Sprint(seed) {
 						continue
 					}
-					if s := play(seed, Faults{}, setups[name]); len(s.broken) > 0 {
-						report(t, seed, s)
+					if s := runSim(seed, Faults{}, setups[name]); len(s.violations) > 0 {
+						reportViolations(t, seed, s)
 						return
 					}
 				}
@@ -783,8 +783,8 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(200) {
-				if s := play(seed, f, threeSites); len(s.broken) > 0 {
-					t.Logf("found with seed %d: %s", seed, s.broken[0])
+				if s := runSim(seed, f, threeSites); len(s.violations) > 0 {
+					t.Logf("found with seed %d: %s", seed, s.violations[0])
 					return
 				}
 			}
@@ -795,7 +795,7 @@
 
 // TestSameSeedSameHistory guards the repeatability that failing seeds rely on.
 func TestSameSeedSameHistory(t *testing.T) {
-	a, b := play(3, Faults{}, twoSites), play(3, Faults{}, twoSites)
+	a, b := runSim(3, Faults{}, twoSites), runSim(3, Faults{}, twoSites)
 	if !slices.Equal(a.trace, b.trace) {
 		t.Error("two runs of one seed differ")
 	}
@@ -812,12 +812,12 @@
 			for step := range 60 {
 				s := newSim(uint64(step), Faults{}, twoSites)
 				taking, steps, ended := false, 0, false
-				s.before = func(m *simMember, e *Effects) int {
-					if m.i != 0 || ended || s.now < 10*time.Second {
+				s.beforeEffects = func(m *simMember, e *Effects) int {
+					if m.index != 0 || ended || s.now < 10*time.Second {
 						return 0
 					}
 					for _, id := range sortedKeys(m.core.rounds) {
-						for _, ch := range append(m.core.rounds[id].queue, m.core.rounds[id].now...) {
+						for _, ch := range append(m.core.rounds[id].queued, m.core.rounds[id].applied...) {
 							taking = taking || ch.op.kind == opClaim
 						}
 					}
@@ -828,36 +828,36 @@
 						return 0
 					}
 					ended = true
-					m.up = false
-					m.gen++
-					s.after(30*time.Second, func() { m.boot(twoSites) })
+					m.running = false
+					m.generation++
+					s.schedule(30*time.Second, func() { m.start(twoSites) })
 					if only == 2 {
-						m.gen-- // what is handed to the store is written
-						s.after(0, func() { m.gen++ })
+						m.generation-- // what is handed to the store is written
+						s.schedule(0, func() { m.generation++ })
 					}
 					return only
 				}
 				for i := range 3 {
-					j := &simJob{id: fmt.Sprintf("job-%06d", i), work: 25 * time.Second}
+					j := &simJob{id: fmt.Sprintf("job-%06d", i), runTime: 25 * time.Second}
 					s.jobs = append(s.jobs, j)
-					s.after(4*time.Second+time.Duration(i)*100*time.Millisecond, func() { s.user(j) })
+					s.schedule(4*time.Second+time.Duration(i)*100*time.Millisecond, func() { s.runUser(j) })
 				}
 				// quito is lost with its controllers, and comes back with its claims.
-				s.after(9*time.Second, func() {
+				s.schedule(9*time.Second, func() {
 					quito := s.members[1]
-					quito.up = false
-					quito.gen++
-					s.after(70*time.Second, func() { quito.boot(twoSites) })
+					quito.running = false
+					quito.generation++
+					s.schedule(70*time.Second, func() { quito.start(twoSites) })
 				})
 				s.run(300 * time.Second)
 				for _, j := range s.jobs {
-					if !j.accepted || j.toldFinal == "" {
-						s.breaks("%s: accepted %v, final answer %q", j.id, j.accepted, j.toldFinal)
+					if !j.accepted || j.finalStatus == "" {
+						s.violation("%s: accepted %v, final answer %q", j.id, j.accepted, j.finalStatus)
 					}
 					s.checkStores(j)
 				}
-				if len(s.broken) > 0 {
-					report(t, uint64(step), s)
+				if len(s.violations) > 0 {
+					reportViolations(t, uint64(step), s)
 					return
 				}
 				if ended {
--- a/internal/coordination/gateway/siteclient.go
+++ b/internal/coordination/gateway/siteclient.go
@@ -14,10 +14,10 @@
 // Controllers calls a site's controllers: any of them serves, the one that last
 // answered is asked first.
 type Controllers struct {
-	clients []*transport.Client
-	addrs   []string
-	good    atomic.Int64
-	log     *slog.Logger
+	clients   []*transport.Client
+	addrs     []string
+	preferred atomic.Int64
+	log       *slog.Logger
 }
 
 // NewControllers makes a client of some controllers.
@@ -44,17 +44,17 @@
 		e.Items[i] = wire.Item{Kind: q.Kind, ID: q.ID, Record: wire.Record{Epoch: q.Epoch, Spec: q.Spec, CreatedMS: q.CreatedMS}}
 		byID[q.ID] = q
 	}
-	at := int(c.good.Load()) % len(c.clients)
+	at := int(c.preferred.Load()) % len(c.clients)
 	a, err := c.clients[at].Call(ctx, callTimeout, "POST", "/site/calls", wire.Encode(e))
 	if err != nil || a.Status != 200 {
 		c.log.Debug("controller does not answer", "addr", c.addrs[at], "status", a.Status, "why", err)
-		c.good.Store(int64(at + 1))
+		c.preferred.Store(int64(at + 1))
 		return nil
 	}
 	got, err := wire.Decode(a.Body)
 	if err != nil {
 		c.log.Warn("controller's answer not understood", "addr", c.addrs[at], "why", err)
-		c.good.Store(int64(at + 1))
+		c.preferred.Store(int64(at + 1))
 		return nil
 	}
 	var out []Result
@@ -65,13 +65,13 @@
 		if q == nil || it.Record.Epoch != q.Epoch || it.Kind != wire.Result {
 			continue
 		}
-		if it.Why == wire.Busy {
+		if it.Code == wire.Unavailable {
 			busy++
 		}
-		out = append(out, Result{Call: *q, Code: it.Why, Done: it.Record.Tasks, Running: it.Running, Rev: it.Ballot.N, Why: string(it.Record.Spec)})
+		out = append(out, Result{Call: *q, Code: it.Code, Done: it.Record.Tasks, Running: it.Running, Revision: it.Ballot.Number, Reason: string(it.Record.Spec)})
 	}
 	if len(out) < len(calls) || busy == len(calls) {
-		c.good.Store(int64(at + 1)) // perhaps another one has the state service
+		c.preferred.Store(int64(at + 1)) // perhaps another one has the state service
 	}
 	return out
 }
@@ -101,11 +101,11 @@
 			all = append(all, h)
 		}
 	}
-	return addHints(all)
+	return sumHints(all)
 }
 
-// addHints adds up what controllers know of their shares; nil if none says anything.
-func addHints(all []*wire.Hint) *wire.Hint {
+// sumHints adds up what controllers know of their shares; nil if none says anything.
+func sumHints(all []*wire.Hint) *wire.Hint {
 	if len(all) == 0 {
 		return nil
 	}
@@ -116,7 +116,7 @@
 		sum.FreeGPUs += h.FreeGPUs
 		sum.Waiting += h.Waiting
 		for i := range min(len(sum.Teams), len(h.Teams)) {
-			sum.Teams[i].UsedGPU += h.Teams[i].UsedGPU
+			sum.Teams[i].UsedGPUs += h.Teams[i].UsedGPUs
 			sum.Teams[i].Waiting += h.Teams[i].Waiting
 		}
 		for _, im := range h.Images {
--- a/internal/coordination/gateway/stores.go
+++ b/internal/coordination/gateway/stores.go
@@ -38,7 +38,7 @@
 		return wire.Item{}, fmt.Errorf("stored register %q: %w", key, err)
 	}
 	it := e.Items[0]
-	if it.Kind != wire.State && it.Kind != wire.SiteState || storeKey(&it) != key {
+	if it.Kind != wire.RegisterState && it.Kind != wire.SiteState || storeKey(&it) != key {
 		return wire.Item{}, fmt.Errorf("stored register %q: it is another's", key)
 	}
 	return it, nil
--- a/internal/coordination/ledger/book.go
+++ b/internal/coordination/ledger/book.go
@@ -12,15 +12,15 @@
 	Job, Team, Class, Shape string
 	State                   string
 	Submitted, Ended        int64 // ms
-	Tasks, Lost             int
+	Tasks, LostRuns         int
 
 	stored bool // in the state service, as far as this node knows
 }
 
 // Row is an entry as a row of the account.
 func (e *Entry) Row(node string) Row {
-	r := Row{Job: e.Job, Team: e.Team, Class: e.Class, Shape: e.Shape, State: e.State, Tasks: e.Tasks, Lost: e.Lost, Submitted: e.Submitted, Ended: e.Ended, AsOf: e.Ended, Since: e.Ended, Node: node}
-	if e.Lost > 0 {
+	r := Row{Job: e.Job, Team: e.Team, Class: e.Class, Shape: e.Shape, State: e.State, Tasks: e.Tasks, Lost: e.LostRuns, Submitted: e.Submitted, Ended: e.Ended, AsOf: e.Ended, Since: e.Ended, Node: node}
+	if e.LostRuns > 0 {
 		r.LostMS = e.Ended
 	}
 	if e.State == Done {
@@ -29,8 +29,8 @@
 	return r
 }
 
-// Book is a bounded memory of what ended, in the order of its ends.
-type Book struct {
+// History is a bounded memory of what ended, in the order of its ends.
+type History struct {
 	most  int
 	keep  time.Duration
 	byJob map[string]*Entry
@@ -38,17 +38,17 @@
 	since int64 // what ended before is not remembered
 }
 
-// NewBook makes a book of at most so many entries, each kept for so long, that begins
+// NewHistory makes a book of at most so many entries, each kept for so long, that begins
 // now.
-func NewBook(most int, keep time.Duration, now time.Time) *Book {
-	return &Book{most: most, keep: keep, byJob: map[string]*Entry{}, since: now.UnixMilli()}
+func NewHistory(most int, keep time.Duration, now time.Time) *History {
+	return &History{most: most, keep: keep, byJob: map[string]*Entry{}, since: now.UnixMilli()}
 }
 
 // Add remembers an entry. One that is there is only replaced by one that knows more
 // losses: every node sees the same end.
-func (b *Book) Add(e Entry) {
+func (b *History) Add(e Entry) {
 	if old := b.byJob[e.Job]; old != nil {
-		old.Lost = max(old.Lost, e.Lost)
+		old.LostRuns = max(old.LostRuns, e.LostRuns)
 		return
 	}
 	p := &e
@@ -63,15 +63,15 @@
 	}
 }
 
-func (b *Book) forget() {
+func (b *History) forget() {
 	b.since = max(b.since, b.order[0].Ended+1)
 	delete(b.byJob, b.order[0].Job)
 	b.order[0] = nil
 	b.order = b.order[1:]
 }
 
-// Age forgets what is too old.
-func (b *Book) Age(now time.Time) {
+// DropExpired forgets what is too old.
+func (b *History) DropExpired(now time.Time) {
 	oldest := now.Add(-b.keep).UnixMilli()
 	for len(b.order) > 0 && b.order[0].Ended < oldest {
 		b.forget()
@@ -79,14 +79,14 @@
 	b.since = max(b.since, oldest)
 }
 
-// Since is the time before which nothing is remembered.
-func (b *Book) Since() int64 { return b.since }
+// RememberedSince is the time before which nothing is remembered.
+func (b *History) RememberedSince() int64 { return b.since }
 
 // Len is the number of entries.
-func (b *Book) Len() int { return len(b.order) }
+func (b *History) Len() int { return len(b.order) }
 
 // Each calls f with every entry, the earliest end first.
-func (b *Book) Each(f func(*Entry)) {
+func (b *History) Each(f func(*Entry)) {
 	for _, e := range b.order {
 		f(e)
 	}
@@ -94,24 +94,24 @@
 
 // Segment is a stored part of the book. Names are written once.
 type Segment struct {
-	To    int64     `json:"t"` // ms
+	EndMS int64     `json:"t"` // ms
 	Names []string  `json:"n"`
 	Rows  [][]int64 `json:"r"` // team, class, shape, state: indices; submitted before To, ended before To, tasks, lost
 	Jobs  []string  `json:"j"`
 }
 
-// Begin makes this node the one that stores what ends from now on, and what ended
+// BeginStoring makes this node the one that stores what ends from now on, and what ended
 // within overlap: it does not know where the one before it stopped.
-func (b *Book) Begin(now time.Time, overlap time.Duration) {
+func (b *History) BeginStoring(now time.Time, overlap time.Duration) {
 	for _, e := range b.order {
 		e.stored = e.Ended < now.Add(-overlap).UnixMilli()
 	}
 }
 
-// Unstored takes entries that are not stored yet into a segment that fits a value. done
+// NextSegment takes entries that are not stored yet into a segment that fits a value. done
 // is called when that is stored.
-func (b *Book) Unstored(now time.Time, most int) (key string, data []byte, done func()) {
-	seg := Segment{To: now.UnixMilli()}
+func (b *History) NextSegment(now time.Time, most int) (key string, data []byte, done func()) {
+	seg := Segment{EndMS: now.UnixMilli()}
 	var taken []*Entry
 	names := map[string]int64{}
 	name := func(s string) int64 {
@@ -139,7 +139,7 @@
 		}
 		taken = append(taken, e)
 		seg.Jobs = append(seg.Jobs, e.Job)
-		seg.Rows = append(seg.Rows, []int64{name(e.Team), name(e.Class), name(e.Shape), name(e.State), seg.To - e.Submitted, seg.To - e.Ended, int64(e.Tasks), int64(e.Lost)})
+		seg.Rows = append(seg.Rows, []int64{name(e.Team), name(e.Class), name(e.Shape), name(e.State), seg.EndMS - e.Submitted, seg.EndMS - e.Ended, int64(e.Tasks), int64(e.LostRuns)})
 	}
 	if len(seg.Jobs) == 0 {
 		return "", nil, func() {}
@@ -148,7 +148,7 @@
 	if err != nil {
 		return "", nil, func() {}
 	}
-	return SegmentKey(seg.To), data, func() {
+	return SegmentKey(seg.EndMS), data, func() {
 		for _, e := range taken {
 			e.stored = true
 		}
@@ -159,13 +159,13 @@
 func SegmentKey(ms int64) string { return fmt.Sprintf("%013d", ms) }
 
 // Load takes in a stored segment. now bounds what it may say.
-func (b *Book) Load(data []byte, now time.Time) error {
+func (b *History) Load(data []byte, now time.Time) error {
 	var s Segment
 	if err := json.Unmarshal(data, &s); err != nil {
 		return err
 	}
-	if len(s.Rows) != len(s.Jobs) || s.To > now.Add(time.Hour).UnixMilli() {
-		return fmt.Errorf("a segment of %d jobs and %d rows, up to %d", len(s.Jobs), len(s.Rows), s.To)
+	if len(s.Rows) != len(s.Jobs) || s.EndMS > now.Add(time.Hour).UnixMilli() {
+		return fmt.Errorf("a segment of %d jobs and %d rows, up to %d", len(s.Jobs), len(s.Rows), s.EndMS)
 	}
 	for i, r := range s.Rows {
 		if len(r) != 8 {
@@ -177,19 +177,19 @@
 			}
 		}
 		b.Add(Entry{Job: s.Jobs[i], Team: s.Names[r[0]], Class: s.Names[r[1]], Shape: s.Names[r[2]], State: s.Names[r[3]],
-			Submitted: s.To - r[4], Ended: s.To - r[5], Tasks: int(r[6]), Lost: int(r[7])})
+			Submitted: s.EndMS - r[4], Ended: s.EndMS - r[5], Tasks: int(r[6]), LostRuns: int(r[7])})
 	}
 	return nil
 }
 
-// Loaded notes that all stored segments were taken in: the book reaches back as far as
+// FinishLoading notes that all stored segments were taken in: the book reaches back as far as
 // they do.
-func (b *Book) Loaded(now time.Time) {
+func (b *History) FinishLoading(now time.Time) {
 	oldest := now.Add(-b.keep).UnixMilli()
 	if len(b.order) < b.most {
 		b.since = min(b.since, oldest)
 	}
-	b.Age(now)
+	b.DropExpired(now)
 }
 
 // Sample is how a node's shares were at a time.
@@ -204,20 +204,20 @@
 	Ended    int   `json:"e"` // jobs, since the last sample
 }
 
-// MostSamples bounds what a node remembers: six hours of one a minute.
-const MostSamples = 360
+// MaxSamples bounds what a node remembers: six hours of one a minute.
+const MaxSamples = 360
 
-// SamplePause is how long samples are apart.
-const SamplePause = time.Minute
+// SampleInterval is how long samples are apart.
+const SampleInterval = time.Minute
 
 // SumSamples adds up the samples of several nodes by minute.
 func SumSamples(all ...[]Sample) []Sample {
 	sum := map[int64]Sample{}
 	for _, ss := range all {
 		for _, s := range ss {
-			at := s.AtMS / SamplePause.Milliseconds()
+			at := s.AtMS / SampleInterval.Milliseconds()
 			t := sum[at]
-			sum[at] = Sample{at * SamplePause.Milliseconds(), t.Waiting + s.Waiting, t.Running + s.Running, t.Machines + s.Machines, t.Silent + s.Silent, t.Stuck + s.Stuck, t.Lost + s.Lost, t.Ended + s.Ended}
+			sum[at] = Sample{at * SampleInterval.Milliseconds(), t.Waiting + s.Waiting, t.Running + s.Running, t.Machines + s.Machines, t.Silent + s.Silent, t.Stuck + s.Stuck, t.Lost + s.Lost, t.Ended + s.Ended}
 		}
 	}
 	out := make([]Sample, 0, len(sum))
--- a/internal/coordination/ledger/row.go
+++ b/internal/coordination/ledger/row.go
@@ -24,8 +24,8 @@
 // States are all of them, those that want looking at first.
 var States = []string{Stuck, Unknown, Waiting, Starting, Running, Stopping, Failed, Withdrawn, Done}
 
-// Over says whether a state is final.
-func Over(state string) bool { return state == Done || state == Withdrawn || state == Failed }
+// IsFinal says whether a state is final.
+func IsFinal(state string) bool { return state == Done || state == Withdrawn || state == Failed }
 
 // Row is one job.
 type Row struct {
@@ -52,7 +52,7 @@
 	Submitted int64    `json:"submitted_ms"`
 	Since     int64    `json:"since_ms,omitempty"` // when its state began, as far as is known
 	Ended     int64    `json:"ended_ms,omitempty"`
-	Story     []Event  `json:"story,omitempty"` // of a job that was asked for alone: the last of it
+	Events    []Event  `json:"story,omitempty"` // of a job that was asked for alone: the last of it
 	AsOf      int64    `json:"as_of_ms"`        // the moment that the row is true for
 	Node      string   `json:"node"`            // that told it
 }
@@ -63,8 +63,8 @@
 	Text string `json:"e"`
 }
 
-// MostEvents bounds what is remembered of an open job.
-const MostEvents = 12
+// MaxEvents bounds what is remembered of an open job.
+const MaxEvents = 12
 
 // Query chooses rows.
 type Query struct {
@@ -72,27 +72,27 @@
 	Text                            string // in the job's id, ticket, class or team
 	Since                           int64  // ms: ended, lost or submitted since then
 	After                           string // rows after this job
-	Most                            int
+	Limit                           int
 }
 
-// MostRows bounds a page.
-const MostRows = 200
+// MaxRows bounds a page.
+const MaxRows = 200
 
-// Check says what is wrong with a query.
-func (q *Query) Check() error {
+// Validate says what is wrong with a query.
+func (q *Query) Validate() error {
 	switch {
 	case q.State != "" && !slices.Contains(States, q.State):
 		return fmt.Errorf("state: must be one of %s", strings.Join(States, ", "))
-	case q.Most < 1 || q.Most > MostRows:
-		return fmt.Errorf("limit: must be 1 to %d", MostRows)
+	case q.Limit < 1 || q.Limit > MaxRows:
+		return fmt.Errorf("limit: must be 1 to %d", MaxRows)
 	case len(q.Text) > 100:
 		return fmt.Errorf("q: must be at most 100 characters")
 	}
 	return nil
 }
 
-// Takes says whether a row is chosen, whichever page it is on.
-func (q *Query) Takes(r *Row) bool {
+// Matches says whether a row is chosen, whichever page it is on.
+func (q *Query) Matches(r *Row) bool {
 	is := func(want, have string) bool { return want == "" || want == have }
 	return is(q.State, r.State) && is(q.Team, r.Team) && is(q.Class, r.Class) && is(q.Image, r.Image) && (q.Zone == "" || slices.Contains(r.Zones, q.Zone)) &&
 		(q.Text == "" || strings.Contains(r.Job, q.Text) || strings.Contains(r.Ticket, q.Text) || strings.Contains(r.Class, q.Text) || strings.Contains(r.Team, q.Text)) &&
@@ -101,17 +101,17 @@
 
 // Page is a part of the account.
 type Page struct {
-	Node     string                    `json:"node"`
-	AsOf     int64                     `json:"as_of_ms"`
-	StateAge float64                   `json:"state_age_s"`  // since the state service last answered
-	Since    int64                     `json:"remembers_ms"` // what ended before this is not remembered
-	Sums     map[string]int            `json:"sums"`         // jobs by state, on the page or not
-	Teams    map[string]map[string]int `json:"teams"`        // the same by team
-	Classes  map[string]map[string]int `json:"classes"`      // the same by class
-	Zones    map[string]ZoneSums       `json:"zones"`        // machines by zone
-	Rows     []Row                     `json:"rows"`         // by job
-	After    string                    `json:"after,omitempty"`
-	Unknown  []string                  `json:"unknown,omitempty"` // what is not known, and since when
+	Node             string                    `json:"node"`
+	AsOf             int64                     `json:"as_of_ms"`
+	SinceStateAnswer float64                   `json:"state_age_s"`  // since the state service last answered
+	RememberedSince  int64                     `json:"remembers_ms"` // what ended before this is not remembered
+	JobsByState      map[string]int            `json:"sums"`         // jobs by state, on the page or not
+	Teams            map[string]map[string]int `json:"teams"`        // the same by team
+	Classes          map[string]map[string]int `json:"classes"`      // the same by class
+	Zones            map[string]ZoneSums       `json:"zones"`        // machines by zone
+	Rows             []Row                     `json:"rows"`         // by job
+	After            string                    `json:"after,omitempty"`
+	Unknown          []string                  `json:"unknown,omitempty"` // what is not known, and since when
 }
 
 // ZoneSums are machines of a zone.
@@ -127,18 +127,18 @@
 
 // NewPage makes an empty page.
 func NewPage(node string, now time.Time) *Page {
-	return &Page{Node: node, AsOf: now.UnixMilli(), Sums: map[string]int{}, Teams: map[string]map[string]int{}, Classes: map[string]map[string]int{}, Zones: map[string]ZoneSums{}, Rows: []Row{}}
+	return &Page{Node: node, AsOf: now.UnixMilli(), JobsByState: map[string]int{}, Teams: map[string]map[string]int{}, Classes: map[string]map[string]int{}, Zones: map[string]ZoneSums{}, Rows: []Row{}}
 }
 
 // Add counts a row, and takes it onto the page if the query does. Finish cuts the page.
 func (p *Page) Add(q *Query, r Row) {
 	p.count(r.State, r.Team, r.Class, 1)
-	if r.Job > q.After && q.Takes(&r) {
+	if r.Job > q.After && q.Matches(&r) {
 		p.Rows = append(p.Rows, r)
 	}
 	// Of thousands only the first by job stay; twice as many as asked for, since some
 	// may be there twice.
-	if keep := 2*q.Most + 2; len(p.Rows) > 4*keep {
+	if keep := 2*q.Limit + 2; len(p.Rows) > 4*keep {
 		slices.SortFunc(p.Rows, byJob)
 		clear(p.Rows[keep:])
 		p.Rows = p.Rows[:keep]
@@ -150,7 +150,7 @@
 }
 
 func (p *Page) count(state, team, class string, n int) {
-	p.Sums[state] += n
+	p.JobsByState[state] += n
 	for by, name := range map[*map[string]map[string]int]string{&p.Teams: team, &p.Classes: class} {
 		if (*by)[name] == nil {
 			(*by)[name] = map[string]int{}
@@ -159,10 +159,10 @@
 	}
 }
 
-// Join takes in another node's part.
-func (p *Page) Join(o *Page) {
-	for s, n := range o.Sums {
-		p.Sums[s] += n
+// Merge takes in another node's part.
+func (p *Page) Merge(o *Page) {
+	for s, n := range o.JobsByState {
+		p.JobsByState[s] += n
 	}
 	for _, x := range [][2]map[string]map[string]int{{p.Teams, o.Teams}, {p.Classes, o.Classes}} {
 		for name, sums := range x[1] {
@@ -182,7 +182,7 @@
 		p.After = o.After // beyond it not all of the other's rows are here
 	}
 	p.Unknown = append(p.Unknown, o.Unknown...)
-	p.StateAge = max(p.StateAge, o.StateAge)
+	p.SinceStateAnswer = max(p.SinceStateAnswer, o.SinceStateAnswer)
 }
 
 // Add adds machines up.
@@ -207,16 +207,16 @@
 	if p.After != "" {
 		p.Rows = p.Rows[:slices.IndexFunc(append(slices.Clone(p.Rows), Row{Job: "\xff"}), func(r Row) bool { return r.Job > p.After })]
 	}
-	if len(p.Rows) > q.Most {
-		p.Rows = p.Rows[:q.Most]
-		p.After = p.Rows[q.Most-1].Job
+	if len(p.Rows) > q.Limit {
+		p.Rows = p.Rows[:q.Limit]
+		p.After = p.Rows[q.Limit-1].Job
 	}
 	slices.Sort(p.Unknown)
 }
 
 // late orders accounts of one job.
 func late(r Row) int64 {
-	if Over(r.State) {
+	if IsFinal(r.State) {
 		return 1<<62 + r.AsOf
 	}
 	return r.AsOf
--- a/internal/coordination/ledger/stuck.go
+++ b/internal/coordination/ledger/stuck.go
@@ -6,33 +6,33 @@
 	"time"
 )
 
-// Facts are what is known of an open job for judging whether it gets on.
-type Facts struct {
-	Service  bool
-	Gang     bool
-	Expect   time.Duration // the owner's estimate of a task's run; 0: none
-	Class    *Runs         // how long runs of its class took; nil: none seen
-	Longest  time.Duration // the longest run under way on a machine that reports
-	Fetching time.Duration // the longest fetch under way
-	FetchDue time.Duration // what such a fetch should take
-	Gather   time.Duration // how long tasks have waited for the rest of their gang
-	GangWait time.Duration // after which they give up
-	Waits    time.Duration // how long tasks have waited for a machine
-	Free     bool          // though a decision would start them
-	Missing  time.Duration // service: how long replicas have been missing
-	Restarts int           // starts of one task that came to nothing, in a row
-	Untold   time.Duration // how long an end has been known that nobody could be told
-	Silent   time.Duration // how long all that runs of it has been on machines not heard
+// StuckFacts are what is known of an open job for judging whether it gets on.
+type StuckFacts struct {
+	Service         bool
+	Gang            bool
+	Estimate        time.Duration // the owner's estimate of a task's run; 0: none
+	ClassRunTimes   *RunTimes     // how long runs of its class took; nil: none seen
+	LongestRun      time.Duration // the longest run under way on a machine that reports
+	LongestFetch    time.Duration // the longest fetch under way
+	ExpectedFetch   time.Duration // what such a fetch should take
+	GangWaiting     time.Duration // how long tasks have waited for the rest of their gang
+	GangTimeout     time.Duration // after which they give up
+	Waiting         time.Duration // how long tasks have waited for a machine
+	CouldStart      bool          // though a decision would start them
+	ReplicasMissing time.Duration // service: how long replicas have been missing
+	FailedStarts    int           // starts of one task that came to nothing, in a row
+	EndUnstored     time.Duration // how long an end has been known that nobody could be told
+	Silent          time.Duration // how long all that runs of it has been on machines not heard
 }
 
-// Runs is a bounded memory of how long runs of a class took.
-type Runs struct {
+// RunTimes is a bounded memory of how long runs of a class took.
+type RunTimes struct {
 	last [64]time.Duration
 	n    int
 }
 
-// Saw remembers a run.
-func (r *Runs) Saw(d time.Duration) {
+// Observe remembers a run.
+func (r *RunTimes) Observe(d time.Duration) {
 	r.last[r.n%len(r.last)] = d
 	r.n++
 }
@@ -41,7 +41,7 @@
 const fewRuns = 8
 
 // Longest is the longest of the remembered runs; ok if enough were seen.
-func (r *Runs) Longest() (d time.Duration, ok bool) {
+func (r *RunTimes) Longest() (d time.Duration, ok bool) {
 	if r == nil || r.n < fewRuns {
 		return 0, false
 	}
@@ -63,35 +63,35 @@
 // RunLimit is how long a run may take before it is called stalled. Owners' estimates
 // are often wrong by half and sometimes by more; what the class showed goes before
 // them, so that what is known to be slow raises no alarm.
-func (f *Facts) RunLimit() time.Duration {
-	seen, known := f.Class.Longest()
+func (f *StuckFacts) RunLimit() time.Duration {
+	seen, known := f.ClassRunTimes.Longest()
 	switch {
 	case known:
-		return max(2*seen, f.Expect) + leastRun
-	case f.Expect > 0:
-		return 3*f.Expect + leastRun
+		return max(2*seen, f.Estimate) + leastRun
+	case f.Estimate > 0:
+		return 3*f.Estimate + leastRun
 	}
 	return unknownRun
 }
 
-// Judge says why a job is stuck, empty if it is not.
-func Judge(f *Facts) string {
+// StuckReason says why a job is stuck, empty if it is not.
+func StuckReason(f *StuckFacts) string {
 	s := func(d time.Duration) string { return fmt.Sprintf("%.0f s", d.Seconds()) }
 	switch {
-	case f.Untold > mostUntold:
-		return "an end that could not be stored, and so not told, for " + s(f.Untold)
-	case f.Restarts >= mostTries:
-		return fmt.Sprintf("started %d times in a row without getting on", f.Restarts)
-	case !f.Service && f.Longest > f.RunLimit():
-		return fmt.Sprintf("a task runs for %s, and should be done after %s at the most", s(f.Longest), s(f.RunLimit()))
-	case f.Fetching > 3*f.FetchDue+leastFetch:
-		return fmt.Sprintf("an image is fetched for %s, which should take %s", s(f.Fetching), s(f.FetchDue))
-	case f.Gang && f.Gather > f.GangWait+leastFetch:
-		return "its gang does not gather, for " + s(f.Gather)
-	case f.Service && f.Missing > mostMissing:
-		return "replicas are missing for " + s(f.Missing)
-	case f.Free && f.Waits > mostFree:
-		return "it waits for " + s(f.Waits) + " though there is room"
+	case f.EndUnstored > mostUntold:
+		return "an end that could not be stored, and so not told, for " + s(f.EndUnstored)
+	case f.FailedStarts >= mostTries:
+		return fmt.Sprintf("started %d times in a row without getting on", f.FailedStarts)
+	case !f.Service && f.LongestRun > f.RunLimit():
+		return fmt.Sprintf("a task runs for %s, and should be done after %s at the most", s(f.LongestRun), s(f.RunLimit()))
+	case f.LongestFetch > 3*f.ExpectedFetch+leastFetch:
+		return fmt.Sprintf("an image is fetched for %s, which should take %s", s(f.LongestFetch), s(f.ExpectedFetch))
+	case f.Gang && f.GangWaiting > f.GangTimeout+leastFetch:
+		return "its gang does not gather, for " + s(f.GangWaiting)
+	case f.Service && f.ReplicasMissing > mostMissing:
+		return "replicas are missing for " + s(f.ReplicasMissing)
+	case f.CouldStart && f.Waiting > mostFree:
+		return "it waits for " + s(f.Waiting) + " though there is room"
 	}
 	return ""
 }
