--- a/internal/coordination/node/account.go
+++ b/internal/coordination/node/account.go
@@ -63,8 +63,8 @@
 // account is what a node remembers.
 type account struct {
 	settings   AccountSettings
-	history    *ledger.Book
-	runTimes   map[string]*ledger.Runs // by class
+	history    *ledger.History
+	runTimes   map[string]*ledger.RunTimes // by class
 	samples    []ledger.Sample
 	lostRuns   int // since the last sample
 	endedCount int
@@ -83,7 +83,7 @@
 	if s.Entries == 0 {
 		s.Entries, s.Retention, s.StoreInterval = 1000, 24*time.Hour, 0
 	}
-	return account{settings: s, history: ledger.NewBook(s.Entries, s.Retention, now), runTimes: map[string]*ledger.Runs{}}
+	return account{settings: s, history: ledger.NewHistory(s.Entries, s.Retention, now), runTimes: map[string]*ledger.RunTimes{}}
 }
 
 // SetAccountSettings sets how much is remembered of what ended. It is called before Run.
@@ -105,7 +105,7 @@
 		s.events[l-1].AtMS = now.UnixMilli()
 		return
 	}
-	if s.events = append(s.events, ledger.Event{AtMS: now.UnixMilli(), Text: text}); len(s.events) > ledger.MostEvents {
+	if s.events = append(s.events, ledger.Event{AtMS: now.UnixMilli(), Text: text}); len(s.events) > ledger.MaxEvents {
 		s.events = s.events[1:]
 	}
 }
@@ -153,11 +153,11 @@
 	}
 	r := n.account.runTimes[j.spec.Class]
 	if r == nil && len(n.account.runTimes) < mostClasses {
-		r = &ledger.Runs{}
+		r = &ledger.RunTimes{}
 		n.account.runTimes[j.spec.Class] = r
 	}
 	if r != nil {
-		r.Saw(now.Sub(t.runningSince))
+		r.Observe(now.Sub(t.runningSince))
 	}
 }
 
@@ -181,7 +181,7 @@
 	if f, ok := n.finalJobs.byID[j.id]; ok && f.Status == protocol.JobCancelled || j.cancelled {
 		state = ledger.Withdrawn
 	}
-	n.addToHistory(ledger.Entry{Job: j.id, Team: j.spec.Team, Class: j.spec.Class, Shape: j.spec.Shape, State: state, Submitted: j.submitted.UnixMilli(), Tasks: j.spec.Tasks, Lost: j.history.lostRuns})
+	n.addToHistory(ledger.Entry{Job: j.id, Team: j.spec.Team, Class: j.spec.Class, Shape: j.spec.Shape, State: state, Submitted: j.submitted.UnixMilli(), Tasks: j.spec.Tasks, LostRuns: j.history.lostRuns})
 }
 
 func (n *Node) recordTicketEnd(t *openTicket) {
@@ -190,7 +190,7 @@
 	switch {
 	case known:
 		state = f.Status // the same words
-	case t.rec.Failing != "":
+	case t.rec.FailureReason != "":
 		state = ledger.Failed
 	case t.cancelled:
 		state = ledger.Withdrawn
@@ -210,11 +210,11 @@
 // tickAccount samples, stores and forgets, each now and then.
 func (n *Node) tickAccount(now time.Time) {
 	a := &n.account
-	if now.Sub(a.lastSample) >= ledger.SamplePause {
+	if now.Sub(a.lastSample) >= ledger.SampleInterval {
 		a.lastSample = now
-		a.history.Age(now)
+		a.history.DropExpired(now)
 		a.samples = append(a.samples, n.takeSample(now))
-		if len(a.samples) > ledger.MostSamples {
+		if len(a.samples) > ledger.MaxSamples {
 			a.samples = a.samples[1:]
 		}
 	}
@@ -244,13 +244,13 @@
 // the oldest segment if that is too old.
 func (n *Node) storeHistory(now time.Time) {
 	a := &n.account
-	key, data, done := a.history.Unstored(now, int(n.cfg.Params.State.ValueKB*1024)-64)
+	key, data, done := a.history.NextSegment(now, int(n.cfg.Params.State.ValueKB*1024)-64)
 	if key == "" {
 		return
 	}
-	key = protocol.BookRoot + key
-	op := &storage.Op{Conds: []storage.Cond{n.unchanged(protocol.HolderKey(0))}, Writes: []storage.Write{{Put: key, Value: data}}}
-	oldest := protocol.BookRoot + ledger.SegmentKey(now.Add(-a.settings.Retention).UnixMilli())
+	key = protocol.HistoryRoot + key
+	op := &storage.Op{Conds: []storage.Cond{n.unchanged(protocol.OwnerKey(0))}, Writes: []storage.Write{{Put: key, Value: data}}}
+	oldest := protocol.HistoryRoot + ledger.SegmentKey(now.Add(-a.settings.Retention).UnixMilli())
 	trimmed := a.segments
 	for len(trimmed) > 0 && trimmed[0] < oldest && len(op.Writes) < 3 {
 		op.Writes = append(op.Writes, storage.Write{Delete: trimmed[0]})
@@ -274,10 +274,10 @@
 // only this node adds and removes any.
 func (n *Node) beginStoring(now time.Time) {
 	a := &n.account
-	a.history.Begin(now, 2*a.settings.StoreInterval)
+	a.history.BeginStoring(now, 2*a.settings.StoreInterval)
 	a.lastStore, a.segments, a.storing = now, nil, true
 	n.spawn(func(ctx context.Context) {
-		items, _, err := n.store.List(ctx, protocol.BookRoot)
+		items, _, err := n.store.List(ctx, protocol.HistoryRoot)
 		n.post(func() {
 			if a.storing = false; err != nil {
 				a.wasLeader = false // again, later
@@ -293,7 +293,7 @@
 // loadHistory takes in what earlier nodes stored.
 func (n *Node) loadHistory() {
 	n.spawn(func(ctx context.Context) {
-		items, _, err := n.store.List(ctx, protocol.BookRoot)
+		items, _, err := n.store.List(ctx, protocol.HistoryRoot)
 		n.post(func() {
 			now := time.Now()
 			if err != nil {
@@ -305,7 +305,7 @@
 					n.log.Error("segment of the account not understood", "key", it.Key, "why", err)
 				}
 			}
-			n.account.history.Loaded(now)
+			n.account.history.FinishLoading(now)
 			n.log.Info("account loaded", "segments", len(items), "jobs", n.account.history.Len())
 		})
 	})
@@ -357,7 +357,7 @@
 	case busy > 0 && r.Silent == busy:
 		r.State, r.Why = ledger.Unknown, fmt.Sprintf("all of its machines are silent, for %.0f s", f.Silent.Seconds())
 	default:
-		if r.Why = ledger.Judge(f); r.Why != "" {
+		if r.Why = ledger.StuckReason(f); r.Why != "" {
 			r.State = ledger.Stuck
 			break
 		}
@@ -392,7 +392,7 @@
 func (n *Node) addJobEvents(p *ledger.Page, q *ledger.Query) {
 	for i := range p.Rows {
 		if j := n.jobs[p.Rows[i].Job]; j != nil && j.id == q.Text {
-			p.Rows[i].Story = j.history.events
+			p.Rows[i].Events = j.history.events
 		}
 	}
 }
@@ -411,14 +411,14 @@
 const mostTold = 4
 
 // stuckFacts gathers what a job is judged by, and fills in a row's tasks.
-func (n *Node) stuckFacts(j *job, now time.Time, r *ledger.Row) *ledger.Facts {
-	f := &ledger.Facts{Service: j.spec.Shape == protocol.Service, Gang: j.spec.Shape == protocol.Gang, Expect: n.seconds(j.spec.EstimateS), Class: n.account.runTimes[j.spec.Class],
-		GangWait: n.seconds(n.cfg.Params.Workers.GangWaitS), Restarts: j.history.failedStarts}
+func (n *Node) stuckFacts(j *job, now time.Time, r *ledger.Row) *ledger.StuckFacts {
+	f := &ledger.StuckFacts{Service: j.spec.Shape == protocol.Service, Gang: j.spec.Shape == protocol.Gang, Estimate: n.seconds(j.spec.EstimateS), ClassRunTimes: n.account.runTimes[j.spec.Class],
+		GangTimeout: n.seconds(n.cfg.Params.Workers.GangWaitS), FailedStarts: j.history.failedStarts}
 	if j.failures.failsEverywhere {
-		f.Restarts = max(f.Restarts, j.failures.tries+2)
+		f.FailedStarts = max(f.FailedStarts, j.failures.tries+2)
 	}
 	if j.step != nil {
-		f.Restarts = 0 // its retries are limited, and end it
+		f.FailedStarts = 0 // its retries are limited, and end it
 	}
 	longest := func(d *time.Duration, since time.Time) { *d = max(*d, now.Sub(since)) }
 	mine := n.owns(n.partitions[j.partition])
@@ -427,14 +427,14 @@
 		t := &j.tasks[i]
 		switch {
 		case t.phase == phaseWaiting:
-			longest(&f.Waits, t.phaseSince)
-			longest(&f.Missing, t.phaseSince)
+			longest(&f.Waiting, t.phaseSince)
+			longest(&f.ReplicasMissing, t.phaseSince)
 			continue
 		case t.phase != phasePlaced && t.phase != phaseProposed:
 			continue
 		case t.outcome != outcomeNone:
 			if !j.dirtySince.IsZero() {
-				longest(&f.Untold, j.dirtySince)
+				longest(&f.EndUnstored, j.dirtySince)
 			}
 			if t.outcome == outcomeFinished {
 				r.Done++
@@ -463,25 +463,25 @@
 				began = t.phaseSince
 			}
 			if !silent {
-				longest(&f.Longest, began)
+				longest(&f.LongestRun, began)
 			}
 			if s := j.spec.CheckpointS; s > 0 {
 				r.SavedS = max(r.SavedS, s*float64(int(now.Sub(began).Seconds()/s)))
 			}
 		default:
 			r.Starting++
-			longest(&f.Missing, t.phaseSince)
+			longest(&f.ReplicasMissing, t.phaseSince)
 			if t.reportedState == reportedFetching && !silent {
-				longest(&f.Fetching, t.phaseSince)
-				f.FetchDue = max(f.FetchDue, n.seconds(n.currentFacts(m).SecPerGB*j.spec.ImageGB))
+				longest(&f.LongestFetch, t.phaseSince)
+				f.ExpectedFetch = max(f.ExpectedFetch, n.seconds(n.currentFacts(m).SecPerGB*j.spec.ImageGB))
 			}
 			if t.reportedState == reportedWaiting && !silent {
-				longest(&f.Gather, t.phaseSince)
+				longest(&f.GangWaiting, t.phaseSince)
 			}
 		}
 	}
 	if j.nWaiting() > 0 && mine && !j.writePending {
-		f.Free = j.waitCause == decide.NoReason
+		f.CouldStart = j.waitCause == decide.NoReason
 	}
 	slices.Sort(r.Zones)
 	return f
@@ -507,7 +507,7 @@
 // shares that it holds.
 func (n *Node) accountOfOwned(q *ledger.Query, now time.Time) *ledger.Page {
 	p := ledger.NewPage(n.cfg.Node, now)
-	p.StateAge = roundToTenth(min(n.sinceContact(now), now.Sub(n.startedAt)).Seconds())
+	p.SinceStateAnswer = roundToTenth(min(n.sinceContact(now), now.Sub(n.startedAt)).Seconds())
 	for _, s := range n.partitions {
 		if !n.owns(s) {
 			continue
@@ -524,7 +524,7 @@
 				z.Booting = 1
 			case n.silent(m, now):
 				z.Silent = 1
-			case m.heldBack || m.spotNotice:
+			case m.cordoned || m.spotNotice:
 				z.Drained = 1
 			default:
 				z.Up = 1
@@ -561,27 +561,27 @@
 		return
 	}
 	p := n.accountOfOwned(&q, now)
-	n.account.history.Age(now)
-	p.Since = n.account.history.Since()
+	n.account.history.DropExpired(now)
+	p.RememberedSince = n.account.history.RememberedSince()
 	n.account.history.Each(func(e *ledger.Entry) {
 		if n.jobs[e.Job] == nil { // claimed anew, it is open again
 			p.Add(&q, e.Row(n.cfg.Node))
 		}
 	})
-	if p.StateAge > stateServiceTimeout.Seconds() {
-		p.Unknown = append(p.Unknown, fmt.Sprintf("the state service last answered %s %.0f s ago: what others accepted or ended since is not known", n.cfg.Node, p.StateAge))
+	if p.SinceStateAnswer > stateServiceTimeout.Seconds() {
+		p.Unknown = append(p.Unknown, fmt.Sprintf("the state service last answered %s %.0f s ago: what others accepted or ended since is not known", n.cfg.Node, p.SinceStateAnswer))
 	}
 	held, vacant := n.peerPartitions()
 	for _, s := range vacant {
 		n.addUnknown(p, &q, []*partition{s}, fmt.Sprintf("share %d has no holder since %.0f s", s.index, now.Sub(s.vacantSince).Seconds()), s.vacantSince, now)
 	}
-	ask := protocol.Ask{Kind: protocol.AskAccount, State: q.State, Team: q.Team, Class: q.Class, Zone: q.Zone, Image: q.Image, Text: q.Text, SinceMS: q.Since, After: q.After, Most: q.Most}
+	ask := protocol.PeerQuery{Kind: protocol.QueryAccount, State: q.State, Team: q.Team, Class: q.Class, Zone: q.Zone, Image: q.Image, Text: q.Text, SinceMS: q.Since, After: q.After, Limit: q.Limit}
 	askOwners(n, held, ask, func(holder string, part ledger.Page, unknown string) {
-		if unknown == "" && part.Sums == nil {
+		if unknown == "" && part.JobsByState == nil {
 			unknown = unexpectedAnswer(holder, http.StatusOK)
 		}
 		if unknown == "" {
-			p.Join(&part)
+			p.Merge(&part)
 			return
 		}
 		since := now
@@ -600,7 +600,7 @@
 	all := [][]ledger.Sample{n.account.samples}
 	held, _ := n.peerPartitions()
 	var unknown []string
-	askOwners(n, held, protocol.Ask{Kind: protocol.AskSamples}, func(_ string, part []ledger.Sample, why string) {
+	askOwners(n, held, protocol.PeerQuery{Kind: protocol.QuerySamples}, func(_ string, part []ledger.Sample, why string) {
 		if why != "" {
 			unknown = append(unknown, why)
 		}
@@ -616,8 +616,8 @@
 	Unknown []string        `json:"unknown,omitempty"`
 }
 
-func accountQuery(q protocol.Ask) ledger.Query {
-	return ledger.Query{State: q.State, Team: q.Team, Class: q.Class, Zone: q.Zone, Image: q.Image, Text: q.Text, Since: q.SinceMS, After: q.After, Most: max(1, min(q.Most, ledger.MostRows))}
+func accountQuery(q protocol.PeerQuery) ledger.Query {
+	return ledger.Query{State: q.State, Team: q.Team, Class: q.Class, Zone: q.Zone, Image: q.Image, Text: q.Text, Since: q.SinceMS, After: q.After, Limit: max(1, min(q.Limit, ledger.MaxRows))}
 }
 
 func (n *Node) routeAccount(r *httprouter.Router) {
@@ -660,9 +660,9 @@
 			samples, unknown = v.Samples, v.Unknown
 		}
 	}
-	d, err := report.Gather(func(after string) (*ledger.Page, error) {
+	d, err := report.Collect(func(after string) (*ledger.Page, error) {
 		a, err := ask(func(reply chan<- answer) {
-			n.onAccount(ledger.Query{After: after, Most: ledger.MostRows}, time.Now(), reply)
+			n.onAccount(ledger.Query{After: after, Limit: ledger.MaxRows}, time.Now(), reply)
 		})
 		if p, ok := a.body.(*ledger.Page); ok {
 			return p, nil
@@ -688,13 +688,13 @@
 // in seconds before now.
 func parseQuery(r *http.Request) (ledger.Query, error) {
 	v := r.URL.Query()
-	q := ledger.Query{State: v.Get("state"), Team: v.Get("team"), Class: v.Get("class"), Zone: v.Get("zone"), Image: v.Get("image"), Text: v.Get("q"), After: v.Get("after"), Most: 50}
+	q := ledger.Query{State: v.Get("state"), Team: v.Get("team"), Class: v.Get("class"), Zone: v.Get("zone"), Image: v.Get("image"), Text: v.Get("q"), After: v.Get("after"), Limit: 50}
 	if s := v.Get("limit"); s != "" {
 		n, err := strconv.Atoi(s)
 		if err != nil {
 			n = 0
 		}
-		q.Most = n
+		q.Limit = n
 	}
 	if s := v.Get("since"); s != "" {
 		x, err := strconv.ParseFloat(s, 64)
@@ -703,5 +703,5 @@
 		}
 		q.Since = time.Now().UnixMilli() - int64(x*1000)
 	}
-	return q, q.Check()
+	return q, q.Validate()
 }
--- a/internal/coordination/node/account_test.go
+++ b/internal/coordination/node/account_test.go
@@ -16,10 +16,10 @@
 // readAccount is the whole account as a node tells it, page by page.
 func (w *simCluster) readAccount(name string) (rows map[string]ledger.Row, last *ledger.Page) {
 	rows = map[string]ledger.Row{}
-	q := ledger.Query{Most: 3}
+	q := ledger.Query{Limit: 3}
 	defer func() {
 		for id, r := range rows { // a job's story is told when it is asked for alone
-			if r.Story != nil {
+			if r.Events != nil {
 				w.t.Errorf("%s: a story in a list", id)
 			}
 		}
@@ -61,7 +61,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		configureAccount = set
 		defer func() { configureAccount = nil }()
-		w := newWorld(t, ctx, 11, defaultSettings)
+		w := newSimCluster(t, ctx, 11, defaultSettings)
 		time.Sleep(6 * time.Second)
 		w.connectPeers()
 		f(w)
@@ -92,10 +92,10 @@
 			t.Errorf("shown after %v", took)
 		}
 		a, _ := w.userRequest(w.ctx, rowsNode(w, "job-1"), func(n *Node, reply chan<- answer) {
-			n.onAccount(ledger.Query{Text: "job-1", Most: 3}, time.Now(), reply)
+			n.onAccount(ledger.Query{Text: "job-1", Limit: 3}, time.Now(), reply)
 		})
 		var story []string
-		for _, e := range a.body.(*ledger.Page).Rows[0].Story {
+		for _, e := range a.body.(*ledger.Page).Rows[0].Events {
 			story = append(story, e.Text)
 		}
 		if s := strings.Join(story, "; "); !strings.HasPrefix(s, "accepted; ") || !strings.Contains(s, "a task runs on host-") || !strings.Contains(s, "stuck: a task runs for") {
@@ -103,8 +103,8 @@
 		}
 		for _, name := range w.names {
 			rows, p := w.readAccount(name)
-			if r := rows["job-1"]; r.State != ledger.Stuck || !strings.Contains(r.Why, "a task runs for") || rows["job-2"].State != ledger.Done || p.Sums[ledger.Stuck] != 1 {
-				t.Errorf("%s: %+v, %+v, %v", name, r, rows["job-2"], p.Sums)
+			if r := rows["job-1"]; r.State != ledger.Stuck || !strings.Contains(r.Why, "a task runs for") || rows["job-2"].State != ledger.Done || p.JobsByState[ledger.Stuck] != 1 {
+				t.Errorf("%s: %+v, %+v, %v", name, r, rows["job-2"], p.JobsByState)
 			}
 		}
 		w.fleet.Stall("job-1", false)
@@ -154,8 +154,8 @@
 		}
 		time.Sleep(40 * time.Second)
 		rows, p := w.readAccount("n-0")
-		if p.Sums[ledger.Running] != 7 || len(p.Unknown) != 0 {
-			t.Fatalf("%v %v", p.Sums, p.Unknown)
+		if p.JobsByState[ledger.Running] != 7 || len(p.Unknown) != 0 {
+			t.Fatalf("%v %v", p.JobsByState, p.Unknown)
 		}
 		holder := rows["job-0"].Node
 		go w.freeze(holder, 20*time.Second)
@@ -165,8 +165,8 @@
 			asked = w.names[1]
 		}
 		rows, p = w.readAccount(asked)
-		if len(rows) != 7 || rows["job-0"].State != ledger.Unknown || p.Sums[ledger.Unknown] == 0 || len(p.Unknown) == 0 || !strings.Contains(strings.Join(p.Unknown, " "), holder) {
-			t.Errorf("with %s standing still: %+v; %v %v", holder, rows["job-0"], p.Sums, p.Unknown)
+		if len(rows) != 7 || rows["job-0"].State != ledger.Unknown || p.JobsByState[ledger.Unknown] == 0 || len(p.Unknown) == 0 || !strings.Contains(strings.Join(p.Unknown, " "), holder) {
+			t.Errorf("with %s standing still: %+v; %v %v", holder, rows["job-0"], p.JobsByState, p.Unknown)
 		}
 		if p.Zones["a"].Unknown+p.Zones["b"].Unknown == 0 {
 			t.Errorf("its machines are shown as known: %v", p.Zones)
@@ -187,8 +187,8 @@
 		}
 		w.withLock(func() { clear(w.workersUnreachable); w.outage = true })
 		time.Sleep(5 * time.Second)
-		if _, p = w.readAccount(asked); p.StateAge < 3 || len(p.Unknown) == 0 {
-			t.Errorf("without the state service: %v s, %v", p.StateAge, p.Unknown)
+		if _, p = w.readAccount(asked); p.SinceStateAnswer < 3 || len(p.Unknown) == 0 {
+			t.Errorf("without the state service: %v s, %v", p.SinceStateAnswer, p.Unknown)
 		}
 		w.withLock(func() { w.outage = false })
 		w.state.Refill()
@@ -215,11 +215,11 @@
 				continue
 			}
 			total := 0
-			for _, c := range p.Sums {
+			for _, c := range p.JobsByState {
 				total += c
 			}
 			if len(rows) != 6 || total != 6 {
-				t.Fatalf("%d rows, sums %v", len(rows), p.Sums)
+				t.Fatalf("%d rows, sums %v", len(rows), p.JobsByState)
 			}
 		}
 		rows, _ := w.readAccount("n-0")
@@ -266,7 +266,7 @@
 				t.Errorf("%s: %+v", name, rows["job-9"])
 			}
 		}
-		items, _, _ := w.state.List(w.ctx, protocol.BookRoot)
+		items, _, _ := w.state.List(w.ctx, protocol.HistoryRoot)
 		bytes := 0
 		for _, it := range items {
 			bytes += len(it.Value)
@@ -295,14 +295,14 @@
 				w.crash("n-0")
 			}
 		}
-		items, _, _ := w.state.List(w.ctx, protocol.BookRoot)
-		oldest := protocol.BookRoot + ledger.SegmentKey(time.Now().Add(-4*time.Minute).UnixMilli())
+		items, _, _ := w.state.List(w.ctx, protocol.HistoryRoot)
+		oldest := protocol.HistoryRoot + ledger.SegmentKey(time.Now().Add(-4*time.Minute).UnixMilli())
 		if len(items) < 5 || len(items) > 30 || items[0].Key < oldest {
 			t.Errorf("%d segments, the oldest %v", len(items), items)
 		}
 		rows, p := w.readAccount("n-1")
-		if len(rows) < 10 || len(rows) > 25 || p.Since < time.Now().Add(-4*time.Minute).UnixMilli() {
-			t.Errorf("%d jobs are remembered since %v", len(rows), time.UnixMilli(p.Since))
+		if len(rows) < 10 || len(rows) > 25 || p.RememberedSince < time.Now().Add(-4*time.Minute).UnixMilli() {
+			t.Errorf("%d jobs are remembered since %v", len(rows), time.UnixMilli(p.RememberedSince))
 		}
 	})
 }
@@ -313,7 +313,7 @@
 	n.addFleet(1600, 8400)
 	now := time.Now()
 	n.RecordContact(now)
-	q := ledger.Query{Most: 200}
+	q := ledger.Query{Limit: 200}
 	b.ReportAllocs()
 	for b.Loop() {
 		if p := n.accountOfOwned(&q, now); len(p.Rows) != 200 {
--- a/internal/coordination/node/admin.go
+++ b/internal/coordination/node/admin.go
@@ -81,13 +81,13 @@
 		reply <- answer{status: 409, body: errorBody{"changed meanwhile: read the settings again"}}
 		return
 	}
-	op := &storage.Op{Once: true, Conds: []storage.Cond{{Key: protocol.PolicyKey, Stamp: *c.Stamp}},
+	op := &storage.Op{NoRetry: true, Conds: []storage.Cond{{Key: protocol.PolicyKey, Revision: *c.Stamp}},
 		Writes: []storage.Write{{Put: protocol.PolicyKey, Value: mustJSON(changed)}}}
 	op.Done = func(r storage.Result) {
 		n.post(func() {
 			switch {
 			case r.OK:
-				n.applyOwnWrite(op.Writes[0], r.Epoch)
+				n.applyOwnWrite(op.Writes[0], r.Revision)
 				n.log.Info("setting changed", "setting", name, "value", string(c.Value), "by", from)
 				reply <- answer{status: 200, body: n.settingsView()}
 			case r.Err != nil:
--- a/internal/coordination/node/adopt.go
+++ b/internal/coordination/node/adopt.go
@@ -38,20 +38,20 @@
 		delay, interval = initialAdoptDelay, initialAdoptInterval
 	}
 	mayAct := n.isLeader() && !n.standby.leaving && n.sinceContact(now) < 2*time.Second && len(n.nodesWithoutEntries) == 0 && len(n.machineTypes) > 0
-	step, records := n.adoption.Look(mayAct, delay, interval, n.completeRevision, now)
-	ownerCond := n.unchanged(protocol.HolderKey(0))
+	step, records := n.adoption.Next(mayAct, delay, interval, n.completeRevision, now)
+	ownerCond := n.unchanged(protocol.OwnerKey(0))
 	switch step {
-	case duty.Raise:
-		n.submit(&storage.Op{For: uint8(forMachines), Conds: []storage.Cond{ownerCond, n.unchanged(protocol.FenceKey)},
-			Writes: []storage.Write{{Put: protocol.FenceKey, Value: mustJSON(protocol.FenceRecord{Round: n.rentalFence.Round + 1})}}},
+	case duty.RaiseFence:
+		n.submit(&storage.Op{Purpose: uint8(forMachines), Conds: []storage.Cond{ownerCond, n.unchanged(protocol.RentalFenceKey)},
+			Writes: []storage.Write{{Put: protocol.RentalFenceKey, Value: mustJSON(protocol.RentalFenceRecord{Generation: n.rentalFence.Generation + 1})}}},
 			func(r storage.Result) {
-				epoch := r.Epoch
+				epoch := r.Revision
 				if !r.OK {
 					epoch = 0
 				}
-				n.adoption.Raised(epoch, time.Now())
+				n.adoption.FenceRaised(epoch, time.Now())
 			})
-	case duty.Record:
+	case duty.RecordMachines:
 		n.recordAdopted(records, ownerCond, now)
 	}
 }
@@ -63,12 +63,12 @@
 		m := n.machines[r.Name]
 		skip := n.machineTypes[r.Type] == nil || m != nil && (m.recorded || len(m.tasks) > 0)
 		if skip {
-			n.adoption.Drop(r.Name)
+			n.adoption.Remove(r.Name)
 		}
 		return skip
 	})
 	if len(records) == 0 {
-		n.adoption.Recorded(true, now)
+		n.adoption.RecordingEnded(true, now)
 		return
 	}
 	var sizes []Resources
@@ -84,8 +84,8 @@
 	for i, s := range decide.Apportion(sizes, guarantees) {
 		byPartition[s] = append(byPartition[s], records[i])
 	}
-	op := &storage.Op{For: uint8(forMachines), Conds: []storage.Cond{ownerCond, {Key: protocol.FenceKey, Stamp: n.adoption.Fence()}, n.unchanged(protocol.CounterKey)},
-		Writes: []storage.Write{{Put: protocol.CounterKey, Value: mustJSON(protocol.CounterRecord{Token: token})}}}
+	op := &storage.Op{Purpose: uint8(forMachines), Conds: []storage.Cond{ownerCond, {Key: protocol.RentalFenceKey, Revision: n.adoption.Fence()}, n.unchanged(protocol.TokenCounterKey)},
+		Writes: []storage.Write{{Put: protocol.TokenCounterKey, Value: mustJSON(protocol.TokenCounterRecord{Token: token})}}}
 	adopted := 0
 	for s, machines := range byPartition {
 		capacity := math.MaxInt // smallest batch capacity, given by the longest type and zone names
@@ -94,8 +94,8 @@
 		}
 		i := 0
 		for part := range slices.Chunk(machines, capacity) {
-			write := storage.Write{Put: protocol.BatchKey(fmt.Sprintf("a-%d-%d-%d", s, token, i)), Value: mustJSON(protocol.BatchRecord{Share: s, Token: token, Machines: part})}
-			if !op.Fits(write, n.cfg.Params.State.TxnOps) {
+			write := storage.Write{Put: protocol.BatchKey(fmt.Sprintf("a-%d-%d-%d", s, token, i)), Value: mustJSON(protocol.BatchRecord{Partition: s, Token: token, Machines: part})}
+			if !op.CanAdd(write, n.cfg.Params.State.TxnOps) {
 				break // the others are recorded in the next round
 			}
 			op.Conds = append(op.Conds, storage.Cond{Key: write.Put})
@@ -106,7 +106,7 @@
 	}
 	n.submit(op, func(r storage.Result) {
 		n.log.Info("machines without a record taken up", "machines", adopted, "of", len(records), "changes", len(op.Writes), "ok", r.OK, "why", r.Err)
-		n.adoption.Recorded(r.OK, time.Now())
+		n.adoption.RecordingEnded(r.OK, time.Now())
 		n.replan = true
 	})
 }
@@ -114,5 +114,5 @@
 // awaitsAdoption reports whether machines without a record are about to be adopted, so that no
 // machine should be rented meanwhile.
 func (n *Node) awaitsAdoption(now time.Time) bool {
-	return n.freshCluster && now.Sub(n.loadControl.followingSince) < initialAdoptPeriod && n.adoption.Expects(now)
+	return n.freshCluster && now.Sub(n.loadControl.followingSince) < initialAdoptPeriod && n.adoption.HasUnrecorded(now)
 }
--- a/internal/coordination/node/api.go
+++ b/internal/coordination/node/api.go
@@ -70,8 +70,8 @@
 var errTooLong = errors.New("body over 64 KiB")
 
 func readBody(r *http.Request) ([]byte, error) {
-	data, err := io.ReadAll(io.LimitReader(r.Body, protocol.MaxBody+1))
-	if err == nil && len(data) > protocol.MaxBody {
+	data, err := io.ReadAll(io.LimitReader(r.Body, protocol.MaxBodyBytes+1))
+	if err == nil && len(data) > protocol.MaxBodyBytes {
 		err = errTooLong
 	}
 	return data, err
@@ -84,7 +84,7 @@
 		return
 	}
 	s, err := protocol.ParseJob(data)
-	if errors.Is(err, protocol.ErrTicket) {
+	if errors.Is(err, protocol.ErrEmbeddedTicket) {
 		n.postEmbeddedTicket(w, r, data)
 		return
 	}
@@ -112,13 +112,13 @@
 		writeAnswer(w, answer{status: 404, body: errorBody{"no such job"}})
 		return
 	}
-	io.Copy(io.Discard, io.LimitReader(r.Body, protocol.MaxBody))
+	io.Copy(io.Discard, io.LimitReader(r.Body, protocol.MaxBodyBytes))
 	n.serve(w, r, func(reply chan<- answer) { n.onCancel(id, 5, reply) })
 }
 
 // maxReport bounds a worker's report: a request holds 64 KiB; a little more
 // does no harm, and a longer one is cut and so refused as malformed.
-const maxReport = 4 * protocol.MaxBody
+const maxReport = 4 * protocol.MaxBodyBytes
 
 func (n *Node) postReport(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	data, err := io.ReadAll(io.LimitReader(r.Body, maxReport))
@@ -138,7 +138,7 @@
 	})
 	select {
 	case <-dealt:
-		transport.Grown(r.Context()) // its answer may wait, the next worker need not
+		transport.MarkRequestHandled(r.Context()) // its answer may wait, the next worker need not
 	case <-n.ctx.Done():
 	}
 	n.await(w, r, reply)
--- a/internal/coordination/node/bad_input_test.go
+++ b/internal/coordination/node/bad_input_test.go
@@ -29,7 +29,7 @@
 
 // spoilOne makes a random stored value unreadable for a while, unless it changes meanwhile.
 func (w *simCluster) spoilOne() {
-	items, _, _ := w.state.List(w.ctx, protocol.Root)
+	items, _, _ := w.state.List(w.ctx, protocol.WatchedRoot)
 	items = slices.DeleteFunc(items, func(it storage.Item) bool {
 		return !slices.ContainsFunc([]string{protocol.JobPrefix, protocol.MachineRoot, protocol.LogRoot, protocol.InboxRoot, protocol.MovesKey}, func(root string) bool { return strings.HasPrefix(it.Key, root) }) ||
 			string(it.Value) == string(spoiled)
@@ -38,7 +38,7 @@
 		return
 	}
 	it := items[w.randInt(len(items))]
-	ok, stamp, _, _ := w.state.Txn(w.ctx, []storage.Cond{{Key: it.Key, Stamp: it.Stamp}}, []storage.Write{{Put: it.Key, Value: spoiled}})
+	ok, stamp, _, _ := w.state.Txn(w.ctx, []storage.Cond{{Key: it.Key, Revision: it.Revision}}, []storage.Write{{Put: it.Key, Value: spoiled}})
 	if !ok {
 		return
 	}
@@ -47,7 +47,7 @@
 		w.recordEvent("job spoiled")
 	}
 	time.Sleep(w.randDuration(100*time.Millisecond, 4*time.Second))
-	w.state.Txn(w.ctx, []storage.Cond{{Key: it.Key, Stamp: stamp}}, []storage.Write{{Put: it.Key, Value: it.Value}})
+	w.state.Txn(w.ctx, []storage.Cond{{Key: it.Key, Revision: stamp}}, []storage.Write{{Put: it.Key, Value: it.Value}})
 }
 
 // readableItems are the items that a node reads; with the guard left out, a job's record that is
--- a/internal/coordination/node/batches.go
+++ b/internal/coordination/node/batches.go
@@ -38,7 +38,7 @@
 	present := make(map[string]bool, len(r.Machines))
 	for _, rec := range r.Machines {
 		present[rec.Name] = true
-		rec.Share, rec.Token = r.Share, r.Token
+		rec.Partition, rec.Token = r.Partition, r.Token
 		n.setMachine(b, rec)
 	}
 	n.dropMissing(b, before, present)
@@ -91,7 +91,7 @@
 	var batches []protocol.BatchRecord
 	kind := protocol.MachineRecord{Type: req.Type, Zone: req.Zone, Spot: req.Spot}
 	for part := range slices.Chunk(names, n.batchCapacity(kind)) {
-		record := protocol.BatchRecord{Share: p.index}
+		record := protocol.BatchRecord{Partition: p.index}
 		for _, name := range part {
 			r := kind
 			r.Name = name
@@ -104,11 +104,11 @@
 		done()
 	}
 	for i, rec := range batches {
-		key := protocol.BatchKey(fmt.Sprintf("%s-%d", req.Request, i))
+		key := protocol.BatchKey(fmt.Sprintf("%s-%d", req.RequestID, i))
 		n.submit(&storage.Op{
-			For:    uint8(forMachines),
-			Conds:  []storage.Cond{{Key: key}, n.unchanged(protocol.HolderKey(p.index)), fence},
-			Writes: []storage.Write{{Put: key, Value: mustJSON(rec)}},
+			Purpose: uint8(forMachines),
+			Conds:   []storage.Cond{{Key: key}, n.unchanged(protocol.OwnerKey(p.index)), fence},
+			Writes:  []storage.Write{{Put: key, Value: mustJSON(rec)}},
 		}, func(storage.Result) {
 			if pending--; pending == 0 {
 				done()
@@ -125,7 +125,7 @@
 // tasks.
 func (n *Node) saveBatches(now time.Time) {
 	for _, b := range n.batches {
-		if b.storing || b.dirtySince.IsZero() || now.Sub(b.dirtySince) < batchSaveDelay || !n.owns(n.partitions[b.rec.Share]) {
+		if b.storing || b.dirtySince.IsZero() || now.Sub(b.dirtySince) < batchSaveDelay || !n.owns(n.partitions[b.rec.Partition]) {
 			continue
 		}
 		b.dirtySince = time.Time{}
@@ -150,7 +150,7 @@
 			continue
 		}
 		b.storing = true
-		n.submitTo(n.backgroundCommitter, &storage.Op{For: uint8(forMachines), Conds: []storage.Cond{n.unchanged(b.key), n.unchanged(protocol.HolderKey(b.rec.Share))}, Writes: []storage.Write{write}},
+		n.submitTo(n.backgroundCommitter, &storage.Op{Purpose: uint8(forMachines), Conds: []storage.Cond{n.unchanged(b.key), n.unchanged(protocol.OwnerKey(b.rec.Partition))}, Writes: []storage.Write{write}},
 			func(r storage.Result) {
 				b.storing = false
 				if !r.OK {
--- a/internal/coordination/node/cancels_test.go
+++ b/internal/coordination/node/cancels_test.go
@@ -32,7 +32,7 @@
 func TestCancelledWhenNothingIsLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, 6, defaultSettings)
+		w := newSimCluster(t, ctx, 6, defaultSettings)
 		spec := func(id string) *protocol.JobSpec {
 			return &protocol.JobSpec{ID: id, Team: "red", Class: "c", Shape: protocol.Service, Priority: "critical", Tasks: 2, CPUs: 4, GPUs: 1, Image: "i"}
 		}
@@ -88,7 +88,7 @@
 	for _, early := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
-			w := newWorld(t, ctx, 7, defaultSettings)
+			w := newSimCluster(t, ctx, 7, defaultSettings)
 			if early {
 				w.fleet.ToldLate = false
 				w.state.Put(protocol.NodeKey("n-9"), map[string]uint64{"lease": 1})
--- a/internal/coordination/node/carried_test.go
+++ b/internal/coordination/node/carried_test.go
@@ -16,8 +16,8 @@
 func (b *testNode) storePut(key string, v any) {
 	b.state.Put(key, v)
 	it, _ := b.state.Get(b.t.Context(), key)
-	b.revision = it.Stamp
-	b.applyWatch([]storage.Item{it}, it.Stamp)
+	b.revision = it.Revision
+	b.applyWatch([]storage.Item{it}, it.Revision)
 }
 
 // awaitStored runs what the actor is told until nothing of a share's jobs is being stored.
@@ -37,7 +37,7 @@
 // addProposedArray is a job of one task on host-1 that is to be stored.
 func (b *testNode) addProposedArray(id string) *job {
 	spec := &protocol.JobSpec{ID: id, Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 1, CPUs: 4, GPUs: 1, Image: "i", ImageGB: 1}
-	b.storePut(protocol.JobKey(id), protocol.JobRecord{Spec: spec, Next: 1})
+	b.storePut(protocol.JobKey(id), protocol.JobRecord{Spec: spec, NextAttempt: 1})
 	b.proposePlacements(b.jobs[id], []int{0}, []*machine{b.machines["host-1"]}, time.Now())
 	return b.jobs[id]
 }
@@ -66,14 +66,14 @@
 		b.state.Put("revision", 0)
 	}
 	b.storePut(protocol.FormatKey, protocol.FormatRecord{Packed: true})
-	b.storePut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 7, Lease: 3})
+	b.storePut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-0", Token: 7, Lease: 3})
 	spec := &protocol.JobSpec{ID: "job-1", Team: "red", Class: "c", Shape: protocol.Service, Priority: "critical", Tasks: 1, CPUs: 4, GPUs: 1, Image: "i", ImageGB: 1}
-	b.storePut(protocol.JobKey(spec.ID), protocol.JobRecord{Spec: spec, Next: 2})
+	b.storePut(protocol.JobKey(spec.ID), protocol.JobRecord{Spec: spec, NextAttempt: 2})
 	for seq := uint64(1); seq <= 4; seq++ {
 		e := protocol.Entry{Version: protocol.EntryVersion, Seq: seq}
 		if seq == 1 {
 			e.Machines = []string{"host-1"}
-			e.Parts = []protocol.Part{{Job: spec.ID, Next: 3, Placed: []protocol.Run{{0, 0, 2, 0}}}}
+			e.Parts = []protocol.Part{{Job: spec.ID, NextAttempt: 3, Placed: []protocol.PlacedRange{{0, 0, 2, 0}}}}
 		}
 		b.storePut(protocol.LogKey(0, int(seq%4)), e)
 	}
@@ -137,17 +137,17 @@
 	b, _ := newTestNodeWithLog(t)
 	s := b.partitions[0]
 	b.cfg.Params.State.ValueKB = 64
-	e := *s.log.Old()
+	e := *s.log.Overwritten()
 	for i := range 60 { // more than conditions
 		id := fmt.Sprintf("job-10%02d", i)
 		spec := &protocol.JobSpec{ID: id, Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 2, CPUs: 0.1, Image: "i"}
-		b.storePut(protocol.JobKey(id), protocol.JobRecord{Spec: spec, Next: 1})
-		e.Parts = append(e.Parts, protocol.Part{Job: id, Next: 2, Placed: []protocol.Run{{0, 0, 1, 0}}})
+		b.storePut(protocol.JobKey(id), protocol.JobRecord{Spec: spec, NextAttempt: 1})
+		e.Parts = append(e.Parts, protocol.Part{Job: id, NextAttempt: 2, Placed: []protocol.PlacedRange{{0, 0, 1, 0}}})
 	}
 	b.storePut(protocol.LogKey(0, 1), e)
 	limited := &conditionLimit{b.state, t, b.maxConditions()}
-	b.urgentCommitter = storage.NewCommitter(limited, b.cfg.Params.State.TxnOps, b.rateLimiter, storage.UrgentLevel)
-	b.backgroundCommitter = storage.NewCommitter(limited, b.cfg.Params.State.TxnOps, b.rateLimiter, storage.BackgroundLevel)
+	b.urgentCommitter = storage.NewCommitter(limited, b.cfg.Params.State.TxnOps, b.rateLimiter, storage.UrgentPriority)
+	b.backgroundCommitter = storage.NewCommitter(limited, b.cfg.Params.State.TxnOps, b.rateLimiter, storage.BackgroundPriority)
 	go b.urgentCommitter.Run(t.Context())
 	go b.backgroundCommitter.Run(t.Context())
 	array := b.addProposedArray("job-2")
--- a/internal/coordination/node/close_looks_test.go
+++ b/internal/coordination/node/close_looks_test.go
@@ -246,7 +246,7 @@
 	storeOnlyEntries(t, 8)
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, 3, defaultSettings)
+		w := newSimCluster(t, ctx, 3, defaultSettings)
 		w.withLock(func() { w.watchStalled["n-0"], w.watchStalled["n-1"] = true, true }) // no node writes entries yet
 		time.Sleep(2 * time.Second)
 		early := w.addTrackedUser(func(s *protocol.JobSpec) { s.EstimateS = 30 })
--- a/internal/coordination/node/corrupt.go
+++ b/internal/coordination/node/corrupt.go
@@ -16,12 +16,12 @@
 
 // markCorrupt notes a value that is not understood, once.
 func (n *Node) markCorrupt(it storage.Item, err error) {
-	if n.corruptKeys[it.Key] == it.Stamp {
+	if n.corruptKeys[it.Key] == it.Revision {
 		return
 	}
-	n.corruptKeys[it.Key] = it.Stamp
+	n.corruptKeys[it.Key] = it.Revision
 	n.metrics.guardRefusals.WithLabelValues("corrupt_record").Inc()
-	n.log.Error("stored value not understood: what was known of it stays, and nothing is stored for it", "key", it.Key, "stamp", it.Stamp, "known_stamp", n.revisions[it.Key], "why", err)
+	n.log.Error("stored value not understood: what was known of it stays, and nothing is stored for it", "key", it.Key, "stamp", it.Revision, "known_stamp", n.revisions[it.Key], "why", err)
 }
 
 // hasCorruptRecord says so of a job's own record.
@@ -44,13 +44,13 @@
 // can't read.
 func (n *Node) mayBeInCorruptValue(id string, task int) bool {
 	_, head := n.corruptKeys[protocol.JobKey(id)]
-	_, chunk := n.corruptKeys[protocol.ChunkKey(id, task/protocol.ChunkTasks)]
+	_, chunk := n.corruptKeys[protocol.ChunkKey(id, task/protocol.TasksPerChunk)]
 	return head || chunk || n.anyInboxUnreadable()
 }
 
 // hasCorruptOwner says so of what a share is taken by.
 func (n *Node) hasCorruptOwner(s *partition) bool {
-	_, holder := n.corruptKeys[protocol.HolderKey(s.index)]
-	_, counter := n.corruptKeys[protocol.CounterKey]
+	_, holder := n.corruptKeys[protocol.OwnerKey(s.index)]
+	_, counter := n.corruptKeys[protocol.TokenCounterKey]
 	return holder || counter
 }
--- a/internal/coordination/node/corrupt_test.go
+++ b/internal/coordination/node/corrupt_test.go
@@ -49,26 +49,26 @@
 		b.addJob("job-000001", false, placedOnHost1)
 		spec := func(id string) *protocol.JobSpec { s := *b.jobs["job-000001"].spec; s.ID = id; return &s }
 		good := map[string]any{
-			protocol.JobKey("job-000001"):   protocol.JobRecord{Spec: spec("job-000001"), Next: 2, Chunk: protocol.Chunk{Placed: []protocol.Placement{placedOnHost1}, Errors: [][2]int{{0, 1}}}},
-			protocol.JobKey("job-000002"):   protocol.JobRecord{Spec: spec("job-000002"), Next: 2, Chunk: protocol.Chunk{Done: [][2]int{{0, 0}}}},
-			protocol.ChunkKey("job-1", 1):   protocol.Chunk{Placed: []protocol.Placement{{Task: 130, Attempt: 1, Machine: "host-1"}}},
-			protocol.JobKey("job-000003"):   protocol.JobRecord{Ticket: &protocol.TicketRecord{Name: "t", Base: spec("job-000003"), Steps: []protocol.TicketStep{{Name: "s", Tasks: 2, Deps: []int{0}}}}},
-			protocol.BatchKey("r-0-7-1-0"):  protocol.BatchRecord{Machines: []protocol.MachineRecord{{Name: "host-1", Type: "g4", Zone: "a"}}},
-			protocol.HolderKey(0):           protocol.HolderRecord{Node: "n-0", Token: 7, Lease: 3},
-			protocol.HolderKey(1):           protocol.HolderRecord{Node: "n-1", Token: 6, Lease: 2},
-			protocol.CounterKey:             protocol.CounterRecord{Token: 7},
-			protocol.NodeKey("n-1"):         protocol.NodeRecord{Lease: 2, Version: 3},
-			protocol.MovesKey:               protocol.Moves{Moves: []protocol.Move{{Machine: "host-1", Share: 1}}},
-			protocol.PolicyKey:              DefaultPolicy(),
-			protocol.LogKey(0, 1):           protocol.Entry{Version: 1, Seq: 1, Machines: []string{"host-1"}, Parts: []protocol.Part{{Job: "job-000001", Next: 3, Placed: []protocol.Run{{0, 0, 2, 0}}}}},
-			protocol.InboxKey("n-1", 1):     protocol.Entry{Version: 1, Seq: 1, Jobs: []protocol.Accepted{{Spec: spec("job-000004"), SubmittedMS: 1}}},
-			protocol.FenceKey:               protocol.FenceRecord{Round: 1},
-			protocol.CatalogKey:             protocol.CatalogRecord{Types: []protocol.MachineType{{Name: "g4", CPUs: 24, GPUs: 4, MemoryGB: 192, Zones: []string{"a"}}}},
-			protocol.FormatKey:              protocol.FormatRecord{Packed: true},
-			protocol.DoubtKey("n-0"):        protocol.DoubtRecord{By: "n-1"},
-			protocol.HolderRoot + "x/hold":  protocol.HolderRecord{},
-			protocol.LogRoot + "9/9":        protocol.Entry{},
-			protocol.InboxRoot + "n-1/9999": protocol.Entry{Seq: 9999},
+			protocol.JobKey("job-000001"):    protocol.JobRecord{Spec: spec("job-000001"), NextAttempt: 2, Chunk: protocol.Chunk{Placed: []protocol.Placement{placedOnHost1}, Errors: [][2]int{{0, 1}}}},
+			protocol.JobKey("job-000002"):    protocol.JobRecord{Spec: spec("job-000002"), NextAttempt: 2, Chunk: protocol.Chunk{Done: [][2]int{{0, 0}}}},
+			protocol.ChunkKey("job-1", 1):    protocol.Chunk{Placed: []protocol.Placement{{Task: 130, Attempt: 1, Machine: "host-1"}}},
+			protocol.JobKey("job-000003"):    protocol.JobRecord{Ticket: &protocol.TicketRecord{Name: "t", Base: spec("job-000003"), Steps: []protocol.TicketStep{{Name: "s", Tasks: 2, Deps: []int{0}}}}},
+			protocol.BatchKey("r-0-7-1-0"):   protocol.BatchRecord{Machines: []protocol.MachineRecord{{Name: "host-1", Type: "g4", Zone: "a"}}},
+			protocol.OwnerKey(0):             protocol.OwnerRecord{Node: "n-0", Token: 7, Lease: 3},
+			protocol.OwnerKey(1):             protocol.OwnerRecord{Node: "n-1", Token: 6, Lease: 2},
+			protocol.TokenCounterKey:         protocol.TokenCounterRecord{Token: 7},
+			protocol.NodeKey("n-1"):          protocol.NodeRecord{Lease: 2, Version: 3},
+			protocol.MovesKey:                protocol.MovesRecord{Moves: []protocol.Move{{Machine: "host-1", Partition: 1}}},
+			protocol.PolicyKey:               DefaultPolicy(),
+			protocol.LogKey(0, 1):            protocol.Entry{Version: 1, Seq: 1, Machines: []string{"host-1"}, Parts: []protocol.Part{{Job: "job-000001", NextAttempt: 3, Placed: []protocol.PlacedRange{{0, 0, 2, 0}}}}},
+			protocol.InboxKey("n-1", 1):      protocol.Entry{Version: 1, Seq: 1, Jobs: []protocol.AcceptedJob{{Spec: spec("job-000004"), SubmittedMS: 1}}},
+			protocol.RentalFenceKey:          protocol.RentalFenceRecord{Generation: 1},
+			protocol.CatalogKey:              protocol.CatalogRecord{Types: []protocol.MachineType{{Name: "g4", CPUs: 24, GPUs: 4, MemoryGB: 192, Zones: []string{"a"}}}},
+			protocol.FormatKey:               protocol.FormatRecord{Packed: true},
+			protocol.LivenessCheckKey("n-0"): protocol.LivenessCheckRecord{RequestedBy: "n-1"},
+			protocol.OwnerRoot + "x/hold":    protocol.OwnerRecord{},
+			protocol.LogRoot + "9/9":         protocol.Entry{},
+			protocol.InboxRoot + "n-1/9999":  protocol.Entry{Seq: 9999},
 
 			protocol.JobKey("job-000001/-1"): protocol.Chunk{Done: [][2]int{{0, 0}}},
 		}
@@ -88,18 +88,18 @@
 					}
 				}()
 				b.revision++
-				b.applyItem(storage.Item{Key: key, Value: data, Stamp: b.revision})
+				b.applyItem(storage.Item{Key: key, Value: data, Revision: b.revision})
 				if b.corruptKeys[key] != 0 {
 					counted++
 				}
 			}()
 			// What it could not read it still knows as before.
 			if _, bad := b.corruptKeys[protocol.JobKey("job-000001")]; bad && b.jobs["job-000001"] == nil && !b.logUnreadable(0) {
-				if _, _, over := b.partitions[0].log.Ended("job-000001"); !over {
+				if _, _, over := b.partitions[0].log.FindEnd("job-000001"); !over {
 					t.Fatalf("seed %d: %s %s ended a job", seed, key, data)
 				}
 			}
-			if _, bad := b.corruptKeys[protocol.HolderKey(0)]; bad && b.partitions[0].owner.Token == 0 {
+			if _, bad := b.corruptKeys[protocol.OwnerKey(0)]; bad && b.partitions[0].owner.Token == 0 {
 				t.Fatalf("seed %d: %s %s freed a share", seed, key, data)
 			}
 			if _, bad := b.corruptKeys[protocol.BatchKey("r-0-7-1-0")]; bad && !b.machines["host-1"].recorded {
@@ -134,7 +134,7 @@
 	key := protocol.JobKey("job-000001")
 	known := b.revisionOf(key)
 	for range 3 {
-		b.applyItem(storage.Item{Key: key, Value: json.RawMessage(`{"s":7}`), Stamp: b.revision + 5})
+		b.applyItem(storage.Item{Key: key, Value: json.RawMessage(`{"s":7}`), Revision: b.revision + 5})
 	}
 	if b.jobs["job-000001"] != j || b.revisionOf(key) != known || len(b.corruptKeys) != 1 {
 		t.Fatalf("job %v, stamp %d for %d, corrupt %v", b.jobs["job-000001"], b.revisionOf(key), known, b.corruptKeys)
--- a/internal/coordination/node/facts.go
+++ b/internal/coordination/node/facts.go
@@ -71,7 +71,7 @@
 
 func (n *Node) buildMachineFacts(m *machine) decide.Machine {
 	t := n.machineTypes[m.rec.Type]
-	f := decide.Machine{Name: m.name, Type: m.rec.Type, Zone: m.rec.Zone, Spot: m.rec.Spot, Partition: m.rec.Share, Used: m.used, SecPerGB: decide.SecondsPerGB(t, m.secPerGB),
+	f := decide.Machine{Name: m.name, Type: m.rec.Type, Zone: m.rec.Zone, Spot: m.rec.Spot, Partition: m.rec.Partition, Used: m.used, SecPerGB: decide.SecondsPerGB(t, m.secPerGB),
 		AvoidUntil: m.avoidUntil, LastReport: m.lastFencedReport, HasAddress: m.rec.Addr != "", EarmarkedUntil: m.earmarkedUntil, Reserved: m.gangReservation, Needed: m.needed}
 	if t != nil {
 		f.HasType, f.Size = true, decide.SizeOf(t)
@@ -80,7 +80,7 @@
 		is  bool
 		bit decide.Block
 	}{{!m.recorded, decide.NotRecorded}, {!m.fenced, decide.Unfenced}, {m.spotNotice, decide.InterruptionNotice}, {m.returning, decide.Returning}, {m.returned, decide.Returned},
-		{m.moving, decide.Moving}, {m.heldBack, decide.Cordoned}, {len(m.unconfirmedStarts) > 0, decide.StartUnconfirmed}, {n.faulty(m), decide.Faulty}} {
+		{m.moving, decide.Moving}, {m.cordoned, decide.Cordoned}, {len(m.unconfirmedStarts) > 0, decide.StartUnconfirmed}, {n.faulty(m), decide.Faulty}} {
 		if b.is {
 			f.Block |= b.bit
 		}
@@ -91,7 +91,7 @@
 	for _, im := range m.images {
 		f.Images = append(f.Images, im.Name)
 	}
-	for im := range m.fetchSince {
+	for im := range m.fetchStartedAt {
 		f.Images = append(f.Images, im)
 	}
 	for k := range m.tasks {
@@ -142,7 +142,7 @@
 // view is one look at a share.
 func (n *Node) view(s *partition, now time.Time) *decide.View {
 	n.refreshIndex(now)
-	v := &decide.View{Now: now, Partition: s.index, NoPreemption: n.owns(s) && !s.reconciliation.MayDisplace(), Types: n.machineTypes, Index: n.planningFacts.index, GPUTypesInDemand: n.wantedTypes(now),
+	v := &decide.View{Now: now, Partition: s.index, NoPreemption: n.owns(s) && !s.reconciliation.MayPreempt(), Types: n.machineTypes, Index: n.planningFacts.index, GPUTypesInDemand: n.wantedTypes(now),
 		Config: decide.Config{ReportS: n.cfg.Params.Workers.ReportS, Objectives: n.cfg.Params.Aims, MoveS: n.policy.MoveS}}
 	for _, t := range n.teams {
 		v.Teams = append(v.Teams, &t.Team)
--- a/internal/coordination/node/faults_test.go
+++ b/internal/coordination/node/faults_test.go
@@ -52,7 +52,7 @@
 		{"resources counted as free before their machine has reported", restartUnderLoad, func(n *Node) {
 			for _, p := range n.partitions {
 				for _, m := range p.machines {
-					if p.reconciliation != nil && p.reconciliation.Unheard(m.name) && n.sinceContact(time.Now()) < time.Second {
+					if p.reconciliation != nil && p.reconciliation.AwaitingReport(m.name) && n.sinceContact(time.Now()) < time.Second {
 						for k := range m.tasks {
 							n.recordOutcome(k.job, k.task, outcomeGone)
 						}
@@ -122,7 +122,7 @@
 			now := time.Now()
 			for _, p := range n.partitions {
 				for _, m := range p.machines {
-					if p.reconciliation == nil || !p.reconciliation.Unheard(m.name) || now.Sub(m.lastHint) > machineHintMaxAge {
+					if p.reconciliation == nil || !p.reconciliation.AwaitingReport(m.name) || now.Sub(m.lastHint) > machineHintMaxAge {
 						continue
 					}
 					for k := range m.tasks { // the hint does not list what was placed since
@@ -133,7 +133,7 @@
 		}},
 		{"a takeover without fencing", func(n *Node) {
 			for _, p := range n.partitions {
-				if h := p.owner; n.owns(p) && h.Token > 1 && p.takeover.cause == standby.Ended {
+				if h := p.owner; n.owns(p) && h.Token > 1 && p.takeover.cause == standby.ProcessEnded {
 					for _, m := range p.machines { // it commands under the token of the previous owner
 						if !m.fenced && m.rec.Token < h.Token {
 							m.fenced, m.lastFencedReport = true, time.Now()
--- a/internal/coordination/node/gap_test.go
+++ b/internal/coordination/node/gap_test.go
@@ -52,7 +52,7 @@
 func (g gap) play(t *testing.T) (done gapDone) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, g.seed, func(p *protocol.WorkerSettings) { p.ReportS, p.LeaseS, p.CancelS = 3, 20, 40 })
+		w := newSimCluster(t, ctx, g.seed, func(p *protocol.WorkerSettings) { p.ReportS, p.LeaseS, p.CancelS = 3, 20, 40 })
 		w.disabledGuard, w.collectOnly = g.leftOut, g.leftOut != ""
 		if g.early {
 			w.fleet.ToldLate = false
--- a/internal/coordination/node/guards_test.go
+++ b/internal/coordination/node/guards_test.go
@@ -39,22 +39,22 @@
 	n.completeAt = time.Now()
 	n.lease = 3
 	b := &testNode{Node: n, t: t, state: st, revision: 10}
-	b.watchPut(protocol.CounterKey, protocol.CounterRecord{Token: 7})
+	b.watchPut(protocol.TokenCounterKey, protocol.TokenCounterRecord{Token: 7})
 	b.watchPut(protocol.BatchKey("r-0-7-1-0"), protocol.BatchRecord{Machines: []protocol.MachineRecord{{Name: "host-1", Type: "g4", Zone: "a"}}})
-	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 7, Lease: 3})
+	b.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-0", Token: 7, Lease: 3})
 	return b
 }
 
 // watchPut is a change that the watch tells.
 func (b *testNode) watchPut(key string, v any) {
 	b.revision++
-	b.applyWatch([]storage.Item{{Key: key, Value: mustJSON(v), Stamp: b.revision}}, b.revision)
+	b.applyWatch([]storage.Item{{Key: key, Value: mustJSON(v), Revision: b.revision}}, b.revision)
 }
 
 // addJob stores a one-task job of the share's team, placed on host-1.
 func (b *testNode) addJob(id string, cancelled bool, placed ...protocol.Placement) *job {
 	spec := &protocol.JobSpec{ID: id, Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 1, CPUs: 4, GPUs: 1, Image: "i", ImageGB: 1}
-	b.watchPut(protocol.JobKey(id), protocol.JobRecord{Spec: spec, Next: 2, Cancelled: cancelled, Chunk: protocol.Chunk{Placed: placed}})
+	b.watchPut(protocol.JobKey(id), protocol.JobRecord{Spec: spec, NextAttempt: 2, Cancelled: cancelled, Chunk: protocol.Chunk{Placed: placed}})
 	return b.jobs[id]
 }
 
@@ -143,7 +143,7 @@
 	if j.tasks[0].outcome != outcomeFinished {
 		t.Fatal("done was not noted")
 	}
-	b.applyItem(storage.Item{Key: protocol.JobKey("job-1"), Stamp: b.revision + 1})
+	b.applyItem(storage.Item{Key: protocol.JobKey("job-1"), Revision: b.revision + 1})
 	a := b.sendReport(7, 2, over)
 	if a == nil || len(a.body.(protocol.Orders).Commands) != 1 || a.body.(protocol.Orders).Commands[0].Op != protocol.OpForget {
 		t.Fatalf("answered %+v, want clear", a)
@@ -178,8 +178,8 @@
 func TestLateEventDoesNotRevive(t *testing.T) {
 	b := newTestNode(t)
 	b.addJob("job-1", false)
-	late := storage.Item{Key: protocol.JobKey("job-1"), Value: mustJSON(b.headRecord(b.jobs["job-1"])), Stamp: b.revision}
-	b.applyItem(storage.Item{Key: protocol.JobKey("job-1"), Stamp: b.revision + 1})
+	late := storage.Item{Key: protocol.JobKey("job-1"), Value: mustJSON(b.headRecord(b.jobs["job-1"])), Revision: b.revision}
+	b.applyItem(storage.Item{Key: protocol.JobKey("job-1"), Revision: b.revision + 1})
 	b.applyItem(late)
 	if b.jobs["job-1"] != nil {
 		t.Fatal("a final job is back")
@@ -198,11 +198,11 @@
 		got = append(got, known && s.Status == protocol.JobDone)
 	})
 	conditions := &barrierConditions{node: b.Node, inReplica: map[string]bool{}}
-	barrier := b.statusReads.Next(time.Now(), conditions.add)
+	barrier := b.statusReads.NextBarrier(time.Now(), conditions.add)
 	if !conditions.inReplica["job-1"] {
 		t.Fatal("the replica lacks the job when the store is asked")
 	}
-	b.applyItem(storage.Item{Key: protocol.JobKey("job-1"), Stamp: b.revision + 1})
+	b.applyItem(storage.Item{Key: protocol.JobKey("job-1"), Revision: b.revision + 1})
 	b.finishReadBarrier(barrier, conditions.inReplica, true, nil, nil)
 	if len(got) != 0 {
 		t.Fatal("answered from a replica that has lost the job")
@@ -219,7 +219,7 @@
 func TestFinalIDIsNotTakenAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, 1, defaultSettings)
+		w := newSimCluster(t, ctx, 1, defaultSettings)
 		w.state.Put(protocol.FinalKey("job-000001"), protocol.FinalRecord{Status: protocol.JobDone, Tasks: 1})
 		time.Sleep(5 * time.Second)
 		s := &protocol.JobSpec{ID: "job-000001", Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 1, CPUs: 4, GPUs: 1, Image: "i"}
@@ -237,8 +237,8 @@
 func TestTakeOverRaisesToken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, 1, defaultSettings)
-		w.state.Put(protocol.CounterKey, protocol.CounterRecord{Token: 41})
+		w := newSimCluster(t, ctx, 1, defaultSettings)
+		w.state.Put(protocol.TokenCounterKey, protocol.TokenCounterRecord{Token: 41})
 		time.Sleep(8 * time.Second)
 		synctest.Wait()
 		seen := map[uint64]bool{}
@@ -259,11 +259,11 @@
 func TestMovedMachineIsGivenTime(t *testing.T) {
 	b := newTestNode(t)
 	host2 := []protocol.MachineRecord{{Name: "host-2", Type: "g4", Zone: "a", Addr: "host-2:9000"}}
-	b.watchPut(protocol.BatchKey("r-1-6-1-0"), protocol.BatchRecord{Share: 1, Machines: host2})
+	b.watchPut(protocol.BatchKey("r-1-6-1-0"), protocol.BatchRecord{Partition: 1, Machines: host2})
 	m := b.machines["host-2"]
 	m.trackedSince = time.Now().Add(-time.Hour)
-	b.watchPut(protocol.BatchKey("m-0-8"), protocol.BatchRecord{Share: 0, Token: 8, Machines: host2})
-	b.applyItem(storage.Item{Key: protocol.BatchKey("r-1-6-1-0"), Stamp: b.revision})
+	b.watchPut(protocol.BatchKey("m-0-8"), protocol.BatchRecord{Partition: 0, Token: 8, Machines: host2})
+	b.applyItem(storage.Item{Key: protocol.BatchKey("r-1-6-1-0"), Revision: b.revision})
 	if b.presumedDead(m, time.Now()) {
 		t.Fatal("given up at once")
 	}
@@ -312,11 +312,11 @@
 	b.teams[1].partition = 0 // blue lends to red on the same machines
 	for i, id := range []string{"job-1", "job-2", "job-3", "job-4"} {
 		spec := &protocol.JobSpec{ID: id, Team: "blue", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 1, CPUs: 4, GPUs: 1, Image: "i", EstimateS: 60}
-		b.watchPut(protocol.JobKey(id), protocol.JobRecord{Spec: spec, SubmittedMS: int64(i), Next: 2, Chunk: protocol.Chunk{Placed: []protocol.Placement{placedOnHost1}}})
+		b.watchPut(protocol.JobKey(id), protocol.JobRecord{Spec: spec, SubmittedMS: int64(i), NextAttempt: 2, Chunk: protocol.Chunk{Placed: []protocol.Placement{placedOnHost1}}})
 	}
 	b.teams[1].Guarantee.GPUs = 3
 	spec := &protocol.JobSpec{ID: "job-9", Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 3, CPUs: 4, GPUs: 1, Image: "i"}
-	b.watchPut(protocol.JobKey("job-9"), protocol.JobRecord{Spec: spec, SubmittedMS: 9, Next: 1})
+	b.watchPut(protocol.JobKey("job-9"), protocol.JobRecord{Spec: spec, SubmittedMS: 9, NextAttempt: 1})
 	now := time.Now()
 	for range 3 {
 		b.roomFor(b.jobs["job-9"], 3, now)
@@ -341,7 +341,7 @@
 		where := map[string]string{"host-1": "r-0-7-1-0"} // machine to batch
 		share := map[string]int{"r-0-7-1-0": 0}
 		put := func(key string) {
-			rec := protocol.BatchRecord{Share: share[key]}
+			rec := protocol.BatchRecord{Partition: share[key]}
 			for _, name := range names {
 				if where[name] == key {
 					rec.Machines = append(rec.Machines, protocol.MachineRecord{Name: name, Type: "g4", Zone: "a"})
@@ -349,7 +349,7 @@
 			}
 			if len(rec.Machines) == 0 {
 				b.revision++
-				b.applyItem(storage.Item{Key: protocol.BatchKey(key), Stamp: b.revision})
+				b.applyItem(storage.Item{Key: protocol.BatchKey(key), Revision: b.revision})
 				return
 			}
 			b.watchPut(protocol.BatchKey(key), rec)
@@ -501,7 +501,7 @@
 	if b.machines["host-1"].hasImage("i") {
 		t.Fatal("a holder believed another about its own machine")
 	}
-	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 4})
+	b.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-1", Token: 8, Lease: 4})
 	b.applyCacheHints(h.Caches)
 	if !b.machines["host-1"].hasImage("i") {
 		t.Fatal("what a sibling told is not known")
@@ -521,16 +521,16 @@
 			m.images = []protocol.CachedImage{{Name: "i", GB: 30}}
 		}
 	}
-	b.cfg.Params.Aims = []protocol.Objective{{Kind: "wait", Class: "s", WithinS: 10, Share: 0.9}}
+	b.cfg.Params.Aims = []protocol.Objective{{Kind: "wait", Class: "s", WithinS: 10, Fraction: 0.9}}
 	b.teams[0].Limit = Resources{}
 	var placed []protocol.Placement
 	for i := range 4 {
 		placed = append(placed, protocol.Placement{Task: i, Attempt: 1, Machine: "host-2"})
 	}
 	low := &protocol.JobSpec{ID: "job-1", Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 4, CPUs: 4, GPUs: 1, Image: "x"}
-	b.watchPut(protocol.JobKey("job-1"), protocol.JobRecord{Spec: low, Next: 2, Chunk: protocol.Chunk{Placed: placed}})
+	b.watchPut(protocol.JobKey("job-1"), protocol.JobRecord{Spec: low, NextAttempt: 2, Chunk: protocol.Chunk{Placed: placed}})
 	spec := &protocol.JobSpec{ID: "job-2", Team: "red", Class: "s", Shape: protocol.Service, Priority: "critical", Tasks: 5, CPUs: 4, GPUs: 1, Image: "i", ImageGB: 30}
-	b.watchPut(protocol.JobKey("job-2"), protocol.JobRecord{Spec: spec, SubmittedMS: 1, Next: 1})
+	b.watchPut(protocol.JobKey("job-2"), protocol.JobRecord{Spec: spec, SubmittedMS: 1, NextAttempt: 1})
 	b.policy.StopRentals = true
 	b.plan(now)
 	stopped := 0
@@ -565,10 +565,10 @@
 	}
 	again := placedOnHost1
 	again.Attempt = 2
-	b.watchPut(protocol.JobKey("job-1"), protocol.JobRecord{Spec: j.spec, Next: 3, Chunk: protocol.Chunk{Placed: []protocol.Placement{again}}})
+	b.watchPut(protocol.JobKey("job-1"), protocol.JobRecord{Spec: j.spec, NextAttempt: 3, Chunk: protocol.Chunk{Placed: []protocol.Placement{again}}})
 	used(1)
 	b.recordOutcome(j, 0, outcomeFinished)
-	b.watchPut(protocol.JobKey("job-1"), protocol.JobRecord{Spec: j.spec, Next: 3, Chunk: protocol.Chunk{Done: [][2]int{{0, 0}}}})
+	b.watchPut(protocol.JobKey("job-1"), protocol.JobRecord{Spec: j.spec, NextAttempt: 3, Chunk: protocol.Chunk{Done: [][2]int{{0, 0}}}})
 	used(0)
 	if len(m.tasks) != 0 {
 		t.Fatal("a task that is done is still counted on its machine")
@@ -590,7 +590,7 @@
 		}
 		place := func(id, priority, shape string, tasks int, spread bool, placed ...protocol.Placement) {
 			b.watchPut(protocol.JobKey(id), protocol.JobRecord{Spec: &protocol.JobSpec{ID: id, Team: "red", Class: "c", Shape: shape, Priority: priority,
-				Tasks: tasks, CPUs: 4, GPUs: 1, Image: "i", Spread: spread}, Next: 2, Chunk: protocol.Chunk{Placed: placed}})
+				Tasks: tasks, CPUs: 4, GPUs: 1, Image: "i", Spread: spread}, NextAttempt: 2, Chunk: protocol.Chunk{Placed: placed}})
 		}
 		place("job-1", "critical", protocol.Service, 2, true, placedOnHost1)
 		var low []protocol.Placement
@@ -612,8 +612,8 @@
 		b := newTestNode(t)
 		j := b.addJob("job-1", false, placedOnHost1)
 		b.recordOutcome(j, 0, f)
-		b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
-		b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
+		b.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-1", Token: 8, Lease: 9})
+		b.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-0", Token: 9, Lease: 3})
 		if m := b.machines["host-1"]; j.tasks[0].outcome != outcomeNone || m.used.GPUs != 1 || b.teams[0].Used.GPUs != 1 {
 			t.Fatalf("fact %v, %v GPUs of the machine and %v of the team in use", j.tasks[0].outcome, m.used.GPUs, b.teams[0].Used.GPUs)
 		}
@@ -633,7 +633,7 @@
 	for _, id := range []string{"job-1", "job-2", "job-3"} {
 		b.addJob(id, false, placedOnHost1)
 	}
-	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 8, Lease: 3})
+	b.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-0", Token: 8, Lease: 3})
 	a := b.sendReport(8, 1)
 	if a == nil {
 		t.Fatal("no answer")
@@ -647,7 +647,7 @@
 // connections between controllers: there the workers themselves can go.
 func TestNoStandInBehindAFilter(t *testing.T) {
 	b := newTestNode(t)
-	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
+	b.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-1", Token: 8, Lease: 9})
 	if a := b.sendReport(8, 1); a == nil || a.status != 200 {
 		t.Fatalf("beyond a cut: %+v", a)
 	}
@@ -663,7 +663,7 @@
 // starts. (Seen on a simulated day: 179 workers of a stalled controller lost them.)
 func TestLeasesOfAStalledHolderLiveThroughAnOutage(t *testing.T) {
 	b := newTestNode(t)
-	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
+	b.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-1", Token: 8, Lease: 9})
 	b.addJob("job-1", false, placedOnHost1)
 	reply := make(chan answer, 1)
 	ask := func(after time.Duration, token uint64) answer {
@@ -762,12 +762,12 @@
 	rental, moved := protocol.BatchKey("r-0-7-1-0"), protocol.BatchKey("m-1-9")
 	rec := protocol.MachineRecord{Name: "host-1", Type: "g4", Zone: "a"}
 	b := newTestNode(t)
-	b.watchPut(moved, protocol.BatchRecord{Share: 1, Token: 9, Machines: []protocol.MachineRecord{rec}})
+	b.watchPut(moved, protocol.BatchRecord{Partition: 1, Token: 9, Machines: []protocol.MachineRecord{rec}})
 	b.revision++
-	b.applyItem(storage.Item{Key: rental, Stamp: b.revision})
+	b.applyItem(storage.Item{Key: rental, Revision: b.revision})
 	b.watchPut(rental, protocol.BatchRecord{Machines: []protocol.MachineRecord{rec}})
 	where := func(n *Node, how string) {
-		if m := n.machines["host-1"]; m == nil || !m.recorded || m.rec.Share != 1 || n.fencingToken(m) != 9 {
+		if m := n.machines["host-1"]; m == nil || !m.recorded || m.rec.Partition != 1 || n.fencingToken(m) != 9 {
 			t.Errorf("%s: %+v", how, m)
 		}
 	}
@@ -785,7 +785,7 @@
 		for _, key := range order {
 			r := protocol.BatchRecord{Machines: []protocol.MachineRecord{rec}}
 			if key == moved {
-				r.Share, r.Token = 1, 9
+				r.Partition, r.Token = 1, 9
 			}
 			fresh.watchPut(key, r)
 		}
--- a/internal/coordination/node/guests_test.go
+++ b/internal/coordination/node/guests_test.go
@@ -16,10 +16,10 @@
 	b.teams[2].Guarantee = Resources{} // green, in partition 2, has no guarantee
 	now := time.Now()
 	for i := range 3 {
-		b.watchPut(protocol.HolderKey(i), protocol.HolderRecord{Node: "n-0", Token: 7, Lease: 3})
+		b.watchPut(protocol.OwnerKey(i), protocol.OwnerRecord{Node: "n-0", Token: 7, Lease: 3})
 	}
 	addMachine := func(index int, name string) *machine {
-		b.watchPut(protocol.BatchKey("b-"+name), protocol.BatchRecord{Share: index, Token: 7, Machines: []protocol.MachineRecord{{Name: name, Type: "g4", Zone: "a", Addr: "x:1"}}})
+		b.watchPut(protocol.BatchKey("b-"+name), protocol.BatchRecord{Partition: index, Token: 7, Machines: []protocol.MachineRecord{{Name: name, Type: "g4", Zone: "a", Addr: "x:1"}}})
 		m := b.machines[name]
 		m.fenced, m.lastFencedReport = true, now
 		return m
@@ -29,7 +29,7 @@
 		if team != "green" {
 			spec.GPUs = 1
 		}
-		b.watchPut(protocol.JobKey(id), protocol.JobRecord{Spec: spec, Next: 2, Chunk: protocol.Chunk{Placed: placed}})
+		b.watchPut(protocol.JobKey(id), protocol.JobRecord{Spec: spec, NextAttempt: 2, Chunk: protocol.Chunk{Placed: placed}})
 		return b.jobs[id]
 	}
 	b.workers = &scriptedWorkers{orders: make(chan protocol.Orders, 9), answers: make(chan *protocol.Report, 9)}
@@ -69,7 +69,7 @@
 func TestUnguaranteedChangesAreStoredLast(t *testing.T) {
 	lost, _ := storePriority(storeStart, false, 0, true, false)
 	for urgency := storeEnd; urgency <= storeOutcomes; urgency++ {
-		for _, waited := range []time.Duration{0, outcomeBatchDelay, guestPatience - 1} {
+		for _, waited := range []time.Duration{0, outcomeBatchDelay, unguaranteedDelay - 1} {
 			if u, storedNow := storePriority(urgency, true, waited, false, false); u <= lost || storedNow != (waited >= outcomeBatchDelay) {
 				t.Errorf("an unguaranteed change %d after %v: urgency %d, stored now %v", urgency, waited, u, storedNow)
 			}
@@ -80,7 +80,7 @@
 				t.Error("an unguaranteed change waits although the write rate suffices")
 			}
 		}
-		if u, now := storePriority(urgency, true, guestPatience, true, false); u != urgency || !now {
+		if u, now := storePriority(urgency, true, unguaranteedDelay, true, false); u != urgency || !now {
 			t.Errorf("an unguaranteed change %d is never stored", urgency)
 		}
 	}
--- a/internal/coordination/node/jobs.go
+++ b/internal/coordination/node/jobs.go
@@ -124,7 +124,7 @@
 func (j *job) nWaiting() int { return len(j.tasks) - j.nDone - j.nPlaced - j.nExhausted }
 
 func (j *job) chunkRange(k int) (lo, hi int) {
-	return k * protocol.ChunkTasks, min(len(j.tasks), (k+1)*protocol.ChunkTasks)
+	return k * protocol.TasksPerChunk, min(len(j.tasks), (k+1)*protocol.TasksPerChunk)
 }
 
 func (n *Node) revisionOf(key string) uint64 {
@@ -135,7 +135,7 @@
 }
 
 func (n *Node) unchanged(key string) storage.Cond {
-	return storage.Cond{Key: key, Stamp: n.revisionOf(key)}
+	return storage.Cond{Key: key, Revision: n.revisionOf(key)}
 }
 
 // applyJob takes in a job's head: its own record, or what an inbox says of it.
@@ -178,10 +178,10 @@
 		j.claim = r.Claim
 		n.forgetEarlierClaim(id, r.Claim)
 	}
-	j.history.mergeStored(r.Lost, r.LostMS)
+	j.history.mergeStored(r.LostRuns, r.LastLostMS)
 	j.failed = j.failed || r.Failed
-	j.cancelPending = r.Asked && !r.Cancelled
-	if (r.Cancelled || r.Asked || r.Failed) && !j.cancelled {
+	j.cancelPending = r.CancelRequested && !r.Cancelled
+	if (r.Cancelled || r.CancelRequested || r.Failed) && !j.cancelled {
 		j.cancelled, j.facts.Cancelled = true, true
 		n.cancelling[j] = true
 		j.history.addEvent(time.Now(), map[bool]string{true: "to end: it or its ticket failed", false: "cancelled"}[j.failed])
@@ -190,7 +190,7 @@
 		n.stopTasksDirectly(j)
 		n.dirty[j] = true
 	}
-	j.nextAttempt = max(j.nextAttempt, r.Next)
+	j.nextAttempt = max(j.nextAttempt, r.NextAttempt)
 	n.applyTries(j, r.Tries, time.Now())
 	n.setTasks(j, 0, &r.Chunk)
 	if fresh {
@@ -255,7 +255,7 @@
 		}
 	}
 	for i := lo; i < hi; i++ {
-		if t := &j.tasks[i]; t.fromLog && t.logSeq > c.Log {
+		if t := &j.tasks[i]; t.fromLog && t.logSeq > c.LogSeq {
 			continue // its share's log tells something later
 		}
 		switch p := want[i-lo]; {
@@ -266,7 +266,7 @@
 		default:
 			n.applyTask(j, i, phaseWaiting, "", 0, now)
 		}
-		j.tasks[i].logSeq, j.tasks[i].fromLog = c.Log, false
+		j.tasks[i].logSeq, j.tasks[i].fromLog = c.LogSeq, false
 	}
 	n.afterTasksApplied(j)
 }
@@ -456,7 +456,7 @@
 // its final record; what it leaves would be read at every start, for ever: 781 keys of
 // a ticket of 100,000 tasks.
 func (n *Node) removeOrphanChunks(now time.Time) {
-	if !n.isLeader() || n.sinceContact(now) > 2*time.Second || n.pendingUserChanges > 0 || n.totalPendingWrites() > 0 || !n.rateLimiter.Ample() {
+	if !n.isLeader() || n.sinceContact(now) > 2*time.Second || n.pendingUserChanges > 0 || n.totalPendingWrites() > 0 || !n.rateLimiter.HasSpareRate() {
 		return
 	}
 	s := &n.orphanSweep
@@ -480,7 +480,7 @@
 		}
 		id, _ := splitJobKey(key)
 		// Should the job be there after all, or come again, nothing is removed.
-		n.submitTo(n.backgroundCommitter, &storage.Op{Conds: []storage.Cond{n.unchanged(protocol.HolderKey(0)), {Key: protocol.JobKey(id)}, n.unchanged(key)},
+		n.submitTo(n.backgroundCommitter, &storage.Op{Conds: []storage.Cond{n.unchanged(protocol.OwnerKey(0)), {Key: protocol.JobKey(id)}, n.unchanged(key)},
 			Writes: []storage.Write{{Delete: key}}}, func(storage.Result) {})
 	}
 }
@@ -519,7 +519,7 @@
 func (n *Node) proposePlacements(j *job, tasks []int, to []*machine, now time.Time) {
 	for k, i := range tasks {
 		n.setPhase(j, i, phaseProposed, to[k], j.nextAttempt, now)
-		j.dirtyChunks[i/protocol.ChunkTasks] = true
+		j.dirtyChunks[i/protocol.TasksPerChunk] = true
 	}
 	j.nextAttempt++
 	n.dirty[j] = true
@@ -537,7 +537,7 @@
 	if n.pendingWrites[n.urgentCommitter] >= most && n.pendingWrites[n.backgroundCommitter] >= most {
 		return
 	}
-	ample := n.rateLimiter.Ample()
+	ample := n.rateLimiter.HasSpareRate()
 	turns := make([][]storeRequest, len(n.partitions))
 	for j := range n.dirty {
 		if j.writePending || n.jobChangesPaused(j) {
@@ -577,15 +577,15 @@
 // are scarce. The job's end is not among them.
 const outcomeBatchDelay = 3 * time.Second
 
-// guestPatience is how long what is new of a guest's job lets others go first. With
+// unguaranteedDelay is how long what is new of a guest's job lets others go first. With
 // 25,000 tasks and 800 jobs of a guest it used up the rate: that a task of a job with
 // a guarantee was lost was not stored for 300 s, and so it did not run again.
-const guestPatience = 20 * time.Second
+const unguaranteedDelay = 20 * time.Second
 
 // storePriority says how urgent it is to store what has been new of a job for so long,
 // and whether its turn has come.
 func storePriority(urgency int, guest bool, waits time.Duration, usersWait, ample bool) (int, bool) {
-	guest = guest && waits < guestPatience
+	guest = guest && waits < unguaranteedDelay
 	if guest {
 		urgency += storeOutcomes // after nearly all else
 	}
@@ -624,7 +624,7 @@
 
 // chunkRecord builds chunk k as it is to be stored by the share's holder, who knows all of its log.
 func (n *Node) chunkRecord(j *job, k int) protocol.Chunk {
-	c := protocol.Chunk{Log: n.partitions[j.partition].log.Last()}
+	c := protocol.Chunk{LogSeq: n.partitions[j.partition].log.LastSeq()}
 	lo, hi := j.chunkRange(k)
 	for i := lo; i < hi; i++ {
 		t := &j.tasks[i]
@@ -648,7 +648,7 @@
 
 // headRecord builds a job's head as it is to be stored.
 func (n *Node) headRecord(j *job) protocol.JobRecord {
-	return protocol.JobRecord{Spec: j.spec, SubmittedMS: j.submitted.UnixMilli(), Cancelled: j.cancelled && !j.cancelPending, Asked: j.cancelPending, Next: j.nextAttempt, Tries: j.failures.tries, Claim: j.claim, Step: j.step, Failed: j.failed, Lost: j.history.lostRuns, LostMS: j.history.lastLostMS(), Chunk: n.chunkRecord(j, 0)}
+	return protocol.JobRecord{Spec: j.spec, SubmittedMS: j.submitted.UnixMilli(), Cancelled: j.cancelled && !j.cancelPending, CancelRequested: j.cancelPending, NextAttempt: j.nextAttempt, Tries: j.failures.tries, Claim: j.claim, Step: j.step, Failed: j.failed, LostRuns: j.history.lostRuns, LastLostMS: j.history.lastLostMS(), Chunk: n.chunkRecord(j, 0)}
 }
 
 func mustJSON(v any) json.RawMessage {
@@ -675,12 +675,12 @@
 	for i := range j.tasks {
 		if t := &j.tasks[i]; t.outcome != outcomeNone {
 			t.storing = true
-			touched[i/protocol.ChunkTasks] = true
+			touched[i/protocol.TasksPerChunk] = true
 		}
 	}
 	// The machines need no condition of their own: only the holder moves or
 	// returns those of its share, and it does neither while a task is proposed.
-	op := &storage.Op{For: uint8(of), Conds: []storage.Cond{n.unchanged(protocol.HolderKey(j.partition)), n.unchanged(protocol.JobKey(j.id))}}
+	op := &storage.Op{Purpose: uint8(of), Conds: []storage.Cond{n.unchanged(protocol.OwnerKey(j.partition)), n.unchanged(protocol.JobKey(j.id))}}
 	if n.mayHaveEntries() {
 		op.Conds = append(op.Conds, n.logUnchanged(j.partition), storage.Cond{Key: protocol.FinalKey(j.id)})
 	}
@@ -789,7 +789,7 @@
 	if r.OK {
 		n.metrics.stateCalls.WithLabelValues("stored").Inc()
 		for _, w := range op.Writes {
-			n.applyOwnWrite(w, r.Epoch)
+			n.applyOwnWrite(w, r.Revision)
 		}
 		j.writePending = false
 		n.stepChangeFinished(j)
@@ -832,8 +832,8 @@
 
 // applyOwnWrite takes an own committed write into the replica.
 func (n *Node) applyOwnWrite(w storage.Write, epoch uint64) {
-	it := storage.Item{Key: w.Key(), Value: w.Value, Stamp: epoch}
-	if strings.HasPrefix(it.Key, protocol.Root) {
+	it := storage.Item{Key: w.Key(), Value: w.Value, Revision: epoch}
+	if strings.HasPrefix(it.Key, protocol.WatchedRoot) {
 		n.applyItem(it)
 	} else {
 		n.applyFinal(it)
@@ -851,7 +851,7 @@
 			n.setPhase(j, i, phaseWaiting, nil, 0, now)
 		}
 		if t.outcome != outcomeNone {
-			j.dirtyChunks[i/protocol.ChunkTasks] = true
+			j.dirtyChunks[i/protocol.TasksPerChunk] = true
 		}
 	}
 	n.replan = true
--- a/internal/coordination/node/jobs_test.go
+++ b/internal/coordination/node/jobs_test.go
@@ -27,7 +27,7 @@
 		b := newTestNode(t)
 		count := rapid.IntRange(1, 300).Draw(rt, "tasks")
 		spec := &protocol.JobSpec{ID: "job-1", Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: count, CPUs: 1, GPUs: 0.01, Image: "i"}
-		b.watchPut(protocol.JobKey("job-1"), protocol.JobRecord{Spec: spec, Next: 1})
+		b.watchPut(protocol.JobKey("job-1"), protocol.JobRecord{Spec: spec, NextAttempt: 1})
 		j := b.jobs["job-1"]
 		now := time.Now()
 		for i := range count {
@@ -43,7 +43,7 @@
 		}
 		want := slices.Clone(j.tasks)
 		c := newTestNode(t)
-		for k := 0; k*protocol.ChunkTasks < count; k++ {
+		for k := 0; k*protocol.TasksPerChunk < count; k++ {
 			var v any = b.chunkRecord(j, k)
 			if k == 0 {
 				v = b.headRecord(j)
@@ -78,7 +78,7 @@
 func TestManyTasks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, 3, defaultSettings)
+		w := newSimCluster(t, ctx, 3, defaultSettings)
 		time.Sleep(5 * time.Second)
 		big := &protocol.JobSpec{ID: "job-000001", Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 400, CPUs: 0.2, GPUs: 0.02, MemoryGB: 0.5, Image: "i", EstimateS: 3}
 		huge := &protocol.JobSpec{ID: "job-000002", Team: "blue", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: protocol.MaxTasks, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "i", EstimateS: 30}
@@ -109,18 +109,18 @@
 	b := newTestNode(t)
 	for i, gb := range []float64{8, 8, 8, 1} {
 		spec := &protocol.JobSpec{ID: fmt.Sprintf("job-%d", i), Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 1, CPUs: 4, GPUs: 1, Image: fmt.Sprint(i), ImageGB: gb}
-		b.watchPut(protocol.JobKey(spec.ID), protocol.JobRecord{Spec: spec, SubmittedMS: int64(i), Next: 1})
+		b.watchPut(protocol.JobKey(spec.ID), protocol.JobRecord{Spec: spec, SubmittedMS: int64(i), NextAttempt: 1})
 	}
-	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
-	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
+	b.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-1", Token: 8, Lease: 9})
+	b.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-0", Token: 9, Lease: 3})
 	s := b.partitions[0]
 	b.countArrivals(s)
 	if s.window.Len() != 4 || b.jobs["job-3"].heavy || !b.jobs["job-0"].heavy {
 		t.Fatalf("window %+v; the 1 GB job among 8 GB ones should be light", s.window)
 	}
 	b.dropJob("job-2")
-	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 10, Lease: 9})
-	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 11, Lease: 3})
+	b.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-1", Token: 10, Lease: 9})
+	b.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-0", Token: 11, Lease: 3})
 	if b.countArrivals(s); s.window.Len() != 4 {
 		t.Errorf("%d arrivals after another take-over: what ended counts too", s.window.Len())
 	}
--- a/internal/coordination/node/leadership_meetings_test.go
+++ b/internal/coordination/node/leadership_meetings_test.go
@@ -313,10 +313,10 @@
 // The own record as owner, known before all that was stored earlier, entitles to nothing yet,
 // whether the share had an owner before or none.
 func TestOwnershipWaitsForTheReplica(t *testing.T) {
-	for _, before := range []protocol.HolderRecord{{}, {Node: "n-1", Token: 8, Lease: 9}} {
+	for _, before := range []protocol.OwnerRecord{{}, {Node: "n-1", Token: 8, Lease: 9}} {
 		b := newTestNode(t)
-		b.watchPut(protocol.HolderKey(0), before)
-		own := storage.Write{Put: protocol.HolderKey(0), Value: mustJSON(protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})}
+		b.watchPut(protocol.OwnerKey(0), before)
+		own := storage.Write{Put: protocol.OwnerKey(0), Value: mustJSON(protocol.OwnerRecord{Node: "n-0", Token: 9, Lease: 3})}
 		b.applyOwnWrite(own, b.revision+5)
 		if s := b.partitions[0]; b.owns(s) || !s.ownerChanging() {
 			t.Fatalf("after %+v the share counts as owned: %+v", before, s.owner)
@@ -325,7 +325,7 @@
 		if b.owns(b.partitions[0]) {
 			t.Fatalf("after %+v the share counts as owned one revision too early", before)
 		}
-		b.applyWatch([]storage.Item{{Key: own.Put, Value: own.Value, Stamp: b.revision + 5}}, b.revision+5)
+		b.applyWatch([]storage.Item{{Key: own.Put, Value: own.Value, Revision: b.revision + 5}}, b.revision+5)
 		if s := b.partitions[0]; !b.owns(s) || s.ownerChanging() || b.revisionOf(own.Put) != b.revision+5 {
 			t.Fatalf("after %+v the share is not owned when all is known: %+v", before, s.owner)
 		}
@@ -336,7 +336,7 @@
 func detachOwnerLeases(writes []storage.Write) []storage.Write {
 	writes = slices.Clone(writes)
 	for i := range writes {
-		if strings.HasPrefix(writes[i].Put, protocol.HolderRoot) {
+		if strings.HasPrefix(writes[i].Put, protocol.OwnerRoot) {
 			writes[i].Lease = 0
 		}
 	}
--- a/internal/coordination/node/lives.go
+++ b/internal/coordination/node/lives.go
@@ -117,7 +117,7 @@
 	l.registering = true
 	key := protocol.NodeKey(n.cfg.Node)
 	n.submit(&storage.Op{Conds: []storage.Cond{n.unchanged(key)},
-		Writes: []storage.Write{{Put: key, Value: mustJSON(protocol.NodeRecord{Lease: lease, Version: protocol.RecordVersion, Plain: n.requiresRecords()}), Lease: lease}}},
+		Writes: []storage.Write{{Put: key, Value: mustJSON(protocol.NodeRecord{Lease: lease, Version: protocol.RecordVersion, RequiresRecords: n.requiresRecords()}), Lease: lease}}},
 		func(r storage.Result) {
 			l.registering = false
 			if !r.OK && len(r.Failed) > 0 && n.lease == lease {
--- a/internal/coordination/node/lives_test.go
+++ b/internal/coordination/node/lives_test.go
@@ -89,14 +89,14 @@
 // A process that ends again and again, every fraction of a second, leaves nothing behind that
 // grows, costs no share of another, and its own shares are served soon after the last time.
 func TestEndingAgainAndAgain(t *testing.T) {
-	idleWorld(t, 31, func(w *simCluster) {
+	runIdleCluster(t, 31, func(w *simCluster) {
 		count := func() int {
 			items, _, _ := w.state.List(t.Context(), "")
 			return len(items)
 		}
 		name := w.names[1]
-		others := func() []protocol.HolderRecord {
-			return slices.DeleteFunc(append([]protocol.HolderRecord{}, sliceOf(w.partitionOwners())...), func(h protocol.HolderRecord) bool { return h.Node == name || h.Token == 0 })
+		others := func() []protocol.OwnerRecord {
+			return slices.DeleteFunc(append([]protocol.OwnerRecord{}, sliceOf(w.partitionOwners())...), func(h protocol.OwnerRecord) bool { return h.Node == name || h.Token == 0 })
 		}
 		before, was := count(), others()
 		for range 40 {
@@ -104,7 +104,7 @@
 			time.Sleep(w.randDuration(0, 400*time.Millisecond))
 		}
 		began := time.Now()
-		for time.Since(began) < 10*time.Second && slices.ContainsFunc(sliceOf(w.partitionOwners()), func(h protocol.HolderRecord) bool { return h.Token == 0 }) {
+		for time.Since(began) < 10*time.Second && slices.ContainsFunc(sliceOf(w.partitionOwners()), func(h protocol.OwnerRecord) bool { return h.Token == 0 }) {
 			time.Sleep(10 * time.Millisecond)
 		}
 		if took := time.Since(began); took > 2*time.Second {
@@ -122,7 +122,7 @@
 	})
 }
 
-func sliceOf(h [3]protocol.HolderRecord) []protocol.HolderRecord { return h[:] }
+func sliceOf(h [3]protocol.OwnerRecord) []protocol.OwnerRecord { return h[:] }
 
 // Two processes of one name at a time, as after one that stood still was replaced: the later
 // one is believed, by all and by the earlier one, which holds nothing while the later one
@@ -167,7 +167,7 @@
 	for _, sabotaged := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
-			w := newWorld(t, ctx, 5, defaultSettings)
+			w := newSimCluster(t, ctx, 5, defaultSettings)
 			time.Sleep(5 * time.Second)
 			key := protocol.NodeKey("n-1")
 			was, _ := w.state.Get(ctx, key)
@@ -177,10 +177,10 @@
 			// next life has stored its own.
 			w.restart("n-1", 0)
 			time.Sleep(time.Second)
-			if now, _ := w.state.Get(ctx, key); now.Stamp == was.Stamp {
+			if now, _ := w.state.Get(ctx, key); now.Revision == was.Revision {
 				t.Fatal("the next life has stored nothing")
 			}
-			cond := []storage.Cond{{Key: key, Stamp: was.Stamp}}
+			cond := []storage.Cond{{Key: key, Revision: was.Revision}}
 			if sabotaged {
 				cond = nil
 			}
--- a/internal/coordination/node/log_progress_test.go
+++ b/internal/coordination/node/log_progress_test.go
@@ -24,14 +24,14 @@
 func (b *testNode) fragmented(id string) *job {
 	b.cfg.Params.State.ValueKB = 1
 	spec := &protocol.JobSpec{ID: id, Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 200, CPUs: 0.1, Image: "i"}
-	b.storePut(protocol.JobKey(id), protocol.JobRecord{Spec: spec, Next: 2})
+	b.storePut(protocol.JobKey(id), protocol.JobRecord{Spec: spec, NextAttempt: 2})
 	var done [][2]int
 	for i := 1; i < spec.Tasks; i += 2 {
 		done = append(done, [2]int{i, i})
 	}
 	b.storePut(protocol.LogKey(0, 1), protocol.Entry{Version: protocol.EntryVersion, Seq: 1, Machines: []string{"host-1"},
-		Parts: []protocol.Part{{Job: id, Next: 2, Placed: []protocol.Run{{0, uint64(spec.Tasks - 1), 1, 0}}}}})
-	b.storePut(protocol.LogKey(0, 0), protocol.Entry{Version: protocol.EntryVersion, Seq: 4, Parts: []protocol.Part{{Job: id, Next: 2, Done: done}}})
+		Parts: []protocol.Part{{Job: id, NextAttempt: 2, Placed: []protocol.PlacedRange{{0, uint64(spec.Tasks - 1), 1, 0}}}}})
+	b.storePut(protocol.LogKey(0, 0), protocol.Entry{Version: protocol.EntryVersion, Seq: 4, Parts: []protocol.Part{{Job: id, NextAttempt: 2, Done: done}}})
 	return b.jobs[id]
 }
 
@@ -67,7 +67,7 @@
 	b, _ := newTestNodeWithLog(t)
 	b.cfg.Params.State.ValueKB = 1
 	spec := &protocol.JobSpec{ID: "job-9", Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 200, CPUs: 0.1, Image: "i"}
-	b.storePut(protocol.JobKey(spec.ID), protocol.JobRecord{Spec: spec, Next: 2})
+	b.storePut(protocol.JobKey(spec.ID), protocol.JobRecord{Spec: spec, NextAttempt: 2})
 	large := b.jobs[spec.ID]
 	var tasks []int
 	var to []*machine
--- a/internal/coordination/node/machines.go
+++ b/internal/coordination/node/machines.go
@@ -20,7 +20,7 @@
 
 // addToPartition inserts a recorded machine into the machine list of its partition.
 func (n *Node) addToPartition(m *machine) {
-	p := n.partitions[m.rec.Share]
+	p := n.partitions[m.rec.Partition]
 	if i, found := slices.BinarySearchFunc(p.machines, m, compareMachines); !found {
 		p.machines = slices.Insert(p.machines, i, m)
 		n.addToReconciliation(p, m)
@@ -29,10 +29,10 @@
 
 // removeFromPartition takes a machine out of the machine list of its partition.
 func (n *Node) removeFromPartition(m *machine) {
-	p := n.partitions[m.rec.Share]
+	p := n.partitions[m.rec.Partition]
 	if i, found := slices.BinarySearchFunc(p.machines, m, compareMachines); found {
 		p.machines = slices.Delete(p.machines, i, i+1)
-		p.reconciliation.Drop(m.name)
+		p.reconciliation.Remove(m.name)
 	}
 }
 
@@ -40,16 +40,16 @@
 // contains the owner's token, which no other node and no other process of this node ever has.
 func (n *Node) rentMachines(p *partition, wanted rentalKey, count int) {
 	n.cloudState.rentalSeq++
-	req := protocol.RentRequest{Request: fmt.Sprintf("r-%d-%d-%d", p.index, p.owner.Token, n.cloudState.rentalSeq),
+	req := protocol.RentRequest{RequestID: fmt.Sprintf("r-%d-%d-%d", p.index, p.owner.Token, n.cloudState.rentalSeq),
 		Type: wanted.Type, Zone: wanted.Zone, Spot: wanted.Spot, Count: count}
 	n.cloudState.requested[wanted] = count
-	fence := n.unchanged(protocol.FenceKey)
+	fence := n.unchanged(protocol.RentalFenceKey)
 	n.spawn(func(ctx context.Context) {
 		names, err := n.cloud.Rent(ctx, req)
 		n.post(func() {
 			now := time.Now()
 			n.metrics.cloudCalls.WithLabelValues("rent", callOutcome(err)).Inc()
-			n.log.Info("rental", "request", req.Request, "type", wanted.Type, "zone", wanted.Zone, "spot", wanted.Spot, "asked", count, "got", len(names), "why", err)
+			n.log.Info("rental", "request", req.RequestID, "type", wanted.Type, "zone", wanted.Zone, "spot", wanted.Spot, "asked", count, "got", len(names), "why", err)
 			if len(names) > 0 {
 				delete(n.cloudState.refusalsInRow, wanted.offer)
 			}
@@ -95,7 +95,7 @@
 func (n *Node) onUnrecordedReport(report *protocol.Report, now time.Time, reply chan<- answer) {
 	leader := n.partitions[0].owner
 	if _, returned := n.cloudState.returned[report.Machine]; !returned {
-		n.adoption.Heard(protocol.MachineRecord{Name: report.Machine, Type: report.Type, Zone: report.Zone, Spot: report.Spot, Addr: report.Addr}, now)
+		n.adoption.NoteReport(protocol.MachineRecord{Name: report.Machine, Type: report.Type, Zone: report.Zone, Spot: report.Spot, Addr: report.Addr}, now)
 	}
 	switch {
 	case n.isLeader():
@@ -188,7 +188,7 @@
 		case m.spotNotice || n.faulty(m):
 			n.log.Info("machine returned", "machine", m.name, "notice", m.spotNotice, "blamed_by", len(m.faults.failedJobs), "failures", m.faults.provenFailures)
 			toReturn = append(toReturn, m)
-		case noWaitingTasks[m.rec.Share] && !m.needed && !m.idleSince.IsZero() && now.Sub(m.idleSince) > start.IdleFor(n.seconds(n.policy.IdleS), !m.idleSinceUnknown):
+		case noWaitingTasks[m.rec.Partition] && !m.needed && !m.idleSince.IsZero() && now.Sub(m.idleSince) > start.IdleTimeout(n.seconds(n.policy.IdleS), !m.idleSinceUnknown):
 			idleMachines = append(idleMachines, m)
 		}
 	}
@@ -422,7 +422,7 @@
 				m.returned = true
 				n.markStale(m)
 				n.cloudState.returned[m.name] = now
-				if m.recorded && n.owns(n.partitions[m.rec.Share]) || !m.recorded {
+				if m.recorded && n.owns(n.partitions[m.rec.Partition]) || !m.recorded {
 					n.settleReturned(m)
 				}
 			}
@@ -479,7 +479,7 @@
 		if m.addr == "" {
 			m.addr = l.Addr
 		}
-		if l.State == "failed" && !m.returned && !m.returning && n.owns(n.partitions[m.rec.Share]) {
+		if l.State == "failed" && !m.returned && !m.returning && n.owns(n.partitions[m.rec.Partition]) {
 			n.log.Info("machine failed", "machine", l.ID)
 			toReturn = append(toReturn, m)
 		}
--- a/internal/coordination/node/meetings_test.go
+++ b/internal/coordination/node/meetings_test.go
@@ -40,8 +40,8 @@
 
 // partitionOwner is who holds a share, as the state service has it; "" if nobody does.
 func (w *simCluster) partitionOwner(share int) string {
-	it, _ := w.state.Get(w.ctx, protocol.HolderKey(share))
-	var h protocol.HolderRecord
+	it, _ := w.state.Get(w.ctx, protocol.OwnerKey(share))
+	var h protocol.OwnerRecord
 	if it.Value == nil {
 		return ""
 	}
@@ -342,7 +342,7 @@
 func runScenarios(t *testing.T, seed uint64, leftOut string, ms ...faultScenario) (broken []string) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorldAt(t, ctx, seed, nil, func(cfg *protocol.Settings, f *standin.Fleet) {
+		w := newConfiguredSimCluster(t, ctx, seed, nil, func(cfg *protocol.Settings, f *standin.Fleet) {
 			for _, m := range ms {
 				if m.configure != nil {
 					m.configure(&cfg.Params.Workers, &simCluster{fleet: f})
--- a/internal/coordination/node/mistakes_test.go
+++ b/internal/coordination/node/mistakes_test.go
@@ -16,7 +16,7 @@
 	for i, m := range on {
 		placed = append(placed, protocol.Placement{Task: i, Attempt: 1, Machine: m})
 	}
-	b.watchPut(protocol.JobKey(id), protocol.JobRecord{Spec: spec, Next: 2, Chunk: protocol.Chunk{Placed: placed}})
+	b.watchPut(protocol.JobKey(id), protocol.JobRecord{Spec: spec, NextAttempt: 2, Chunk: protocol.Chunk{Placed: placed}})
 	return b.jobs[id]
 }
 
@@ -62,7 +62,7 @@
 			t.Fatalf("try %d after %v, the previous one after %v", k, next, pause)
 		}
 		pause, now = next, j.notBefore
-		b.watchPut(protocol.JobKey("job-1"), protocol.JobRecord{Spec: j.spec, Next: j.nextAttempt})
+		b.watchPut(protocol.JobKey("job-1"), protocol.JobRecord{Spec: j.spec, NextAttempt: j.nextAttempt})
 		if got := b.eligibleTasks(j, 8, now); got != 1 {
 			t.Fatalf("%d tasks tried at once", got)
 		}
@@ -70,7 +70,7 @@
 		if got := b.eligibleTasks(j, 7, now); got != 0 {
 			t.Fatalf("%d more tasks are tried at the same time as another one", got)
 		}
-		b.watchPut(protocol.JobKey("job-1"), protocol.JobRecord{Spec: j.spec, Next: j.nextAttempt, Chunk: protocol.Chunk{Placed: []protocol.Placement{{Task: 0, Attempt: j.nextAttempt - 1, Machine: "host-103"}}}})
+		b.watchPut(protocol.JobKey("job-1"), protocol.JobRecord{Spec: j.spec, NextAttempt: j.nextAttempt, Chunk: protocol.Chunk{Placed: []protocol.Placement{{Task: 0, Attempt: j.nextAttempt - 1, Machine: "host-103"}}}})
 		b.failTask(j, 0, now)
 	}
 	if pause != maxRetryPause {
@@ -80,7 +80,7 @@
 		t.Fatalf("%d tries are recorded", got)
 	}
 	// One task succeeds: the job is not defective.
-	b.watchPut(protocol.JobKey("job-1"), protocol.JobRecord{Spec: j.spec, Next: 30, Chunk: protocol.Chunk{Placed: []protocol.Placement{{Task: 0, Attempt: 29, Machine: "host-103"}}}})
+	b.watchPut(protocol.JobKey("job-1"), protocol.JobRecord{Spec: j.spec, NextAttempt: 30, Chunk: protocol.Chunk{Placed: []protocol.Placement{{Task: 0, Attempt: 29, Machine: "host-103"}}}})
 	run := &protocol.TaskReport{Task: "job-1/0", Attempt: 29, State: protocol.TaskRunning}
 	b.observeTask(b.machines["host-103"], j, 0, run, now)
 	b.observeTask(b.machines["host-103"], j, 0, run, now.Add(minGoodRun))
@@ -146,7 +146,7 @@
 	if !newJob.failures.failsEverywhere || !b.machines["host-102"].faults.firstFailure.IsZero() {
 		t.Fatalf("a job that failed on two others: %+v", newJob.failures)
 	}
-	b.watchPut(protocol.JobKey("job-3"), protocol.JobRecord{Spec: newJob.spec, Next: 30, Chunk: protocol.Chunk{Placed: []protocol.Placement{{Task: 3, Attempt: 29, Machine: "host-101"}}}})
+	b.watchPut(protocol.JobKey("job-3"), protocol.JobRecord{Spec: newJob.spec, NextAttempt: 30, Chunk: protocol.Chunk{Placed: []protocol.Placement{{Task: 3, Attempt: 29, Machine: "host-101"}}}})
 	runs(newJob, 3, now)
 	runs(newJob, 3, now.Add(minGoodRun))
 	if got := b.machines["host-102"].faults.provenFailures; got != 1 {
@@ -163,10 +163,10 @@
 // The new owner of a partition knows which of its jobs fail everywhere.
 func TestDefectiveJobIsKnownAfterTakeover(t *testing.T) {
 	b := newTestNode(t)
-	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 4})
+	b.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-1", Token: 8, Lease: 4})
 	spec := &protocol.JobSpec{ID: "job-1", Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 90, CPUs: 4, GPUs: 1}
-	b.watchPut(protocol.JobKey("job-1"), protocol.JobRecord{Spec: spec, Next: 4, Tries: 3})
-	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
+	b.watchPut(protocol.JobKey("job-1"), protocol.JobRecord{Spec: spec, NextAttempt: 4, Tries: 3})
+	b.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-0", Token: 9, Lease: 3})
 	j := b.jobs["job-1"]
 	if got := b.eligibleTasks(j, 90, time.Now()); got != 0 {
 		t.Fatalf("%d tasks are tried at once", got)
--- a/internal/coordination/node/moves.go
+++ b/internal/coordination/node/moves.go
@@ -29,12 +29,12 @@
 	n.log.Info("moves planned", "machines", len(plan.Moves))
 	// The write is conditional on the previous plan: an earlier plan that is executed late would
 	// move machines by outdated demand.
-	n.submit(&storage.Op{For: uint8(forMoves), Conds: []storage.Cond{n.unchanged(protocol.HolderKey(0)), n.unchanged(protocol.MovesKey)},
+	n.submit(&storage.Op{Purpose: uint8(forMoves), Conds: []storage.Cond{n.unchanged(protocol.OwnerKey(0)), n.unchanged(protocol.MovesKey)},
 		Writes: []storage.Write{{Put: protocol.MovesKey, Value: mustJSON(plan)}}}, func(storage.Result) {})
 }
 
 // computeMoves returns the leader's plan as of now.
-func (n *Node) computeMoves(now time.Time) (plan protocol.Moves) {
+func (n *Node) computeMoves(now time.Time) (plan protocol.MovesRecord) {
 	guaranteed := make([][]*decide.Job, len(n.partitions)) // jobs with a guarantee that wait in each partition
 	unguaranteed := make([][]*decide.Job, len(n.partitions))
 	anyWaits := false
@@ -55,7 +55,7 @@
 		return plan
 	}
 	for _, m := range n.view(n.partitions[0], now).PlanMoves(guaranteed, unguaranteed, maxMoves) {
-		plan.Moves = append(plan.Moves, protocol.Move{Machine: m.Machine.Name, Share: m.Partition, Spare: m.OnlyIfUnneeded, Rank: m.Rank, Drain: m.Drain})
+		plan.Moves = append(plan.Moves, protocol.Move{Machine: m.Machine.Name, Partition: m.Partition, OnlyIfUnneeded: m.OnlyIfUnneeded, Rank: m.Rank, Drain: m.Drain})
 	}
 	return plan
 }
@@ -77,7 +77,7 @@
 	if t == nil {
 		return true
 	}
-	return slices.ContainsFunc(n.partitions[m.rec.Share].jobs, func(j *job) bool {
+	return slices.ContainsFunc(n.partitions[m.rec.Partition].jobs, func(j *job) bool {
 		return !n.unguaranteed(j) && j.rank <= rank && n.preemptionDemand(j, now) > 0 && decide.SizeOf(t).TaskCount(j.need) > 0 &&
 			decide.Allowed(j.spec, offer{Type: m.rec.Type, Zone: m.rec.Zone, Spot: m.rec.Spot})
 	})
@@ -98,7 +98,7 @@
 // canRelocateTasks reports whether all tasks on a machine that are at least as urgent as a rank
 // need none of its GPUs and could run elsewhere in the partition, and the others may be stopped.
 func (n *Node) canRelocateTasks(m *machine, rank int, now time.Time) bool {
-	return n.view(n.partitions[m.rec.Share], now).CanRelocate(n.currentFacts(m), rank)
+	return n.view(n.partitions[m.rec.Partition], now).CanRelocate(n.currentFacts(m), rank)
 }
 
 // moveReservation is how long nothing is placed on a machine whose tasks are being stopped for a
@@ -109,20 +109,20 @@
 // nothing more is placed on them, then one conditional write moves them under a new token. If tasks
 // of teams without a guarantee run on a machine, they are stopped first, and a later plan moves the
 // machine once they are gone.
-func (n *Node) onMoves(plan protocol.Moves) {
+func (n *Node) onMoves(plan protocol.MovesRecord) {
 	type path struct{ from, to int }
 	byPath := map[path][]*machine{}
 	now := time.Now()
 	for _, move := range plan.Moves {
 		m := n.machines[move.Machine]
 		if m == nil || !m.recorded || m.moving || m.returning || m.returned ||
-			move.Share < 0 || move.Share >= len(n.partitions) || move.Share == m.rec.Share || !n.owns(n.partitions[m.rec.Share]) ||
-			n.neededByOwnPartition(m, move.Rank, now) || move.Spare && (m.needed || n.hasWaitingTasks(m.rec.Share, now)) ||
-			!m.fenced && n.partitions[m.rec.Share].reconciliation.Unheard(m.name) {
+			move.Partition < 0 || move.Partition >= len(n.partitions) || move.Partition == m.rec.Partition || !n.owns(n.partitions[m.rec.Partition]) ||
+			n.neededByOwnPartition(m, move.Rank, now) || move.OnlyIfUnneeded && (m.needed || n.hasWaitingTasks(m.rec.Partition, now)) ||
+			!m.fenced && n.partitions[m.rec.Partition].reconciliation.AwaitingReport(m.name) {
 			continue
 		}
 		if len(m.tasks) > 0 {
-			if !move.Spare {
+			if !move.OnlyIfUnneeded {
 				n.emptyForMove(m, move, now)
 			}
 			continue
@@ -130,7 +130,7 @@
 		if m.batch.storing {
 			continue
 		}
-		p := path{m.rec.Share, move.Share}
+		p := path{m.rec.Partition, move.Partition}
 		byPath[p] = append(byPath[p], m)
 	}
 	for p, machines := range byPath {
@@ -145,17 +145,17 @@
 // run elsewhere are stopped, unless the plan says to wait for their end.
 func (n *Node) emptyForMove(m *machine, move protocol.Move, now time.Time) {
 	if move.Drain {
-		if n.view(n.partitions[m.rec.Share], now).DrainsSoon(n.currentFacts(m)) {
+		if n.view(n.partitions[m.rec.Partition], now).DrainsSoon(n.currentFacts(m)) {
 			m.avoidUntil = latest(m.avoidUntil, now.Add(drainInterval))
 			n.markStale(m)
 		}
 		return
 	}
-	unguaranteedOnly := n.onlyUnguaranteed(m) && !n.guaranteedWorkWaits(m.rec.Share, now)
+	unguaranteedOnly := n.onlyUnguaranteed(m) && !n.guaranteedWorkWaits(m.rec.Partition, now)
 	if !unguaranteedOnly && !n.allOutranked(m, move.Rank) && !n.canRelocateTasks(m, move.Rank, now) || n.hasStoppingTask(m) {
 		return
 	}
-	n.log.Info("work stopped for another share", "machine", m.name, "tasks", len(m.tasks), "share", move.Share, "guests", unguaranteedOnly)
+	n.log.Info("work stopped for another share", "machine", m.name, "tasks", len(m.tasks), "share", move.Partition, "guests", unguaranteedOnly)
 	m.avoidUntil = now.Add(moveReservation)
 	n.markStale(m)
 	for k := range m.tasks {
@@ -187,9 +187,9 @@
 	}
 	token := n.tokenCounter + 1
 	n.submit(&storage.Op{
-		For:    uint8(forMoves),
-		Conds:  []storage.Cond{n.unchanged(protocol.HolderKey(from)), n.unchanged(protocol.CounterKey)},
-		Writes: []storage.Write{{Put: protocol.CounterKey, Value: mustJSON(protocol.CounterRecord{Token: token})}},
+		Purpose: uint8(forMoves),
+		Conds:   []storage.Cond{n.unchanged(protocol.OwnerKey(from)), n.unchanged(protocol.TokenCounterKey)},
+		Writes:  []storage.Write{{Put: protocol.TokenCounterKey, Value: mustJSON(protocol.TokenCounterRecord{Token: token})}},
 	}, func(r storage.Result) {
 		if r.OK {
 			n.storeHandover(h, token)
@@ -228,7 +228,7 @@
 // most is executed. The token is above those of the machines and of the partition's owner as they
 // are now, and the conditions ensure that these are unchanged when the write is executed.
 func (n *Node) storeHandover(h *handover, token uint64) {
-	newBatch := protocol.BatchRecord{Share: h.to, Token: token}
+	newBatch := protocol.BatchRecord{Partition: h.to, Token: token}
 	moving := map[string]bool{}
 	var sources []*batch
 	for _, m := range h.machines {
@@ -250,9 +250,9 @@
 	// The new batch comes first, so that a machine is never seen without a batch.
 	key := protocol.BatchKey(fmt.Sprintf("m-%d-%d", h.to, token))
 	op := &storage.Op{
-		For:    uint8(forMoves),
-		Conds:  []storage.Cond{n.unchanged(protocol.HolderKey(h.from)), {Key: key}},
-		Writes: []storage.Write{{Put: key, Value: mustJSON(newBatch)}},
+		Purpose: uint8(forMoves),
+		Conds:   []storage.Cond{n.unchanged(protocol.OwnerKey(h.from)), {Key: key}},
+		Writes:  []storage.Write{{Put: key, Value: mustJSON(newBatch)}},
 	}
 	for _, b := range sources {
 		op.Conds = append(op.Conds, n.unchanged(b.key))
@@ -268,7 +268,7 @@
 // owned under a lower token than the one that the machine is to get.
 func (n *Node) canHandOver(h *handover, m *machine, token uint64) bool {
 	return n.machines[m.name] == m && m.recorded && m.moving && !m.returned && !m.returning &&
-		m.rec.Share == h.from && slices.Contains(h.batches, m.batch) && n.owns(n.partitions[h.from]) && n.fencingToken(m) < token
+		m.rec.Partition == h.from && slices.Contains(h.batches, m.batch) && n.owns(n.partitions[h.from]) && n.fencingToken(m) < token
 }
 
 // endHandover releases the selected machines and batches; moved machines are in another partition
--- a/internal/coordination/node/moves_test.go
+++ b/internal/coordination/node/moves_test.go
@@ -34,15 +34,15 @@
 	for range b.revision + 1 {
 		b.state.Put("revision", 0)
 	}
-	b.storePut(protocol.CounterKey, protocol.CounterRecord{Token: 7})
-	b.storePut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 7, Lease: 3})
+	b.storePut(protocol.TokenCounterKey, protocol.TokenCounterRecord{Token: 7})
+	b.storePut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-0", Token: 7, Lease: 3})
 	var machines []*machine
 	for _, name := range []string{"host-2", "host-3"} {
 		b.storePut(protocol.BatchKey(name), protocol.BatchRecord{Token: 7, Machines: []protocol.MachineRecord{{Name: name, Type: "g4", Zone: "a", Addr: "x:1"}}})
 		machines = append(machines, b.machines[name])
 	}
 	service.State = b.state
-	b.urgentCommitter = storage.NewCommitter(service, b.cfg.Params.State.TxnOps, b.rateLimiter, storage.UrgentLevel)
+	b.urgentCommitter = storage.NewCommitter(service, b.cfg.Params.State.TxnOps, b.rateLimiter, storage.UrgentPriority)
 	go b.urgentCommitter.Run(t.Context())
 	b.moveMachines(machines, 0, 1)
 	return b, machines
@@ -77,14 +77,14 @@
 	service := &hookedState{}
 	service.before = func(writes []storage.Write) {
 		if len(writes) > 1 {
-			service.Put(protocol.CounterKey, protocol.CounterRecord{Token: 9})
+			service.Put(protocol.TokenCounterKey, protocol.TokenCounterRecord{Token: 9})
 		}
 	}
 	b, machines := startHandover(t, service)
 	b.awaitHandover(machines)
 	read := newNodeFromStore(t, b.cfg, b.state)
 	for _, m := range machines {
-		if got := read.machines[m.name]; got == nil || got.rec.Share != 1 || got.rec.Token != 8 || m.rec.Share != 1 {
+		if got := read.machines[m.name]; got == nil || got.rec.Partition != 1 || got.rec.Token != 8 || m.rec.Partition != 1 {
 			t.Errorf("%s: read record %+v", m.name, got.rec)
 		}
 	}
@@ -97,19 +97,19 @@
 // machines must stay, whether or not the node that hands them over has learned of the new token, and
 // must be usable again.
 func TestMoveWithStaleToken(t *testing.T) {
-	newOwner := protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3}
+	newOwner := protocol.OwnerRecord{Node: "n-0", Token: 9, Lease: 3}
 	for _, knows := range []bool{true, false} {
 		service := &hookedState{}
 		tried := false
 		service.before = func(writes []storage.Write) {
 			if tried = tried || storesMove(writes); storesMove(writes) && !knows {
-				service.Put(protocol.HolderKey(0), newOwner)
+				service.Put(protocol.OwnerKey(0), newOwner)
 			}
 		}
 		b, machines := startHandover(t, service)
 		if knows {
 			raised := <-b.mailbox // not run yet
-			b.storePut(protocol.HolderKey(0), newOwner)
+			b.storePut(protocol.OwnerKey(0), newOwner)
 			raised()
 		}
 		b.awaitHandover(machines)
@@ -118,7 +118,7 @@
 		}
 		read := newNodeFromStore(t, b.cfg, b.state)
 		for _, m := range machines {
-			if got := read.machines[m.name]; got.rec.Share != 0 || m.rec.Share != 0 || m.batch.storing {
+			if got := read.machines[m.name]; got.rec.Partition != 0 || m.rec.Partition != 0 || m.batch.storing {
 				t.Errorf("knows the new owner %v: %s moved: %+v", knows, m.name, got.rec)
 			}
 		}
@@ -132,13 +132,13 @@
 		b := newTestNode(t)
 		now := time.Now()
 		spec := &protocol.JobSpec{ID: "job-1", Team: "red", Class: "c", Shape: shape, Priority: "standard", Tasks: 1, CPUs: 4, GPUs: 1, EstimateS: 30}
-		b.watchPut(protocol.JobKey(spec.ID), protocol.JobRecord{Spec: spec, Next: 2, Chunk: protocol.Chunk{Placed: []protocol.Placement{{Task: 0, Attempt: 1, Machine: "host-1"}}}})
+		b.watchPut(protocol.JobKey(spec.ID), protocol.JobRecord{Spec: spec, NextAttempt: 2, Chunk: protocol.Chunk{Placed: []protocol.Placement{{Task: 0, Attempt: 1, Machine: "host-1"}}}})
 		m, j := b.machines["host-1"], b.jobs[spec.ID]
 		m.fenced, m.lastFencedReport, j.tasks[0].phaseSince = true, now, now
 		if !b.usable(m, now) {
 			t.Fatal("the machine is not usable")
 		}
-		b.onMoves(protocol.Moves{Moves: []protocol.Move{{Machine: "host-1", Share: 1, Rank: protocol.Low, Drain: true}}})
+		b.onMoves(protocol.MovesRecord{Moves: []protocol.Move{{Machine: "host-1", Partition: 1, Rank: protocol.Low, Drain: true}}})
 		if j.tasks[0].stopRequested || m.moving {
 			t.Errorf("%s: stopped %v, moved %v", shape, j.tasks[0].stopRequested, m.moving)
 		}
--- a/internal/coordination/node/node.go
+++ b/internal/coordination/node/node.go
@@ -62,7 +62,7 @@
 	userCommitter       *storage.Committer         // changes that a user waits for
 	urgentCommitter     *storage.Committer         // others that somebody waits for
 	backgroundCommitter *storage.Committer         // everything else
-	rateLimiter         *storage.Pace              // of all
+	rateLimiter         *storage.RateLimiter       // of all
 	pendingWrites       map[*storage.Committer]int // writes of jobs under way
 	rng                 *rand.Rand
 
@@ -132,7 +132,7 @@
 	cancelWaiters []cancelWaiter                // cancels.go: users who wait for the end of what they cancel
 	changeCounts  changeCounts                  // spending.go: where changes went
 	adoption      *duty.Adoption                // adopt.go: of machines without a record
-	rentalFence   protocol.FenceRecord          // under which rentals are recorded
+	rentalFence   protocol.RentalFenceRecord    // under which rentals are recorded
 	freshCluster  bool                          // nobody had held anything when this node first read the store
 	packed        packedState                   // packed.go: many jobs in one change
 	incarnations  incarnations                  // lives.go: this process and others of the same name
@@ -190,7 +190,7 @@
 
 // cacheHints is what the next hints tell of machines' caches.
 type cacheHints struct {
-	caches      atomic.Pointer[[]protocol.Cache] // read by other routines
+	caches      atomic.Pointer[[]protocol.ImageCache] // read by other routines
 	lastUpdate  time.Time
 	nextMachine int
 }
@@ -208,35 +208,35 @@
 
 type partition struct {
 	index              int
-	owner              protocol.HolderRecord // Token 0: nobody
+	owner              protocol.OwnerRecord // Token 0: nobody
 	vacantSince        time.Time
-	acquiredAt         time.Time              // when this node took it
-	ownerChangePending bool                   // a change of the holder is being stored
-	unconfirmedOwner   *protocol.HolderRecord // names this node, which does not know yet all that was stored before
-	jobs               []*job                 // unfinished, by priority and arrival
-	machines           []*machine             // recorded, by name
-	nextRent           time.Time              // when to look again at what to rent
+	acquiredAt         time.Time             // when this node took it
+	ownerChangePending bool                  // a change of the holder is being stored
+	unconfirmedOwner   *protocol.OwnerRecord // names this node, which does not know yet all that was stored before
+	jobs               []*job                // unfinished, by priority and arrival
+	machines           []*machine            // recorded, by name
+	nextRent           time.Time             // when to look again at what to rent
 	window             *decide.Window
-	recentArrivals     []arrival     // seen by this node, whoever held the share
-	reconciliation     *start.Square // while held: how far its machines have spoken; see square.go
-	previousOwner      string        // who held it before
-	takeover           takeover      // while held: how it came here; see standby.go
-	newJobs            []*job        // that its window has not counted
-	log                *packed.Ring  // what its log tells
-	pendingAppend      *logAppend    // an entry of it that is being stored
-	lastAppend         time.Time     // when that last began
-	pendingRecords     int           // records of single jobs that are being stored
+	recentArrivals     []arrival             // seen by this node, whoever held the share
+	reconciliation     *start.Reconciliation // while held: how far its machines have spoken; see square.go
+	previousOwner      string                // who held it before
+	takeover           takeover              // while held: how it came here; see standby.go
+	newJobs            []*job                // that its window has not counted
+	log                *packed.Ring          // what its log tells
+	pendingAppend      *logAppend            // an entry of it that is being stored
+	lastAppend         time.Time             // when that last began
+	pendingRecords     int                   // records of single jobs that are being stored
 }
 
 // New makes a node that lives until ctx ends. The caller runs it with Run.
 func New(ctx context.Context, cfg *protocol.Settings, log *slog.Logger, store storage.Service, cloud CloudService, workers Workers, seed uint64) *Node {
-	pace := storage.NewPace(cfg.Params.State, cfg.Params.Nodes)
+	pace := storage.NewRateLimiter(cfg.Params.State, cfg.Params.Nodes)
 	n := &Node{
 		ctx: ctx, cfg: cfg, log: log, store: store, cloud: cloud, workers: workers,
 		rateLimiter:         pace,
-		userCommitter:       storage.NewCommitter(store, cfg.Params.State.TxnOps, pace, storage.UserLevel),
-		urgentCommitter:     storage.NewCommitter(store, cfg.Params.State.TxnOps, pace, storage.UrgentLevel),
-		backgroundCommitter: storage.NewCommitter(store, cfg.Params.State.TxnOps, pace, storage.BackgroundLevel),
+		userCommitter:       storage.NewCommitter(store, cfg.Params.State.TxnOps, pace, storage.UserPriority),
+		urgentCommitter:     storage.NewCommitter(store, cfg.Params.State.TxnOps, pace, storage.UrgentPriority),
+		backgroundCommitter: storage.NewCommitter(store, cfg.Params.State.TxnOps, pace, storage.BackgroundPriority),
 		pendingWrites:       map[*storage.Committer]int{},
 		rng:                 rand.New(rand.NewPCG(seed, 1)),
 		startedAt:           time.Now(), mailbox: make(chan func(), 1024), watchWake: make(chan struct{}, 1),
@@ -252,13 +252,13 @@
 	n.olderNodes = map[string]bool{}
 	n.watchTimeout.Store(int64(longWatchTimeout))
 	n.packed = newPacking()
-	n.userCommitter.Spent, n.urgentCommitter.Spent, n.backgroundCommitter.Spent = n.changeCounts.add, n.changeCounts.add, n.changeCounts.add
+	n.userCommitter.OnAnswered, n.urgentCommitter.OnAnswered, n.backgroundCommitter.OnAnswered = n.changeCounts.add, n.changeCounts.add, n.changeCounts.add
 	n.reachability.zoneUnreachableAt = map[string]time.Time{}
-	n.standby.standbys, n.standby.suspicions, n.standby.presumedEnded = map[int]standby.Pair{}, standby.NewDoubts(), map[string]time.Time{}
+	n.standby.standbys, n.standby.suspicions, n.standby.presumedEnded = map[int]standby.Standbys{}, standby.NewSuspicions(), map[string]time.Time{}
 	n.incarnations.ownLeases, n.incarnations.leaseOf = map[uint64]bool{}, map[string]uint64{}
 	n.account = newAccount(AccountSettings{}, time.Now())
 	n.peers = map[string]*peer{}
-	for _, s := range cfg.Siblings {
+	for _, s := range cfg.Peers {
 		n.peers[s.Node] = &peer{zone: s.Zone}
 	}
 	classes := map[string]bool{}
@@ -268,7 +268,7 @@
 	n.metrics = newMetrics(classes)
 	n.tickets = newTicketState(cfg.Params.State.TxnOps)
 	n.lastContact.Store(-int64(time.Hour))
-	n.cacheHints.caches.Store(&[]protocol.Cache{})
+	n.cacheHints.caches.Store(&[]protocol.ImageCache{})
 	var guarantees []float64
 	for _, t := range cfg.Params.Teams {
 		guarantees = append(guarantees, max(t.GPUs, t.CPUs/8))
@@ -353,7 +353,7 @@
 			now := time.Now()
 			n.detectStall(now)
 			n.metrics.actorLag.Observe(now.Sub(due).Seconds())
-			n.loadControl.budget.Turn(now, now.Sub(due))
+			n.loadControl.budget.ObserveLag(now, now.Sub(due))
 			n.metrics.backlog.Set(float64(n.totalPendingWrites() + n.pendingUserChanges + n.statusReads.Len()))
 			n.tick(now)
 			n.processPendingWork(now)
@@ -460,7 +460,7 @@
 		return
 	}
 	n.catalog.storing = true
-	n.submitTo(n.backgroundCommitter, &storage.Op{Conds: []storage.Cond{n.unchanged(protocol.HolderKey(0)), n.unchanged(protocol.CatalogKey)}, Writes: []storage.Write{w}},
+	n.submitTo(n.backgroundCommitter, &storage.Op{Conds: []storage.Cond{n.unchanged(protocol.OwnerKey(0)), n.unchanged(protocol.CatalogKey)}, Writes: []storage.Write{w}},
 		func(storage.Result) { n.catalog.storing = false })
 }
 
--- a/internal/coordination/node/odd_requests_test.go
+++ b/internal/coordination/node/odd_requests_test.go
@@ -172,7 +172,7 @@
 func TestOddJobsBeforeTheCatalogue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, 1, defaultSettings)
+		w := newSimCluster(t, ctx, 1, defaultSettings)
 		w.forgetCatalog()
 		for i, odd := range oddJobs {
 			status, why := w.postAt(w.names[i%3], submissionBody(fmt.Sprintf("job-97%05d", i), odd.change))
--- a/internal/coordination/node/packed.go
+++ b/internal/coordination/node/packed.go
@@ -95,7 +95,7 @@
 	}
 	p.changed = now
 	n.log.Info("many jobs in one change", "on", on)
-	n.submit(&storage.Op{Conds: []storage.Cond{n.unchanged(protocol.HolderKey(0)), n.unchanged(protocol.FormatKey)},
+	n.submit(&storage.Op{Conds: []storage.Cond{n.unchanged(protocol.OwnerKey(0)), n.unchanged(protocol.FormatKey)},
 		Writes: []storage.Write{{Put: protocol.FormatKey, Value: mustJSON(protocol.FormatRecord{Packed: on})}}}, func(storage.Result) {})
 }
 
@@ -117,7 +117,7 @@
 	if it.Value == nil {
 		return nil, true
 	}
-	e, err := packed.Parse(it.Value)
+	e, err := packed.ParseEntry(it.Value)
 	if err != nil {
 		n.notUnderstood(it.Key, err)
 		return nil, false
@@ -133,7 +133,7 @@
 // logUnreadable says whether something in a share's log is not understood.
 func (n *Node) logUnreadable(share int) bool {
 	for key := range n.packed.broken {
-		if s, _, ok := packed.LogSlot(key); ok && s == share {
+		if s, _, ok := packed.ParseLogKey(key); ok && s == share {
 			return true
 		}
 	}
@@ -143,7 +143,7 @@
 // logReadable says whether all entries of a share's log are known. If not, more may be stored
 // than is known: that a task has left, or that a job has ended.
 func (n *Node) logReadable(s *partition) bool {
-	return !n.mayHaveEntries() || s.log.Whole() && !n.logUnreadable(s.index)
+	return !n.mayHaveEntries() || s.log.Complete() && !n.logUnreadable(s.index)
 }
 
 // anyInboxUnreadable says so of any inbox.
@@ -158,7 +158,7 @@
 
 // applyLogEntry takes in a slot of a share's log.
 func (n *Node) applyLogEntry(it storage.Item) {
-	i, slot, ok := packed.LogSlot(it.Key)
+	i, slot, ok := packed.ParseLogKey(it.Key)
 	if !ok || i >= len(n.partitions) {
 		n.log.Error("stored value not understood", "key", it.Key)
 		return
@@ -177,7 +177,7 @@
 	}
 	for k := range e.Parts {
 		p := &e.Parts[k]
-		if p.End != "" {
+		if p.FinalStatus != "" {
 			n.applyEndFromLog(i, p)
 		} else if j := n.jobs[p.Job]; j != nil && j.partition == i {
 			n.overlay(j, e, p, time.Now())
@@ -188,7 +188,7 @@
 // applyEndFromLog takes in that a job has ended.
 func (n *Node) applyEndFromLog(share int, p *protocol.Part) {
 	if _, known := n.finalJobs.byID[p.Job]; !known {
-		n.finalJobs.add(p.Job, protocol.FinalRecord{Status: p.End, Tasks: p.Tasks})
+		n.finalJobs.add(p.Job, protocol.FinalRecord{Status: p.FinalStatus, Tasks: p.Tasks})
 	}
 	if j := n.jobs[p.Job]; j != nil {
 		if j.hasRecord {
@@ -203,9 +203,9 @@
 
 // overlay takes in what an entry says of a job.
 func (n *Node) overlay(j *job, e *protocol.Entry, p *protocol.Part, now time.Time) {
-	j.nextAttempt = max(j.nextAttempt, p.Next)
+	j.nextAttempt = max(j.nextAttempt, p.NextAttempt)
 	n.applyTries(j, p.Tries, now)
-	j.history.mergeStored(p.Lost, p.LostMS)
+	j.history.mergeStored(p.LostRuns, p.LastLostMS)
 	for _, r := range p.Placed {
 		for i := int(r[0]); i <= int(r[1]) && i < len(j.tasks); i++ {
 			if j.tasks[i].takes(e.Seq) {
@@ -215,7 +215,7 @@
 			}
 		}
 	}
-	for phase, ranges := range map[phase][][2]int{phaseWaiting: p.Gone, phaseDone: p.Done} {
+	for phase, ranges := range map[phase][][2]int{phaseWaiting: p.Unplaced, phaseDone: p.Done} {
 		for _, r := range ranges {
 			for i := r[0]; i <= r[1] && i < len(j.tasks); i++ {
 				if j.tasks[i].takes(e.Seq) {
@@ -231,7 +231,7 @@
 // applyLogParts takes in what all entries say of a job that was just made.
 func (n *Node) applyLogParts(j *job) {
 	now := time.Now()
-	n.partitions[j.partition].log.Each(j.id, func(e *protocol.Entry, p *protocol.Part) { n.overlay(j, e, p, now) })
+	n.partitions[j.partition].log.EachPart(j.id, func(e *protocol.Entry, p *protocol.Part) { n.overlay(j, e, p, now) })
 }
 
 // ended says whether a share's log tells that a job has ended.
@@ -240,7 +240,7 @@
 	if !ok {
 		return false
 	}
-	_, _, over := n.partitions[n.teams[ti].partition].log.Ended(s.ID)
+	_, _, over := n.partitions[n.teams[ti].partition].log.FindEnd(s.ID)
 	return over
 }
 
@@ -248,7 +248,7 @@
 // has no record of its own has ended: as long as it has not, whoever writes the slot anew
 // says it again.
 func (n *Node) applyInboxEntry(it storage.Item) {
-	node, slot, ok := packed.InboxSlot(it.Key)
+	node, slot, ok := packed.ParseInboxKey(it.Key)
 	if !ok {
 		n.log.Error("stored value not understood", "key", it.Key)
 		return
@@ -290,20 +290,20 @@
 func (n *Node) mayBeInInbox(id string) bool { return n.anyInboxUnreadable() || n.inAnyInbox(id) }
 
 // setAccepted takes in a job from an inbox. Two nodes may have accepted it at once.
-func (n *Node) setAccepted(a protocol.Accepted) {
+func (n *Node) setAccepted(a protocol.AcceptedJob) {
 	if n.endedInLog(a.Spec) {
 		return
 	}
 	if j := n.jobs[a.Spec.ID]; j != nil {
 		return
 	}
-	n.applyJob(a.Spec.ID, &protocol.JobRecord{Spec: a.Spec, SubmittedMS: a.SubmittedMS, Next: 1}, false)
+	n.applyJob(a.Spec.ID, &protocol.JobRecord{Spec: a.Spec, SubmittedMS: a.SubmittedMS, NextAttempt: 1}, false)
 }
 
 // storedRecordAtLog is a job's record as it is stored now, by all that this node knows.
 func (n *Node) storedRecordAtLog(j *job) protocol.JobRecord {
 	r := j.storedRecord()
-	r.Log = n.partitions[j.partition].log.Known()
+	r.LogSeq = n.partitions[j.partition].log.CompleteUpTo()
 	return r
 }
 
@@ -388,9 +388,9 @@
 		// What is pressing need not wait for what is not.
 		alone(slices.DeleteFunc(turns, func(c storeRequest) bool { return c.urgency > storeUrgentStart || n.mustLog(c.job) }))
 	case s.pendingAppend != nil || s.pendingRecords > 0:
-	case turns[0].urgency > storeUrgentStart && !n.rateLimiter.Ample() && now.Sub(s.lastAppend) < gatherTime:
+	case turns[0].urgency > storeUrgentStart && !n.rateLimiter.HasSpareRate() && now.Sub(s.lastAppend) < gatherTime:
 		// Every change that is left is one that a user, or a start, need not wait for.
-	case len(turns) == 1 && n.rateLimiter.Ample() && !n.mustLog(turns[0].job) && !alwaysPack:
+	case len(turns) == 1 && n.rateLimiter.HasSpareRate() && !n.mustLog(turns[0].job) && !alwaysPack:
 		alone(turns)
 	case n.pendingWrites[level(turns[0])] < most:
 		n.appendLog(s, append(turns, n.riders(s, turns)...), now)
@@ -430,7 +430,7 @@
 	}
 	a := &logAppend{pressing: turns[0].urgency <= storeUrgentStart}
 	slot, _ := s.log.Next()
-	op := &storage.Op{For: uint8(turns[0].of), Conds: []storage.Cond{n.unchanged(protocol.HolderKey(s.index)), n.unchanged(protocol.LogKey(s.index, slot)), n.unchanged(protocol.FormatKey)}}
+	op := &storage.Op{Purpose: uint8(turns[0].of), Conds: []storage.Cond{n.unchanged(protocol.OwnerKey(s.index)), n.unchanged(protocol.LogKey(s.index, slot)), n.unchanged(protocol.FormatKey)}}
 	op.Conds = append(op.Conds, n.unchangedRecords(carried)...)
 	most := n.mostEnds()
 	var finals []storage.Write
@@ -447,14 +447,14 @@
 			if len(finals) == most {
 				continue
 			}
-			d.End, d.Tasks = j.finalStatus(), len(j.tasks)
-			finals = append(finals, finalWrites(j.id, d.End, d.Tasks, 0)[0])
+			d.FinalStatus, d.Tasks = j.finalStatus(), len(j.tasks)
+			finals = append(finals, finalWrites(j.id, d.FinalStatus, d.Tasks, 0)[0])
 		} else if d = n.news(j); d.Empty() {
 			delete(n.dirty, j)
 			continue
 		}
-		if !w.Add(d) {
-			if d.End != "" {
+		if !w.AddPart(d) {
+			if d.FinalStatus != "" {
 				finals = finals[:len(finals)-1]
 			} else if len(a.jobs) == 0 {
 				n.saveWhatFitsNoEntry(c)
@@ -513,14 +513,14 @@
 		case t.phase == phasePlaced && t.outcome == outcomeFinished:
 			d.Finish(i)
 		case t.phase == phasePlaced && t.outcome == outcomeGone:
-			d.Leave(i)
+			d.Unplace(i)
 		}
 	}
 	return d
 }
 
 func (n *Node) draft(j *job) packed.Draft {
-	return packed.Draft{Part: protocol.Part{Job: j.id, Next: j.nextAttempt, Tries: j.failures.tries, Lost: j.history.lostRuns, LostMS: j.history.lastLostMS()}}
+	return packed.Draft{Part: protocol.Part{Job: j.id, NextAttempt: j.nextAttempt, Tries: j.failures.tries, LostRuns: j.history.lostRuns, LastLostMS: j.history.lastLostMS()}}
 }
 
 // said is what an entry says of a job that nothing later does, as it is stored now.
@@ -537,7 +537,7 @@
 		case phaseDone:
 			d.Finish(i)
 		default:
-			d.Leave(i)
+			d.Unplace(i)
 		}
 	}
 	return d
@@ -550,7 +550,7 @@
 // of again are as this node knows them. A record may be stored while the entry is under way,
 // and what the entry says again would count as later than that. Of a job that is over nothing
 // but its end can be stored, after which nothing counts.
-func (n *Node) unchangedRecords(carried []packed.Carried) []storage.Cond {
+func (n *Node) unchangedRecords(carried []packed.CarriedJob) []storage.Cond {
 	conds := make([]storage.Cond, 0, len(carried))
 	for _, c := range carried {
 		if n.jobs[c.Job].remainingTasks() > 0 {
@@ -563,8 +563,8 @@
 // carry says again what is still needed of the entry that the next one takes the place of, and
 // of which open jobs. If that is too much, or takes too many conditions, some jobs are folded
 // into records of their own first, and it returns false.
-func (n *Node) carry(s *partition, w *packed.Writer) ([]packed.Carried, bool) {
-	old := s.log.Old()
+func (n *Node) carry(s *partition, w *packed.Writer) ([]packed.CarriedJob, bool) {
+	old := s.log.Overwritten()
 	if old == nil {
 		return nil, true
 	}
@@ -580,7 +580,7 @@
 		return carried, true
 	}
 	// The largest first.
-	slices.SortStableFunc(carried, func(a, b packed.Carried) int { return cmp.Compare(b.Size, a.Size) })
+	slices.SortStableFunc(carried, func(a, b packed.CarriedJob) int { return cmp.Compare(b.Size, a.Size) })
 	left, jobs, folded := w.Size(), len(carried), false
 	for _, c := range carried {
 		if left <= room/2 && jobs <= mostJobs/2 && fits {
@@ -604,7 +604,7 @@
 // own: without them the next entry can be written, and they end with one after it. It takes more
 // than one change each, and is the last resort: if nothing else is left to be folded, no entry
 // could be written any more, and so no job of the share could end. It says whether it stores any.
-func (n *Node) foldEnded(carried []packed.Carried, seq uint64) (any bool) {
+func (n *Node) foldEnded(carried []packed.CarriedJob, seq uint64) (any bool) {
 	for _, c := range carried {
 		if j := n.jobs[c.Job]; !j.writePending && j.step == nil {
 			n.fold(j, seq)
@@ -630,7 +630,7 @@
 func (n *Node) fold(j *job, seq uint64) {
 	for i := range j.tasks {
 		if j.tasks[i].logSeq == seq || seq == 0 && j.tasks[i].fromLog {
-			j.dirtyChunks[i/protocol.ChunkTasks] = true
+			j.dirtyChunks[i/protocol.TasksPerChunk] = true
 		}
 	}
 	delete(n.dirty, j)
@@ -649,7 +649,7 @@
 	n.metrics.stateCalls.WithLabelValues("stored").Inc()
 	s.pendingAppend = nil
 	for _, w := range op.Writes {
-		n.applyOwnWrite(w, r.Epoch)
+		n.applyOwnWrite(w, r.Revision)
 	}
 	for _, j := range a.jobs {
 		j.writePending = false
@@ -691,8 +691,8 @@
 // wave that came within one turn of the actor the first 16 were stored alone and all others
 // turned away, every second anew (162 of 271 alone, 187 changes for 241 jobs).
 func (n *Node) shouldBatch() bool {
-	return n.mayWriteEntries() && n.inboxOf(n.cfg.Node).Whole() && !n.anyInboxUnreadable() &&
-		(n.packed.busy || len(n.packed.submissions) > 0 || n.pendingUserChanges >= mostAlone || !n.rateLimiter.Ample() || alwaysPack)
+	return n.mayWriteEntries() && n.inboxOf(n.cfg.Node).Complete() && !n.anyInboxUnreadable() &&
+		(n.packed.busy || len(n.packed.submissions) > 0 || n.pendingUserChanges >= mostAlone || !n.rateLimiter.HasSpareRate() || alwaysPack)
 }
 
 // submissionsPerEntry is about how many submissions fit one entry.
@@ -732,11 +732,11 @@
 		return
 	}
 	slot, _ := own.Next()
-	op := &storage.Op{For: uint8(forSubmissions), Once: true, Conds: []storage.Cond{n.unchanged(protocol.InboxKey(n.cfg.Node, slot)), n.unchanged(protocol.FormatKey)}}
+	op := &storage.Op{Purpose: uint8(forSubmissions), NoRetry: true, Conds: []storage.Cond{n.unchanged(protocol.InboxKey(n.cfg.Node, slot)), n.unchanged(protocol.FormatKey)}}
 	n.repeatKnown()
 	var batch []*submission
 	for _, x := range p.submissions {
-		if len(op.Conds)+2 > 4*n.cfg.Params.State.TxnOps || !w.Accept(protocol.Accepted{Spec: x.spec, SubmittedMS: x.receivedAt.UnixMilli()}) {
+		if len(op.Conds)+2 > 4*n.cfg.Params.State.TxnOps || !w.AddSubmission(protocol.AcceptedJob{Spec: x.spec, SubmittedMS: x.receivedAt.UnixMilli()}) {
 			break
 		}
 		op.Conds = append(op.Conds, storage.Cond{Key: protocol.JobKey(x.spec.ID)}, storage.Cond{Key: protocol.FinalKey(x.spec.ID)})
@@ -806,7 +806,7 @@
 		n.userChangeLatency.Observe(time.Since(w.sent))
 	}
 	if r.OK {
-		n.applyOwnWrite(w.op.Writes[0], r.Epoch)
+		n.applyOwnWrite(w.op.Writes[0], r.Revision)
 	}
 	if w.settled {
 		return
@@ -817,7 +817,7 @@
 	}
 	w.settled = true
 	n.packed.busy = false
-	n.packed.stored = append(n.packed.stored, storedBatch{write: w, revision: r.Epoch, until: time.Now().Add(maxQueueWait)})
+	n.packed.stored = append(n.packed.stored, storedBatch{write: w, revision: r.Revision, until: time.Now().Add(maxQueueWait)})
 }
 
 // lookForEntry reads what kept an entry from being stored. Without an answer that is the slot
@@ -867,7 +867,7 @@
 	own, _ := n.inboxOf(n.cfg.Node).Next()
 	conds := slices.DeleteFunc(n.inboxUnchangedConds(), func(c storage.Cond) bool { return c.Key == protocol.InboxKey(n.cfg.Node, own) })
 	n.spawn(func(ctx context.Context) {
-		ctx, cancel := context.WithTimeout(ctx, statusread.Patience)
+		ctx, cancel := context.WithTimeout(ctx, statusread.ReadTimeout)
 		defer cancel()
 		ok, _, _, err := n.store.Txn(ctx, conds, nil)
 		n.post(func() {
@@ -948,7 +948,7 @@
 // open and in no record of their own. If these are too many, some get one first, and it
 // returns false.
 func (n *Node) carryAccepted(own *packed.Ring, w *packed.Writer) bool {
-	carried, fits := own.CarryAccepted(w, func(a protocol.Accepted) bool {
+	carried, fits := own.CarryAccepted(w, func(a protocol.AcceptedJob) bool {
 		j := n.jobs[a.Spec.ID]
 		_, known := n.teamIndex[a.Spec.Team]
 		return !known || j != nil && !j.hasRecord
@@ -970,7 +970,7 @@
 // up to which entry of the share's log it is true.
 func (n *Node) foldAccepted(j *job) {
 	n.packed.folding++
-	n.submit(&storage.Op{For: uint8(forCompaction), Conds: n.stillOpen(j.id),
+	n.submit(&storage.Op{Purpose: uint8(forCompaction), Conds: n.stillOpen(j.id),
 		Writes: []storage.Write{{Put: protocol.JobKey(j.id), Value: mustJSON(n.storedRecordAtLog(j))}}}, func(storage.Result) { n.packed.folding-- })
 }
 
@@ -987,7 +987,7 @@
 		return
 	}
 	p.swept = now
-	if ample := n.rateLimiter.Ample() && n.pendingUserChanges == 0; ample || len(p.endedRecords) > 3*ringSlots {
+	if ample := n.rateLimiter.HasSpareRate() && n.pendingUserChanges == 0; ample || len(p.endedRecords) > 3*ringSlots {
 		n.removeHeads()
 	}
 	if !p.format.Packed && n.mayHaveEntries() && n.pendingUserChanges == 0 {
@@ -1004,7 +1004,7 @@
 		if c++; c > mostTidied {
 			return
 		}
-		n.submitTo(n.backgroundCommitter, &storage.Op{For: uint8(forCompaction), Conds: []storage.Cond{n.unchanged(protocol.HolderKey(share)), n.unchanged(protocol.JobKey(id))},
+		n.submitTo(n.backgroundCommitter, &storage.Op{Purpose: uint8(forCompaction), Conds: []storage.Cond{n.unchanged(protocol.OwnerKey(share)), n.unchanged(protocol.JobKey(id))},
 			Writes: []storage.Write{{Delete: protocol.JobKey(id)}}}, func(storage.Result) {})
 	}
 }
@@ -1014,7 +1014,7 @@
 	p := &n.packed
 	c := 0
 	for _, s := range n.partitions {
-		if !n.owns(s) || s.pendingAppend != nil || !s.log.Whole() {
+		if !n.owns(s) || s.pendingAppend != nil || !s.log.Complete() {
 			continue
 		}
 		left := false
@@ -1036,8 +1036,8 @@
 		// still tells.
 		n.emptySlots(s.log, func(slot int) string { return protocol.LogKey(s.index, slot) }, func(e *protocol.Entry) bool {
 			told := n.toldOf(s, e)
-			return slices.ContainsFunc(e.Parts, func(x protocol.Part) bool { return x.End != "" && told(x.Job) })
-		}, n.unchanged(protocol.HolderKey(s.index)))
+			return slices.ContainsFunc(e.Parts, func(x protocol.Part) bool { return x.FinalStatus != "" && told(x.Job) })
+		}, n.unchanged(protocol.OwnerKey(s.index)))
 	}
 	for node, r := range p.inboxes {
 		_, lives := n.liveNodes[node]
@@ -1045,7 +1045,7 @@
 			continue
 		}
 		n.emptySlots(r, func(slot int) string { return protocol.InboxKey(node, slot) }, func(e *protocol.Entry) bool {
-			return slices.ContainsFunc(e.Jobs, func(a protocol.Accepted) bool {
+			return slices.ContainsFunc(e.Jobs, func(a protocol.AcceptedJob) bool {
 				j := n.jobs[a.Spec.ID]
 				return j != nil && !j.hasRecord
 			})
@@ -1058,13 +1058,13 @@
 // number and nothing else.
 func (n *Node) emptySlots(r *packed.Ring, key func(slot int) string, needed func(e *protocol.Entry) bool, also ...storage.Cond) {
 	c := 0
-	r.Entries(func(e *protocol.Entry) {
+	r.EachEntry(func(e *protocol.Entry) {
 		if len(e.Parts)+len(e.Jobs) == 0 || needed(e) || c == mostTidied {
 			return
 		}
 		c++
 		k := key(int(e.Seq % uint64(ringSlots)))
-		n.submitTo(n.backgroundCommitter, &storage.Op{For: uint8(forCompaction), Conds: append([]storage.Cond{n.unchanged(k)}, also...),
+		n.submitTo(n.backgroundCommitter, &storage.Op{Purpose: uint8(forCompaction), Conds: append([]storage.Cond{n.unchanged(k)}, also...),
 			Writes: []storage.Write{{Put: k, Value: mustJSON(protocol.Entry{Version: protocol.EntryVersion, Seq: e.Seq})}}}, func(storage.Result) {})
 	})
 }
--- a/internal/coordination/node/packed_test.go
+++ b/internal/coordination/node/packed_test.go
@@ -66,7 +66,7 @@
 // newNodeFromStore is what a node that starts now knows of the jobs.
 func newNodeFromStore(t *testing.T, cfg *protocol.Settings, st *standin.State) *Node {
 	n := New(t.Context(), cfg, slog.New(slog.NewTextHandler(io.Discard, nil)), st, standin.NewFleet(t.Context()), nil, 1)
-	items, rev, _ := st.List(t.Context(), protocol.Root)
+	items, rev, _ := st.List(t.Context(), protocol.WatchedRoot)
 	n.applyListing(items, rev)
 	return n
 }
@@ -89,8 +89,8 @@
 		}
 		live := onActor(n, n.jobSummaries)
 		read := newNodeFromStore(w.t, w.cfg[name], w.state).jobSummaries()
-		items, _, _ := w.state.List(w.t.Context(), protocol.Root)
-		for id, j := range packed.Read(items, ringSlots).Jobs {
+		items, _, _ := w.state.List(w.t.Context(), protocol.WatchedRoot)
+		for id, j := range packed.ReadState(items, ringSlots).Jobs {
 			if told := readByTool(j); told != read[id] && !j.Ticket {
 				read[id] = fmt.Sprintf("%q by the tool, %q by a node", told, read[id])
 			}
@@ -124,7 +124,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(context.Background())
-				w := newWorld(t, ctx, 500+seed, defaultSettings)
+				w := newSimCluster(t, ctx, 500+seed, defaultSettings)
 				w.runWorkload(16, func(w *simCluster) {
 					randomFaults(w)
 					w.withLock(func() { w.lossRate, w.lateTxnRate = 0, 0 })
@@ -153,7 +153,7 @@
 func withEntries(t *testing.T, seed uint64, day func(w *simCluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, seed, defaultSettings)
+		w := newSimCluster(t, ctx, seed, defaultSettings)
 		time.Sleep(10 * time.Second) // until entries may be written
 		day(w)
 		for _, b := range w.fleet.Broken {
@@ -234,7 +234,7 @@
 				t.Errorf("%s knows %d jobs", name, k)
 			}
 		}
-		items, _, _ := w.state.List(w.ctx, protocol.Root)
+		items, _, _ := w.state.List(w.ctx, protocol.WatchedRoot)
 		for _, it := range items {
 			if len(it.Value) > 8<<10 {
 				t.Errorf("%s has %d bytes", it.Key, len(it.Value))
@@ -266,7 +266,7 @@
 			}
 			time.Sleep(60 * time.Second)
 			live := onActor(w.node("n-0"), w.node("n-0").jobSummaries)
-			items, _, _ = w.state.List(w.ctx, protocol.Root)
+			items, _, _ = w.state.List(w.ctx, protocol.WatchedRoot)
 			for _, it := range items {
 				if strings.HasPrefix(it.Key, protocol.LogRoot) || strings.HasPrefix(it.Key, protocol.InboxRoot) {
 					if strings.Contains(string(it.Value), "job-") {
--- a/internal/coordination/node/peers.go
+++ b/internal/coordination/node/peers.go
@@ -32,9 +32,9 @@
 
 // Hint is what this node tells its siblings now. Any routine may call it.
 func (n *Node) Hint() []byte {
-	h := protocol.Hint{Node: n.cfg.Node, StateOK: n.sinceContact(time.Now()) < stateServiceTimeout, Blind: n.reachability.workersUnreachable.Load(), Changes: float32(n.changeDemand.perSecond.Load()), Revision: atomic.LoadUint64(&n.replicaRevision), Caches: *n.cacheHints.caches.Load(), Life: n.incarnations.hintLease.Load()}
+	h := protocol.Hint{Node: n.cfg.Node, StateOK: n.sinceContact(time.Now()) < stateServiceTimeout, WorkersUnreachable: n.reachability.workersUnreachable.Load(), ChangeRate: float32(n.changeDemand.perSecond.Load()), Revision: atomic.LoadUint64(&n.replicaRevision), Caches: *n.cacheHints.caches.Load(), Incarnation: n.incarnations.hintLease.Load()}
 	if w := n.standby.outgoing.Load(); w != nil {
-		h.Seq, h.Known, h.Refused, h.Cancelled = w.seq, w.machines, w.refused, w.cancelled
+		h.Seq, h.Machines, h.RefusedOffers, h.CancelledJobs = w.seq, w.machines, w.refused, w.cancelled
 	}
 	return h.Encode()
 }
@@ -56,11 +56,11 @@
 			ours = append(ours, s.machines...)
 		}
 	}
-	told := []protocol.Cache{}
+	told := []protocol.ImageCache{}
 	for range min(cachesPerHint, len(ours)) {
 		n.cacheHints.nextMachine = (n.cacheHints.nextMachine + 1) % len(ours)
 		if m := ours[n.cacheHints.nextMachine]; len(m.images) > 0 {
-			told = append(told, protocol.Cache{Machine: m.name, Images: slices.Clone(m.images)})
+			told = append(told, protocol.ImageCache{Machine: m.name, Images: slices.Clone(m.images)})
 		}
 	}
 	n.cacheHints.caches.Store(&told)
@@ -68,9 +68,9 @@
 }
 
 // applyCacheHints takes in what a sibling tells of the machines that it commands.
-func (n *Node) applyCacheHints(told []protocol.Cache) {
+func (n *Node) applyCacheHints(told []protocol.ImageCache) {
 	for _, c := range told {
-		if m := n.machines[c.Machine]; m != nil && m.recorded && !n.owns(n.partitions[m.rec.Share]) {
+		if m := n.machines[c.Machine]; m != nil && m.recorded && !n.owns(n.partitions[m.rec.Partition]) {
 			m.images = c.Images
 			n.markStale(m)
 		}
@@ -84,7 +84,7 @@
 		if err != nil {
 			n.metrics.guardRefusals.WithLabelValues("malformed_hint").Inc()
 		} else if s := n.peers[h.Node]; s != nil {
-			s.lastHint, s.stateOK, s.workersUnreachable, s.changeRate = time.Now(), h.StateOK, h.Blind, float64(h.Changes)
+			s.lastHint, s.stateOK, s.workersUnreachable, s.changeRate = time.Now(), h.StateOK, h.WorkersUnreachable, float64(h.ChangeRate)
 			n.applyCacheHints(h.Caches)
 			n.applyMachineHints(h.Node, s, &h, s.lastHint)
 		}
@@ -149,7 +149,7 @@
 // state service: that one does not take a lease's end as proof either. Without this
 // all machines of a holder that stood still in an outage lost their leases.
 func (n *Node) answerForOwner(m *machine, r *protocol.Report, now time.Time) (protocol.Orders, bool) {
-	s := n.partitions[m.rec.Share]
+	s := n.partitions[m.rec.Partition]
 	token := n.fencingToken(m)
 	sib := n.peers[s.owner.Node]
 	if s.owner.Token == 0 || n.peerReachable(s.owner.Node, now) && !sib.workersUnreachable || !n.mayExtendLeases(now) || r.Token > token {
--- a/internal/coordination/node/place_test.go
+++ b/internal/coordination/node/place_test.go
@@ -22,8 +22,8 @@
 			cfg.Zone = zones[i]
 		}
 	}
-	for i := range cfg.Siblings {
-		cfg.Siblings[i].Zone = zones[int(cfg.Siblings[i].Node[2]-'0')]
+	for i := range cfg.Peers {
+		cfg.Peers[i].Zone = zones[int(cfg.Peers[i].Node[2]-'0')]
 	}
 	p.Teams = []protocol.Team{{Name: "red", CPUs: 60, CPUsMax: 200, GPUs: 8, GPUsMax: 16}, {Name: "blue", CPUs: 60, CPUsMax: 200, GPUs: 8, GPUsMax: 16},
 		{Name: "green", CPUs: 60, CPUsMax: 200, GPUs: 8, GPUsMax: 16}}
@@ -37,7 +37,7 @@
 func atPlace(t *testing.T, seed uint64, day func(w *simCluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		w := newWorldAt(t, ctx, seed, nil, place)
+		w := newConfiguredSimCluster(t, ctx, seed, nil, place)
 		day(w)
 		for _, b := range w.fleet.Broken {
 			t.Errorf("rule broken: %s", b)
@@ -88,7 +88,7 @@
 func TestLostRentalsAreTakenUp(t *testing.T) {
 	atPlace(t, 4, func(w *simCluster) {
 		time.Sleep(20 * time.Second)
-		lost, err := w.fleet.Rent(w.ctx, protocol.RentRequest{Request: "of a node that ended", Type: "middle", Zone: "c", Count: 3})
+		lost, err := w.fleet.Rent(w.ctx, protocol.RentRequest{RequestID: "of a node that ended", Type: "middle", Zone: "c", Count: 3})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -132,7 +132,7 @@
 		return &protocol.JobSpec{ID: id, Team: "red", Class: "c", Shape: protocol.Array, Priority: priority, Tasks: 2, CPUs: 12, Image: "i"}
 	}
 	put := func(id, priority string, placed ...protocol.Placement) *job {
-		b.watchPut(protocol.JobKey(id), protocol.JobRecord{Spec: spec(id, priority), Next: 2, Chunk: protocol.Chunk{Placed: placed}})
+		b.watchPut(protocol.JobKey(id), protocol.JobRecord{Spec: spec(id, priority), NextAttempt: 2, Chunk: protocol.Chunk{Placed: placed}})
 		return b.jobs[id]
 	}
 	low := put("job-1", "standard")
--- a/internal/coordination/node/policyset.go
+++ b/internal/coordination/node/policyset.go
@@ -95,7 +95,7 @@
 		s.window.Resize(p.Window)
 	}
 	for _, m := range n.machines {
-		m.heldBack = slices.Contains(p.HeldBack, m.name)
+		m.cordoned = slices.Contains(p.HeldBack, m.name)
 		n.markStale(m)
 	}
 	if n.SetLogLevel != nil {
--- a/internal/coordination/node/reads_test.go
+++ b/internal/coordination/node/reads_test.go
@@ -188,7 +188,7 @@
 func usersAmid(t *testing.T, seed uint64, lasts time.Duration, fault func(w *simCluster), check func(t *testing.T, l *load)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, seed, defaultSettings)
+		w := newSimCluster(t, ctx, seed, defaultSettings)
 		l := &load{w: w}
 		w.runWorkload(10, func(w *simCluster) {
 			w.withLock(func() { clear(w.stateCalls); fault(w) })
--- a/internal/coordination/node/replica.go
+++ b/internal/coordination/node/replica.go
@@ -40,7 +40,7 @@
 		sent := time.Now()
 		if fresh {
 			var items []storage.Item
-			if items, since, err = n.store.List(ctx, protocol.Root); err == nil {
+			if items, since, err = n.store.List(ctx, protocol.WatchedRoot); err == nil {
 				fresh = false
 				first := since
 				n.post(func() { n.applyListing(items, first); n.completeAt = latest(n.completeAt, sent) })
@@ -49,7 +49,7 @@
 			var items []storage.Item
 			var epoch uint64
 			n.forgetCatchUp() // this watch tells all that was stored before it was sent
-			items, epoch, err = n.store.Watch(ctx, protocol.Root, since, time.Duration(n.watchTimeout.Load()))
+			items, epoch, err = n.store.Watch(ctx, protocol.WatchedRoot, since, time.Duration(n.watchTimeout.Load()))
 			switch {
 			case errors.Is(err, storage.ErrCompacted):
 				fresh, err = true, nil
@@ -107,7 +107,7 @@
 	}
 	for key, st := range n.revisions {
 		if !present[key] && st <= first {
-			n.applyItem(storage.Item{Key: key, Stamp: first})
+			n.applyItem(storage.Item{Key: key, Revision: first})
 		}
 	}
 	n.advanceReplica(first)
@@ -143,7 +143,7 @@
 	}
 	out := slices.Clone(items)
 	slices.SortStableFunc(out, func(a, b storage.Item) int {
-		return cmp.Or(rank(a)-rank(b), cmp.Compare(a.Stamp*uint64(rank(a)/2), b.Stamp*uint64(rank(b)/2)))
+		return cmp.Or(rank(a)-rank(b), cmp.Compare(a.Revision*uint64(rank(a)/2), b.Revision*uint64(rank(b)/2)))
 	})
 	return out
 }
@@ -186,15 +186,15 @@
 	case strings.HasPrefix(key, protocol.NodeRoot):
 		_, ok := n.liveNodes[strings.TrimPrefix(key, protocol.NodeRoot)]
 		return ok
-	case strings.HasPrefix(key, protocol.HolderRoot):
+	case strings.HasPrefix(key, protocol.OwnerRoot):
 		s := n.shareOfKey(key)
 		return s != nil && (s.owner.Token != 0 || s.unconfirmedOwner != nil)
 	case strings.HasPrefix(key, protocol.LogRoot):
-		i, slot, ok := packed.LogSlot(key)
-		return ok && i < len(n.partitions) && n.partitions[i].log.Has(slot)
+		i, slot, ok := packed.ParseLogKey(key)
+		return ok && i < len(n.partitions) && n.partitions[i].log.HasEntry(slot)
 	case strings.HasPrefix(key, protocol.InboxRoot):
-		node, slot, ok := packed.InboxSlot(key)
-		return ok && n.inboxOf(node).Has(slot)
+		node, slot, ok := packed.ParseInboxKey(key)
+		return ok && n.inboxOf(node).HasEntry(slot)
 	case key == protocol.FormatKey:
 		return n.packed.formatStored
 	}
@@ -210,7 +210,7 @@
 }
 
 func (n *Node) shareOfKey(key string) *partition {
-	num, _, _ := strings.Cut(strings.TrimPrefix(key, protocol.HolderRoot), "/")
+	num, _, _ := strings.Cut(strings.TrimPrefix(key, protocol.OwnerRoot), "/")
 	i, err := strconv.Atoi(num)
 	if err != nil || i < 0 || i >= len(n.partitions) {
 		return nil
@@ -221,11 +221,11 @@
 // applyItem takes one stored value, or its absence, into the replica. An older
 // version than the one known is ignored, whatever way it came.
 func (n *Node) applyItem(it storage.Item) {
-	if it.Stamp <= n.revisions[it.Key] {
+	if it.Revision <= n.revisions[it.Key] {
 		return
 	}
 	was, had := n.revisions[it.Key]
-	n.revisions[it.Key] = it.Stamp
+	n.revisions[it.Key] = it.Revision
 	delete(n.corruptKeys, it.Key)
 	if it.Value == nil {
 		n.tombstones[it.Key] = struct{}{}
@@ -251,18 +251,18 @@
 		return true
 	}
 	switch {
-	case it.Key == protocol.CounterKey:
-		var c protocol.CounterRecord
+	case it.Key == protocol.TokenCounterKey:
+		var c protocol.TokenCounterRecord
 		if read(&c) {
 			n.tokenCounter = c.Token
 		}
 	case it.Key == protocol.MovesKey:
-		var mv protocol.Moves
+		var mv protocol.MovesRecord
 		if read(&mv) {
 			n.onMoves(mv)
 		}
 	case it.Key == protocol.ClassesKey:
-		var t ticket.Table
+		var t ticket.ClassTable
 		if it.Value == nil || read(&t) {
 			n.tickets.storedClasses = t
 		}
@@ -298,7 +298,7 @@
 		n.applyChunk(id, chunk, it.Key, c, ok)
 	case strings.HasPrefix(it.Key, protocol.MachineRoot):
 		var r protocol.BatchRecord
-		if read(&r) && r.Share >= 0 && r.Share < len(n.partitions) {
+		if read(&r) && r.Partition >= 0 && r.Partition < len(n.partitions) {
 			n.setBatch(it.Key, r)
 		} else if !corrupt {
 			n.dropBatch(it.Key)
@@ -326,7 +326,7 @@
 		if r.Version < protocol.PackedVersion {
 			n.nodesWithoutEntries[name] = true
 		}
-		if r.Plain {
+		if r.RequiresRecords {
 			n.packed.plainNodes[name] = true
 		}
 		n.applyNodeRecord(name, r.Lease)
@@ -339,8 +339,8 @@
 		if read(&f); !corrupt {
 			n.packed.format, n.packed.formatStored = f, it.Value != nil
 		}
-	case it.Key == protocol.FenceKey:
-		var f protocol.FenceRecord
+	case it.Key == protocol.RentalFenceKey:
+		var f protocol.RentalFenceRecord
 		if read(&f) || !corrupt {
 			n.rentalFence = f
 		}
@@ -349,14 +349,14 @@
 		if read(&r); !corrupt {
 			n.applyStoredCatalog(r.Types)
 		}
-	case it.Key == protocol.DoubtKey(n.cfg.Node):
-		var d protocol.DoubtRecord
+	case it.Key == protocol.LivenessCheckKey(n.cfg.Node):
+		var d protocol.LivenessCheckRecord
 		if read(&d) {
-			n.answerLivenessCheck(d.By)
+			n.answerLivenessCheck(d.RequestedBy)
 		}
-	case strings.HasPrefix(it.Key, protocol.HolderRoot):
+	case strings.HasPrefix(it.Key, protocol.OwnerRoot):
 		if s := n.shareOfKey(it.Key); s != nil {
-			var h protocol.HolderRecord
+			var h protocol.OwnerRecord
 			if read(&h); !corrupt {
 				n.applyOwnerRecord(s, h)
 			}
@@ -380,7 +380,7 @@
 		}
 		n.post(func() {
 			for _, it := range items {
-				if strings.HasPrefix(it.Key, protocol.Root) {
+				if strings.HasPrefix(it.Key, protocol.WatchedRoot) {
 					n.applyItem(it)
 				} else {
 					n.applyFinal(it)
--- a/internal/coordination/node/scale_test.go
+++ b/internal/coordination/node/scale_test.go
@@ -30,7 +30,7 @@
 		m.fenced, m.lastFencedReport = true, now
 		tasks := 2 + 2*(i%2)
 		spec := &protocol.JobSpec{ID: fmt.Sprintf("job-%06d", i), Team: "red", Class: "s", Shape: protocol.Service, Priority: "critical", Tasks: tasks, CPUs: 6, GPUs: 1, MemoryGB: 10, Image: fmt.Sprint("i", i%14), ImageGB: 3}
-		rec := protocol.JobRecord{Spec: spec, SubmittedMS: int64(i), Next: 2}
+		rec := protocol.JobRecord{Spec: spec, SubmittedMS: int64(i), NextAttempt: 2}
 		for t := range tasks {
 			rec.Placed = append(rec.Placed, protocol.Placement{Task: t, Attempt: 1, Machine: r.Name})
 		}
@@ -38,7 +38,7 @@
 	}
 	for i := range waiting {
 		spec := &protocol.JobSpec{ID: fmt.Sprintf("job-9%06d", i), Team: "red", Class: "a", Shape: protocol.Array, Priority: "standard", Tasks: 30, CPUs: 5, GPUs: 1, MemoryGB: 36, Image: fmt.Sprint("i", i%16), ImageGB: 4, EstimateS: 40, Spot: true}
-		b.watchPut(protocol.JobKey(spec.ID), protocol.JobRecord{Spec: spec, SubmittedMS: int64(1e6 + i), Next: 1})
+		b.watchPut(protocol.JobKey(spec.ID), protocol.JobRecord{Spec: spec, SubmittedMS: int64(1e6 + i), NextAttempt: 1})
 	}
 }
 
--- a/internal/coordination/node/scaled_test.go
+++ b/internal/coordination/node/scaled_test.go
@@ -85,7 +85,7 @@
 	if z.cores == 0 { // two nodes can just serve all machines: the third is a reserve
 		z.cores = reservedCores + float64(z.machines)/p.Workers.ReportS*reportCost.Seconds()/1.5
 	}
-	p.Quota = protocol.MachineQuota{Cores: z.cores, MemoryMB: 400, FDLimit: z.sockets}
+	p.Quota = protocol.NodeQuota{Cores: z.cores, MemoryMB: 400, FDLimit: z.sockets}
 	p.State = protocol.StateSettings{RPS: 90, WriteRPS: 60, ValueKB: 32, TxnOps: 32}
 	for i := range p.Teams {
 		if p.Teams[i].GPUs > 0 {
@@ -215,7 +215,7 @@
 	checkPlacement = nil
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w = newWorldOf(t, ctx, seed, func(p *protocol.WorkerSettings) { p.ReportS, p.LeaseS, p.CancelS, p.GangWaitS = 6, 36, 56, 50 }, fleet)
+		w = newSimClusterOfSize(t, ctx, seed, func(p *protocol.WorkerSettings) { p.ReportS, p.LeaseS, p.CancelS, p.GangWaitS = 6, 36, 56, 50 }, fleet)
 		w.fleet.Boot = 10 * time.Second
 		teams := []string{"red", "blue", "green"}
 		var services, arrays []*user
--- a/internal/coordination/node/schedule.go
+++ b/internal/coordination/node/schedule.go
@@ -52,7 +52,7 @@
 				waits = append(waits, j)
 			}
 		}
-		if s.reconciliation.MayDisplace() {
+		if s.reconciliation.MayPreempt() {
 			n.preempt(v, waits, now)
 		}
 		if !now.Before(s.nextRent) && !n.awaitsAdoption(now) {
@@ -168,7 +168,7 @@
 	n.proposePlacements(j, tasks, to, now)
 	n.refreshIndex(now)
 	n.metrics.placed.Add(float64(len(tasks)))
-	n.log.Debug("placing", "job", j.id, "class", j.spec.Class, "tasks", len(tasks), "heavy", j.heavy, "waiting", j.nWaiting(), "fetch_s", p.MaxFetchS, "after_s", now.Sub(j.firstSeen).Seconds())
+	n.log.Debug("placing", "job", j.id, "class", j.spec.Class, "tasks", len(tasks), "heavy", j.heavy, "waiting", j.nWaiting(), "fetch_s", p.LastFetchS, "after_s", now.Sub(j.firstSeen).Seconds())
 }
 
 // keepReserved keeps for a gang what was decided to be reserved for it, and nothing else any
--- a/internal/coordination/node/shares.go
+++ b/internal/coordination/node/shares.go
@@ -90,9 +90,9 @@
 // holders stored is known by then, and nothing they try later can be stored. (A standby whose
 // watch was some seconds late started tasks again whose users had just been told that they
 // were cancelled.)
-func (n *Node) applyOwnerRecord(s *partition, h protocol.HolderRecord) {
+func (n *Node) applyOwnerRecord(s *partition, h protocol.OwnerRecord) {
 	s.unconfirmedOwner = nil
-	if h.Node == n.cfg.Node && h != s.owner && n.revisions[protocol.HolderKey(s.index)] > n.completeRevision {
+	if h.Node == n.cfg.Node && h != s.owner && n.revisions[protocol.OwnerKey(s.index)] > n.completeRevision {
 		s.unconfirmedOwner = &h
 		n.wakeWatch()
 		return
@@ -104,7 +104,7 @@
 func (n *Node) advanceReplica(revision uint64) {
 	n.completeRevision = max(n.completeRevision, revision)
 	for _, s := range n.partitions {
-		if s.unconfirmedOwner != nil && n.revisions[protocol.HolderKey(s.index)] <= n.completeRevision {
+		if s.unconfirmedOwner != nil && n.revisions[protocol.OwnerKey(s.index)] <= n.completeRevision {
 			n.applyOwnerRecord(s, *s.unconfirmedOwner)
 		}
 	}
@@ -114,7 +114,7 @@
 func (s *partition) ownerChanging() bool { return s.ownerChangePending || s.unconfirmedOwner != nil }
 
 // setOwner changes who holds a share.
-func (n *Node) setOwner(s *partition, h protocol.HolderRecord) {
+func (n *Node) setOwner(s *partition, h protocol.OwnerRecord) {
 	if h == s.owner {
 		return
 	}
@@ -222,7 +222,7 @@
 	if gone < 1 {
 		return
 	}
-	asked := n.rateLimiter.Asked()
+	asked := n.rateLimiter.Requested()
 	behind := n.pendingUserChanges + n.totalPendingWrites()
 	dirty := map[int]bool{}
 	for j := range n.dirty {
@@ -234,17 +234,17 @@
 	}
 	would := float64(asked-n.changeDemand.lastRequested)/gone + float64(behind)/3
 	n.changeDemand.lastUpdate, n.changeDemand.lastRequested = now, asked
-	n.changeDemand.perSecond.Store((n.changeDemand.perSecond.Load() + min(would, n.rateLimiter.Total())) / 2)
+	n.changeDemand.perSecond.Store((n.changeDemand.perSecond.Load() + min(would, n.rateLimiter.TotalRate())) / 2)
 	own := leastChanges + n.changeDemand.perSecond.Load()
 	all := own
 	for name, s := range n.peers {
 		if n.receivesHints(name, now) {
 			all += leastChanges + s.changeRate
 		} else if _, lives := n.liveNodes[name]; lives {
-			all += leastChanges + n.rateLimiter.Total()/float64(len(n.liveNodes))
+			all += leastChanges + n.rateLimiter.TotalRate()/float64(len(n.liveNodes))
 		}
 	}
-	n.rateLimiter.SetPart(own / all)
+	n.rateLimiter.SetFraction(own / all)
 }
 
 // takeoverDelay staggers the nodes, so that a vacant share goes to its standby, or, when
@@ -252,14 +252,14 @@
 // has a first candidate.
 func (n *Node) takeoverDelay(s *partition, held int, now time.Time) time.Duration {
 	if s.previousOwner != "" && now.Sub(n.startedAt) > 6*time.Second {
-		d := n.standby.standbys[s.index].After(n.cfg.Node) + n.extraTakeDelay(held, now)
+		d := n.standby.standbys[s.index].TakeoverDelay(n.cfg.Node) + n.extraTakeDelay(held, now)
 		if n.reachability.workersUnreachable.Load() {
 			d += blindDelay
 		}
 		return d
 	}
 	names := []string{n.cfg.Node}
-	for _, sib := range n.cfg.Siblings {
+	for _, sib := range n.cfg.Peers {
 		names = append(names, sib.Node)
 	}
 	slices.Sort(names)
@@ -283,12 +283,12 @@
 func (n *Node) takePartition(s *partition, also ...storage.Cond) {
 	s.ownerChangePending = true
 	token := n.tokenCounter + 1
-	key := protocol.HolderKey(s.index)
+	key := protocol.OwnerKey(s.index)
 	op := &storage.Op{
-		Conds: append([]storage.Cond{n.unchanged(key), n.unchanged(protocol.CounterKey)}, also...),
+		Conds: append([]storage.Cond{n.unchanged(key), n.unchanged(protocol.TokenCounterKey)}, also...),
 		Writes: []storage.Write{
-			{Put: key, Value: mustJSON(protocol.HolderRecord{Node: n.cfg.Node, Token: token, Lease: n.lease}), Lease: n.lease},
-			{Put: protocol.CounterKey, Value: mustJSON(protocol.CounterRecord{Token: token})},
+			{Put: key, Value: mustJSON(protocol.OwnerRecord{Node: n.cfg.Node, Token: token, Lease: n.lease}), Lease: n.lease},
+			{Put: protocol.TokenCounterKey, Value: mustJSON(protocol.TokenCounterRecord{Token: token})},
 		},
 	}
 	n.submit(op, func(storage.Result) { s.ownerChangePending = false })
@@ -306,7 +306,7 @@
 		n.post(func() {
 			if r.OK {
 				for _, w := range op.Writes {
-					n.applyOwnWrite(w, r.Epoch)
+					n.applyOwnWrite(w, r.Revision)
 				}
 				then(r)
 				return
@@ -358,7 +358,7 @@
 	n.log.Info("share given up", "share", s.index, "why", why)
 	n.lastRelease = now
 	s.ownerChangePending = true
-	key := protocol.HolderKey(s.index)
+	key := protocol.OwnerKey(s.index)
 	n.submit(&storage.Op{Conds: []storage.Cond{n.unchanged(key)}, Writes: []storage.Write{{Delete: key}}},
 		func(storage.Result) {
 			s.ownerChangePending = false
--- a/internal/coordination/node/sight_test.go
+++ b/internal/coordination/node/sight_test.go
@@ -57,7 +57,7 @@
 	b.watchPut(protocol.NodeKey("n-0"), protocol.NodeRecord{Lease: 3})
 	b.watchPut(protocol.NodeKey("n-1"), protocol.NodeRecord{Lease: 4})
 	for i := 1; i < len(b.partitions); i++ {
-		b.watchPut(protocol.HolderKey(i), protocol.HolderRecord{Node: "n-0", Token: 7, Lease: 3})
+		b.watchPut(protocol.OwnerKey(i), protocol.OwnerRecord{Node: "n-0", Token: 7, Lease: 3})
 	}
 	now = now.Add(10 * time.Second)
 	b.noteWorkerContact(now)
--- a/internal/coordination/node/sim_test.go
+++ b/internal/coordination/node/sim_test.go
@@ -84,7 +84,7 @@
 	size *scaledFleet
 
 	// classes, if set, are those of tickets that the nodes take.
-	classes ticket.Table
+	classes ticket.ClassTable
 
 	// lease, if set, is the site's daemon as the nodes ask it.
 	daemonLease func(ctx context.Context, node string) ([]byte, error)
@@ -94,7 +94,7 @@
 	s := &protocol.Settings{Node: names[i], Zone: "a"}
 	for k, name := range names {
 		if k != i {
-			s.Siblings = append(s.Siblings, protocol.Sibling{Node: name, Zone: "a"})
+			s.Peers = append(s.Peers, protocol.Peer{Node: name, Zone: "a"})
 		}
 	}
 	p := &s.Params
@@ -104,23 +104,23 @@
 	p.Workers = protocol.WorkerSettings{ReportS: 2, LeaseS: 10, GangWaitS: 40, GangPeerS: 6, CancelS: 40}
 	p.State = protocol.StateSettings{RPS: 100, WriteRPS: 40, ValueKB: 8, TxnOps: 12}
 	p.Cloud = protocol.CloudSettings{RPS: 4, ListLagS: 4}
-	p.Quota = protocol.MachineQuota{Cores: 1, MemoryMB: 100, FDLimit: 1000}
+	p.Quota = protocol.NodeQuota{Cores: 1, MemoryMB: 100, FDLimit: 1000}
 	return s
 }
 
-func newWorld(t *testing.T, ctx context.Context, seed uint64, change func(p *protocol.WorkerSettings)) *simCluster {
-	return newWorldOf(t, ctx, seed, change, nil)
+func newSimCluster(t *testing.T, ctx context.Context, seed uint64, change func(p *protocol.WorkerSettings)) *simCluster {
+	return newSimClusterOfSize(t, ctx, seed, change, nil)
 }
 
-func newWorldOf(t *testing.T, ctx context.Context, seed uint64, change func(p *protocol.WorkerSettings), size *scaledFleet) *simCluster {
-	return newWorldAt(t, ctx, seed, size, func(cfg *protocol.Settings, f *standin.Fleet) {
+func newSimClusterOfSize(t *testing.T, ctx context.Context, seed uint64, change func(p *protocol.WorkerSettings), size *scaledFleet) *simCluster {
+	return newConfiguredSimCluster(t, ctx, seed, size, func(cfg *protocol.Settings, f *standin.Fleet) {
 		change(&cfg.Params.Workers)
 		size.configure(cfg, f)
 	})
 }
 
-// newWorldAt is a world whose settings and fleet shape may change, for each node.
-func newWorldAt(t *testing.T, ctx context.Context, seed uint64, size *scaledFleet, shape func(cfg *protocol.Settings, f *standin.Fleet)) *simCluster {
+// newConfiguredSimCluster is a world whose settings and fleet shape may change, for each node.
+func newConfiguredSimCluster(t *testing.T, ctx context.Context, seed uint64, size *scaledFleet, shape func(cfg *protocol.Settings, f *standin.Fleet)) *simCluster {
 	w := &simCluster{size: size, t: t, rng: rand.New(rand.NewPCG(seed, 7)), plan: rand.New(rand.NewPCG(seed, 8)), cfg: map[string]*protocol.Settings{}, names: []string{"n-0", "n-1", "n-2"},
 		state: standin.NewState(), nodes: map[string]*Node{}, stop: map[string]context.CancelFunc{},
 		stateRefused: map[string]bool{}, isolated: map[string]bool{}, workersUnreachable: map[string]bool{}, frozenUntil: map[string]time.Time{},
@@ -225,7 +225,7 @@
 			case other == nil || filter:
 				// Its host ends what was open, and refuses what is new.
 				if was[name] != nil {
-					n.OnConnEvent(name, transport.ConnEnded)
+					n.OnConnEvent(name, transport.ConnLost)
 					n.OnConnEvent(name, transport.ConnRefused)
 				} else if say {
 					n.OnConnEvent(name, transport.ConnRefused)
@@ -233,7 +233,7 @@
 				was[name] = nil
 			default:
 				if was[name] != nil && was[name] != other {
-					n.OnConnEvent(name, transport.ConnEnded) // it is a new process
+					n.OnConnEvent(name, transport.ConnLost) // it is a new process
 				}
 				was[name] = other
 				if say {
@@ -301,7 +301,7 @@
 var errNoAnswer = errors.New("no answer")
 
 // takenClasses, if a test sets them, are the classes of tickets that new worlds' nodes take.
-var nodeTicketClasses ticket.Table
+var nodeTicketClasses ticket.ClassTable
 
 // setAccount, if a test sets it, gives each node that starts its settings.
 var configureAccount func(n *Node)
@@ -424,7 +424,7 @@
 			r.Session, r.Seq = m.session, m.seq+1
 		case w.disabledGuard == "old token": // as if it were also made under the present token
 			r.Session, r.Seq, r.Token = m.session, m.seq+1, n.fencingToken(m)
-		case m.session == 0 && m.recorded && n.owns(n.partitions[m.rec.Share]):
+		case m.session == 0 && m.recorded && n.owns(n.partitions[m.rec.Partition]):
 			w.recordEvent("old report comes first")
 		case r.Session < m.session:
 			w.recordEvent("report of an earlier session")
@@ -814,12 +814,12 @@
 // says, who holds what.
 func (w *simCluster) describeJob(id string) string {
 	var b strings.Builder
-	items, _, _ := w.state.List(w.t.Context(), protocol.Root)
-	if j := packed.Read(items, ringSlots).Jobs[id]; j != nil {
+	items, _, _ := w.state.List(w.t.Context(), protocol.WatchedRoot)
+	if j := packed.ReadState(items, ringSlots).Jobs[id]; j != nil {
 		fmt.Fprintf(&b, "stored %s", mustJSON(j))
 	}
 	for _, it := range items {
-		if strings.HasPrefix(it.Key, protocol.JobKey(id)) || strings.HasPrefix(it.Key, protocol.HolderRoot) {
+		if strings.HasPrefix(it.Key, protocol.JobKey(id)) || strings.HasPrefix(it.Key, protocol.OwnerRoot) {
 			fmt.Fprintf(&b, "\n%s %s", it.Key, it.Value)
 		}
 	}
@@ -902,7 +902,7 @@
 func simulate(t *testing.T, seed uint64, count int, change func(p *protocol.WorkerSettings), faults func(w *simCluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, seed, change)
+		w := newSimCluster(t, ctx, seed, change)
 		w.runWorkload(count, faults)
 		cancel()
 		time.Sleep(2 * time.Minute) // until all that was held has come
--- a/internal/coordination/node/sitejobs.go
+++ b/internal/coordination/node/sitejobs.go
@@ -66,15 +66,15 @@
 	if err != nil {
 		n.log.Debug("lease not learned", "why", err)
 	} else {
-		left := min(time.Duration(l.LeftMS)*time.Millisecond, maxLease)
-		g := &siteLease{expiresAt: asked.Add(time.Duration(float64(left) * (1 - maxClockDrift))), minRevision: l.Floor, lostJobs: map[string]bool{}}
+		left := min(time.Duration(l.RemainingMS)*time.Millisecond, maxLease)
+		g := &siteLease{expiresAt: asked.Add(time.Duration(float64(left) * (1 - maxClockDrift))), minRevision: l.MinRevision, lostJobs: map[string]bool{}}
 		if n.siteLease != nil {
 			g.minRevision = max(g.minRevision, n.siteLease.minRevision)
 			if left > 0 {
 				g.expiresAt = latest(g.expiresAt, n.siteLease.expiresAt)
 			}
 		}
-		for _, id := range l.Dead {
+		for _, id := range l.LostJobs {
 			g.lostJobs[id] = true
 		}
 		n.siteLease = g
@@ -152,7 +152,7 @@
 const mostCalls = 512
 
 // maxCalls bounds a request: as many submissions of the longest kind.
-const maxCalls = mostCalls * (protocol.MaxBody / 16)
+const maxCalls = mostCalls * (protocol.MaxBodyBytes / 16)
 
 // fromDaemon refuses whoever is not the site's daemon: users reach the same address.
 func (n *Node) fromDaemon(w http.ResponseWriter, r *http.Request) bool {
@@ -213,7 +213,7 @@
 func (n *Node) onSiteCall(it *wire.Item, reply func(wire.Item)) {
 	c := &siteCall{n: n, it: it, reply: reply, tries: 3}
 	if !n.loaded || !protocol.ValidJobID(it.ID) || it.Record.Epoch == 0 {
-		c.answer(wire.Busy, "not ready, or malformed")
+		c.answer(wire.Unavailable, "not ready, or malformed")
 		return
 	}
 	c.decide()
@@ -232,7 +232,7 @@
 func (c *siteCall) answer(code uint8, why string) { c.answerAt(code, 0, nil, why) }
 
 func (c *siteCall) answerAt(code uint8, rev uint64, j *job, why string) {
-	res := wire.Item{Kind: wire.Result, ID: c.it.ID, Why: code, Ballot: wire.Ballot{N: rev}, Record: wire.Record{Epoch: c.it.Record.Epoch, Spec: []byte(why)}}
+	res := wire.Item{Kind: wire.Result, ID: c.it.ID, Code: code, Ballot: wire.Ballot{Number: rev}, Record: wire.Record{Epoch: c.it.Record.Epoch, Spec: []byte(why)}}
 	if j != nil {
 		res.Record.Tasks, res.Running = uint32(j.nDone), uint32(j.nPlaced)
 	}
@@ -253,35 +253,35 @@
 	case c.it.Kind == wire.Stop:
 		c.stop(j, f, ended)
 	case j != nil && j.claim == epoch && j.cancelled:
-		c.answer(wire.Over, "")
+		c.answer(wire.ClaimEnded, "")
 	case j != nil && j.claim == epoch:
-		c.answerAt(wire.Held, 0, j, "")
+		c.answerAt(wire.Active, 0, j, "")
 	case j != nil && j.claim > epoch, j == nil && ended && f.Claim >= epoch:
-		c.answer(wire.Over, "")
+		c.answer(wire.ClaimEnded, "")
 	case c.it.Kind == wire.Submit:
 		c.submit(j, f, ended)
 	case c.fresh && j == nil:
-		c.answer(wire.Missing, "")
+		c.answer(wire.NotFound, "")
 	case j == nil:
 		c.read()
 	default:
-		c.answer(wire.Busy, "held under an earlier claim")
+		c.answer(wire.Unavailable, "held under an earlier claim")
 	}
 }
 
 func (c *siteCall) ended(f protocol.FinalRecord) {
-	c.reply(wire.Item{Kind: wire.Result, ID: c.it.ID, Why: wire.Ended, Record: wire.Record{Epoch: c.it.Record.Epoch, Tasks: uint32(f.Tasks)}})
+	c.reply(wire.Item{Kind: wire.Result, ID: c.it.ID, Code: wire.Completed, Record: wire.Record{Epoch: c.it.Record.Epoch, Tasks: uint32(f.Tasks)}})
 }
 
 // read takes in what is stored of the job, and decides again.
 func (c *siteCall) read() {
 	if c.tries--; c.tries < 0 {
-		c.answer(wire.Busy, "changed meanwhile")
+		c.answer(wire.Unavailable, "changed meanwhile")
 		return
 	}
 	c.n.resync([]string{protocol.JobKey(c.it.ID), protocol.FinalKey(c.it.ID)}, func(items []storage.Item, err error) {
 		if err != nil {
-			c.answer(wire.Busy, "state service")
+			c.answer(wire.Unavailable, "state service")
 			return
 		}
 		c.fresh, c.final = true, items[1]
@@ -294,7 +294,7 @@
 func (c *siteCall) finalCond() storage.Cond {
 	cond := storage.Cond{Key: protocol.FinalKey(c.it.ID)}
 	if c.fresh && c.final.Value != nil {
-		cond.Stamp = c.final.Stamp
+		cond.Revision = c.final.Revision
 	}
 	return cond
 }
@@ -308,18 +308,18 @@
 		switch {
 		case r.OK:
 			for _, w := range op.Writes {
-				n.applyOwnWrite(w, r.Epoch)
+				n.applyOwnWrite(w, r.Revision)
 			}
 			then(r)
 		case r.Err != nil:
-			c.answer(wire.Busy, "state service")
+			c.answer(wire.Unavailable, "state service")
 		default:
 			c.read()
 		}
 	})
 	select {
 	case <-refuse:
-		c.answer(wire.Busy, "the rate of changes is used up")
+		c.answer(wire.Unavailable, "the rate of changes is used up")
 	default:
 	}
 }
@@ -343,7 +343,7 @@
 	why, decided := n.checkRunnable(s)
 	switch {
 	case !decided:
-		c.answer(wire.Busy, "the machine types are not known yet")
+		c.answer(wire.Unavailable, "the machine types are not known yet")
 		return
 	case why != "":
 		c.answer(wire.Refused, why)
@@ -355,14 +355,14 @@
 	}
 	op := &storage.Op{
 		Conds:  []storage.Cond{{Key: protocol.JobKey(s.ID)}, c.finalCond()},
-		Writes: []storage.Write{{Put: protocol.JobKey(s.ID), Value: mustJSON(protocol.JobRecord{Spec: s, SubmittedMS: created.UnixMilli(), Next: 1, Claim: epoch})}}}
-	if op.Conds[1].Stamp != 0 {
+		Writes: []storage.Write{{Put: protocol.JobKey(s.ID), Value: mustJSON(protocol.JobRecord{Spec: s, SubmittedMS: created.UnixMilli(), NextAttempt: 1, Claim: epoch})}}}
+	if op.Conds[1].Revision != 0 {
 		op.Writes = append(op.Writes, storage.Write{Delete: protocol.FinalKey(s.ID)})
 	}
 	c.change(op, func(r storage.Result) {
 		n.forgetEarlierClaim(s.ID, epoch)
 		n.log.Debug("job of the gateway taken", "job", s.ID, "claim", epoch)
-		c.answerAt(wire.Held, r.Epoch, n.jobs[s.ID], "")
+		c.answerAt(wire.Active, r.Revision, n.jobs[s.ID], "")
 	})
 }
 
@@ -371,14 +371,14 @@
 func (c *siteCall) raise(j *job) {
 	n, epoch := c.n, c.it.Record.Epoch
 	if j.cancelled {
-		c.answer(wire.Busy, "an earlier claim is being ended")
+		c.answer(wire.Unavailable, "an earlier claim is being ended")
 		return
 	}
 	rec := n.storedRecordAtLog(j)
 	rec.Claim = epoch
 	op := &storage.Op{Conds: []storage.Cond{n.unchanged(protocol.JobKey(j.id))},
 		Writes: []storage.Write{{Put: protocol.JobKey(j.id), Value: mustJSON(rec)}}}
-	c.change(op, func(r storage.Result) { c.answerAt(wire.Held, r.Epoch, n.jobs[j.id], "") })
+	c.change(op, func(r storage.Result) { c.answerAt(wire.Active, r.Revision, n.jobs[j.id], "") })
 }
 
 // stop ends the site's claims on a job up to one, and says when nothing of it
@@ -388,7 +388,7 @@
 	if j == nil {
 		switch {
 		case ended && f.Claim >= epoch && c.fresh:
-			c.answer(wire.Over, "")
+			c.answer(wire.ClaimEnded, "")
 		case !c.fresh:
 			c.read()
 		default:
@@ -397,29 +397,29 @@
 			// Nothing was placed when the job ended or there was none: a replica that
 			// does not know it yet can start nothing, since its change would fail. And
 			// the watch does not tell of this key, so no replica could be asked for it.
-			c.change(op, func(storage.Result) { c.answer(wire.Over, "") })
+			c.change(op, func(storage.Result) { c.answer(wire.ClaimEnded, "") })
 		}
 		return
 	}
 	switch {
 	case j.claim > epoch:
-		c.answer(wire.Over, "")
+		c.answer(wire.ClaimEnded, "")
 	case j.cancelled && j.claim >= epoch:
-		c.answerAt(wire.Held, n.revisionOf(protocol.JobKey(id)), j, "")
+		c.answerAt(wire.Active, n.revisionOf(protocol.JobKey(id)), j, "")
 	default:
 		rec := n.storedRecordAtLog(j)
 		rec.Cancelled, rec.Claim = true, epoch
 		op := &storage.Op{Conds: []storage.Cond{n.unchanged(protocol.JobKey(id))},
 			Writes: []storage.Write{{Put: protocol.JobKey(id), Value: mustJSON(rec)}}}
-		code := wire.Held
+		code := wire.Active
 		if len(rec.Placed) == 0 && len(j.storedChunks) == 0 {
 			op.Conds = append(op.Conds, storage.Cond{Key: protocol.FinalKey(id)})
 			op.Writes = finalWrites(id, protocol.JobCancelled, len(j.tasks), epoch)
-			code = wire.Over
+			code = wire.ClaimEnded
 		}
 		c.change(op, func(r storage.Result) {
 			n.log.Info("claim on a job of the gateway ended", "job", id, "claim", epoch)
-			c.answerAt(code, r.Epoch, nil, "")
+			c.answerAt(code, r.Revision, nil, "")
 		})
 	}
 }
@@ -459,7 +459,7 @@
 	}
 	images := map[string]bool{}
 	for _, m := range n.machines {
-		if !m.recorded || !n.owns(n.partitions[m.rec.Share]) || !n.usable(m, now) {
+		if !m.recorded || !n.owns(n.partitions[m.rec.Partition]) || !n.usable(m, now) {
 			continue
 		}
 		if t := n.machineTypes[m.rec.Type]; t != nil {
@@ -488,7 +488,7 @@
 	for i, t := range n.teams[:min(len(n.teams), wire.MaxTeams)] {
 		th := wire.TeamHint{Name: t.Name, CPUsMax: t.Limit.CPUs, GPUsMax: t.Limit.GPUs, GPUs: t.Guarantee.GPUs}
 		if n.owns(n.partitions[t.partition]) {
-			th.UsedGPU, th.Waiting = t.Used.GPUs, waiting[i]
+			th.UsedGPUs, th.Waiting = t.Used.GPUs, waiting[i]
 		}
 		h.Teams = append(h.Teams, th)
 	}
--- a/internal/coordination/node/sitejobs_test.go
+++ b/internal/coordination/node/sitejobs_test.go
@@ -15,13 +15,13 @@
 
 // open lets jobs of the gateway run on a bench.
 func (b *testNode) open() {
-	b.onLease(&wire.Lease{LeftMS: 3000}, nil, time.Now())
+	b.onLease(&wire.Lease{RemainingMS: 3000}, nil, time.Now())
 }
 
 // claimed stores a job of the gateway, placed on host-1.
 func (b *testNode) claimed(id string, placed ...protocol.Placement) *job {
 	spec := &protocol.JobSpec{ID: id, Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 1, CPUs: 4, GPUs: 1, Image: "i", ImageGB: 1}
-	b.watchPut(protocol.JobKey(id), protocol.JobRecord{Spec: spec, Next: 2, Claim: 1, Chunk: protocol.Chunk{Placed: placed}})
+	b.watchPut(protocol.JobKey(id), protocol.JobRecord{Spec: spec, NextAttempt: 2, Claim: 1, Chunk: protocol.Chunk{Placed: placed}})
 	return b.jobs[id]
 }
 
@@ -44,10 +44,10 @@
 		lease         *wire.Lease
 		started, runs string
 	}{
-		{"open", &wire.Lease{LeftMS: 3000}, "run ", "parked"},
+		{"open", &wire.Lease{RemainingMS: 3000}, "run ", "parked"},
 		{"over", &wire.Lease{}, "", "halt "},
-		{"a stop not seen yet", &wire.Lease{LeftMS: 3000, Floor: 1 << 40}, "", "halt "},
-		{"the job is dead", &wire.Lease{LeftMS: 3000, Dead: []string{"job-1"}}, "", "halt "},
+		{"a stop not seen yet", &wire.Lease{RemainingMS: 3000, MinRevision: 1 << 40}, "", "halt "},
+		{"the job is dead", &wire.Lease{RemainingMS: 3000, LostJobs: []string{"job-1"}}, "", "halt "},
 		{"never asked", nil, "", "halt "},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -82,7 +82,7 @@
 func TestLateLeaseOpensNothing(t *testing.T) {
 	b := newTestNode(t)
 	j := b.claimed("job-1")
-	b.onLease(&wire.Lease{LeftMS: 3000}, nil, time.Now().Add(-3*time.Second))
+	b.onLease(&wire.Lease{RemainingMS: 3000}, nil, time.Now().Add(-3*time.Second))
 	if !b.blockedBySiteLease(j, time.Now()) {
 		t.Error("a lease of 3 s asked for 3 s ago is taken for valid")
 	}
@@ -117,7 +117,7 @@
 // replica that is behind does not know the newest jobs.)
 func TestStandInStopsTheGatewaysJobs(t *testing.T) {
 	b := newTestNode(t)
-	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
+	b.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-1", Token: 8, Lease: 9})
 	b.claimed("job-1", placedOnHost1)
 	b.addJob("job-2", false)
 	ask := func() string {
@@ -141,7 +141,7 @@
 	if got := ask(); got != "halt job-1/0 halt job-3/0 " {
 		t.Errorf("without a lease: %q", got)
 	}
-	b.onLease(&wire.Lease{LeftMS: 30000}, nil, time.Now())
+	b.onLease(&wire.Lease{RemainingMS: 30000}, nil, time.Now())
 	if got := ask(); got != "" {
 		t.Errorf("with a lease: %q", got)
 	}
@@ -175,10 +175,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		w := newWorld(t, ctx, 1, defaultSettings)
+		w := newSimCluster(t, ctx, 1, defaultSettings)
 		w.withLock(func() {
 			w.daemonLease = func(context.Context, string) ([]byte, error) {
-				return wire.EncodeLease(&wire.Lease{LeftMS: 3000}), nil
+				return wire.EncodeLease(&wire.Lease{RemainingMS: 3000}), nil
 			}
 		})
 		time.Sleep(6 * time.Second)
@@ -187,30 +187,30 @@
 		want := func(what string, got wire.Item, codes ...uint8) {
 			t.Helper()
 			for _, k := range codes {
-				if got.Why == k {
+				if got.Code == k {
 					return
 				}
 			}
-			t.Errorf("%s: code %d (%s), want %v", what, got.Why, got.Record.Spec, codes)
+			t.Errorf("%s: code %d (%s), want %v", what, got.Code, got.Record.Spec, codes)
 		}
-		want("poll of what was never given", c.call(wire.Poll, "job-1", 1), wire.Missing)
-		want("submission", c.call(wire.Submit, "job-1", 1), wire.Held)
-		want("its repeat at another node", other.call(wire.Submit, "job-1", 1), wire.Held)
-		want("stop", other.call(wire.Stop, "job-1", 1), wire.Over, wire.Held)
+		want("poll of what was never given", c.call(wire.Poll, "job-1", 1), wire.NotFound)
+		want("submission", c.call(wire.Submit, "job-1", 1), wire.Active)
+		want("its repeat at another node", other.call(wire.Submit, "job-1", 1), wire.Active)
+		want("stop", other.call(wire.Stop, "job-1", 1), wire.ClaimEnded, wire.Active)
 		time.Sleep(time.Minute)
-		want("stop again", c.call(wire.Stop, "job-1", 1), wire.Over)
-		want("the submission, held on its way until now", c.call(wire.Submit, "job-1", 1), wire.Over)
-		want("a later claim", other.call(wire.Submit, "job-1", 3), wire.Held)
+		want("stop again", c.call(wire.Stop, "job-1", 1), wire.ClaimEnded)
+		want("the submission, held on its way until now", c.call(wire.Submit, "job-1", 1), wire.ClaimEnded)
+		want("a later claim", other.call(wire.Submit, "job-1", 3), wire.Active)
 		time.Sleep(time.Second)
-		want("poll of the later claim", c.call(wire.Poll, "job-1", 3), wire.Held)
-		want("a late stop of the earlier claim", c.call(wire.Stop, "job-1", 1), wire.Over)
-		want("the later claim is untouched", c.call(wire.Poll, "job-1", 3), wire.Held)
+		want("poll of the later claim", c.call(wire.Poll, "job-1", 3), wire.Active)
+		want("a late stop of the earlier claim", c.call(wire.Stop, "job-1", 1), wire.ClaimEnded)
+		want("the later claim is untouched", c.call(wire.Poll, "job-1", 3), wire.Active)
 
-		want("stop before the submission comes", c.call(wire.Stop, "job-2", 2), wire.Over)
-		want("the submission", other.call(wire.Submit, "job-2", 2), wire.Over)
-		want("a claim while an earlier one runs here", c.call(wire.Submit, "job-3", 1), wire.Held)
+		want("stop before the submission comes", c.call(wire.Stop, "job-2", 2), wire.ClaimEnded)
+		want("the submission", other.call(wire.Submit, "job-2", 2), wire.ClaimEnded)
+		want("a claim while an earlier one runs here", c.call(wire.Submit, "job-3", 1), wire.Active)
 		time.Sleep(time.Second)
-		want("the same job under a later claim", other.call(wire.Submit, "job-3", 4), wire.Held)
+		want("the same job under a later claim", other.call(wire.Submit, "job-3", 4), wire.Active)
 
 		own := &protocol.JobSpec{ID: "job-4", Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 1, CPUs: 4, GPUs: 1, Image: "i", ImageGB: 1}
 		if a, err := w.submitAt(ctx, "n-1", own); err != nil || a.status != 201 {
@@ -247,7 +247,7 @@
 				ctx, cancel := context.WithCancel(context.Background())
 				defer cancel()
 				direct := seed%2 == 1
-				w := newWorld(t, ctx, 500+seed, func(p *protocol.WorkerSettings) {
+				w := newSimCluster(t, ctx, 500+seed, func(p *protocol.WorkerSettings) {
 					if direct { // workers report rarely, so that the site's own jobs start directly
 						p.ReportS, p.LeaseS, p.CancelS = 6, 36, 56
 					}
@@ -279,7 +279,7 @@
 						w.mu.Lock()
 						left := max(0, min(controllers, time.Until(end)))
 						w.mu.Unlock()
-						data := wire.EncodeLease(&wire.Lease{LeftMS: uint32(left.Milliseconds())})
+						data := wire.EncodeLease(&wire.Lease{RemainingMS: uint32(left.Milliseconds())})
 						time.Sleep(w.randDuration(time.Millisecond, 300*time.Millisecond))
 						if w.chance(&w.lossRate) {
 							return nil, errNoAnswer
@@ -304,7 +304,7 @@
 								})
 								select {
 								case r := <-got:
-									if r.Why == wire.Held || r.Why == wire.Ended {
+									if r.Code == wire.Active || r.Code == wire.Completed {
 										return
 									}
 								case <-time.After(2 * time.Second):
@@ -389,7 +389,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(context.Background())
-				w := newWorld(t, ctx, 1, defaultSettings)
+				w := newSimCluster(t, ctx, 1, defaultSettings)
 				time.Sleep(5 * time.Second)
 				n := w.node("n-0")
 				n.post(func() { n.LookUpGatewayJob = c.known })
--- a/internal/coordination/node/spending.go
+++ b/internal/coordination/node/spending.go
@@ -35,7 +35,7 @@
 }
 
 func (s *changeCounts) add(op *storage.Op) {
-	s.now[min(changePurpose(op.For), spendings-1)].Add(int64(len(op.Writes)))
+	s.now[min(changePurpose(op.Purpose), spendings-1)].Add(int64(len(op.Writes)))
 }
 
 // logChangeCounts logs where the changes went since it was last said.
--- a/internal/coordination/node/square.go
+++ b/internal/coordination/node/square.go
@@ -26,7 +26,7 @@
 	peakIdleUnknown int       // maximum number of spare machines whose idle time is unknown
 	lastIdleReturn  time.Time // when one of them was last returned
 
-	reportedGiven, reportedHeld [start.Orders]int // last values in the metrics
+	reportedGiven, reportedHeld [start.OrderKinds]int // last values in the metrics
 
 	workerAddrs   atomic.Pointer[map[netip.Addr]bool] // read by other goroutines; false: ambiguous or loopback
 	workerAddrsAt time.Time                           // when the addresses were last updated
@@ -69,18 +69,18 @@
 // beginReconciliation starts the reconciliation of a partition that was just taken over.
 func (n *Node) beginReconciliation(p *partition, now time.Time) {
 	params := n.cfg.Params.Workers
-	var facts []start.Facts
+	var facts []start.MachineFacts
 	for _, m := range p.machines {
 		if n.expectedToReport(m) {
 			facts = append(facts, n.reconcileFacts(m))
 		}
 	}
-	n.loadControl.budget.Fresh(now)
+	n.loadControl.budget.ResetForTakeover(now)
 	grace := min(maxReportGrace, n.seconds(params.ReportS)/2)
-	if p.takeover.cause == standby.HandedOn {
+	if p.takeover.cause == standby.HandedOver {
 		grace = 0 // its workers still have a controller and report at their usual interval
 	}
-	p.reconciliation = start.Begin(start.Times{Report: n.seconds(params.ReportS), Grace: grace}, now, facts)
+	p.reconciliation = start.BeginReconciliation(start.Timing{ReportInterval: n.seconds(params.ReportS), GracePeriod: grace}, now, facts)
 }
 
 // expectedToReport reports whether a machine's silence means anything: it is known to be up, or
@@ -90,19 +90,19 @@
 }
 
 // reconcileFacts returns what package start needs to know of a machine.
-func (n *Node) reconcileFacts(m *machine) start.Facts {
-	f := start.Facts{Name: m.name, Rank: start.Empty, Callable: m.addr != ""}
+func (n *Node) reconcileFacts(m *machine) start.MachineFacts {
+	f := start.MachineFacts{Name: m.name, Rank: start.Empty, HasAddress: m.addr != ""}
 	if !m.lastReport.IsZero() {
-		f.LeaseEnds = m.lastReport.Add(n.seconds(n.cfg.Params.Workers.LeaseS))
+		f.LeaseExpiry = m.lastReport.Add(n.seconds(n.cfg.Params.Workers.LeaseS))
 	}
 	for k := range m.tasks {
 		switch {
 		case k.job.rank == 0:
 			f.Rank = start.Critical
 		case !n.unguaranteed(k.job):
-			f.Rank = min(f.Rank, start.Guarantee)
+			f.Rank = min(f.Rank, start.Guaranteed)
 		default:
-			f.Rank = min(f.Rank, start.Work)
+			f.Rank = min(f.Rank, start.Unguaranteed)
 		}
 	}
 	return f
@@ -117,7 +117,7 @@
 
 // machineReconciled records that a machine has reported under this node's token.
 func (n *Node) machineReconciled(m *machine, now time.Time) {
-	n.partitions[m.rec.Share].reconciliation.Heard(m.name)
+	n.partitions[m.rec.Partition].reconciliation.NoteFencedReport(m.name)
 	if m.idleSinceUnknown && len(m.tasks) == 0 {
 		m.idleSince = now
 	}
@@ -130,20 +130,20 @@
 		if p.reconciliation == nil {
 			continue
 		}
-		for _, name := range p.reconciliation.Next(now, n.loadControl.budget.Room(start.Ask)) {
+		for _, name := range p.reconciliation.NextPolls(now, n.loadControl.budget.CallsAvailable(start.Poll)) {
 			m := n.machines[name]
-			if m == nil || !m.recorded || m.addr == "" || n.loadControl.budget.Call(start.Ask, 1) == 0 {
-				p.reconciliation.Answered(name, false, now)
+			if m == nil || !m.recorded || m.addr == "" || n.loadControl.budget.TakeCalls(start.Poll, 1) == 0 {
+				p.reconciliation.CallEnded(name, false, now)
 				continue
 			}
 			n.fence(m, now)
 		}
 		was := p.reconciliation.Phase()
-		phase, tenth, fresh := p.reconciliation.Step(now)
+		phase, tenth, fresh := p.reconciliation.Advance(now)
 		if fresh || phase != was {
 			all, heard, asked := p.reconciliation.Counts()
 			n.log.Info("share squared", "share", p.index, "phase", phase, "tenths", tenth, "machines", all, "heard", heard, "asked", asked,
-				"after_s", now.Sub(p.reconciliation.Since()).Seconds(), "calls_per_s", roundToTenth(n.loadControl.budget.Rate()), "held_back", n.ordersHeldBack())
+				"after_s", now.Sub(p.reconciliation.AcquiredAt()).Seconds(), "calls_per_s", roundToTenth(n.loadControl.budget.Rate()), "held_back", n.ordersHeldBack())
 		}
 		if phase == start.Serving && was != phase {
 			n.replan = true
@@ -158,12 +158,12 @@
 	all, heard, _ := p.reconciliation.Counts()
 	n.metrics.unheardMachines.WithLabelValues(strconv.Itoa(p.index)).Set(float64(all - heard))
 	n.metrics.orderRate.Set(n.loadControl.budget.Rate())
-	for k := range start.Orders {
+	for k := range start.OrderKinds {
 		for _, c := range []struct {
 			outcome string
 			now     int
 			last    *int
-		}{{"given", n.loadControl.budget.Given(k), &n.loadControl.reportedGiven[k]}, {"held_back", n.loadControl.budget.Held(k), &n.loadControl.reportedHeld[k]}} {
+		}{{"given", n.loadControl.budget.Granted(k), &n.loadControl.reportedGiven[k]}, {"held_back", n.loadControl.budget.Deferred(k), &n.loadControl.reportedHeld[k]}} {
 			if c.now > *c.last {
 				n.metrics.orders.WithLabelValues(k.String(), c.outcome).Add(float64(c.now - *c.last))
 				*c.last = c.now
@@ -181,7 +181,7 @@
 	}
 	c := 0
 	for i := range j.tasks {
-		if m := j.tasks[i].machine; m != nil && p.reconciliation.Unheard(m.name) {
+		if m := j.tasks[i].machine; m != nil && p.reconciliation.AwaitingReport(m.name) {
 			c++
 		}
 	}
@@ -191,8 +191,8 @@
 // ordersHeldBack returns how many orders the budget has held back so far.
 func (n *Node) ordersHeldBack() int {
 	c := 0
-	for k := range start.Orders {
-		c += n.loadControl.budget.Held(k)
+	for k := range start.OrderKinds {
+		c += n.loadControl.budget.Deferred(k)
 	}
 	return c
 }
@@ -210,7 +210,7 @@
 // takeBudget returns how many orders of a kind may be given now. Once all owned partitions are in
 // the serving phase, the budget limits only calls for reports: orders are then caused by single
 // events and don't concern the whole fleet at once.
-func (n *Node) takeBudget(k start.Order, wanted int) int {
+func (n *Node) takeBudget(k start.OrderKind, wanted int) int {
 	if !n.reconciling() {
 		return wanted
 	}
@@ -220,7 +220,7 @@
 // shedsLoad reports whether this node, while it reconciles a partition and its actor is late,
 // rejects expensive requests of low importance. Clients are told at once when to retry.
 func (n *Node) shedsLoad(now time.Time) bool {
-	return n.reconciling() && n.loadControl.budget.Late(now, shedPeriod)
+	return n.reconciling() && n.loadControl.budget.RecentlyLate(now, shedPeriod)
 }
 
 // shedPeriod is how long load is shed after the actor was late.
@@ -259,9 +259,9 @@
 	if unknown == 0 {
 		n.loadControl.peakIdleUnknown = 0
 	}
-	allowed := start.Spread(n.loadControl.peakIdleUnknown, n.seconds(bootS), n.loadControl.lastIdleReturn, now)
+	allowed := start.IdleReturnsAllowed(n.loadControl.peakIdleUnknown, n.seconds(bootS), n.loadControl.lastIdleReturn, now)
 	for _, m := range idleMachines {
-		if !n.partitions[m.rec.Share].reconciliation.Settled(now) {
+		if !n.partitions[m.rec.Partition].reconciliation.Settled(now) {
 			continue
 		}
 		if m.idleSinceUnknown {
@@ -327,7 +327,7 @@
 // expired too.
 func (n *Node) noteOverload(owned int, now time.Time) {
 	load := &n.loadControl
-	if owned == 0 || !load.budget.Late(now, overloadWindow) || now.Sub(n.reachability.stallEnded) < overloadWindow {
+	if owned == 0 || !load.budget.RecentlyLate(now, overloadWindow) || now.Sub(n.reachability.stallEnded) < overloadWindow {
 		return
 	}
 	if now.Sub(load.lastLapse) > overloadPeriod {
--- a/internal/coordination/node/square_test.go
+++ b/internal/coordination/node/square_test.go
@@ -17,17 +17,17 @@
 func TestTakeoverCostIsLimitedToPartition(t *testing.T) {
 	b := newTestNode(t)
 	b.addFleet(40, 6)
-	b.watchPut(protocol.BatchKey("other"), protocol.BatchRecord{Share: 1, Machines: []protocol.MachineRecord{{Name: "host-900000", Type: "g4", Zone: "a", Addr: "y:1"}}})
+	b.watchPut(protocol.BatchKey("other"), protocol.BatchRecord{Partition: 1, Machines: []protocol.MachineRecord{{Name: "host-900000", Type: "g4", Zone: "a", Addr: "y:1"}}})
 	b.addJob("job-700001", true) // cancelled, and its end is not stored
 	b.refreshIndex(time.Now())
 	clear(b.dirty)
-	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
-	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
+	b.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-1", Token: 8, Lease: 9})
+	b.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-0", Token: 9, Lease: 3})
 	if len(b.dirty) != 1 || !b.dirty[b.jobs["job-700001"]] {
 		t.Errorf("%d jobs to be stored after a takeover", len(b.dirty))
 	}
 	for _, m := range b.planningFacts.staleMachines {
-		if m.rec.Share != 0 {
+		if m.rec.Partition != 0 {
 			t.Errorf("the facts of %s, which is in another partition, are recomputed", m.name)
 		}
 	}
@@ -60,8 +60,8 @@
 	b.setPhase(b.jobs["job-000001"], 0, phaseWaiting, nil, 0, time.Now())
 	observed := b.machines["host-1"]
 	since := observed.idleSince
-	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
-	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
+	b.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-1", Token: 8, Lease: 9})
+	b.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-0", Token: 9, Lease: 3})
 	now := time.Now().Add(time.Hour)
 	b.acceptWorkerReport(unknown, &protocol.Report{Machine: "host-5", Session: 1, Seq: 1, Token: 9}, 9, now)
 	if !unknown.idleSinceUnknown || !unknown.idleSince.Equal(now) {
@@ -83,7 +83,7 @@
 	if toReturn := b.returnableIdle(idleMachines, now); len(toReturn) > 0 {
 		t.Errorf("%d returned while the partition is being reconciled", len(toReturn))
 	}
-	p.reconciliation.Step(now)
+	p.reconciliation.Advance(now)
 	now = now.Add(2 * time.Second)
 	if back := b.returnableIdle(idleMachines, now); len(back) != 4 {
 		t.Errorf("%d of 100 returned at once with a boot time of 25 s", len(back))
@@ -99,8 +99,8 @@
 	b := newTestNode(t)
 	b.addFleet(20, 0)
 	b.finalJobs.add("job-800000", protocol.FinalRecord{Status: protocol.JobDone, Tasks: 1})
-	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
-	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
+	b.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-1", Token: 8, Lease: 9})
+	b.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-0", Token: 9, Lease: 3})
 	poll := func(id string) int {
 		c := make(chan answer, 1)
 		b.onPoll(id, c)
@@ -114,7 +114,7 @@
 	if s := poll("job-000000"); s != 0 {
 		t.Errorf("a poll of a node that is not late is answered %d", s)
 	}
-	b.loadControl.budget.Turn(time.Now(), time.Second)
+	b.loadControl.budget.ObserveLag(time.Now(), time.Second)
 	if s := poll("job-000000"); s != 503 {
 		t.Errorf("a poll of a late node is answered %d", s)
 	}
@@ -126,7 +126,7 @@
 	if a := <-c; a.status != 503 || a.retryAfterS == 0 {
 		t.Errorf("a listing is answered %d, retry after %d s", a.status, a.retryAfterS)
 	}
-	b.partitions[0].reconciliation.Step(time.Now().Add(time.Minute))
+	b.partitions[0].reconciliation.Advance(time.Now().Add(time.Minute))
 	if s := poll("job-000000"); s != 0 {
 		t.Errorf("a poll of a node in the serving phase is answered %d", s)
 	}
@@ -143,7 +143,7 @@
 	if !b.mayTake(b.partitions[1], 2, now) || b.extraTakeDelay(0, now) != 0 {
 		t.Error("a lease that expired for another reason counts as overload")
 	}
-	b.loadControl.budget.Turn(now, time.Second)
+	b.loadControl.budget.ObserveLag(now, time.Second)
 	b.noteOverload(2, now)
 	if b.mayTake(b.partitions[1], 1, now) || !b.mayTake(b.partitions[1], 0, now) || b.extraTakeDelay(0, now) != time.Second {
 		t.Errorf("after an overload: may take a second partition %v, a first one %v, delay %v", b.mayTake(b.partitions[1], 1, now), b.mayTake(b.partitions[1], 0, now), b.extraTakeDelay(0, now))
@@ -163,12 +163,12 @@
 // itself.
 func TestRestartedNodeEndsItsFormerLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, t.Context(), 3, defaultSettings)
+		w := newSimCluster(t, t.Context(), 3, defaultSettings)
 		time.Sleep(5 * time.Second)
 		ownedPartition := func() string { // partition and token that n-0 owns according to the state service
 			for i := range 3 {
-				if it, _ := w.state.Get(t.Context(), protocol.HolderKey(i)); it.Value != nil {
-					var h protocol.HolderRecord
+				if it, _ := w.state.Get(t.Context(), protocol.OwnerKey(i)); it.Value != nil {
+					var h protocol.OwnerRecord
 					if json.Unmarshal(it.Value, &h) == nil && h.Node == "n-0" {
 						return fmt.Sprint(i, "/", h.Token)
 					}
@@ -196,24 +196,24 @@
 		b := newTestNode(t)
 		b.watchPut(protocol.BatchKey("r-0-7-2-0"), protocol.BatchRecord{Machines: []protocol.MachineRecord{{Name: "host-2", Type: "g4", Zone: "a", Addr: "x:2"}, {Name: "host-3", Type: "g4", Zone: "a", Addr: "x:3"}}})
 		low := &protocol.JobSpec{ID: "job-000001", Team: "red", Class: "c", Shape: protocol.Array, Priority: "best_effort", Tasks: 4, CPUs: 4, GPUs: 1, MemoryGB: 8, Image: "i", ImageGB: 1, EstimateS: 900}
-		record := protocol.JobRecord{Spec: low, Next: 2}
+		record := protocol.JobRecord{Spec: low, NextAttempt: 2}
 		var tasks []protocol.TaskReport
 		for i := range 4 {
 			record.Placed = append(record.Placed, protocol.Placement{Task: i, Attempt: 1, Machine: "host-1"})
 			tasks = append(tasks, protocol.TaskReport{Task: protocol.TaskID(low.ID, i), Attempt: 1, State: protocol.TaskRunning})
 		}
 		b.watchPut(protocol.JobKey(low.ID), record)
-		b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
-		b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
+		b.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-1", Token: 8, Lease: 9})
+		b.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-0", Token: 9, Lease: 3})
 		b.sendReport(9, 1, tasks...)
 		urgent := *low
 		urgent.ID, urgent.Priority, urgent.Tasks, urgent.Shape = "job-000002", "critical", 1, protocol.Service
-		b.watchPut(protocol.JobKey(urgent.ID), protocol.JobRecord{Spec: &urgent, Next: 1})
+		b.watchPut(protocol.JobKey(urgent.ID), protocol.JobRecord{Spec: &urgent, NextAttempt: 1})
 		p, now := b.partitions[0], time.Now()
 		b.RecordContact(now)
 		b.policy.StopRentals = true
 		if sabotaged {
-			p.reconciliation = start.Begin(start.Times{}, now, nil)
+			p.reconciliation = start.BeginReconciliation(start.Timing{}, now, nil)
 		}
 		stopped := func() (count int) {
 			for i := range b.jobs[low.ID].tasks {
@@ -227,7 +227,7 @@
 		if got := stopped() > 0; got != sabotaged {
 			t.Fatalf("sabotaged %v: %d tasks stopped while two of three machines have not reported", sabotaged, stopped())
 		}
-		p.reconciliation.Step(now.Add(time.Minute))
+		p.reconciliation.Advance(now.Add(time.Minute))
 		if b.plan(now); stopped() == 0 {
 			t.Error("no task is stopped once the partition serves: the test shows nothing")
 		}
@@ -242,7 +242,7 @@
 	b.loadControl.followingSince = now.Add(-time.Hour)
 	for i, ago := range []time.Duration{10 * time.Second, 50 * time.Second, 30 * time.Second, 10 * time.Minute} {
 		spec := &protocol.JobSpec{ID: fmt.Sprintf("job-60000%d", i), Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 1, CPUs: 4, GPUs: 1, Image: "i", ImageGB: 1}
-		b.watchPut(protocol.JobKey(spec.ID), protocol.JobRecord{Spec: spec, SubmittedMS: now.Add(-ago).UnixMilli(), Next: 1})
+		b.watchPut(protocol.JobKey(spec.ID), protocol.JobRecord{Spec: spec, SubmittedMS: now.Add(-ago).UnixMilli(), NextAttempt: 1})
 	}
 	var ids string
 	for _, a := range b.partitions[0].recentArrivals {
--- a/internal/coordination/node/standby.go
+++ b/internal/coordination/node/standby.go
@@ -18,8 +18,8 @@
 
 // standbyState is what this node knows of who stands by for whom.
 type standbyState struct {
-	standbys      map[int]standby.Pair // by share
-	suspicions    *standby.Doubts
+	standbys      map[int]standby.Standbys // by share
+	suspicions    *standby.Suspicions
 	presumedEnded map[string]time.Time        // siblings whose process has ended, by all evidence, since when
 	outgoing      atomic.Pointer[hintPayload] // what the next hints tell; read by other routines
 	nextMachine   int                         // of the machines of the shares held, whom to tell of next
@@ -30,7 +30,7 @@
 // hintPayload is what a hint tells a standby.
 type hintPayload struct {
 	seq      uint64
-	machines []protocol.Known
+	machines []protocol.MachineHint
 	refused  []protocol.RefusedOffer
 	// Jobs that are being cancelled: a holder that can't read that in the state service
 	// stops their tasks.
@@ -63,7 +63,7 @@
 	for range min(machinesPerHint, len(ours)) {
 		s.nextMachine = (s.nextMachine + 1) % len(ours)
 		if m := ours[s.nextMachine]; !m.lastReport.IsZero() {
-			w.machines = append(w.machines, protocol.Known{Machine: m.name, SecPerGB: m.secPerGB, AgeS: now.Sub(m.lastReport).Seconds()})
+			w.machines = append(w.machines, protocol.MachineHint{Machine: m.name, SecPerGB: m.secPerGB, AgeS: now.Sub(m.lastReport).Seconds()})
 		}
 	}
 	w.cancelled = n.cancelledJobsForHint()
@@ -83,19 +83,19 @@
 // applyMachineHints takes in what a sibling tells of machines that it commands. All of it may be
 // old or wrong: it makes costs and the order of questions better, and proves nothing.
 func (n *Node) applyMachineHints(name string, s *peer, h *protocol.Hint, now time.Time) {
-	if h.Life == 0 || h.Life != n.incarnations.leaseOf[name] {
+	if h.Incarnation == 0 || h.Incarnation != n.incarnations.leaseOf[name] {
 		return // of a former life, or of one that is not recorded yet
 	}
-	if h.Life == s.incarnation && h.Seq <= s.seq {
+	if h.Incarnation == s.incarnation && h.Seq <= s.seq {
 		return // an older one, or the same again
 	}
-	if h.Life == s.incarnation && h.Seq > s.seq+1 {
+	if h.Incarnation == s.incarnation && h.Seq > s.seq+1 {
 		s.sequenceGaps++
 	}
-	s.incarnation, s.seq, s.lastNewHint = h.Life, h.Seq, now
-	for _, k := range h.Known {
+	s.incarnation, s.seq, s.lastNewHint = h.Incarnation, h.Seq, now
+	for _, k := range h.Machines {
 		m := n.machines[k.Machine]
-		if m == nil || !m.recorded || n.owns(n.partitions[m.rec.Share]) || n.partitions[m.rec.Share].owner.Node != name {
+		if m == nil || !m.recorded || n.owns(n.partitions[m.rec.Partition]) || n.partitions[m.rec.Partition].owner.Node != name {
 			continue
 		}
 		if k.SecPerGB > 0 && k.SecPerGB <= maxSecPerGB {
@@ -107,9 +107,9 @@
 		}
 		m.lastHint = now
 	}
-	n.applyCancelHints(name, h.Cancelled)
+	n.applyCancelHints(name, h.CancelledJobs)
 	s.refusedOffers = s.refusedOffers[:0]
-	for _, r := range h.Refused {
+	for _, r := range h.RefusedOffers {
 		if r.ForS > 0 && r.ForS <= maxRefusalS {
 			s.refusedOffers = append(s.refusedOffers, refusedOffer{offer{Type: r.Type, Zone: r.Zone, Spot: r.Spot}, now.Add(n.seconds(r.ForS))})
 		}
@@ -158,14 +158,14 @@
 // OnConnEvent takes in what a sender of hints notices of a sibling. Its host refusing a
 // connection says that it can be reached, and so can, most likely, the workers on its
 // side.
-func (n *Node) OnConnEvent(node string, e transport.Event) {
+func (n *Node) OnConnEvent(node string, e transport.ConnEvent) {
 	n.post(func() {
 		s := n.peers[node]
 		if s == nil {
 			return
 		}
 		switch now := time.Now(); e {
-		case transport.ConnEnded:
+		case transport.ConnLost:
 			s.connLostAt = now
 		case transport.ConnRefused:
 			s.connRefusedAt = now
@@ -175,25 +175,25 @@
 
 // assignStandbys makes anew who stands by for whom, from the records and what is heard.
 func (n *Node) assignStandbys(now time.Time) {
-	var shares []standby.Share
+	var shares []standby.Partition
 	held := map[string]int{}
 	for _, s := range n.partitions {
-		shares = append(shares, standby.Share{Index: s.index, Holder: s.owner.Node})
+		shares = append(shares, standby.Partition{Index: s.index, Owner: s.owner.Node})
 		if s.owner.Token != 0 {
 			held[s.owner.Node]++
 		}
 	}
 	var nodes []standby.Node
 	for name := range n.liveNodes {
-		x := standby.Node{Name: name, Zone: n.cfg.Zone, Held: held[name]}
+		x := standby.Node{Name: name, Zone: n.cfg.Zone, Owned: held[name]}
 		if s := n.peers[name]; s != nil {
-			x.Zone, x.Poor = s.zone, n.receivesHints(name, now) && (s.workersUnreachable || !s.stateOK)
+			x.Zone, x.Impaired = s.zone, n.receivesHints(name, now) && (s.workersUnreachable || !s.stateOK)
 		} else if name == n.cfg.Node {
-			x.Poor = n.reachability.workersUnreachable.Load()
+			x.Impaired = n.reachability.workersUnreachable.Load()
 		}
 		nodes = append(nodes, x)
 	}
-	for i, p := range standby.Assign(shares, nodes, n.standby.standbys) {
+	for i, p := range standby.AssignStandbys(shares, nodes, n.standby.standbys) {
 		if was := n.standby.standbys[i]; p != was && (p.First == n.cfg.Node || was.First == n.cfg.Node) {
 			n.log.Info("standby", "share", i, "first", p.First, "second", p.Second)
 		}
@@ -206,22 +206,22 @@
 func (n *Node) checkSuspectedPeers(now time.Time) {
 	mayAsk := n.lease != 0 && !n.standby.leaving && n.sinceContact(now) < time.Second && now.Sub(n.reachability.stallEnded) > stallThreshold
 	for name, s := range n.peers {
-		seen := standby.Seen{Heard: s.lastHint, Broke: s.connLostAt, Refused: s.connRefusedAt, Stamp: n.revisionOf(protocol.NodeKey(name))}
+		seen := standby.PeerEvidence{LastHint: s.lastHint, ConnLostAt: s.connLostAt, ConnRefusedAt: s.connRefusedAt, Revision: n.revisionOf(protocol.NodeKey(name))}
 		stands := false
 		for _, sh := range n.partitions {
 			if sh.owner.Token != 0 && sh.owner.Node == name {
-				seen.Holds = true
+				seen.OwnsPartition = true
 				p := n.standby.standbys[sh.index]
 				stands = stands || p.First == n.cfg.Node || p.Second == n.cfg.Node
 			}
 		}
-		seen.Holds = seen.Holds && stands
-		ask, ended := n.standby.suspicions.Look(name, seen, mayAsk, now)
+		seen.OwnsPartition = seen.OwnsPartition && stands
+		ask, ended := n.standby.suspicions.Evaluate(name, seen, mayAsk, now)
 		if ask {
 			n.log.Info("asked whether it lives", "sibling", name)
-			key := protocol.DoubtKey(name)
-			n.submit(&storage.Op{Writes: []storage.Write{{Put: key, Value: mustJSON(protocol.DoubtRecord{By: n.cfg.Node}), Lease: n.lease}}},
-				func(r storage.Result) { n.standby.suspicions.Asked(name, r.OK, time.Now()) })
+			key := protocol.LivenessCheckKey(name)
+			n.submit(&storage.Op{Writes: []storage.Write{{Put: key, Value: mustJSON(protocol.LivenessCheckRecord{RequestedBy: n.cfg.Node}), Lease: n.lease}}},
+				func(r storage.Result) { n.standby.suspicions.CheckStored(name, r.OK, time.Now()) })
 		}
 		if !ended {
 			delete(n.standby.presumedEnded, name)
@@ -232,7 +232,7 @@
 			n.log.Info("has ended, by all evidence", "sibling", name, "silent_s", roundToTenth(now.Sub(s.lastHint).Seconds()))
 		}
 		for _, sh := range n.partitions {
-			if sh.owner.Token != 0 && sh.owner.Node == name && !sh.ownerChanging() && now.Sub(n.standby.presumedEnded[name]) >= n.standby.standbys[sh.index].After(n.cfg.Node) {
+			if sh.owner.Token != 0 && sh.owner.Node == name && !sh.ownerChanging() && now.Sub(n.standby.presumedEnded[name]) >= n.standby.standbys[sh.index].TakeoverDelay(n.cfg.Node) {
 				// If the holder answers after all before this is stored, it is not stored.
 				n.takePartition(sh, n.unchanged(protocol.NodeKey(name)))
 			}
@@ -250,18 +250,18 @@
 }
 
 // recordTakeover notes how a share came to this node.
-func (n *Node) recordTakeover(s *partition, was protocol.HolderRecord, now time.Time) {
+func (n *Node) recordTakeover(s *partition, was protocol.OwnerRecord, now time.Time) {
 	s.takeover = takeover{cause: standby.AtStart, blockedBy: standby.Check(math.MaxUint8)}
 	before := n.peers[s.previousOwner]
 	switch {
 	case was.Token != 0:
-		s.takeover.cause = standby.Ended
+		s.takeover.cause = standby.ProcessEnded
 	case before == nil || s.vacantSince.Sub(n.loadControl.followingSince) < leaseTTL:
 		return // what it found when it began: others begin too, and end their former lives
 	case s.vacantSince.Sub(before.lastHint) < leaseTTL*3/4:
-		s.takeover.cause = standby.HandedOn
+		s.takeover.cause = standby.HandedOver
 	default:
-		s.takeover.cause = standby.LeaseOver
+		s.takeover.cause = standby.LeaseExpired
 	}
 	if before != nil {
 		for _, r := range before.refusedOffers {
@@ -270,7 +270,7 @@
 	}
 	if before != nil && !before.lastHint.IsZero() {
 		s.takeover.gap = now.Sub(before.lastHint)
-		if s.takeover.cause == standby.HandedOn {
+		if s.takeover.cause == standby.HandedOver {
 			s.takeover.gap = now.Sub(s.vacantSince)
 		}
 	}
@@ -285,14 +285,14 @@
 	if s.takeover.decided {
 		return true
 	}
-	f := standby.Facts{Held: n.owns(s), Contact: n.sinceContact(now), Awake: now.Sub(n.reachability.stallEnded), Types: len(n.machineTypes), Squared: s.reconciliation != nil}
+	f := standby.TakeoverFacts{Owned: n.owns(s), SinceContact: n.sinceContact(now), SinceStall: now.Sub(n.reachability.stallEnded), MachineTypes: len(n.machineTypes), ReconciliationStarted: s.reconciliation != nil}
 	if s.reconciliation != nil {
-		f.Machines, f.Heard, _ = s.reconciliation.Counts()
-		if s.reconciliation.MayDisplace() {
+		f.Machines, f.Reported, _ = s.reconciliation.Counts()
+		if s.reconciliation.MayPreempt() {
 			f.Machines = 0 // the rest had time enough
 		}
 	}
-	c, ok := standby.First(f)
+	c, ok := standby.FirstFailing(f)
 	if ok {
 		s.takeover.decided = true
 		n.log.Info("first decision", "share", s.index, "cause", s.takeover.cause, "gap_s", s.takeover.gap.Seconds(), "after_s", now.Sub(s.acquiredAt).Seconds())
@@ -300,7 +300,7 @@
 	}
 	if c != s.takeover.blockedBy {
 		s.takeover.blockedBy = c
-		n.log.Info("first decision waits", "share", s.index, "for", c, "guards_against", c.Guards())
+		n.log.Info("first decision waits", "share", s.index, "for", c, "guards_against", c.GuardsAgainst())
 	}
 	return false
 }
