--- a/internal/coordination/node/standby_test.go
+++ b/internal/coordination/node/standby_test.go
@@ -17,10 +17,10 @@
 )
 
 // partitionOwners are who holds each share, by the store.
-func (w *simCluster) partitionOwners() [3]protocol.HolderRecord {
-	var out [3]protocol.HolderRecord
+func (w *simCluster) partitionOwners() [3]protocol.OwnerRecord {
+	var out [3]protocol.OwnerRecord
 	for i := range out {
-		if it, err := w.state.Get(w.ctx, protocol.HolderKey(i)); err == nil && it.Value != nil {
+		if it, err := w.state.Get(w.ctx, protocol.OwnerKey(i)); err == nil && it.Value != nil {
 			json.Unmarshal(it.Value, &out[i])
 		}
 	}
@@ -55,11 +55,11 @@
 	return within
 }
 
-// idleWorld is a world with nothing to do, in which a test makes holders end.
-func idleWorld(t *testing.T, seed uint64, f func(w *simCluster)) {
+// runIdleCluster is a world with nothing to do, in which a test makes holders end.
+func runIdleCluster(t *testing.T, seed uint64, f func(w *simCluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, seed, defaultSettings)
+		w := newSimCluster(t, ctx, seed, defaultSettings)
 		time.Sleep(10 * time.Second)
 		f(w)
 		for _, stop := range w.stop {
@@ -77,7 +77,7 @@
 func TestTakeOverTimes(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			idleWorld(t, seed, func(w *simCluster) {
+			runIdleCluster(t, seed, func(w *simCluster) {
 				for _, c := range []struct {
 					name string
 					most time.Duration
@@ -123,7 +123,7 @@
 // refuse one another's connections, hints lost, a process that is back at once.
 func TestNoShareChangesHandsWithoutCause(t *testing.T) {
 	for seed := range uint64(4) {
-		idleWorld(t, 20+seed, func(w *simCluster) {
+		runIdleCluster(t, 20+seed, func(w *simCluster) {
 			time.Sleep(5 * time.Second)
 			was := w.partitionOwners()
 			for range 3 {
@@ -217,18 +217,18 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		b := newTestNode(t)
 		b.addFleet(3, 1)
-		b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
+		b.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-1", Token: 8, Lease: 9})
 		b.refreshIndex(time.Now())
 		used := b.teams[0].Used
 		b.watchPut(protocol.NodeKey("n-1"), protocol.NodeRecord{Lease: 2})
 		last := uint64(0)
 		for range rapid.IntRange(1, 20).Draw(rt, "hints") {
-			h := protocol.Hint{Node: rapid.SampledFrom([]string{"n-1", "n-2", "n-9"}).Draw(rt, "from"), Life: rapid.Uint64Range(0, 2).Draw(rt, "life"), Seq: rapid.Uint64Range(0, 9).Draw(rt, "seq")}
+			h := protocol.Hint{Node: rapid.SampledFrom([]string{"n-1", "n-2", "n-9"}).Draw(rt, "from"), Incarnation: rapid.Uint64Range(0, 2).Draw(rt, "life"), Seq: rapid.Uint64Range(0, 9).Draw(rt, "seq")}
 			for _, m := range []string{"host-001000", "host-001001", "host-900000"} {
-				h.Known = append(h.Known, protocol.Known{Machine: m, SecPerGB: rapid.SampledFrom([]float64{0, 2.5, -1, 1e9, math.NaN(), math.Inf(1)}).Draw(rt, "cost"),
+				h.Machines = append(h.Machines, protocol.MachineHint{Machine: m, SecPerGB: rapid.SampledFrom([]float64{0, 2.5, -1, 1e9, math.NaN(), math.Inf(1)}).Draw(rt, "cost"),
 					AgeS: rapid.SampledFrom([]float64{0, 3, -5, 1e9, math.NaN()}).Draw(rt, "age")})
 			}
-			h.Refused = []protocol.RefusedOffer{{Type: "g4", Zone: "a", ForS: rapid.SampledFrom([]float64{5, 1e9, math.NaN(), -1}).Draw(rt, "for")}}
+			h.RefusedOffers = []protocol.RefusedOffer{{Type: "g4", Zone: "a", ForS: rapid.SampledFrom([]float64{5, 1e9, math.NaN(), -1}).Draw(rt, "for")}}
 			if b.ReceiveHint(h.Encode()) != nil {
 				rt.Fatal("not decoded")
 			}
@@ -249,8 +249,8 @@
 		if b.teams[0].Used != used || len(b.cloudState.refusedUntil) > 0 {
 			rt.Fatal("a hint changed a quota, or what this node asks the cloud for")
 		}
-		b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{})
-		b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
+		b.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{})
+		b.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-0", Token: 9, Lease: 3})
 		for _, till := range b.cloudState.refusedUntil {
 			if till.After(now.Add(time.Minute)) {
 				rt.Fatal("a refusal for ever")
@@ -264,8 +264,8 @@
 func TestFirstDecisionWaits(t *testing.T) {
 	b := newTestNode(t)
 	b.addFleet(4, 1)
-	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
-	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
+	b.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-1", Token: 8, Lease: 9})
+	b.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-0", Token: 9, Lease: 3})
 	s, now := b.partitions[0], time.Now()
 	b.RecordContact(now)
 	if b.mayDecide(s, now) {
@@ -290,6 +290,6 @@
 	if b.mayDecide(b.partitions[1], now) {
 		t.Error("decides for a share that it does not hold")
 	}
-	b.OnConnEvent("n-9", transport.ConnEnded) // nobody that it knows
+	b.OnConnEvent("n-9", transport.ConnLost) // nobody that it knows
 	(<-b.mailbox)()
 }
--- a/internal/coordination/node/starts.go
+++ b/internal/coordination/node/starts.go
@@ -33,10 +33,10 @@
 func (n *Node) tryDirectStart(m *machine, now time.Time) bool {
 	minReportInterval := time.Duration(0.75 * n.cfg.Params.Workers.ReportS * float64(time.Second))
 	if !n.usable(m, now) || m.deferred != nil || m.startInFlight || m.addr == "" || n.directStarts >= maxDirectStarts ||
-		m.lastReport.Add(minReportInterval).Sub(now) < minTimeSaved || !n.owns(n.partitions[m.rec.Share]) || !n.mayExtendLeases(now) || n.zoneUnreachable(m.rec.Zone, now) {
+		m.lastReport.Add(minReportInterval).Sub(now) < minTimeSaved || !n.owns(n.partitions[m.rec.Partition]) || !n.mayExtendLeases(now) || n.zoneUnreachable(m.rec.Zone, now) {
 		return true
 	}
-	if !n.logReadable(n.partitions[m.rec.Share]) || n.takeBudget(start.Start, 1) == 0 {
+	if !n.logReadable(n.partitions[m.rec.Partition]) || n.takeBudget(start.Start, 1) == 0 {
 		return false
 	}
 	n.sendDirectStarts(m, now)
@@ -68,7 +68,7 @@
 		n.post(func() {
 			n.directStarts--
 			m.startInFlight = false
-			if n.machines[m.name] != m || !m.recorded || !n.owns(n.partitions[m.rec.Share]) || n.fencingToken(m) != orders.Token {
+			if n.machines[m.name] != m || !m.recorded || !n.owns(n.partitions[m.rec.Partition]) || n.fencingToken(m) != orders.Token {
 				return // the token was raised meanwhile: a late command has no effect
 			}
 			if err != nil || report == nil || report.Machine != m.name {
--- a/internal/coordination/node/starts_test.go
+++ b/internal/coordination/node/starts_test.go
@@ -73,7 +73,7 @@
 	if !m.moving {
 		t.Fatal("the token is not being raised")
 	}
-	b.watchPut(protocol.BatchKey("m-0-8"), protocol.BatchRecord{Share: 0, Token: 8, Machines: []protocol.MachineRecord{{Name: "host-1", Type: "g4", Zone: "a"}}})
+	b.watchPut(protocol.BatchKey("m-0-8"), protocol.BatchRecord{Partition: 0, Token: 8, Machines: []protocol.MachineRecord{{Name: "host-1", Type: "g4", Zone: "a"}}})
 	if reportNoTasks(4, 7); j.tasks[0].outcome != outcomeNone {
 		t.Fatal("a task list under the old token is taken as proof")
 	}
@@ -115,9 +115,9 @@
 func TestPartialGangIsAbandonedAfterTakeover(t *testing.T) {
 	b := newTestNode(t)
 	spec := &protocol.JobSpec{ID: "job-1", Team: "red", Class: "c", Shape: protocol.Gang, Priority: "high", Tasks: 2, CPUs: 4, GPUs: 1, Image: "i"}
-	b.watchPut(protocol.JobKey("job-1"), protocol.JobRecord{Spec: spec, Next: 2, Chunk: protocol.Chunk{Placed: []protocol.Placement{placedOnHost1}}})
+	b.watchPut(protocol.JobKey("job-1"), protocol.JobRecord{Spec: spec, NextAttempt: 2, Chunk: protocol.Chunk{Placed: []protocol.Placement{placedOnHost1}}})
 	j := b.jobs["job-1"]
-	b.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 8, Lease: 3})
+	b.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-0", Token: 8, Lease: 3})
 	b.sendReport(8, 1)
 	b.rejectDeferred(b.machines["host-1"])
 	if j.tasks[0].outcome != outcomeGone {
--- a/internal/coordination/node/status.go
+++ b/internal/coordination/node/status.go
@@ -108,7 +108,7 @@
 			v.Freshness = &w
 		}
 		for _, m := range n.machines {
-			if !m.recorded || m.rec.Share != sh.index {
+			if !m.recorded || m.rec.Partition != sh.index {
 				continue
 			}
 			v.Machines++
--- a/internal/coordination/node/ticketapi.go
+++ b/internal/coordination/node/ticketapi.go
@@ -43,12 +43,12 @@
 
 // postEmbeddedTicket takes an ordinary submission that carries a ticket.
 func (n *Node) postEmbeddedTicket(w http.ResponseWriter, r *http.Request, data []byte) {
-	n.takeTicket(w, r, data, format.ParseCarried)
+	n.takeTicket(w, r, data, format.ParseEmbedded)
 }
 
 func (n *Node) takeTicket(w http.ResponseWriter, r *http.Request, data []byte, parse func([]byte) (*format.Submission, error)) {
 	if n.tickets.fileClasses == nil { // set before the node runs, and never again
-		writeAnswer(w, answer{status: 400, body: errorBody{protocol.ErrTicket.Error() + " (--tickets)"}})
+		writeAnswer(w, answer{status: 400, body: errorBody{protocol.ErrEmbeddedTicket.Error() + " (--tickets)"}})
 		return
 	}
 	s, err := parse(data)
@@ -56,9 +56,9 @@
 		writeAnswer(w, answer{status: 400, body: errorBody{err.Error()}})
 		return
 	}
-	table := make(chan ticket.Table, 1)
+	table := make(chan ticket.ClassTable, 1)
 	n.post(func() { table <- n.tickets.effectiveClasses() })
-	var classes ticket.Table
+	var classes ticket.ClassTable
 	select {
 	case classes = <-table:
 	case <-r.Context().Done():
@@ -67,7 +67,7 @@
 		writeAnswer(w, busyAnswer)
 		return
 	}
-	a, err := ticket.Admit(s, classes, ticket.Limits{ValueBytes: int(n.cfg.Params.State.ValueKB*1024) - 256})
+	a, err := ticket.Admit(s, classes, ticket.Limits{MaxValueBytes: int(n.cfg.Params.State.ValueKB*1024) - 256})
 	came := time.Now()
 	n.serve(w, r, func(reply chan<- answer) { n.onSubmitTicket(s.ID, a, err, time.Now(), reply) })
 	observeSince(n.metrics.accept, came, time.Now())
@@ -161,18 +161,18 @@
 	op := &storage.Op{
 		Conds: []storage.Cond{{Key: protocol.JobKey(a.ID)}, {Key: protocol.FinalKey(a.ID)}},
 		Writes: []storage.Write{
-			{Put: protocol.TicketKey(a.ID), Value: mustJSON(packedTicket{a.Packed})},
+			{Put: protocol.TicketKey(a.ID), Value: mustJSON(packedTicket{a.PackedTemplate})},
 			{Put: protocol.JobKey(a.ID), Value: mustJSON(t.jobRecord(rec))}}}
-	d := ticket.Decide(rec, false, make([]ticket.StepNow, len(rec.Steps)), n.tickets.maxOpenSteps)
-	n.addOpenSteps(rec, t.steps, d.Open, now, op)
+	d := ticket.NextAction(rec, false, make([]ticket.StepState, len(rec.Steps)), n.tickets.maxOpenSteps)
+	n.addOpenSteps(rec, t.steps, d.OpenSteps, now, op)
 	n.submitForUser(op, reply, func(r storage.Result) {
 		switch {
 		case r.OK:
 			for _, w := range op.Writes[1:] {
-				n.applyOwnWrite(w, r.Epoch)
+				n.applyOwnWrite(w, r.Revision)
 			}
 			n.log.Info("ticket accepted", "ticket", a.ID, "name", rec.Name, "class", rec.Base.Class, "team", rec.Base.Team, "tasks", rec.Base.Tasks, "steps", len(rec.Steps),
-				"urgency", rec.Terms.Urgency, "retries", rec.Terms.Retries.Granted)
+				"urgency", rec.Terms.Priority, "retries", rec.Terms.MaxRetries.Granted)
 			s, _ := n.ticketStatus(a.ID, time.Now())
 			reply <- answer{status: 201, body: s}
 		case r.Err != nil:
@@ -192,7 +192,7 @@
 // cancelTicket cancels a ticket and all its open steps in one change: from then on
 // nothing of it can be started.
 func (n *Node) cancelTicket(t *openTicket, tries int, reply chan<- answer) {
-	if t.rec.Failing != "" {
+	if t.rec.FailureReason != "" {
 		reply <- answer{status: 200, body: protocol.JobStatus{ID: t.id, Status: protocol.JobFailed}}
 		return
 	}
@@ -203,12 +203,12 @@
 	head := protocol.JobKey(t.id)
 	late := n.confirmsCancelAfterStop()
 	rec := t.jobRecord(t.rec)
-	rec.Cancelled, rec.Asked = !late, late
+	rec.Cancelled, rec.CancelRequested = !late, late
 	op := &storage.Op{Conds: []storage.Cond{n.unchanged(head)}, Writes: []storage.Write{{Put: head, Value: mustJSON(rec)}}}
 	for _, j := range n.openStepJobs(t) {
 		n.addStepStop(j, op, func(r *protocol.JobRecord) { r.Cancelled = true })
 	}
-	for _, i := range ticket.MayOpen(t.rec, n.stepStates(t, nil), n.tickets.maxOpenSteps) {
+	for _, i := range ticket.OpenableSteps(t.rec, n.stepStates(t, nil), n.tickets.maxOpenSteps) {
 		op.Conds = append(op.Conds, storage.Cond{Key: protocol.JobKey(t.steps[i])})
 	}
 	id := t.id
@@ -216,7 +216,7 @@
 		switch {
 		case r.OK:
 			for _, w := range op.Writes {
-				n.applyOwnWrite(w, r.Epoch)
+				n.applyOwnWrite(w, r.Revision)
 			}
 			if late && n.tickets.byID[id] == t {
 				n.awaitCancelled(id, n.openStepJobs(t), tries, reply)
@@ -247,7 +247,7 @@
 		s.Done, s.Failed, s.Running = s.Done+j.nDone, s.Failed+j.nExhausted, s.Running+j.nPlaced
 	}
 	switch {
-	case t.rec.Failing != "":
+	case t.rec.FailureReason != "":
 		s.Status = protocol.JobFailed
 	case t.cancelled && !t.cancelPending:
 		s.Status = protocol.JobCancelled
@@ -302,13 +302,13 @@
 	} else if t != nil {
 		rec = t.rec
 		s.JobStatus = n.ticketJobStatus(t)
-		over = t.cancelled || rec.Failing != ""
+		over = t.cancelled || rec.FailureReason != ""
 	} else {
 		return nil, false
 	}
-	s.Name, s.Class, s.Team, s.Tasks, s.Why = rec.Name, rec.Base.Class, rec.Base.Team, rec.Base.Tasks, rec.Failing
+	s.Name, s.Class, s.Team, s.Tasks, s.Why = rec.Name, rec.Base.Class, rec.Base.Team, rec.Base.Tasks, rec.FailureReason
 	for i, st := range rec.Steps {
-		v := StepStatus{Step: st.Name, Job: ticket.StepSpec(rec, i).ID, Status: st.State, Tasks: st.Tasks, Done: st.Done, Failed: st.Failed, FailedRanges: st.Which}
+		v := StepStatus{Step: st.Name, Job: ticket.StepSpec(rec, i).ID, Status: st.State, Tasks: st.Tasks, Done: st.Done, Failed: st.Failed, FailedRanges: st.FailedRanges}
 		for _, d := range st.Deps {
 			v.After = append(v.After, rec.Steps[d].Name)
 		}
@@ -483,7 +483,7 @@
 		v.Status = "done"
 	case st.State != "":
 		v.Status = "over"
-		for _, r := range st.Which {
+		for _, r := range st.FailedRanges {
 			if k >= r[0] && k <= r[1] {
 				v.Status = "failed"
 			}
@@ -508,14 +508,14 @@
 
 // ClassesView shows the classes of tickets with the revision that a change must name.
 type ClassesView struct {
-	Stamp          uint64       `json:"stamp"`
-	AcceptsTickets bool         `json:"taken"` // whether this node takes tickets
-	Classes        ticket.Table `json:"classes"`
-	Stored         []string     `json:"stored"` // those that operators set
+	Stamp          uint64            `json:"stamp"`
+	AcceptsTickets bool              `json:"taken"` // whether this node takes tickets
+	Classes        ticket.ClassTable `json:"classes"`
+	Stored         []string          `json:"stored"` // those that operators set
 }
 
 func (n *Node) classesView() ClassesView {
-	return ClassesView{Stamp: n.revisionOf(protocol.ClassesKey), AcceptsTickets: n.tickets.fileClasses != nil, Classes: n.tickets.effectiveClasses(), Stored: n.tickets.storedClasses.Lots()}
+	return ClassesView{Stamp: n.revisionOf(protocol.ClassesKey), AcceptsTickets: n.tickets.fileClasses != nil, Classes: n.tickets.effectiveClasses(), Stored: n.tickets.storedClasses.Names()}
 }
 
 func (n *Node) putClass(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
@@ -536,7 +536,7 @@
 	}
 	from := r.RemoteAddr
 	n.serve(w, r, func(reply chan<- answer) {
-		n.setClasses(*c.Stamp, from, reply, func(t ticket.Table) { t[lot] = class })
+		n.setClasses(*c.Stamp, from, reply, func(t ticket.ClassTable) { t[lot] = class })
 	})
 }
 
@@ -552,13 +552,13 @@
 			reply <- answer{status: 404, body: errorBody{"operators set no class of that lot"}}
 			return
 		}
-		n.setClasses(stamp, from, reply, func(t ticket.Table) { delete(t, lot) })
+		n.setClasses(stamp, from, reply, func(t ticket.ClassTable) { delete(t, lot) })
 	})
 }
 
 // setClasses stores what operators set of the classes.
-func (n *Node) setClasses(stamp uint64, from string, reply chan<- answer, change func(ticket.Table)) {
-	changed := ticket.Table{}
+func (n *Node) setClasses(stamp uint64, from string, reply chan<- answer, change func(ticket.ClassTable)) {
+	changed := ticket.ClassTable{}
 	maps.Copy(changed, n.tickets.storedClasses)
 	change(changed)
 	conflict := answer{status: 409, body: errorBody{"changed meanwhile: read the classes again"}}
@@ -574,12 +574,12 @@
 		reply <- answer{status: 400, body: errorBody{fmt.Sprintf("classes: %d in %d bytes, at most %d in %d are stored", len(changed), len(value), ticket.MaxClasses, most)}}
 		return
 	}
-	op := &storage.Op{Conds: []storage.Cond{{Key: protocol.ClassesKey, Stamp: stamp}}, Writes: []storage.Write{{Put: protocol.ClassesKey, Value: value}}}
+	op := &storage.Op{Conds: []storage.Cond{{Key: protocol.ClassesKey, Revision: stamp}}, Writes: []storage.Write{{Put: protocol.ClassesKey, Value: value}}}
 	n.submitForUser(op, reply, func(r storage.Result) {
 		switch {
 		case r.OK:
-			n.applyOwnWrite(op.Writes[0], r.Epoch)
-			n.log.Info("classes of tickets changed", "lots", n.tickets.storedClasses.Lots(), "by", from)
+			n.applyOwnWrite(op.Writes[0], r.Revision)
+			n.log.Info("classes of tickets changed", "lots", n.tickets.storedClasses.Names(), "by", from)
 			reply <- answer{status: 200, body: n.classesView()}
 		case r.Err != nil:
 			reply <- busyAnswer
--- a/internal/coordination/node/tickets.go
+++ b/internal/coordination/node/tickets.go
@@ -26,8 +26,8 @@
 
 // ticketState is what a node knows of tickets.
 type ticketState struct {
-	fileClasses   ticket.Table // of the file; nil: this node takes no tickets
-	storedClasses ticket.Table // that operators set
+	fileClasses   ticket.ClassTable // of the file; nil: this node takes no tickets
+	storedClasses ticket.ClassTable // that operators set
 	byID          map[string]*openTicket
 	dirty         map[string]bool // to be looked at by the holder of their share
 	maxOpenSteps  int             // steps of a ticket open at a time
@@ -57,10 +57,12 @@
 }
 
 // AcceptTickets lets this node take tickets of these classes. It is called before Run.
-func (n *Node) AcceptTickets(classes ticket.Table) { n.tickets.fileClasses = classes }
+func (n *Node) AcceptTickets(classes ticket.ClassTable) { n.tickets.fileClasses = classes }
 
 // effectiveClasses is the classes as they hold now.
-func (d *ticketState) effectiveClasses() ticket.Table { return d.fileClasses.With(d.storedClasses) }
+func (d *ticketState) effectiveClasses() ticket.ClassTable {
+	return d.fileClasses.WithStored(d.storedClasses)
+}
 
 func (d *ticketState) ownershipAcquired(share int) {
 	for id, t := range d.byID {
@@ -87,10 +89,10 @@
 		}
 		n.tickets.byID[id] = t
 	}
-	if r.Ticket.Failing != "" && t.rec != nil && t.rec.Failing == "" {
-		n.log.Info("ticket fails", "ticket", id, "name", r.Ticket.Name, "why", r.Ticket.Failing)
+	if r.Ticket.FailureReason != "" && t.rec != nil && t.rec.FailureReason == "" {
+		n.log.Info("ticket fails", "ticket", id, "name", r.Ticket.Name, "why", r.Ticket.FailureReason)
 	}
-	t.rec, t.cancelled, t.cancelPending = r.Ticket, r.Cancelled || r.Asked, r.Asked && !r.Cancelled
+	t.rec, t.cancelled, t.cancelPending = r.Ticket, r.Cancelled || r.CancelRequested, r.CancelRequested && !r.Cancelled
 	n.markTicketDirty(id)
 }
 
@@ -106,20 +108,20 @@
 
 // jobRecord is a ticket's record as it is stored.
 func (t *openTicket) jobRecord(rec *protocol.TicketRecord) protocol.JobRecord {
-	return protocol.JobRecord{Ticket: rec, SubmittedMS: t.submitted.UnixMilli(), Cancelled: t.cancelled && !t.cancelPending, Asked: t.cancelPending, Next: 1}
+	return protocol.JobRecord{Ticket: rec, SubmittedMS: t.submitted.UnixMilli(), Cancelled: t.cancelled && !t.cancelPending, CancelRequested: t.cancelPending, NextAttempt: 1}
 }
 
 // now is how the steps of a ticket are. without, if not nil, is a job whose end is
 // about to be stored.
-func (n *Node) stepStates(t *openTicket, without *job) []ticket.StepNow {
-	out := make([]ticket.StepNow, len(t.steps))
+func (n *Node) stepStates(t *openTicket, without *job) []ticket.StepState {
+	out := make([]ticket.StepState, len(t.steps))
 	for i, id := range t.steps {
 		switch j := n.jobs[id]; {
 		case j == nil || j == without:
 		case j.step == nil || j.step.Ticket != t.id:
-			out[i].Foreign = true
+			out[i].IDTaken = true
 		default:
-			out[i] = ticket.StepNow{Open: true, Failed: j.nExhausted, Stopped: j.cancelled}
+			out[i] = ticket.StepState{Open: true, FailedTasks: j.nExhausted, StopRequested: j.cancelled}
 		}
 	}
 	return out
@@ -149,10 +151,10 @@
 		if t.busy || now.Before(t.retryAfter) {
 			continue // looked at again when that is stored
 		}
-		d := ticket.Decide(t.rec, t.cancelled, n.stepStates(t, nil), n.tickets.maxOpenSteps)
+		d := ticket.NextAction(t.rec, t.cancelled, n.stepStates(t, nil), n.tickets.maxOpenSteps)
 		// To stop jobs their records must stand still: no more changes of them begin until
 		// those under way are stored.
-		if t.changesPaused = d.Fail != "" || d.Stop != nil; t.changesPaused && slices.ContainsFunc(n.openStepJobs(t), func(j *job) bool { return j.writePending }) {
+		if t.changesPaused = d.FailReason != "" || d.StopSteps != nil; t.changesPaused && slices.ContainsFunc(n.openStepJobs(t), func(j *job) bool { return j.writePending }) {
 			continue
 		}
 		delete(n.tickets.dirty, id)
@@ -172,29 +174,29 @@
 }
 
 // ticketOp turns a decision into a change; nil: nothing is to be done.
-func (n *Node) ticketOp(t *openTicket, d ticket.Next, now time.Time) *storage.Op {
+func (n *Node) ticketOp(t *openTicket, d ticket.Action, now time.Time) *storage.Op {
 	head := protocol.JobKey(t.id)
-	op := &storage.Op{Conds: []storage.Cond{n.unchanged(protocol.HolderKey(t.share)), n.unchanged(head)}}
+	op := &storage.Op{Conds: []storage.Cond{n.unchanged(protocol.OwnerKey(t.share)), n.unchanged(head)}}
 	put := func(key string, v any) {
 		op.Writes = append(op.Writes, storage.Write{Put: key, Value: mustJSON(v)})
 	}
 	switch {
-	case d.Fail != "":
-		put(head, t.jobRecord(ticket.Failing(t.rec, d.Fail)))
+	case d.FailReason != "":
+		put(head, t.jobRecord(ticket.WithFailure(t.rec, d.FailReason)))
 		for _, j := range n.openStepJobs(t) {
 			n.addStepStop(j, op, func(r *protocol.JobRecord) { r.Failed = true })
 		}
-	case d.Stop != nil:
-		for _, i := range d.Stop {
+	case d.StopSteps != nil:
+		for _, i := range d.StopSteps {
 			n.addStepStop(n.jobs[t.steps[i]], op, func(r *protocol.JobRecord) {
-				r.Failed = !t.cancelled || t.rec.Failing != ""
+				r.Failed = !t.cancelled || t.rec.FailureReason != ""
 				r.Cancelled = !r.Failed
 			})
 		}
-	case d.Over != "":
-		op.Writes = n.ticketEnds(t, t.rec, d.Over)
-	case d.Open != nil:
-		n.addOpenSteps(t.rec, t.steps, d.Open, now, op)
+	case d.FinalStatus != "":
+		op.Writes = n.ticketEnds(t, t.rec, d.FinalStatus)
+	case d.OpenSteps != nil:
+		n.addOpenSteps(t.rec, t.steps, d.OpenSteps, now, op)
 	default:
 		return nil
 	}
@@ -206,7 +208,7 @@
 	for _, i := range steps {
 		key := protocol.JobKey(ids[i])
 		op.Conds = append(op.Conds, storage.Cond{Key: key})
-		op.Writes = append(op.Writes, storage.Write{Put: key, Value: mustJSON(protocol.JobRecord{Spec: ticket.StepSpec(rec, i), SubmittedMS: now.UnixMilli(), Next: 1, Step: ticket.StepRef(rec, i)})})
+		op.Writes = append(op.Writes, storage.Write{Put: key, Value: mustJSON(protocol.JobRecord{Spec: ticket.StepSpec(rec, i), SubmittedMS: now.UnixMilli(), NextAttempt: 1, Step: ticket.StepRef(rec, i)})})
 	}
 }
 
@@ -221,7 +223,7 @@
 
 // ticketEnds is the write that makes a ticket final.
 func (n *Node) ticketEnds(t *openTicket, rec *protocol.TicketRecord, status string) []storage.Write {
-	n.log.Info("ticket over", "ticket", t.id, "name", rec.Name, "status", status, "why", rec.Failing, "took_s", roundToTenth(time.Since(t.submitted).Seconds()))
+	n.log.Info("ticket over", "ticket", t.id, "name", rec.Name, "status", status, "why", rec.FailureReason, "took_s", roundToTenth(time.Since(t.submitted).Seconds()))
 	return []storage.Write{
 		{Put: protocol.FinalKey(t.id), Value: mustJSON(protocol.FinalRecord{Status: status, Tasks: rec.Base.Tasks, Ticket: rec})},
 		{Delete: protocol.JobKey(t.id)},
@@ -259,15 +261,15 @@
 	if j.spec.Shape == protocol.Gang && nDone > 0 {
 		nDone = len(j.tasks) // they complete together
 	}
-	rec := ticket.Ended(t.rec, j.step.Step, ticket.Outcome(j.cancelled, j.failed, failed), nDone, failed, which)
+	rec := ticket.WithStepEnded(t.rec, j.step.Step, ticket.StepOutcome(j.cancelled, j.failed, failed), nDone, failed, which)
 	op.Conds = append(op.Conds, n.unchanged(protocol.JobKey(t.id)))
 	op.Writes = []storage.Write{gone}
-	switch d := ticket.Decide(rec, t.cancelled, n.stepStates(t, j), n.tickets.maxOpenSteps); {
-	case d.Over != "":
-		op.Writes = append(op.Writes, n.ticketEnds(t, rec, d.Over)...)
+	switch d := ticket.NextAction(rec, t.cancelled, n.stepStates(t, j), n.tickets.maxOpenSteps); {
+	case d.FinalStatus != "":
+		op.Writes = append(op.Writes, n.ticketEnds(t, rec, d.FinalStatus)...)
 	default:
 		op.Writes = append(op.Writes, storage.Write{Put: protocol.JobKey(t.id), Value: mustJSON(t.jobRecord(rec))})
-		n.addOpenSteps(rec, t.steps, d.Open, time.Now(), op)
+		n.addOpenSteps(rec, t.steps, d.OpenSteps, time.Now(), op)
 	}
 	t.busy, j.storingEnd = true, true
 	return true
@@ -308,7 +310,7 @@
 
 // retriesExhausted says whether so many errors are all that a task may have.
 func (j *job) retriesExhausted(errors int) bool {
-	return j.step != nil && ticket.Spent(errors, j.step.Retries)
+	return j.step != nil && ticket.RetriesExhausted(errors, j.step.MaxRetries)
 }
 
 // taskExhausted says whether a task has used up its tries, stored or not.
@@ -319,7 +321,7 @@
 // inBackoff says whether a task that failed waits before it is tried again.
 func (j *job) inBackoff(i int, now time.Time) bool {
 	t := &j.tasks[i]
-	return j.hasErrors && t.storedErrors > 0 && now.Sub(t.phaseSince) < ticket.Pause(int(t.storedErrors))
+	return j.hasErrors && t.storedErrors > 0 && now.Sub(t.phaseSince) < ticket.RetryPause(int(t.storedErrors))
 }
 
 // startableTasks is how many waiting tasks of a job that had errors may be started.
@@ -358,7 +360,7 @@
 func (n *Node) drainNote(s *partition, j *job) string {
 	c := 0
 	for _, m := range s.machines {
-		if (m.heldBack || m.spotNotice || m.returning) && decide.Allowed(j.spec, offer{Type: m.rec.Type, Zone: m.rec.Zone, Spot: m.rec.Spot}) {
+		if (m.cordoned || m.spotNotice || m.returning) && decide.Allowed(j.spec, offer{Type: m.rec.Type, Zone: m.rec.Zone, Spot: m.rec.Spot}) {
 			c++
 		}
 	}
--- a/internal/coordination/node/tickets_test.go
+++ b/internal/coordination/node/tickets_test.go
@@ -18,9 +18,9 @@
 	format "dapplestage.example/dapplestage/internal/protocol/ticket"
 )
 
-var ticketClasses = ticket.Table{
-	"render": {Lot: "render", Urgency: "standard", Shapes: []string{"sweep"}, Over: ticket.Grant, Retries: 2, Failed: 3, Tasks: 1000, VCPUs: 4, Cards: 1, MemGB: 20, Bundle: "img-r", SizeGB: 1, Loaners: true, ExpectS: 4},
-	"strict": {Lot: "strict", Urgency: "standard", Shapes: []string{"sweep", "gang"}, Over: ticket.Refuse, Retries: 1, Tasks: 50, VCPUs: 4, Cards: 1, MemGB: 20, Bundle: "img-s", SizeGB: 1, ExpectS: 3},
+var ticketClasses = ticket.ClassTable{
+	"render": {Name: "render", MaxUrgency: "standard", Shapes: []string{"sweep"}, OnExcess: ticket.ReduceExcess, MaxRetries: 2, MaxFailedTasks: 3, MaxTasks: 1000, CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img-r", ImageGB: 1, Spot: true, EstimateS: 4},
+	"strict": {Name: "strict", MaxUrgency: "standard", Shapes: []string{"sweep", "gang"}, OnExcess: ticket.RefuseExcess, MaxRetries: 1, MaxTasks: 50, CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img-s", ImageGB: 1, EstimateS: 3},
 }
 
 // body makes a ticket's body: steps with their tasks, each after those named.
@@ -63,7 +63,7 @@
 	if err != nil {
 		t.Fatalf("%v\n%s", err, body)
 	}
-	a, err := ticket.Admit(s, ticketClasses, ticket.Limits{ValueBytes: 8000})
+	a, err := ticket.Admit(s, ticketClasses, ticket.Limits{MaxValueBytes: 8000})
 	return s, a, err
 }
 
@@ -99,14 +99,14 @@
 func (u *ticketUser) submit(name string) (answer, error) {
 	body, parse := u.body, format.ParseTicket
 	if u.w.chance(&half) {
-		body, parse = carried(u.body), format.ParseCarried
+		body, parse = carried(u.body), format.ParseEmbedded
 	}
 	s, err := parse([]byte(body))
 	if err != nil {
 		u.w.t.Error(err)
 		return answer{}, err
 	}
-	a, refused := ticket.Admit(s, ticketClasses, ticket.Limits{ValueBytes: 8000})
+	a, refused := ticket.Admit(s, ticketClasses, ticket.Limits{MaxValueBytes: 8000})
 	ctx, cancel := context.WithTimeout(u.w.ctx, 5*time.Second)
 	defer cancel()
 	return u.w.sendChecked(ctx, submitRequest, name, s.ID, func(n *Node, reply chan<- answer) { n.onSubmitTicket(s.ID, a, refused, time.Now(), reply) })
@@ -238,7 +238,7 @@
 			if at.After(over[i]) {
 				over[i] = at
 			}
-			if most := rec.Terms.Retries.Granted + 1; d.errs[task] > most+2 { // two may be lost with leases
+			if most := rec.Terms.MaxRetries.Granted + 1; d.errs[task] > most+2 { // two may be lost with leases
 				t.Errorf("%s failed %d times, %d are allowed", task, d.errs[task], most)
 			}
 			for _, dep := range st.Deps {
@@ -311,7 +311,7 @@
 	defer func() { nodeTicketClasses = nil }()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, seed, defaultSettings)
+		w := newSimCluster(t, ctx, seed, defaultSettings)
 		d := keepDiary(w)
 		us := w.tickets(8)
 		var wg sync.WaitGroup
@@ -373,7 +373,7 @@
 	defer func() { nodeTicketClasses = nil }()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, 3, defaultSettings)
+		w := newSimCluster(t, ctx, 3, defaultSettings)
 		d := keepDiary(w)
 		u := newTicketUser(w, body)
 		prepare(w, u)
@@ -406,7 +406,7 @@
 			terms = a.body.(*TicketStatus).Terms
 		}
 	})
-	if terms == nil || *terms.Retries.Asked != 50 || terms.Retries.Granted != 2 {
+	if terms == nil || *terms.MaxRetries.Requested != 50 || terms.MaxRetries.Granted != 2 {
 		t.Errorf("%+v", terms)
 	}
 	s, _, err := admit(t, ticketBody("job-91", "strict", "red", `"maxRetriesPerTask":2,`, "a 3"))
@@ -492,7 +492,7 @@
 func TestOneTicketByBothWaysAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, 5, defaultSettings)
+		w := newSimCluster(t, ctx, 5, defaultSettings)
 		time.Sleep(5 * time.Second)
 		u := newTicketUser(w, ticketBody("job-96", "render", "red", "", "a 2", "b 1"))
 		var wg sync.WaitGroup
@@ -535,7 +535,7 @@
 func TestStepsAreNoUsersJobs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, 6, defaultSettings)
+		w := newSimCluster(t, ctx, 6, defaultSettings)
 		time.Sleep(5 * time.Second)
 		u := newTicketUser(w, ticketBody("job-97", "render", "red", "", "a 2"))
 		u.submit("n-0")
@@ -566,7 +566,7 @@
 func waitsForADrain(t *testing.T, afterwards bool) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, 8, defaultSettings)
+		w := newSimCluster(t, ctx, 8, defaultSettings)
 		d := keepDiary(w)
 		time.Sleep(5 * time.Second)
 		warm := newTicketUser(w, ticketBody("job-98", "render", "red", "", "a 4"))
@@ -621,7 +621,7 @@
 func TestTicketsThatWouldNotFitAreTurnedAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, 9, func(*protocol.WorkerSettings) {})
+		w := newSimCluster(t, ctx, 9, func(*protocol.WorkerSettings) {})
 		for _, name := range w.names {
 			w.cfg[name].Params.Quota.MemoryMB = 1.3 // some 2,000 tasks
 		}
--- a/internal/coordination/node/unreachable_controllers_test.go
+++ b/internal/coordination/node/unreachable_controllers_test.go
@@ -67,7 +67,7 @@
 // something.
 func unreportedWorld(t *testing.T, ctx context.Context, specs ...*protocol.JobSpec) (*simCluster, *runLog) {
 	log := &runLog{}
-	w := newWorldAt(t, ctx, 5, nil, func(cfg *protocol.Settings, f *standin.Fleet) {
+	w := newConfiguredSimCluster(t, ctx, 5, nil, func(cfg *protocol.Settings, f *standin.Fleet) {
 		p := &cfg.Params
 		p.Workers.ReportS, p.Workers.LeaseS, p.Workers.CancelS = 6, 36, 56
 		p.Zones = []string{"a"}
--- a/internal/coordination/node/unreported.go
+++ b/internal/coordination/node/unreported.go
@@ -26,7 +26,7 @@
 		if len(leaving) == 0 && now.Before(m.nextPoll) {
 			continue
 		}
-		if n.loadControl.budget.Call(start.Ask, 1) == 0 {
+		if n.loadControl.budget.TakeCalls(start.Poll, 1) == 0 {
 			return
 		}
 		n.evacuate(m, leaving, now)
@@ -51,7 +51,7 @@
 		report, _, err := n.workers.Command(ctx, addr, orders)
 		n.post(func() {
 			m.pollInFlight = false
-			n.loadControl.budget.Ended()
+			n.loadControl.budget.CallEnded()
 			if err == nil && report != nil {
 				n.onPolled(m, report, orders.Token, time.Now())
 			}
@@ -82,7 +82,7 @@
 // onPolled processes the answer to a poll that was sent under a token.
 func (n *Node) onPolled(m *machine, report *protocol.Report, token uint64, now time.Time) {
 	n.noteWorkerContact(now)
-	if report.Machine != m.name || n.machines[m.name] != m || !m.recorded || !n.owns(n.partitions[m.rec.Share]) || n.fencingToken(m) != token || report.Token != token {
+	if report.Machine != m.name || n.machines[m.name] != m || !m.recorded || !n.owns(n.partitions[m.rec.Partition]) || n.fencingToken(m) != token || report.Token != token {
 		return
 	}
 	expired, first := report.Session > m.session, !m.reachableOnlyDirectly()
--- a/internal/coordination/node/user_meetings_test.go
+++ b/internal/coordination/node/user_meetings_test.go
@@ -230,7 +230,7 @@
 	drop := func(of string, is func(c storage.Cond) bool) []storage.Cond {
 		if !slices.ContainsFunc(writes, func(x storage.Write) bool {
 			var r protocol.JobRecord
-			return strings.HasPrefix(x.Put, protocol.JobPrefix) && json.Unmarshal(x.Value, &r) == nil && r.Asked == (of == "cancelled")
+			return strings.HasPrefix(x.Put, protocol.JobPrefix) && json.Unmarshal(x.Value, &r) == nil && r.CancelRequested == (of == "cancelled")
 		}) {
 			return conds
 		}
@@ -242,7 +242,7 @@
 	case "final condition":
 		return drop("accepted", final)
 	case "job condition":
-		return drop("accepted", func(c storage.Cond) bool { return own(c) && c.Stamp == 0 })
+		return drop("accepted", func(c storage.Cond) bool { return own(c) && c.Revision == 0 })
 	case "cancel conditions":
 		return drop("cancelled", func(c storage.Cond) bool { return final(c) || own(c) })
 	}
--- a/internal/coordination/node/userchanges.go
+++ b/internal/coordination/node/userchanges.go
@@ -69,7 +69,7 @@
 // sendChange sends a change, for the first time or again. It returns false if too many wait.
 func (n *Node) sendChange(c *userChange, now time.Time) bool {
 	op := *c.op
-	op.Once = true
+	op.NoRetry = true
 	op.Done = func(r storage.Result) {
 		n.post(func() {
 			n.pendingUserChanges--
@@ -95,7 +95,7 @@
 // resendDelay is how long to wait before sending it again: longer where changes are short, as
 // it may not have been sent yet.
 func (n *Node) resendDelay() time.Duration {
-	if !n.rateLimiter.Ample() {
+	if !n.rateLimiter.HasSpareRate() {
 		return mostLookTime
 	}
 	return n.lookTime()
--- a/internal/coordination/node/users.go
+++ b/internal/coordination/node/users.go
@@ -144,15 +144,15 @@
 		r.Value.onResult(false, protocol.JobStatus{}, storage.ErrUnknown)
 	}
 	conditions := &barrierConditions{node: n, inReplica: map[string]bool{}}
-	barrier := n.statusReads.Next(now, conditions.add)
+	barrier := n.statusReads.NextBarrier(now, conditions.add)
 	if barrier == nil {
 		return
 	}
 	conds := conditions.all()
 	// A late answer is noticed when the next barrier is due, not with a later tick.
-	wake := time.AfterFunc(n.statusReads.RetryTime(), func() { n.post(func() {}) })
+	wake := time.AfterFunc(n.statusReads.RetryDelay(), func() { n.post(func() {}) })
 	n.spawn(func(ctx context.Context) {
-		ctx, cancel := context.WithTimeout(ctx, statusread.Patience)
+		ctx, cancel := context.WithTimeout(ctx, statusread.ReadTimeout)
 		defer cancel()
 		ok, _, failed, err := n.store.Txn(ctx, conds, nil)
 		wake.Stop()
@@ -189,10 +189,10 @@
 		return false
 	}
 	stored := b.node.unchanged(protocol.JobKey(r.id))
-	b.inReplica[r.id] = stored.Stamp != 0 || b.node.jobs[r.id] != nil
+	b.inReplica[r.id] = stored.Revision != 0 || b.node.jobs[r.id] != nil
 	b.anyMissing = b.anyMissing || !b.inReplica[r.id]
 	b.conds = append(b.conds, stored)
-	if stored.Stamp == 0 || b.mayBePacked {
+	if stored.Revision == 0 || b.mayBePacked {
 		b.conds = append(b.conds, storage.Cond{Key: protocol.FinalKey(r.id)})
 	}
 	return true
@@ -277,7 +277,7 @@
 // readStored answers a read from the store: first the job, then what it became,
 // since it only moves in that direction. Only if both are missing is it unknown.
 func (n *Node) readStored(open *openRead) {
-	n.statusReads.Resolve(open)
+	n.statusReads.MarkResolving(open)
 	id := open.Value.id
 	n.resync([]string{protocol.JobKey(id), protocol.FinalKey(id)}, func(items []storage.Item, err error) {
 		switch {
@@ -439,15 +439,15 @@
 		n.packed.submissions = append(n.packed.submissions, &submission{spec: s, receivedAt: now, reply: reply, answerAsRepeat: repeat})
 		return
 	}
-	rec := protocol.JobRecord{Spec: s, SubmittedMS: now.UnixMilli(), Next: 1}
+	rec := protocol.JobRecord{Spec: s, SubmittedMS: now.UnixMilli(), NextAttempt: 1}
 	op := &storage.Op{
-		For:    uint8(forSubmissions),
-		Conds:  append(n.unaccepted(), storage.Cond{Key: protocol.JobKey(s.ID)}, storage.Cond{Key: protocol.FinalKey(s.ID)}),
-		Writes: []storage.Write{{Put: protocol.JobKey(s.ID), Value: mustJSON(rec)}}}
+		Purpose: uint8(forSubmissions),
+		Conds:   append(n.unaccepted(), storage.Cond{Key: protocol.JobKey(s.ID)}, storage.Cond{Key: protocol.FinalKey(s.ID)}),
+		Writes:  []storage.Write{{Put: protocol.JobKey(s.ID), Value: mustJSON(rec)}}}
 	then := func(r storage.Result) {
 		switch {
 		case r.OK:
-			n.applyOwnWrite(op.Writes[0], r.Epoch)
+			n.applyOwnWrite(op.Writes[0], r.Revision)
 			n.log.Debug("job accepted", "job", s.ID, "class", s.Class, "tasks", s.Tasks, "took_s", time.Since(now).Seconds())
 			reply <- answer{status: 201, body: protocol.JobStatus{ID: s.ID, Status: protocol.JobQueued}}
 		case r.Err != nil:
@@ -551,8 +551,8 @@
 	}
 	rec := n.storedRecordAtLog(j)
 	late := n.confirmsCancelAfterStop()
-	rec.Cancelled, rec.Asked = !late, late
-	op := &storage.Op{For: uint8(forCancellations), Conds: n.stillOpen(j.id),
+	rec.Cancelled, rec.CancelRequested = !late, late
+	op := &storage.Op{Purpose: uint8(forCancellations), Conds: n.stillOpen(j.id),
 		Writes: []storage.Write{{Put: protocol.JobKey(j.id), Value: mustJSON(rec)}}}
 	if len(rec.Placed) == 0 && len(j.storedChunks) == 0 && !n.dependsOnEntries(j) && !n.inAnyInbox(j.id) {
 		if n.mayHaveEntries() { // nothing of it is placed meanwhile
@@ -566,7 +566,7 @@
 		switch {
 		case r.OK:
 			for _, w := range op.Writes {
-				n.applyOwnWrite(w, r.Epoch)
+				n.applyOwnWrite(w, r.Revision)
 			}
 			if late && n.jobs[j.id] == j {
 				n.awaitCancelled(j.id, []*job{j}, tries, reply)
@@ -591,7 +591,7 @@
 // storedRecord is a job's head as it is stored now, without what is only proposed
 // or noted: whoever changes it must not store another's pending decisions.
 func (j *job) storedRecord() protocol.JobRecord {
-	r := protocol.JobRecord{Spec: j.spec, SubmittedMS: j.submitted.UnixMilli(), Cancelled: j.cancelled && !j.cancelPending, Asked: j.cancelPending, Next: j.nextAttempt, Tries: j.failures.tries, Claim: j.claim, Step: j.step, Failed: j.failed, Lost: j.history.lostRuns, LostMS: j.history.lastLostMS()}
+	r := protocol.JobRecord{Spec: j.spec, SubmittedMS: j.submitted.UnixMilli(), Cancelled: j.cancelled && !j.cancelPending, CancelRequested: j.cancelPending, NextAttempt: j.nextAttempt, Tries: j.failures.tries, Claim: j.claim, Step: j.step, Failed: j.failed, LostRuns: j.history.lostRuns, LastLostMS: j.history.lastLostMS()}
 	lo, hi := j.chunkRange(0)
 	for i := lo; i < hi; i++ {
 		if e := int(j.tasks[i].storedErrors); e > 0 && j.tasks[i].phase != phaseDone {
--- a/internal/coordination/node/warm_test.go
+++ b/internal/coordination/node/warm_test.go
@@ -31,7 +31,7 @@
 		b.addFleet(60, 0)
 		for _, a := range arrivals[:40] {
 			if follows {
-				b.watchPut(protocol.JobKey(a.id), protocol.JobRecord{Spec: spec(a), SubmittedMS: time.Now().UnixMilli(), Next: 1})
+				b.watchPut(protocol.JobKey(a.id), protocol.JobRecord{Spec: spec(a), SubmittedMS: time.Now().UnixMilli(), NextAttempt: 1})
 				b.countArrivals(b.partitions[0])
 				b.dropJob(a.id) // it is over by the time of the take-over
 			}
@@ -46,11 +46,11 @@
 		holder.markStale(m)
 	}
 	// The holder's hints reach the standby in turn, some lost, some twice.
-	warm.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 9})
+	warm.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-1", Token: 8, Lease: 9})
 	warm.watchPut(protocol.NodeKey("n-1"), protocol.NodeRecord{Lease: 9})
 	holder.cfg.Node = "n-1"
 	holder.incarnations.hintLease.Store(9)
-	holder.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-1", Token: 8, Lease: 3})
+	holder.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-1", Token: 8, Lease: 3})
 	for i := range 8 {
 		holder.prepareMachineHints(now)
 		for range i % 3 {
@@ -63,14 +63,14 @@
 	if w := warm.standbyFreshness(warm.partitions[0], time.Now()); w.KnownFraction < 0.95 || w.AgeS < 0 || w.SequenceGaps == 0 {
 		t.Errorf("warmth %+v, with hints lost", w)
 	}
-	warm.watchPut(protocol.HolderKey(0), protocol.HolderRecord{Node: "n-0", Token: 9, Lease: 3})
+	warm.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-0", Token: 9, Lease: 3})
 	placings := func(b *testNode) (out []string) {
 		for _, m := range b.partitions[0].machines {
 			m.fenced, m.lastFencedReport = true, now
 			b.markStale(m)
 		}
 		for _, a := range arrivals[40:] {
-			b.watchPut(protocol.JobKey(a.id), protocol.JobRecord{Spec: spec(a), SubmittedMS: now.UnixMilli(), Next: 1})
+			b.watchPut(protocol.JobKey(a.id), protocol.JobRecord{Spec: spec(a), SubmittedMS: now.UnixMilli(), NextAttempt: 1})
 		}
 		s := b.partitions[0]
 		b.countArrivals(s)
--- a/internal/coordination/node/why.go
+++ b/internal/coordination/node/why.go
@@ -112,7 +112,7 @@
 	case n.owns(n.partitions[j.partition]):
 		reply <- answer{status: 200, body: n.explain(j, now)}
 	default:
-		n.askOwner(n.partitions[j.partition], protocol.Ask{Job: id}, func(t protocol.Told, unknown string) {
+		n.askOwner(n.partitions[j.partition], protocol.PeerQuery{Job: id}, func(t protocol.PeerAnswer, unknown string) {
 			if unknown != "" {
 				w := n.baseExplanation(j, time.Now())
 				w.Unknown = unknown
@@ -134,22 +134,22 @@
 }
 
 // askOwner asks the holder of a share; then is told its answer, or why there is none.
-func (n *Node) askOwner(s *partition, q protocol.Ask, then func(t protocol.Told, unknown string)) {
+func (n *Node) askOwner(s *partition, q protocol.PeerQuery, then func(t protocol.PeerAnswer, unknown string)) {
 	holder := s.owner.Node
 	switch {
 	case s.owner.Token == 0:
-		then(protocol.Told{}, "its share has no holder")
+		then(protocol.PeerAnswer{}, "its share has no holder")
 		return
 	case holder == n.cfg.Node || n.AskPeer == nil || n.peers[holder] == nil:
-		then(protocol.Told{}, "unknown: its share is held by "+holder+", which can't be asked")
+		then(protocol.PeerAnswer{}, "unknown: its share is held by "+holder+", which can't be asked")
 		return
 	}
 	asked := time.Now()
 	n.spawn(func(ctx context.Context) {
 		data, err := n.AskPeer(ctx, holder, q.Encode())
-		var t protocol.Told
+		var t protocol.PeerAnswer
 		if err == nil {
-			t, err = protocol.DecodeTold(data)
+			t, err = protocol.DecodePeerAnswer(data)
 		}
 		n.post(func() {
 			unknown := ""
@@ -182,14 +182,14 @@
 
 // askOwners asks each holder the same, hands over each one's part or why it is unknown,
 // and calls done after the last; at once where there is none.
-func askOwners[T any](n *Node, held map[string][]*partition, q protocol.Ask, add func(holder string, part T, unknown string), done func()) {
+func askOwners[T any](n *Node, held map[string][]*partition, q protocol.PeerQuery, add func(holder string, part T, unknown string), done func()) {
 	open := len(held)
 	if open == 0 {
 		done()
 		return
 	}
 	for _, holder := range slices.Sorted(maps.Keys(held)) {
-		n.askOwner(held[holder][0], q, func(t protocol.Told, unknown string) {
+		n.askOwner(held[holder][0], q, func(t protocol.PeerAnswer, unknown string) {
 			var part T
 			if unknown == "" && (t.Status != http.StatusOK || json.Unmarshal(t.Body, &part) != nil) {
 				unknown = unexpectedAnswer(holder, t.Status)
@@ -208,13 +208,13 @@
 
 // AnswerPeer answers another controller's question. Any routine may call it.
 func (n *Node) AnswerPeer(data []byte) ([]byte, bool) {
-	if !protocol.IsAsk(data) {
+	if !protocol.IsPeerQuery(data) {
 		return nil, false
 	}
-	out := make(chan protocol.Told, 1)
-	q, err := protocol.DecodeAsk(data)
+	out := make(chan protocol.PeerAnswer, 1)
+	q, err := protocol.DecodePeerQuery(data)
 	if err != nil {
-		return protocol.Told{Node: n.cfg.Node, Status: 400, Body: []byte("{}")}.Encode(), true
+		return protocol.PeerAnswer{Node: n.cfg.Node, Status: 400, Body: []byte("{}")}.Encode(), true
 	}
 	n.post(func() { out <- n.answerAsk(q, time.Now()) })
 	select {
@@ -223,18 +223,18 @@
 	case <-time.After(AskTimeout):
 	case <-n.ctx.Done():
 	}
-	return protocol.Told{Node: n.cfg.Node, Status: 503, Body: []byte("{}")}.Encode(), true
+	return protocol.PeerAnswer{Node: n.cfg.Node, Status: 503, Body: []byte("{}")}.Encode(), true
 }
 
-func (n *Node) answerAsk(q protocol.Ask, now time.Time) protocol.Told {
-	t := protocol.Told{Node: n.cfg.Node, Status: 200}
-	if q.Kind == protocol.AskAccount {
+func (n *Node) answerAsk(q protocol.PeerQuery, now time.Time) protocol.PeerAnswer {
+	t := protocol.PeerAnswer{Node: n.cfg.Node, Status: 200}
+	if q.Kind == protocol.QueryAccount {
 		query := accountQuery(q)
-		for t.Body = mustJSON(n.accountOfOwned(&query, now)); len(t.Body) > protocol.MaxAnswer && query.Most > 1; {
-			query.Most /= 2 // long names: fewer rows, and the cursor says so
+		for t.Body = mustJSON(n.accountOfOwned(&query, now)); len(t.Body) > protocol.MaxAnswerBytes && query.Limit > 1; {
+			query.Limit /= 2 // long names: fewer rows, and the cursor says so
 			t.Body = mustJSON(n.accountOfOwned(&query, now))
 		}
-	} else if q.Kind == protocol.AskSamples {
+	} else if q.Kind == protocol.QuerySamples {
 		t.Body = mustJSON(n.account.samples)
 	} else if q.Job == "" {
 		t.Body = mustJSON(n.explanationPage(q, now))
@@ -245,7 +245,7 @@
 	} else {
 		t.Body = mustJSON(n.explain(j, now))
 	}
-	if len(t.Body) > protocol.MaxAnswer {
+	if len(t.Body) > protocol.MaxAnswerBytes {
 		t.Status, t.Body = 503, mustJSON(errorBody{"the answer is too long: ask for less"})
 	}
 	return t
@@ -367,7 +367,7 @@
 }
 
 // explanationPage lists waiting jobs of the shares held, by id, and adds up all of them.
-func (n *Node) explanationPage(q protocol.Ask, now time.Time) *ExplanationPage {
+func (n *Node) explanationPage(q protocol.PeerQuery, now time.Time) *ExplanationPage {
 	p := &ExplanationPage{Node: n.cfg.Node, TasksByCause: map[string]int{}, Jobs: []ExplanationLine{}}
 	var all []ExplanationLine
 	for _, s := range n.partitions {
@@ -381,16 +381,16 @@
 			k := n.bindingCause(j, now)
 			p.TasksByCause[k.String()] += j.nWaiting()
 			since := now.Sub(j.submitted).Seconds()
-			if q.Team != "" && q.Team != j.spec.Team || q.Cause != "" && q.Cause != k.String() || since < q.SinceS || j.id <= q.After {
+			if q.Team != "" && q.Team != j.spec.Team || q.Cause != "" && q.Cause != k.String() || since < q.MinWaitS || j.id <= q.After {
 				continue
 			}
 			all = append(all, ExplanationLine{Job: j.id, Team: j.spec.Team, Class: j.spec.Class, Waiting: j.nWaiting(), SinceS: roundToTenth(since), Cause: k.String(), Text: k.Text()})
 		}
 	}
 	slices.SortFunc(all, func(a, b ExplanationLine) int { return compareNames(a.Job, b.Job) })
-	p.Jobs = append(p.Jobs, all[:min(len(all), q.Most)]...)
-	if len(all) > q.Most {
-		p.After = p.Jobs[q.Most-1].Job
+	p.Jobs = append(p.Jobs, all[:min(len(all), q.Limit)]...)
+	if len(all) > q.Limit {
+		p.After = p.Jobs[q.Limit-1].Job
 	}
 	return p
 }
@@ -398,14 +398,14 @@
 // getExplanationPage adds up what all holders tell.
 func (n *Node) getExplanationPage(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	q := r.URL.Query()
-	ask := protocol.Ask{Team: q.Get("team"), Cause: q.Get("cause"), After: q.Get("after"), Most: 50}
+	ask := protocol.PeerQuery{Team: q.Get("team"), Cause: q.Get("cause"), After: q.Get("after"), Limit: 50}
 	if v := q.Get("limit"); v != "" {
 		most, err := strconv.Atoi(v)
 		if err != nil || most < 1 || most > mostLines {
 			writeAnswer(w, answer{status: 400, body: errorBody{fmt.Sprintf("limit: must be 1 to %d", mostLines)}})
 			return
 		}
-		ask.Most = most
+		ask.Limit = most
 	}
 	if v := q.Get("since"); v != "" {
 		s, err := strconv.ParseFloat(v, 64)
@@ -413,7 +413,7 @@
 			writeAnswer(w, answer{status: 400, body: errorBody{"since: must be seconds, 0 to 1000000000"}})
 			return
 		}
-		ask.SinceS = s
+		ask.MinWaitS = s
 	}
 	if ask.Cause != "" && !slices.Contains(decide.ReasonNames(), ask.Cause) {
 		writeAnswer(w, answer{status: 400, body: errorBody{fmt.Sprintf("cause: must be one of %v", decide.ReasonNames())}})
@@ -422,7 +422,7 @@
 	n.serve(w, r, n.withLoadShedding(func(reply chan<- answer) { n.onExplanationPage(ask, time.Now(), reply) }))
 }
 
-func (n *Node) onExplanationPage(ask protocol.Ask, now time.Time, reply chan<- answer) {
+func (n *Node) onExplanationPage(ask protocol.PeerQuery, now time.Time, reply chan<- answer) {
 	if !n.loaded {
 		reply <- busyAnswer
 		return
@@ -446,9 +446,9 @@
 		}
 	}, func() {
 		slices.SortFunc(sum.Jobs, func(a, b ExplanationLine) int { return compareNames(a.Job, b.Job) })
-		if len(sum.Jobs) > ask.Most {
-			sum.Jobs = sum.Jobs[:ask.Most]
-			sum.After = sum.Jobs[ask.Most-1].Job
+		if len(sum.Jobs) > ask.Limit {
+			sum.Jobs = sum.Jobs[:ask.Limit]
+			sum.After = sum.Jobs[ask.Limit-1].Job
 		}
 		reply <- answer{status: 200, body: sum}
 	})
--- a/internal/coordination/node/why_test.go
+++ b/internal/coordination/node/why_test.go
@@ -136,7 +136,7 @@
 		t.Run(c.cause.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(context.Background())
-				w := newWorld(t, ctx, 4, defaultSettings)
+				w := newSimCluster(t, ctx, 4, defaultSettings)
 				defer func() { cancel(); time.Sleep(2 * time.Minute); synctest.Wait() }()
 				time.Sleep(6 * time.Second)
 				w.connectPeers()
@@ -185,7 +185,7 @@
 func TestWhyOfASilentHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, 4, defaultSettings)
+		w := newSimCluster(t, ctx, 4, defaultSettings)
 		defer func() { cancel(); time.Sleep(2 * time.Minute); synctest.Wait() }()
 		time.Sleep(6 * time.Second)
 		w.connectPeers()
@@ -206,7 +206,9 @@
 				if why == nil || !strings.Contains(why.Unknown, holder) || causesOf(why) != "holder_silent" && causesOf(why) != "no_holder" || time.Since(from) > 2*AskTimeout {
 					t.Errorf("%s says %+v after %v", name, why, time.Since(from))
 				}
-				a, err := w.userRequest(ctx, name, func(n *Node, reply chan<- answer) { n.onExplanationPage(protocol.Ask{Most: 50}, time.Now(), reply) })
+				a, err := w.userRequest(ctx, name, func(n *Node, reply chan<- answer) {
+					n.onExplanationPage(protocol.PeerQuery{Limit: 50}, time.Now(), reply)
+				})
 				if page, ok := a.body.(*ExplanationPage); err != nil || !ok || len(page.Unknown) == 0 {
 					t.Errorf("%s: a page without what is unknown: %+v", name, a.body)
 				}
@@ -225,18 +227,18 @@
 	b := newTestNode(t)
 	for i := range 3000 {
 		spec := &protocol.JobSpec{ID: fmt.Sprintf("job-%06d", i), Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 2, CPUs: 4, GPUs: 1, Image: "i", Types: []string{"none"}}
-		b.watchPut(protocol.JobKey(spec.ID), protocol.JobRecord{Spec: spec, SubmittedMS: int64(i), Next: 1})
+		b.watchPut(protocol.JobKey(spec.ID), protocol.JobRecord{Spec: spec, SubmittedMS: int64(i), NextAttempt: 1})
 	}
 	now := time.Now()
 	b.RecordContact(now)
 	b.plan(now)
 	seen, after := 0, ""
 	for {
-		p := b.explanationPage(protocol.Ask{Team: "red", After: after, Most: 200}, now)
+		p := b.explanationPage(protocol.PeerQuery{Team: "red", After: after, Limit: 200}, now)
 		if p.TasksByCause["no_capacity"]+p.TasksByCause["team_limit"] != 6000 {
 			t.Fatalf("%v", p.TasksByCause)
 		}
-		if data := mustJSON(p); len(data) > protocol.MaxAnswer {
+		if data := mustJSON(p); len(data) > protocol.MaxAnswerBytes {
 			t.Fatalf("a page of %d bytes", len(data))
 		}
 		seen += len(p.Jobs)
@@ -248,7 +250,7 @@
 	if seen != 3000 {
 		t.Errorf("%d jobs on all pages", seen)
 	}
-	if p := b.explanationPage(protocol.Ask{Cause: "drained", Most: 50}, now); len(p.Jobs) != 0 {
+	if p := b.explanationPage(protocol.PeerQuery{Cause: "drained", Limit: 50}, now); len(p.Jobs) != 0 {
 		t.Error("another cause's jobs")
 	}
 }
@@ -258,7 +260,7 @@
 func TestNoSuchJobIsNotGuessed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(t, ctx, 4, defaultSettings)
+		w := newSimCluster(t, ctx, 4, defaultSettings)
 		defer func() { cancel(); time.Sleep(2 * time.Minute); synctest.Wait() }()
 		time.Sleep(6 * time.Second)
 		w.connectPeers()
--- a/internal/coordination/node/workers.go
+++ b/internal/coordination/node/workers.go
@@ -57,8 +57,8 @@
 	deferred          *deferredReport
 	images            []protocol.CachedImage // most recently used last
 	secPerGB          float64                // measured seconds per GB fetched; 0: unknown
-	fetchSince        map[string]time.Time
-	heldBack          bool
+	fetchStartedAt    map[string]time.Time
+	cordoned          bool
 	earmarkedFor      *job // job for which free resources on it are kept
 	earmarkedUntil    time.Time
 	gangReservation   bool           // they are kept by a gang's reservation, not by preemption
@@ -88,7 +88,7 @@
 	m := n.machines[name]
 	if m == nil {
 		now := time.Now()
-		m = &machine{name: name, heldBack: slices.Contains(n.policy.HeldBack, name), tasks: map[taskKey]struct{}{}, trackedSince: now, idleSince: now, idleSinceUnknown: !n.loaded, fetchSince: map[string]time.Time{}}
+		m = &machine{name: name, cordoned: slices.Contains(n.policy.HeldBack, name), tasks: map[taskKey]struct{}{}, trackedSince: now, idleSince: now, idleSinceUnknown: !n.loaded, fetchStartedAt: map[string]time.Time{}}
 		n.machines[name] = m
 		n.markStale(m)
 	}
@@ -109,7 +109,7 @@
 	}
 	m.batch = batch
 	n.markStale(m)
-	if m.recorded && (m.rec.Share != rec.Share || m.rec.Token != rec.Token) {
+	if m.recorded && (m.rec.Partition != rec.Partition || m.rec.Token != rec.Token) {
 		n.removeFromPartition(m)
 		m.unfence()
 		m.moving = false
@@ -127,7 +127,7 @@
 	}
 	m.recorded = true
 	m.rec = rec
-	n.adoption.Drop(m.name)
+	n.adoption.Remove(m.name)
 	if rec.Addr != "" {
 		m.addr = rec.Addr
 	}
@@ -158,7 +158,7 @@
 
 // fencingToken returns the token under which this node commands a machine.
 func (n *Node) fencingToken(m *machine) uint64 {
-	return max(n.partitions[m.rec.Share].owner.Token, m.rec.Token)
+	return max(n.partitions[m.rec.Partition].owner.Token, m.rec.Token)
 }
 
 // mayExtendLeases reports whether answers to reports may still extend the workers' leases.
@@ -189,7 +189,7 @@
 		n.onUnrecordedReport(report, now, reply)
 		return
 	}
-	p := n.partitions[m.rec.Share]
+	p := n.partitions[m.rec.Partition]
 	if !n.owns(p) {
 		n.redirect(report, p, m, now, reply)
 		return
@@ -214,7 +214,7 @@
 		return
 	}
 	m.lastReport = now
-	if !m.fenced || m.hasUnconfirmedStart(report) || !n.logReadable(n.partitions[m.rec.Share]) {
+	if !m.fenced || m.hasUnconfirmedStart(report) || !n.logReadable(n.partitions[m.rec.Partition]) {
 		reply <- answer{status: 200, body: protocol.Orders{Token: token, Commands: n.stopsForReport(report, now)}}
 		return
 	}
@@ -281,7 +281,7 @@
 		}
 		m.fenced = true
 	} else {
-		n.partitions[m.rec.Share].reconciliation.Seen(m.name, now)
+		n.partitions[m.rec.Partition].reconciliation.NoteUnfencedReport(m.name, now)
 	}
 	notice := report.NoticeS != nil
 	if notice && !m.spotNotice {
@@ -382,8 +382,8 @@
 	t.reportedState = reportedStates[report.State]
 	switch report.State {
 	case protocol.TaskFetching:
-		if _, ok := m.fetchSince[j.spec.Image]; !ok {
-			m.fetchSince[j.spec.Image] = now
+		if _, ok := m.fetchStartedAt[j.spec.Image]; !ok {
+			m.fetchStartedAt[j.spec.Image] = now
 		}
 	case protocol.TaskWaiting, protocol.TaskRunning:
 		if was != reportedRunning && t.reportedState == reportedRunning {
@@ -414,7 +414,7 @@
 			j.history.countFailedStart(report.Cause)
 			j.history.addEvent(now, "a task ended on "+m.name+": "+report.Cause)
 			n.log.Info("task exited", "task", report.Task, "machine", m.name, "cause", report.Cause, "saved", report.Saved)
-			if j.step != nil && ticket.Counts(report.Cause) {
+			if j.step != nil && ticket.CountsAsRetry(report.Cause) {
 				// Counted together with the end, in the same change: a repeated report, or another
 				// owner, finds the end already recorded or stored.
 				t.unstoredError, j.hasErrors = true, true
@@ -422,7 +422,7 @@
 			switch report.Cause {
 			case protocol.CauseError:
 				n.noteTaskFailure(j, report.Attempt, m, now)
-			case protocol.CauseNoRoom, protocol.CauseBusy, protocol.CauseUnknown:
+			case protocol.CauseNoCapacity, protocol.CauseBusy, protocol.CauseUnknown:
 				m.avoidUntil = now.Add(3 * time.Second)
 			}
 		}
@@ -432,8 +432,8 @@
 
 // noteImageFetched records that an image is cached on the machine, and how long the fetch took.
 func (m *machine) noteImageFetched(image string, imageGB float64, machineType *protocol.MachineType, now time.Time) {
-	if since, ok := m.fetchSince[image]; ok {
-		delete(m.fetchSince, image)
+	if since, ok := m.fetchStartedAt[image]; ok {
+		delete(m.fetchStartedAt, image)
 		if imageGB > 0 {
 			if took := now.Sub(since).Seconds() / imageGB; m.secPerGB == 0 {
 				m.secPerGB = took
@@ -459,7 +459,7 @@
 
 // hasImage reports whether an image is cached on the machine or being fetched.
 func (m *machine) hasImage(image string) bool {
-	if _, ok := m.fetchSince[image]; ok {
+	if _, ok := m.fetchStartedAt[image]; ok {
 		return true
 	}
 	for _, im := range m.images {
@@ -554,7 +554,7 @@
 		return
 	}
 	cmds := n.stopsForReport(deferred.report, now)
-	if n.logReadable(n.partitions[m.rec.Share]) {
+	if n.logReadable(n.partitions[m.rec.Partition]) {
 		cmds = n.commandsFor(m, deferred.report, now)
 	}
 	deferred.reply <- answer{status: 200, body: protocol.Orders{Token: n.fencingToken(m), Commands: cmds}}
@@ -596,8 +596,8 @@
 // report in the answer. An earlier owner that still answers the machine is fenced off by this.
 func (n *Node) fence(m *machine, now time.Time) {
 	n.sendCommand(m, protocol.Orders{Token: n.fencingToken(m), Session: max(1, m.session), Commands: []protocol.Command{}}, func(ok bool) {
-		n.loadControl.budget.Ended()
-		n.partitions[m.rec.Share].reconciliation.Answered(m.name, ok, time.Now())
+		n.loadControl.budget.CallEnded()
+		n.partitions[m.rec.Partition].reconciliation.CallEnded(m.name, ok, time.Now())
 	})
 }
 
@@ -630,7 +630,7 @@
 			if err == nil {
 				n.noteWorkerContact(now)
 			}
-			if err != nil || !ok || report == nil || report.Machine != m.name || n.machines[m.name] != m || !n.owns(n.partitions[m.rec.Share]) || n.fencingToken(m) != orders.Token {
+			if err != nil || !ok || report == nil || report.Machine != m.name || n.machines[m.name] != m || !n.owns(n.partitions[m.rec.Partition]) || n.fencingToken(m) != orders.Token {
 				return
 			}
 			if report.Token == orders.Token && n.acceptDirectAnswer(m, report, orders.Token, now) {
--- a/internal/coordination/packed/model_test.go
+++ b/internal/coordination/packed/model_test.go
@@ -108,11 +108,11 @@
 		for j, x := range c.val.says {
 			switch {
 			case x == 1:
-				e.Parts = append(e.Parts, protocol.Part{Job: mJob(j), Gone: [][2]int{{0, 0}}})
+				e.Parts = append(e.Parts, protocol.Part{Job: mJob(j), Unplaced: [][2]int{{0, 0}}})
 			case x == 2:
-				e.Parts = append(e.Parts, protocol.Part{Job: mJob(j), End: "done"})
+				e.Parts = append(e.Parts, protocol.Part{Job: mJob(j), FinalStatus: "done"})
 			case x > 2:
-				e.Parts = append(e.Parts, protocol.Part{Job: mJob(j), Next: uint64(x - 3)})
+				e.Parts = append(e.Parts, protocol.Part{Job: mJob(j), NextAttempt: uint64(x - 3)})
 			}
 		}
 		if _, err := r.Put(i, e); err != nil {
@@ -132,7 +132,7 @@
 		e := &protocol.Entry{Seq: uint64(c.val.seq)}
 		for j, in := range c.val.jobs {
 			if in {
-				e.Jobs = append(e.Jobs, protocol.Accepted{Spec: &protocol.JobSpec{ID: mJob(j)}})
+				e.Jobs = append(e.Jobs, protocol.AcceptedJob{Spec: &protocol.JobSpec{ID: mJob(j)}})
 			}
 		}
 		if _, err := r.Put(i, e); err != nil {
@@ -151,7 +151,7 @@
 }
 
 func (s *mStore) known(log *Ring, j int) (k mKnown) {
-	_, _, k.over = log.Ended(mJob(j))
+	_, _, k.over = log.FindEnd(mJob(j))
 	head := s[mHead+j]
 	k.based = head.ver > 0
 	for n := range mNodes {
@@ -164,7 +164,7 @@
 	if k.based {
 		k.task, mark, k.asked = head.val.task, uint64(head.val.seq), head.val.asked
 	}
-	log.Entries(func(e *protocol.Entry) {
+	log.EachEntry(func(e *protocol.Entry) {
 		if c := s[mLog+int(e.Seq%mSlots)]; e.Seq > mark && c.val.says[j] == 1 {
 			k.task, k.logged = 0, e.Seq
 		} else if e.Seq > mark && c.val.says[j] > 2 {
@@ -203,7 +203,7 @@
 		return d
 	})
 	for _, p := range w.Entry().Parts {
-		if p.End != "" {
+		if p.FinalStatus != "" {
 			v.says[num(p.Job)] = 2
 		} else if a := p.Placed[0][2]; a > 0 {
 			v.says[num(p.Job)] = uint8(a) + 3
@@ -249,10 +249,10 @@
 		if !k.open && !k.over && s[final].ver == 0 {
 			in := s.inbox(n)
 			inSlot, inSeq := in.Next()
-			if inSeq <= 4 && in.Whole() {
+			if inSeq <= 4 && in.Complete() {
 				v := mVal{is: 1, seq: uint8(inSeq)}
 				w := NewWriter(in, 1000)
-				in.CarryAccepted(w, func(a protocol.Accepted) bool {
+				in.CarryAccepted(w, func(a protocol.AcceptedJob) bool {
 					x := s.known(log, int(a.Spec.ID[len(a.Spec.ID)-1]-'0'))
 					return x.open && !x.based
 				})
@@ -270,16 +270,16 @@
 		if k.open && !k.based { // any node may give it a record
 			var t mTxn
 			unended(&t)
-			t.put(head, mVal{is: 1, seq: uint8(log.Known()), task: k.task})
+			t.put(head, mVal{is: 1, seq: uint8(log.CompleteUpTo()), task: k.task})
 			send(fmt.Sprint("fold accepted ", j), t)
 		}
 		if k.open && !k.asked && k.based {
 			var t mTxn
 			unended(&t)
-			t.put(head, mVal{is: 1, seq: uint8(log.Known()), task: k.task, asked: true})
+			t.put(head, mVal{is: 1, seq: uint8(log.CompleteUpTo()), task: k.task, asked: true})
 			send(fmt.Sprint("cancel ", j), t)
 		}
-		if !mine || !log.Whole() {
+		if !mine || !log.Complete() {
 			continue
 		}
 		if k.over && k.based {
@@ -314,7 +314,7 @@
 				t.cond(s, next)
 			}
 			unended(&t)
-			t.put(head, mVal{is: 1, seq: uint8(log.Last()), task: task, asked: k.asked})
+			t.put(head, mVal{is: 1, seq: uint8(log.LastSeq()), task: task, asked: k.asked})
 			send(fmt.Sprint("record: task ", task, " of ", j), t)
 		}
 		if k.task > 0 || k.asked {
--- a/internal/coordination/packed/packed.go
+++ b/internal/coordination/packed/packed.go
@@ -21,17 +21,17 @@
 // writer has room for before it must fold jobs into records of their own.
 const Slots = 64
 
-// ErrNewer says that an entry was written by a later release.
-var ErrNewer = errors.New("written by a later release")
+// ErrNewerVersion says that an entry was written by a later release.
+var ErrNewerVersion = errors.New("written by a later release")
 
-// Parse reads an entry.
-func Parse(data []byte) (*protocol.Entry, error) {
+// ParseEntry reads an entry.
+func ParseEntry(data []byte) (*protocol.Entry, error) {
 	e := &protocol.Entry{}
 	if err := json.Unmarshal(data, e); err != nil {
 		return nil, err
 	}
 	if e.Version > protocol.EntryVersion {
-		return nil, fmt.Errorf("entry of version %d: %w", e.Version, ErrNewer)
+		return nil, fmt.Errorf("entry of version %d: %w", e.Version, ErrNewerVersion)
 	}
 	if err := e.Check(); err != nil {
 		return nil, err
@@ -39,16 +39,16 @@
 	return e, nil
 }
 
-// LogSlot reads a key of a share's log.
-func LogSlot(key string) (share, slot int, ok bool) {
+// ParseLogKey reads a key of a share's log.
+func ParseLogKey(key string) (share, slot int, ok bool) {
 	s, n, _ := strings.Cut(strings.TrimPrefix(key, protocol.LogRoot), "/")
 	share, err := strconv.Atoi(s)
 	slot, err2 := strconv.Atoi(n)
 	return share, slot, err == nil && err2 == nil && share >= 0 && slot >= 0
 }
 
-// InboxSlot reads a key of an inbox.
-func InboxSlot(key string) (node string, slot int, ok bool) {
+// ParseInboxKey reads a key of an inbox.
+func ParseInboxKey(key string) (node string, slot int, ok bool) {
 	rest := strings.TrimPrefix(key, protocol.InboxRoot)
 	i := strings.LastIndexByte(rest, '/')
 	if i < 0 {
@@ -60,10 +60,10 @@
 
 // Ring is what a reader knows of a log or an inbox.
 type Ring struct {
-	slots []*protocol.Entry
-	last  uint64
-	jobs  map[string]int    // in how many entries a job is mentioned
-	ends  map[string]uint64 // the entry that says that a job has ended
+	slots   []*protocol.Entry
+	lastSeq uint64
+	jobs    map[string]int    // in how many entries a job is mentioned
+	ends    map[string]uint64 // the entry that says that a job has ended
 }
 
 // NewRing makes an empty ring of so many slots.
@@ -77,7 +77,7 @@
 		return
 	}
 	for i := range e.Parts {
-		f(e.Parts[i].Job, e.Parts[i].End != "")
+		f(e.Parts[i].Job, e.Parts[i].FinalStatus != "")
 	}
 	for i := range e.Jobs {
 		f(e.Jobs[i].Spec.ID, false)
@@ -110,43 +110,45 @@
 		}
 	})
 	if e != nil {
-		r.last = max(r.last, e.Seq)
+		r.lastSeq = max(r.lastSeq, e.Seq)
 	}
 	return before, nil
 }
 
-// Has says whether an entry is in a slot.
-func (r *Ring) Has(slot int) bool { return slot >= 0 && slot < len(r.slots) && r.slots[slot] != nil }
+// HasEntry says whether an entry is in a slot.
+func (r *Ring) HasEntry(slot int) bool {
+	return slot >= 0 && slot < len(r.slots) && r.slots[slot] != nil
+}
 
-// Last is the number of the latest entry that is known.
-func (r *Ring) Last() uint64 { return r.last }
+// LastSeq is the number of the latest entry that is known.
+func (r *Ring) LastSeq() uint64 { return r.lastSeq }
 
 // Next is the next entry's slot and number.
 func (r *Ring) Next() (slot int, seq uint64) {
-	return int((r.last + 1) % uint64(len(r.slots))), r.last + 1
+	return int((r.lastSeq + 1) % uint64(len(r.slots))), r.lastSeq + 1
 }
 
-// Known is the number up to which all entries are known. While a reader reads the slots one
+// CompleteUpTo is the number up to which all entries are known. While a reader reads the slots one
 // page after the other, it may know a later one and not an earlier one.
-func (r *Ring) Known() uint64 {
+func (r *Ring) CompleteUpTo() uint64 {
 	n := uint64(len(r.slots))
 	first := uint64(1)
-	if r.last > n {
-		first = r.last - n + 1
+	if r.lastSeq > n {
+		first = r.lastSeq - n + 1
 	}
-	for seq := first; seq <= r.last; seq++ {
+	for seq := first; seq <= r.lastSeq; seq++ {
 		if e := r.slots[seq%n]; e == nil || e.Seq < seq {
 			return seq - 1
 		}
 	}
-	return r.last
+	return r.lastSeq
 }
 
-// Whole says whether nothing is missing between the entries that are known.
-func (r *Ring) Whole() bool { return r.Known() == r.last }
+// Complete says whether nothing is missing between the entries that are known.
+func (r *Ring) Complete() bool { return r.CompleteUpTo() == r.lastSeq }
 
-// Old is the entry that the next one takes the place of; nil: none.
-func (r *Ring) Old() *protocol.Entry {
+// Overwritten is the entry that the next one takes the place of; nil: none.
+func (r *Ring) Overwritten() *protocol.Entry {
 	slot, _ := r.Next()
 	return r.slots[slot]
 }
@@ -154,27 +156,27 @@
 // Mentions says whether a job is in any entry.
 func (r *Ring) Mentions(job string) bool { return r.jobs[job] > 0 }
 
-// Ended says what a job has become, if an entry tells, and which.
-func (r *Ring) Ended(job string) (p *protocol.Part, seq uint64, ok bool) {
+// FindEnd says what a job has become, if an entry tells, and which.
+func (r *Ring) FindEnd(job string) (p *protocol.Part, seq uint64, ok bool) {
 	seq, ok = r.ends[job]
 	if !ok {
 		return nil, 0, false
 	}
 	e := r.slots[seq%uint64(len(r.slots))]
 	for i := range e.Parts {
-		if p := &e.Parts[i]; p.Job == job && p.End != "" {
+		if p := &e.Parts[i]; p.Job == job && p.FinalStatus != "" {
 			return p, seq, true
 		}
 	}
 	return nil, 0, false
 }
 
-// Each calls f for all that entries say of a job, by their numbers.
-func (r *Ring) Each(job string, f func(e *protocol.Entry, p *protocol.Part)) {
+// EachPart calls f for all that entries say of a job, by their numbers.
+func (r *Ring) EachPart(job string, f func(e *protocol.Entry, p *protocol.Part)) {
 	if r.jobs[job] == 0 {
 		return
 	}
-	r.Entries(func(e *protocol.Entry) {
+	r.EachEntry(func(e *protocol.Entry) {
 		for i := range e.Parts {
 			if e.Parts[i].Job == job {
 				f(e, &e.Parts[i])
@@ -183,14 +185,14 @@
 	})
 }
 
-// Entries calls f for the entries by their numbers.
-func (r *Ring) Entries(f func(e *protocol.Entry)) {
+// EachEntry calls f for the entries by their numbers.
+func (r *Ring) EachEntry(f func(e *protocol.Entry)) {
 	n := uint64(len(r.slots))
 	first := uint64(1)
-	if r.last > n {
-		first = r.last - n + 1
+	if r.lastSeq > n {
+		first = r.lastSeq - n + 1
 	}
-	for seq := first; seq <= r.last; seq++ {
+	for seq := first; seq <= r.lastSeq; seq++ {
 		if e := r.slots[seq%n]; e != nil && e.Seq == seq {
 			f(e)
 		}
@@ -200,12 +202,12 @@
 // Empty says whether no entry tells anything.
 func (r *Ring) Empty() bool { return len(r.jobs) == 0 }
 
-// Jobs is how many jobs are mentioned.
-func (r *Ring) Jobs() int { return len(r.jobs) }
+// JobCount is how many jobs are mentioned.
+func (r *Ring) JobCount() int { return len(r.jobs) }
 
-// Carried is a job that an entry says something of which is said again, and how many bytes
+// CarriedJob is a job that an entry says something of which is said again, and how many bytes
 // that takes.
-type Carried struct {
+type CarriedJob struct {
 	Job  string
 	Size int
 }
@@ -214,8 +216,8 @@
 // still needed: of open jobs what nothing later tells (said), and that jobs have ended of
 // which their own record or an inbox still tells (told). fits is false if there is no room
 // for all of it.
-func (r *Ring) Carry(w *Writer, told func(job string) bool, said func(job string, seq uint64) Draft) (out []Carried, fits bool) {
-	old := r.Old()
+func (r *Ring) Carry(w *Writer, told func(job string) bool, said func(job string, seq uint64) Draft) (out []CarriedJob, fits bool) {
+	old := r.Overwritten()
 	if old == nil {
 		return nil, true
 	}
@@ -227,16 +229,16 @@
 			continue
 		}
 		seen[id] = true
-		if p, seq, over := r.Ended(id); over {
+		if p, seq, over := r.FindEnd(id); over {
 			if seq == old.Seq && told(id) {
-				fits = w.Add(Draft{Part: *p}) && fits
+				fits = w.AddPart(Draft{Part: *p}) && fits
 			}
 			continue
 		}
 		if d := said(id, old.Seq); !d.Empty() {
 			before := w.Size()
-			fits = w.Add(d) && fits
-			out = append(out, Carried{id, w.Size() - before})
+			fits = w.AddPart(d) && fits
+			out = append(out, CarriedJob{id, w.Size() - before})
 		}
 	}
 	return out, fits
@@ -244,15 +246,15 @@
 
 // CarryAccepted says again in the next entry of an inbox which jobs of the one that it takes
 // the place of are open and have no record of their own.
-func (r *Ring) CarryAccepted(w *Writer, open func(a protocol.Accepted) bool) (out []string, fits bool) {
-	old := r.Old()
+func (r *Ring) CarryAccepted(w *Writer, open func(a protocol.AcceptedJob) bool) (out []string, fits bool) {
+	old := r.Overwritten()
 	if old == nil {
 		return nil, true
 	}
 	fits = true
 	for _, a := range old.Jobs {
 		if open(a) {
-			fits = w.Accept(a) && fits
+			fits = w.AddSubmission(a) && fits
 			out = append(out, a.Spec.ID)
 		}
 	}
@@ -276,8 +278,8 @@
 	d.placed = append(d.placed, place{task, attempt, machine})
 }
 
-// Leave says that a task waits again.
-func (d *Draft) Leave(task int) { d.Gone = grow(d.Gone, task) }
+// Unplace says that a task waits again.
+func (d *Draft) Unplace(task int) { d.Unplaced = grow(d.Unplaced, task) }
 
 // Finish says that a task is done.
 func (d *Draft) Finish(task int) { d.Done = grow(d.Done, task) }
@@ -292,7 +294,7 @@
 
 // Empty says whether a draft tells of no task, and of no end.
 func (d *Draft) Empty() bool {
-	return len(d.placed)+len(d.Gone)+len(d.Done) == 0 && d.End == ""
+	return len(d.placed)+len(d.Unplaced)+len(d.Done) == 0 && d.FinalStatus == ""
 }
 
 // Writer builds an entry of at most so many bytes.
@@ -312,8 +314,8 @@
 // Size is about how many bytes the entry has by now.
 func (w *Writer) Size() int { return w.size }
 
-// Add takes a draft in, if there is room for it.
-func (w *Writer) Add(d Draft) bool {
+// AddPart takes a draft in, if there is room for it.
+func (w *Writer) AddPart(d Draft) bool {
 	p := d.Part
 	var fresh []string
 	number := func(machine string) uint64 {
@@ -335,7 +337,7 @@
 			p.Placed[l-1][1]++
 			continue
 		}
-		p.Placed = append(p.Placed, protocol.Run{uint64(x.task), uint64(x.task), x.attempt, m})
+		p.Placed = append(p.Placed, protocol.PlacedRange{uint64(x.task), uint64(x.task), x.attempt, m})
 	}
 	more := size(p)
 	for _, m := range fresh {
@@ -353,8 +355,8 @@
 	return true
 }
 
-// Accept takes a submission in, if there is room for it.
-func (w *Writer) Accept(a protocol.Accepted) bool {
+// AddSubmission takes a submission in, if there is room for it.
+func (w *Writer) AddSubmission(a protocol.AcceptedJob) bool {
 	more := size(a)
 	if w.size+more > w.most {
 		return false
@@ -375,5 +377,5 @@
 // Entry is what was built.
 func (w *Writer) Entry() *protocol.Entry { return &w.entry }
 
-// Parts is how many parts and submissions it has.
-func (w *Writer) Parts() int { return len(w.entry.Parts) + len(w.entry.Jobs) }
+// ItemCount is how many parts and submissions it has.
+func (w *Writer) ItemCount() int { return len(w.entry.Parts) + len(w.entry.Jobs) }
--- a/internal/coordination/packed/packed_test.go
+++ b/internal/coordination/packed/packed_test.go
@@ -22,12 +22,12 @@
 		}
 		told := map[string]map[int]fact{} // by job and task; no machine: gone (0) or done (1)
 		for i := range rapid.IntRange(0, 12).Draw(t, "jobs") {
-			d := Draft{Part: protocol.Part{Job: fmt.Sprint("job-", i), Next: uint64(i)}}
+			d := Draft{Part: protocol.Part{Job: fmt.Sprint("job-", i), NextAttempt: uint64(i)}}
 			is := map[int]fact{}
 			for task := range rapid.IntRange(0, 40).Draw(t, "tasks") {
 				switch rapid.IntRange(0, 5).Draw(t, "is") {
 				case 0:
-					d.Leave(task)
+					d.Unplace(task)
 					is[task] = fact{}
 				case 1:
 					d.Finish(task)
@@ -38,15 +38,15 @@
 					is[task] = f
 				}
 			}
-			if w.Add(d) {
+			if w.AddPart(d) {
 				told[d.Job] = is
 			}
 		}
 		data, _ := json.Marshal(w.Entry())
-		if len(data) > most && w.Parts() > 0 {
+		if len(data) > most && w.ItemCount() > 0 {
 			t.Fatalf("%d bytes of %d", len(data), most)
 		}
-		e, err := Parse(data)
+		e, err := ParseEntry(data)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -64,7 +64,7 @@
 					got[int(i)] = fact{r[2], e.Machines[r[3]]}
 				}
 			}
-			for _, g := range p.Gone {
+			for _, g := range p.Unplaced {
 				for i := g[0]; i <= g[1]; i++ {
 					got[i] = fact{}
 				}
@@ -84,7 +84,7 @@
 // Entries that are not understood are not skipped.
 func TestWhatIsNotUnderstood(t *testing.T) {
 	for _, c := range []string{`{"v":2,"s":1}`, `{"v":1,"s":1,"p":[{"j":"job-1","p":[[0,0,1,0]]}]}`, `{"v":1,"s":1,"m":["h"],"p":[{"j":"job-1","p":[[3,1,1,0]]}]}`, `{"v":1,"s":1,"a":[{"t":4}]}`, `[`, `{"v":1,"s":-1}`} {
-		if _, err := Parse([]byte(c)); err == nil {
+		if _, err := ParseEntry([]byte(c)); err == nil {
 			t.Errorf("%s is taken", c)
 		}
 	}
@@ -100,15 +100,15 @@
 // An entry that is read once more, as after a value that could not be read, tells what it told.
 func TestSameEntryReadAgain(t *testing.T) {
 	r := NewRing(4)
-	e := &protocol.Entry{Seq: 1, Parts: []protocol.Part{{Job: "job-1", End: "done"}}}
+	e := &protocol.Entry{Seq: 1, Parts: []protocol.Part{{Job: "job-1", FinalStatus: "done"}}}
 	for range 3 {
 		r.Put(1, e)
-		if _, seq, over := r.Ended("job-1"); !over || seq != 1 || !r.Mentions("job-1") {
+		if _, seq, over := r.FindEnd("job-1"); !over || seq != 1 || !r.Mentions("job-1") {
 			t.Fatalf("ended %v in %d, mentioned %v", over, seq, r.Mentions("job-1"))
 		}
 	}
 	r.Put(1, &protocol.Entry{Seq: 5})
-	if _, _, over := r.Ended("job-1"); over || r.Mentions("job-1") {
+	if _, _, over := r.FindEnd("job-1"); over || r.Mentions("job-1") {
 		t.Error("what took its place tells of the job")
 	}
 }
@@ -120,7 +120,7 @@
 		last := rapid.IntRange(0, 11).Draw(t, "last")
 		entries := map[uint64]*protocol.Entry{}
 		for seq := max(1, last-slots+1); seq <= last; seq++ {
-			entries[uint64(seq)] = &protocol.Entry{Seq: uint64(seq), Parts: []protocol.Part{{Job: fmt.Sprint("job-", seq%3), End: map[bool]string{true: "done"}[seq%5 == 0]}}}
+			entries[uint64(seq)] = &protocol.Entry{Seq: uint64(seq), Parts: []protocol.Part{{Job: fmt.Sprint("job-", seq%3), FinalStatus: map[bool]string{true: "done"}[seq%5 == 0]}}}
 		}
 		r := NewRing(slots)
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
@@ -134,14 +134,14 @@
 			r.Put(int(seq%slots), entries[seq])
 			in[seq] = true
 			known := uint64(0)
-			if r.last > slots {
-				known = r.last - slots
+			if r.lastSeq > slots {
+				known = r.lastSeq - slots
 			}
 			for in[known+1] {
 				known++
 			}
-			if r.Known() != known || r.Whole() != (known == r.last) {
-				t.Fatalf("with %v of %d: known %d, whole %v, want %d", in, last, r.Known(), r.Whole(), known)
+			if r.CompleteUpTo() != known || r.Complete() != (known == r.lastSeq) {
+				t.Fatalf("with %v of %d: known %d, whole %v, want %d", in, last, r.CompleteUpTo(), r.Complete(), known)
 			}
 		}
 		for j := range 3 {
@@ -150,14 +150,14 @@
 			for seq, e := range entries {
 				if e.Parts[0].Job == job {
 					n++
-					if e.Parts[0].End != "" {
+					if e.Parts[0].FinalStatus != "" {
 						ended = max(ended, seq)
 					}
 				}
 			}
 			got := 0
-			r.Each(job, func(*protocol.Entry, *protocol.Part) { got++ })
-			if _, seq, ok := r.Ended(job); got != n || r.Mentions(job) != (n > 0) || ok != (ended > 0) || seq != ended {
+			r.EachPart(job, func(*protocol.Entry, *protocol.Part) { got++ })
+			if _, seq, ok := r.FindEnd(job); got != n || r.Mentions(job) != (n > 0) || ok != (ended > 0) || seq != ended {
 				t.Fatalf("%s: %d mentions, ended by %d; want %d, %d", job, got, seq, n, ended)
 			}
 		}
--- a/internal/coordination/packed/read.go
+++ b/internal/coordination/packed/read.go
@@ -15,25 +15,25 @@
 
 // State is all that is stored of open jobs, read without a node: for people and checks.
 type State struct {
-	Jobs     map[string]*Job
-	Ended    map[string]string // jobs that a log says have ended
-	Logs     map[int]*Ring
-	Inboxes  map[string]*Ring
-	Machines map[string]bool // with a record
-	Kinds    map[string]Kind // of values: how many, and bytes
-	Problems []Problem
+	Jobs         map[string]*Job
+	Ended        map[string]string // jobs that a log says have ended
+	Logs         map[int]*Ring
+	Inboxes      map[string]*Ring
+	Machines     map[string]bool        // with a record
+	ValuesByKind map[string]ValueTotals // of values: how many, and bytes
+	Problems     []Problem
 }
 
-// Kind is how much of something is stored.
-type Kind struct {
+// ValueTotals is how much of something is stored.
+type ValueTotals struct {
 	Values int `json:"values"`
 	Bytes  int `json:"bytes"`
 }
 
 // Problem is something in the stored state that is not as it should be.
 type Problem struct {
-	Key string `json:"key"`
-	Why string `json:"why"`
+	Key    string `json:"key"`
+	Reason string `json:"why"`
 }
 
 // Job is an open job as it is stored.
@@ -42,9 +42,9 @@
 	Spec        *protocol.JobSpec `json:"submission,omitempty"`
 	SubmittedMS int64             `json:"submitted_ms"`
 	Cancelled   bool              `json:"cancelled,omitempty"` // or to be
-	Record      bool              `json:"record"`              // it has a record of its own
+	HasRecord   bool              `json:"record"`              // it has a record of its own
 	Inbox       string            `json:"inbox,omitempty"`     // of the node that accepted it, if it is in one
-	Next        uint64            `json:"next_try"`
+	NextAttempt uint64            `json:"next_try"`
 	Done        int               `json:"done"`
 	Placed      int               `json:"placed"`
 	Waiting     int               `json:"waiting"`
@@ -72,10 +72,10 @@
 	chunks map[string]protocol.Chunk // of jobs' records, by key, beyond the heads
 }
 
-// Read puts together what is stored under the root; rings have so many slots.
-func Read(items []storage.Item, slots int) *State {
+// ReadState puts together what is stored under the root; rings have so many slots.
+func ReadState(items []storage.Item, slots int) *State {
 	r := &reader{slots: slots, chunks: map[string]protocol.Chunk{}, State: &State{Jobs: map[string]*Job{}, Ended: map[string]string{},
-		Logs: map[int]*Ring{}, Inboxes: map[string]*Ring{}, Machines: map[string]bool{}, Kinds: map[string]Kind{}}}
+		Logs: map[int]*Ring{}, Inboxes: map[string]*Ring{}, Machines: map[string]bool{}, ValuesByKind: map[string]ValueTotals{}}}
 	for _, it := range items {
 		r.value(it)
 	}
@@ -96,9 +96,9 @@
 
 // value takes in one stored value.
 func (r *reader) value(it storage.Item) {
-	kind, _, _ := strings.Cut(strings.TrimPrefix(it.Key, protocol.Root), "/")
-	k := r.Kinds[kind]
-	r.Kinds[kind] = Kind{k.Values + 1, k.Bytes + len(it.Value)}
+	kind, _, _ := strings.Cut(strings.TrimPrefix(it.Key, protocol.WatchedRoot), "/")
+	k := r.ValuesByKind[kind]
+	r.ValuesByKind[kind] = ValueTotals{k.Values + 1, k.Bytes + len(it.Value)}
 	switch kind {
 	case "jobs":
 		if err := r.jobValue(it); err != nil {
@@ -107,10 +107,10 @@
 	case "machines":
 		r.machines(it)
 	case "log":
-		share, slot, ok := LogSlot(it.Key)
+		share, slot, ok := ParseLogKey(it.Key)
 		r.entry(it, ringOf(r.Logs, share, r.slots), slot, ok)
 	case "in":
-		node, slot, ok := InboxSlot(it.Key)
+		node, slot, ok := ParseInboxKey(it.Key)
 		r.entry(it, ringOf(r.Inboxes, node, r.slots), slot, ok)
 	}
 }
@@ -137,8 +137,8 @@
 		return errors.New("neither a submission nor a ticket")
 	}
 	j := r.job(id)
-	j.Record, j.SubmittedMS, j.Ticket = true, head.SubmittedMS, head.Ticket != nil
-	j.Cancelled, j.next = head.Cancelled || head.Asked, head.Next
+	j.HasRecord, j.SubmittedMS, j.Ticket = true, head.SubmittedMS, head.Ticket != nil
+	j.Cancelled, j.next = head.Cancelled || head.CancelRequested, head.NextAttempt
 	if head.Spec != nil {
 		j.take(head.Spec)
 		j.base(0, &head.Chunk, func(why string) { r.bad(it.Key, "%s", why) })
@@ -180,7 +180,7 @@
 		r.bad(it.Key, "not a slot")
 		return
 	}
-	e, err := Parse(it.Value)
+	e, err := ParseEntry(it.Value)
 	if err == nil {
 		_, err = ring.Put(slot, e)
 	}
@@ -192,13 +192,13 @@
 // endings finds the jobs that logs say have ended, and entries that are missing.
 func (r *reader) endings() {
 	for share, log := range r.Logs {
-		if !log.Whole() {
-			r.bad(protocol.LogRoot+strconv.Itoa(share), "entry %d is missing, and entry %d is there", log.Known()+1, log.Last())
+		if !log.Complete() {
+			r.bad(protocol.LogRoot+strconv.Itoa(share), "entry %d is missing, and entry %d is there", log.CompleteUpTo()+1, log.LastSeq())
 		}
-		log.Entries(func(e *protocol.Entry) {
+		log.EachEntry(func(e *protocol.Entry) {
 			for i := range e.Parts {
-				if p := &e.Parts[i]; p.End != "" {
-					r.Ended[p.Job] = p.End
+				if p := &e.Parts[i]; p.FinalStatus != "" {
+					r.Ended[p.Job] = p.FinalStatus
 				}
 			}
 		})
@@ -208,14 +208,14 @@
 // accepted takes in the submissions of inboxes, unless a record of its own is later.
 func (r *reader) accepted() {
 	for node, inbox := range r.Inboxes {
-		inbox.Entries(func(e *protocol.Entry) {
+		inbox.EachEntry(func(e *protocol.Entry) {
 			for _, a := range e.Jobs {
 				if r.Ended[a.Spec.ID] != "" {
 					continue
 				}
 				j := r.job(a.Spec.ID)
 				j.Inbox = node
-				if !j.Record {
+				if !j.HasRecord {
 					j.take(a.Spec)
 					j.SubmittedMS, j.next = a.SubmittedMS, max(1, j.next)
 				}
@@ -236,7 +236,7 @@
 // overlays puts what the logs say over the jobs' records.
 func (r *reader) overlays() {
 	for share, log := range r.Logs {
-		log.Entries(func(e *protocol.Entry) {
+		log.EachEntry(func(e *protocol.Entry) {
 			for i := range e.Parts {
 				p := &e.Parts[i]
 				if j := r.Jobs[p.Job]; j != nil && j.Spec != nil {
@@ -267,9 +267,9 @@
 
 // base takes in a chunk of a job's own record.
 func (j *Job) base(k int, c *protocol.Chunk, bad func(why string)) {
-	lo, hi := k*protocol.ChunkTasks, min(len(j.all), (k+1)*protocol.ChunkTasks)
+	lo, hi := k*protocol.TasksPerChunk, min(len(j.all), (k+1)*protocol.TasksPerChunk)
 	for i := lo; i < hi; i++ {
-		j.all[i].as = c.Log
+		j.all[i].as = c.LogSeq
 	}
 	for _, d := range c.Done {
 		if d[0] < lo || d[1] >= hi || d[0] > d[1] {
@@ -294,7 +294,7 @@
 
 // overlay takes in what an entry says.
 func (j *Job) overlay(e *protocol.Entry, p *protocol.Part, bad func(why string)) {
-	j.next = max(j.next, p.Next)
+	j.next = max(j.next, p.NextAttempt)
 	set := func(first, last int, to Task) {
 		if first < 0 || last >= len(j.all) || first > last {
 			bad(fmt.Sprintf("tasks %d to %d of %d", first, last, len(j.all)))
@@ -312,7 +312,7 @@
 			bad(fmt.Sprintf("try %d, and the next one is %d", r[2], j.next))
 		}
 	}
-	for _, g := range p.Gone {
+	for _, g := range p.Unplaced {
 		set(g[0], g[1], Task{as: e.Seq, told: true})
 	}
 	for _, d := range p.Done {
@@ -333,7 +333,7 @@
 // finish counts each job's tasks and sorts the problems.
 func (r *reader) finish() {
 	for id, j := range r.Jobs {
-		j.Next = j.next
+		j.NextAttempt = j.next
 		for i, t := range j.all {
 			switch {
 			case t.done:
@@ -348,7 +348,7 @@
 			}
 		}
 	}
-	slices.SortFunc(r.Problems, func(a, b Problem) int { return cmp.Or(cmp.Compare(a.Key, b.Key), cmp.Compare(a.Why, b.Why)) })
+	slices.SortFunc(r.Problems, func(a, b Problem) int { return cmp.Or(cmp.Compare(a.Key, b.Key), cmp.Compare(a.Reason, b.Reason)) })
 }
 
 func (r *reader) checkPlaced(id string, j *Job, t Task) {
--- a/internal/coordination/packed/read_test.go
+++ b/internal/coordination/packed/read_test.go
@@ -23,11 +23,11 @@
 	done := value(protocol.Chunk{Done: [][2]int{{0, 0}}})
 	for _, number := range []string{"-1", "0", "x"} {
 		key := protocol.JobPrefix + "job-1/" + number
-		s := Read([]storage.Item{
-			{Key: protocol.JobKey("job-1"), Value: value(protocol.JobRecord{Spec: spec, Next: 1})},
+		s := ReadState([]storage.Item{
+			{Key: protocol.JobKey("job-1"), Value: value(protocol.JobRecord{Spec: spec, NextAttempt: 1})},
 			{Key: key, Value: done},
 		}, Slots)
-		if len(s.Problems) != 1 || s.Problems[0].Key != key || !strings.Contains(s.Problems[0].Why, "not understood") {
+		if len(s.Problems) != 1 || s.Problems[0].Key != key || !strings.Contains(s.Problems[0].Reason, "not understood") {
 			t.Errorf("chunk %q: problems %v, want that it is not understood", number, s.Problems)
 		}
 		if j := s.Jobs["job-1"]; j.Done != 0 || j.Waiting != 2 {
--- a/internal/coordination/standby/standby.go
+++ b/internal/coordination/standby/standby.go
@@ -14,27 +14,27 @@
 
 // Node is what is known of a node that lives by the records.
 type Node struct {
-	Name string
-	Zone string
-	Held int  // shares that it holds
-	Poor bool // it is blind, or has lost the state service, as far as is known here
+	Name     string
+	Zone     string
+	Owned    int  // shares that it holds
+	Impaired bool // it is blind, or has lost the state service, as far as is known here
 }
 
-// Share is a share and who holds it.
-type Share struct {
-	Index  int
-	Holder string // empty: nobody
+// Partition is a share and who holds it.
+type Partition struct {
+	Index int
+	Owner string // empty: nobody
 }
 
-// Pair are the first and the second standby of a share; empty: there is none.
-type Pair struct{ First, Second string }
+// Standbys are the first and the second standby of a share; empty: there is none.
+type Standbys struct{ First, Second string }
 
-// Assign gives each share its standbys: those of other nodes that hold the fewest, then
+// AssignStandbys gives each share its standbys: those of other nodes that hold the fewest, then
 // those that have the fewest to stand by for, then another zone than the holder's, so that
 // a zone's loss leaves one. A standby that was is kept if it is as good: nodes that come
 // and go move few. Every node comes to the same answer from
 // the same records; where sight differs for a moment two try, and the store lets one.
-func Assign(shares []Share, nodes []Node, was map[int]Pair) map[int]Pair {
+func AssignStandbys(shares []Partition, nodes []Node, was map[int]Standbys) map[int]Standbys {
 	byName := map[string]Node{}
 	for _, n := range nodes {
 		byName[n.Name] = n
@@ -48,24 +48,24 @@
 		return (i - at + len(ring)) % len(ring)
 	}
 	duties := map[string]int{}
-	out := map[int]Pair{}
-	pick := func(s Share, not, kept string) string {
+	out := map[int]Standbys{}
+	pick := func(s Partition, not, kept string) string {
 		var best Node
 		found := false
 		worth := func(n Node) int {
 			// Who holds the fewest comes first, whatever else: a share that is given up
 			// since a node holds none must go to that one.
-			w := (2*len(shares)+2)*n.Held + 2*duties[n.Name]
+			w := (2*len(shares)+2)*n.Owned + 2*duties[n.Name]
 			if n.Name == kept {
 				w--
 			}
 			return w
 		}
 		for _, n := range nodes {
-			if n.Name == s.Holder || n.Name == not {
+			if n.Name == s.Owner || n.Name == not {
 				continue
 			}
-			if !found || cmp.Or(worse(n, best, byName[s.Holder].Zone, worth), away(n, s.Holder)-away(best, s.Holder), cmp.Compare(n.Name, best.Name)) < 0 {
+			if !found || cmp.Or(worse(n, best, byName[s.Owner].Zone, worth), away(n, s.Owner)-away(best, s.Owner), cmp.Compare(n.Name, best.Name)) < 0 {
 				best, found = n, true
 			}
 		}
@@ -75,9 +75,9 @@
 		duties[best.Name]++
 		return best.Name
 	}
-	ordered := slices.SortedFunc(slices.Values(shares), func(a, b Share) int { return a.Index - b.Index })
+	ordered := slices.SortedFunc(slices.Values(shares), func(a, b Partition) int { return a.Index - b.Index })
 	for _, s := range ordered {
-		out[s.Index] = Pair{First: pick(s, "", was[s.Index].First)}
+		out[s.Index] = Standbys{First: pick(s, "", was[s.Index].First)}
 	}
 	for _, s := range ordered {
 		p := out[s.Index]
@@ -96,7 +96,7 @@
 		return 0
 	}
 	poor := func(n Node) int {
-		if n.Poor {
+		if n.Impaired {
 			return 1
 		}
 		return 0
@@ -106,35 +106,35 @@
 
 // Delays are how long after a share became vacant its standbys take it.
 const (
-	SecondAfter = 300 * time.Millisecond
-	OthersAfter = 600 * time.Millisecond
+	SecondDelay = 300 * time.Millisecond
+	OthersDelay = 600 * time.Millisecond
 )
 
-// After is how long after a share became vacant a node takes it.
-func (p Pair) After(node string) time.Duration {
+// TakeoverDelay is how long after a share became vacant a node takes it.
+func (p Standbys) TakeoverDelay(node string) time.Duration {
 	switch node {
 	case p.First:
 		return 0
 	case p.Second:
-		return SecondAfter
+		return SecondDelay
 	}
-	return OthersAfter
+	return OthersDelay
 }
 
 // Cause is why a share changed hands.
 type Cause uint8
 
 const (
-	AtStart   Cause = iota // nobody had held it since this node began
-	HandedOn               // its holder gave it up
-	LeaseOver              // its holder's lease ended
-	Ended                  // its holder's process ended, by all evidence
-	causes
+	AtStart      Cause = iota // nobody had held it since this node began
+	HandedOver                // its holder gave it up
+	LeaseExpired              // its holder's lease ended
+	ProcessEnded              // its holder's process ended, by all evidence
+	causeCount
 )
 
-var causeNames = [causes]string{"start", "handed_over", "lease_over", "process_ended"}
+var causeNames = [causeCount]string{"start", "handed_over", "lease_over", "process_ended"}
 
-func (c Cause) String() string { return causeNames[min(c, causes-1)] }
+func (c Cause) String() string { return causeNames[min(c, causeCount-1)] }
 
 // Causes are all causes by name.
 func Causes() []string { return causeNames[:] }
--- a/internal/coordination/start/start_test.go
+++ b/internal/coordination/start/start_test.go
@@ -10,12 +10,12 @@
 
 var begin = time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 
-var times = Times{Report: 6 * time.Second, Grace: time.Second}
+var times = Timing{ReportInterval: 6 * time.Second, GracePeriod: time.Second}
 
-func machines(n int) []Facts {
-	var out []Facts
+func machines(n int) []MachineFacts {
+	var out []MachineFacts
 	for i := range n {
-		out = append(out, Facts{Name: fmt.Sprintf("m%03d", i), Rank: Rank(i % 4), Callable: true})
+		out = append(out, MachineFacts{Name: fmt.Sprintf("m%03d", i), Rank: Rank(i % 4), HasAddress: true})
 	}
 	return out
 }
@@ -24,62 +24,62 @@
 // empty machines last; it serves when nearly all have spoken.
 func TestOrderAndPhases(t *testing.T) {
 	f := machines(12)
-	f[6].LeaseEnds = begin.Add(20 * time.Second) // this node answered it lately: its lease is not in danger
-	s := Begin(times, begin, f)
-	if got := s.Next(begin.Add(500*time.Millisecond), 5); len(got) > 0 || s.Phase() != Taken {
+	f[6].LeaseExpiry = begin.Add(20 * time.Second) // this node answered it lately: its lease is not in danger
+	s := BeginReconciliation(times, begin, f)
+	if got := s.NextPolls(begin.Add(500*time.Millisecond), 5); len(got) > 0 || s.Phase() != Acquired {
 		t.Fatalf("asked %v in the grace, phase %v", got, s.Phase())
 	}
 	now := begin.Add(time.Second)
-	got := s.Next(now, 20)
+	got := s.NextPolls(now, 20)
 	if want := "[m000 m004 m008 m001 m005 m009 m002 m010 m006 m003 m007 m011]"; fmt.Sprint(got) != want {
 		t.Fatalf("asked %v, want %v", got, want)
 	}
 	for i, name := range got {
-		s.Heard(name)
-		p, tenth, _ := s.Step(now)
-		if want := map[bool]Phase{true: Serving, false: Squaring}[i+1 >= 11]; p != want || tenth != 10*(i+1)/12 {
+		s.NoteFencedReport(name)
+		p, tenth, _ := s.Advance(now)
+		if want := map[bool]Phase{true: Serving, false: Reconciling}[i+1 >= 11]; p != want || tenth != 10*(i+1)/12 {
 			t.Fatalf("after %d: %v, tenth %d", i+1, p, tenth)
 		}
 	}
-	if !s.MayDisplace() || s.Settled(now) || !s.Settled(now.Add(settling)) {
+	if !s.MayPreempt() || s.Settled(now) || !s.Settled(now.Add(settleTime)) {
 		t.Error("served, and work may not be displaced, or settled too soon")
 	}
-	var none *Square
-	if none.Phase() != Vacant || none.Unheard("m") || none.MayDisplace() || none.Settled(now) {
+	var none *Reconciliation
+	if none.Phase() != NotOwned || none.AwaitingReport("m") || none.MayPreempt() || none.Settled(now) {
 		t.Error("a share that is not held has a state")
 	}
 }
 
 // A share of which some never speak serves all the same, when those that live had time.
 func TestServesWithoutTheDead(t *testing.T) {
-	s := Begin(times, begin, machines(10))
+	s := BeginReconciliation(times, begin, machines(10))
 	for i := range 5 {
-		s.Heard(fmt.Sprintf("m%03d", i))
+		s.NoteFencedReport(fmt.Sprintf("m%03d", i))
 	}
-	if p, _, _ := s.Step(begin.Add(9 * time.Second)); p != Squaring {
+	if p, _, _ := s.Advance(begin.Add(9 * time.Second)); p != Reconciling {
 		t.Errorf("%v with half of the machines after 9 s", p)
 	}
-	if p, _, _ := s.Step(begin.Add(10 * time.Second)); p != Serving {
+	if p, _, _ := s.Advance(begin.Add(10 * time.Second)); p != Serving {
 		t.Errorf("%v after one and a half report intervals and the grace", p)
 	}
-	if !s.Unheard("m007") || s.Unheard("m003") {
+	if !s.AwaitingReport("m007") || s.AwaitingReport("m003") {
 		t.Error("serving makes nobody heard")
 	}
 }
 
 // What a machine said before its token was raised does not count any more.
 func TestAddedMachineIsUnheard(t *testing.T) {
-	s := Begin(times, begin, machines(1))
-	s.Heard("m000")
+	s := BeginReconciliation(times, begin, machines(1))
+	s.NoteFencedReport("m000")
 	s.Add(machines(1)[0], begin.Add(3*time.Second))
-	if !s.Unheard("m000") {
+	if !s.AwaitingReport("m000") {
 		t.Error("heard under an old token")
 	}
-	if got := s.Next(begin.Add(3*time.Second), 1); len(got) != 1 {
+	if got := s.NextPolls(begin.Add(3*time.Second), 1); len(got) != 1 {
 		t.Error("a machine that was moved here is not asked at once")
 	}
-	s.Drop("m000")
-	if all, heard, _ := s.Counts(); all != 0 || heard != 0 || s.Unheard("m000") {
+	s.Remove("m000")
+	if all, heard, _ := s.Counts(); all != 0 || heard != 0 || s.AwaitingReport("m000") {
 		t.Errorf("%d machines, %d heard after the drop", all, heard)
 	}
 }
@@ -89,7 +89,7 @@
 func TestSquareInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 12).Draw(t, "machines")
-		s := Begin(times, begin, machines(n))
+		s := BeginReconciliation(times, begin, machines(n))
 		now := begin
 		name := func() string { return fmt.Sprintf("m%03d", rapid.IntRange(0, 13).Draw(t, "which")) }
 		calling := map[string]bool{}
@@ -99,43 +99,43 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond)
 			switch m := name(); rapid.IntRange(0, 6).Draw(t, "what") {
 			case 0:
-				s.Heard(m)
+				s.NoteFencedReport(m)
 			case 1:
-				s.Seen(m, now)
+				s.NoteUnfencedReport(m, now)
 			case 2:
-				s.Drop(m)
+				s.Remove(m)
 				delete(calling, m)
 				delete(free, m)
 			case 3:
 				if !calling[m] {
-					s.Add(Facts{Name: m, Callable: true}, now)
+					s.Add(MachineFacts{Name: m, HasAddress: true}, now)
 					delete(free, m)
 				}
 			case 4:
 				if calling[m] {
 					ok := rapid.Bool().Draw(t, "answered")
-					s.Answered(m, ok, now)
+					s.CallEnded(m, ok, now)
 					delete(calling, m)
-					free[m] = now.Add(firstPause)
+					free[m] = now.Add(minRetryPause)
 				}
 			default:
 				most := rapid.IntRange(0, 4).Draw(t, "most")
-				got := s.Next(now, most)
+				got := s.NextPolls(now, most)
 				if len(got) > most {
 					t.Fatalf("%d asked of %d", len(got), most)
 				}
 				for _, m := range got {
-					if calling[m] || now.Before(free[m]) || !s.Unheard(m) {
-						t.Fatalf("%s asked (calling %v, not before %v, unheard %v)", m, calling[m], free[m], s.Unheard(m))
+					if calling[m] || now.Before(free[m]) || !s.AwaitingReport(m) {
+						t.Fatalf("%s asked (calling %v, not before %v, unheard %v)", m, calling[m], free[m], s.AwaitingReport(m))
 					}
 					calling[m] = true
 				}
 			}
-			p, tenth, _ := s.Step(now)
+			p, tenth, _ := s.Advance(now)
 			all, heard, _ := s.Counts()
 			unheard := 0
 			for i := range 14 {
-				if s.Unheard(fmt.Sprintf("m%03d", i)) {
+				if s.AwaitingReport(fmt.Sprintf("m%03d", i)) {
 					unheard++
 				}
 			}
@@ -146,7 +146,7 @@
 				t.Fatalf("%v after serving", p)
 			}
 			served = p == Serving
-			if p == Squaring && now.Sub(begin) > s.allowance() {
+			if p == Reconciling && now.Sub(begin) > s.maxReconcileTime() {
 				t.Fatal("squared for ever")
 			}
 		}
@@ -165,16 +165,16 @@
 			now = now.Add(100 * time.Millisecond)
 			lag := time.Duration(rapid.IntRange(0, 300).Draw(t, "lag")) * time.Millisecond
 			before := b.Rate()
-			b.Turn(now, lag)
-			if b.Rate() < leastRate || b.Rate() > mostRate*b.first || lag > inTime && b.Rate() > before || lag < inTime && b.Rate() < before {
+			b.ObserveLag(now, lag)
+			if b.Rate() < minRate || b.Rate() > maxRateFactor*b.initialRate || lag > onTimeThreshold && b.Rate() > before || lag < onTimeThreshold && b.Rate() < before {
 				t.Fatalf("rate from %v to %v with a lag of %v", before, b.Rate(), lag)
 			}
 			allowed += b.Rate() * 0.1
-			k := Order(rapid.IntRange(0, int(Orders)-1).Draw(t, "kind"))
+			k := OrderKind(rapid.IntRange(0, int(OrderKinds)-1).Draw(t, "kind"))
 			want := rapid.IntRange(0, 50).Draw(t, "want")
 			var got int
 			if rapid.Bool().Draw(t, "call") {
-				got = b.Call(k, want)
+				got = b.TakeCalls(k, want)
 				under += got
 			} else {
 				got = b.Take(k, want)
@@ -183,11 +183,11 @@
 				t.Fatalf("%d of %d wanted", got, want)
 			}
 			given += float64(got)
-			if l.Sockets > 0 && under > max(leastUnderWay, l.Sockets/32) {
+			if l.Sockets > 0 && under > max(minCallsInFlight, l.Sockets/32) {
 				t.Fatalf("%d calls under way with %d sockets", under, l.Sockets)
 			}
 			for under > 0 && rapid.Bool().Draw(t, "ends") {
-				b.Ended()
+				b.CallEnded()
 				under--
 			}
 		}
@@ -207,8 +207,8 @@
 	if b.Take(Stop, 1) != 1 {
 		t.Error("returns took what stops need")
 	}
-	if b.Held(Return) != 1000-b.Given(Return)+1 {
-		t.Errorf("%d returns held back of %d", b.Held(Return), 1001)
+	if b.Deferred(Return) != 1000-b.Granted(Return)+1 {
+		t.Errorf("%d returns held back of %d", b.Deferred(Return), 1001)
 	}
 }
 
@@ -220,13 +220,13 @@
 		want  int
 	}{
 		{100, 50 * time.Second, time.Second, 2}, {100, 50 * time.Second, time.Minute, 2}, {100, 50 * time.Second, 0, 0},
-		{3, 50 * time.Second, time.Second, 1}, {9000, 25 * time.Second, time.Second, mostUnseen}, {9000, 25 * time.Second, 500 * time.Millisecond, mostUnseen / 2},
+		{3, 50 * time.Second, time.Second, 1}, {9000, 25 * time.Second, time.Second, maxIdleReturnsPerSecond}, {9000, 25 * time.Second, 500 * time.Millisecond, maxIdleReturnsPerSecond / 2},
 	} {
-		if got := Spread(c.count, c.boot, begin.Add(-c.gone), begin); got != c.want {
+		if got := IdleReturnsAllowed(c.count, c.boot, begin.Add(-c.gone), begin); got != c.want {
 			t.Errorf("%+v: %d", c, got)
 		}
 	}
-	if IdleFor(45*time.Second, true) != 45*time.Second || IdleFor(45*time.Second, false) != 22500*time.Millisecond {
+	if IdleTimeout(45*time.Second, true) != 45*time.Second || IdleTimeout(45*time.Second, false) != 22500*time.Millisecond {
 		t.Error("what a machine is kept for")
 	}
 }
@@ -235,9 +235,9 @@
 func BenchmarkNext(b *testing.B) {
 	for _, n := range []int{400, 1600, 16000} {
 		b.Run(fmt.Sprintf("machines=%d", n), func(b *testing.B) {
-			s := Begin(times, begin, machines(n))
+			s := BeginReconciliation(times, begin, machines(n))
 			for b.Loop() {
-				s.Next(begin, 16)
+				s.NextPolls(begin, 16)
 			}
 		})
 	}
--- a/internal/coordination/statusread/queue.go
+++ b/internal/coordination/statusread/queue.go
@@ -6,22 +6,22 @@
 )
 
 const (
-	// Pause separates barriers, so that many questions share one request. It bounds their
+	// BarrierInterval separates barriers, so that many questions share one request. It bounds their
 	// rate: no more are sent where answers are lost than while many users ask.
-	Pause = 120 * time.Millisecond
-	// Patience is how long a question may stay open. Whoever has no answer by then is told
+	BarrierInterval = 120 * time.Millisecond
+	// ReadTimeout is how long a question may stay open. Whoever has no answer by then is told
 	// to ask again, well before the second that is aimed at: the owner looks at the clock
 	// every 100 ms. A barrier that is older covers no open question and is given up: so
 	// Patience/Pause, rounded up, bounds the barriers under way.
-	Patience = 850 * time.Millisecond
+	ReadTimeout = 850 * time.Millisecond
 
 	// maxRetry bounds the time after which a question without an answer is sent again: three
 	// barriers or more fit the patience however slow answers have been.
 	maxRetry = 280 * time.Millisecond
 	// silentAfter is how many barriers in a row without an answer show that the service does
 	// not answer at all; then only one barrier per silentPause is sent.
-	silentAfter = 8
-	silentPause = 500 * time.Millisecond
+	silentAfter    = 8
+	silentInterval = 500 * time.Millisecond
 	// maxOpen bounds the open questions.
 	maxOpen = 2000
 )
@@ -41,9 +41,9 @@
 
 // Barrier is one compare-only transaction, under way or ended.
 type Barrier[V any] struct {
-	Reads []*Read[V]
-	sent  time.Time
-	ended bool
+	Reads  []*Read[V]
+	sentAt time.Time
+	ended  bool
 }
 
 // Queue holds the open questions and the barriers under way.
@@ -73,13 +73,13 @@
 	q.open = slices.DeleteFunc(q.open, func(other *Read[V]) bool { return other == r })
 }
 
-// Resolve notes that the owner of a question now reads what is stored: it stays open, for
+// MarkResolving notes that the owner of a question now reads what is stored: it stays open, for
 // its patience at the most, and is covered by no further barrier.
-func (q *Queue[V]) Resolve(r *Read[V]) { r.resolving = true }
+func (q *Queue[V]) MarkResolving(r *Read[V]) { r.resolving = true }
 
-// Next starts the barrier that is due at now, if any. It offers open questions to take, the
+// NextBarrier starts the barrier that is due at now, if any. It offers open questions to take, the
 // least recently sent first, until take returns false as there is no room for more.
-func (q *Queue[V]) Next(now time.Time, take func(V) bool) *Barrier[V] {
+func (q *Queue[V]) NextBarrier(now time.Time, take func(V) bool) *Barrier[V] {
 	if now.Sub(q.lastSent) < q.pause() {
 		return nil
 	}
@@ -88,7 +88,7 @@
 		return nil
 	}
 	slices.SortStableFunc(candidates, func(a, b *Read[V]) int { return a.sent.Compare(b.sent) })
-	barrier := &Barrier[V]{sent: now}
+	barrier := &Barrier[V]{sentAt: now}
 	for _, r := range candidates {
 		if !take(r.Value) {
 			break
@@ -109,7 +109,7 @@
 // still to be decided. The owner closes them, resolves them or leaves them open for the next
 // barrier.
 func (q *Queue[V]) Answered(b *Barrier[V], now time.Time) []*Read[V] {
-	q.responseTime.Observe(now.Sub(b.sent))
+	q.responseTime.Observe(now.Sub(b.sentAt))
 	q.lostInARow = 0
 	q.end(b)
 	return b.undecided()
@@ -141,31 +141,33 @@
 // Expired closes and returns the questions whose patience is over, and gives up the barriers
 // that are as old.
 func (q *Queue[V]) Expired(now time.Time) []*Read[V] {
-	for len(q.inFlight) > 0 && now.Sub(q.inFlight[0].sent) >= Patience {
+	for len(q.inFlight) > 0 && now.Sub(q.inFlight[0].sentAt) >= ReadTimeout {
 		q.Lost(q.inFlight[0])
 	}
 	var expired []*Read[V]
-	for len(q.open) > 0 && now.Sub(q.open[0].asked) >= Patience {
+	for len(q.open) > 0 && now.Sub(q.open[0].asked) >= ReadTimeout {
 		expired = append(expired, q.open[0])
 		q.Close(q.open[0])
 	}
 	return expired
 }
 
-// RetryTime is how long after a barrier another one is due if no answer has come.
-func (q *Queue[V]) RetryTime() time.Duration { return q.responseTime.Timeout(Pause, maxRetry) }
+// RetryDelay is how long after a barrier another one is due if no answer has come.
+func (q *Queue[V]) RetryDelay() time.Duration {
+	return q.responseTime.Timeout(BarrierInterval, maxRetry)
+}
 
 // pause is the least time between two barriers now.
 func (q *Queue[V]) pause() time.Duration {
 	if q.lostInARow >= silentAfter {
-		return silentPause
+		return silentInterval
 	}
-	return Pause
+	return BarrierInterval
 }
 
 // due says whether a question needs another barrier.
 func (q *Queue[V]) due(r *Read[V], now time.Time) bool {
-	return r.inFlight == 0 || now.Sub(r.sent) >= q.RetryTime()
+	return r.inFlight == 0 || now.Sub(r.sent) >= q.RetryDelay()
 }
 
 // unresolved are the open questions that barriers can answer.
--- a/internal/coordination/statusread/queue_test.go
+++ b/internal/coordination/statusread/queue_test.go
@@ -13,7 +13,7 @@
 	step  = 10 * time.Millisecond // of the simulated clock
 	never = time.Duration(math.MaxInt64)
 
-	maxInFlight = int(Patience/Pause) + 1
+	maxInFlight = int(ReadTimeout/BarrierInterval) + 1
 )
 
 // response is what the service does with one barrier.
@@ -87,7 +87,7 @@
 
 // decide answers a question, which must not be newer than the barrier.
 func (c *client) decide(r *Read[int], b *Barrier[int]) {
-	if b.sent.Before(c.asked[r.Value]) {
+	if b.sentAt.Before(c.asked[r.Value]) {
 		c.faults = append(c.faults, fmt.Sprintf("question %d answered by a barrier from before it", r.Value))
 	}
 	if _, twice := c.decided[r.Value]; twice || r.Closed() {
@@ -101,7 +101,7 @@
 func (c *client) send() {
 	room := c.room
 	var covered []int
-	b := c.queue.Next(c.now, func(question int) bool {
+	b := c.queue.NextBarrier(c.now, func(question int) bool {
 		if room--; room < 0 {
 			return false
 		}
@@ -112,7 +112,7 @@
 		return
 	}
 	c.covered = append(c.covered, covered)
-	if last := len(c.barriers); last > 0 && c.now.Sub(c.barriers[last-1]) < Pause {
+	if last := len(c.barriers); last > 0 && c.now.Sub(c.barriers[last-1]) < BarrierInterval {
 		c.faults = append(c.faults, fmt.Sprintf("barrier %d follows the one before too soon", last))
 	}
 	if len(c.queue.inFlight) > maxInFlight {
@@ -147,10 +147,10 @@
 		fewest, most int // barriers for them
 	}{
 		{name: "prompt answers", service: answers(step), warmUp: 5, together: 50, decided: 50, longest: step, fewest: 1, most: 1},
-		{name: "no room for all", service: answers(step), warmUp: 5, together: 50, room: 20, decided: 50, longest: 2*Pause + step, fewest: 3, most: 3},
+		{name: "no room for all", service: answers(step), warmUp: 5, together: 50, room: 20, decided: 50, longest: 2*BarrierInterval + step, fewest: 3, most: 3},
 		{name: "the first answer is lost", service: answers(never, step), together: 3, decided: 3, longest: maxRetry + step, fewest: 2, most: 2},
-		{name: "lost where answers are known to be prompt", service: answers(step, step, step, step, step, never, step), warmUp: 5, together: 3, decided: 3, longest: Pause + step, fewest: 2, most: 2},
-		{name: "three answers are lost", service: answers(never, never, never, step), together: 3, decided: 3, longest: Patience, fewest: 4, most: 4},
+		{name: "lost where answers are known to be prompt", service: answers(step, step, step, step, step, never, step), warmUp: 5, together: 3, decided: 3, longest: BarrierInterval + step, fewest: 2, most: 2},
+		{name: "three answers are lost", service: answers(never, never, never, step), together: 3, decided: 3, longest: ReadTimeout, fewest: 4, most: 4},
 		{name: "slow answers are waited for", service: answers(240 * time.Millisecond), warmUp: 20, together: 3, decided: 3, longest: 240 * time.Millisecond, fewest: 1, most: 1},
 		{name: "the first of several answers decides", service: answers(600*time.Millisecond, never), together: 3, decided: 3, longest: 600 * time.Millisecond, fewest: 2, most: 4},
 		{name: "no answers at all", service: answers(never), together: 3, expired: 3, fewest: 3, most: maxInFlight},
@@ -218,14 +218,14 @@
 		t.Errorf("%d barriers in ten seconds of silence", sent)
 	}
 	for _, took := range c.expired {
-		if took > Patience+step {
+		if took > ReadTimeout+step {
 			t.Fatalf("a question waited for %v", took)
 		}
 	}
 	answered = true
 	c.ask(question)
 	c.run(time.Second)
-	if took, ok := c.decided[question]; !ok || took > silentPause+2*step {
+	if took, ok := c.decided[question]; !ok || took > silentInterval+2*step {
 		t.Errorf("the first question after the silence: answered %v after %v", ok, took)
 	}
 	before = len(c.barriers)
@@ -247,7 +247,7 @@
 	for i := range 3 {
 		c.ask(i)
 	}
-	c.run(3 * Pause)
+	c.run(3 * BarrierInterval)
 	if got := fmt.Sprint(c.covered); got != "[[0] [1] [2]]" {
 		t.Errorf("barriers cover %s", got)
 	}
@@ -259,9 +259,9 @@
 	c := newClient(answers(never))
 	c.ask(1)
 	c.run(step)
-	c.queue.Resolve(c.queue.open[0])
+	c.queue.MarkResolving(c.queue.open[0])
 	c.run(2 * time.Second)
-	if len(c.barriers) != 1 || len(c.expired) != 1 || c.expired[1] > Patience+step {
+	if len(c.barriers) != 1 || len(c.expired) != 1 || c.expired[1] > ReadTimeout+step {
 		t.Errorf("%d barriers, expired %v", len(c.barriers), c.expired)
 	}
 }
@@ -282,13 +282,13 @@
 			c.ask(i)
 			c.run(time.Duration(rapid.IntRange(0, 30).Draw(t, "pause")) * step)
 		}
-		c.run(Patience + step)
+		c.run(ReadTimeout + step)
 		if ended := len(c.decided) + len(c.refused) + len(c.expired); ended != count || c.queue.Len() != 0 {
 			t.Fatalf("%d of %d questions ended, %d open", ended, count, c.queue.Len())
 		}
 		for _, times := range []map[int]time.Duration{c.decided, c.refused, c.expired} {
 			for question, took := range times {
-				if took > Patience+step {
+				if took > ReadTimeout+step {
 					t.Fatalf("question %d waited for %v", question, took)
 				}
 			}
--- a/internal/coordination/ticket/ticket_test.go
+++ b/internal/coordination/ticket/ticket_test.go
@@ -17,9 +17,9 @@
 	format "dapplestage.example/dapplestage/internal/protocol/ticket"
 )
 
-// record draws a ticket's record: steps that depend on earlier ones.
-func record(t *rapid.T) *protocol.TicketRecord {
-	r := &protocol.TicketRecord{Base: &protocol.JobSpec{ID: "job-1", Shape: protocol.Array}, Terms: protocol.TicketTerms{FailedTasks: protocol.Granted{Granted: rapid.IntRange(0, 2).Draw(t, "survives")}}}
+// drawRecord draws a ticket's record: steps that depend on earlier ones.
+func drawRecord(t *rapid.T) *protocol.TicketRecord {
+	r := &protocol.TicketRecord{Base: &protocol.JobSpec{ID: "job-1", Shape: protocol.Array}, Terms: protocol.TicketTerms{MaxFailedTasks: protocol.GrantedLimit{Granted: rapid.IntRange(0, 2).Draw(t, "survives")}}}
 	for i := range rapid.IntRange(1, 8).Draw(t, "steps") {
 		st := protocol.TicketStep{Name: fmt.Sprint("s", i), Tasks: rapid.IntRange(1, 3).Draw(t, "tasks")}
 		for d := range i {
@@ -37,45 +37,45 @@
 // and never more than allowed are open.
 func TestProgress(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		rec := record(t)
-		now := make([]StepNow, len(rec.Steps))
+		rec := drawRecord(t)
+		now := make([]StepState, len(rec.Steps))
 		most := rapid.IntRange(1, 4).Draw(t, "most")
 		cancelled, started := false, map[int]bool{}
 		for round := 0; ; round++ {
 			if round > 200 {
 				t.Fatalf("no end: %+v %+v", rec, now)
 			}
-			d := Decide(rec, cancelled, now, most)
+			d := NextAction(rec, cancelled, now, most)
 			switch {
-			case d.Over != "":
+			case d.FinalStatus != "":
 				for i, st := range rec.Steps {
 					if now[i].Open {
 						t.Fatalf("over with %s open", st.Name)
 					}
-					if d.Over == protocol.JobDone && st.State != protocol.JobDone {
+					if d.FinalStatus == protocol.JobDone && st.State != protocol.JobDone {
 						t.Fatalf("done, but %s is %q", st.Name, st.State)
 					}
 				}
-				if cancelled && rec.Failing == "" && d.Over != protocol.JobCancelled || rec.Failing != "" && d.Over != protocol.JobFailed {
-					t.Fatalf("%s, cancelled %v, failing %q", d.Over, cancelled, rec.Failing)
+				if cancelled && rec.FailureReason == "" && d.FinalStatus != protocol.JobCancelled || rec.FailureReason != "" && d.FinalStatus != protocol.JobFailed {
+					t.Fatalf("%s, cancelled %v, failing %q", d.FinalStatus, cancelled, rec.FailureReason)
 				}
 				return
-			case d.Fail != "":
-				if cancelled || rec.Failing != "" {
+			case d.FailReason != "":
+				if cancelled || rec.FailureReason != "" {
 					t.Fatal("failed twice, or after its cancellation")
 				}
-				rec = Failing(rec, d.Fail)
-			case d.Stop != nil:
-				for _, i := range d.Stop {
-					now[i].Stopped = true
+				rec = WithFailure(rec, d.FailReason)
+			case d.StopSteps != nil:
+				for _, i := range d.StopSteps {
+					now[i].StopRequested = true
 				}
-			case d.Open != nil:
-				if may := MayOpen(rec, now, most); !reflect.DeepEqual(may, d.Open) {
-					t.Fatalf("opens %v, may open %v", d.Open, may)
+			case d.OpenSteps != nil:
+				if may := OpenableSteps(rec, now, most); !reflect.DeepEqual(may, d.OpenSteps) {
+					t.Fatalf("opens %v, may open %v", d.OpenSteps, may)
 				}
-				for _, i := range d.Open {
-					if cancelled || rec.Failing != "" || started[i] || now[i].Open {
-						t.Fatalf("step %d starts, cancelled %v, failing %q, before %v", i, cancelled, rec.Failing, started[i])
+				for _, i := range d.OpenSteps {
+					if cancelled || rec.FailureReason != "" || started[i] || now[i].Open {
+						t.Fatalf("step %d starts, cancelled %v, failing %q, before %v", i, cancelled, rec.FailureReason, started[i])
 					}
 					for _, dep := range rec.Steps[i].Deps {
 						if rec.Steps[dep].State != protocol.JobDone {
@@ -83,9 +83,9 @@
 						}
 					}
 					started[i] = true
-					now[i] = StepNow{Open: true}
+					now[i] = StepState{Open: true}
 				}
-				if open := slices.DeleteFunc(slices.Clone(now), func(s StepNow) bool { return !s.Open }); len(open) > most {
+				if open := slices.DeleteFunc(slices.Clone(now), func(s StepState) bool { return !s.Open }); len(open) > most {
 					t.Fatalf("%d open", len(open))
 				}
 			default:
@@ -101,15 +101,15 @@
 				}
 				i := rapid.SampledFrom(open).Draw(t, "which")
 				switch e := rapid.IntRange(0, 5).Draw(t, "event"); {
-				case e == 0 && !now[i].Stopped && now[i].Failed < rec.Steps[i].Tasks:
-					now[i].Failed++
-				case e == 1 && !cancelled && rec.Failing == "":
+				case e == 0 && !now[i].StopRequested && now[i].FailedTasks < rec.Steps[i].Tasks:
+					now[i].FailedTasks++
+				case e == 1 && !cancelled && rec.FailureReason == "":
 					cancelled = true
 				default:
-					stopped := now[i].Stopped && !cancelled
-					status := Outcome(now[i].Stopped && cancelled, stopped, now[i].Failed)
-					rec = Ended(rec, i, status, rec.Steps[i].Tasks-now[i].Failed, now[i].Failed, nil)
-					now[i] = StepNow{}
+					stopped := now[i].StopRequested && !cancelled
+					status := StepOutcome(now[i].StopRequested && cancelled, stopped, now[i].FailedTasks)
+					rec = WithStepEnded(rec, i, status, rec.Steps[i].Tasks-now[i].FailedTasks, now[i].FailedTasks, nil)
+					now[i] = StepState{}
 				}
 			}
 		}
@@ -118,28 +118,28 @@
 
 // A gang of which a task failed for good can't complete: it is stopped.
 func TestGangWithAFailedTaskIsStopped(t *testing.T) {
-	rec := &protocol.TicketRecord{Base: &protocol.JobSpec{ID: "job-1", Shape: protocol.Gang}, Terms: protocol.TicketTerms{FailedTasks: protocol.Granted{Granted: 5}}, Steps: []protocol.TicketStep{{Name: "a", Tasks: 3}}}
-	if d := Decide(rec, false, []StepNow{{Open: true, Failed: 1}}, 2); !slices.Equal(d.Stop, []int{0}) {
+	rec := &protocol.TicketRecord{Base: &protocol.JobSpec{ID: "job-1", Shape: protocol.Gang}, Terms: protocol.TicketTerms{MaxFailedTasks: protocol.GrantedLimit{Granted: 5}}, Steps: []protocol.TicketStep{{Name: "a", Tasks: 3}}}
+	if d := NextAction(rec, false, []StepState{{Open: true, FailedTasks: 1}}, 2); !slices.Equal(d.StopSteps, []int{0}) {
 		t.Errorf("%+v", d)
 	}
-	if got := Outcome(true, true, 1); got != protocol.JobFailed {
+	if got := StepOutcome(true, true, 1); got != protocol.JobFailed {
 		t.Error(got)
 	}
 }
 
 func TestRetries(t *testing.T) {
 	for cause, counts := range map[string]bool{protocol.CauseError: true, protocol.CauseStopped: false, protocol.CausePeers: false, protocol.CauseIncomplete: false,
-		protocol.CauseNoRoom: false, protocol.CauseBusy: false, protocol.CauseUnknown: false, protocol.CauseDone: false, "": false} {
-		if Counts(cause) != counts {
+		protocol.CauseNoCapacity: false, protocol.CauseBusy: false, protocol.CauseUnknown: false, protocol.CauseDone: false, "": false} {
+		if CountsAsRetry(cause) != counts {
 			t.Error(cause)
 		}
 	}
-	if Spent(3, 3) || !Spent(4, 3) || !Spent(1, 0) {
+	if RetriesExhausted(3, 3) || !RetriesExhausted(4, 3) || !RetriesExhausted(1, 0) {
 		t.Error("three retries are four runs")
 	}
 	last := time.Duration(0)
 	for e := range 200 {
-		if p := Pause(e); p < last || p > mostPause || e == 1 && p != firstPause {
+		if p := RetryPause(e); p < last || p > maxRetryPause || e == 1 && p != minRetryPause {
 			t.Errorf("%v after %d errors, %v before", p, e, last)
 		} else {
 			last = p
@@ -147,7 +147,7 @@
 	}
 }
 
-func submission(t *testing.T, extra string) *format.Submission {
+func parseSubmission(t *testing.T, extra string) *format.Submission {
 	t.Helper()
 	s, err := format.ParseTicket([]byte(`{"id":"job-1","lot":"l","crew":"red",` + extra + `"template":{"specificationVersion":"jobtemplate-2023-09","name":"n","steps":[
 		{"name":"a","script":{"actions":{"onRun":{"command":"c"}}},"parameterSpace":{"taskParameterDefinitions":[{"name":"F","type":"INT","range":"1-10"}]}},
@@ -159,25 +159,25 @@
 }
 
 func TestClassesDecide(t *testing.T) {
-	c := Class{Lot: "l", Urgency: "standard", Shapes: []string{"sweep"}, Over: Grant, Retries: 2, Failed: 1, Tasks: 11, VCPUs: 2, Cards: 1, MemGB: 8, Bundle: "img", SizeGB: 3}
-	lim := Limits{ValueBytes: 8000}
-	a, err := Admit(submission(t, `"priority":95,"maxRetriesPerTask":7,"maxFailedTasksCount":4,"builds":["g8"],"expectS":9,`), Table{"l": c}, lim)
+	c := Class{Name: "l", MaxUrgency: "standard", Shapes: []string{"sweep"}, OnExcess: ReduceExcess, MaxRetries: 2, MaxFailedTasks: 1, MaxTasks: 11, CPUs: 2, GPUs: 1, MemoryGB: 8, Image: "img", ImageGB: 3}
+	lim := Limits{MaxValueBytes: 8000}
+	a, err := Admit(parseSubmission(t, `"priority":95,"maxRetriesPerTask":7,"maxFailedTasksCount":4,"builds":["g8"],"expectS":9,`), ClassTable{"l": c}, lim)
 	if err != nil {
 		t.Fatal(err)
 	}
 	tm, b := a.Record.Terms, StepSpec(a.Record, 1)
-	if tm.Retries.Granted != 2 || *tm.Retries.Asked != 7 || tm.FailedTasks.Granted != 1 || tm.Urgency != "standard" || tm.AskedUrgency != "critical" {
+	if tm.MaxRetries.Granted != 2 || *tm.MaxRetries.Requested != 7 || tm.MaxFailedTasks.Granted != 1 || tm.Priority != "standard" || tm.RequestedPriority != "critical" {
 		t.Errorf("%+v", tm)
 	}
-	if b.GPUs != 2 || b.CPUs != 2 || b.Tasks != 1 || !slices.Equal(b.Types, []string{"g8"}) || b.Image != "img" || b.EstimateS != 9 || b.ID != format.StepID("job-1", 1) || b.Priority != "standard" {
+	if b.GPUs != 2 || b.CPUs != 2 || b.Tasks != 1 || !slices.Equal(b.Types, []string{"g8"}) || b.Image != "img" || b.EstimateS != 9 || b.ID != format.StepJobID("job-1", 1) || b.Priority != "standard" {
 		t.Errorf("%+v", b)
 	}
 	refuse := c
-	refuse.Over = Refuse
+	refuse.OnExcess = RefuseExcess
 	small, gpu := c, c
-	small.Tasks, gpu.MostGPU = 10, 1
+	small.MaxTasks, gpu.MaxGPUs = 10, 1
 	nothing := c
-	nothing.VCPUs, nothing.Cards, nothing.MemGB = 0, 0, 0
+	nothing.CPUs, nothing.GPUs, nothing.MemoryGB = 0, 0, 0
 	for _, x := range []struct {
 		extra string
 		class Class
@@ -193,14 +193,14 @@
 		{``, gpu, lim, "2 cards a task, l allows 1"},
 		{`"builds":["g1"],`, c, lim, "none of its machine types"},
 		{``, nothing, lim, "a task takes nothing"},
-		{``, c, Limits{ValueBytes: 300}, "bytes"},
+		{``, c, Limits{MaxValueBytes: 300}, "bytes"},
 		{``, Class{}, lim, "takes no tickets"},
 	} {
-		table := Table{}
-		if x.class.Lot != "" {
+		table := ClassTable{}
+		if x.class.Name != "" {
 			table["l"] = x.class
 		}
-		if _, err := Admit(submission(t, x.extra), table, x.lim); err == nil || !strings.Contains(err.Error(), x.want) {
+		if _, err := Admit(parseSubmission(t, x.extra), table, x.lim); err == nil || !strings.Contains(err.Error(), x.want) {
 			t.Errorf("wanted %q, got %v", x.want, err)
 		}
 	}
@@ -225,8 +225,8 @@
 	if err != nil || len(table) != 2 {
 		t.Fatal(err)
 	}
-	over := Table{"proofs": {Lot: "proofs", Urgency: "high", Shapes: []string{"sweep"}, Over: Grant, Tasks: 1}, "broken": {}}
-	if both := table.With(over); both["proofs"].Urgency != "high" || len(both) != 2 || table["proofs"].Urgency != "standard" {
+	over := ClassTable{"proofs": {Name: "proofs", MaxUrgency: "high", Shapes: []string{"sweep"}, OnExcess: ReduceExcess, MaxTasks: 1}, "broken": {}}
+	if both := table.WithStored(over); both["proofs"].MaxUrgency != "high" || len(both) != 2 || table["proofs"].MaxUrgency != "standard" {
 		t.Errorf("%+v", both)
 	}
 	if _, err := ParseClass("a", []byte(`{"urgency":"high","retires":3}`)); err == nil || !strings.Contains(err.Error(), "retires") {
@@ -236,8 +236,8 @@
 
 // What workers are given reads as a submission, as any other job's description does.
 func TestDescriptionsAreSubmissions(t *testing.T) {
-	s := submission(t, "")
-	a, err := Admit(s, Table{"l": {Lot: "l", Urgency: "standard", Shapes: []string{"sweep"}, Over: Grant, Tasks: 50, VCPUs: 1, Bundle: "i", SizeGB: 1}}, Limits{8000})
+	s := parseSubmission(t, "")
+	a, err := Admit(s, ClassTable{"l": {Name: "l", MaxUrgency: "standard", Shapes: []string{"sweep"}, OnExcess: ReduceExcess, MaxTasks: 50, CPUs: 1, Image: "i", ImageGB: 1}}, Limits{8000})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/protocol/ask.go
+++ b/internal/protocol/ask.go
@@ -8,12 +8,12 @@
 	"dapplestage.example/dapplestage/internal/protocol/peerfb"
 )
 
-// Ask is a controller's question to another one: why jobs wait.
-type Ask struct {
+// PeerQuery is a controller's question to another one: why jobs wait.
+type PeerQuery struct {
 	Job, Team, Cause string
-	SinceS           float64
+	MinWaitS         float64
 	After            string
-	Most             int
+	Limit            int
 
 	Kind                            string // empty: why jobs wait; AskAccount, AskSamples
 	State, Zone, Image, Text, Class string // of the account
@@ -22,25 +22,25 @@
 
 // Kinds of questions beside why jobs wait.
 const (
-	AskAccount = "account"
-	AskSamples = "samples"
+	QueryAccount = "account"
+	QuerySamples = "samples"
 )
 
-// Told is the answer.
-type Told struct {
+// PeerAnswer is the answer.
+type PeerAnswer struct {
 	Node   string
 	Status int
 	Body   []byte // JSON
 }
 
-// askID marks a question among the frames that controllers send one another.
-const askID = "WHY1"
+// peerQueryID marks a question among the frames that controllers send one another.
+const peerQueryID = "WHY1"
 
-// MaxAnswer bounds the JSON of an answer: it goes in one frame.
-const MaxAnswer = 60 << 10
+// MaxAnswerBytes bounds the JSON of an answer: it goes in one frame.
+const MaxAnswerBytes = 60 << 10
 
 // Encode writes a question as FlatBuffers.
-func (a Ask) Encode() []byte {
+func (a PeerQuery) Encode() []byte {
 	b := flatbuffers.NewBuilder(128)
 	job, team, cause, after := b.CreateString(a.Job), b.CreateString(a.Team), b.CreateString(a.Cause), b.CreateString(a.After)
 	kind, state, zone, image, text, class := b.CreateString(a.Kind), b.CreateString(a.State), b.CreateString(a.Zone), b.CreateString(a.Image), b.CreateString(a.Text), b.CreateString(a.Class)
@@ -55,32 +55,32 @@
 	peerfb.AskAddJob(b, job)
 	peerfb.AskAddTeam(b, team)
 	peerfb.AskAddCause(b, cause)
-	peerfb.AskAddSinceS(b, float32(a.SinceS))
+	peerfb.AskAddSinceS(b, float32(a.MinWaitS))
 	peerfb.AskAddAfter(b, after)
-	peerfb.AskAddMost(b, uint16(a.Most))
-	b.FinishWithFileIdentifier(peerfb.AskEnd(b), []byte(askID))
+	peerfb.AskAddMost(b, uint16(a.Limit))
+	b.FinishWithFileIdentifier(peerfb.AskEnd(b), []byte(peerQueryID))
 	return b.FinishedBytes()
 }
 
-// IsAsk says whether a frame holds a question; other frames are hints.
-func IsAsk(data []byte) bool {
-	return len(data) >= minMessage && flatbuffers.BufferHasIdentifier(data, askID)
+// IsPeerQuery says whether a frame holds a question; other frames are hints.
+func IsPeerQuery(data []byte) bool {
+	return len(data) >= minMessage && flatbuffers.BufferHasIdentifier(data, peerQueryID)
 }
 
-// DecodeAsk reads a question.
-func DecodeAsk(data []byte) (Ask, error) { return decode("question", data, readAsk) }
+// DecodePeerQuery reads a question.
+func DecodePeerQuery(data []byte) (PeerQuery, error) { return decode("question", data, readPeerQuery) }
 
-func readAsk(data []byte) (Ask, error) {
-	if !IsAsk(data) {
-		return Ask{}, errors.New("malformed question")
+func readPeerQuery(data []byte) (PeerQuery, error) {
+	if !IsPeerQuery(data) {
+		return PeerQuery{}, errors.New("malformed question")
 	}
 	f := peerfb.GetRootAsAsk(data, 0)
-	return Ask{Job: string(f.Job()), Team: string(f.Team()), Cause: string(f.Cause()), SinceS: float64(f.SinceS()), After: string(f.After()), Most: int(f.Most()),
+	return PeerQuery{Job: string(f.Job()), Team: string(f.Team()), Cause: string(f.Cause()), MinWaitS: float64(f.SinceS()), After: string(f.After()), Limit: int(f.Most()),
 		Kind: string(f.Kind()), State: string(f.State()), Zone: string(f.Zone()), Image: string(f.Image()), Text: string(f.Text()), Class: string(f.Class()), SinceMS: f.SinceMs()}, nil
 }
 
 // Encode writes an answer as FlatBuffers.
-func (t Told) Encode() []byte {
+func (t PeerAnswer) Encode() []byte {
 	b := flatbuffers.NewBuilder(len(t.Body) + 64)
 	node, body := b.CreateString(t.Node), b.CreateByteVector(t.Body)
 	peerfb.ToldStart(b)
@@ -91,14 +91,14 @@
 	return b.FinishedBytes()
 }
 
-// DecodeTold reads an answer.
-func DecodeTold(data []byte) (Told, error) { return decode("answer", data, readTold) }
+// DecodePeerAnswer reads an answer.
+func DecodePeerAnswer(data []byte) (PeerAnswer, error) { return decode("answer", data, readPeerAnswer) }
 
-func readTold(data []byte) (Told, error) {
+func readPeerAnswer(data []byte) (PeerAnswer, error) {
 	f := peerfb.GetRootAsTold(data, 0)
-	t := Told{string(f.Node()), int(f.Status()), append([]byte{}, f.BodyBytes()...)}
+	t := PeerAnswer{string(f.Node()), int(f.Status()), append([]byte{}, f.BodyBytes()...)}
 	if t.Node == "" || t.Status == 0 {
-		return Told{}, errors.New("answer without a node or a status")
+		return PeerAnswer{}, errors.New("answer without a node or a status")
 	}
 	return t, nil
 }
--- a/internal/protocol/gateway/gateway.go
+++ b/internal/protocol/gateway/gateway.go
@@ -27,21 +27,21 @@
 
 // Kinds of items. Stored batches hold State items only.
 const (
-	State    Kind = iota // an acceptor's register
-	Prepare              // promise to accept nothing below Ballot
-	Promise              // promised; Accepted and Record are what was accepted before
-	Accept               // accept Record under Ballot
-	Accepted             // done
-	Nack                 // refused, Why says for what reason; Accepted is the higher ballot
-	Commit               // a majority has accepted what was proposed under Ballot
-	Read                 // tell what you accepted; Ballot.N numbers the request
-	Found                // the answer to Read
-	Notice               // a site is told what became of a job that concerns it
-	Ack                  // the site knows: claims of its own below Record.Epoch are dead
-	Progress             // how many tasks of an open job are done (Record.Tasks) and run, for display
-	Renew                // a site asks for its lease; Ballot is number and session
-	Grant                // granted
-	Deny                 // not granted, notices are not acknowledged
+	RegisterState Kind = iota // an acceptor's register
+	Prepare                   // promise to accept nothing below Ballot
+	Promise                   // promised; Accepted and Record are what was accepted before
+	Accept                    // accept Record under Ballot
+	Accepted                  // done
+	Nack                      // refused, Why says for what reason; Accepted is the higher ballot
+	Commit                    // a majority has accepted what was proposed under Ballot
+	Read                      // tell what you accepted; Ballot.N numbers the request
+	ReadReply                 // the answer to Read
+	Notice                    // a site is told what became of a job that concerns it
+	Ack                       // the site knows: claims of its own below Record.Epoch are dead
+	Progress                  // how many tasks of an open job are done (Record.Tasks) and run, for display
+	RenewLease                // a site asks for its lease; Ballot is number and session
+	LeaseGranted              // granted
+	LeaseDenied               // not granted, notices are not acknowledged
 
 	// Between a site's daemon and its controllers.
 	Submit // run the job under the claim Record.Epoch
@@ -51,36 +51,38 @@
 
 	// Stored by a site beside its registers.
 	SiteState // Durable: it is drained
-	kinds
+	kindCount
 )
 
 // Reasons of a Nack.
 const (
 	HigherBallot uint8 = iota // another proposer came first
-	Leased                    // the site that is to lose the job may still run it
+	LeaseActive               // the site that is to lose the job may still run it
 )
 
 // Codes of a Result.
 const (
-	Busy     uint8 = iota // nothing is known to have happened; ask again
-	Held                  // the site has it: not over yet
-	Over                  // nothing of it runs there, and no claim up to Record.Epoch ever will
-	Ended                 // all its tasks are done
-	Refused               // it can never run there
-	Conflict              // the site has a job of its own under this id
-	Missing               // the site knows no such job
+	Unavailable uint8 = iota // nothing is known to have happened; ask again
+	Active                   // the site has it: not over yet
+	ClaimEnded               // nothing of it runs there, and no claim up to Record.Epoch ever will
+	Completed                // all its tasks are done
+	Refused                  // it can never run there
+	Conflict                 // the site has a job of its own under this id
+	NotFound                 // the site knows no such job
 )
 
 // Ballot orders proposals of one register. Who holds the proposer's member
 // number and the number of its start, so that two processes that both think they
 // are the same member never share a ballot.
 type Ballot struct {
-	N   uint64
-	Who uint32
+	Number   uint64
+	Proposer uint32
 }
 
 // Less orders ballots.
-func (b Ballot) Less(o Ballot) bool { return b.N < o.N || b.N == o.N && b.Who < o.Who }
+func (b Ballot) Less(o Ballot) bool {
+	return b.Number < o.Number || b.Number == o.Number && b.Proposer < o.Proposer
+}
 
 // Final answers of a job.
 const (
@@ -91,40 +93,40 @@
 
 // Record is what is agreed on about one job.
 type Record struct {
-	Spec      []byte // the submission; dropped once the job is final
-	Epoch     uint32 // rises with every claim
-	Holder    uint8  // the site that holds it, its member number + 1; 0: none
-	Prev      uint8  // the site that it was taken from without its proof, + 1; 0: none
-	Stopped   bool   // the holder has proved that nothing of it runs any more
-	Lost      uint32 // sites that lost it without a proof
-	Barred    uint32 // sites that can never run it
-	Final     uint8
-	By        uint8 // the site whose work it was, + 1
-	Tasks     uint32
-	CreatedMS uint64
+	Spec          []byte // the submission; dropped once the job is final
+	Epoch         uint32 // rises with every claim
+	Owner         uint8  // the site that holds it, its member number + 1; 0: none
+	PrevOwner     uint8  // the site that it was taken from without its proof, + 1; 0: none
+	Stopped       bool   // the holder has proved that nothing of it runs any more
+	LostSites     uint32 // sites that lost it without a proof
+	ExcludedSites uint32 // sites that can never run it
+	Outcome       uint8
+	FinishedBy    uint8 // the site whose work it was, + 1
+	Tasks         uint32
+	CreatedMS     uint64
 }
 
 // Item is one thing asked, told or stored about one register.
 type Item struct {
-	Kind      Kind
-	ID        string
-	Ballot    Ballot
-	Accepted  Ballot
-	Exists    bool // Record is there
-	Committed bool
-	Durable   bool   // an Ack that outlives the site's daemon
-	Running   uint32 // tasks
-	Why       uint8
-	Acked     uint32 // sites that acknowledged durably
-	Record    Record
+	Kind       Kind
+	ID         string
+	Ballot     Ballot
+	Accepted   Ballot
+	HasRecord  bool // Record is there
+	Committed  bool
+	Durable    bool   // an Ack that outlives the site's daemon
+	Running    uint32 // tasks
+	Code       uint8
+	AckedSites uint32 // sites that acknowledged durably
+	Record     Record
 }
 
 // Envelope is one message, or one stored batch.
 type Envelope struct {
 	Items []Item
 	Hint  *Hint
-	// Config is what the sender was set up with, as a checksum.
-	Config uint64
+	// ConfigChecksum is what the sender was set up with, as a checksum.
+	ConfigChecksum uint64
 }
 
 // Hint is what a site tells of itself.
@@ -147,24 +149,24 @@
 
 // TeamHint is a team at a site.
 type TeamHint struct {
-	Name                            string
-	CPUsMax, GPUsMax, GPUs, UsedGPU float64
-	Waiting                         int
+	Name                             string
+	CPUsMax, GPUsMax, GPUs, UsedGPUs float64
+	Waiting                          int
 }
 
 // Lease is what a site's daemon answers its controllers.
 type Lease struct {
-	LeftMS uint32
-	Floor  uint64
-	Dead   []string
+	RemainingMS uint32
+	MinRevision uint64
+	LostJobs    []string
 }
 
 // Bounds of a hint and of a lease.
 const (
-	MaxTypes  = 64
-	MaxTeams  = 200
-	MaxImages = 200
-	MaxDead   = 2000
+	MaxTypes    = 64
+	MaxTeams    = 200
+	MaxImages   = 200
+	MaxLostJobs = 2000
 )
 
 // Encode writes an envelope.
@@ -186,7 +188,7 @@
 	gatewayfb.EnvelopeStart(b)
 	gatewayfb.EnvelopeAddVersion(b, Version)
 	gatewayfb.EnvelopeAddItems(b, items)
-	gatewayfb.EnvelopeAddConfig(b, e.Config)
+	gatewayfb.EnvelopeAddConfig(b, e.ConfigChecksum)
 	if hint != 0 {
 		gatewayfb.EnvelopeAddHint(b, hint)
 	}
@@ -204,26 +206,26 @@
 	gatewayfb.RegisterStart(b)
 	gatewayfb.RegisterAddKind(b, byte(it.Kind))
 	gatewayfb.RegisterAddId(b, id)
-	gatewayfb.RegisterAddBallotN(b, it.Ballot.N)
-	gatewayfb.RegisterAddBallotWho(b, it.Ballot.Who)
-	gatewayfb.RegisterAddAcceptedN(b, it.Accepted.N)
-	gatewayfb.RegisterAddAcceptedWho(b, it.Accepted.Who)
+	gatewayfb.RegisterAddBallotN(b, it.Ballot.Number)
+	gatewayfb.RegisterAddBallotWho(b, it.Ballot.Proposer)
+	gatewayfb.RegisterAddAcceptedN(b, it.Accepted.Number)
+	gatewayfb.RegisterAddAcceptedWho(b, it.Accepted.Proposer)
 	gatewayfb.RegisterAddEpoch(b, r.Epoch)
-	gatewayfb.RegisterAddHolder(b, r.Holder)
-	gatewayfb.RegisterAddPrev(b, r.Prev)
+	gatewayfb.RegisterAddHolder(b, r.Owner)
+	gatewayfb.RegisterAddPrev(b, r.PrevOwner)
 	gatewayfb.RegisterAddStopped(b, r.Stopped)
-	gatewayfb.RegisterAddLost(b, r.Lost)
-	gatewayfb.RegisterAddBarred(b, r.Barred)
-	gatewayfb.RegisterAddFinal(b, r.Final)
-	gatewayfb.RegisterAddBy(b, r.By)
+	gatewayfb.RegisterAddLost(b, r.LostSites)
+	gatewayfb.RegisterAddBarred(b, r.ExcludedSites)
+	gatewayfb.RegisterAddFinal(b, r.Outcome)
+	gatewayfb.RegisterAddBy(b, r.FinishedBy)
 	gatewayfb.RegisterAddTasks(b, r.Tasks)
 	gatewayfb.RegisterAddCreatedMs(b, r.CreatedMS)
-	gatewayfb.RegisterAddAcked(b, it.Acked)
+	gatewayfb.RegisterAddAcked(b, it.AckedSites)
 	gatewayfb.RegisterAddCommitted(b, it.Committed)
 	gatewayfb.RegisterAddRunning(b, it.Running)
-	gatewayfb.RegisterAddExists(b, it.Exists)
+	gatewayfb.RegisterAddExists(b, it.HasRecord)
 	gatewayfb.RegisterAddDurable(b, it.Durable)
-	gatewayfb.RegisterAddWhy(b, it.Why)
+	gatewayfb.RegisterAddWhy(b, it.Code)
 	if spec != 0 {
 		gatewayfb.RegisterAddSpec(b, spec)
 	}
@@ -249,7 +251,7 @@
 	if n > maxItems {
 		return nil, fmt.Errorf("malformed gateway message: %d items, at most %d", n, maxItems)
 	}
-	e = &Envelope{Items: make([]Item, n), Config: f.Config()}
+	e = &Envelope{Items: make([]Item, n), ConfigChecksum: f.Config()}
 	if h := f.Hint(nil); h != nil {
 		if e.Hint, err = decodeHint(h); err != nil {
 			return nil, err
@@ -268,22 +270,22 @@
 func decodeItem(r *gatewayfb.Register) (Item, error) {
 	it := Item{
 		Kind: Kind(r.Kind()), ID: string(r.Id()),
-		Ballot:   Ballot{r.BallotN(), r.BallotWho()},
-		Accepted: Ballot{r.AcceptedN(), r.AcceptedWho()},
-		Exists:   r.Exists(), Committed: r.Committed(), Running: r.Running(), Durable: r.Durable(), Why: r.Why(), Acked: r.Acked(),
-		Record: Record{Epoch: r.Epoch(), Holder: r.Holder(), Prev: r.Prev(), Stopped: r.Stopped(),
-			Lost: r.Lost(), Barred: r.Barred(), Final: r.Final(), By: r.By(), Tasks: r.Tasks(), CreatedMS: r.CreatedMs()},
+		Ballot:    Ballot{r.BallotN(), r.BallotWho()},
+		Accepted:  Ballot{r.AcceptedN(), r.AcceptedWho()},
+		HasRecord: r.Exists(), Committed: r.Committed(), Running: r.Running(), Durable: r.Durable(), Code: r.Why(), AckedSites: r.Acked(),
+		Record: Record{Epoch: r.Epoch(), Owner: r.Holder(), PrevOwner: r.Prev(), Stopped: r.Stopped(),
+			LostSites: r.Lost(), ExcludedSites: r.Barred(), Outcome: r.Final(), FinishedBy: r.By(), Tasks: r.Tasks(), CreatedMS: r.CreatedMs()},
 	}
 	if spec := r.SpecBytes(); len(spec) > 0 {
 		it.Record.Spec = append([]byte(nil), spec...)
 	}
 	rec := &it.Record
 	switch {
-	case it.Kind >= kinds:
+	case it.Kind >= kindCount:
 		return it, fmt.Errorf("malformed gateway message: kind %d", it.Kind)
-	case it.Kind != SiteState && it.Kind != Renew && it.Kind != Grant && it.Kind != Deny && !protocol.ValidJobID(it.ID):
+	case it.Kind != SiteState && it.Kind != RenewLease && it.Kind != LeaseGranted && it.Kind != LeaseDenied && !protocol.ValidJobID(it.ID):
 		return it, errors.New("malformed gateway message: id")
-	case rec.Holder > MaxMembers || rec.Prev > MaxMembers || rec.By > MaxMembers || rec.Final > Cancelled:
+	case rec.Owner > MaxMembers || rec.PrevOwner > MaxMembers || rec.FinishedBy > MaxMembers || rec.Outcome > Cancelled:
 		return it, errors.New("malformed gateway message: record")
 	}
 	return it, nil
@@ -324,7 +326,7 @@
 		gatewayfb.TeamAddCpusMax(b, float32(t.CPUsMax))
 		gatewayfb.TeamAddGpusMax(b, float32(t.GPUsMax))
 		gatewayfb.TeamAddGpus(b, float32(t.GPUs))
-		gatewayfb.TeamAddUsedGpus(b, float32(t.UsedGPU))
+		gatewayfb.TeamAddUsedGpus(b, float32(t.UsedGPUs))
 		gatewayfb.TeamAddWaiting(b, uint32(t.Waiting))
 		teams = append(teams, gatewayfb.TeamEnd(b))
 	}
@@ -358,7 +360,7 @@
 	for i := range f.TeamsLength() {
 		f.Teams(&tm, i)
 		h.Teams = append(h.Teams, TeamHint{Name: string(tm.Name()), CPUsMax: float64(tm.CpusMax()), GPUsMax: float64(tm.GpusMax()),
-			GPUs: float64(tm.Gpus()), UsedGPU: float64(tm.UsedGpus()), Waiting: int(tm.Waiting())})
+			GPUs: float64(tm.Gpus()), UsedGPUs: float64(tm.UsedGpus()), Waiting: int(tm.Waiting())})
 	}
 	for i := range f.ImagesLength() {
 		h.Images = append(h.Images, string(f.Images(i)))
@@ -369,9 +371,9 @@
 // EncodeLease writes a lease's answer.
 func EncodeLease(l *Lease) []byte {
 	b := flatbuffers.NewBuilder(256)
-	offs := make([]flatbuffers.UOffsetT, min(len(l.Dead), MaxDead))
+	offs := make([]flatbuffers.UOffsetT, min(len(l.LostJobs), MaxLostJobs))
 	for i := range offs {
-		offs[i] = b.CreateString(l.Dead[i])
+		offs[i] = b.CreateString(l.LostJobs[i])
 	}
 	b.StartVector(4, len(offs), 4)
 	for i := len(offs) - 1; i >= 0; i-- {
@@ -380,8 +382,8 @@
 	dead := b.EndVector(len(offs))
 	gatewayfb.LeaseStart(b)
 	gatewayfb.LeaseAddVersion(b, Version)
-	gatewayfb.LeaseAddLeftMs(b, l.LeftMS)
-	gatewayfb.LeaseAddFloor(b, l.Floor)
+	gatewayfb.LeaseAddLeftMs(b, l.RemainingMS)
+	gatewayfb.LeaseAddFloor(b, l.MinRevision)
 	gatewayfb.LeaseAddDead(b, dead)
 	b.Finish(gatewayfb.LeaseEnd(b))
 	return b.FinishedBytes()
@@ -401,12 +403,12 @@
 	if v := f.Version(); v != Version {
 		return nil, fmt.Errorf("lease of version %d, this program understands %d", v, Version)
 	}
-	if f.DeadLength() > MaxDead {
+	if f.DeadLength() > MaxLostJobs {
 		return nil, errors.New("malformed lease: too many jobs")
 	}
-	l = &Lease{LeftMS: f.LeftMs(), Floor: f.Floor()}
+	l = &Lease{RemainingMS: f.LeftMs(), MinRevision: f.Floor()}
 	for i := range f.DeadLength() {
-		l.Dead = append(l.Dead, string(f.Dead(i)))
+		l.LostJobs = append(l.LostJobs, string(f.Dead(i)))
 	}
 	return l, nil
 }
--- a/internal/protocol/gateway/gateway_test.go
+++ b/internal/protocol/gateway/gateway_test.go
@@ -9,12 +9,12 @@
 
 func drawItem(t *rapid.T) Item {
 	u8 := func(name string, most int) uint8 { return uint8(rapid.IntRange(0, most).Draw(t, name)) }
-	it := Item{Kind: Kind(u8("kind", int(kinds)-1)), ID: rapid.StringMatching(`job-[0-9]{1,32}`).Draw(t, "id"),
+	it := Item{Kind: Kind(u8("kind", int(kindCount)-1)), ID: rapid.StringMatching(`job-[0-9]{1,32}`).Draw(t, "id"),
 		Ballot: Ballot{rapid.Uint64().Draw(t, "n"), rapid.Uint32().Draw(t, "who")}, Accepted: Ballot{rapid.Uint64().Draw(t, "an"), rapid.Uint32().Draw(t, "awho")},
-		Exists: rapid.Bool().Draw(t, "exists"), Committed: rapid.Bool().Draw(t, "committed"), Durable: rapid.Bool().Draw(t, "durable"),
-		Running: rapid.Uint32().Draw(t, "running"), Why: u8("why", 255), Acked: rapid.Uint32().Draw(t, "acked")}
-	it.Record = Record{Epoch: rapid.Uint32().Draw(t, "epoch"), Holder: u8("holder", MaxMembers), Prev: u8("prev", MaxMembers), Stopped: rapid.Bool().Draw(t, "stopped"),
-		Lost: rapid.Uint32().Draw(t, "lost"), Barred: rapid.Uint32().Draw(t, "barred"), Final: u8("final", int(Cancelled)), By: u8("by", MaxMembers),
+		HasRecord: rapid.Bool().Draw(t, "exists"), Committed: rapid.Bool().Draw(t, "committed"), Durable: rapid.Bool().Draw(t, "durable"),
+		Running: rapid.Uint32().Draw(t, "running"), Code: u8("why", 255), AckedSites: rapid.Uint32().Draw(t, "acked")}
+	it.Record = Record{Epoch: rapid.Uint32().Draw(t, "epoch"), Owner: u8("holder", MaxMembers), PrevOwner: u8("prev", MaxMembers), Stopped: rapid.Bool().Draw(t, "stopped"),
+		LostSites: rapid.Uint32().Draw(t, "lost"), ExcludedSites: rapid.Uint32().Draw(t, "barred"), Outcome: u8("final", int(Cancelled)), FinishedBy: u8("by", MaxMembers),
 		Tasks: rapid.Uint32().Draw(t, "tasks"), CreatedMS: rapid.Uint64().Draw(t, "created")}
 	if spec := rapid.SliceOfN(rapid.Byte(), 0, 50).Draw(t, "spec"); len(spec) > 0 {
 		it.Record.Spec = spec
@@ -52,7 +52,7 @@
 }
 
 func TestLeaseRoundTrip(t *testing.T) {
-	l := &Lease{LeftMS: 2900, Floor: 1 << 40, Dead: []string{"job-1", "job-2"}}
+	l := &Lease{RemainingMS: 2900, MinRevision: 1 << 40, LostJobs: []string{"job-1", "job-2"}}
 	if got, err := DecodeLease(EncodeLease(l)); err != nil || !reflect.DeepEqual(got, l) {
 		t.Fatalf("%+v, %v", got, err)
 	}
--- a/internal/protocol/peer.go
+++ b/internal/protocol/peer.go
@@ -16,18 +16,18 @@
 // Hint is what a controller tells its siblings about itself, and of what some
 // of its machines hold.
 type Hint struct {
-	Node     string
-	StateOK  bool
-	Blind    bool    // it hears no worker
-	Changes  float32 // changes a second that it would make
-	Revision uint64
-	Caches   []Cache
-	Life     uint64 // its lease: no other life has it
-	Seq      uint64 // of this hint in that life
-	Known    []Known
-	Refused  []RefusedOffer
-	// Cancelled are some of the jobs that are being cancelled.
-	Cancelled []CancelledJob
+	Node               string
+	StateOK            bool
+	WorkersUnreachable bool    // it hears no worker
+	ChangeRate         float32 // changes a second that it would make
+	Revision           uint64
+	Caches             []ImageCache
+	Incarnation        uint64 // its lease: no other life has it
+	Seq                uint64 // of this hint in that life
+	Machines           []MachineHint
+	RefusedOffers      []RefusedOffer
+	// CancelledJobs are some of the jobs that are being cancelled.
+	CancelledJobs []CancelledJob
 }
 
 // CancelledJob is a job that is being cancelled, and the revision of the record that says so.
@@ -36,8 +36,8 @@
 	Revision uint64
 }
 
-// Known is what a holder has learned of a machine and the state service does not know.
-type Known struct {
+// MachineHint is what a holder has learned of a machine and the state service does not know.
+type MachineHint struct {
 	Machine  string
 	SecPerGB float64 // 0: nothing
 	AgeS     float64 // since its last report was answered
@@ -50,9 +50,9 @@
 	ForS       float64
 }
 
-// Cache is what a machine's image cache is thought to hold, the most recently
+// ImageCache is what a machine's image cache is thought to hold, the most recently
 // used image last.
-type Cache struct {
+type ImageCache struct {
 	Machine string
 	Images  []CachedImage
 }
@@ -68,18 +68,18 @@
 	b := flatbuffers.NewBuilder(64)
 	node := b.CreateString(h.Node)
 	images, caches := encodeCaches(b, h.Caches)
-	known := encodeKnown(b, h.Known)
-	refused := encodeRefused(b, h.Refused)
-	cancelled := encodeCancelled(b, h.Cancelled)
+	known := encodeKnown(b, h.Machines)
+	refused := encodeRefused(b, h.RefusedOffers)
+	cancelled := encodeCancelled(b, h.CancelledJobs)
 	peerfb.HintStart(b)
 	peerfb.HintAddImages(b, images)
 	peerfb.HintAddCaches(b, caches)
 	peerfb.HintAddNode(b, node)
 	peerfb.HintAddStateOk(b, h.StateOK)
 	peerfb.HintAddRevision(b, h.Revision)
-	peerfb.HintAddBlind(b, h.Blind)
-	peerfb.HintAddChanges(b, h.Changes)
-	peerfb.HintAddLife(b, h.Life)
+	peerfb.HintAddBlind(b, h.WorkersUnreachable)
+	peerfb.HintAddChanges(b, h.ChangeRate)
+	peerfb.HintAddLife(b, h.Incarnation)
 	peerfb.HintAddSeq(b, h.Seq)
 	peerfb.HintAddKnown(b, known)
 	peerfb.HintAddRefused(b, refused)
@@ -89,7 +89,7 @@
 }
 
 // encodeCaches writes each image once, and for each machine which of them it holds.
-func encodeCaches(b *flatbuffers.Builder, all []Cache) (images, caches flatbuffers.UOffsetT) {
+func encodeCaches(b *flatbuffers.Builder, all []ImageCache) (images, caches flatbuffers.UOffsetT) {
 	index := map[CachedImage]uint16{}
 	var imageOffsets, cacheOffsets []flatbuffers.UOffsetT
 	for _, c := range all {
@@ -113,7 +113,7 @@
 	return peerfb.ImageEnd(b)
 }
 
-func encodeCache(b *flatbuffers.Builder, c Cache, index map[CachedImage]uint16) flatbuffers.UOffsetT {
+func encodeCache(b *flatbuffers.Builder, c ImageCache, index map[CachedImage]uint16) flatbuffers.UOffsetT {
 	name := b.CreateString(c.Machine)
 	peerfb.CacheStartHoldsVector(b, len(c.Images))
 	for _, im := range slices.Backward(c.Images) {
@@ -126,7 +126,7 @@
 	return peerfb.CacheEnd(b)
 }
 
-func encodeKnown(b *flatbuffers.Builder, all []Known) flatbuffers.UOffsetT {
+func encodeKnown(b *flatbuffers.Builder, all []MachineHint) flatbuffers.UOffsetT {
 	var offsets []flatbuffers.UOffsetT
 	for _, k := range all {
 		name := b.CreateString(k.Machine)
@@ -188,7 +188,7 @@
 
 func readHint(data []byte) (Hint, error) {
 	f := peerfb.GetRootAsHint(data, 0)
-	h := Hint{Node: string(f.Node()), StateOK: f.StateOk(), Blind: f.Blind(), Changes: f.Changes(), Revision: f.Revision(), Life: f.Life(), Seq: f.Seq()}
+	h := Hint{Node: string(f.Node()), StateOK: f.StateOk(), WorkersUnreachable: f.Blind(), ChangeRate: f.Changes(), Revision: f.Revision(), Incarnation: f.Life(), Seq: f.Seq()}
 	if h.Node == "" {
 		return Hint{}, errors.New("hint without a node")
 	}
@@ -198,22 +198,22 @@
 	var k peerfb.Known
 	for i := range min(f.KnownLength(), most) {
 		f.Known(&k, i)
-		h.Known = append(h.Known, Known{string(k.Machine()), float64(k.SecPerGb()), float64(k.AgeS())})
+		h.Machines = append(h.Machines, MachineHint{string(k.Machine()), float64(k.SecPerGb()), float64(k.AgeS())})
 	}
 	var r peerfb.Refused
 	for i := range min(f.RefusedLength(), most) {
 		f.Refused(&r, i)
-		h.Refused = append(h.Refused, RefusedOffer{string(r.Type()), string(r.Zone()), r.Spot(), float64(r.ForS())})
+		h.RefusedOffers = append(h.RefusedOffers, RefusedOffer{string(r.Type()), string(r.Zone()), r.Spot(), float64(r.ForS())})
 	}
 	var c peerfb.Cancelled
 	for i := range min(f.CancelledLength(), most) {
 		f.Cancelled(&c, i)
-		h.Cancelled = append(h.Cancelled, CancelledJob{string(c.Job()), c.Revision()})
+		h.CancelledJobs = append(h.CancelledJobs, CancelledJob{string(c.Job()), c.Revision()})
 	}
 	return h, nil
 }
 
-func readCaches(f *peerfb.Hint, most int) (caches []Cache) {
+func readCaches(f *peerfb.Hint, most int) (caches []ImageCache) {
 	var im peerfb.Image
 	images := make([]CachedImage, min(f.ImagesLength(), most))
 	for i := range images {
@@ -223,7 +223,7 @@
 	var c peerfb.Cache
 	for i := range min(f.CachesLength(), most) {
 		f.Caches(&c, i)
-		cache := Cache{Machine: string(c.Machine())}
+		cache := ImageCache{Machine: string(c.Machine())}
 		for k := range min(c.HoldsLength(), most) {
 			cache.Images = append(cache.Images, images[c.Holds(k)])
 		}
--- a/internal/protocol/record.go
+++ b/internal/protocol/record.go
@@ -8,29 +8,29 @@
 // Keys in the state service. Everything under Root is watched by every node;
 // what is final moves to FinalKey, so that the watched part stays small.
 const (
-	Root        = "d/"
-	CounterKey  = Root + "counter"
-	JobPrefix   = Root + "jobs/"
-	HolderRoot  = Root + "shares/"
-	MachineRoot = Root + "machines/"
-	NodeRoot    = Root + "nodes/"
-	DoubtRoot   = Root + "doubts/"
-	MovesKey    = Root + "moves"
-	PolicyKey   = Root + "settings"
-	FenceKey    = Root + "rentals"
-	CatalogKey  = Root + "catalog"
-	ClassesKey  = Root + "classes"
-	LogRoot     = Root + "log/"
-	InboxRoot   = Root + "in/"
-	FormatKey   = Root + "format"
-	FinalRoot   = "f/"
-	TicketRoot  = "t/"
-	BookRoot    = "l/"
+	WatchedRoot       = "d/"
+	TokenCounterKey   = WatchedRoot + "counter"
+	JobPrefix         = WatchedRoot + "jobs/"
+	OwnerRoot         = WatchedRoot + "shares/"
+	MachineRoot       = WatchedRoot + "machines/"
+	NodeRoot          = WatchedRoot + "nodes/"
+	LivenessCheckRoot = WatchedRoot + "doubts/"
+	MovesKey          = WatchedRoot + "moves"
+	PolicyKey         = WatchedRoot + "settings"
+	RentalFenceKey    = WatchedRoot + "rentals"
+	CatalogKey        = WatchedRoot + "catalog"
+	ClassesKey        = WatchedRoot + "classes"
+	LogRoot           = WatchedRoot + "log/"
+	InboxRoot         = WatchedRoot + "in/"
+	FormatKey         = WatchedRoot + "format"
+	FinalRoot         = "f/"
+	TicketRoot        = "t/"
+	HistoryRoot       = "l/"
 )
 
-// ChunkTasks is how many tasks share one stored value: 128 placements with
+// TasksPerChunk is how many tasks share one stored value: 128 placements with
 // long machine names stay well below the smallest value limit.
-const ChunkTasks = 128
+const TasksPerChunk = 128
 
 // JobKey is the key of a job's head, which holds chunk 0.
 func JobKey(id string) string { return JobPrefix + id }
@@ -55,8 +55,8 @@
 // TicketKey is the key of a ticket's template and arguments, which are written once.
 func TicketKey(id string) string { return TicketRoot + id }
 
-// HolderKey is the key that names the holder of a share.
-func HolderKey(share int) string { return HolderRoot + strconv.Itoa(share) + "/holder" }
+// OwnerKey is the key that names the holder of a share.
+func OwnerKey(share int) string { return OwnerRoot + strconv.Itoa(share) + "/holder" }
 
 // BatchKey is the key of a batch of machines.
 func BatchKey(name string) string { return MachineRoot + name }
@@ -64,12 +64,12 @@
 // NodeKey is the key that says a node lives.
 func NodeKey(name string) string { return NodeRoot + name }
 
-// DoubtKey is the key by which a node that doubts whether another one lives asks it.
-func DoubtKey(name string) string { return DoubtRoot + name }
+// LivenessCheckKey is the key by which a node that doubts whether another one lives asks it.
+func LivenessCheckKey(name string) string { return LivenessCheckRoot + name }
 
-// DoubtRecord is such a question. Who is asked answers by writing its own record anew.
-type DoubtRecord struct {
-	By string `json:"by"`
+// LivenessCheckRecord is such a question. Who is asked answers by writing its own record anew.
+type LivenessCheckRecord struct {
+	RequestedBy string `json:"by"`
 }
 
 // Placement records that a task may be on a machine. It is stored before the
@@ -87,8 +87,8 @@
 	Done   [][2]int    `json:"d,omitempty"`
 	// Errors are tasks of a ticket's step that ended with an error, and how often.
 	Errors [][2]int `json:"q,omitempty"`
-	// Log is the entry of the share's log up to which this is how the tasks are.
-	Log uint64 `json:"v,omitempty"`
+	// LogSeq is the entry of the share's log up to which this is how the tasks are.
+	LogSeq uint64 `json:"v,omitempty"`
 }
 
 // EntryVersion is the version of entries that this release writes and understands.
@@ -99,33 +99,33 @@
 // numbered; a slot is written again when nothing in it is needed any more that the new
 // entry does not say.
 type Entry struct {
-	Version  int        `json:"v"`
-	Seq      uint64     `json:"s"`
-	Machines []string   `json:"m,omitempty"`
-	Parts    []Part     `json:"p,omitempty"`
-	Jobs     []Accepted `json:"a,omitempty"`
+	Version  int           `json:"v"`
+	Seq      uint64        `json:"s"`
+	Machines []string      `json:"m,omitempty"`
+	Parts    []Part        `json:"p,omitempty"`
+	Jobs     []AcceptedJob `json:"a,omitempty"`
 }
 
 // Part is how some tasks of a job are from then on, or that it has ended.
 type Part struct {
-	Job    string   `json:"j"`
-	Next   uint64   `json:"n,omitempty"` // as in JobRecord
-	Tries  int      `json:"e,omitempty"`
-	Lost   int      `json:"l,omitempty"`
-	LostMS int64    `json:"u,omitempty"`
-	Placed []Run    `json:"p,omitempty"`
-	Gone   [][2]int `json:"w,omitempty"` // first and last of tasks that wait again
-	Done   [][2]int `json:"d,omitempty"`
-	End    string   `json:"x,omitempty"` // what the job became: f/<id> says so too
-	Tasks  int      `json:"t,omitempty"` // of one that has ended
+	Job         string        `json:"j"`
+	NextAttempt uint64        `json:"n,omitempty"` // as in JobRecord
+	Tries       int           `json:"e,omitempty"`
+	LostRuns    int           `json:"l,omitempty"`
+	LastLostMS  int64         `json:"u,omitempty"`
+	Placed      []PlacedRange `json:"p,omitempty"`
+	Unplaced    [][2]int      `json:"w,omitempty"` // first and last of tasks that wait again
+	Done        [][2]int      `json:"d,omitempty"`
+	FinalStatus string        `json:"x,omitempty"` // what the job became: f/<id> says so too
+	Tasks       int           `json:"t,omitempty"` // of one that has ended
 }
 
-// Run is tasks with the same attempt on one machine: the first and the last task, the
+// PlacedRange is tasks with the same attempt on one machine: the first and the last task, the
 // attempt, and the machine's number in Entry.Machines.
-type Run [4]uint64
+type PlacedRange [4]uint64
 
-// Accepted is a job that a node accepted.
-type Accepted struct {
+// AcceptedJob is a job that a node accepted.
+type AcceptedJob struct {
 	Spec        *JobSpec `json:"s"`
 	SubmittedMS int64    `json:"t"`
 }
@@ -137,19 +137,19 @@
 
 // JobRecord is a job's head.
 type JobRecord struct {
-	Spec        *JobSpec `json:"s"`
-	SubmittedMS int64    `json:"t"`
-	Cancelled   bool     `json:"x,omitempty"`
-	Asked       bool     `json:"o,omitempty"` // to be cancelled; nobody was told that it is
-	Next        uint64   `json:"n"`
-	Tries       int      `json:"e,omitempty"` // of a job that fails on every machine
-	Claim       uint32   `json:"g,omitempty"` // of a job that came through the gateway: the site's claim on it
-	Step        *StepRef `json:"k,omitempty"` // of a ticket's step
-	Failed      bool     `json:"f,omitempty"` // of a ticket's step: it is to end, since the ticket or it has failed
-	// Lost is how many runs were lost with their machine or lease, and when the last was:
+	Spec            *JobSpec `json:"s"`
+	SubmittedMS     int64    `json:"t"`
+	Cancelled       bool     `json:"x,omitempty"`
+	CancelRequested bool     `json:"o,omitempty"` // to be cancelled; nobody was told that it is
+	NextAttempt     uint64   `json:"n"`
+	Tries           int      `json:"e,omitempty"` // of a job that fails on every machine
+	Claim           uint32   `json:"g,omitempty"` // of a job that came through the gateway: the site's claim on it
+	Step            *StepRef `json:"k,omitempty"` // of a ticket's step
+	Failed          bool     `json:"f,omitempty"` // of a ticket's step: it is to end, since the ticket or it has failed
+	// LostRuns is how many runs were lost with their machine or lease, and when the last was:
 	// written with the changes that a loss takes anyway.
-	Lost   int   `json:"l,omitempty"`
-	LostMS int64 `json:"u,omitempty"`
+	LostRuns   int   `json:"l,omitempty"`
+	LastLostMS int64 `json:"u,omitempty"`
 	// Ticket makes this a ticket's record, which has no Spec and no tasks of its own: a
 	// version that knows no tickets leaves it alone.
 	Ticket *TicketRecord `json:"w,omitempty"`
@@ -158,49 +158,49 @@
 
 // StepRef ties a job to the step of a ticket.
 type StepRef struct {
-	Ticket  string `json:"t"`
-	Step    int    `json:"s"`
-	Retries int    `json:"r"` // of a task, after its first run
+	Ticket     string `json:"t"`
+	Step       int    `json:"s"`
+	MaxRetries int    `json:"r"` // of a task, after its first run
 }
 
 // TicketRecord is a render-farm ticket. Its steps are jobs of their own; what became
 // of those that are over is here, so that who takes the share over reads nothing else.
 type TicketRecord struct {
-	Name    string       `json:"m"`
-	Base    *JobSpec     `json:"b"` // what all steps have in common
-	Terms   TicketTerms  `json:"a"`
-	Steps   []TicketStep `json:"z"`
-	Failing string       `json:"y,omitempty"` // why it fails
+	Name          string       `json:"m"`
+	Base          *JobSpec     `json:"b"` // what all steps have in common
+	Terms         TicketTerms  `json:"a"`
+	Steps         []TicketStep `json:"z"`
+	FailureReason string       `json:"y,omitempty"` // why it fails
 }
 
 // TicketStep is a step: what its tasks take, and what became of it.
 type TicketStep struct {
-	Name     string   `json:"n"`
-	Tasks    int      `json:"t"`
-	Deps     []int    `json:"d,omitempty"`
-	CPUs     float64  `json:"c"`
-	GPUs     float64  `json:"g"`
-	MemoryGB float64  `json:"m"`
-	Types    []string `json:"y,omitempty"`
-	Zone     string   `json:"z,omitempty"`
-	State    string   `json:"s,omitempty"` // JobDone, JobFailed or JobCancelled; empty: not over
-	Done     int      `json:"o,omitempty"` // tasks, of one that is over
-	Failed   int      `json:"f,omitempty"`
-	Which    [][2]int `json:"w,omitempty"` // the first ranges of them
+	Name         string   `json:"n"`
+	Tasks        int      `json:"t"`
+	Deps         []int    `json:"d,omitempty"`
+	CPUs         float64  `json:"c"`
+	GPUs         float64  `json:"g"`
+	MemoryGB     float64  `json:"m"`
+	Types        []string `json:"y,omitempty"`
+	Zone         string   `json:"z,omitempty"`
+	State        string   `json:"s,omitempty"` // JobDone, JobFailed or JobCancelled; empty: not over
+	Done         int      `json:"o,omitempty"` // tasks, of one that is over
+	Failed       int      `json:"f,omitempty"`
+	FailedRanges [][2]int `json:"w,omitempty"` // the first ranges of them
 }
 
 // TicketTerms are what a ticket asked for and what its class granted.
 type TicketTerms struct {
-	Retries      Granted `json:"maxRetriesPerTask"`
-	FailedTasks  Granted `json:"maxFailedTasksCount"`
-	AskedUrgency string  `json:"askedUrgency,omitempty"` // if another than was granted
-	Urgency      string  `json:"urgency"`
+	MaxRetries        GrantedLimit `json:"maxRetriesPerTask"`
+	MaxFailedTasks    GrantedLimit `json:"maxFailedTasksCount"`
+	RequestedPriority string       `json:"askedUrgency,omitempty"` // if another than was granted
+	Priority          string       `json:"urgency"`
 }
 
-// Granted is a number that was asked for, if it was, and what was granted.
-type Granted struct {
-	Asked   *int `json:"asked,omitempty"`
-	Granted int  `json:"granted"`
+// GrantedLimit is a number that was asked for, if it was, and what was granted.
+type GrantedLimit struct {
+	Requested *int `json:"asked,omitempty"`
+	Granted   int  `json:"granted"`
 }
 
 // FinalRecord is what remains of a job.
@@ -214,9 +214,9 @@
 	Ticket *TicketRecord `json:"w,omitempty"`
 }
 
-// HolderRecord names the holder of a share. It is attached to the node's
+// OwnerRecord names the holder of a share. It is attached to the node's
 // lease; Lease tells a restarted node from its former self.
-type HolderRecord struct {
+type OwnerRecord struct {
 	Node  string `json:"node"`
 	Token uint64 `json:"token"`
 	Lease uint64 `json:"lease"`
@@ -225,32 +225,32 @@
 // BatchRecord assigns machines that were rented or moved together to a share,
 // fenced by Token if they were moved. Only the share's holder changes it.
 type BatchRecord struct {
-	Share    int             `json:"share"`
-	Token    uint64          `json:"token,omitempty"`
-	Machines []MachineRecord `json:"m"`
+	Partition int             `json:"share"`
+	Token     uint64          `json:"token,omitempty"`
+	Machines  []MachineRecord `json:"m"`
 }
 
 // MachineRecord is one machine of a batch. Share and Token are the batch's.
 type MachineRecord struct {
-	Share int    `json:"-"`
-	Token uint64 `json:"-"`
-	Name  string `json:"n"`
-	Type  string `json:"y"`
-	Zone  string `json:"z"`
-	Spot  bool   `json:"p,omitempty"`
-	Addr  string `json:"a,omitempty"`
+	Partition int    `json:"-"`
+	Token     uint64 `json:"-"`
+	Name      string `json:"n"`
+	Type      string `json:"y"`
+	Zone      string `json:"z"`
+	Spot      bool   `json:"p,omitempty"`
+	Addr      string `json:"a,omitempty"`
 }
 
-// CounterRecord is the never-deleted counter of tokens.
-type CounterRecord struct {
+// TokenCounterRecord is the never-deleted counter of tokens.
+type TokenCounterRecord struct {
 	Token uint64 `json:"token"`
 }
 
 // NodeRecord says that a node lives, on its lease.
 type NodeRecord struct {
-	Lease   uint64 `json:"lease"`
-	Version int    `json:"v,omitempty"` // of the records that it understands
-	Plain   bool   `json:"p,omitempty"` // it needs jobs in records of their own: it takes tickets, or jobs of a gateway
+	Lease           uint64 `json:"lease"`
+	Version         int    `json:"v,omitempty"` // of the records that it understands
+	RequiresRecords bool   `json:"p,omitempty"` // it needs jobs in records of their own: it takes tickets, or jobs of a gateway
 }
 
 // RecordVersion is the version of the records of this release: 1 records rentals under
@@ -267,26 +267,26 @@
 	Types []MachineType `json:"types"`
 }
 
-// FenceRecord is under FenceKey: a rental is recorded only if it is as it was when the
+// RentalFenceRecord is under FenceKey: a rental is recorded only if it is as it was when the
 // rental was asked for, and it is raised before machines without a record are taken up.
-type FenceRecord struct {
-	Round uint64 `json:"round"`
+type RentalFenceRecord struct {
+	Generation uint64 `json:"round"`
 }
 
-// Moves is the leader's last plan: machines that their holders are to hand to
+// MovesRecord is the leader's last plan: machines that their holders are to hand to
 // another share if they are still free.
-type Moves struct {
+type MovesRecord struct {
 	Moves []Move `json:"moves"`
 }
 
 // Move hands a machine to a share, if Spare only if its own share does not expect
 // to need it.
 type Move struct {
-	Machine string `json:"m"`
-	Share   int    `json:"to"`
-	Spare   bool   `json:"s,omitempty"`
-	Rank    int    `json:"r,omitempty"` // of the job that it is for: only less urgent work makes way
-	Drain   bool   `json:"d,omitempty"` // nothing is stopped on it: it goes once its tasks have ended
+	Machine        string `json:"m"`
+	Partition      int    `json:"to"`
+	OnlyIfUnneeded bool   `json:"s,omitempty"`
+	Rank           int    `json:"r,omitempty"` // of the job that it is for: only less urgent work makes way
+	Drain          bool   `json:"d,omitempty"` // nothing is stopped on it: it goes once its tasks have ended
 }
 
 // Check says what of a chunk can't be true.
@@ -348,7 +348,7 @@
 				return fmt.Errorf("job %s: run %v of %d machines", p.Job, r, len(e.Machines))
 			}
 		}
-		for _, ranges := range [][][2]int{p.Gone, p.Done} {
+		for _, ranges := range [][][2]int{p.Unplaced, p.Done} {
 			for _, r := range ranges {
 				if r[0] < 0 || r[0] > r[1] || r[1] >= MaxTasks {
 					return fmt.Errorf("job %s: tasks %v", p.Job, r)
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -9,11 +9,11 @@
 
 // Settings is the file that the platform hands over. Unknown fields are ignored.
 type Settings struct {
-	Node     string    `toml:"node"`
-	Zone     string    `toml:"location"`
-	APIAddr  string    `toml:"api_addr"`
-	PeerAddr string    `toml:"cluster_listen"`
-	Siblings []Sibling `toml:"siblings"`
+	Node     string `toml:"node"`
+	Zone     string `toml:"location"`
+	APIAddr  string `toml:"api_addr"`
+	PeerAddr string `toml:"cluster_listen"`
+	Peers    []Peer `toml:"siblings"`
 	External struct {
 		Cloud string `toml:"cloud"`
 		State string `toml:"state"`
@@ -27,12 +27,12 @@
 		Workers WorkerSettings `toml:"workers"`
 		State   StateSettings  `toml:"state"`
 		Cloud   CloudSettings  `toml:"cloud"`
-		Quota   MachineQuota   `toml:"quota"`
+		Quota   NodeQuota      `toml:"quota"`
 	} `toml:"params"`
 }
 
-// Sibling is another controller node.
-type Sibling struct {
+// Peer is another controller node.
+type Peer struct {
 	Node string `toml:"node"`
 	Zone string `toml:"location"`
 	Addr string `toml:"peer_addr"`
@@ -49,10 +49,10 @@
 
 // Objective is an aim on starting or finishing.
 type Objective struct {
-	Kind    string  `toml:"kind"`
-	Class   string  `toml:"class"`
-	WithinS float64 `toml:"within_s"`
-	Share   float64 `toml:"share"`
+	Kind     string  `toml:"kind"`
+	Class    string  `toml:"class"`
+	WithinS  float64 `toml:"within_s"`
+	Fraction float64 `toml:"share"`
 }
 
 // WorkerSettings are the workers' times.
@@ -78,8 +78,8 @@
 	ListLagS float64 `toml:"list_lag_s"`
 }
 
-// MachineQuota is what this node may use.
-type MachineQuota struct {
+// NodeQuota is what this node may use.
+type NodeQuota struct {
 	Cores    float64 `toml:"cores"`
 	MemoryMB float64 `toml:"memory_mb"`
 	FDLimit  int     `toml:"fd_limit"`
@@ -105,18 +105,18 @@
 }
 
 func (s *Settings) check() error {
-	m := &Mistakes{}
+	m := &SettingErrors{}
 	if s.Node == "" {
 		m.Add("node: missing")
 	}
-	m.Address("api_addr", s.APIAddr)
-	m.Address("cluster_listen", s.PeerAddr)
-	m.Address("external.cloud", s.External.Cloud)
-	m.Address("external.state", s.External.State)
+	m.CheckAddress("api_addr", s.APIAddr)
+	m.CheckAddress("cluster_listen", s.PeerAddr)
+	m.CheckAddress("external.cloud", s.External.Cloud)
+	m.CheckAddress("external.state", s.External.State)
 	s.checkSiblings(m)
 	p := &s.Params
 	if p.Nodes == 0 {
-		p.Nodes = len(s.Siblings) + 1
+		p.Nodes = len(s.Peers) + 1
 	}
 	if p.Nodes < 1 || p.Nodes > 1000 {
 		m.Add("params.initial_size: out of range: %d", p.Nodes)
@@ -126,18 +126,18 @@
 	return m.Err()
 }
 
-func (s *Settings) checkSiblings(m *Mistakes) {
+func (s *Settings) checkSiblings(m *SettingErrors) {
 	seen := map[string]bool{s.Node: true}
-	for i, sib := range s.Siblings {
+	for i, sib := range s.Peers {
 		if sib.Node == "" || seen[sib.Node] {
 			m.Add("siblings[%d].node: missing or repeated: %q", i, sib.Node)
 		}
 		seen[sib.Node] = true
-		m.Address(fmt.Sprintf("siblings[%d].peer_addr", i), sib.Addr)
+		m.CheckAddress(fmt.Sprintf("siblings[%d].peer_addr", i), sib.Addr)
 	}
 }
 
-func checkTeams(m *Mistakes, teams []Team) {
+func checkTeams(m *SettingErrors, teams []Team) {
 	if len(teams) == 0 {
 		m.Add("params.teams: none")
 	}
@@ -160,18 +160,18 @@
 const leastTxnOps = 4
 
 // checkLimits checks the limits of the workers, the outside services and this machine.
-func (s *Settings) checkLimits(m *Mistakes) {
+func (s *Settings) checkLimits(m *SettingErrors) {
 	p := &s.Params
-	m.Positive("params.workers.report_s", p.Workers.ReportS)
-	m.Positive("params.workers.lease_s", p.Workers.LeaseS)
-	m.Positive("params.workers.cancel_s", p.Workers.CancelS)
-	m.Positive("params.state.rps", p.State.RPS)
-	m.Positive("params.state.write_rps", p.State.WriteRPS)
-	m.Positive("params.state.value_kb", p.State.ValueKB)
-	m.Positive("params.state.txn_ops", float64(p.State.TxnOps))
-	m.Positive("params.cloud.rps", p.Cloud.RPS)
-	m.Positive("params.quota.cores", p.Quota.Cores)
-	m.Positive("params.quota.memory_mb", p.Quota.MemoryMB)
+	m.CheckPositive("params.workers.report_s", p.Workers.ReportS)
+	m.CheckPositive("params.workers.lease_s", p.Workers.LeaseS)
+	m.CheckPositive("params.workers.cancel_s", p.Workers.CancelS)
+	m.CheckPositive("params.state.rps", p.State.RPS)
+	m.CheckPositive("params.state.write_rps", p.State.WriteRPS)
+	m.CheckPositive("params.state.value_kb", p.State.ValueKB)
+	m.CheckPositive("params.state.txn_ops", float64(p.State.TxnOps))
+	m.CheckPositive("params.cloud.rps", p.Cloud.RPS)
+	m.CheckPositive("params.quota.cores", p.Quota.Cores)
+	m.CheckPositive("params.quota.memory_mb", p.Quota.MemoryMB)
 	if p.Workers.CancelS <= p.Workers.LeaseS {
 		m.Add("params.workers.cancel_s: must be above lease_s")
 	}
--- a/internal/protocol/ticket/combine.go
+++ b/internal/protocol/ticket/combine.go
@@ -46,7 +46,7 @@
 	}
 	e, err := combineParser().ParseString("", s)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %v", clip(s), parseErrorText(err))
+		return nil, fmt.Errorf("%s: %v", quoteClipped(s), parseErrorText(err))
 	}
 	return e, nil
 }
@@ -66,37 +66,37 @@
 
 // axis is a task parameter with its values.
 type axis struct {
-	name, kind string
-	ints       ints     // of an INT
-	list       []string // of all others
+	name, typ string
+	ints      intRange // of an INT
+	list      []string // of all others
 }
 
 func (a *axis) len() int {
-	if a.kind == "INT" {
+	if a.typ == "INT" {
 		return a.ints.len()
 	}
 	return len(a.list)
 }
 
 func (a *axis) at(i int) string {
-	if a.kind == "INT" {
+	if a.typ == "INT" {
 		return fmt.Sprint(a.ints.at(i))
 	}
 	return a.list[i]
 }
 
-// shape says how axes are combined: one of them, a product, or a group.
-type shape struct {
+// combination says how axes are combined: one of them, a product, or a group.
+type combination struct {
 	axis    int // of a leaf
 	product bool
-	kids    []*shape
+	kids    []*combination
 	count   int
 }
 
-// Space is the parameters of a step's tasks, by the task's number. It holds no task.
-type Space struct {
+// TaskSpace is the parameters of a step's tasks, by the task's number. It holds no task.
+type TaskSpace struct {
 	axes []*axis
-	root *shape // nil: one task without parameters
+	root *combination // nil: one task without parameters
 }
 
 // Binding is a parameter of one task.
@@ -107,7 +107,7 @@
 }
 
 // Len is the number of tasks.
-func (s *Space) Len() int {
+func (s *TaskSpace) Len() int {
 	if s == nil || s.root == nil {
 		return 1
 	}
@@ -115,7 +115,7 @@
 }
 
 // At is the parameters of one task, in the order of the definitions.
-func (s *Space) At(task int) []Binding {
+func (s *TaskSpace) At(task int) []Binding {
 	if s == nil || s.root == nil || task < 0 || task >= s.Len() {
 		return nil
 	}
@@ -123,12 +123,12 @@
 	s.root.pick(task, at)
 	out := make([]Binding, len(s.axes))
 	for i, a := range s.axes {
-		out[i] = Binding{a.name, a.kind, a.at(at[i])}
+		out[i] = Binding{a.name, a.typ, a.at(at[i])}
 	}
 	return out
 }
 
-func (sh *shape) pick(i int, at []int) {
+func (sh *combination) pick(i int, at []int) {
 	switch {
 	case sh.kids == nil:
 		at[sh.axis] = i
@@ -146,7 +146,7 @@
 }
 
 // newSpace combines axes as an expression says; without one, as their product.
-func newSpace(axes []*axis, expr *combineExpr) (*Space, error) {
+func newSpace(axes []*axis, expr *combineExpr) (*TaskSpace, error) {
 	if expr == nil {
 		expr = &combineExpr{}
 		for _, a := range axes {
@@ -157,14 +157,14 @@
 	for i, a := range axes {
 		byName[a.name] = i
 	}
-	s := &Space{axes: axes}
+	s := &TaskSpace{axes: axes}
 	var err error
 	s.root, err = s.shape(expr, byName)
 	return s, err
 }
 
-func (s *Space) shape(e *combineExpr, byName map[string]int) (*shape, error) {
-	sh := &shape{product: true, count: 1}
+func (s *TaskSpace) shape(e *combineExpr, byName map[string]int) (*combination, error) {
+	sh := &combination{product: true, count: 1}
 	for _, t := range e.Product {
 		kid, err := s.term(t, byName)
 		if err != nil {
@@ -182,12 +182,12 @@
 	return sh, nil
 }
 
-func (s *Space) term(t *combineTerm, byName map[string]int) (*shape, error) {
+func (s *TaskSpace) term(t *combineTerm, byName map[string]int) (*combination, error) {
 	if t.Group == nil {
 		i := byName[t.Name]
-		return &shape{axis: i, count: s.axes[i].len()}, nil
+		return &combination{axis: i, count: s.axes[i].len()}, nil
 	}
-	sh := &shape{}
+	sh := &combination{}
 	for _, g := range t.Group {
 		kid, err := s.shape(g, byName)
 		if err != nil {
--- a/internal/protocol/ticket/expand.go
+++ b/internal/protocol/ticket/expand.go
@@ -19,11 +19,11 @@
 type PlanStep struct {
 	Name  string
 	Deps  []int // steps that must be done before
-	Space *Space
+	Space *TaskSpace
 	// What a task takes; nil: not said, so the submission's or the class's holds.
 	CPUs, GPUs, MemoryGB *float64
-	Builds               []string // allowed machine types; nil: not said
-	Region               string
+	Types                []string // allowed machine types; nil: not said
+	Zone                 string
 }
 
 // Args are the values given for job parameters, by name.
@@ -90,7 +90,7 @@
 		s, ok := given[p.Name]
 		switch {
 		case ok:
-			v, err := scalar(p.Type, &value{kind: text, text: s})
+			v, err := parseScalar(p.Type, &value{kind: text, text: s})
 			if err == nil {
 				err = p.check(v, true)
 			}
@@ -106,7 +106,7 @@
 	}
 	for name := range given {
 		if !slices.ContainsFunc(t.Parameters, func(p Parameter) bool { return p.Name == name }) {
-			return nil, &Error{Field: "parameters", Text: fmt.Sprintf("the template has no parameter %s", clip(name))}
+			return nil, &Error{Field: "parameters", Text: fmt.Sprintf("the template has no parameter %s", quoteClipped(name))}
 		}
 	}
 	return vals, nil
@@ -114,14 +114,14 @@
 
 type resolver func(s, path string) (string, error)
 
-func (d *SpaceDef) expand(resolve resolver, path string) (*Space, error) {
+func (d *ParameterSpace) expand(resolve resolver, path string) (*TaskSpace, error) {
 	if d == nil {
 		return nil, nil
 	}
 	var axes []*axis
 	for i, p := range d.Parameters {
 		path := fmt.Sprintf("%s.taskParameterDefinitions[%d].range", path, i)
-		a := &axis{name: p.Name, kind: p.Type}
+		a := &axis{name: p.Name, typ: p.Type}
 		bad := func(err error) error { return &Error{Field: path, Text: err.Error()} }
 		if p.Range.List == nil {
 			s, err := resolve(p.Range.Expr, path)
@@ -136,7 +136,7 @@
 		for k, it := range p.Range.List {
 			s, err := resolve(it, fmt.Sprintf("%s[%d]", path, k))
 			if err == nil {
-				s, err = scalar(p.Type, &value{kind: text, text: s})
+				s, err = parseScalar(p.Type, &value{kind: text, text: s})
 			}
 			if err != nil {
 				return nil, bad(err)
@@ -149,7 +149,7 @@
 				if err != nil {
 					return nil, bad(err)
 				}
-				a.ints = append(a.ints, run{n, 1, 1})
+				a.ints = append(a.ints, sequence{n, 1, 1})
 			} else {
 				a.list = append(a.list, s)
 			}
@@ -171,7 +171,7 @@
 }
 
 // require turns host requirements into what the scheduler knows.
-func (s *PlanStep) require(h *Host, resolve resolver, path string) error {
+func (s *PlanStep) require(h *HostRequirements, resolve resolver, path string) error {
 	if h == nil {
 		return nil
 	}
@@ -236,12 +236,12 @@
 	case "attr.worker.cpu.arch":
 		return only("x86_64")
 	case "attr.dapplestage.build":
-		s.Builds = allowed
+		s.Types = allowed
 	case "attr.dapplestage.region":
 		if len(allowed) > 1 {
 			return fmt.Errorf("one region, or none for any")
 		}
-		s.Region = allowed[0]
+		s.Zone = allowed[0]
 	}
 	return nil
 }
--- a/internal/protocol/ticket/format.go
+++ b/internal/protocol/ticket/format.go
@@ -48,7 +48,7 @@
 	}
 	f, err := formatParser().ParseString("", s)
 	if err != nil {
-		return nil, fmt.Errorf("format string %s: %v", clip(s), parseErrorText(err))
+		return nil, fmt.Errorf("format string %s: %v", quoteClipped(s), parseErrorText(err))
 	}
 	return f, nil
 }
--- a/internal/protocol/ticket/ranges.go
+++ b/internal/protocol/ticket/ranges.go
@@ -45,41 +45,41 @@
 	return participle.MustBuild[rangeExpr](participle.Lexer(rangeLexer))
 })
 
-// run is an arithmetic sequence of integers.
-type run struct {
+// sequence is an arithmetic sequence of integers.
+type sequence struct {
 	from, step int64
 	count      int
 }
 
-func (r run) at(i int) int64 { return r.from + int64(i)*r.step }
+func (r sequence) at(i int) int64 { return r.from + int64(i)*r.step }
 
-// ints is what an integer range stands for, never written out.
-type ints []run
+// intRange is what an integer range stands for, never written out.
+type intRange []sequence
 
 // parseRange reads a range expression. The number of its values is known to be at
 // most MaxTasks, whatever the numbers in it.
-func parseRange(s string) (ints, error) {
+func parseRange(s string) (intRange, error) {
 	if len(s) > 4096 {
 		return nil, fmt.Errorf("a range expression of %d characters, at most 4096 are taken", len(s))
 	}
 	e, err := rangeParser().ParseString("", s)
 	if err != nil {
-		return nil, fmt.Errorf("range expression %s: %v", clip(s), parseErrorText(err))
+		return nil, fmt.Errorf("range expression %s: %v", quoteClipped(s), parseErrorText(err))
 	}
-	var out ints
+	var out intRange
 	total := 0
 	for _, p := range e.Parts {
 		r, err := p.run()
 		if err != nil {
-			return nil, fmt.Errorf("range expression %s: %v", clip(s), err)
+			return nil, fmt.Errorf("range expression %s: %v", quoteClipped(s), err)
 		}
 		if total += r.count; r.count > MaxTasks || total > MaxTasks {
-			return nil, fmt.Errorf("range expression %s: more than %d values", clip(s), MaxTasks)
+			return nil, fmt.Errorf("range expression %s: more than %d values", quoteClipped(s), MaxTasks)
 		}
 		out = append(out, r)
 	}
 	if a, twice := out.repeated(); twice {
-		return nil, fmt.Errorf("range expression %s: %d is in it twice", clip(s), a)
+		return nil, fmt.Errorf("range expression %s: %d is in it twice", quoteClipped(s), a)
 	}
 	return out, nil
 }
@@ -92,26 +92,26 @@
 	return err.Error()
 }
 
-func (p *rangePart) run() (run, error) {
+func (p *rangePart) run() (sequence, error) {
 	from, err := parseInt(p.From)
 	if err != nil || p.To == nil {
-		return run{from, 1, 1}, err
+		return sequence{from, 1, 1}, err
 	}
 	to, err := parseInt(*p.To)
 	if err != nil {
-		return run{}, err
+		return sequence{}, err
 	}
 	step := int64(1)
 	if p.Step != nil {
 		if step, err = parseInt(*p.Step); err != nil {
-			return run{}, err
+			return sequence{}, err
 		}
 	}
 	switch {
 	case step == 0:
-		return run{}, fmt.Errorf("a step of 0")
+		return sequence{}, fmt.Errorf("a step of 0")
 	case from < to && step < 0, from > to && step > 0:
-		return run{}, fmt.Errorf("from %d to %d with a step of %d is empty", from, to, step)
+		return sequence{}, fmt.Errorf("from %d to %d with a step of %d is empty", from, to, step)
 	}
 	// The distance of two int64 fits a uint64, and so does the size of a step.
 	dist, size := uint64(to)-uint64(from), uint64(step)
@@ -123,20 +123,20 @@
 	}
 	count := dist / size
 	if count >= MaxTasks {
-		return run{}, fmt.Errorf("more than %d values", MaxTasks)
+		return sequence{}, fmt.Errorf("more than %d values", MaxTasks)
 	}
-	return run{from, step, int(count) + 1}, nil
+	return sequence{from, step, int(count) + 1}, nil
 }
 
 func parseInt(s string) (int64, error) {
 	v, err := strconv.ParseInt(s, 10, 64)
 	if err != nil {
-		return 0, fmt.Errorf("%s is not within %d to %d", clip(s), int64(math.MinInt64), int64(math.MaxInt64))
+		return 0, fmt.Errorf("%s is not within %d to %d", quoteClipped(s), int64(math.MinInt64), int64(math.MaxInt64))
 	}
 	return v, nil
 }
 
-func (r ints) len() int {
+func (r intRange) len() int {
 	n := 0
 	for _, p := range r {
 		n += p.count
@@ -144,7 +144,7 @@
 	return n
 }
 
-func (r ints) at(i int) int64 {
+func (r intRange) at(i int) int64 {
 	for _, p := range r {
 		if i < p.count {
 			return p.at(i)
@@ -156,10 +156,10 @@
 
 // repeated finds a value that is in two parts of a range. Parts whose bounds lie
 // apart are not looked into.
-func (r ints) repeated() (int64, bool) {
+func (r intRange) repeated() (int64, bool) {
 	type span struct {
 		lo, hi int64
-		run
+		sequence
 	}
 	spans := make([]span, len(r))
 	for i, p := range r {
--- a/internal/protocol/ticket/submission.go
+++ b/internal/protocol/ticket/submission.go
@@ -16,29 +16,29 @@
 
 // Submission is a ticket as it was submitted, by either path.
 type Submission struct {
-	ID      string
-	Lot     string
-	Crew    string
-	Shape   string // empty: the class's
-	Urgency string // empty: by Priority, or the class's
+	ID       string
+	Class    string
+	Team     string
+	Shape    string // empty: the class's
+	Priority string // empty: by Priority, or the class's
 	// What each task takes where its step does not say; nil: the class's.
-	CPUs, GPUs, MemoryGB *float64
-	Bundle               string // empty: the class's, with its size
-	SizeGB               *float64
-	Builds               []string
-	Region               string
-	Together, Scatter    bool
-	Loaners              *bool
-	ExpectS, SnapshotS   float64
-	StoreS               float64
-	DueS                 *float64
+	CPUs, GPUs, MemoryGB   *float64
+	Image                  string // empty: the class's, with its size
+	ImageGB                *float64
+	Types                  []string
+	Zone                   string
+	OneZone, Spread        bool
+	Spot                   *bool
+	EstimateS, CheckpointS float64
+	SaveS                  float64
+	DeadlineS              *float64
 
-	Template    *Template
-	Args        Args
-	Priority    *int // 0 to 100
-	Retries     *int // of a task, after its first run
-	FailedTasks *int // that the ticket survives
-	Pieces      *int // in an ordinary submission: must be the ticket's tasks
+	Template       *Template
+	Args           Args
+	TicketPriority *int // 0 to 100
+	MaxRetries     *int // of a task, after its first run
+	MaxFailedTasks *int // that the ticket survives
+	Tasks          *int // in an ordinary submission: must be the ticket's tasks
 }
 
 // mostAsked bounds the numbers that may be asked for; what is granted is the class's
@@ -48,16 +48,16 @@
 // ParseTicket reads the body of POST /tickets. Fields that are not known are refused.
 func ParseTicket(body []byte) (*Submission, error) { return parse(body, false) }
 
-// ParseCarried reads an ordinary submission that carries a ticket in its field
+// ParseEmbedded reads an ordinary submission that carries a ticket in its field
 // ticket. As in any ordinary submission, fields that are not known are ignored; in
 // the ticket they are refused.
-func ParseCarried(body []byte) (*Submission, error) { return parse(body, true) }
+func ParseEmbedded(body []byte) (*Submission, error) { return parse(body, true) }
 
 func parse(body []byte, carried bool) (*Submission, error) {
-	if len(body) > protocol.MaxBody {
+	if len(body) > protocol.MaxBodyBytes {
 		return nil, &Error{Text: "body over 64 KiB"}
 	}
-	r := &reader{params: map[string]string{}}
+	r := &documentReader{params: map[string]string{}}
 	doc, err := parseJSON(body)
 	if err == nil && doc.kind != object {
 		err = &Error{Line: doc.line, Col: doc.col, Text: "not a JSON object"}
@@ -70,7 +70,7 @@
 	t := f
 	s.readJob(r, f, carried)
 	if carried {
-		v, path := f.need("ticket")
+		v, path := f.require("ticket")
 		if v.kind != null {
 			t = r.object(v, path)
 		}
@@ -78,8 +78,8 @@
 		token := r.str(v, path, 1, 64, false)
 		if s.ID != "" {
 			r.fail(v, path, "id and clientToken can't both be given")
-		} else if s.Crew != "" {
-			s.ID = TokenID(s.Crew, token)
+		} else if s.Team != "" {
+			s.ID = TokenTicketID(s.Team, token)
 		}
 	}
 	s.readTicket(r, t)
@@ -87,9 +87,9 @@
 		r.fail(doc, "id", "is missing")
 	}
 	if !carried {
-		f.done()
+		f.rejectUnknown()
 	} else if t != f {
-		t.done()
+		t.rejectUnknown()
 	}
 	if r.err != nil {
 		return nil, r.err
@@ -99,66 +99,66 @@
 
 // readJob reads the fields that an ordinary submission has too, under their names
 // there.
-func (s *Submission) readJob(r *reader, f *fields, carried bool) {
+func (s *Submission) readJob(r *documentReader, f *objectFields, carried bool) {
 	if v, path := f.get("id"); v != nil {
 		if s.ID = r.str(v, path, 1, 40, false); !protocol.ValidJobID(s.ID) {
 			r.fail(v, path, "must be job- and 1 to 32 digits")
 		}
 	}
-	s.Lot, s.Crew, s.Bundle, s.Region = f.label("lot", true), f.label("crew", true), f.label("bundle", false), f.label("region", false)
+	s.Class, s.Team, s.Image, s.Zone = f.label("lot", true), f.label("crew", true), f.label("bundle", false), f.label("region", false)
 	s.Shape = f.oneOf("shape", "", protocol.Array, protocol.Gang, protocol.Service)
-	s.Urgency = f.oneOf("urgency", "", "critical", "high", "standard", "best_effort")
-	s.CPUs, s.GPUs, s.MemoryGB, s.SizeGB = f.optAmount("vcpus"), f.optAmount("cards"), f.optAmount("memGb"), f.optAmount("sizeGb")
-	if s.Bundle != "" && s.SizeGB == nil {
-		r.fail(f.v, "sizeGb", "is missing beside bundle")
-	} else if s.Bundle == "" && s.SizeGB != nil {
-		r.fail(f.v, "bundle", "is missing beside sizeGb")
+	s.Priority = f.oneOf("urgency", "", "critical", "high", "standard", "best_effort")
+	s.CPUs, s.GPUs, s.MemoryGB, s.ImageGB = f.optAmount("vcpus"), f.optAmount("cards"), f.optAmount("memGb"), f.optAmount("sizeGb")
+	if s.Image != "" && s.ImageGB == nil {
+		r.fail(f.object, "sizeGb", "is missing beside bundle")
+	} else if s.Image == "" && s.ImageGB != nil {
+		r.fail(f.object, "bundle", "is missing beside sizeGb")
 	}
-	s.Together, s.Scatter, s.Loaners = orZero(f.optBool("together")), orZero(f.optBool("scatter")), f.optBool("loaners")
-	s.ExpectS, s.SnapshotS, s.StoreS, s.DueS = orZero(f.optAmount("expectS")), orZero(f.optAmount("snapshotS")), orZero(f.optAmount("storeS")), f.optAmount("dueS")
+	s.OneZone, s.Spread, s.Spot = orZero(f.optBool("together")), orZero(f.optBool("scatter")), f.optBool("loaners")
+	s.EstimateS, s.CheckpointS, s.SaveS, s.DeadlineS = orZero(f.optAmount("expectS")), orZero(f.optAmount("snapshotS")), orZero(f.optAmount("storeS")), f.optAmount("dueS")
 	if v, path := f.get("builds"); v != nil {
 		for i, it := range r.list(v, path, 1, 64) {
-			s.Builds = append(s.Builds, r.str(it, at(path, i), 1, 64, false))
+			s.Types = append(s.Types, r.str(it, itemPath(path, i), 1, 64, false))
 		}
 	}
 	if carried {
-		s.Pieces = f.optInt("pieces", 1, MaxTasks)
+		s.Tasks = f.optInt("pieces", 1, MaxTasks)
 	}
 }
 
 // label reads a short text.
-func (f *fields) label(field string, needed bool) string {
+func (f *objectFields) label(field string, needed bool) string {
 	v, path := f.get(field)
 	switch {
 	case v != nil:
-		return f.r.str(v, path, 1, 200, false)
+		return f.reader.str(v, path, 1, 200, false)
 	case needed:
-		f.r.fail(f.v, path, "is missing")
+		f.reader.fail(f.object, path, "is missing")
 	}
 	return ""
 }
 
 // optAmount reads a number that is not negative; nil if it is not given.
-func (f *fields) optAmount(field string) *float64 {
+func (f *objectFields) optAmount(field string) *float64 {
 	v, path := f.get(field)
 	if v == nil {
 		return nil
 	}
 	x, err := strconv.ParseFloat(v.text, 64)
 	if v.kind != integer && v.kind != float || err != nil || !(x >= 0) || x > 1e9 || math.IsInf(x, 0) {
-		f.r.fail(v, path, "must be a number from 0 to 1000000000")
+		f.reader.fail(v, path, "must be a number from 0 to 1000000000")
 	}
 	return &x
 }
 
 // optBool reads true or false; nil if it is not given.
-func (f *fields) optBool(field string) *bool {
+func (f *objectFields) optBool(field string) *bool {
 	v, path := f.get(field)
 	if v == nil {
 		return nil
 	}
 	if v.kind != boolean {
-		f.r.fail(v, path, "must be true or false")
+		f.reader.fail(v, path, "must be true or false")
 	}
 	b := v.text == "true"
 	return &b
@@ -173,24 +173,24 @@
 }
 
 // readTicket reads the template and what users know from submitting one.
-func (s *Submission) readTicket(r *reader, f *fields) {
+func (s *Submission) readTicket(r *documentReader, f *objectFields) {
 	form := f.oneOf("templateType", "", "JSON", "YAML")
-	if v, path := f.need("template"); v.kind != null {
+	if v, path := f.require("template"); v.kind != null {
 		var err error
 		switch v.kind {
 		case text:
 			if v, err = parseDocument([]byte(v.text), form); err == nil {
-				s.Template, err = readTemplate(v, "")
+				s.Template, err = parseTemplateValue(v, "")
 			}
 			if e, ok := err.(*Error); ok && r.err == nil {
-				e.Field = join(path, e.Field)
+				e.Field = joinPath(path, e.Field)
 				r.err = e
 			}
 		case object:
 			if form == "YAML" {
 				r.fail(v, path, "a YAML template is given as a string")
 			}
-			if s.Template, err = readTemplate(v, path); err != nil && r.err == nil {
+			if s.Template, err = parseTemplateValue(v, path); err != nil && r.err == nil {
 				r.err = err.(*Error)
 			}
 		default:
@@ -207,14 +207,14 @@
 				it = it.items[0]
 			}
 			if it.kind != integer && it.kind != float && it.kind != text {
-				r.fail(it, join(path, name), "must be a number or a string, not %s", it.kind)
+				r.fail(it, joinPath(path, name), "must be a number or a string, not %s", it.kind)
 			}
 			s.Args[name] = it.text
 		}
 	}
-	s.Priority = f.optInt("priority", 0, 100)
-	s.Retries = f.optInt("maxRetriesPerTask", 0, mostAsked)
-	s.FailedTasks = f.optInt("maxFailedTasksCount", 0, mostAsked)
+	s.TicketPriority = f.optInt("priority", 0, 100)
+	s.MaxRetries = f.optInt("maxRetriesPerTask", 0, mostAsked)
+	s.MaxFailedTasks = f.optInt("maxFailedTasksCount", 0, mostAsked)
 	f.oneOf("targetTaskRunStatus", "READY", "READY") // a ticket can't be held
 }
 
@@ -229,27 +229,27 @@
 	return fmt.Sprintf("job-%030d", n)
 }
 
-// TokenID is the id of a ticket that a team submits under a token of its client.
-func TokenID(crew, token string) string { return digits("ticket", crew, token) }
+// TokenTicketID is the id of a ticket that a team submits under a token of its client.
+func TokenTicketID(crew, token string) string { return digits("ticket", crew, token) }
 
-// StepID is the id of the job of a ticket's step. Users upload its description under
+// StepJobID is the id of the job of a ticket's step. Users upload its description under
 // it before they submit the ticket.
-func StepID(ticket string, step int) string { return digits("step", ticket, strconv.Itoa(step)) }
+func StepJobID(ticket string, step int) string { return digits("step", ticket, strconv.Itoa(step)) }
 
-// Stored is what is kept of a ticket beside its record, so that any node can tell
+// StoredTicket is what is kept of a ticket beside its record, so that any node can tell
 // the parameters of its tasks.
-type Stored struct {
+type StoredTicket struct {
 	Template json.RawMessage `json:"template"`
 	Args     Args            `json:"args"`
 }
 
 // Pack makes a ticket's template and arguments small.
 func (s *Submission) Pack() ([]byte, error) {
-	tmpl, err := s.Template.Print()
+	tmpl, err := s.Template.EncodeJSON()
 	if err != nil {
 		return nil, err
 	}
-	data, err := json.Marshal(Stored{tmpl, s.Args})
+	data, err := json.Marshal(StoredTicket{tmpl, s.Args})
 	if err != nil {
 		return nil, err
 	}
@@ -265,9 +265,9 @@
 
 // Unpack expands what Pack made.
 func Unpack(packed []byte) (*Template, *Plan, error) {
-	const most = 8 * MaxText
+	const most = 8 * MaxTextBytes
 	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), most))
-	var s Stored
+	var s StoredTicket
 	if err == nil {
 		err = json.Unmarshal(data, &s)
 	}
@@ -278,7 +278,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	t, err := readTemplate(v, "")
+	t, err := parseTemplateValue(v, "")
 	if err != nil {
 		return nil, nil, err
 	}
