--- a/internal/coordination/node/adopt.go
+++ b/internal/coordination/node/adopt.go
@@ -12,37 +12,37 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-// The leader's part in taking up machines without a record; package duty says what to do
-// when and why it is safe.
+// The leader adopts machines without a record; package duty decides which step comes next and
+// explains why it is safe.
 
 const (
-	// adoptPatience is how long the answer of a machine's own rental has had time to be
-	// recorded before the fence overtakes it.
-	adoptPatience = 5 * time.Second
-	// adoptPause is between two rounds: each one overtakes rentals under way.
-	adoptPause = 10 * time.Second
-	// foundPatience and foundPause are the same where nobody rented before this node
-	// began: then there is nothing to overtake, and a round takes all that have reported
-	// meanwhile.
-	foundPatience = 500 * time.Millisecond
-	foundPause    = time.Second
-	// foundTime is for how long at most such a node rents nothing while machines
-	// without a record report.
-	foundTime = 10 * time.Second
+	// adoptDelay is how long a machine must have reported without a record before it is adopted: the
+	// time for its own rental's answer to be recorded, before the fence is raised.
+	adoptDelay = 5 * time.Second
+	// adoptInterval is the pause between two rounds: each one invalidates rentals in flight.
+	adoptInterval = 10 * time.Second
+	// initialAdoptDelay and initialAdoptInterval apply instead when nobody rented before this
+	// node started: then no rental can be invalidated, and each round adopts all machines that
+	// have reported meanwhile.
+	initialAdoptDelay    = 500 * time.Millisecond
+	initialAdoptInterval = time.Second
+	// initialAdoptPeriod is how long at most such a node rents nothing while machines without a
+	// record report.
+	initialAdoptPeriod = 10 * time.Second
 )
 
-// adoptUnrecorded does the next step.
+// adoptUnrecorded performs the next step of the adoption.
 func (n *Node) adoptUnrecorded(now time.Time) {
-	patience, pause := adoptPatience, adoptPause
-	if n.freshCluster && now.Sub(n.loadControl.followingSince) < foundTime {
-		patience, pause = foundPatience, foundPause
+	delay, interval := adoptDelay, adoptInterval
+	if n.freshCluster && now.Sub(n.loadControl.followingSince) < initialAdoptPeriod {
+		delay, interval = initialAdoptDelay, initialAdoptInterval
 	}
-	may := n.isLeader() && !n.standby.leaving && n.sinceContact(now) < 2*time.Second && len(n.nodesWithoutEntries) == 0 && len(n.machineTypes) > 0
-	step, recs := n.adoption.Next(may, patience, pause, n.completeRevision, now)
-	holder := n.unchanged(protocol.OwnerKey(0))
+	mayAct := n.isLeader() && !n.standby.leaving && n.sinceContact(now) < 2*time.Second && len(n.nodesWithoutEntries) == 0 && len(n.machineTypes) > 0
+	step, records := n.adoption.Next(mayAct, delay, interval, n.completeRevision, now)
+	ownerCond := n.unchanged(protocol.OwnerKey(0))
 	switch step {
 	case duty.RaiseFence:
-		n.submit(&storage.Op{Purpose: uint8(forMachines), Conds: []storage.Cond{holder, n.unchanged(protocol.RentalFenceKey)},
+		n.submit(&storage.Op{Purpose: uint8(forMachines), Conds: []storage.Cond{ownerCond, n.unchanged(protocol.RentalFenceKey)},
 			Writes: []storage.Write{{Put: protocol.RentalFenceKey, Value: mustJSON(protocol.RentalFenceRecord{Generation: n.rentalFence.Generation + 1})}}},
 			func(r storage.Result) {
 				epoch := r.Revision
@@ -52,27 +52,27 @@
 				n.adoption.FenceRaised(epoch, time.Now())
 			})
 	case duty.RecordMachines:
-		n.recordStrays(recs, holder, now)
+		n.recordAdopted(records, ownerCond, now)
 	}
 }
 
-// recordStrays parts machines among the shares and records them under a token above all
+// recordAdopted divides machines among the partitions and records them under a token above all
 // that their workers may have seen.
-func (n *Node) recordStrays(recs []protocol.MachineRecord, holder storage.Cond, now time.Time) {
-	recs = slices.DeleteFunc(recs, func(r protocol.MachineRecord) bool {
+func (n *Node) recordAdopted(records []protocol.MachineRecord, ownerCond storage.Cond, now time.Time) {
+	records = slices.DeleteFunc(records, func(r protocol.MachineRecord) bool {
 		m := n.machines[r.Name]
-		not := n.machineTypes[r.Type] == nil || m != nil && (m.recorded || len(m.tasks) > 0)
-		if not {
+		skip := n.machineTypes[r.Type] == nil || m != nil && (m.recorded || len(m.tasks) > 0)
+		if skip {
 			n.adoption.Remove(r.Name)
 		}
-		return not
+		return skip
 	})
-	if len(recs) == 0 {
+	if len(records) == 0 {
 		n.adoption.RecordingEnded(true, now)
 		return
 	}
 	var sizes []Resources
-	for _, r := range recs {
+	for _, r := range records {
 		sizes = append(sizes, decide.SizeOf(n.machineTypes[r.Type]))
 	}
 	guarantees := make([]Resources, len(n.partitions))
@@ -80,39 +80,39 @@
 		guarantees[t.partition] = guarantees[t.partition].Add(t.Guarantee, 1)
 	}
 	token := n.tokenCounter + 1
-	byShare := make([][]protocol.MachineRecord, len(n.partitions))
+	byPartition := make([][]protocol.MachineRecord, len(n.partitions))
 	for i, s := range decide.Apportion(sizes, guarantees) {
-		byShare[s] = append(byShare[s], recs[i])
+		byPartition[s] = append(byPartition[s], records[i])
 	}
-	op := &storage.Op{Purpose: uint8(forMachines), Conds: []storage.Cond{holder, {Key: protocol.RentalFenceKey, Revision: n.adoption.Fence()}, n.unchanged(protocol.TokenCounterKey)},
+	op := &storage.Op{Purpose: uint8(forMachines), Conds: []storage.Cond{ownerCond, {Key: protocol.RentalFenceKey, Revision: n.adoption.Fence()}, n.unchanged(protocol.TokenCounterKey)},
 		Writes: []storage.Write{{Put: protocol.TokenCounterKey, Value: mustJSON(protocol.TokenCounterRecord{Token: token})}}}
-	taken := 0
-	for s, ms := range byShare {
-		room := math.MaxInt // by the longest type and zone
-		for _, r := range ms {
-			room = min(room, n.batchCapacity(r))
+	adopted := 0
+	for s, machines := range byPartition {
+		capacity := math.MaxInt // smallest batch capacity, given by the longest type and zone names
+		for _, r := range machines {
+			capacity = min(capacity, n.batchCapacity(r))
 		}
 		i := 0
-		for part := range slices.Chunk(ms, room) {
-			w := storage.Write{Put: protocol.BatchKey(fmt.Sprintf("a-%d-%d-%d", s, token, i)), Value: mustJSON(protocol.BatchRecord{Partition: s, Token: token, Machines: part})}
-			if !op.CanAdd(w, n.cfg.Params.State.TxnOps) {
-				break // the rest comes with the next change
+		for part := range slices.Chunk(machines, capacity) {
+			write := storage.Write{Put: protocol.BatchKey(fmt.Sprintf("a-%d-%d-%d", s, token, i)), Value: mustJSON(protocol.BatchRecord{Partition: s, Token: token, Machines: part})}
+			if !op.CanAdd(write, n.cfg.Params.State.TxnOps) {
+				break // the others are recorded in the next round
 			}
-			op.Conds = append(op.Conds, storage.Cond{Key: w.Put})
-			op.Writes = append(op.Writes, w)
-			taken += len(part)
+			op.Conds = append(op.Conds, storage.Cond{Key: write.Put})
+			op.Writes = append(op.Writes, write)
+			adopted += len(part)
 			i++
 		}
 	}
 	n.submit(op, func(r storage.Result) {
-		n.log.Info("machines without a record taken up", "machines", taken, "of", len(recs), "changes", len(op.Writes), "ok", r.OK, "why", r.Err)
+		n.log.Info("machines without a record taken up", "machines", adopted, "of", len(records), "changes", len(op.Writes), "ok", r.OK, "why", r.Err)
 		n.adoption.RecordingEnded(r.OK, time.Now())
 		n.replan = true
 	})
 }
 
-// awaitsAdoption says whether machines without a record are about to be taken up, so that
-// none is to be rented beside them.
+// awaitsAdoption reports whether machines without a record are about to be adopted, so that no
+// machine should be rented meanwhile.
 func (n *Node) awaitsAdoption(now time.Time) bool {
-	return n.freshCluster && now.Sub(n.loadControl.followingSince) < foundTime && n.adoption.HasUnrecorded(now)
+	return n.freshCluster && now.Sub(n.loadControl.followingSince) < initialAdoptPeriod && n.adoption.HasUnrecorded(now)
 }
