--- a/internal/coordination/duty/adopt.go
+++ b/internal/coordination/duty/adopt.go
@@ -8,146 +8,153 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// Machines without a record are up and report: they ran before the first controller did,
-// or the answer to their rental was lost with whoever asked for it. They are taken up
-// rather than returned. What must not happen is that their rental's answer is recorded
-// after all, for another share. So every rental is recorded under the condition that the
-// fence is as it was when it was asked for, and who takes machines up
+// Some machines run and report but have no record: they were running before the first
+// controller, or the answer to their rental was lost together with the node that requested
+// it. They are adopted rather than returned. The answer to such a rental must not be
+// recorded later for another partition. Every rental is therefore recorded under the
+// condition that the fence has the same revision as when the rental was requested. The
+// adopting node
 //
-//  1. has heard them report, and only then
-//  2. raises the fence: what was asked for before can't be recorded any more, and what is
-//     asked for after is another machine, since these are there already;
-//  3. has seen everything that was stored before the fence was raised, and
-//  4. records those that are still without a record, under the fence and its own holding.
+//   1. receives reports of the machines, and only then
+//   2. raises the fence: rentals requested before can no longer be recorded, and rentals
+//      requested later are other machines, because these already exist;
+//   3. waits until its replica contains everything stored before the fence was raised; and
+//   4. records the machines that still have no record, under the fence and its own ownership.
 //
-// A step that fails, or a holder that is replaced between any two, leaves nothing but a
+// If a step fails, or another node takes over between two steps, the only effect is a
 // raised fence.
 
-// Step is what is to be done next.
+// Step is the next change to store.
 type Step uint8
 
 const (
-	Wait Step = iota
-	RaiseFence
-	RecordMachines
+	Wait           Step = iota // nothing yet
+	RaiseFence                 // rentals requested before can no longer be recorded
+	RecordMachines             // that have no record, under the fence
 )
 
-// Adoption takes up machines without a record.
+// Adoption adopts machines that have no record.
 type Adoption struct {
-	heard  map[string]stray
-	busy   bool     // a change is under way
-	taking []string // machines that had reported when the fence was raised
-	fence  uint64   // its revision; 0: it is not raised for those
-	next   time.Time
+	unrecorded     map[string]unrecordedMachine // by name, those that have reported lately
+	changeInFlight bool                         // the change of the last step has not been answered
+	adopting       []string                     // machines that had reported before the fence was raised
+	fenceRevision  uint64                       // of the raised fence; 0: not raised for these machines
+	notBefore      time.Time                    // no step before this time
 }
 
-type stray struct {
-	rec         protocol.MachineRecord
-	first, last time.Time
+// unrecordedMachine is a machine that reports and has no record.
+type unrecordedMachine struct {
+	record                  protocol.MachineRecord
+	firstReport, lastReport time.Time
 }
 
 const (
-	// again is after a step that failed.
-	again = time.Second
-	// reportTimeout is after how long without a report a machine is forgotten here.
+	// retryDelay follows a step that failed.
+	retryDelay = time.Second
+	// reportTimeout is how long after its last report a machine is dropped.
 	reportTimeout = 15 * time.Second
 )
 
-// NewAdoption has heard of none.
-func NewAdoption() *Adoption { return &Adoption{heard: map[string]stray{}} }
+// NewAdoption returns an Adoption without machines.
+func NewAdoption() *Adoption { return &Adoption{unrecorded: map[string]unrecordedMachine{}} }
 
-// NoteReport notes a report of a machine that has no record.
-func (a *Adoption) NoteReport(r protocol.MachineRecord, now time.Time) {
-	s, ok := a.heard[r.Name]
-	if !ok {
-		s.first = now
+// NoteReport records a report of a machine that has no record.
+func (a *Adoption) NoteReport(record protocol.MachineRecord, now time.Time) {
+	machine, known := a.unrecorded[record.Name]
+	if !known {
+		machine.firstReport = now
 	}
-	s.rec, s.last = r, now
-	a.heard[r.Name] = s
+	machine.record, machine.lastReport = record, now
+	a.unrecorded[record.Name] = machine
 }
 
-// Remove forgets a machine: it is recorded, or on its way back.
-func (a *Adoption) Remove(name string) { delete(a.heard, name) }
+// Remove drops a machine: it has a record, or is being returned.
+func (a *Adoption) Remove(name string) { delete(a.unrecorded, name) }
 
-// HasUnrecorded says whether machines without a record report here, so that they will be taken
-// up soon by whoever may.
+// HasUnrecorded reports whether machines without a record report here; the responsible
+// node will adopt them soon.
 func (a *Adoption) HasUnrecorded(now time.Time) bool {
-	a.forget(now)
-	return len(a.heard) > 0
+	a.dropSilent(now)
+	return len(a.unrecorded) > 0
 }
 
-// Fence is the revision of the fence that Record's machines are recorded under.
-func (a *Adoption) Fence() uint64 { return a.fence }
+// Fence returns the revision of the fence that the machines of RecordMachines are to be
+// recorded under.
+func (a *Adoption) Fence() uint64 { return a.fenceRevision }
 
-func (a *Adoption) forget(now time.Time) {
-	for name, s := range a.heard {
-		if now.Sub(s.last) > reportTimeout {
-			delete(a.heard, name)
+// dropSilent drops the machines whose last report is too old.
+func (a *Adoption) dropSilent(now time.Time) {
+	for name, machine := range a.unrecorded {
+		if now.Sub(machine.lastReport) > reportTimeout {
+			delete(a.unrecorded, name)
 		}
 	}
 }
 
-// Next says what to do next. may says that this node has the duty, patience for how long
-// a machine's own rental has had time to be recorded, caught up to which revision all
-// that is stored is known here, pause the time between two rounds: each one overtakes
-// rentals under way.
-func (a *Adoption) Next(may bool, patience, pause time.Duration, caught uint64, now time.Time) (Step, []protocol.MachineRecord) {
-	a.forget(now)
+// Next returns the next step and, for RecordMachines, the machines. responsible is true if
+// this node may adopt machines. recordTimeout is how long the rental of a machine has to
+// be recorded. roundInterval is the least time between two rounds, because each one
+// invalidates rentals in flight. completeRevision is the revision up to which this node's
+// replica is complete.
+func (a *Adoption) Next(responsible bool, recordTimeout, roundInterval time.Duration, completeRevision uint64, now time.Time) (Step, []protocol.MachineRecord) {
+	a.dropSilent(now)
 	switch {
-	case !may:
-		if !a.busy {
-			a.fence, a.taking = 0, nil
+	case !responsible:
+		if !a.changeInFlight {
+			a.fenceRevision, a.adopting = 0, nil
 		}
 		return Wait, nil
-	case a.busy || now.Before(a.next):
+	case a.changeInFlight || now.Before(a.notBefore):
 		return Wait, nil
-	case a.fence == 0:
-		// Once one has waited for long enough all come along: the fence overtakes what is
-		// under way for the others too.
-		a.taking = a.taking[:0]
+	case a.fenceRevision == 0:
+		// When recordTimeout is over for one machine, all are adopted: the fence
+		// invalidates the rentals in flight of the others too.
+		a.adopting = a.adopting[:0]
 		due := false
-		for name, s := range a.heard {
-			due = due || now.Sub(s.first) >= patience
-			a.taking = append(a.taking, name)
+		for name, machine := range a.unrecorded {
+			due = due || now.Sub(machine.firstReport) >= recordTimeout
+			a.adopting = append(a.adopting, name)
 		}
 		if !due {
 			return Wait, nil
 		}
-		a.busy = true
+		a.changeInFlight = true
 		return RaiseFence, nil
-	case caught < a.fence:
+	case completeRevision < a.fenceRevision:
 		return Wait, nil
 	}
-	var recs []protocol.MachineRecord
-	for _, name := range a.taking {
-		if s, still := a.heard[name]; still {
-			recs = append(recs, s.rec)
+	var records []protocol.MachineRecord
+	for _, name := range a.adopting {
+		if machine, reporting := a.unrecorded[name]; reporting {
+			records = append(records, machine.record)
 		}
 	}
-	if len(recs) == 0 {
-		a.taking, a.fence, a.next = nil, 0, now.Add(pause)
+	if len(records) == 0 {
+		a.adopting, a.fenceRevision, a.notBefore = nil, 0, now.Add(roundInterval)
 		return Wait, nil
 	}
-	slices.SortFunc(recs, func(a, b protocol.MachineRecord) int {
+	slices.SortFunc(records, func(a, b protocol.MachineRecord) int {
 		return cmp.Or(cmp.Compare(a.Type, b.Type), cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Name, b.Name))
 	})
-	a.busy = true
-	return RecordMachines, recs
+	a.changeInFlight = true
+	return RecordMachines, records
 }
 
-// FenceRaised notes how raising the fence ended: at which revision, or not (0).
-func (a *Adoption) FenceRaised(epoch uint64, now time.Time) {
-	a.busy, a.fence = false, epoch
-	if epoch == 0 {
-		a.taking, a.next = nil, now.Add(again)
+// FenceRaised records the result of RaiseFence: the revision of the fence, 0 if it was not
+// stored.
+func (a *Adoption) FenceRaised(revision uint64, now time.Time) {
+	a.changeInFlight, a.fenceRevision = false, revision
+	if revision == 0 {
+		a.adopting, a.notBefore = nil, now.Add(retryDelay)
 	}
 }
 
-// RecordingEnded notes that recording some of them has ended. If it was not stored, another one
-// may have the duty by now, or the fence was raised again: all begins anew.
-func (a *Adoption) RecordingEnded(ok bool, now time.Time) {
-	a.busy = false
-	if !ok {
-		a.fence, a.taking, a.next = 0, nil, now.Add(again)
+// RecordingEnded records the result of RecordMachines, which may have covered only some of
+// the machines. If it was not stored, another node may be responsible by now or may have
+// raised the fence again, so the adoption starts over.
+func (a *Adoption) RecordingEnded(stored bool, now time.Time) {
+	a.changeInFlight = false
+	if !stored {
+		a.fenceRevision, a.adopting, a.notBefore = 0, nil, now.Add(retryDelay)
 	}
 }
--- a/internal/coordination/duty/adopt_test.go
+++ b/internal/coordination/duty/adopt_test.go
@@ -10,148 +10,153 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// model is a store, renters and nodes that may have the duty, in any order of events.
+// model simulates the state service, rentals and two nodes that may be responsible, with
+// events in any order.
 type model struct {
-	rev     uint64
-	fence   uint64 // revision
-	holder  int    // who has the duty
-	changed uint64 // revision of that
-	records map[string]uint64
-	twice   string
+	revision       uint64
+	fenceRevision  uint64            // revision of the fence
+	leader         int               // the responsible node
+	leaderRevision uint64            // revision of its last change
+	records        map[string]uint64 // by machine: revision of its record
+	recordedTwice  string            // a machine whose record was stored twice
 
-	rentals []rental // asked for, and not recorded yet
-	nodes   []*adopter
-	flight  []func() // changes on their way
-	late    bool     // a deliberate fault: rentals are recorded whatever the fence
+	rentals     []rental // requested, not recorded yet
+	nodes       []*adopter
+	inFlight    []func() // changes sent and not executed yet
+	ignoreFence bool     // deliberate fault: rentals are recorded whatever the revision of the fence
 }
 
+// rental is a requested machine and the revision of the fence at the request.
 type rental struct {
-	name  string
-	fence uint64
+	name          string
+	fenceRevision uint64
 }
 
-// adopter is a node with its replica, which may be behind.
+// adopter is a node with its replica, which may be out of date.
 type adopter struct {
 	*Adoption
-	caught uint64
-	own    map[string]bool // recorded by itself: that is known at once
+	completeRevision uint64
+	ownRecords       map[string]bool // machines that it recorded itself: known at once
 }
 
+// record stores the record of a machine.
 func (m *model) record(name string) {
 	if _, already := m.records[name]; already {
-		m.twice = name
+		m.recordedTwice = name
 	}
-	m.records[name] = m.rev
+	m.records[name] = m.revision
 }
 
-// look lets a node do its next step. What it stores is on its way for a while.
-func (m *model) look(i int, now time.Time) {
-	n := m.nodes[i]
-	// It knows of a change of the holder only once it has seen it.
-	stamp := m.changed
-	may := m.holder == i && n.caught >= m.changed
-	for name, at := range m.records {
-		if at <= n.caught {
-			n.Remove(name)
+// runStep lets a node do its next step. The change it stores is in flight until it is
+// executed.
+func (m *model) runStep(i int, now time.Time) {
+	node := m.nodes[i]
+	// The node learns of a change of the leader only through its replica.
+	leaderRevision := m.leaderRevision
+	responsible := m.leader == i && node.completeRevision >= m.leaderRevision
+	for name, revision := range m.records {
+		if revision <= node.completeRevision {
+			node.Remove(name)
 		}
 	}
-	switch step, recs := n.Next(may, 0, 0, n.caught, now); step {
+	switch step, records := node.Next(responsible, 0, 0, node.completeRevision, now); step {
 	case RaiseFence:
-		was := m.fence
-		m.flight = append(m.flight, func() {
-			if m.holder != i || m.changed != stamp || m.fence != was {
-				n.FenceRaised(0, now)
+		fenceBefore := m.fenceRevision
+		m.inFlight = append(m.inFlight, func() {
+			if m.leader != i || m.leaderRevision != leaderRevision || m.fenceRevision != fenceBefore {
+				node.FenceRaised(0, now)
 				return
 			}
-			m.rev++
-			m.fence = m.rev
-			n.FenceRaised(m.rev, now)
+			m.revision++
+			m.fenceRevision = m.revision
+			node.FenceRaised(m.revision, now)
 		})
 	case RecordMachines:
-		fence := n.Fence()
-		m.flight = append(m.flight, func() {
-			if ok := m.holder == i && m.changed == stamp && m.fence == fence; ok {
-				m.rev++
-				for _, r := range recs {
+		fenceRevision := node.Fence()
+		m.inFlight = append(m.inFlight, func() {
+			if ok := m.leader == i && m.leaderRevision == leaderRevision && m.fenceRevision == fenceRevision; ok {
+				m.revision++
+				for _, r := range records {
 					m.record(r.Name)
-					n.own[r.Name] = true
-					n.Remove(r.Name)
+					node.ownRecords[r.Name] = true
+					node.Remove(r.Name)
 				}
-				n.RecordingEnded(true, now)
+				node.RecordingEnded(true, now)
 				return
 			}
-			n.RecordingEnded(false, now)
+			node.RecordingEnded(false, now)
 		})
 	}
 }
 
-func play(t *rapid.T, late bool) *model {
-	m := &model{records: map[string]uint64{}, late: late}
+// runModel runs a random sequence of events until a machine is recorded twice.
+func runModel(t *rapid.T, ignoreFence bool) *model {
+	m := &model{records: map[string]uint64{}, ignoreFence: ignoreFence}
 	for range 2 {
-		m.nodes = append(m.nodes, &adopter{Adoption: NewAdoption(), own: map[string]bool{}})
+		m.nodes = append(m.nodes, &adopter{Adoption: NewAdoption(), ownRecords: map[string]bool{}})
 	}
 	now := time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
-	var up []string
+	var running []string
 	for i := range rapid.IntRange(20, 200).Draw(t, "events") {
 		now = now.Add(300 * time.Millisecond)
-		node := m.holder // mostly
+		node := m.leader // mostly
 		if rapid.IntRange(0, 9).Draw(t, "other") == 0 {
 			node = 1 - node
 		}
 		switch rapid.SampledFrom([]int{0, 0, 1, 2, 3, 3, 3, 3, 5, 6, 6, 6, 7, 7, 7, 7, 8, 8, 8, 8}).Draw(t, "what") {
-		case 0: // a rental is asked for: the machine is there, its answer not yet
-			r := rental{fmt.Sprint("host-", i), m.fence}
+		case 0: // a rental is requested: the machine runs, the answer is outstanding
+			r := rental{fmt.Sprint("host-", i), m.fenceRevision}
 			m.rentals = append(m.rentals, r)
-			up = append(up, r.name)
-		case 1: // a machine that nobody here rented
-			up = append(up, fmt.Sprint("found-", i))
-		case 2: // a rental is recorded, now or never
+			running = append(running, r.name)
+		case 1: // a machine that no node here rented
+			running = append(running, fmt.Sprint("found-", i))
+		case 2: // the answer of a rental arrives: it is recorded now or never
 			if k := len(m.rentals); k > 0 {
 				at := rapid.IntRange(0, k-1).Draw(t, "rental")
 				r := m.rentals[at]
 				m.rentals = append(m.rentals[:at], m.rentals[at+1:]...)
-				if r.fence == m.fence || m.late {
-					m.rev++
+				if r.fenceRevision == m.fenceRevision || m.ignoreFence {
+					m.revision++
 					m.record(r.name)
 				}
 			}
-		case 3: // a report; it is of no interest once its node knows the record
-			if len(up) > 0 {
-				name := up[rapid.IntRange(0, len(up)-1).Draw(t, "machine")]
-				if at, ok := m.records[name]; !m.nodes[node].own[name] && (!ok || at > m.nodes[node].caught) {
+		case 3: // a report; ignored if the node knows the record
+			if len(running) > 0 {
+				name := running[rapid.IntRange(0, len(running)-1).Draw(t, "machine")]
+				if revision, ok := m.records[name]; !m.nodes[node].ownRecords[name] && (!ok || revision > m.nodes[node].completeRevision) {
 					m.nodes[node].NoteReport(protocol.MachineRecord{Name: name}, now)
 				}
 			}
-		case 5: // the duty changes hands
-			m.rev++
-			m.holder, m.changed = node, m.rev
-		case 6: // a replica comes up to date
-			m.nodes[node].caught = m.rev
-		case 7: // a change arrives; they may overtake one another
-			if k := len(m.flight); k > 0 {
+		case 5: // the leader changes
+			m.revision++
+			m.leader, m.leaderRevision = node, m.revision
+		case 6: // a replica catches up
+			m.nodes[node].completeRevision = m.revision
+		case 7: // a change is executed; changes may overtake one another
+			if k := len(m.inFlight); k > 0 {
 				at := rapid.IntRange(0, k-1).Draw(t, "change")
-				f := m.flight[at]
-				m.flight = append(m.flight[:at], m.flight[at+1:]...)
-				f()
+				execute := m.inFlight[at]
+				m.inFlight = append(m.inFlight[:at], m.inFlight[at+1:]...)
+				execute()
 			}
 		default:
-			m.look(node, now)
+			m.runStep(node, now)
 		}
-		if m.twice != "" {
+		if m.recordedTwice != "" {
 			break
 		}
 	}
 	return m
 }
 
-// Whatever overtakes what: no machine is recorded twice. The order of the four steps is
-// what proves it; each one left out is found (below).
-func TestNothingIsRecordedTwice(t *testing.T) {
+// No machine may be recorded twice, in whatever order the changes are executed. This
+// depends on the order of the four steps of an adoption.
+func TestNoMachineIsRecordedTwice(t *testing.T) {
 	recorded := 0
 	rapid.Check(t, func(t *rapid.T) {
-		m := play(t, false)
-		if m.twice != "" {
-			t.Fatalf("%s was recorded twice", m.twice)
+		m := runModel(t, false)
+		if m.recordedTwice != "" {
+			t.Fatalf("%s was recorded twice", m.recordedTwice)
 		}
 		recorded += len(m.records)
 	})
@@ -160,68 +165,69 @@
 	}
 }
 
-// A rental that is recorded whatever the fence is found out.
-func TestRentalsWithoutFenceAreFound(t *testing.T) {
+// The model must detect the double record if rentals are recorded without the condition on
+// the fence; otherwise the test above shows nothing.
+func TestModelDetectsMissingFence(t *testing.T) {
 	found := false
 	for seed := range 3000 {
-		m := rapid.Custom(func(t *rapid.T) *model { return play(t, true) }).Example(seed)
-		if found = m.twice != ""; found {
+		m := rapid.Custom(func(t *rapid.T) *model { return runModel(t, true) }).Example(seed)
+		if found = m.recordedTwice != ""; found {
 			t.Log("found with seed", seed)
 			break
 		}
 	}
 	if !found {
-		t.Error("not found: the model shows nothing")
+		t.Error("the model does not detect the missing condition")
 	}
 }
 
-// Machines that report are taken up in one round; one that stopped reporting is not, nor
-// is one that was recorded meanwhile.
+// Machines that report are adopted in one round, except those that stopped reporting or
+// were recorded meanwhile.
 func TestAdoptionRounds(t *testing.T) {
 	now := time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 	a := NewAdoption()
 	for i := range 3 {
 		a.NoteReport(protocol.MachineRecord{Name: fmt.Sprint("host-", i)}, now)
 	}
-	look := func(may bool, caught uint64) (Step, int) {
-		s, recs := a.Next(may, time.Second, 10*time.Second, caught, now)
-		return s, len(recs)
+	next := func(responsible bool, completeRevision uint64) (Step, int) {
+		step, records := a.Next(responsible, time.Second, 10*time.Second, completeRevision, now)
+		return step, len(records)
 	}
-	expect := func(what string, s Step, n int, is Step, k int) {
+	expect := func(what string, step Step, machines int, wantStep Step, wantMachines int) {
 		t.Helper()
-		if s != is || n != k {
-			t.Fatalf("%s: step %d with %d machines, want %d with %d", what, s, n, is, k)
+		if step != wantStep || machines != wantMachines {
+			t.Fatalf("%s: step %d with %d machines, want %d with %d", what, step, machines, wantStep, wantMachines)
 		}
 	}
-	s, n := look(true, 0)
-	expect("before the patience is over", s, n, Wait, 0)
+	step, machines := next(true, 0)
+	expect("before the record timeout", step, machines, Wait, 0)
 	now = now.Add(time.Second)
-	s, n = look(false, 0)
-	expect("without the duty", s, n, Wait, 0)
-	s, n = look(true, 0)
-	expect("then", s, n, RaiseFence, 0)
+	step, machines = next(false, 0)
+	expect("on a node that is not responsible", step, machines, Wait, 0)
+	step, machines = next(true, 0)
+	expect("then", step, machines, RaiseFence, 0)
 	a.NoteReport(protocol.MachineRecord{Name: "later"}, now)
 	a.FenceRaised(7, now)
-	s, n = look(true, 6)
-	expect("before all is seen", s, n, Wait, 0)
+	step, machines = next(true, 6)
+	expect("before the replica is complete", step, machines, Wait, 0)
 	a.Remove("host-1")
-	s, n = look(true, 7)
-	expect("with one recorded meanwhile, and one that came after the fence", s, n, RecordMachines, 2)
+	step, machines = next(true, 7)
+	expect("one machine was recorded meanwhile and one reported after the fence was raised", step, machines, RecordMachines, 2)
 	a.RecordingEnded(true, now)
-	a.Remove("host-0") // a first change held only that
-	s, n = look(true, 7)
-	expect("the rest", s, n, RecordMachines, 1)
+	a.Remove("host-0") // the first change recorded only this one
+	step, machines = next(true, 7)
+	expect("the remaining machine", step, machines, RecordMachines, 1)
 	a.RecordingEnded(true, now)
 	a.Remove("host-2")
-	s, n = look(true, 7)
-	expect("all are", s, n, Wait, 0)
+	step, machines = next(true, 7)
+	expect("all are recorded", step, machines, Wait, 0)
 	now = now.Add(5 * time.Second)
-	s, n = look(true, 7)
-	expect("within the pause", s, n, Wait, 0)
+	step, machines = next(true, 7)
+	expect("within the round interval", step, machines, Wait, 0)
 	now = now.Add(reportTimeout)
-	s, n = look(true, 7)
-	expect("after the last one fell silent", s, n, Wait, 0)
+	step, machines = next(true, 7)
+	expect("after the last one stopped reporting", step, machines, Wait, 0)
 	if a.HasUnrecorded(now) {
-		t.Error("a silent machine is expected")
+		t.Error("a silent machine still counts as unrecorded")
 	}
 }
--- a/internal/coordination/duty/doc.go
+++ b/internal/coordination/duty/doc.go
@@ -1,5 +1,5 @@
-// Package duty holds what only one controller may do at a time, as pure state machines:
-// fed with what is heard, stored and answered and with the time, they say what to store
-// next. What proves the right at the moment of an effect is the condition that the effect
-// is stored under; nothing here relies on time for that.
+// Package duty holds tasks that only one controller may do at a time, as pure state
+// machines: their inputs are reports, stored values, answers and the time, and they return
+// what to store next. A controller's right to a change is proved by the condition that the
+// change is stored under; nothing here relies on time for that.
 package duty
--- a/internal/coordination/standby/checks.go
+++ b/internal/coordination/standby/checks.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// Check is something that must hold before a holder's first decision about a share.
+// Check is a condition that must hold before an owner's first decision about a partition.
 type Check uint8
 
 const (
-	OwnsPartition         Check = iota // the own name is in the replica, and everything stored before it
-	RecentContact                      // the store has answered lately: what was stored since is seen
-	NoRecentStall                      // this node has not just stood still
+	OwnsPartition         Check = iota // the replica shows this node as owner, and contains everything stored before that
+	RecentContact                      // the state service has answered recently, so what was stored since is known
+	NoRecentStall                      // this node was not stalled just before
 	SettingsKnown                      // machine types are known, and the operators' settings as of that revision
-	ReconciliationStarted              // the share is being squared: a fresh budget, nothing of an earlier holding
-	WorkerReported                     // a machine has spoken under the own token, or there is none that could
-	checkCount
+	ReconciliationStarted              // the reconciliation has started: fresh budget, no state of an earlier ownership
+	WorkerReported                     // a worker has reported under this owner's token, or none can
+	checkCount                         // number of checks
 )
 
-// checkTexts say what each check stands for.
+// checkTexts are the name of each check and the failures that it guards against.
 var checkTexts = [checkCount]struct{ name, guards string }{
-	OwnsPartition:         {"held", "a share that another has by now; changes of an earlier holder that were not seen"},
+	OwnsPartition:         {"held", "a partition that another node owns by now; changes of an earlier owner that this node has not read"},
 	RecentContact:         {"contact", "a cancellation or a change of holder that is stored and not seen"},
 	NoRecentStall:         {"awake", "the own stall taken for others' silence"},
-	SettingsKnown:         {"settings", "a placement on a type that is not known; a machine held back by operators"},
-	ReconciliationStarted: {"squared", "what was observed in an earlier holding taken for present"},
-	WorkerReported:        {"somebody_heard", "an earlier holder that still answers: the token is shown, or nobody is there to be told"},
+	SettingsKnown:         {"settings", "a placement on an unknown machine type or on a machine cordoned by operators"},
+	ReconciliationStarted: {"squared", "observations of an earlier ownership used as current ones"},
+	WorkerReported:        {"somebody_heard", "an earlier owner that still answers workers: the new token was sent, or there is no worker to receive it"},
 }
 
-// String is its name.
+// String returns the name of the check.
 func (c Check) String() string { return checkTexts[min(c, checkCount-1)].name }
 
-// GuardsAgainst is the failure that it stands for.
+// GuardsAgainst returns the failures that the check guards against.
 func (c Check) GuardsAgainst() string { return checkTexts[min(c, checkCount-1)].guards }
 
-// Checks are all of them in order.
+// Checks returns all checks in their order.
 func Checks() []Check {
 	out := make([]Check, checkCount)
 	for i := range out {
@@ -40,28 +40,28 @@
 	return out
 }
 
-// TakeoverFacts are what a holder knows when it would decide.
+// TakeoverFacts is what an owner knows when its first decision is due.
 type TakeoverFacts struct {
 	Owned                 bool
-	SinceContact          time.Duration // since the last answered call to the store was sent
-	SinceStall            time.Duration // since it last had stood still
-	MachineTypes          int
+	SinceContact          time.Duration // since the last answered call to the state service was sent
+	SinceStall            time.Duration // since the end of this node's last stall
+	MachineTypes          int           // number of known machine types
 	ReconciliationStarted bool
-	Machines              int // that could speak
-	Reported              int // of them, under the own token
+	Machines              int // that could report
+	Reported              int // of Machines, under this owner's token
 }
 
-// How old may what be.
+// Bounds for RecentContact and NoRecentStall.
 const (
 	MaxContactAge     = 2 * time.Second
 	MinTimeSinceStall = 200 * time.Millisecond
 )
 
-// FirstFailing is the first check that does not hold; ok if all do.
-func FirstFailing(f TakeoverFacts) (c Check, ok bool) {
+// FirstFailing returns the first check that fails; ok is true if none does.
+func FirstFailing(facts TakeoverFacts) (c Check, ok bool) {
 	for i, holds := range [checkCount]bool{
-		OwnsPartition: f.Owned, RecentContact: f.SinceContact <= MaxContactAge, NoRecentStall: f.SinceStall >= MinTimeSinceStall, SettingsKnown: f.MachineTypes > 0,
-		ReconciliationStarted: f.ReconciliationStarted, WorkerReported: f.Machines == 0 || f.Reported > 0,
+		OwnsPartition: facts.Owned, RecentContact: facts.SinceContact <= MaxContactAge, NoRecentStall: facts.SinceStall >= MinTimeSinceStall, SettingsKnown: facts.MachineTypes > 0,
+		ReconciliationStarted: facts.ReconciliationStarted, WorkerReported: facts.Machines == 0 || facts.Reported > 0,
 	} {
 		if !holds {
 			return Check(i), false
--- a/internal/coordination/standby/standby.go
+++ b/internal/coordination/standby/standby.go
@@ -1,8 +1,8 @@
-// Package standby says who stands by for whom, when a share may be taken, and what must
-// hold before its first decision. It is pure: fed with what the records and siblings
-// tell and with the time, it answers; nothing in it proves that a holder is gone. What
-// keeps the rules when two nodes believe they hold a share are the fences: see
-// docs/standby.md.
+// Package standby assigns standbys to partitions, decides when a standby may take a
+// partition, and which checks must hold before an owner's first decision. It is pure: its
+// inputs are the stored records, the hints of peers and the time. Nothing in it proves
+// that an owner is gone. If two nodes believe that they own the same partition, the fences
+// keep the stored state correct: see docs/standby.md.
 package standby
 
 import (
@@ -12,129 +12,133 @@
 	"time"
 )
 
-// Node is what is known of a node that lives by the records.
+// Node is a node that is live according to the stored records.
 type Node struct {
 	Name     string
 	Zone     string
-	Owned    int  // shares that it holds
-	Impaired bool // it is blind, or has lost the state service, as far as is known here
+	Owned    int  // number of partitions that it owns
+	Impaired bool // it can't reach its workers or the state service, as far as this node knows
 }
 
-// Partition is a share and who holds it.
+// Partition is a partition and its owner.
 type Partition struct {
 	Index int
-	Owner string // empty: nobody
+	Owner string // empty: none
 }
 
-// Standbys are the first and the second standby of a share; empty: there is none.
+// Standbys are the first and the second standby of a partition; empty: none.
 type Standbys struct{ First, Second string }
 
-// AssignStandbys gives each share its standbys: those of other nodes that hold the fewest, then
-// those that have the fewest to stand by for, then another zone than the holder's, so that
-// a zone's loss leaves one. A standby that was is kept if it is as good: nodes that come
-// and go move few. Every node comes to the same answer from
-// the same records; where sight differs for a moment two try, and the store lets one.
-func AssignStandbys(shares []Partition, nodes []Node, was map[int]Standbys) map[int]Standbys {
+// AssignStandbys assigns two standbys to each partition. Candidates are the nodes other
+// than the owner. Unimpaired nodes come first, then those that own the fewest partitions,
+// then those that are standby for the fewest, then the previous standby, so that nodes
+// that come and go change few assignments, then those in another zone than the owner's, so
+// that one standby remains after the loss of a zone. Every node computes the same
+// assignment from the same records. While their views differ, two nodes may try to take a
+// partition, and the state service accepts only one of them.
+func AssignStandbys(partitions []Partition, nodes []Node, previous map[int]Standbys) map[int]Standbys {
 	byName := map[string]Node{}
 	for _, n := range nodes {
 		byName[n.Name] = n
 	}
-	ring := slices.Sorted(maps.Keys(byName))
-	// away is how far a node is behind a holder in the ring of names: with as many shares
-	// as nodes each one stands by for its neighbour.
-	away := func(n Node, holder string) int {
-		at, _ := slices.BinarySearch(ring, holder)
-		i, _ := slices.BinarySearch(ring, n.Name)
-		return (i - at + len(ring)) % len(ring)
+	sortedNames := slices.Sorted(maps.Keys(byName))
+	// ringDistance is the distance from an owner to a node in the ring of sorted names.
+	// With as many partitions as nodes, each node becomes the standby of its neighbour.
+	ringDistance := func(n Node, owner string) int {
+		ownerIndex, _ := slices.BinarySearch(sortedNames, owner)
+		index, _ := slices.BinarySearch(sortedNames, n.Name)
+		return (index - ownerIndex + len(sortedNames)) % len(sortedNames)
 	}
-	duties := map[string]int{}
-	out := map[int]Standbys{}
-	pick := func(s Partition, not, kept string) string {
+	standbyCount := map[string]int{}
+	assigned := map[int]Standbys{}
+	pick := func(partition Partition, excluded, current string) string {
 		var best Node
 		found := false
-		worth := func(n Node) int {
-			// Who holds the fewest comes first, whatever else: a share that is given up
-			// since a node holds none must go to that one.
-			w := (2*len(shares)+2)*n.Owned + 2*duties[n.Name]
-			if n.Name == kept {
-				w--
+		load := func(n Node) int {
+			// The number of owned partitions outweighs everything else: a partition that
+			// is released because a node owns none must go to that node.
+			weight := (2*len(partitions)+2)*n.Owned + 2*standbyCount[n.Name]
+			if n.Name == current {
+				weight--
 			}
-			return w
+			return weight
 		}
 		for _, n := range nodes {
-			if n.Name == s.Owner || n.Name == not {
+			if n.Name == partition.Owner || n.Name == excluded {
 				continue
 			}
-			if !found || cmp.Or(worse(n, best, byName[s.Owner].Zone, worth), away(n, s.Owner)-away(best, s.Owner), cmp.Compare(n.Name, best.Name)) < 0 {
+			if !found || cmp.Or(compareCandidates(n, best, byName[partition.Owner].Zone, load), ringDistance(n, partition.Owner)-ringDistance(best, partition.Owner), cmp.Compare(n.Name, best.Name)) < 0 {
 				best, found = n, true
 			}
 		}
 		if !found {
 			return ""
 		}
-		duties[best.Name]++
+		standbyCount[best.Name]++
 		return best.Name
 	}
-	ordered := slices.SortedFunc(slices.Values(shares), func(a, b Partition) int { return a.Index - b.Index })
-	for _, s := range ordered {
-		out[s.Index] = Standbys{First: pick(s, "", was[s.Index].First)}
+	ordered := slices.SortedFunc(slices.Values(partitions), func(a, b Partition) int { return a.Index - b.Index })
+	for _, partition := range ordered {
+		assigned[partition.Index] = Standbys{First: pick(partition, "", previous[partition.Index].First)}
 	}
-	for _, s := range ordered {
-		p := out[s.Index]
-		p.Second = pick(s, p.First, was[s.Index].Second)
-		out[s.Index] = p
+	for _, partition := range ordered {
+		standbys := assigned[partition.Index]
+		standbys.Second = pick(partition, standbys.First, previous[partition.Index].Second)
+		assigned[partition.Index] = standbys
 	}
-	return out
+	return assigned
 }
 
-// worse is below 0 if a would stand by for a holder in a zone rather than b.
-func worse(a, b Node, zone string, worth func(Node) int) int {
-	side := func(n Node) int {
+// compareCandidates is negative if a is the better standby for an owner in the given zone.
+func compareCandidates(a, b Node, zone string, load func(Node) int) int {
+	sameZone := func(n Node) int {
 		if zone != "" && n.Zone == zone {
 			return 1
 		}
 		return 0
 	}
-	poor := func(n Node) int {
+	impaired := func(n Node) int {
 		if n.Impaired {
 			return 1
 		}
 		return 0
 	}
-	return cmp.Or(poor(a)-poor(b), worth(a)-worth(b), side(a)-side(b))
+	return cmp.Or(impaired(a)-impaired(b), load(a)-load(b), sameZone(a)-sameZone(b))
 }
 
-// Delays are how long after a share became vacant its standbys take it.
+// How long after a partition lost its owner the second standby and the other nodes take
+// it.
 const (
 	SecondDelay = 300 * time.Millisecond
 	OthersDelay = 600 * time.Millisecond
 )
 
-// TakeoverDelay is how long after a share became vacant a node takes it.
-func (p Standbys) TakeoverDelay(node string) time.Duration {
+// TakeoverDelay returns how long after a partition lost its owner a node takes it.
+func (s Standbys) TakeoverDelay(node string) time.Duration {
 	switch node {
-	case p.First:
+	case s.First:
 		return 0
-	case p.Second:
+	case s.Second:
 		return SecondDelay
 	}
 	return OthersDelay
 }
 
-// Cause is why a share changed hands.
+// Cause is the reason for a change of owner.
 type Cause uint8
 
 const (
-	AtStart      Cause = iota // nobody had held it since this node began
-	HandedOver                // its holder gave it up
-	LeaseExpired              // its holder's lease ended
-	ProcessEnded              // its holder's process ended, by all evidence
-	causeCount
+	AtStart      Cause = iota // the partition had no owner since this node started
+	HandedOver                // the previous owner released it
+	LeaseExpired              // the lease of the previous owner expired
+	ProcessEnded              // the process of the previous owner is presumed to have ended
+	causeCount                // number of causes
 )
 
 var causeNames = [causeCount]string{"start", "handed_over", "lease_over", "process_ended"}
 
+// String returns the name of the cause.
 func (c Cause) String() string { return causeNames[min(c, causeCount-1)] }
 
-// Causes are all causes by name.
+// Causes returns the names of all causes.
 func Causes() []string { return causeNames[:] }
--- a/internal/coordination/standby/standby_test.go
+++ b/internal/coordination/standby/standby_test.go
@@ -10,12 +10,12 @@
 
 var begin = time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 
-// Whoever comes and goes: a share's standbys are others than its holder and one another,
-// there is one as long as two nodes live, nobody has two more duties than another, and
-// the same records give the same answer.
-func TestAssign(t *testing.T) {
+// For any changes of the live nodes: the standbys of a partition differ from its owner and
+// from each other, there is one while another node is live, the assignment is stable, and
+// the same records give the same assignment.
+func TestAssignStandbys(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		was := map[int]Standbys{}
+		previous := map[int]Standbys{}
 		for range rapid.IntRange(1, 6).Draw(t, "changes") {
 			var nodes []Node
 			for i := range 6 {
@@ -23,167 +23,169 @@
 					nodes = append(nodes, Node{Name: fmt.Sprint("n-", i), Zone: fmt.Sprint("z", i%2)})
 				}
 			}
-			var shares []Partition
+			var partitions []Partition
 			for i := range rapid.IntRange(1, 6).Draw(t, "shares") {
-				s := Partition{Index: i}
-				if k := rapid.IntRange(-1, len(nodes)-1).Draw(t, "holder"); k >= 0 {
-					s.Owner = nodes[k].Name
-					nodes[k].Owned++
+				partition := Partition{Index: i}
+				if owner := rapid.IntRange(-1, len(nodes)-1).Draw(t, "holder"); owner >= 0 {
+					partition.Owner = nodes[owner].Name
+					nodes[owner].Owned++
 				}
-				shares = append(shares, s)
+				partitions = append(partitions, partition)
 			}
-			now := AssignStandbys(shares, nodes, was)
-			if again := AssignStandbys(shares, nodes, was); fmt.Sprint(again) != fmt.Sprint(now) {
-				t.Fatalf("%v, then %v", now, again)
+			assigned := AssignStandbys(partitions, nodes, previous)
+			if again := AssignStandbys(partitions, nodes, previous); fmt.Sprint(again) != fmt.Sprint(assigned) {
+				t.Fatalf("%v, then %v", assigned, again)
 			}
-			if kept := AssignStandbys(shares, nodes, now); fmt.Sprint(kept) != fmt.Sprint(AssignStandbys(shares, nodes, kept)) {
-				t.Fatalf("does not come to rest: %v", now)
+			if next := AssignStandbys(partitions, nodes, assigned); fmt.Sprint(next) != fmt.Sprint(AssignStandbys(partitions, nodes, next)) {
+				t.Fatalf("assignment is not stable: %v", assigned)
 			}
-			for _, s := range shares {
-				p := now[s.Index]
-				others := len(nodes)
-				if s.Owner != "" {
-					others--
+			for _, partition := range partitions {
+				standbys := assigned[partition.Index]
+				candidates := len(nodes)
+				if partition.Owner != "" {
+					candidates--
 				}
-				if p.First == s.Owner && p.First != "" || p.Second != "" && (p.Second == p.First || p.Second == s.Owner) || (p.First == "") != (others == 0) || (p.Second == "") != (others < 2) {
-					t.Fatalf("share of %q among %v has %+v", s.Owner, nodes, p)
+				if standbys.First == partition.Owner && standbys.First != "" || standbys.Second != "" && (standbys.Second == standbys.First || standbys.Second == partition.Owner) || (standbys.First == "") != (candidates == 0) || (standbys.Second == "") != (candidates < 2) {
+					t.Fatalf("partition of %q among %v has %+v", partition.Owner, nodes, standbys)
 				}
 			}
-			was = now
+			previous = assigned
 		}
 	})
 }
 
-// With as many shares as controllers each node stands by first for another's, also after
-// one has gone and come back; a node that holds nothing stands by first; the blind last;
-// another zone before the same one.
-func TestAssignSpreads(t *testing.T) {
+// With as many partitions as controllers, each node is first standby for one partition of
+// another node. A node that owns nothing comes first, an impaired node last, and another
+// zone before the owner's.
+func TestAssignStandbysPreferences(t *testing.T) {
 	nodes := []Node{{Name: "a", Owned: 1}, {Name: "b", Owned: 1}, {Name: "c", Owned: 1}}
-	shares := []Partition{{0, "a"}, {1, "b"}, {2, "c"}}
-	duties := map[string]int{}
-	p := AssignStandbys(shares, nodes, nil)
-	for _, x := range p {
-		duties[x.First]++
+	partitions := []Partition{{0, "a"}, {1, "b"}, {2, "c"}}
+	standbyCount := map[string]int{}
+	assigned := AssignStandbys(partitions, nodes, nil)
+	for _, standbys := range assigned {
+		standbyCount[standbys.First]++
 	}
-	if duties["a"] != 1 || duties["b"] != 1 || duties["c"] != 1 {
-		t.Errorf("first standbys %v", p)
+	if standbyCount["a"] != 1 || standbyCount["b"] != 1 || standbyCount["c"] != 1 {
+		t.Errorf("first standbys %v", assigned)
 	}
-	idle := AssignStandbys([]Partition{{0, "a"}}, append(nodes, Node{Name: "d"}), nil)
-	if idle[0].First != "d" {
-		t.Errorf("%v where d holds nothing", idle)
+	withIdle := AssignStandbys([]Partition{{0, "a"}}, append(nodes, Node{Name: "d"}), nil)
+	if withIdle[0].First != "d" {
+		t.Errorf("%v where d owns nothing", withIdle)
 	}
-	// With two shares at one node the idle one stands by for both, whoever did before. (On
-	// a simulated day a share that was given up for it went to another node, and back.)
-	both := AssignStandbys([]Partition{{0, "a"}, {1, "b"}, {2, "b"}}, []Node{{Name: "a", Owned: 1}, {Name: "b", Owned: 2}, {Name: "c"}}, map[int]Standbys{1: {"a", "c"}, 2: {"a", "c"}})
-	if both[0].First != "c" || both[1].First != "c" || both[2].First != "c" {
-		t.Errorf("%v where c holds nothing", both)
+	// If one node owns two partitions, the idle node must become first standby of both,
+	// whoever was before. Otherwise a partition released for the idle node goes to another
+	// node and has to be moved again.
+	twoAtOneNode := AssignStandbys([]Partition{{0, "a"}, {1, "b"}, {2, "b"}}, []Node{{Name: "a", Owned: 1}, {Name: "b", Owned: 2}, {Name: "c"}}, map[int]Standbys{1: {"a", "c"}, 2: {"a", "c"}})
+	if twoAtOneNode[0].First != "c" || twoAtOneNode[1].First != "c" || twoAtOneNode[2].First != "c" {
+		t.Errorf("%v where c owns nothing", twoAtOneNode)
 	}
-	blind := AssignStandbys([]Partition{{0, "a"}}, []Node{{Name: "a", Owned: 1}, {Name: "b", Impaired: true}, {Name: "c", Owned: 3}}, nil)
-	if blind[0].First != "c" {
-		t.Errorf("%v where b is blind", blind)
+	withImpaired := AssignStandbys([]Partition{{0, "a"}}, []Node{{Name: "a", Owned: 1}, {Name: "b", Impaired: true}, {Name: "c", Owned: 3}}, nil)
+	if withImpaired[0].First != "c" {
+		t.Errorf("%v where b is impaired", withImpaired)
 	}
-	zones := AssignStandbys([]Partition{{0, "a"}}, []Node{{Name: "a", Zone: "x", Owned: 1}, {Name: "b", Zone: "x"}, {Name: "c", Zone: "y"}}, nil)
-	if zones[0].First != "c" {
-		t.Errorf("%v: the same zone first", zones)
+	withZones := AssignStandbys([]Partition{{0, "a"}}, []Node{{Name: "a", Zone: "x", Owned: 1}, {Name: "b", Zone: "x"}, {Name: "c", Zone: "y"}}, nil)
+	if withZones[0].First != "c" {
+		t.Errorf("%v: first standby in the zone of the owner", withZones)
 	}
 	if p := (Standbys{"a", "b"}); p.TakeoverDelay("a") != 0 || p.TakeoverDelay("b") != SecondDelay || p.TakeoverDelay("c") != OthersDelay {
 		t.Error("delays")
 	}
 }
 
-// A sibling is taken for ended only if it held a share, its connection ended with no hint
-// since, its host refused after that, the question was stored AnswerTime ago and its
-// record in the store is the same.
-func TestDoubts(t *testing.T) {
+// A peer may be presumed ended only if it owned a partition, its connection was lost with
+// no hint since, its host refused a connection after that, the question was stored
+// LivenessCheckTimeout ago, and the peer has not stored its node record since.
+func TestSuspicions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := NewSuspicions()
+		suspicions := NewSuspicions()
 		now := begin
-		s := PeerEvidence{LastHint: begin, Revision: 5, OwnsPartition: true}
-		var asked time.Time // when the open question was stored
-		var stamp uint64
+		peer := PeerEvidence{LastHint: begin, Revision: 5, OwnsPartition: true}
+		var storedAt time.Time // when the pending question was stored
+		var revision uint64
 		open := false
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(1, 400).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.IntRange(0, 8).Draw(t, "what") {
 			case 0:
-				s.LastHint = now
+				peer.LastHint = now
 			case 1:
-				s.ConnLostAt = now
+				peer.ConnLostAt = now
 			case 2, 3:
-				s.ConnRefusedAt = now
+				peer.ConnRefusedAt = now
 			case 4:
-				s.Revision++
+				peer.Revision++
 			case 5:
-				s.OwnsPartition = !s.OwnsPartition
+				peer.OwnsPartition = !peer.OwnsPartition
 			case 6:
-				if open && asked.IsZero() {
-					ok := rapid.Bool().Draw(t, "stored")
-					d.CheckStored("x", ok, now)
-					if open = ok; ok {
-						asked = now
+				if open && storedAt.IsZero() {
+					stored := rapid.Bool().Draw(t, "stored")
+					suspicions.CheckStored("x", stored, now)
+					if open = stored; stored {
+						storedAt = now
 					}
 				}
 			}
-			mayAsk := rapid.IntRange(0, 9).Draw(t, "may") > 0
-			ask, ended := d.Evaluate("x", s, mayAsk, now)
-			if ask {
-				if open || !mayAsk || !s.OwnsPartition {
-					t.Fatal("asked twice, or without cause")
+			mayCheck := rapid.IntRange(0, 9).Draw(t, "may") > 0
+			startCheck, presumedEnded := suspicions.Evaluate("x", peer, mayCheck, now)
+			if startCheck {
+				if open || !mayCheck || !peer.OwnsPartition {
+					t.Fatal("check started twice, or without evidence")
 				}
-				open, asked, stamp = true, time.Time{}, s.Revision
+				open, storedAt, revision = true, time.Time{}, peer.Revision
 			}
-			if ended && (!open || asked.IsZero() || now.Sub(asked) < LivenessCheckTimeout || s.Revision != stamp || !mayAsk || !s.OwnsPartition || s.LastHint.After(s.ConnLostAt) || s.ConnRefusedAt.Before(s.ConnLostAt)) {
-				t.Fatalf("ended: open %v, asked %v ago, %+v, stamp then %d", open, now.Sub(asked), s, stamp)
+			if presumedEnded && (!open || storedAt.IsZero() || now.Sub(storedAt) < LivenessCheckTimeout || peer.Revision != revision || !mayCheck || !peer.OwnsPartition || peer.LastHint.After(peer.ConnLostAt) || peer.ConnRefusedAt.Before(peer.ConnLostAt)) {
+				t.Fatalf("presumed ended: open %v, stored %v ago, %+v, revision then %d", open, now.Sub(storedAt), peer, revision)
 			}
-			if open && (!mayAsk || !s.OwnsPartition || s.Revision != stamp || s.LastHint.After(s.ConnLostAt) || s.ConnRefusedAt.Before(s.ConnLostAt) || now.Sub(s.ConnRefusedAt) >= maxEvidenceAge) {
+			if open && (!mayCheck || !peer.OwnsPartition || peer.Revision != revision || peer.LastHint.After(peer.ConnLostAt) || peer.ConnRefusedAt.Before(peer.ConnLostAt) || now.Sub(peer.ConnRefusedAt) >= maxEvidenceAge) {
 				open = false
 			}
 		}
 	})
 }
 
-// The whole way: a connection ends, the host refuses, the question is stored, nobody
-// answers; and one that answers is not asked again for a while.
-func TestDoubtEndsOneWayOrTheOther(t *testing.T) {
-	s := PeerEvidence{LastHint: begin, ConnLostAt: begin.Add(300 * time.Millisecond), ConnRefusedAt: begin.Add(320 * time.Millisecond), Revision: 5, OwnsPartition: true}
-	d := NewSuspicions()
+// A connection is lost, the host refuses a new one, the question is stored and not
+// answered: the peer is presumed ended after the timeout. A peer that answers is not
+// checked again for a while.
+func TestLivenessCheck(t *testing.T) {
+	peer := PeerEvidence{LastHint: begin, ConnLostAt: begin.Add(300 * time.Millisecond), ConnRefusedAt: begin.Add(320 * time.Millisecond), Revision: 5, OwnsPartition: true}
+	suspicions := NewSuspicions()
 	now := begin.Add(400 * time.Millisecond)
-	if ask, ended := d.Evaluate("x", s, true, now); !ask || ended {
-		t.Fatal("not asked")
+	if startCheck, presumedEnded := suspicions.Evaluate("x", peer, true, now); !startCheck || presumedEnded {
+		t.Fatal("no check started")
 	}
-	d.CheckStored("x", true, now)
-	if _, ended := d.Evaluate("x", s, true, now.Add(LivenessCheckTimeout-time.Millisecond)); ended {
-		t.Fatal("taken for ended too soon")
+	suspicions.CheckStored("x", true, now)
+	if _, presumedEnded := suspicions.Evaluate("x", peer, true, now.Add(LivenessCheckTimeout-time.Millisecond)); presumedEnded {
+		t.Fatal("presumed ended too soon")
 	}
-	if _, ended := d.Evaluate("x", s, true, now.Add(LivenessCheckTimeout)); !ended {
-		t.Fatal("not taken for ended")
+	if _, presumedEnded := suspicions.Evaluate("x", peer, true, now.Add(LivenessCheckTimeout)); !presumedEnded {
+		t.Fatal("not presumed ended")
 	}
-	s.Revision++ // it answered
-	if ask, ended := d.Evaluate("x", s, true, now.Add(LivenessCheckTimeout)); ask || ended {
-		t.Fatal("asked again at once, or taken for ended, after an answer")
+	peer.Revision++ // it answered
+	if startCheck, presumedEnded := suspicions.Evaluate("x", peer, true, now.Add(LivenessCheckTimeout)); startCheck || presumedEnded {
+		t.Fatal("checked again at once, or presumed ended, after an answer")
 	}
 }
 
-// Each check holds a first decision up by itself, and says what it guards against.
+// Each check blocks a first decision by itself, and has texts.
 func TestChecks(t *testing.T) {
-	good := TakeoverFacts{Owned: true, SinceContact: time.Second, SinceStall: time.Minute, MachineTypes: 1, ReconciliationStarted: true, Machines: 3, Reported: 1}
-	if c, ok := FirstFailing(good); !ok {
-		t.Fatalf("held up by %v", c)
+	passing := TakeoverFacts{Owned: true, SinceContact: time.Second, SinceStall: time.Minute, MachineTypes: 1, ReconciliationStarted: true, Machines: 3, Reported: 1}
+	if c, ok := FirstFailing(passing); !ok {
+		t.Fatalf("blocked by %v", c)
 	}
-	for c, spoil := range map[Check]func(f *TakeoverFacts){
+	for c, breakFact := range map[Check]func(f *TakeoverFacts){
 		OwnsPartition: func(f *TakeoverFacts) { f.Owned = false }, RecentContact: func(f *TakeoverFacts) { f.SinceContact = 3 * time.Second }, NoRecentStall: func(f *TakeoverFacts) { f.SinceStall = 0 },
 		SettingsKnown: func(f *TakeoverFacts) { f.MachineTypes = 0 }, ReconciliationStarted: func(f *TakeoverFacts) { f.ReconciliationStarted = false }, WorkerReported: func(f *TakeoverFacts) { f.Reported = 0 },
 	} {
-		f := good
-		spoil(&f)
+		f := passing
+		breakFact(&f)
 		if got, ok := FirstFailing(f); ok || got != c {
-			t.Errorf("%v: held up by %v, %v", c, got, ok)
+			t.Errorf("%v: blocked by %v, %v", c, got, ok)
 		}
 		if c.GuardsAgainst() == "" || c.String() == "" {
-			t.Errorf("%d has no words", c)
+			t.Errorf("check %d has no text", c)
 		}
 	}
 	if len(Checks()) != 6 || len(Causes()) != 4 {
-		t.Error("a check or a cause is not listed")
+		t.Error("wrong number of checks or causes")
 	}
 }
--- a/internal/coordination/start/idle.go
+++ b/internal/coordination/start/idle.go
@@ -2,30 +2,31 @@
 
 import "time"
 
-// Idleness that nobody saw. An earlier holder knew since when a machine was empty; who
-// takes its share does not. Empty when first heard is not "idle since then": some have
-// been idle for a minute, some for a second. So the machines that nothing needs go one
-// by one over a boot time, and what waits meanwhile takes them instead of renting.
+// The start of a machine's idle time can be unknown: the previous owner of a partition
+// knew it, the new owner does not. The first report of an empty machine is not the start
+// of its idle time; some machines have been idle for a minute, some for a second. Unneeded
+// machines are therefore returned gradually over one boot time, and work that arrives
+// meanwhile uses them instead of renting new ones.
 
-// maxIdleReturnsPerSecond is how many machines go in a second, at most, for idleness that nobody
-// saw.
+// maxIdleReturnsPerSecond bounds the returns of machines whose idle time has an unknown
+// start.
 const maxIdleReturnsPerSecond = 30
 
-// IdleTimeout is how long a machine that nothing needs is kept once it was heard to be empty.
-// One whose idleness began before that, nobody knows when, has on average done half of
-// its time.
-func IdleTimeout(kept time.Duration, seen bool) time.Duration {
-	if seen {
-		return kept
+// IdleTimeout returns how long a machine that nothing needs is kept after it was reported
+// empty. If the start of its idle time was not observed, it has been idle for half of the
+// configured time on average.
+func IdleTimeout(configured time.Duration, observed bool) time.Duration {
+	if observed {
+		return configured
 	}
-	return kept / 2
+	return configured / 2
 }
 
-// IdleReturnsAllowed says how many of count empty machines, whose idleness nobody saw, may go now
-// when some went up to last: all within about a boot time, and never more than
-// mostUnseen in a second.
+// IdleReturnsAllowed returns how many of count empty machines, whose idle time has an
+// unknown start, may be returned now; last is the time of the previous returns. All of
+// them are returned within about one boot time, at no more than maxIdleReturnsPerSecond.
 func IdleReturnsAllowed(count int, boot time.Duration, last, now time.Time) int {
 	perSecond := min(maxIdleReturnsPerSecond, max(1, float64(count)/max(1, boot.Seconds())))
-	gone := min(now.Sub(last), time.Second).Seconds()
-	return int(perSecond * gone)
+	elapsed := min(now.Sub(last), time.Second).Seconds()
+	return int(perSecond * elapsed)
 }
--- a/internal/coordination/start/square.go
+++ b/internal/coordination/start/square.go
@@ -6,264 +6,276 @@
 	"time"
 )
 
-// Phase is how far a holder has got with a share.
+// Phase is the progress of a partition's reconciliation.
 type Phase uint8
 
 const (
-	NotOwned    Phase = iota // not held by this node
-	Acquired                 // held; no worker has spoken under the holder's token yet
-	Reconciling              // some have
-	Serving                  // nearly all have, or the others had time enough to
-	phaseCount               // how many there are
+	NotOwned    Phase = iota // this node does not own the partition
+	Acquired                 // owned; no worker has reported under the owner's token yet
+	Reconciling              // some workers have reported
+	Serving                  // nearly all workers have reported, or the time allowed for the others is over
+	phaseCount               // number of phases
 )
 
 var phaseNames = [phaseCount]string{"vacant", "taken", "squaring", "serving"}
 
+// String returns the name of the phase.
 func (p Phase) String() string { return phaseNames[min(p, phaseCount-1)] }
 
-// Rank is what a machine's silence costs, the most first.
+// Rank orders machines by the cost of a missing report, the highest cost first.
 type Rank uint8
 
 const (
-	Critical Rank = iota // services and what must not wait
-	Guaranteed
-	Unguaranteed
-	Empty
+	Critical     Rank = iota // runs services or other work that must not wait
+	Guaranteed               // runs guaranteed work
+	Unguaranteed             // runs only unguaranteed work
+	Empty                    // runs nothing
 )
 
-// MachineFacts are what the stored state tells of a machine.
+// MachineFacts is what the stored state says about a machine.
 type MachineFacts struct {
 	Name string
 	Rank Rank
-	// LeaseExpiry is when its worker's lease ends at the earliest, as far as this node
-	// knows: it answered it before. Zero: unknown, which counts as soon.
+	// LeaseExpiry is the earliest time at which the lease of the machine's worker can
+	// expire, as far as this node knows, because it answered a report of that worker
+	// earlier. Zero means unknown, which sorts before every known time.
 	LeaseExpiry time.Time
-	HasAddress  bool // its address is known
+	HasAddress  bool // the worker can be called directly
 }
 
-// Timing are the periods that squaring goes by.
+// Timing is the set of periods that a reconciliation uses.
 type Timing struct {
-	ReportInterval time.Duration // between a worker's reports
-	// GracePeriod is how long after the taking reports alone are waited for: workers that
-	// lost their controller come by themselves, all within a second or two.
+	ReportInterval time.Duration // between two reports of a worker
+	// GracePeriod is how long after the acquisition no machine is polled. Workers that
+	// lost their controller report on their own, all within a second or two.
 	GracePeriod time.Duration
 }
 
-// enough is the part of a share's machines that must have spoken before decisions
-// count on the others' silence.
-const enough = 0.9
+// reconciledFraction is the fraction of a partition's machines that must have reported
+// before decisions may rely on the silence of the others.
+const reconciledFraction = 0.9
 
-// patience is in how many report intervals all that live should have spoken.
-const patience = 1.5
+// reportIntervalsAllowed is the number of report intervals within which every live worker
+// should have reported.
+const reportIntervalsAllowed = 1.5
 
-// again is how long after its report a worker that was told the token should have
-// reported under it: half a second by the protocol, and what the way takes.
-const again = 2 * time.Second
+// fencedReportWait is how long after an unfenced report, or an answered call, the worker
+// should have reported under the owner's token: half a second by the protocol, plus the
+// network delay.
+const fencedReportWait = 2 * time.Second
 
 const (
-	minRetryPause = 2 * time.Second // after an unanswered call, then doubled
+	minRetryPause = 2 * time.Second // after the first unanswered call; doubled after each further one
 	maxRetryPause = 16 * time.Second
 )
 
-type entry struct {
+// trackedMachine is the state of one machine in a reconciliation.
+type trackedMachine struct {
 	MachineFacts
-	squared bool
-	calling bool
-	due     time.Time // ask not before
-	pause   time.Duration
+	reconciled   bool
+	callInFlight bool
+	nextPoll     time.Time // no poll before this time
+	retryPause   time.Duration
 }
 
-// Reconciliation is the squaring of one share in one holding.
+// Reconciliation tracks the reconciliation of one partition during one ownership.
 type Reconciliation struct {
 	timing       Timing
 	acquiredAt   time.Time
-	machines     map[string]*entry
-	pollOrder    []*entry // those not squared, the most urgent first; may hold some that are
+	machines     map[string]*trackedMachine
+	pollOrder    []*trackedMachine // machines to poll, the most urgent first; may still contain reconciled ones
 	sorted       bool
-	reported     int // of those that were there when the share was taken, or came since
+	reported     int // machines that have reported since they were last added
 	phase        Phase
-	lastTenth    int // told last
-	polled       int // calls so far
-	servingSince time.Time
+	lastTenth    int       // last tenth of the machines that Advance returned as new
+	polled       int       // calls so far
+	servingSince time.Time // when the phase became Serving
 }
 
-// BeginReconciliation starts with the machines that are recorded for a share that was just taken.
-func BeginReconciliation(t Timing, now time.Time, machines []MachineFacts) *Reconciliation {
-	s := &Reconciliation{timing: t, acquiredAt: now, machines: make(map[string]*entry, len(machines)), phase: Acquired}
-	s.pollOrder = make([]*entry, 0, len(machines))
+// BeginReconciliation starts the reconciliation of a partition that was just acquired,
+// with the machines that are recorded for it.
+func BeginReconciliation(timing Timing, now time.Time, machines []MachineFacts) *Reconciliation {
+	r := &Reconciliation{timing: timing, acquiredAt: now, machines: make(map[string]*trackedMachine, len(machines)), phase: Acquired}
+	r.pollOrder = make([]*trackedMachine, 0, len(machines))
 	for _, f := range machines {
-		s.add(f, now.Add(t.GracePeriod))
+		r.addAt(f, now.Add(timing.GracePeriod))
 	}
 	if len(machines) == 0 {
-		s.phase, s.servingSince = Serving, now
+		r.phase, r.servingSince = Serving, now
 	}
-	return s
+	return r
 }
 
-func (s *Reconciliation) add(f MachineFacts, due time.Time) {
-	if old := s.machines[f.Name]; old != nil && !old.squared {
-		old.MachineFacts, old.due = f, due
-		s.sorted = false
+// addAt tracks a machine that has not reported, to be polled from nextPoll on.
+func (r *Reconciliation) addAt(f MachineFacts, nextPoll time.Time) {
+	if old := r.machines[f.Name]; old != nil && !old.reconciled {
+		old.MachineFacts, old.nextPoll = f, nextPoll
+		r.sorted = false
 		return
 	}
-	if old := s.machines[f.Name]; old != nil {
-		s.reported--
+	if old := r.machines[f.Name]; old != nil {
+		r.reported--
 	}
-	e := &entry{MachineFacts: f, due: due, pause: minRetryPause}
-	s.machines[f.Name] = e
-	s.pollOrder = append(s.pollOrder, e)
-	s.sorted = false
+	m := &trackedMachine{MachineFacts: f, nextPoll: nextPoll, retryPause: minRetryPause}
+	r.machines[f.Name] = m
+	r.pollOrder = append(r.pollOrder, m)
+	r.sorted = false
 }
 
-// Add takes in a machine that came to the share, or whose token was raised: what it
-// said before does not count any more. It is asked at once, since it was moved here for
-// somebody who waits.
-func (s *Reconciliation) Add(f MachineFacts, now time.Time) {
-	if s != nil {
-		s.add(f, now)
+// Add tracks a machine that was moved to the partition, or whose token was raised: its
+// earlier reports no longer count. It may be polled at once, because machines are moved
+// here for work that is waiting.
+func (r *Reconciliation) Add(f MachineFacts, now time.Time) {
+	if r != nil {
+		r.addAt(f, now)
 	}
 }
 
-// entry finds a machine; nil if it is not of the share, or the share is not held.
-func (s *Reconciliation) entry(name string) *entry {
-	if s == nil {
+// find returns a machine; nil if it is not in the partition or the partition is not owned.
+func (r *Reconciliation) find(name string) *trackedMachine {
+	if r == nil {
 		return nil
 	}
-	return s.machines[name]
+	return r.machines[name]
 }
 
-// Remove forgets a machine that left the share.
-func (s *Reconciliation) Remove(name string) {
-	if e := s.entry(name); e != nil {
-		if e.squared {
-			s.reported--
+// Remove drops a machine that left the partition.
+func (r *Reconciliation) Remove(name string) {
+	if m := r.find(name); m != nil {
+		if m.reconciled {
+			r.reported--
 		}
-		e.squared = true // its place in the order
-		delete(s.machines, name)
+		m.reconciled = true // so that NextPolls removes it from the poll order
+		delete(r.machines, name)
 	}
 }
 
-// NoteUnfencedReport notes a report without the holder's token: its answer tells the token, and the
-// worker reports again at once, so it need not be asked.
-func (s *Reconciliation) NoteUnfencedReport(name string, now time.Time) {
-	if e := s.entry(name); e != nil && !e.squared {
-		e.due = now.Add(again)
+// NoteUnfencedReport records a report without the owner's token. The answer to it carries
+// the token and the worker reports again at once, so the machine need not be polled yet.
+func (r *Reconciliation) NoteUnfencedReport(name string, now time.Time) {
+	if m := r.find(name); m != nil && !m.reconciled {
+		m.nextPoll = now.Add(fencedReportWait)
 	}
 }
 
-// NoteFencedReport notes a report under the holder's token: the machine is squared.
-func (s *Reconciliation) NoteFencedReport(name string) {
-	if e := s.entry(name); e != nil && !e.squared {
-		e.squared = true
-		s.reported++
+// NoteFencedReport records a report under the owner's token: the machine is reconciled.
+func (r *Reconciliation) NoteFencedReport(name string) {
+	if m := r.find(name); m != nil && !m.reconciled {
+		m.reconciled = true
+		r.reported++
 	}
 }
 
-// CallEnded notes that a call has ended, with an answer or without.
-func (s *Reconciliation) CallEnded(name string, ok bool, now time.Time) {
-	e := s.entry(name)
-	if e == nil {
+// CallEnded records the end of a call, answered (ok) or not.
+func (r *Reconciliation) CallEnded(name string, ok bool, now time.Time) {
+	m := r.find(name)
+	if m == nil {
 		return
 	}
-	e.calling = false
+	m.callInFlight = false
 	if !ok {
-		e.due = now.Add(e.pause)
-		e.pause = min(2*e.pause, maxRetryPause)
-	} else if !e.squared {
-		e.due = now.Add(again)
+		m.nextPoll = now.Add(m.retryPause)
+		m.retryPause = min(2*m.retryPause, maxRetryPause)
+	} else if !m.reconciled {
+		m.nextPoll = now.Add(fencedReportWait)
 	}
 }
 
-// urgency orders whom to ask: whose lease ends first, as far as there is something to
-// lose, then by what runs there; empty machines last.
-func urgency(a, b *entry) int {
+// comparePollOrder sorts the machines with tasks by lease expiry, the earliest first, then
+// by rank. Machines without tasks come last.
+func comparePollOrder(a, b *trackedMachine) int {
 	if (a.Rank == Empty) != (b.Rank == Empty) {
 		return cmp.Compare(a.Rank, b.Rank)
 	}
 	return cmp.Or(a.LeaseExpiry.Compare(b.LeaseExpiry), cmp.Compare(a.Rank, b.Rank), cmp.Compare(a.Name, b.Name))
 }
 
-// NextPolls names up to most machines to ask now, and counts them as being asked. Nobody is
-// asked twice at a time, nor again soon because its answer is late.
-func (s *Reconciliation) NextPolls(now time.Time, most int) []string {
-	if !s.sorted {
-		s.sorted = true
-		slices.SortFunc(s.pollOrder, urgency)
+// NextPolls returns up to maxPolls machines to poll now and marks them as called. A
+// machine is never called twice at a time, nor again shortly after a call because its
+// report is late.
+func (r *Reconciliation) NextPolls(now time.Time, maxPolls int) []string {
+	if !r.sorted {
+		r.sorted = true
+		slices.SortFunc(r.pollOrder, comparePollOrder)
 	}
-	var out []string
-	kept := s.pollOrder[:0]
-	for _, e := range s.pollOrder {
-		if e.squared {
+	var names []string
+	kept := r.pollOrder[:0]
+	for _, m := range r.pollOrder {
+		if m.reconciled {
 			continue
 		}
-		kept = append(kept, e)
-		if len(out) < most && e.HasAddress && !e.calling && !now.Before(e.due) {
-			e.calling = true
-			s.polled++
-			out = append(out, e.Name)
+		kept = append(kept, m)
+		if len(names) < maxPolls && m.HasAddress && !m.callInFlight && !now.Before(m.nextPoll) {
+			m.callInFlight = true
+			r.polled++
+			names = append(names, m.Name)
 		}
 	}
-	clear(s.pollOrder[len(kept):])
-	s.pollOrder = kept
-	return out
+	clear(r.pollOrder[len(kept):])
+	r.pollOrder = kept
+	return names
 }
 
-// Advance moves the share on by what was heard and the time. It returns its phase and, if
-// another tenth of the machines is squared since the last step, which.
-func (s *Reconciliation) Advance(now time.Time) (p Phase, tenth int, fresh bool) {
+// Advance updates the phase from the reports so far and the time. It returns the phase and
+// the tenths of the machines that are reconciled; newTenth is true if that number has
+// grown since the last call.
+func (r *Reconciliation) Advance(now time.Time) (phase Phase, tenth int, newTenth bool) {
 	switch {
-	case s.phase == Serving:
-	case float64(s.reported) >= enough*float64(len(s.machines)) || now.Sub(s.acquiredAt) >= s.maxReconcileTime():
-		s.phase, s.servingSince = Serving, now
-	case s.reported > 0:
-		s.phase = Reconciling
+	case r.phase == Serving:
+	case float64(r.reported) >= reconciledFraction*float64(len(r.machines)) || now.Sub(r.acquiredAt) >= r.maxReconcileTime():
+		r.phase, r.servingSince = Serving, now
+	case r.reported > 0:
+		r.phase = Reconciling
 	}
-	if len(s.machines) > 0 {
-		tenth = 10 * s.reported / len(s.machines)
+	if len(r.machines) > 0 {
+		tenth = 10 * r.reported / len(r.machines)
 	}
-	if tenth > s.lastTenth {
-		s.lastTenth, fresh = tenth, true
+	if tenth > r.lastTenth {
+		r.lastTenth, newTenth = tenth, true
 	}
-	return s.phase, tenth, fresh
+	return r.phase, tenth, newTenth
 }
 
-// maxReconcileTime is how long the workers have to come by themselves.
-func (s *Reconciliation) maxReconcileTime() time.Duration {
-	return s.timing.GracePeriod + time.Duration(patience*float64(s.timing.ReportInterval))
+// maxReconcileTime is how long after the acquisition the workers have to report.
+func (r *Reconciliation) maxReconcileTime() time.Duration {
+	return r.timing.GracePeriod + time.Duration(reportIntervalsAllowed*float64(r.timing.ReportInterval))
 }
 
-// Phase is how far it got at the last step.
-func (s *Reconciliation) Phase() Phase {
-	if s == nil {
+// Phase returns the phase as of the last Advance.
+func (r *Reconciliation) Phase() Phase {
+	if r == nil {
 		return NotOwned
 	}
-	return s.phase
+	return r.phase
 }
 
-// Settled says whether the share has been served for a moment, so that what decisions
-// found out since the taking (which machines something needs) is known.
-func (s *Reconciliation) Settled(now time.Time) bool {
-	return s.Phase() == Serving && now.Sub(s.servingSince) >= settleTime
+// Settled reports whether the partition has been serving for settleTime. By then the
+// decisions have found out which machines are needed.
+func (r *Reconciliation) Settled(now time.Time) bool {
+	return r.Phase() == Serving && now.Sub(r.servingSince) >= settleTime
 }
 
-// settleTime is that moment.
+// settleTime is how long a partition must have been serving before the machines that no
+// decision needs are known.
 const settleTime = time.Second
 
-// Counts are how many machines the share has, have spoken, and were asked.
-func (s *Reconciliation) Counts() (all, heard, asked int) {
-	return len(s.machines), s.reported, s.polled
+// Counts returns how many machines the partition has, how many of them have reported, and
+// how many calls were made.
+func (r *Reconciliation) Counts() (total, reported, polled int) {
+	return len(r.machines), r.reported, r.polled
 }
 
-// AcquiredAt is when the share was taken.
-func (s *Reconciliation) AcquiredAt() time.Time { return s.acquiredAt }
+// AcquiredAt returns when the partition was acquired.
+func (r *Reconciliation) AcquiredAt() time.Time { return r.acquiredAt }
 
-// AwaitingReport says whether a machine of the share has not spoken under this holder's token:
-// whether it works, and what it runs, is not known.
-func (s *Reconciliation) AwaitingReport(name string) bool {
-	e := s.entry(name)
-	return e != nil && !e.squared
+// AwaitingReport reports whether a machine of the partition has not reported under this
+// owner's token yet. Whether it works, and what it runs, is unknown.
+func (r *Reconciliation) AwaitingReport(name string) bool {
+	m := r.find(name)
+	return m != nil && !m.reconciled
 }
 
-// MayPreempt says whether work may be stopped to make room. Before the share serves,
-// the room that is missing may be free on a machine that has not spoken.
-func (s *Reconciliation) MayPreempt() bool { return s.Phase() == Serving }
+// MayPreempt reports whether work may be stopped to free capacity. Before the partition is
+// serving, the capacity that seems to be missing may be free on a machine that has not
+// reported.
+func (r *Reconciliation) MayPreempt() bool { return r.Phase() == Serving }
