--- a/internal/coordination/packed/model_test.go
+++ b/internal/coordination/packed/model_test.go
@@ -10,109 +10,117 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// The small machine of two nodes, their inboxes, one share's log of two slots and three jobs
-// of one task, explored in all its steps, with one stall and one late transaction anywhere: a node
-// that stands still sees nothing and goes on by what it saw, and what it or another one sent
-// may be executed at any time after, also when its sender has started anew. Shares change
-// hands at any time. What a node does goes by the rules of docs/packed.md; what an entry
-// says again is decided by Carry and CarryAccepted themselves.
+// A small model of the packed format: two nodes with their inboxes, one partition's log of
+// two slots and three jobs of one task each. All steps are explored, with at most one
+// stall and one delayed transaction at any point. A stalled node reads nothing and acts on
+// its last view. A delayed transaction may be executed at any later time, also after its
+// sender has restarted. The partition may change its owner at any time. Nodes follow the
+// rules of docs/packed.md, and the code under test, Carry and CarryAccepted, decides what
+// an entry carries forward.
 
 const (
-	mJobs  = 3
-	mNodes = 2
-	mSlots = 2
-	mHead  = 1           // keys: the holder, then jobs' own records,
-	mFinal = 1 + mJobs   // what they became,
-	mLog   = 1 + 2*mJobs // the log's slots,
-	mIn    = mLog + mSlots
-	mKeys  = mIn + mNodes*mSlots // and the inboxes'
+	modelJobs      = 3
+	modelNodes     = 2
+	modelSlots     = 2
+	firstHead      = 1               // key 0: the owner; then the jobs' own records,
+	firstFinal     = 1 + modelJobs   // their final states,
+	firstLogSlot   = 1 + 2*modelJobs // the slots of the log,
+	firstInboxSlot = firstLogSlot + modelSlots
+	keyCount       = firstInboxSlot + modelNodes*modelSlots // and the slots of the inboxes
 )
 
-// mVal is a stored value: of a record the task's state and what it is as of; of an entry what
-// it says of each job; of an inbox which jobs.
-type mVal struct {
-	is    uint8 // holder+1; of a record, a final, an entry: 1
-	seq   uint8 // of an entry; of a record: as of which entry
-	asked bool
-	task  uint8        // of a record: 0 waits, else the attempt it is placed with
-	says  [mJobs]uint8 // of a log's entry: 0 nothing, 1 waits, 2 ended, 3.. placed with attempt-3
-	jobs  [mJobs]bool  // of an inbox's entry
+// modelValue is a stored value. A job's record has the state of its task and the number of
+// the log entry up to which that is current; a log entry has the state of each job; an
+// inbox entry has its jobs.
+type modelValue struct {
+	present         uint8 // key 0: owner+1; others: 1; 0: deleted
+	seq             uint8 // of an entry; of a record: of the log entry up to which it is current
+	cancelRequested bool
+	task            uint8            // of a record: 0 waiting, else the attempt that is placed
+	states          [modelJobs]uint8 // of a log entry: 0 none, 1 waiting, 2 ended, from 3 on placed with attempt states-3
+	jobs            [modelJobs]bool  // of an inbox entry
 }
 
-type mCell struct {
-	ver uint8 // 0: not there
-	val mVal
+// modelCell is a stored value with its revision.
+type modelCell struct {
+	revision uint8 // 0: no value
+	value    modelValue
 }
 
-type mStore [mKeys]mCell
+// modelStore is the state service: a value for each key.
+type modelStore [keyCount]modelCell
 
-type mWrite struct {
-	key uint8
-	val mVal // is 0: deleted
+// modelWrite is one write of a transaction.
+type modelWrite struct {
+	key   uint8
+	value modelValue // present is 0: delete
 }
 
-type mTxn struct {
-	n      uint8 // of conditions
-	conds  [8]struct{ key, ver uint8 }
-	w      uint8 // of writes
-	writes [3]mWrite
-	job    uint8 // +1: of which it is stored
-	task   uint8 // that its task is like this
+// modelTxn is a transaction.
+type modelTxn struct {
+	condCount  uint8 // number of conditions in conds
+	conds      [8]struct{ key, ver uint8 }
+	writeCount uint8 // number of writes in writes
+	writes     [3]modelWrite
+	job        uint8 // +1: the job whose task state is stored
+	task       uint8 // the state of that task
 }
 
-type mState struct {
-	store   mStore
-	stalled uint8        // node+1 that stands still
-	view    mStore       // what that one sees
-	since   [mSlots]bool // that it wrote a slot of the log after it last heard of anything
-	held    mTxn         // on its way
-	waits   uint8        // node+1 that waits for its answer
-	stalls  uint8        // so far
-	lates   uint8
-	hands   uint8       // how often the share changed hands
-	ended   [mJobs]bool // it has ended: never again open
-	acked   [mJobs]bool // its user was told that it is accepted
+// modelState is a state of the model.
+type modelState struct {
+	store            modelStore
+	stalledNode      uint8            // node+1; 0: none
+	stalledView      modelStore       // what the stalled node has read
+	ownWritesInStall [modelSlots]bool // log slots that the stalled node has written since it last read
+	delayedTxn       modelTxn         // sent and not executed yet
+	waitingNode      uint8            // node+1 that waits for the answer of delayedTxn
+	stallCount       uint8            // stalls so far
+	delayCount       uint8            // delayed transactions so far
+	ownerChanges     uint8            // takeovers so far
+	ended            [modelJobs]bool  // the job has ended and must never be open again
+	accepted         [modelJobs]bool  // the user was told that the job is accepted
 }
 
-// sees is the store as a node sees it.
-func (st *mState) sees(n int) *mStore {
-	if st.stalled == uint8(n)+1 {
-		return &st.view
+// viewOf returns the store as a node sees it.
+func (st *modelState) viewOf(n int) *modelStore {
+	if st.stalledNode == uint8(n)+1 {
+		return &st.stalledView
 	}
 	return &st.store
 }
 
-func (t *mTxn) cond(s *mStore, keys ...uint8) {
+// requireUnchanged adds conditions that keys have the revisions of a view.
+func (t *modelTxn) requireUnchanged(s *modelStore, keys ...uint8) {
 	for _, k := range keys {
-		t.conds[t.n] = struct{ key, ver uint8 }{k, s[k].ver}
-		t.n++
+		t.conds[t.condCount] = struct{ key, ver uint8 }{k, s[k].revision}
+		t.condCount++
 	}
 }
 
-func (t *mTxn) put(key uint8, v mVal) {
-	t.writes[t.w] = mWrite{key, v}
-	t.w++
+func (t *modelTxn) put(key uint8, v modelValue) {
+	t.writes[t.writeCount] = modelWrite{key, v}
+	t.writeCount++
 }
 
-func mJob(j int) string { return fmt.Sprint("job-", j) }
+func modelJobID(j int) string { return fmt.Sprint("job-", j) }
 
-// rings reads the rings of a store.
-func (s *mStore) log() *Ring {
-	r := NewRing(mSlots)
-	for i := range mSlots {
-		c := s[mLog+i]
-		if c.ver == 0 {
+// log returns the ring of the log.
+func (s *modelStore) log() *Ring {
+	r := NewRing(modelSlots)
+	for i := range modelSlots {
+		c := s[firstLogSlot+i]
+		if c.revision == 0 {
 			continue
 		}
-		e := &protocol.Entry{Seq: uint64(c.val.seq)}
-		for j, x := range c.val.says {
+		e := &protocol.Entry{Seq: uint64(c.value.seq)}
+		for j, x := range c.value.states {
 			switch {
 			case x == 1:
-				e.Parts = append(e.Parts, protocol.Part{Job: mJob(j), Unplaced: [][2]int{{0, 0}}})
+				e.Parts = append(e.Parts, protocol.Part{Job: modelJobID(j), Unplaced: [][2]int{{0, 0}}})
 			case x == 2:
-				e.Parts = append(e.Parts, protocol.Part{Job: mJob(j), FinalStatus: "done"})
+				e.Parts = append(e.Parts, protocol.Part{Job: modelJobID(j), FinalStatus: "done"})
 			case x > 2:
-				e.Parts = append(e.Parts, protocol.Part{Job: mJob(j), NextAttempt: uint64(x - 3)})
+				e.Parts = append(e.Parts, protocol.Part{Job: modelJobID(j), NextAttempt: uint64(x - 3)})
 			}
 		}
 		if _, err := r.Put(i, e); err != nil {
@@ -122,17 +130,18 @@
 	return r
 }
 
-func (s *mStore) inbox(node int) *Ring {
-	r := NewRing(mSlots)
-	for i := range mSlots {
-		c := s[mIn+node*mSlots+i]
-		if c.ver == 0 {
+// inbox returns the ring of a node's inbox.
+func (s *modelStore) inbox(node int) *Ring {
+	r := NewRing(modelSlots)
+	for i := range modelSlots {
+		c := s[firstInboxSlot+node*modelSlots+i]
+		if c.revision == 0 {
 			continue
 		}
-		e := &protocol.Entry{Seq: uint64(c.val.seq)}
-		for j, in := range c.val.jobs {
+		e := &protocol.Entry{Seq: uint64(c.value.seq)}
+		for j, in := range c.value.jobs {
 			if in {
-				e.Jobs = append(e.Jobs, protocol.AcceptedJob{Spec: &protocol.JobSpec{ID: mJob(j)}})
+				e.Jobs = append(e.Jobs, protocol.AcceptedJob{Spec: &protocol.JobSpec{ID: modelJobID(j)}})
 			}
 		}
 		if _, err := r.Put(i, e); err != nil {
@@ -142,473 +151,484 @@
 	return r
 }
 
-// mKnown is what somebody who reads a store knows of a job.
-type mKnown struct {
-	open, based, inbox, over bool
-	task                     uint8
-	logged                   uint64 // by which entry, if no record is as late
-	asked                    bool
+// jobView is the state of a job as computed from a store.
+type jobView struct {
+	open, hasRecord, inInbox, ended bool
+	task                            uint8
+	logSeq                          uint64 // entry that gave the task's state, if no record is as late
+	cancelRequested                 bool
 }
 
-func (s *mStore) known(log *Ring, j int) (k mKnown) {
-	_, _, k.over = log.FindEnd(mJob(j))
-	head := s[mHead+j]
-	k.based = head.ver > 0
-	for n := range mNodes {
-		for i := range mSlots {
-			k.inbox = k.inbox || s[mIn+n*mSlots+i].ver > 0 && s[mIn+n*mSlots+i].val.jobs[j]
+// viewJob computes the state of a job from the stored values.
+func (s *modelStore) viewJob(log *Ring, j int) (view jobView) {
+	_, _, view.ended = log.FindEnd(modelJobID(j))
+	head := s[firstHead+j]
+	view.hasRecord = head.revision > 0
+	for n := range modelNodes {
+		for i := range modelSlots {
+			view.inInbox = view.inInbox || s[firstInboxSlot+n*modelSlots+i].revision > 0 && s[firstInboxSlot+n*modelSlots+i].value.jobs[j]
 		}
 	}
-	k.open = (k.based || k.inbox) && !k.over
-	mark := uint64(0)
-	if k.based {
-		k.task, mark, k.asked = head.val.task, uint64(head.val.seq), head.val.asked
+	view.open = (view.hasRecord || view.inInbox) && !view.ended
+	recordSeq := uint64(0)
+	if view.hasRecord {
+		view.task, recordSeq, view.cancelRequested = head.value.task, uint64(head.value.seq), head.value.cancelRequested
 	}
 	log.EachEntry(func(e *protocol.Entry) {
-		if c := s[mLog+int(e.Seq%mSlots)]; e.Seq > mark && c.val.says[j] == 1 {
-			k.task, k.logged = 0, e.Seq
-		} else if e.Seq > mark && c.val.says[j] > 2 {
-			k.task, k.logged = c.val.says[j]-3, e.Seq
+		if c := s[firstLogSlot+int(e.Seq%modelSlots)]; e.Seq > recordSeq && c.value.states[j] == 1 {
+			view.task, view.logSeq = 0, e.Seq
+		} else if e.Seq > recordSeq && c.value.states[j] > 2 {
+			view.task, view.logSeq = c.value.states[j]-3, e.Seq
 		}
 	})
-	return k
+	return view
 }
 
-// mFault leaves a rule out.
-type mFault struct{ noCarry, noSlot, noFinal, noTomb, noBehind, noRecords bool }
+// omittedRules are the rules that nodes ignore, to show that the model detects each
+// violation.
+type omittedRules struct{ noCarry, noSlotCondition, noFinalCondition, noTombstones, noReplicaCheck, noRecordConditions bool }
 
-// entry begins the next entry of the log, with what is carried; behind says that what is
-// stored is not known up to the entry that it takes the place of.
-func (s *mStore) entry(log *Ring, behind bool, f mFault) mVal {
+// nextEntry starts the next entry of the log, with the state that is carried forward.
+// replicaBehind is true if the node's replica is not complete up to the entry that will be
+// overwritten.
+func (s *modelStore) nextEntry(log *Ring, replicaBehind bool, omitted omittedRules) modelValue {
 	_, seq := log.Next()
-	v := mVal{is: 1, seq: uint8(seq)}
-	if f.noCarry {
-		return v
+	entry := modelValue{present: 1, seq: uint8(seq)}
+	if omitted.noCarry {
+		return entry
 	}
-	var ks [mJobs]mKnown
-	for j := range mJobs {
-		ks[j] = s.known(log, j)
+	var views [modelJobs]jobView
+	for j := range modelJobs {
+		views[j] = s.viewJob(log, j)
 	}
-	num := func(id string) int { return int(id[len(id)-1] - '0') }
+	jobNumber := func(id string) int { return int(id[len(id)-1] - '0') }
 	w := NewWriter(log, 1000)
 	log.Carry(w, func(id string) bool {
-		k := ks[num(id)]
-		return !f.noTomb && (behind && !f.noBehind || k.based || k.inbox)
+		view := views[jobNumber(id)]
+		return !omitted.noTombstones && (replicaBehind && !omitted.noReplicaCheck || view.hasRecord || view.inInbox)
 	}, func(id string, old uint64) Draft {
-		k := ks[num(id)]
-		d := Draft{Part: protocol.Part{Job: id}}
-		if k.open && k.logged == old {
-			d.Place(0, uint64(k.task), "m")
+		view := views[jobNumber(id)]
+		draft := Draft{Part: protocol.Part{Job: id}}
+		if view.open && view.logSeq == old {
+			draft.Place(0, uint64(view.task), "m")
 		}
-		return d
+		return draft
 	})
 	for _, p := range w.Entry().Parts {
 		if p.FinalStatus != "" {
-			v.says[num(p.Job)] = 2
-		} else if a := p.Placed[0][2]; a > 0 {
-			v.says[num(p.Job)] = uint8(a) + 3
+			entry.states[jobNumber(p.Job)] = 2
+		} else if attempt := p.Placed[0][2]; attempt > 0 {
+			entry.states[jobNumber(p.Job)] = uint8(attempt) + 3
 		} else {
-			v.says[num(p.Job)] = 1
+			entry.states[jobNumber(p.Job)] = 1
 		}
 	}
-	return v
+	return entry
 }
 
-// steps are the transactions that a node may send, by what it sees.
-func (st *mState) steps(n int, f mFault, send func(what string, t mTxn)) {
-	s := st.sees(n)
+// eachTxn calls send for each transaction that a node may send in its view.
+func (st *modelState) eachTxn(node int, omitted omittedRules, send func(what string, t modelTxn)) {
+	s := st.viewOf(node)
 	log := s.log()
 	slot, seq := log.Next()
-	next := uint8(mLog + slot)
-	behind := st.stalled == uint8(n)+1 && st.since[slot]
-	mine := s[0].val.is == uint8(n)+1 && s[0].ver > 0
-	// The records of jobs other than one of which an entry says again how they are.
-	carriedUnchanged := func(t *mTxn, e *mVal, except int) {
-		for j, says := range e.says {
-			if j != except && says != 0 && says != 2 && !f.noRecords {
-				t.cond(s, uint8(mHead+j))
+	nextSlotKey := uint8(firstLogSlot + slot)
+	replicaBehind := st.stalledNode == uint8(node)+1 && st.ownWritesInStall[slot]
+	owner := s[0].value.present == uint8(node)+1 && s[0].revision > 0
+	// The records of other open jobs whose state the entry carries forward must be
+	// unchanged.
+	requireCarriedUnchanged := func(t *modelTxn, e *modelValue, except int) {
+		for j, says := range e.states {
+			if j != except && says != 0 && says != 2 && !omitted.noRecordConditions {
+				t.requireUnchanged(s, uint8(firstHead+j))
 			}
 		}
 	}
-	if s[0].ver == 0 && st.hands < 3 {
-		var t mTxn
-		t.cond(s, 0)
-		t.put(0, mVal{is: uint8(n) + 1})
+	if s[0].revision == 0 && st.ownerChanges < 3 {
+		var t modelTxn
+		t.requireUnchanged(s, 0)
+		t.put(0, modelValue{present: uint8(node) + 1})
 		send("take", t)
 	}
-	for j := range mJobs {
-		k := s.known(log, j)
-		head, final := uint8(mHead+j), uint8(mFinal+j)
-		unended := func(t *mTxn) {
-			t.cond(s, head)
-			if !f.noFinal {
-				t.conds[t.n] = struct{ key, ver uint8 }{final, 0}
-				t.n++
+	for j := range modelJobs {
+		view := s.viewJob(log, j)
+		head, final := uint8(firstHead+j), uint8(firstFinal+j)
+		requireOpen := func(t *modelTxn) {
+			t.requireUnchanged(s, head)
+			if !omitted.noFinalCondition {
+				t.conds[t.condCount] = struct{ key, ver uint8 }{final, 0}
+				t.condCount++
 			}
 		}
-		if !k.open && !k.over && s[final].ver == 0 {
-			in := s.inbox(n)
-			inSlot, inSeq := in.Next()
-			if inSeq <= 4 && in.Complete() {
-				v := mVal{is: 1, seq: uint8(inSeq)}
-				w := NewWriter(in, 1000)
-				in.CarryAccepted(w, func(a protocol.AcceptedJob) bool {
-					x := s.known(log, int(a.Spec.ID[len(a.Spec.ID)-1]-'0'))
-					return x.open && !x.based
+		if !view.open && !view.ended && s[final].revision == 0 {
+			inbox := s.inbox(node)
+			inboxSlot, inboxSeq := inbox.Next()
+			if inboxSeq <= 4 && inbox.Complete() {
+				entry := modelValue{present: 1, seq: uint8(inboxSeq)}
+				w := NewWriter(inbox, 1000)
+				inbox.CarryAccepted(w, func(a protocol.AcceptedJob) bool {
+					carriedView := s.viewJob(log, int(a.Spec.ID[len(a.Spec.ID)-1]-'0'))
+					return carriedView.open && !carriedView.hasRecord
 				})
 				for _, a := range w.Entry().Jobs {
-					v.jobs[a.Spec.ID[len(a.Spec.ID)-1]-'0'] = true
+					entry.jobs[a.Spec.ID[len(a.Spec.ID)-1]-'0'] = true
 				}
-				v.jobs[j] = true
-				var t mTxn
-				t.cond(s, uint8(mIn+n*mSlots+inSlot))
-				unended(&t)
-				t.put(uint8(mIn+n*mSlots+inSlot), v)
+				entry.jobs[j] = true
+				var t modelTxn
+				t.requireUnchanged(s, uint8(firstInboxSlot+node*modelSlots+inboxSlot))
+				requireOpen(&t)
+				t.put(uint8(firstInboxSlot+node*modelSlots+inboxSlot), entry)
 				send(fmt.Sprint("accept ", j), t)
 			}
 		}
-		if k.open && !k.based { // any node may give it a record
-			var t mTxn
-			unended(&t)
-			t.put(head, mVal{is: 1, seq: uint8(log.CompleteUpTo()), task: k.task})
+		if view.open && !view.hasRecord { // any node may give it a record
+			var t modelTxn
+			requireOpen(&t)
+			t.put(head, modelValue{present: 1, seq: uint8(log.CompleteUpTo()), task: view.task})
 			send(fmt.Sprint("fold accepted ", j), t)
 		}
-		if k.open && !k.asked && k.based {
-			var t mTxn
-			unended(&t)
-			t.put(head, mVal{is: 1, seq: uint8(log.CompleteUpTo()), task: k.task, asked: true})
+		if view.open && !view.cancelRequested && view.hasRecord {
+			var t modelTxn
+			requireOpen(&t)
+			t.put(head, modelValue{present: 1, seq: uint8(log.CompleteUpTo()), task: view.task, cancelRequested: true})
 			send(fmt.Sprint("cancel ", j), t)
 		}
-		if !mine || !log.Complete() {
+		if !owner || !log.Complete() {
 			continue
 		}
-		if k.over && k.based {
-			var t mTxn
-			t.cond(s, 0, head)
-			t.put(head, mVal{})
+		if view.ended && view.hasRecord {
+			var t modelTxn
+			t.requireUnchanged(s, 0, head)
+			t.put(head, modelValue{})
 			send(fmt.Sprint("remove record ", j), t)
 		}
-		if !k.open || seq > 5 {
+		if !view.open || seq > 5 {
 			continue
 		}
-		// What the holder decides: in an entry, or in the job's own record.
+		// The owner stores a decision in an entry or in the job's own record.
 		for _, task := range []uint8{0, 1, 2} {
-			if !(k.task == 0 && task > 0 && !k.asked || k.task > 0 && task == 0) {
+			if !(view.task == 0 && task > 0 && !view.cancelRequested || view.task > 0 && task == 0) {
 				continue
 			}
-			e := s.entry(log, behind, f)
-			var t mTxn
-			t.cond(s, 0, next)
-			unended(&t)
-			carriedUnchanged(&t, &e, j)
-			e.says[j] = 1
+			e := s.nextEntry(log, replicaBehind, omitted)
+			var t modelTxn
+			t.requireUnchanged(s, 0, nextSlotKey)
+			requireOpen(&t)
+			requireCarriedUnchanged(&t, &e, j)
+			e.states[j] = 1
 			if task > 0 {
-				e.says[j] = task + 3
+				e.states[j] = task + 3
 			}
-			t.put(next, e)
+			t.put(nextSlotKey, e)
 			t.job, t.task = uint8(j)+1, task
 			send(fmt.Sprint("entry: task ", task, " of ", j), t)
-			t = mTxn{job: uint8(j) + 1, task: task}
-			t.cond(s, 0)
-			if !f.noSlot {
-				t.cond(s, next)
+			t = modelTxn{job: uint8(j) + 1, task: task}
+			t.requireUnchanged(s, 0)
+			if !omitted.noSlotCondition {
+				t.requireUnchanged(s, nextSlotKey)
 			}
-			unended(&t)
-			t.put(head, mVal{is: 1, seq: uint8(log.LastSeq()), task: task, asked: k.asked})
+			requireOpen(&t)
+			t.put(head, modelValue{present: 1, seq: uint8(log.LastSeq()), task: task, cancelRequested: view.cancelRequested})
 			send(fmt.Sprint("record: task ", task, " of ", j), t)
 		}
-		if k.task > 0 || k.asked {
-			e := s.entry(log, behind, f)
-			var t mTxn
-			t.cond(s, 0, next)
-			unended(&t)
-			carriedUnchanged(&t, &e, j)
-			e.says[j] = 2
-			t.put(final, mVal{is: 1})
-			t.put(next, e)
+		if view.task > 0 || view.cancelRequested {
+			e := s.nextEntry(log, replicaBehind, omitted)
+			var t modelTxn
+			t.requireUnchanged(s, 0, nextSlotKey)
+			requireOpen(&t)
+			requireCarriedUnchanged(&t, &e, j)
+			e.states[j] = 2
+			t.put(final, modelValue{present: 1})
+			t.put(nextSlotKey, e)
 			send(fmt.Sprint("end ", j), t)
 		}
 	}
 }
 
-// stepsMeanwhile are the transactions that a node may send while it waits for the answer of an
-// entry: other jobs' own records.
-func (st *mState) stepsMeanwhile(n int, f mFault, send func(what string, t mTxn)) {
-	if entry := st.held.writes[st.held.w-1].key; entry < mLog || entry >= mIn {
+// eachTxnWhileWaiting calls send for each transaction that a node may send while it waits
+// for the answer of an entry: changes of other jobs' own records.
+func (st *modelState) eachTxnWhileWaiting(node int, omitted omittedRules, send func(what string, t modelTxn)) {
+	if entry := st.delayedTxn.writes[st.delayedTxn.writeCount-1].key; entry < firstLogSlot || entry >= firstInboxSlot {
 		return
 	}
-	st.steps(n, f, func(what string, t mTxn) {
-		if strings.HasPrefix(what, "record: ") && t.job != st.held.job {
+	st.eachTxn(node, omitted, func(what string, t modelTxn) {
+		if strings.HasPrefix(what, "record: ") && t.job != st.delayedTxn.job {
 			send(what, t)
 		}
 	})
 }
 
-// execute makes a transaction's changes if its conditions hold, and says what rule that breaks.
-func (st *mState) execute(t *mTxn, by int) (ok bool, wrong string) {
-	for _, c := range t.conds[:t.n] {
-		if st.store[c.key].ver != c.ver {
+// execute applies a transaction if its conditions hold, and returns the invariant that
+// this violates.
+func (st *modelState) execute(t *modelTxn, sender int) (ok bool, violation string) {
+	for _, c := range t.conds[:t.condCount] {
+		if st.store[c.key].revision != c.ver {
 			return false, ""
 		}
 	}
 	log := st.store.log()
-	var before [mJobs]mKnown
-	for j := range mJobs {
-		before[j] = st.store.known(log, j)
+	var before [modelJobs]jobView
+	for j := range modelJobs {
+		before[j] = st.store.viewJob(log, j)
 	}
-	top := uint8(0)
+	lastRevision := uint8(0)
 	for _, c := range st.store {
-		top = max(top, c.ver)
-	}
-	for _, w := range t.writes[:t.w] {
-		c := mCell{}
-		if w.val.is > 0 {
-			c = mCell{top + 1, w.val}
-		}
-		st.store[w.key] = c
-		if st.stalled == uint8(by)+1 {
-			st.view[w.key] = c // a node learns its own changes at once
-			if w.key >= mLog && w.key < mIn {
-				st.since[w.key-mLog] = true
+		lastRevision = max(lastRevision, c.revision)
+	}
+	for _, w := range t.writes[:t.writeCount] {
+		cell := modelCell{}
+		if w.value.present > 0 {
+			cell = modelCell{lastRevision + 1, w.value}
+		}
+		st.store[w.key] = cell
+		if st.stalledNode == uint8(sender)+1 {
+			st.stalledView[w.key] = cell // a node knows its own changes at once
+			if w.key >= firstLogSlot && w.key < firstInboxSlot {
+				st.ownWritesInStall[w.key-firstLogSlot] = true
 			}
 		}
-		if w.key >= mFinal && w.key < mLog {
-			st.ended[w.key-mFinal] = true
+		if w.key >= firstFinal && w.key < firstLogSlot {
+			st.ended[w.key-firstFinal] = true
 		}
-		if w.key == 0 && w.val.is > 0 {
-			st.hands++
+		if w.key == 0 && w.value.present > 0 {
+			st.ownerChanges++
 		}
 	}
 	log = st.store.log()
-	for j := range mJobs {
-		k := st.store.known(log, j)
-		st.acked[j] = st.acked[j] || k.open
+	for j := range modelJobs {
+		view := st.store.viewJob(log, j)
+		st.accepted[j] = st.accepted[j] || view.open
 		switch {
-		case st.acked[j] && !k.open && !st.ended[j]:
+		case st.accepted[j] && !view.open && !st.ended[j]:
 			return true, fmt.Sprintf("job %d is lost", j)
-		case st.ended[j] && k.open:
+		case st.ended[j] && view.open:
 			return true, fmt.Sprintf("job %d is open after it ended", j)
-		case before[j].task > 0 && k.task > 0 && before[j].task != k.task && k.open:
-			return true, fmt.Sprintf("job %d is placed with attempt %d while it is with %d", j, k.task, before[j].task)
-		case int(t.job) != j+1 && before[j].open && k.open && before[j].task != k.task:
-			return true, fmt.Sprintf("job %d goes from attempt %d to %d with a change that is not about it", j, before[j].task, k.task)
-		case int(t.job) == j+1 && k.task != t.task:
-			return true, fmt.Sprintf("job %d is stored with attempt %d and read with %d", j, t.task, k.task)
+		case before[j].task > 0 && view.task > 0 && before[j].task != view.task && view.open:
+			return true, fmt.Sprintf("job %d is placed with attempt %d while attempt %d is placed", j, view.task, before[j].task)
+		case int(t.job) != j+1 && before[j].open && view.open && before[j].task != view.task:
+			return true, fmt.Sprintf("job %d changes from attempt %d to %d by a transaction of another job", j, before[j].task, view.task)
+		case int(t.job) == j+1 && view.task != t.task:
+			return true, fmt.Sprintf("job %d was stored with attempt %d and reads as %d", j, t.task, view.task)
 		}
 	}
 	return true, ""
 }
 
-// canonical renames versions: only which of them are the same makes a difference.
-func (st *mState) canonical() {
-	for k := range mKeys {
+// renumberRevisions renumbers the revisions, because only their equality matters. States
+// that differ in nothing else become equal.
+func (st *modelState) renumberRevisions() {
+	for key := range keyCount {
 		var used [64]bool
-		used[st.store[k].ver], used[st.view[k].ver] = true, true
-		for _, c := range st.held.conds[:st.held.n] {
-			if int(c.key) == k {
+		used[st.store[key].revision], used[st.stalledView[key].revision] = true, true
+		for _, c := range st.delayedTxn.conds[:st.delayedTxn.condCount] {
+			if int(c.key) == key {
 				used[c.ver] = true
 			}
 		}
-		var to [64]uint8
+		var renumbered [64]uint8
 		next := uint8(1)
 		for v := 1; v < 64; v++ {
 			if used[v] {
-				to[v] = next
+				renumbered[v] = next
 				next++
 			}
 		}
-		st.store[k].ver, st.view[k].ver = to[st.store[k].ver], to[st.view[k].ver]
-		for i := range st.held.conds[:st.held.n] {
-			if c := &st.held.conds[i]; int(c.key) == k {
-				c.ver = to[c.ver]
+		st.store[key].revision, st.stalledView[key].revision = renumbered[st.store[key].revision], renumbered[st.stalledView[key].revision]
+		for i := range st.delayedTxn.conds[:st.delayedTxn.condCount] {
+			if c := &st.delayedTxn.conds[i]; int(c.key) == key {
+				c.ver = renumbered[c.ver]
 			}
 		}
 	}
 }
 
-// successors are the states that the next step may lead to, and what rule the step breaks.
-func (st *mState) successors(f mFault, to func(next mState, step, wrong string)) {
-	run := func(next mState, t *mTxn, by int, step string) {
-		if ok, wrong := next.execute(t, by); ok {
-			next.canonical()
-			to(next, step, wrong)
+// successors calls visit for each state that one step can lead to, with the invariant that
+// the step violates.
+func (st *modelState) successors(omitted omittedRules, visit func(next modelState, step, wrong string)) {
+	run := func(next modelState, t *modelTxn, sender int, step string) {
+		if ok, wrong := next.execute(t, sender); ok {
+			next.renumberRevisions()
+			visit(next, step, wrong)
 		}
 	}
-	add := func(next mState, step string) {
-		next.canonical()
-		to(next, step, "")
+	add := func(next modelState, step string) {
+		next.renumberRevisions()
+		visit(next, step, "")
 	}
-	if st.held.n > 0 {
+	if st.delayedTxn.condCount > 0 {
 		next := *st
-		next.held, next.waits = mTxn{}, 0
-		run(next, &st.held, -1, "the late one is executed")
+		next.delayedTxn, next.waitingNode = modelTxn{}, 0
+		run(next, &st.delayedTxn, -1, "the late one is executed")
 	}
-	for n := range mNodes {
+	for node := range modelNodes {
 		next := *st
 		switch {
-		case st.stalled == uint8(n)+1:
-			next.stalled, next.view, next.since = 0, mStore{}, [mSlots]bool{}
-			add(next, fmt.Sprint(n, " goes on"))
-		case st.stalled == 0 && st.stalls == 0:
-			next.stalled, next.view, next.stalls = uint8(n)+1, st.store, 1
-			add(next, fmt.Sprint(n, " stands still"))
-		}
-		if st.waits == uint8(n)+1 {
+		case st.stalledNode == uint8(node)+1:
+			next.stalledNode, next.stalledView, next.ownWritesInStall = 0, modelStore{}, [modelSlots]bool{}
+			add(next, fmt.Sprint(node, " goes on"))
+		case st.stalledNode == 0 && st.stallCount == 0:
+			next.stalledNode, next.stalledView, next.stallCount = uint8(node)+1, st.store, 1
+			add(next, fmt.Sprint(node, " stands still"))
+		}
+		if st.waitingNode == uint8(node)+1 {
 			next := *st
-			next.waits = 0
-			add(next, fmt.Sprint(n, " starts anew"))
-			st.stepsMeanwhile(n, f, func(what string, t mTxn) {
-				run(*st, &t, n, fmt.Sprint(n, ": ", what))
+			next.waitingNode = 0
+			add(next, fmt.Sprint(node, " starts anew"))
+			st.eachTxnWhileWaiting(node, omitted, func(what string, t modelTxn) {
+				run(*st, &t, node, fmt.Sprint(node, ": ", what))
 			})
-			continue // else it waits for its answer
+			continue // a waiting node sends nothing else
 		}
-		if st.store[0].val.is == uint8(n)+1 {
-			run(*st, &mTxn{w: 1, writes: [3]mWrite{{0, mVal{}}}}, -1, fmt.Sprint(n, " loses its lease"))
+		if st.store[0].value.present == uint8(node)+1 {
+			run(*st, &modelTxn{writeCount: 1, writes: [3]modelWrite{{0, modelValue{}}}}, -1, fmt.Sprint(node, " loses its lease"))
 		}
-		st.steps(n, f, func(what string, t mTxn) {
-			run(*st, &t, n, fmt.Sprint(n, ": ", what))
-			if st.lates == 0 {
+		st.eachTxn(node, omitted, func(what string, t modelTxn) {
+			run(*st, &t, node, fmt.Sprint(node, ": ", what))
+			if st.delayCount == 0 {
 				next := *st
-				next.held, next.waits, next.lates = t, uint8(n)+1, 1
-				add(next, fmt.Sprint(n, " sends ", what))
+				next.delayedTxn, next.waitingNode, next.delayCount = t, uint8(node)+1, 1
+				add(next, fmt.Sprint(node, " sends ", what))
 			}
 		})
 	}
 }
 
-// explore visits states, those in fewest steps first, until there are no more or so many; it
-// returns how many, and the first broken rule with the steps to it.
-func explore(most int, f mFault) (states int, wrong string) {
-	type from struct {
+// explore visits states in breadth-first order, at most maxStates. It returns their number
+// and the first violation with the steps that lead to it.
+func explore(maxStates int, omitted omittedRules) (states int, violation string) {
+	type origin struct {
 		before int32
 		step   string
 	}
-	seen := map[mState]struct{}{{}: {}}
-	queue, path := []mState{{}}, []from{{-1, "begin"}}
+	seen := map[modelState]struct{}{{}: {}}
+	queue, path := []modelState{{}}, []origin{{-1, "begin"}}
 	for at := 0; at < len(queue); at++ {
-		queue[at].successors(f, func(next mState, step, w string) {
-			if w != "" && wrong == "" {
-				wrong = step
+		queue[at].successors(omitted, func(next modelState, step, w string) {
+			if w != "" && violation == "" {
+				violation = step
 				for i := int32(at); i >= 0; i = path[i].before {
-					wrong = path[i].step + "; " + wrong
+					violation = path[i].step + "; " + violation
 				}
-				wrong = w + ": " + wrong
+				violation = w + ": " + violation
 			}
-			if _, known := seen[next]; !known && len(seen) < most {
+			if _, known := seen[next]; !known && len(seen) < maxStates {
 				seen[next] = struct{}{}
 				queue = append(queue, next)
-				path = append(path, from{int32(at), step})
+				path = append(path, origin{int32(at), step})
 			}
 		})
-		if wrong != "" {
+		if violation != "" {
 			break
 		}
 	}
-	return len(seen), wrong
+	return len(seen), violation
 }
 
-// walk takes steps by chance, further than exploring all of them gets.
-func walk(seed uint64, steps int, f mFault) (wrong string) {
+// walk takes random steps, which lead further than a full exploration can.
+func walk(seed uint64, steps int, omitted omittedRules) (violation string) {
 	rng := rand.New(rand.NewPCG(seed, 3))
-	var st mState
+	var st modelState
 	trail := ""
 	for range steps {
-		var pick mState
-		n, how := 0, ""
-		st.successors(f, func(next mState, step, w string) {
-			if w != "" && wrong == "" {
-				wrong = fmt.Sprintf("%s (seed %d): %s%s", w, seed, trail, step)
+		var chosen modelState
+		seen, chosenStep := 0, ""
+		st.successors(omitted, func(next modelState, step, w string) {
+			if w != "" && violation == "" {
+				violation = fmt.Sprintf("%s (seed %d): %s%s", w, seed, trail, step)
 			}
-			if n++; rng.IntN(n) == 0 {
-				pick, how = next, step
+			if seen++; rng.IntN(seen) == 0 {
+				chosen, chosenStep = next, step
 			}
 		})
-		if n == 0 || wrong != "" {
-			return wrong
+		if seen == 0 || violation != "" {
+			return violation
 		}
-		st, trail = pick, trail+how+"; "
+		st, trail = chosen, trail+chosenStep+"; "
 	}
 	return ""
 }
 
-// play takes steps by their names; ok is false if one can't be taken.
-func play(f mFault, steps ...string) (wrong string, ok bool) {
-	var st mState
+// replay takes the named steps; ok is false if one of them is not possible.
+func replay(omitted omittedRules, steps ...string) (violation string, ok bool) {
+	var st modelState
 	for _, want := range steps {
-		var next mState
+		var next modelState
 		found := false
-		st.successors(f, func(s mState, step, w string) {
+		st.successors(omitted, func(s modelState, step, w string) {
 			if step == want && !found {
-				next, wrong, found = s, w, true
+				next, violation, found = s, w, true
 			}
 		})
-		if !found || wrong != "" {
-			return wrong, found
+		if !found || violation != "" {
+			return violation, found
 		}
 		st = next
 	}
 	return "", true
 }
 
-// No step of the small machine loses a job, opens one again that has ended, places a task
-// that is placed, or stores what is read otherwise: in all states that are reached in few
-// steps, and on long walks. Each of six rules that is left out is found, two by walks, and
-// four by histories that take too many turns to be met by chance.
+// No step of the model may lose a job, reopen an ended job, place a task that is already
+// placed, or store a state that reads back differently. This is checked for all states
+// reached in few steps and on long random walks. Each of six omitted rules must be
+// detected: two by random walks, four by given histories that are too long to be found at
+// random.
 func TestSmallMachine(t *testing.T) {
-	most, walks := 40_000, uint64(2_000)
+	maxStates, walks := 40_000, uint64(2_000)
 	if *deep {
-		most, walks = 4_000_000, 300_000
+		maxStates, walks = 4_000_000, 300_000
 	}
-	n, wrong := explore(most, mFault{})
-	if wrong != "" {
-		t.Fatal(wrong)
+	states, violation := explore(maxStates, omittedRules{})
+	if violation != "" {
+		t.Fatal(violation)
 	}
 	for seed := range walks {
-		if wrong := walk(seed, 60, mFault{}); wrong != "" {
-			t.Fatal(wrong)
+		if violation := walk(seed, 60, omittedRules{}); violation != "" {
+			t.Fatal(violation)
 		}
 	}
-	t.Logf("%d states, %d walks", n, walks)
-	for name, f := range map[string]mFault{"nothing is carried": {noCarry: true}, "ends are forgotten while an inbox tells of the job": {noTomb: true}} {
+	t.Logf("%d states, %d walks", states, walks)
+	for name, omitted := range map[string]omittedRules{"nothing is carried forward": {noCarry: true}, "tombstones are dropped while an inbox mentions the job": {noTombstones: true}} {
 		found := false
 		for seed := uint64(0); seed < walks && !found; seed++ {
-			if wrong := walk(seed, 60, f); wrong != "" {
+			if violation := walk(seed, 60, omitted); violation != "" {
 				found = true
-				t.Logf("%s: found with seed %d: %s", name, seed, wrong)
+				t.Logf("%s: found with seed %d: %s", name, seed, violation)
 			}
 		}
 		if !found {
-			t.Errorf("%s: not found", name)
+			t.Errorf("%s: not detected", name)
 		}
 	}
 	for name, c := range map[string]struct {
-		f       mFault
-		refused bool // with the rule the last step is not taken
+		omitted omittedRules
+		refused bool // with the rule, the last step is not possible
 		steps   []string
 	}{
-		// A node that does not know the last entry takes the share, and learns that at once.
-		"a record is stored without regard to the log": {mFault{noSlot: true}, true, []string{"0: accept 0", "1 stands still", "0: take", "0: entry: task 1 of 0", "0 loses its lease", "1: take", "1: record: task 2 of 0"}},
-		// A node that has not heard of a job accepts it when nothing watched tells of it any more.
-		"nobody asks whether a job has ended": {mFault{noFinal: true}, true, []string{"1 stands still", "0: take", "0: accept 0", "0: entry: task 1 of 0", "0: end 0", "0: accept 1", "0: accept 2",
+		// A node that has not read the last entry takes the partition, knows its own
+		// change at once, and stores a record.
+		"a record is stored without the condition on the log slot": {omittedRules{noSlotCondition: true}, true, []string{"0: accept 0", "1 stands still", "0: take", "0: entry: task 1 of 0", "0 loses its lease", "1: take", "1: record: task 2 of 0"}},
+		// A node that has not read of a job accepts it again after all other values that
+		// mention it are gone.
+		"no condition that the job has not ended": {omittedRules{noFinalCondition: true}, true, []string{"1 stands still", "0: take", "0: accept 0", "0: entry: task 1 of 0", "0: end 0", "0: accept 1", "0: accept 2",
 			"0: entry: task 1 of 1", "0: entry: task 1 of 2", "1: accept 0"}},
-		// A holder that hears of nothing any more ends a job that another node accepted as well.
-		"an end is forgotten by one who may have missed who tells of the job": {mFault{noBehind: true}, false, []string{"1 stands still", "0: accept 0", "1: accept 0", "1: take", "1: fold accepted 0", "1: cancel 0",
+		// A stalled owner ends a job that another node had accepted as well.
+		"a tombstone is dropped by an owner whose replica may be behind": {omittedRules{noReplicaCheck: true}, false, []string{"1 stands still", "0: accept 0", "1: accept 0", "1: take", "1: fold accepted 0", "1: cancel 0",
 			"1: accept 2", "1: end 0", "1: remove record 0", "1: accept 1", "1: entry: task 1 of 1", "1: entry: task 0 of 1"}},
-		// A holder says again in an entry where a task is, and while that is on its way stores in the
-		// job's own record that the task has left.
-		"an entry says of a job again what its own record has made old": {mFault{noRecords: true}, true, []string{"0: take", "0: accept 0", "0: accept 1", "0: fold accepted 0", "0: entry: task 1 of 0", "0: entry: task 1 of 1",
+		// An owner carries a placement forward in an entry, and while that entry is in
+		// flight stores in the job's own record that the task was unplaced.
+		"an entry carries forward a state that the job's own record has replaced": {omittedRules{noRecordConditions: true}, true, []string{"0: take", "0: accept 0", "0: accept 1", "0: fold accepted 0", "0: entry: task 1 of 0", "0: entry: task 1 of 1",
 			"0 sends entry: task 0 of 1", "0: record: task 0 of 0", "the late one is executed"}},
 	} {
-		if wrong, _ := play(c.f, c.steps...); wrong == "" {
-			t.Errorf("%s: not found", name)
+		if violation, _ := replay(c.omitted, c.steps...); violation == "" {
+			t.Errorf("%s: not detected", name)
 		} else {
-			t.Logf("%s: %s", name, wrong)
+			t.Logf("%s: %s", name, violation)
 		}
-		if wrong, ok := play(mFault{}, c.steps...); ok == c.refused || wrong != "" {
-			t.Errorf("%s: with the rule the last step is taken: %v (%s)", name, ok, wrong)
+		if violation, ok := replay(omittedRules{}, c.steps...); ok == c.refused || violation != "" {
+			t.Errorf("%s: with the rule, all steps are possible: %v (%s)", name, ok, violation)
 		}
 	}
 }
 
-// deep is for long runs by hand: go test ./internal/coordination/packed -run SmallMachine -deep.
-var deep = flag.Bool("deep", false, "explore more of the small machine")
+// deep is for long manual runs: go test ./internal/coordination/packed -run SmallMachine
+// -deep.
+var deep = flag.Bool("deep", false, "explore more states of the model")
--- a/internal/coordination/packed/packed.go
+++ b/internal/coordination/packed/packed.go
@@ -1,10 +1,11 @@
-// Package packed is about values that tell of many jobs, so that many jobs take one change
-// of the state service: a log of a share's decisions, written by its holder, and an inbox
-// of what a node accepted. Both are rings of numbered entries over a fixed set of slots.
-// It is pure: it knows what is in the slots, what of it is still needed, and builds the
-// next entry. What a task is like is what the entry with the highest number says that
-// mentions it, or the job's own record if that is as late (protocol.Chunk.Log); entries
-// may so be taken in in any order.
+// Package packed implements stored values that cover many jobs, so that the changes of
+// many jobs need one change of the state service: the log of a partition's decisions,
+// written by its owner, and the inbox of the jobs that a node accepted. Both are rings of
+// numbered entries over a fixed set of slots. The package is pure: it tracks what the
+// slots contain and which part of it is still needed, and builds the next entry. The state
+// of a task is given by the entry with the highest number that mentions it, or by the
+// job's own record if that is as late (protocol.Chunk.LogSeq). Entries may therefore be
+// read in any order.
 package packed
 
 import (
@@ -17,14 +18,14 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// Slots is how many slots a ring has: the most entries that a reader reads, and what a
-// writer has room for before it must fold jobs into records of their own.
+// Slots is the number of slots of a ring: the most entries that a reader reads, and the
+// most that a writer stores before it must compact jobs into records of their own.
 const Slots = 64
 
-// ErrNewerVersion says that an entry was written by a later release.
+// ErrNewerVersion means that an entry was written by a later release.
 var ErrNewerVersion = errors.New("written by a later release")
 
-// ParseEntry reads an entry.
+// ParseEntry decodes and checks an entry.
 func ParseEntry(data []byte) (*protocol.Entry, error) {
 	e := &protocol.Entry{}
 	if err := json.Unmarshal(data, e); err != nil {
@@ -39,15 +40,15 @@
 	return e, nil
 }
 
-// ParseLogKey reads a key of a share's log.
-func ParseLogKey(key string) (share, slot int, ok bool) {
-	s, n, _ := strings.Cut(strings.TrimPrefix(key, protocol.LogRoot), "/")
-	share, err := strconv.Atoi(s)
-	slot, err2 := strconv.Atoi(n)
-	return share, slot, err == nil && err2 == nil && share >= 0 && slot >= 0
+// ParseLogKey parses the key of a slot in a partition's log.
+func ParseLogKey(key string) (partition, slot int, ok bool) {
+	partitionText, slotText, _ := strings.Cut(strings.TrimPrefix(key, protocol.LogRoot), "/")
+	partition, err := strconv.Atoi(partitionText)
+	slot, slotErr := strconv.Atoi(slotText)
+	return partition, slot, err == nil && slotErr == nil && partition >= 0 && slot >= 0
 }
 
-// ParseInboxKey reads a key of an inbox.
+// ParseInboxKey parses the key of a slot in a node's inbox.
 func ParseInboxKey(key string) (node string, slot int, ok bool) {
 	rest := strings.TrimPrefix(key, protocol.InboxRoot)
 	i := strings.LastIndexByte(rest, '/')
@@ -58,21 +59,22 @@
 	return rest[:i], slot, err == nil && slot >= 0
 }
 
-// Ring is what a reader knows of a log or an inbox.
+// Ring is a reader's copy of a log or an inbox.
 type Ring struct {
-	slots   []*protocol.Entry
-	lastSeq uint64
-	jobs    map[string]int    // in how many entries a job is mentioned
-	ends    map[string]uint64 // the entry that says that a job has ended
+	slots         []*protocol.Entry
+	lastSeq       uint64
+	mentionCounts map[string]int    // by job: the number of entries that mention it
+	endSeqs       map[string]uint64 // by job: the latest entry that says that it has ended
 }
 
-// NewRing makes an empty ring of so many slots.
+// NewRing returns an empty ring with the given number of slots.
 func NewRing(slots int) *Ring {
-	return &Ring{slots: make([]*protocol.Entry, slots), jobs: map[string]int{}, ends: map[string]uint64{}}
+	return &Ring{slots: make([]*protocol.Entry, slots), mentionCounts: map[string]int{}, endSeqs: map[string]uint64{}}
 }
 
-// mentions calls f for each job of an entry, with what became of it if it has ended.
-func mentions(e *protocol.Entry, f func(job string, ended bool)) {
+// eachMention calls f for each job in an entry; ended is true if the entry says that the
+// job has ended.
+func eachMention(e *protocol.Entry, f func(job string, ended bool)) {
 	if e == nil {
 		return
 	}
@@ -84,52 +86,52 @@
 	}
 }
 
-// Put takes in what is in a slot (nil: nothing) and returns what was there before.
-func (r *Ring) Put(slot int, e *protocol.Entry) (before *protocol.Entry, err error) {
+// Put stores the entry of a slot (nil: none) and returns the previous one.
+func (r *Ring) Put(slot int, e *protocol.Entry) (previous *protocol.Entry, err error) {
 	switch {
 	case slot >= len(r.slots):
 		return nil, fmt.Errorf("slot %d of a ring of %d", slot, len(r.slots))
 	case e != nil && e.Seq%uint64(len(r.slots)) != uint64(slot):
 		return nil, fmt.Errorf("entry %d in slot %d of %d", e.Seq, slot, len(r.slots))
 	}
-	before = r.slots[slot]
+	previous = r.slots[slot]
 	r.slots[slot] = e
-	// What the slot said before goes first: it may be the same entry, read once more.
-	mentions(before, func(job string, ended bool) {
-		if r.jobs[job]--; r.jobs[job] == 0 {
-			delete(r.jobs, job)
+	// The previous entry is removed first, because the same entry may be read twice.
+	eachMention(previous, func(job string, ended bool) {
+		if r.mentionCounts[job]--; r.mentionCounts[job] == 0 {
+			delete(r.mentionCounts, job)
 		}
-		if ended && r.ends[job] == before.Seq {
-			delete(r.ends, job)
+		if ended && r.endSeqs[job] == previous.Seq {
+			delete(r.endSeqs, job)
 		}
 	})
-	mentions(e, func(job string, ended bool) {
-		r.jobs[job]++
+	eachMention(e, func(job string, ended bool) {
+		r.mentionCounts[job]++
 		if ended {
-			r.ends[job] = max(r.ends[job], e.Seq)
+			r.endSeqs[job] = max(r.endSeqs[job], e.Seq)
 		}
 	})
 	if e != nil {
 		r.lastSeq = max(r.lastSeq, e.Seq)
 	}
-	return before, nil
+	return previous, nil
 }
 
-// HasEntry says whether an entry is in a slot.
+// HasEntry reports whether a slot has an entry.
 func (r *Ring) HasEntry(slot int) bool {
 	return slot >= 0 && slot < len(r.slots) && r.slots[slot] != nil
 }
 
-// LastSeq is the number of the latest entry that is known.
+// LastSeq returns the number of the latest known entry.
 func (r *Ring) LastSeq() uint64 { return r.lastSeq }
 
-// Next is the next entry's slot and number.
+// Next returns the slot and the number of the next entry.
 func (r *Ring) Next() (slot int, seq uint64) {
 	return int((r.lastSeq + 1) % uint64(len(r.slots))), r.lastSeq + 1
 }
 
-// CompleteUpTo is the number up to which all entries are known. While a reader reads the slots one
-// page after the other, it may know a later one and not an earlier one.
+// CompleteUpTo returns the number up to which all entries are known. While a reader reads
+// the slots page by page, a later entry may be known before an earlier one.
 func (r *Ring) CompleteUpTo() uint64 {
 	n := uint64(len(r.slots))
 	first := uint64(1)
@@ -144,21 +146,21 @@
 	return r.lastSeq
 }
 
-// Complete says whether nothing is missing between the entries that are known.
+// Complete reports whether no entry is missing before the latest known one.
 func (r *Ring) Complete() bool { return r.CompleteUpTo() == r.lastSeq }
 
-// Overwritten is the entry that the next one takes the place of; nil: none.
+// Overwritten returns the entry that the next one will overwrite; nil: none.
 func (r *Ring) Overwritten() *protocol.Entry {
 	slot, _ := r.Next()
 	return r.slots[slot]
 }
 
-// Mentions says whether a job is in any entry.
-func (r *Ring) Mentions(job string) bool { return r.jobs[job] > 0 }
+// Mentions reports whether any entry mentions a job.
+func (r *Ring) Mentions(job string) bool { return r.mentionCounts[job] > 0 }
 
-// FindEnd says what a job has become, if an entry tells, and which.
+// FindEnd returns the part that says how a job has ended, and the number of its entry.
 func (r *Ring) FindEnd(job string) (p *protocol.Part, seq uint64, ok bool) {
-	seq, ok = r.ends[job]
+	seq, ok = r.endSeqs[job]
 	if !ok {
 		return nil, 0, false
 	}
@@ -171,9 +173,9 @@
 	return nil, 0, false
 }
 
-// EachPart calls f for all that entries say of a job, by their numbers.
+// EachPart calls f for each part about a job, in the order of the entries.
 func (r *Ring) EachPart(job string, f func(e *protocol.Entry, p *protocol.Part)) {
-	if r.jobs[job] == 0 {
+	if r.mentionCounts[job] == 0 {
 		return
 	}
 	r.EachEntry(func(e *protocol.Entry) {
@@ -185,7 +187,7 @@
 	})
 }
 
-// EachEntry calls f for the entries by their numbers.
+// EachEntry calls f for each entry in order.
 func (r *Ring) EachEntry(f func(e *protocol.Entry)) {
 	n := uint64(len(r.slots))
 	first := uint64(1)
@@ -199,183 +201,186 @@
 	}
 }
 
-// Empty says whether no entry tells anything.
-func (r *Ring) Empty() bool { return len(r.jobs) == 0 }
+// Empty reports whether no entry mentions a job.
+func (r *Ring) Empty() bool { return len(r.mentionCounts) == 0 }
 
-// JobCount is how many jobs are mentioned.
-func (r *Ring) JobCount() int { return len(r.jobs) }
+// JobCount returns the number of jobs mentioned.
+func (r *Ring) JobCount() int { return len(r.mentionCounts) }
 
-// CarriedJob is a job that an entry says something of which is said again, and how many bytes
-// that takes.
+// CarriedJob is an open job that was carried forward, and the number of bytes that this
+// takes.
 type CarriedJob struct {
 	Job  string
 	Size int
 }
 
-// Carry says again in the next entry of a log what of the one that it takes the place of is
-// still needed: of open jobs what nothing later tells (said), and that jobs have ended of
-// which their own record or an inbox still tells (told). fits is false if there is no room
-// for all of it.
-func (r *Ring) Carry(w *Writer, told func(job string) bool, said func(job string, seq uint64) Draft) (out []CarriedJob, fits bool) {
+// Carry copies into the next entry of a log what is still needed of the entry that it
+// overwrites: for open jobs, the state that no later entry or record has (stillNeeded);
+// for ended jobs, their end while their own record or an inbox still mentions them
+// (endNeeded). fits is false if there is no room for all of it.
+func (r *Ring) Carry(w *Writer, endNeeded func(job string) bool, stillNeeded func(job string, seq uint64) Draft) (carried []CarriedJob, fits bool) {
 	old := r.Overwritten()
 	if old == nil {
 		return nil, true
 	}
 	fits = true
-	seen := map[string]bool{}
+	handled := map[string]bool{}
 	for i := range old.Parts {
 		id := old.Parts[i].Job
-		if seen[id] {
+		if handled[id] {
 			continue
 		}
-		seen[id] = true
-		if p, seq, over := r.FindEnd(id); over {
-			if seq == old.Seq && told(id) {
-				fits = w.AddPart(Draft{Part: *p}) && fits
+		handled[id] = true
+		if end, seq, ended := r.FindEnd(id); ended {
+			if seq == old.Seq && endNeeded(id) {
+				fits = w.AddPart(Draft{Part: *end}) && fits
 			}
 			continue
 		}
-		if d := said(id, old.Seq); !d.Empty() {
-			before := w.Size()
-			fits = w.AddPart(d) && fits
-			out = append(out, CarriedJob{id, w.Size() - before})
+		if draft := stillNeeded(id, old.Seq); !draft.Empty() {
+			sizeBefore := w.Size()
+			fits = w.AddPart(draft) && fits
+			carried = append(carried, CarriedJob{id, w.Size() - sizeBefore})
 		}
 	}
-	return out, fits
+	return carried, fits
 }
 
-// CarryAccepted says again in the next entry of an inbox which jobs of the one that it takes
-// the place of are open and have no record of their own.
-func (r *Ring) CarryAccepted(w *Writer, open func(a protocol.AcceptedJob) bool) (out []string, fits bool) {
+// CarryAccepted copies into the next entry of an inbox the submissions of the overwritten
+// entry that are still needed: those of open jobs without a record of their own.
+func (r *Ring) CarryAccepted(w *Writer, needed func(a protocol.AcceptedJob) bool) (jobs []string, fits bool) {
 	old := r.Overwritten()
 	if old == nil {
 		return nil, true
 	}
 	fits = true
 	for _, a := range old.Jobs {
-		if open(a) {
+		if needed(a) {
 			fits = w.AddSubmission(a) && fits
-			out = append(out, a.Spec.ID)
+			jobs = append(jobs, a.Spec.ID)
 		}
 	}
-	return out, fits
+	return jobs, fits
 }
 
-// Draft is a part that is being written.
+// Draft is a part under construction.
 type Draft struct {
 	protocol.Part
-	placed []place
+	placements []placement
 }
 
-type place struct {
+// placement is an attempt of a task on a machine.
+type placement struct {
 	task    int
 	attempt uint64
 	machine string
 }
 
-// Place says that a task may be on a machine. Tasks are told in order.
+// Place adds that a task may be running on a machine. Tasks are added in ascending order.
 func (d *Draft) Place(task int, attempt uint64, machine string) {
-	d.placed = append(d.placed, place{task, attempt, machine})
+	d.placements = append(d.placements, placement{task, attempt, machine})
 }
 
-// Unplace says that a task waits again.
-func (d *Draft) Unplace(task int) { d.Unplaced = grow(d.Unplaced, task) }
+// Unplace adds that a task is waiting again.
+func (d *Draft) Unplace(task int) { d.Unplaced = appendToRanges(d.Unplaced, task) }
 
-// Finish says that a task is done.
-func (d *Draft) Finish(task int) { d.Done = grow(d.Done, task) }
+// Finish adds that a task is done.
+func (d *Draft) Finish(task int) { d.Done = appendToRanges(d.Done, task) }
 
-func grow(r [][2]int, task int) [][2]int {
-	if l := len(r); l > 0 && r[l-1][1] == task-1 {
-		r[l-1][1] = task
-		return r
+// appendToRanges adds a task to the last range if it is the next one, else as a new range.
+func appendToRanges(ranges [][2]int, task int) [][2]int {
+	if count := len(ranges); count > 0 && ranges[count-1][1] == task-1 {
+		ranges[count-1][1] = task
+		return ranges
 	}
-	return append(r, [2]int{task, task})
+	return append(ranges, [2]int{task, task})
 }
 
-// Empty says whether a draft tells of no task, and of no end.
+// Empty reports whether a draft contains no task and no end.
 func (d *Draft) Empty() bool {
-	return len(d.placed)+len(d.Unplaced)+len(d.Done) == 0 && d.FinalStatus == ""
+	return len(d.placements)+len(d.Unplaced)+len(d.Done) == 0 && d.FinalStatus == ""
 }
 
-// Writer builds an entry of at most so many bytes.
+// Writer builds an entry of limited size.
 type Writer struct {
-	entry    protocol.Entry
-	machines map[string]uint64
-	size     int
-	most     int
+	entry          protocol.Entry
+	machineNumbers map[string]uint64
+	size           int
+	maxBytes       int
 }
 
-// NewWriter begins the next entry of a ring.
-func NewWriter(r *Ring, bytes int) *Writer {
+// NewWriter starts the next entry of a ring, of at most maxBytes.
+func NewWriter(r *Ring, maxBytes int) *Writer {
 	_, seq := r.Next()
-	return &Writer{entry: protocol.Entry{Version: protocol.EntryVersion, Seq: seq}, machines: map[string]uint64{}, size: 64, most: bytes}
+	return &Writer{entry: protocol.Entry{Version: protocol.EntryVersion, Seq: seq}, machineNumbers: map[string]uint64{}, size: 64, maxBytes: maxBytes}
 }
 
-// Size is about how many bytes the entry has by now.
+// Size returns the approximate size of the entry so far, in bytes.
 func (w *Writer) Size() int { return w.size }
 
-// AddPart takes a draft in, if there is room for it.
-func (w *Writer) AddPart(d Draft) bool {
-	p := d.Part
-	var fresh []string
-	number := func(machine string) uint64 {
-		if i, ok := w.machines[machine]; ok {
+// AddPart adds a part. It returns false if there is no room for it.
+func (w *Writer) AddPart(draft Draft) bool {
+	part := draft.Part
+	var newMachines []string
+	machineNumber := func(machine string) uint64 {
+		if i, ok := w.machineNumbers[machine]; ok {
 			return i
 		}
-		for i, m := range fresh {
+		for i, m := range newMachines {
 			if m == machine {
-				return uint64(len(w.machines) + i)
+				return uint64(len(w.machineNumbers) + i)
 			}
 		}
-		fresh = append(fresh, machine)
-		return uint64(len(w.machines) + len(fresh) - 1)
+		newMachines = append(newMachines, machine)
+		return uint64(len(w.machineNumbers) + len(newMachines) - 1)
 	}
-	p.Placed = nil
-	for _, x := range d.placed {
-		m := number(x.machine)
-		if l := len(p.Placed); l > 0 && p.Placed[l-1][1] == uint64(x.task)-1 && p.Placed[l-1][2] == x.attempt && p.Placed[l-1][3] == m {
-			p.Placed[l-1][1]++
+	part.Placed = nil
+	for _, placed := range draft.placements {
+		number := machineNumber(placed.machine)
+		if count := len(part.Placed); count > 0 && part.Placed[count-1][1] == uint64(placed.task)-1 && part.Placed[count-1][2] == placed.attempt && part.Placed[count-1][3] == number {
+			part.Placed[count-1][1]++
 			continue
 		}
-		p.Placed = append(p.Placed, protocol.PlacedRange{uint64(x.task), uint64(x.task), x.attempt, m})
+		part.Placed = append(part.Placed, protocol.PlacedRange{uint64(placed.task), uint64(placed.task), placed.attempt, number})
 	}
-	more := size(p)
-	for _, m := range fresh {
-		more += len(m) + 3
+	added := encodedSize(part)
+	for _, m := range newMachines {
+		added += len(m) + 3
 	}
-	if w.size+more > w.most {
+	if w.size+added > w.maxBytes {
 		return false
 	}
-	for _, m := range fresh {
-		w.machines[m] = uint64(len(w.entry.Machines))
+	for _, m := range newMachines {
+		w.machineNumbers[m] = uint64(len(w.entry.Machines))
 		w.entry.Machines = append(w.entry.Machines, m)
 	}
-	w.size += more
-	w.entry.Parts = append(w.entry.Parts, p)
+	w.size += added
+	w.entry.Parts = append(w.entry.Parts, part)
 	return true
 }
 
-// AddSubmission takes a submission in, if there is room for it.
+// AddSubmission adds a submission. It returns false if there is no room for it.
 func (w *Writer) AddSubmission(a protocol.AcceptedJob) bool {
-	more := size(a)
-	if w.size+more > w.most {
+	added := encodedSize(a)
+	if w.size+added > w.maxBytes {
 		return false
 	}
-	w.size += more
+	w.size += added
 	w.entry.Jobs = append(w.entry.Jobs, a)
 	return true
 }
 
-func size(v any) int {
+// encodedSize is the number of bytes that a part or a submission adds to an entry.
+func encodedSize(v any) int {
 	data, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // only our own records come here
+		panic(err) // all callers pass types that can be encoded
 	}
 	return len(data) + 1
 }
 
-// Entry is what was built.
+// Entry returns the entry.
 func (w *Writer) Entry() *protocol.Entry { return &w.entry }
 
-// ItemCount is how many parts and submissions it has.
+// ItemCount returns the number of parts and submissions.
 func (w *Writer) ItemCount() int { return len(w.entry.Parts) + len(w.entry.Jobs) }
--- a/internal/coordination/packed/read.go
+++ b/internal/coordination/packed/read.go
@@ -13,114 +13,117 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-// State is all that is stored of open jobs, read without a node: for people and checks.
+// State is the stored state of all open jobs, read without a node, for operators and
+// checks.
 type State struct {
 	Jobs         map[string]*Job
-	Ended        map[string]string // jobs that a log says have ended
-	Logs         map[int]*Ring
-	Inboxes      map[string]*Ring
-	Machines     map[string]bool        // with a record
-	ValuesByKind map[string]ValueTotals // of values: how many, and bytes
+	Ended        map[string]string      // by job: how it ended, according to a log
+	Logs         map[int]*Ring          // by partition
+	Inboxes      map[string]*Ring       // by node
+	Machines     map[string]bool        // machines that have a record
+	ValuesByKind map[string]ValueTotals // number and size of the values, by the first element of their key
 	Problems     []Problem
 }
 
-// ValueTotals is how much of something is stored.
+// ValueTotals is the number and size of stored values.
 type ValueTotals struct {
 	Values int `json:"values"`
 	Bytes  int `json:"bytes"`
 }
 
-// Problem is something in the stored state that is not as it should be.
+// Problem is an inconsistency in the stored state.
 type Problem struct {
 	Key    string `json:"key"`
 	Reason string `json:"why"`
 }
 
-// Job is an open job as it is stored.
+// Job is an open job as stored.
 type Job struct {
 	ID          string            `json:"id"`
 	Spec        *protocol.JobSpec `json:"submission,omitempty"`
 	SubmittedMS int64             `json:"submitted_ms"`
-	Cancelled   bool              `json:"cancelled,omitempty"` // or to be
+	Cancelled   bool              `json:"cancelled,omitempty"` // or its cancellation was requested
 	HasRecord   bool              `json:"record"`              // it has a record of its own
-	Inbox       string            `json:"inbox,omitempty"`     // of the node that accepted it, if it is in one
+	Inbox       string            `json:"inbox,omitempty"`     // node that accepted it, if it is in that node's inbox
 	NextAttempt uint64            `json:"next_try"`
 	Done        int               `json:"done"`
 	Placed      int               `json:"placed"`
 	Waiting     int               `json:"waiting"`
-	Tasks       []Task            `json:"tasks,omitempty"` // that have a machine
+	Tasks       []Task            `json:"tasks,omitempty"` // tasks that have a machine
 	Ticket      bool              `json:"ticket,omitempty"`
 
-	all  []Task
-	next uint64
+	allTasks    []Task
+	nextAttempt uint64
 }
 
 // Task is a task that has a machine.
 type Task struct {
-	Task    int    `json:"task"`
-	Attempt uint64 `json:"try"`
-	Machine string `json:"machine"`
-	done    bool
-	as      uint64 // of which entry
-	told    bool   // by it, and not by a record that is as late
+	Task      int    `json:"task"`
+	Attempt   uint64 `json:"try"`
+	Machine   string `json:"machine"`
+	done      bool
+	asOf      uint64 // number of the log entry that gave this state
+	fromEntry bool   // the state came from that entry, not from a record as late as it
 }
 
-// reader puts a State together, and lists what is not as it should be.
+// reader builds a State and collects the inconsistencies.
 type reader struct {
 	*State
 	slots  int
-	chunks map[string]protocol.Chunk // of jobs' records, by key, beyond the heads
+	chunks map[string]protocol.Chunk // by key, without the chunks in the jobs' heads
 }
 
-// ReadState puts together what is stored under the root; rings have so many slots.
+// ReadState builds the state from all values stored under the root; rings have the given
+// number of slots.
 func ReadState(items []storage.Item, slots int) *State {
 	r := &reader{slots: slots, chunks: map[string]protocol.Chunk{}, State: &State{Jobs: map[string]*Job{}, Ended: map[string]string{},
 		Logs: map[int]*Ring{}, Inboxes: map[string]*Ring{}, Machines: map[string]bool{}, ValuesByKind: map[string]ValueTotals{}}}
 	for _, it := range items {
-		r.value(it)
+		r.addItem(it)
 	}
-	r.endings()
-	r.accepted()
-	r.chunksOfJobs()
+	r.collectEnds()
+	r.applyInboxes()
+	r.applyChunks()
 	for id := range r.Ended {
 		delete(r.Jobs, id)
 	}
-	r.overlays()
-	r.finish()
+	r.applyLogs()
+	r.countTasks()
 	return r.State
 }
 
-func (r *reader) bad(key, format string, a ...any) {
-	r.Problems = append(r.Problems, Problem{key, fmt.Sprintf(format, a...)})
+func (r *reader) addProblem(key, format string, args ...any) {
+	r.Problems = append(r.Problems, Problem{key, fmt.Sprintf(format, args...)})
 }
 
-// value takes in one stored value.
-func (r *reader) value(it storage.Item) {
-	kind, _, _ := strings.Cut(strings.TrimPrefix(it.Key, protocol.WatchedRoot), "/")
-	k := r.ValuesByKind[kind]
-	r.ValuesByKind[kind] = ValueTotals{k.Values + 1, k.Bytes + len(it.Value)}
-	switch kind {
+// addItem adds one stored value.
+func (r *reader) addItem(it storage.Item) {
+	prefix, _, _ := strings.Cut(strings.TrimPrefix(it.Key, protocol.WatchedRoot), "/")
+	totals := r.ValuesByKind[prefix]
+	r.ValuesByKind[prefix] = ValueTotals{totals.Values + 1, totals.Bytes + len(it.Value)}
+	switch prefix {
 	case "jobs":
-		if err := r.jobValue(it); err != nil {
-			r.bad(it.Key, "not understood: %v", err)
+		if err := r.addJobItem(it); err != nil {
+			r.addProblem(it.Key, "not understood: %v", err)
 		}
 	case "machines":
-		r.machines(it)
+		r.addMachineBatch(it)
 	case "log":
-		share, slot, ok := ParseLogKey(it.Key)
-		r.entry(it, ringOf(r.Logs, share, r.slots), slot, ok)
+		partition, slot, ok := ParseLogKey(it.Key)
+		r.addEntry(it, findOrAddRing(r.Logs, partition, r.slots), slot, ok)
 	case "in":
 		node, slot, ok := ParseInboxKey(it.Key)
-		r.entry(it, ringOf(r.Inboxes, node, r.slots), slot, ok)
+		r.addEntry(it, findOrAddRing(r.Inboxes, node, r.slots), slot, ok)
 	}
 }
 
-// jobValue takes in a job's head, or keeps another chunk of it until all heads are there.
-func (r *reader) jobValue(it storage.Item) error {
+// addJobItem adds the head of a job, or keeps a further chunk until all heads have been
+// added.
+func (r *reader) addJobItem(it storage.Item) error {
 	id, _, isChunk := strings.Cut(strings.TrimPrefix(it.Key, protocol.JobPrefix), "/")
 	if isChunk {
 		var c protocol.Chunk
-		if _, _, err := chunkKey(it.Key); err != nil {
+		if _, _, err := parseChunkKey(it.Key); err != nil {
 			return err
 		}
 		if err := json.Unmarshal(it.Value, &c); err != nil {
@@ -134,50 +137,51 @@
 		return err
 	}
 	if head.Spec == nil && head.Ticket == nil {
-		return errors.New("neither a submission nor a ticket")
+		return errors.New("job record has neither a submission nor a ticket")
 	}
-	j := r.job(id)
+	j := r.findOrAddJob(id)
 	j.HasRecord, j.SubmittedMS, j.Ticket = true, head.SubmittedMS, head.Ticket != nil
-	j.Cancelled, j.next = head.Cancelled || head.CancelRequested, head.NextAttempt
+	j.Cancelled, j.nextAttempt = head.Cancelled || head.CancelRequested, head.NextAttempt
 	if head.Spec != nil {
-		j.take(head.Spec)
-		j.base(0, &head.Chunk, func(why string) { r.bad(it.Key, "%s", why) })
+		j.setSpec(head.Spec)
+		j.applyChunk(0, &head.Chunk, func(why string) { r.addProblem(it.Key, "%s", why) })
 	}
 	return nil
 }
 
-// chunkKey reads the key of a chunk beyond the head.
-func chunkKey(key string) (id string, chunk int, err error) {
-	id, num, _ := strings.Cut(strings.TrimPrefix(key, protocol.JobPrefix), "/")
-	chunk, err = strconv.Atoi(num)
+// parseChunkKey parses the key of a chunk other than the one in the head.
+func parseChunkKey(key string) (id string, chunk int, err error) {
+	id, number, _ := strings.Cut(strings.TrimPrefix(key, protocol.JobPrefix), "/")
+	chunk, err = strconv.Atoi(number)
 	if err == nil && chunk < 1 {
-		err = fmt.Errorf("chunk %d", chunk)
+		err = fmt.Errorf("invalid chunk number %d", chunk)
 	}
 	return id, chunk, err
 }
 
-func (r *reader) machines(it storage.Item) {
+// addMachineBatch adds a batch of machine records.
+func (r *reader) addMachineBatch(it storage.Item) {
 	var b protocol.BatchRecord
 	if err := json.Unmarshal(it.Value, &b); err != nil {
-		r.bad(it.Key, "not understood: %v", err)
+		r.addProblem(it.Key, "not understood: %v", err)
 	}
 	for _, m := range b.Machines {
 		r.Machines[m.Name] = true
 	}
 }
 
-// ringOf is the ring of a share's log or of a node's inbox.
-func ringOf[K comparable](rings map[K]*Ring, of K, slots int) *Ring {
-	if rings[of] == nil {
-		rings[of] = NewRing(slots)
+// findOrAddRing returns the ring of a partition's log or of a node's inbox.
+func findOrAddRing[K comparable](rings map[K]*Ring, owner K, slots int) *Ring {
+	if rings[owner] == nil {
+		rings[owner] = NewRing(slots)
 	}
-	return rings[of]
+	return rings[owner]
 }
 
-// entry takes a slot's value into its ring.
-func (r *reader) entry(it storage.Item, ring *Ring, slot int, ok bool) {
+// addEntry adds the value of a slot to its ring.
+func (r *reader) addEntry(it storage.Item, ring *Ring, slot int, ok bool) {
 	if !ok {
-		r.bad(it.Key, "not a slot")
+		r.addProblem(it.Key, "not the key of a slot")
 		return
 	}
 	e, err := ParseEntry(it.Value)
@@ -185,15 +189,16 @@
 		_, err = ring.Put(slot, e)
 	}
 	if err != nil {
-		r.bad(it.Key, "not understood: %v", err)
+		r.addProblem(it.Key, "not understood: %v", err)
 	}
 }
 
-// endings finds the jobs that logs say have ended, and entries that are missing.
-func (r *reader) endings() {
-	for share, log := range r.Logs {
+// collectEnds collects the jobs that have ended according to the logs, and reports missing
+// entries.
+func (r *reader) collectEnds() {
+	for partition, log := range r.Logs {
 		if !log.Complete() {
-			r.bad(protocol.LogRoot+strconv.Itoa(share), "entry %d is missing, and entry %d is there", log.CompleteUpTo()+1, log.LastSeq())
+			r.addProblem(protocol.LogRoot+strconv.Itoa(partition), "entry %d is missing, and entry %d is there", log.CompleteUpTo()+1, log.LastSeq())
 		}
 		log.EachEntry(func(e *protocol.Entry) {
 			for i := range e.Parts {
@@ -205,43 +210,45 @@
 	}
 }
 
-// accepted takes in the submissions of inboxes, unless a record of its own is later.
-func (r *reader) accepted() {
+// applyInboxes adds the jobs submitted through inboxes; the record of a job takes
+// precedence.
+func (r *reader) applyInboxes() {
 	for node, inbox := range r.Inboxes {
 		inbox.EachEntry(func(e *protocol.Entry) {
 			for _, a := range e.Jobs {
 				if r.Ended[a.Spec.ID] != "" {
 					continue
 				}
-				j := r.job(a.Spec.ID)
+				j := r.findOrAddJob(a.Spec.ID)
 				j.Inbox = node
 				if !j.HasRecord {
-					j.take(a.Spec)
-					j.SubmittedMS, j.next = a.SubmittedMS, max(1, j.next)
+					j.setSpec(a.Spec)
+					j.SubmittedMS, j.nextAttempt = a.SubmittedMS, max(1, j.nextAttempt)
 				}
 			}
 		})
 	}
 }
 
-func (r *reader) chunksOfJobs() {
+// applyChunks adds the chunks that are not in the heads.
+func (r *reader) applyChunks() {
 	for key, c := range r.chunks {
-		id, chunk, _ := chunkKey(key)
+		id, chunk, _ := parseChunkKey(key)
 		if j := r.Jobs[id]; j != nil && j.Spec != nil {
-			j.base(chunk, &c, func(why string) { r.bad(key, "%s", why) })
+			j.applyChunk(chunk, &c, func(why string) { r.addProblem(key, "%s", why) })
 		}
 	}
 }
 
-// overlays puts what the logs say over the jobs' records.
-func (r *reader) overlays() {
-	for share, log := range r.Logs {
+// applyLogs applies the entries of the logs on top of the jobs' records.
+func (r *reader) applyLogs() {
+	for partition, log := range r.Logs {
 		log.EachEntry(func(e *protocol.Entry) {
 			for i := range e.Parts {
 				p := &e.Parts[i]
 				if j := r.Jobs[p.Job]; j != nil && j.Spec != nil {
-					j.overlay(e, p, func(why string) {
-						r.bad(protocol.LogKey(share, int(e.Seq%uint64(r.slots))), "%s: %s", p.Job, why)
+					j.applyPart(e, p, func(why string) {
+						r.addProblem(protocol.LogKey(partition, int(e.Seq%uint64(r.slots))), "%s: %s", p.Job, why)
 					})
 				}
 			}
@@ -249,7 +256,8 @@
 	}
 }
 
-func (s *State) job(id string) *Job {
+// findOrAddJob returns the job with the given id.
+func (s *State) findOrAddJob(id string) *Job {
 	j := s.Jobs[id]
 	if j == nil {
 		j = &Job{ID: id}
@@ -258,83 +266,84 @@
 	return j
 }
 
-func (j *Job) take(spec *protocol.JobSpec) {
+// setSpec sets the submission, unless the job has one.
+func (j *Job) setSpec(spec *protocol.JobSpec) {
 	if j.Spec == nil {
 		j.Spec = spec
-		j.all = make([]Task, spec.Tasks)
+		j.allTasks = make([]Task, spec.Tasks)
 	}
 }
 
-// base takes in a chunk of a job's own record.
-func (j *Job) base(k int, c *protocol.Chunk, bad func(why string)) {
-	lo, hi := k*protocol.TasksPerChunk, min(len(j.all), (k+1)*protocol.TasksPerChunk)
-	for i := lo; i < hi; i++ {
-		j.all[i].as = c.LogSeq
+// applyChunk applies a chunk of the job's own record.
+func (j *Job) applyChunk(index int, c *protocol.Chunk, report func(why string)) {
+	first, end := index*protocol.TasksPerChunk, min(len(j.allTasks), (index+1)*protocol.TasksPerChunk)
+	for i := first; i < end; i++ {
+		j.allTasks[i].asOf = c.LogSeq
 	}
 	for _, d := range c.Done {
-		if d[0] < lo || d[1] >= hi || d[0] > d[1] {
-			bad(fmt.Sprintf("done tasks %v are not in %d to %d", d, lo, hi-1))
+		if d[0] < first || d[1] >= end || d[0] > d[1] {
+			report(fmt.Sprintf("tasks %v are recorded as done but are not in %d to %d", d, first, end-1))
 			continue
 		}
 		for i := d[0]; i <= d[1]; i++ {
-			j.all[i].done = true
+			j.allTasks[i].done = true
 		}
 	}
 	for _, p := range c.Placed {
-		if p.Task < lo || p.Task >= hi {
-			bad(fmt.Sprintf("task %d is not in %d to %d", p.Task, lo, hi-1))
-		} else if t := &j.all[p.Task]; t.done {
-			bad(fmt.Sprintf("task %d is done, and on %s", p.Task, p.Machine))
+		if p.Task < first || p.Task >= end {
+			report(fmt.Sprintf("task %d is not in %d to %d", p.Task, first, end-1))
+		} else if t := &j.allTasks[p.Task]; t.done {
+			report(fmt.Sprintf("task %d is recorded as done and as placed on %s", p.Task, p.Machine))
 		} else {
 			t.Attempt, t.Machine = p.Attempt, p.Machine
-			j.next = max(j.next, p.Attempt+1)
+			j.nextAttempt = max(j.nextAttempt, p.Attempt+1)
 		}
 	}
 }
 
-// overlay takes in what an entry says.
-func (j *Job) overlay(e *protocol.Entry, p *protocol.Part, bad func(why string)) {
-	j.next = max(j.next, p.NextAttempt)
-	set := func(first, last int, to Task) {
-		if first < 0 || last >= len(j.all) || first > last {
-			bad(fmt.Sprintf("tasks %d to %d of %d", first, last, len(j.all)))
+// applyPart applies a part of a log entry.
+func (j *Job) applyPart(e *protocol.Entry, p *protocol.Part, report func(why string)) {
+	j.nextAttempt = max(j.nextAttempt, p.NextAttempt)
+	set := func(first, last int, state Task) {
+		if first < 0 || last >= len(j.allTasks) || first > last {
+			report(fmt.Sprintf("range %d to %d is not within the %d tasks", first, last, len(j.allTasks)))
 			return
 		}
 		for i := first; i <= last; i++ {
-			if t := &j.all[i]; t.as < e.Seq || t.as == e.Seq && t.told {
-				*t = to
+			if t := &j.allTasks[i]; t.asOf < e.Seq || t.asOf == e.Seq && t.fromEntry {
+				*t = state
 			}
 		}
 	}
 	for _, r := range p.Placed {
-		set(int(r[0]), int(r[1]), Task{Attempt: r[2], Machine: e.Machines[r[3]], as: e.Seq, told: true})
-		if r[2] >= j.next {
-			bad(fmt.Sprintf("try %d, and the next one is %d", r[2], j.next))
+		set(int(r[0]), int(r[1]), Task{Attempt: r[2], Machine: e.Machines[r[3]], asOf: e.Seq, fromEntry: true})
+		if r[2] >= j.nextAttempt {
+			report(fmt.Sprintf("try %d, and the next one is %d", r[2], j.nextAttempt))
 		}
 	}
 	for _, g := range p.Unplaced {
-		set(g[0], g[1], Task{as: e.Seq, told: true})
+		set(g[0], g[1], Task{asOf: e.Seq, fromEntry: true})
 	}
 	for _, d := range p.Done {
-		set(d[0], d[1], Task{done: true, as: e.Seq, told: true})
+		set(d[0], d[1], Task{done: true, asOf: e.Seq, fromEntry: true})
 	}
 }
 
-// DoneTasks are the tasks that are done.
-func (j *Job) DoneTasks() (out []int) {
-	for i, t := range j.all {
+// DoneTasks returns the tasks that are done.
+func (j *Job) DoneTasks() (tasks []int) {
+	for i, t := range j.allTasks {
 		if t.done {
-			out = append(out, i)
+			tasks = append(tasks, i)
 		}
 	}
-	return out
+	return tasks
 }
 
-// finish counts each job's tasks and sorts the problems.
-func (r *reader) finish() {
+// countTasks counts the tasks of each job and sorts the problems.
+func (r *reader) countTasks() {
 	for id, j := range r.Jobs {
-		j.NextAttempt = j.next
-		for i, t := range j.all {
+		j.NextAttempt = j.nextAttempt
+		for i, t := range j.allTasks {
 			switch {
 			case t.done:
 				j.Done++
@@ -342,7 +351,7 @@
 				j.Placed++
 				t.Task = i
 				j.Tasks = append(j.Tasks, t)
-				r.checkPlaced(id, j, t)
+				r.checkPlacedTask(id, j, t)
 			default:
 				j.Waiting++
 			}
@@ -351,11 +360,12 @@
 	slices.SortFunc(r.Problems, func(a, b Problem) int { return cmp.Or(cmp.Compare(a.Key, b.Key), cmp.Compare(a.Reason, b.Reason)) })
 }
 
-func (r *reader) checkPlaced(id string, j *Job, t Task) {
-	if t.Attempt >= j.next {
-		r.bad(protocol.JobKey(id), "task %d has try %d, and the next one is %d", t.Task, t.Attempt, j.next)
+// checkPlacedTask checks the attempt and the machine of a placed task.
+func (r *reader) checkPlacedTask(id string, j *Job, t Task) {
+	if t.Attempt >= j.nextAttempt {
+		r.addProblem(protocol.JobKey(id), "task %d has try %d, and the next one is %d", t.Task, t.Attempt, j.nextAttempt)
 	}
 	if !r.Machines[t.Machine] {
-		r.bad(protocol.JobKey(id), "task %d is on %s, which has no record: its holder returns it", t.Task, t.Machine)
+		r.addProblem(protocol.JobKey(id), "task %d is on %s, which has no record: the partition's owner returns it", t.Task, t.Machine)
 	}
 }
--- a/internal/coordination/packed/read_test.go
+++ b/internal/coordination/packed/read_test.go
@@ -9,9 +9,8 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-// Whoever reads what is stored is told of a chunk under a key that can't be, and nothing of
-// it counts.
-func TestReadTellsOfChunksThatCannotBe(t *testing.T) {
+// ReadState reports a chunk under an invalid key as a problem, and ignores its contents.
+func TestReadStateReportsInvalidChunkKeys(t *testing.T) {
 	value := func(v any) []byte {
 		data, err := json.Marshal(v)
 		if err != nil {
@@ -28,7 +27,7 @@
 			{Key: key, Value: done},
 		}, Slots)
 		if len(s.Problems) != 1 || s.Problems[0].Key != key || !strings.Contains(s.Problems[0].Reason, "not understood") {
-			t.Errorf("chunk %q: problems %v, want that it is not understood", number, s.Problems)
+			t.Errorf("chunk %q: problems %v, want one that says that it is not understood", number, s.Problems)
 		}
 		if j := s.Jobs["job-1"]; j.Done != 0 || j.Waiting != 2 {
 			t.Errorf("chunk %q: %d tasks done and %d waiting, want none and 2", number, j.Done, j.Waiting)
--- a/internal/coordination/statusread/estimator.go
+++ b/internal/coordination/statusread/estimator.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// Estimator learns how long answers usually take, from those that came: a smoothed mean and
-// deviation, as TCP's retransmission timeout is computed (RFC 6298).
+// Estimator estimates the usual response time from the answers so far: a smoothed mean and
+// deviation, computed like TCP's retransmission timeout (RFC 6298).
 type Estimator struct {
 	mean, deviation time.Duration
 	observed        bool
 }
 
-// Observe takes in how long an answer took.
-func (e *Estimator) Observe(took time.Duration) {
+// Observe adds the response time of one answer.
+func (e *Estimator) Observe(responseTime time.Duration) {
 	if !e.observed {
-		e.mean, e.deviation, e.observed = took, took/2, true
+		e.mean, e.deviation, e.observed = responseTime, responseTime/2, true
 		return
 	}
-	e.deviation += ((took - e.mean).Abs() - e.deviation) / 4
-	e.mean += (took - e.mean) / 8
+	e.deviation += ((responseTime - e.mean).Abs() - e.deviation) / 4
+	e.mean += (responseTime - e.mean) / 8
 }
 
-// Timeout is how long to wait for an answer before it counts as late, within bounds.
-func (e *Estimator) Timeout(least, most time.Duration) time.Duration {
+// Timeout returns how long to wait for an answer before it counts as late, within the
+// given bounds.
+func (e *Estimator) Timeout(lowest, highest time.Duration) time.Duration {
 	if !e.observed {
-		return most
+		return highest
 	}
-	return min(max(e.mean+4*e.deviation, least), most)
+	return min(max(e.mean+4*e.deviation, lowest), highest)
 }
--- a/internal/coordination/statusread/queue.go
+++ b/internal/coordination/statusread/queue.go
@@ -6,94 +6,97 @@
 )
 
 const (
-	// BarrierInterval separates barriers, so that many questions share one request. It bounds their
-	// rate: no more are sent where answers are lost than while many users ask.
+	// BarrierInterval is the least time between two barriers, so that many reads share one
+	// request. It bounds the rate of barriers: when answers are lost, no more barriers are
+	// sent than when many users ask.
 	BarrierInterval = 120 * time.Millisecond
-	// ReadTimeout is how long a question may stay open. Whoever has no answer by then is told
-	// to ask again, well before the second that is aimed at: the owner looks at the clock
-	// every 100 ms. A barrier that is older covers no open question and is given up: so
-	// Patience/Pause, rounded up, bounds the barriers under way.
+	// ReadTimeout is how long a read may stay open. A user whose read is not decided by
+	// then is asked to retry, well before the target of one second: the owner of the queue
+	// checks the time every 100 ms. An older barrier covers no open read and is given up,
+	// so ReadTimeout/BarrierInterval, rounded up, bounds the barriers in flight.
 	ReadTimeout = 850 * time.Millisecond
 
-	// maxRetry bounds the time after which a question without an answer is sent again: three
-	// barriers or more fit the patience however slow answers have been.
+	// maxRetry bounds the time after which an unanswered read is sent again: at least
+	// three barriers fit into ReadTimeout, however slow answers have been.
 	maxRetry = 280 * time.Millisecond
-	// silentAfter is how many barriers in a row without an answer show that the service does
-	// not answer at all; then only one barrier per silentPause is sent.
-	silentAfter    = 8
-	silentInterval = 500 * time.Millisecond
-	// maxOpen bounds the open questions.
+	// silentThreshold is the number of unanswered barriers in a row after which the state
+	// service is presumed not to answer at all; then only one barrier per silentInterval
+	// is sent.
+	silentThreshold = 8
+	silentInterval  = 500 * time.Millisecond
+	// maxOpen bounds the open reads.
 	maxOpen = 2000
 )
 
-// Read is one open question.
+// Read is one open read.
 type Read[V any] struct {
 	Value     V
-	asked     time.Time
-	sent      time.Time // with the last barrier; zero: with none
-	inFlight  int       // barriers that cover it and have not ended
-	resolving bool      // its owner reads what is stored: it needs no barrier
+	openedAt  time.Time
+	lastSent  time.Time // of the last barrier that covers it; zero: none
+	inFlight  int       // barriers in flight that cover it
+	resolving bool      // the owner of the queue reads the stored value: no barrier is needed
 	closed    bool
 }
 
-// Closed says whether the question was answered or given up.
+// Closed reports whether the read was answered or given up.
 func (r *Read[V]) Closed() bool { return r.closed }
 
-// Barrier is one compare-only transaction, under way or ended.
+// Barrier is one compare-only transaction, in flight or ended.
 type Barrier[V any] struct {
 	Reads  []*Read[V]
 	sentAt time.Time
 	ended  bool
 }
 
-// Queue holds the open questions and the barriers under way.
+// Queue holds the open reads and the barriers in flight.
 type Queue[V any] struct {
-	open         []*Read[V]    // in the order of their arrival
-	inFlight     []*Barrier[V] // in the order of their sending
-	lastSent     time.Time
-	lostInARow   int
-	responseTime Estimator
+	open            []*Read[V]    // in order of arrival
+	inFlight        []*Barrier[V] // in order of sending
+	lastSent        time.Time
+	consecutiveLost int
+	responseTime    Estimator
 }
 
-// Len is the number of open questions.
+// Len returns the number of open reads.
 func (q *Queue[V]) Len() int { return len(q.open) }
 
-// Add opens a question. It returns false if too many are open.
+// Add opens a read. It returns false if too many are open.
 func (q *Queue[V]) Add(value V, now time.Time) bool {
 	if len(q.open) >= maxOpen {
 		return false
 	}
-	q.open = append(q.open, &Read[V]{Value: value, asked: now})
+	q.open = append(q.open, &Read[V]{Value: value, openedAt: now})
 	return true
 }
 
-// Close ends a question; what comes of its barriers later is ignored.
+// Close ends a read; later results of its barriers are ignored.
 func (q *Queue[V]) Close(r *Read[V]) {
 	r.closed = true
 	q.open = slices.DeleteFunc(q.open, func(other *Read[V]) bool { return other == r })
 }
 
-// MarkResolving notes that the owner of a question now reads what is stored: it stays open, for
-// its patience at the most, and is covered by no further barrier.
+// MarkResolving records that the owner of the queue now reads the stored value itself: the
+// read stays open, for ReadTimeout at most, and no further barrier covers it.
 func (q *Queue[V]) MarkResolving(r *Read[V]) { r.resolving = true }
 
-// NextBarrier starts the barrier that is due at now, if any. It offers open questions to take, the
-// least recently sent first, until take returns false as there is no room for more.
+// NextBarrier starts the barrier that is due at now, if any. It passes open reads to take,
+// the least recently sent first, until take returns false because the barrier has no room
+// for more.
 func (q *Queue[V]) NextBarrier(now time.Time, take func(V) bool) *Barrier[V] {
-	if now.Sub(q.lastSent) < q.pause() {
+	if now.Sub(q.lastSent) < q.interval() {
 		return nil
 	}
 	candidates := q.unresolved()
-	if !slices.ContainsFunc(candidates, func(r *Read[V]) bool { return q.due(r, now) }) {
+	if !slices.ContainsFunc(candidates, func(r *Read[V]) bool { return q.needsBarrier(r, now) }) {
 		return nil
 	}
-	slices.SortStableFunc(candidates, func(a, b *Read[V]) int { return a.sent.Compare(b.sent) })
+	slices.SortStableFunc(candidates, func(a, b *Read[V]) int { return a.lastSent.Compare(b.lastSent) })
 	barrier := &Barrier[V]{sentAt: now}
 	for _, r := range candidates {
 		if !take(r.Value) {
 			break
 		}
-		r.sent = now
+		r.lastSent = now
 		r.inFlight++
 		barrier.Reads = append(barrier.Reads, r)
 	}
@@ -105,29 +108,29 @@
 	return barrier
 }
 
-// Answered ends a barrier that the service has answered and returns its questions that are
-// still to be decided. The owner closes them, resolves them or leaves them open for the next
+// Answered ends a barrier that the state service has answered and returns its undecided
+// reads. The owner closes them, marks them as resolving or leaves them open for the next
 // barrier.
 func (q *Queue[V]) Answered(b *Barrier[V], now time.Time) []*Read[V] {
 	q.responseTime.Observe(now.Sub(b.sentAt))
-	q.lostInARow = 0
-	q.end(b)
+	q.consecutiveLost = 0
+	q.endBarrier(b)
 	return b.undecided()
 }
 
-// Lost ends a barrier without an answer: its questions wait for another one.
+// Lost ends a barrier without an answer: its reads wait for another one.
 func (q *Queue[V]) Lost(b *Barrier[V]) {
 	if !b.ended {
-		q.lostInARow++
+		q.consecutiveLost++
 	}
-	q.end(b)
+	q.endBarrier(b)
 }
 
-// Refused ends a barrier that the service refused. It closes and returns the questions that
-// no other barrier under way can answer: another one would be refused too.
+// Refused ends a barrier that the state service refused. It closes and returns the reads
+// that no other barrier in flight can answer: another barrier would be refused too.
 func (q *Queue[V]) Refused(b *Barrier[V]) []*Read[V] {
-	q.lostInARow = 0
-	q.end(b)
+	q.consecutiveLost = 0
+	q.endBarrier(b)
 	var refused []*Read[V]
 	for _, r := range b.undecided() {
 		if r.inFlight == 0 {
@@ -138,45 +141,45 @@
 	return refused
 }
 
-// Expired closes and returns the questions whose patience is over, and gives up the barriers
-// that are as old.
+// Expired closes and returns the reads that have been open for ReadTimeout, and gives up
+// barriers of that age.
 func (q *Queue[V]) Expired(now time.Time) []*Read[V] {
 	for len(q.inFlight) > 0 && now.Sub(q.inFlight[0].sentAt) >= ReadTimeout {
 		q.Lost(q.inFlight[0])
 	}
 	var expired []*Read[V]
-	for len(q.open) > 0 && now.Sub(q.open[0].asked) >= ReadTimeout {
+	for len(q.open) > 0 && now.Sub(q.open[0].openedAt) >= ReadTimeout {
 		expired = append(expired, q.open[0])
 		q.Close(q.open[0])
 	}
 	return expired
 }
 
-// RetryDelay is how long after a barrier another one is due if no answer has come.
+// RetryDelay returns how long after a barrier another one is due if no answer has arrived.
 func (q *Queue[V]) RetryDelay() time.Duration {
 	return q.responseTime.Timeout(BarrierInterval, maxRetry)
 }
 
-// pause is the least time between two barriers now.
-func (q *Queue[V]) pause() time.Duration {
-	if q.lostInARow >= silentAfter {
+// interval is the least time between two barriers at present.
+func (q *Queue[V]) interval() time.Duration {
+	if q.consecutiveLost >= silentThreshold {
 		return silentInterval
 	}
 	return BarrierInterval
 }
 
-// due says whether a question needs another barrier.
-func (q *Queue[V]) due(r *Read[V], now time.Time) bool {
-	return r.inFlight == 0 || now.Sub(r.sent) >= q.RetryDelay()
+// needsBarrier reports whether a read needs another barrier.
+func (q *Queue[V]) needsBarrier(r *Read[V], now time.Time) bool {
+	return r.inFlight == 0 || now.Sub(r.lastSent) >= q.RetryDelay()
 }
 
-// unresolved are the open questions that barriers can answer.
+// unresolved returns the open reads that barriers can answer.
 func (q *Queue[V]) unresolved() []*Read[V] {
 	return slices.DeleteFunc(slices.Clone(q.open), func(r *Read[V]) bool { return r.resolving })
 }
 
-// end takes a barrier off those under way.
-func (q *Queue[V]) end(b *Barrier[V]) {
+// endBarrier removes a barrier from those in flight.
+func (q *Queue[V]) endBarrier(b *Barrier[V]) {
 	if b.ended {
 		return
 	}
@@ -187,7 +190,7 @@
 	q.inFlight = slices.DeleteFunc(q.inFlight, func(other *Barrier[V]) bool { return other == b })
 }
 
-// undecided are a barrier's questions that still wait for a decision.
+// undecided returns the reads of a barrier that are neither closed nor being resolved.
 func (b *Barrier[V]) undecided() []*Read[V] {
 	return slices.DeleteFunc(slices.Clone(b.Reads), func(r *Read[V]) bool { return r.closed || r.resolving })
 }
