--- a/internal/coordination/ledger/book.go
+++ b/internal/coordination/ledger/book.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Entry is what is remembered of a job that ended.
+// Entry is an ended job in the history.
 type Entry struct {
 	Job, Team, Class, Shape string
 	State                   string
@@ -17,7 +17,7 @@
 	stored bool // in the state service, as far as this node knows
 }
 
-// Row is an entry as a row of the account.
+// Row returns the entry as a row of the account.
 func (e *Entry) Row(node string) Row {
 	r := Row{Job: e.Job, Team: e.Team, Class: e.Class, Shape: e.Shape, State: e.State, Tasks: e.Tasks, Lost: e.LostRuns, Submitted: e.Submitted, Ended: e.Ended, AsOf: e.Ended, Since: e.Ended, Node: node}
 	if e.LostRuns > 0 {
@@ -29,90 +29,93 @@
 	return r
 }
 
-// History is a bounded memory of what ended, in the order of its ends.
+// History keeps a bounded number of ended jobs, ordered by the time of their end.
 type History struct {
-	most  int
-	keep  time.Duration
-	byJob map[string]*Entry
-	order []*Entry
-	since int64 // what ended before is not remembered
+	maxEntries      int
+	retention       time.Duration
+	byJob           map[string]*Entry
+	byEnd           []*Entry
+	rememberedSince int64 // ms; jobs that ended earlier may be missing
 }
 
-// NewHistory makes a book of at most so many entries, each kept for so long, that begins
-// now.
-func NewHistory(most int, keep time.Duration, now time.Time) *History {
-	return &History{most: most, keep: keep, byJob: map[string]*Entry{}, since: now.UnixMilli()}
+// NewHistory returns an empty history of at most maxEntries, each kept for the retention
+// time, that starts now.
+func NewHistory(maxEntries int, retention time.Duration, now time.Time) *History {
+	return &History{maxEntries: maxEntries, retention: retention, byJob: map[string]*Entry{}, rememberedSince: now.UnixMilli()}
 }
 
-// Add remembers an entry. One that is there is only replaced by one that knows more
-// losses: every node sees the same end.
-func (b *History) Add(e Entry) {
-	if old := b.byJob[e.Job]; old != nil {
+// Add adds an entry. Every node sees the same end of a job, so of a second entry only a
+// higher number of lost runs is used.
+func (h *History) Add(e Entry) {
+	if old := h.byJob[e.Job]; old != nil {
 		old.LostRuns = max(old.LostRuns, e.LostRuns)
 		return
 	}
 	p := &e
-	b.byJob[e.Job] = p
-	i := len(b.order)
-	for i > 0 && b.order[i-1].Ended > e.Ended { // ends come nearly in order
+	h.byJob[e.Job] = p
+	i := len(h.byEnd)
+	for i > 0 && h.byEnd[i-1].Ended > e.Ended { // entries arrive nearly in the order of their ends
 		i--
 	}
-	b.order = slices.Insert(b.order, i, p)
-	for len(b.order) > b.most {
-		b.forget()
+	h.byEnd = slices.Insert(h.byEnd, i, p)
+	for len(h.byEnd) > h.maxEntries {
+		h.dropOldest()
 	}
 }
 
-func (b *History) forget() {
-	b.since = max(b.since, b.order[0].Ended+1)
-	delete(b.byJob, b.order[0].Job)
-	b.order[0] = nil
-	b.order = b.order[1:]
+// dropOldest drops the entry with the earliest end.
+func (h *History) dropOldest() {
+	h.rememberedSince = max(h.rememberedSince, h.byEnd[0].Ended+1)
+	delete(h.byJob, h.byEnd[0].Job)
+	h.byEnd[0] = nil
+	h.byEnd = h.byEnd[1:]
 }
 
-// DropExpired forgets what is too old.
-func (b *History) DropExpired(now time.Time) {
-	oldest := now.Add(-b.keep).UnixMilli()
-	for len(b.order) > 0 && b.order[0].Ended < oldest {
-		b.forget()
+// DropExpired drops the entries that are older than the retention time.
+func (h *History) DropExpired(now time.Time) {
+	oldest := now.Add(-h.retention).UnixMilli()
+	for len(h.byEnd) > 0 && h.byEnd[0].Ended < oldest {
+		h.dropOldest()
 	}
-	b.since = max(b.since, oldest)
+	h.rememberedSince = max(h.rememberedSince, oldest)
 }
 
-// RememberedSince is the time before which nothing is remembered.
-func (b *History) RememberedSince() int64 { return b.since }
+// RememberedSince returns the time before which ended jobs may be missing.
+func (h *History) RememberedSince() int64 { return h.rememberedSince }
 
-// Len is the number of entries.
-func (b *History) Len() int { return len(b.order) }
+// Len returns the number of entries.
+func (h *History) Len() int { return len(h.byEnd) }
 
-// Each calls f with every entry, the earliest end first.
-func (b *History) Each(f func(*Entry)) {
-	for _, e := range b.order {
-		f(e)
+// Each calls visit for every entry, the earliest end first.
+func (h *History) Each(visit func(*Entry)) {
+	for _, e := range h.byEnd {
+		visit(e)
 	}
 }
 
-// Segment is a stored part of the book. Names are written once.
+// Segment is a stored part of the history. Repeated names are stored once.
 type Segment struct {
-	EndMS int64     `json:"t"` // ms
+	EndMS int64     `json:"t"` // ms; when the segment was written
 	Names []string  `json:"n"`
-	Rows  [][]int64 `json:"r"` // team, class, shape, state: indices; submitted before To, ended before To, tasks, lost
+	Rows  [][]int64 `json:"r"` // indices of team, class, shape and state in Names; submitted and ended, as ms before EndMS; tasks; lost runs
 	Jobs  []string  `json:"j"`
 }
 
-// BeginStoring makes this node the one that stores what ends from now on, and what ended
-// within overlap: it does not know where the one before it stopped.
-func (b *History) BeginStoring(now time.Time, overlap time.Duration) {
-	for _, e := range b.order {
+// BeginStoring makes this node the one that stores ended jobs: those that end from now on
+// and those that ended within overlap, because the last job that the previous node stored
+// is unknown.
+func (h *History) BeginStoring(now time.Time, overlap time.Duration) {
+	for _, e := range h.byEnd {
 		e.stored = e.Ended < now.Add(-overlap).UnixMilli()
 	}
 }
 
-// NextSegment takes entries that are not stored yet into a segment that fits a value. done
-// is called when that is stored.
-func (b *History) NextSegment(now time.Time, most int) (key string, data []byte, done func()) {
+// NextSegment encodes entries that are not stored yet as a segment of at most maxBytes.
+// The caller calls done when the segment is stored. key is empty if there is nothing to
+// store.
+func (h *History) NextSegment(now time.Time, maxBytes int) (key string, data []byte, done func()) {
 	seg := Segment{EndMS: now.UnixMilli()}
-	var taken []*Entry
+	var included []*Entry
 	names := map[string]int64{}
 	name := func(s string) int64 {
 		i, ok := names[s]
@@ -124,20 +127,20 @@
 		return i
 	}
 	size := 200
-	for _, e := range b.order {
+	for _, e := range h.byEnd {
 		if e.stored {
 			continue
 		}
 		size += len(e.Job) + 48
 		for _, s := range []string{e.Team, e.Class, e.Shape, e.State} {
 			if _, ok := names[s]; !ok {
-				size += 2*len(s) + 8 // a name may hold what JSON writes longer
+				size += 2*len(s) + 8 // JSON may escape characters of a name
 			}
 		}
-		if size > most {
+		if size > maxBytes {
 			break
 		}
-		taken = append(taken, e)
+		included = append(included, e)
 		seg.Jobs = append(seg.Jobs, e.Job)
 		seg.Rows = append(seg.Rows, []int64{name(e.Team), name(e.Class), name(e.Shape), name(e.State), seg.EndMS - e.Submitted, seg.EndMS - e.Ended, int64(e.Tasks), int64(e.LostRuns)})
 	}
@@ -149,81 +152,82 @@
 		return "", nil, func() {}
 	}
 	return SegmentKey(seg.EndMS), data, func() {
-		for _, e := range taken {
+		for _, e := range included {
 			e.stored = true
 		}
 	}
 }
 
-// SegmentKey names a segment by the time of its end, so that old ones sort first.
+// SegmentKey returns the key of a segment by the time of its end, so that older segments
+// sort first.
 func SegmentKey(ms int64) string { return fmt.Sprintf("%013d", ms) }
 
-// Load takes in a stored segment. now bounds what it may say.
-func (b *History) Load(data []byte, now time.Time) error {
-	var s Segment
-	if err := json.Unmarshal(data, &s); err != nil {
+// Load adds a stored segment. A segment that ends more than an hour after now is rejected.
+func (h *History) Load(data []byte, now time.Time) error {
+	var segment Segment
+	if err := json.Unmarshal(data, &segment); err != nil {
 		return err
 	}
-	if len(s.Rows) != len(s.Jobs) || s.EndMS > now.Add(time.Hour).UnixMilli() {
-		return fmt.Errorf("a segment of %d jobs and %d rows, up to %d", len(s.Jobs), len(s.Rows), s.EndMS)
+	if len(segment.Rows) != len(segment.Jobs) || segment.EndMS > now.Add(time.Hour).UnixMilli() {
+		return fmt.Errorf("a segment of %d jobs and %d rows, up to %d", len(segment.Jobs), len(segment.Rows), segment.EndMS)
 	}
-	for i, r := range s.Rows {
-		if len(r) != 8 {
-			return fmt.Errorf("row %d has %d fields", i, len(r))
+	for i, row := range segment.Rows {
+		if len(row) != 8 {
+			return fmt.Errorf("row %d has %d fields", i, len(row))
 		}
-		for _, k := range r[:4] {
-			if k < 0 || k >= int64(len(s.Names)) {
-				return fmt.Errorf("row %d names what is not there", i)
+		for _, k := range row[:4] {
+			if k < 0 || k >= int64(len(segment.Names)) {
+				return fmt.Errorf("row %d refers to a missing name", i)
 			}
 		}
-		b.Add(Entry{Job: s.Jobs[i], Team: s.Names[r[0]], Class: s.Names[r[1]], Shape: s.Names[r[2]], State: s.Names[r[3]],
-			Submitted: s.EndMS - r[4], Ended: s.EndMS - r[5], Tasks: int(r[6]), LostRuns: int(r[7])})
+		h.Add(Entry{Job: segment.Jobs[i], Team: segment.Names[row[0]], Class: segment.Names[row[1]], Shape: segment.Names[row[2]], State: segment.Names[row[3]],
+			Submitted: segment.EndMS - row[4], Ended: segment.EndMS - row[5], Tasks: int(row[6]), LostRuns: int(row[7])})
 	}
 	return nil
 }
 
-// FinishLoading notes that all stored segments were taken in: the book reaches back as far as
-// they do.
-func (b *History) FinishLoading(now time.Time) {
-	oldest := now.Add(-b.keep).UnixMilli()
-	if len(b.order) < b.most {
-		b.since = min(b.since, oldest)
+// FinishLoading records that all stored segments were loaded: the history is then complete
+// as far back as the retention time, unless it is full.
+func (h *History) FinishLoading(now time.Time) {
+	oldest := now.Add(-h.retention).UnixMilli()
+	if len(h.byEnd) < h.maxEntries {
+		h.rememberedSince = min(h.rememberedSince, oldest)
 	}
-	b.DropExpired(now)
+	h.DropExpired(now)
 }
 
-// Sample is how a node's shares were at a time.
+// Sample is a summary of a node's partitions at one time.
 type Sample struct {
 	AtMS     int64 `json:"t"`
 	Waiting  int   `json:"w"` // tasks
 	Running  int   `json:"r"` // tasks
-	Machines int   `json:"m"` // up
-	Silent   int   `json:"s"`
+	Machines int   `json:"m"` // machines that are up
+	Silent   int   `json:"s"` // machines that do not report
 	Stuck    int   `json:"k"` // jobs
-	Lost     int   `json:"l"` // runs, since the last sample
-	Ended    int   `json:"e"` // jobs, since the last sample
+	Lost     int   `json:"l"` // runs lost since the last sample
+	Ended    int   `json:"e"` // jobs ended since the last sample
 }
 
-// MaxSamples bounds what a node remembers: six hours of one a minute.
+// MaxSamples bounds the samples that a node keeps: six hours at one a minute.
 const MaxSamples = 360
 
-// SampleInterval is how long samples are apart.
+// SampleInterval is the time between two samples.
 const SampleInterval = time.Minute
 
-// SumSamples adds up the samples of several nodes by minute.
+// SumSamples adds the samples of several nodes by minute.
 func SumSamples(all ...[]Sample) []Sample {
 	sum := map[int64]Sample{}
-	for _, ss := range all {
-		for _, s := range ss {
-			at := s.AtMS / SampleInterval.Milliseconds()
-			t := sum[at]
-			sum[at] = Sample{at * SampleInterval.Milliseconds(), t.Waiting + s.Waiting, t.Running + s.Running, t.Machines + s.Machines, t.Silent + s.Silent, t.Stuck + s.Stuck, t.Lost + s.Lost, t.Ended + s.Ended}
+	for _, samples := range all {
+		for _, s := range samples {
+			minute := s.AtMS / SampleInterval.Milliseconds()
+			total := sum[minute]
+			sum[minute] = Sample{minute * SampleInterval.Milliseconds(), total.Waiting + s.Waiting, total.Running + s.Running, total.Machines + s.Machines, total.Silent + s.Silent, total.Stuck + s.Stuck, total.Lost + s.Lost, total.Ended + s.Ended}
 		}
 	}
-	out := make([]Sample, 0, len(sum))
+	summed := make([]Sample, 0, len(sum))
 	for _, s := range sum {
-		out = append(out, s)
+		summed = append(summed, s)
 	}
-	slices.SortFunc(out, func(a, b Sample) int { return int(a.AtMS - b.AtMS) })
-	return out
+	slices.SortFunc(summed, func(a, b Sample) int { return int(a.AtMS - b.AtMS) })
+	return summed
 }
--- a/internal/coordination/ledger/doc.go
+++ b/internal/coordination/ledger/doc.go
@@ -1,6 +1,6 @@
-// Package ledger is the account of a site's jobs as a person sees it: one row a job, each
-// in exactly one state, with the moment it is true for. What can't be known is a state of
-// its own and never shown as fine. Whether a job is stuck is decided here, from facts,
-// with its reason. All of it is pure; a Book is a bounded memory of what ended, and is
-// owned by one routine.
+// Package ledger implements the account of a site's jobs for users and operators: one row
+// for each job, with exactly one state and the time as of which it is true. Unknown is a
+// state of its own, so a job whose state can't be determined is never shown as healthy.
+// The package also decides whether a job is stuck, and gives the reason. It is pure. A
+// History keeps a bounded number of ended jobs and is owned by one goroutine.
 package ledger
--- a/internal/coordination/ledger/ledger_test.go
+++ b/internal/coordination/ledger/ledger_test.go
@@ -12,78 +12,79 @@
 
 var start = time.UnixMilli(1_770_000_000_000)
 
-// Each way of not getting on is told, shortly after it is one, and what is known to be
-// slow is not.
-func TestJudge(t *testing.T) {
+// Each reason for a stuck job is reported soon after its limit, and not for jobs of a
+// class that is known to be slow.
+func TestStuckReason(t *testing.T) {
 	slow := &RunTimes{}
 	for range 10 {
 		slow.Observe(100 * time.Second)
 	}
-	s := time.Second
+	second := time.Second
 	for _, c := range []struct {
-		f    StuckFacts
-		want string
+		facts StuckFacts
+		want  string
 	}{
-		{StuckFacts{Estimate: 5 * s, LongestRun: 34 * s}, ""},
-		{StuckFacts{Estimate: 5 * s, LongestRun: 36 * s}, "a task runs for 36 s, and should be done after 35 s"},
-		{StuckFacts{Estimate: 5 * s, ClassRunTimes: slow, LongestRun: 219 * s}, ""},
-		{StuckFacts{Estimate: 5 * s, ClassRunTimes: slow, LongestRun: 221 * s}, "a task runs"},
-		{StuckFacts{LongestRun: 500 * s}, ""},
+		{StuckFacts{Estimate: 5 * second, LongestRun: 34 * second}, ""},
+		{StuckFacts{Estimate: 5 * second, LongestRun: 36 * second}, "a task runs for 36 s, and should be done after 35 s"},
+		{StuckFacts{Estimate: 5 * second, ClassRunTimes: slow, LongestRun: 219 * second}, ""},
+		{StuckFacts{Estimate: 5 * second, ClassRunTimes: slow, LongestRun: 221 * second}, "a task runs"},
+		{StuckFacts{LongestRun: 500 * second}, ""},
 		{StuckFacts{Service: true, LongestRun: 500 * time.Hour}, ""},
-		{StuckFacts{Service: true, ReplicasMissing: 46 * s}, "replicas are missing"},
-		{StuckFacts{LongestFetch: 50 * s, ExpectedFetch: 8 * s}, ""},
-		{StuckFacts{LongestFetch: 55 * s, ExpectedFetch: 8 * s}, "an image is fetched"},
-		{StuckFacts{Gang: true, GangWaiting: 70 * s, GangTimeout: 50 * s}, ""},
-		{StuckFacts{Gang: true, GangWaiting: 81 * s, GangTimeout: 50 * s}, "does not gather"},
+		{StuckFacts{Service: true, ReplicasMissing: 46 * second}, "replicas are missing"},
+		{StuckFacts{LongestFetch: 50 * second, ExpectedFetch: 8 * second}, ""},
+		{StuckFacts{LongestFetch: 55 * second, ExpectedFetch: 8 * second}, "an image is fetched"},
+		{StuckFacts{Gang: true, GangWaiting: 70 * second, GangTimeout: 50 * second}, ""},
+		{StuckFacts{Gang: true, GangWaiting: 81 * second, GangTimeout: 50 * second}, "does not gather"},
 		{StuckFacts{Waiting: time.Hour}, ""},
-		{StuckFacts{Waiting: 16 * s, CouldStart: true}, "though there is room"},
+		{StuckFacts{Waiting: 16 * second, CouldStart: true}, "though there is room"},
 		{StuckFacts{FailedStarts: 4}, "started 4 times"},
-		{StuckFacts{EndUnstored: 16 * s}, "not told"},
+		{StuckFacts{EndUnstored: 16 * second}, "not told"},
 	} {
-		got := StuckReason(&c.f)
+		got := StuckReason(&c.facts)
 		if c.want == "" && got != "" || !strings.Contains(got, c.want) {
-			t.Errorf("%+v: %q, want %q", c.f, got, c.want)
+			t.Errorf("%+v: %q, want %q", c.facts, got, c.want)
 		}
 	}
 }
 
+// drawEntry draws an ended job.
 func drawEntry(t *rapid.T, i int) Entry {
 	return Entry{Job: fmt.Sprintf("job-%06d", i), Team: rapid.SampledFrom([]string{"red", "<b>\"", "équipe"}).Draw(t, "team"), Class: rapid.StringMatching(`[a-z]{1,8}`).Draw(t, "class"), Shape: "sweep",
 		State: rapid.SampledFrom([]string{Done, Withdrawn, Failed}).Draw(t, "state"), Submitted: start.UnixMilli() - int64(rapid.IntRange(0, 1e6).Draw(t, "age")),
 		Ended: start.UnixMilli() + int64(rapid.IntRange(0, 60000).Draw(t, "ended")), Tasks: rapid.IntRange(1, 100).Draw(t, "tasks"), LostRuns: rapid.IntRange(0, 9).Draw(t, "lost")}
 }
 
-// What is stored in as many segments as it takes reads as the same book, also when
-// segments overlap or come twice, and no segment is longer than a value.
+// A history that is stored in several segments loads as the same history, also if segments
+// overlap or are loaded twice. No segment exceeds the size limit of a value.
 func TestStoredBooksReadTheSame(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a := NewHistory(1000, 24*time.Hour, start.Add(-time.Second))
+		stored := NewHistory(1000, 24*time.Hour, start.Add(-time.Second))
 		n := rapid.IntRange(0, 200).Draw(t, "entries")
 		for i := range n {
-			a.Add(drawEntry(t, i))
+			stored.Add(drawEntry(t, i))
 		}
-		b := NewHistory(1000, 24*time.Hour, start.Add(time.Hour))
-		most := rapid.SampledFrom([]int{600, 2000, 8000}).Draw(t, "most")
+		loaded := NewHistory(1000, 24*time.Hour, start.Add(time.Hour))
+		maxBytes := rapid.SampledFrom([]int{600, 2000, 8000}).Draw(t, "most")
 		now := start.Add(2 * time.Minute)
 		for round := 0; ; round++ {
-			key, data, done := a.NextSegment(now.Add(time.Duration(round)*time.Millisecond), most)
+			key, data, done := stored.NextSegment(now.Add(time.Duration(round)*time.Millisecond), maxBytes)
 			if key == "" {
 				break
 			}
-			if len(data) > most || round > 300 {
+			if len(data) > maxBytes || round > 300 {
 				t.Fatalf("segment %d of %d bytes", round, len(data))
 			}
 			for range rapid.IntRange(1, 2).Draw(t, "times") {
-				if err := b.Load(data, now.Add(time.Second)); err != nil {
+				if err := loaded.Load(data, now.Add(time.Second)); err != nil {
 					t.Fatal(err)
 				}
 			}
 			done()
 		}
-		b.FinishLoading(now)
-		var x, y []Entry
-		a.Each(func(e *Entry) { x = append(x, *e); x[len(x)-1].stored = false })
-		b.Each(func(e *Entry) { y = append(y, *e); y[len(y)-1].stored = false })
+		loaded.FinishLoading(now)
+		var before, after []Entry
+		stored.Each(func(e *Entry) { before = append(before, *e); before[len(before)-1].stored = false })
+		loaded.Each(func(e *Entry) { after = append(after, *e); after[len(after)-1].stored = false })
 		byJob := func(es []Entry) map[string]Entry {
 			m := map[string]Entry{}
 			for _, e := range es {
@@ -91,43 +92,44 @@
 			}
 			return m
 		}
-		if len(x) != len(y) || !reflect.DeepEqual(byJob(x), byJob(y)) {
-			t.Fatalf("%d entries became %d", len(x), len(y))
+		if len(before) != len(after) || !reflect.DeepEqual(byJob(before), byJob(after)) {
+			t.Fatalf("%d entries became %d", len(before), len(after))
 		}
-		for i := 1; i < len(y); i++ {
-			if y[i].Ended < y[i-1].Ended {
+		for i := 1; i < len(after); i++ {
+			if after[i].Ended < after[i-1].Ended {
 				t.Fatal("out of order")
 			}
 		}
-		if b.RememberedSince() > start.UnixMilli() {
-			t.Fatalf("remembers from %d only", b.RememberedSince()-start.UnixMilli())
+		if loaded.RememberedSince() > start.UnixMilli() {
+			t.Fatalf("remembers only from %d on", loaded.RememberedSince()-start.UnixMilli())
 		}
 	})
 }
 
-// A book forgets what is too much or too old, and says from when on it remembers.
-func TestBookIsBounded(t *testing.T) {
-	b := NewHistory(10, time.Minute, start)
+// A history drops entries beyond its size and its retention time, and reports since when
+// it is complete.
+func TestHistoryIsBounded(t *testing.T) {
+	h := NewHistory(10, time.Minute, start)
 	for i := range 25 {
-		b.Add(Entry{Job: fmt.Sprint("job-", i), Ended: start.UnixMilli() + int64(i)*1000})
+		h.Add(Entry{Job: fmt.Sprint("job-", i), Ended: start.UnixMilli() + int64(i)*1000})
 	}
-	if b.Len() != 10 || b.RememberedSince() != start.UnixMilli()+14001 {
-		t.Errorf("%d entries since %d", b.Len(), b.RememberedSince()-start.UnixMilli())
+	if h.Len() != 10 || h.RememberedSince() != start.UnixMilli()+14001 {
+		t.Errorf("%d entries since %d", h.Len(), h.RememberedSince()-start.UnixMilli())
 	}
-	b.DropExpired(start.Add(80 * time.Second))
-	if b.Len() != 5 || b.RememberedSince() != start.UnixMilli()+20000 {
-		t.Errorf("%d entries since %d", b.Len(), b.RememberedSince()-start.UnixMilli())
+	h.DropExpired(start.Add(80 * time.Second))
+	if h.Len() != 5 || h.RememberedSince() != start.UnixMilli()+20000 {
+		t.Errorf("%d entries since %d", h.Len(), h.RememberedSince()-start.UnixMilli())
 	}
 	for _, bad := range []string{"", "{}x", `{"j":["a"],"r":[]}`, `{"j":["a"],"r":[[1]]}`, `{"j":["a"],"n":[],"r":[[0,0,0,0,0,0,0,0]]}`, `{"t":99999999999999}`} {
-		if b.Load([]byte(bad), start) == nil && bad != "{}" {
-			t.Errorf("%q taken", bad)
+		if h.Load([]byte(bad), start) == nil && bad != "{}" {
+			t.Errorf("%q accepted", bad)
 		}
 	}
 }
 
-// Pages put together from any parts, in any order and with shares that moved between,
-// show each job once, and sums that add up.
-func TestPagesAddUp(t *testing.T) {
+// Pages merged from the parts of several nodes show each job once, and their sums are
+// consistent.
+func TestPagesAreConsistent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 60).Draw(t, "jobs")
 		row := func(i int, node string) Row {
@@ -188,8 +190,8 @@
 	})
 }
 
-// A job of which two nodes tell, since its share went from one to the other, counts
-// once; what is over goes before what is not.
+// A job with rows from two nodes, because its partition moved between them, counts once. A
+// final row takes precedence over others.
 func TestMovedJobsCountOnce(t *testing.T) {
 	q := Query{Limit: 10}
 	p := NewPage("n-0", start)
@@ -204,8 +206,8 @@
 }
 
 func TestSamplesAddUp(t *testing.T) {
-	m := SampleInterval.Milliseconds()
-	got := SumSamples([]Sample{{AtMS: 10*m + 5, Waiting: 1}, {AtMS: 11*m + 9, Waiting: 2}}, []Sample{{AtMS: 10*m + 59, Waiting: 10, Lost: 3}})
+	minute := SampleInterval.Milliseconds()
+	got := SumSamples([]Sample{{AtMS: 10*minute + 5, Waiting: 1}, {AtMS: 11*minute + 9, Waiting: 2}}, []Sample{{AtMS: 10*minute + 59, Waiting: 10, Lost: 3}})
 	if len(got) != 2 || got[0].Waiting != 11 || got[0].Lost != 3 || got[1].Waiting != 2 {
 		t.Errorf("%+v", got)
 	}
--- a/internal/coordination/ledger/row.go
+++ b/internal/coordination/ledger/row.go
@@ -8,26 +8,26 @@
 	"time"
 )
 
-// States of a job in the account. Each job is in exactly one.
+// States of a job in the account. Each job has exactly one.
 const (
-	Waiting   = "waiting"  // accepted, and nothing of it has a machine
-	Starting  = "starting" // machines are given, nothing runs yet
-	Running   = "running"  // some of it runs
-	Stuck     = "stuck"    // it does not get on as it should
-	Stopping  = "stopping" // cancelled or failed, and something of it still runs
-	Unknown   = "unknown"  // who could tell does not answer
+	Waiting   = "waiting"  // accepted; none of its tasks has a machine
+	Starting  = "starting" // tasks have machines, none runs yet
+	Running   = "running"  // some of its tasks run
+	Stuck     = "stuck"    // it does not make the expected progress
+	Stopping  = "stopping" // cancelled or failed, and some of its tasks still run
+	Unknown   = "unknown"  // the node or the machines that know do not answer
 	Done      = "done"
 	Withdrawn = "withdrawn"
-	Failed    = "failed" // a ticket
+	Failed    = "failed" // tickets only
 )
 
-// States are all of them, those that want looking at first.
+// States lists all states, those that need attention first.
 var States = []string{Stuck, Unknown, Waiting, Starting, Running, Stopping, Failed, Withdrawn, Done}
 
-// IsFinal says whether a state is final.
+// IsFinal reports whether a state is final.
 func IsFinal(state string) bool { return state == Done || state == Withdrawn || state == Failed }
 
-// Row is one job.
+// Row is the account of one job.
 type Row struct {
 	Job       string   `json:"job"`
 	Ticket    string   `json:"ticket,omitempty"`
@@ -36,49 +36,49 @@
 	Shape     string   `json:"shape"`
 	Image     string   `json:"image,omitempty"`
 	State     string   `json:"state"`
-	Why       string   `json:"why,omitempty"` // it waits, is stuck, or is not known
+	Why       string   `json:"why,omitempty"` // why it waits, is stuck, or is unknown
 	Tasks     int      `json:"tasks"`
 	Done      int      `json:"done"`
 	Running   int      `json:"running"`
 	Starting  int      `json:"starting"`
 	Waiting   int      `json:"waiting"`
 	Failed    int      `json:"failed,omitempty"`
-	Silent    int      `json:"silent,omitempty"` // tasks on machines that are not heard
-	Lost      int      `json:"lost,omitempty"`   // runs that were lost with their machine or lease
-	LostMS    int64    `json:"lost_ms,omitempty"`
-	Zones     []string `json:"zones,omitempty"` // where it is now
+	Silent    int      `json:"silent,omitempty"`  // tasks on machines that do not report
+	Lost      int      `json:"lost,omitempty"`    // runs lost with their machine or lease
+	LostMS    int64    `json:"lost_ms,omitempty"` // ms; when the last run was lost
+	Zones     []string `json:"zones,omitempty"`   // zones in which its tasks run now
 	Machines  []string `json:"machines,omitempty"`
-	SavedS    float64  `json:"saved_s,omitempty"` // of the longest run, by its saves: at least
+	SavedS    float64  `json:"saved_s,omitempty"` // s; lower bound of the progress saved by the longest run
 	Submitted int64    `json:"submitted_ms"`
-	Since     int64    `json:"since_ms,omitempty"` // when its state began, as far as is known
+	Since     int64    `json:"since_ms,omitempty"` // when its state began, as far as known
 	Ended     int64    `json:"ended_ms,omitempty"`
-	Events    []Event  `json:"story,omitempty"` // of a job that was asked for alone: the last of it
-	AsOf      int64    `json:"as_of_ms"`        // the moment that the row is true for
-	Node      string   `json:"node"`            // that told it
+	Events    []Event  `json:"story,omitempty"` // only if one job is requested: its latest events
+	AsOf      int64    `json:"as_of_ms"`        // time as of which the row is true
+	Node      string   `json:"node"`            // node that made the row
 }
 
-// Event is something that happened to a job, as the node that tells it saw it.
+// Event is an event of a job, as observed by the node that reports it.
 type Event struct {
 	AtMS int64  `json:"t"`
 	Text string `json:"e"`
 }
 
-// MaxEvents bounds what is remembered of an open job.
+// MaxEvents bounds the events that are kept for an open job.
 const MaxEvents = 12
 
-// Query chooses rows.
+// Query selects rows.
 type Query struct {
 	State, Team, Class, Zone, Image string
-	Text                            string // in the job's id, ticket, class or team
-	Since                           int64  // ms: ended, lost or submitted since then
-	After                           string // rows after this job
+	Text                            string // substring of the job's id, ticket, class or team
+	Since                           int64  // ms; only jobs ended, lost or submitted since then
+	After                           string // cursor: only rows after this job
 	Limit                           int
 }
 
-// MaxRows bounds a page.
+// MaxRows bounds the rows of a page.
 const MaxRows = 200
 
-// Validate says what is wrong with a query.
+// Validate returns an error if the query is invalid.
 func (q *Query) Validate() error {
 	switch {
 	case q.State != "" && !slices.Contains(States, q.State):
@@ -91,64 +91,67 @@
 	return nil
 }
 
-// Matches says whether a row is chosen, whichever page it is on.
+// Matches reports whether the query selects a row, on whichever page.
 func (q *Query) Matches(r *Row) bool {
-	is := func(want, have string) bool { return want == "" || want == have }
-	return is(q.State, r.State) && is(q.Team, r.Team) && is(q.Class, r.Class) && is(q.Image, r.Image) && (q.Zone == "" || slices.Contains(r.Zones, q.Zone)) &&
+	matches := func(want, have string) bool { return want == "" || want == have }
+	return matches(q.State, r.State) && matches(q.Team, r.Team) && matches(q.Class, r.Class) && matches(q.Image, r.Image) && (q.Zone == "" || slices.Contains(r.Zones, q.Zone)) &&
 		(q.Text == "" || strings.Contains(r.Job, q.Text) || strings.Contains(r.Ticket, q.Text) || strings.Contains(r.Class, q.Text) || strings.Contains(r.Team, q.Text)) &&
 		(q.Since == 0 || r.Ended >= q.Since || r.LostMS >= q.Since || r.Submitted >= q.Since || r.Ended == 0 && r.LostMS == 0)
 }
 
-// Page is a part of the account.
+// Page is one page of the account.
 type Page struct {
 	Node             string                    `json:"node"`
 	AsOf             int64                     `json:"as_of_ms"`
-	SinceStateAnswer float64                   `json:"state_age_s"`  // since the state service last answered
-	RememberedSince  int64                     `json:"remembers_ms"` // what ended before this is not remembered
-	JobsByState      map[string]int            `json:"sums"`         // jobs by state, on the page or not
-	Teams            map[string]map[string]int `json:"teams"`        // the same by team
-	Classes          map[string]map[string]int `json:"classes"`      // the same by class
+	SinceStateAnswer float64                   `json:"state_age_s"`  // seconds since the state service last answered
+	RememberedSince  int64                     `json:"remembers_ms"` // jobs that ended earlier may be missing
+	JobsByState      map[string]int            `json:"sums"`         // of all jobs, not only those on the page
+	Teams            map[string]map[string]int `json:"teams"`        // jobs by team and state
+	Classes          map[string]map[string]int `json:"classes"`      // jobs by class and state
 	Zones            map[string]ZoneSums       `json:"zones"`        // machines by zone
-	Rows             []Row                     `json:"rows"`         // by job
+	Rows             []Row                     `json:"rows"`         // sorted by job
 	After            string                    `json:"after,omitempty"`
-	Unknown          []string                  `json:"unknown,omitempty"` // what is not known, and since when
+	Unknown          []string                  `json:"unknown,omitempty"` // what is unknown, and since when
 }
 
-// ZoneSums are machines of a zone.
+// ZoneSums counts the machines of a zone.
 type ZoneSums struct {
 	Up      int     `json:"up"`
 	Booting int     `json:"booting"`
 	Silent  int     `json:"silent"`
 	Drained int     `json:"drained"`
-	Unknown int     `json:"unknown"` // of shares whose holder did not answer
+	Unknown int     `json:"unknown"` // machines of partitions whose owner did not answer
 	GPUs    float64 `json:"gpus"`
 	Used    float64 `json:"gpus_used"`
 }
 
-// NewPage makes an empty page.
+// NewPage returns an empty page.
 func NewPage(node string, now time.Time) *Page {
 	return &Page{Node: node, AsOf: now.UnixMilli(), JobsByState: map[string]int{}, Teams: map[string]map[string]int{}, Classes: map[string]map[string]int{}, Zones: map[string]ZoneSums{}, Rows: []Row{}}
 }
 
-// Add counts a row, and takes it onto the page if the query does. Finish cuts the page.
+// Add counts a row, and adds it to the page if the query selects it. Finish cuts the page
+// to its limit.
 func (p *Page) Add(q *Query, r Row) {
 	p.count(r.State, r.Team, r.Class, 1)
 	if r.Job > q.After && q.Matches(&r) {
 		p.Rows = append(p.Rows, r)
 	}
-	// Of thousands only the first by job stay; twice as many as asked for, since some
-	// may be there twice.
+	// Only the first rows by job are kept: twice the limit, because a job may have two
+	// rows.
 	if keep := 2*q.Limit + 2; len(p.Rows) > 4*keep {
-		slices.SortFunc(p.Rows, byJob)
+		slices.SortFunc(p.Rows, compareRows)
 		clear(p.Rows[keep:])
 		p.Rows = p.Rows[:keep]
 	}
 }
 
-func byJob(a, b Row) int {
-	return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(late(b), late(a)))
+// compareRows orders rows by job, then by precedence, the highest first.
+func compareRows(a, b Row) int {
+	return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(precedence(b), precedence(a)))
 }
 
+// count adds n to the number of jobs in a state, in total and by team and class.
 func (p *Page) count(state, team, class string, n int) {
 	p.JobsByState[state] += n
 	for by, name := range map[*map[string]map[string]int]string{&p.Teams: team, &p.Classes: class} {
@@ -159,42 +162,42 @@
 	}
 }
 
-// Merge takes in another node's part.
-func (p *Page) Merge(o *Page) {
-	for s, n := range o.JobsByState {
+// Merge adds another node's part of the account.
+func (p *Page) Merge(other *Page) {
+	for s, n := range other.JobsByState {
 		p.JobsByState[s] += n
 	}
-	for _, x := range [][2]map[string]map[string]int{{p.Teams, o.Teams}, {p.Classes, o.Classes}} {
-		for name, sums := range x[1] {
-			if x[0][name] == nil {
-				x[0][name] = map[string]int{}
+	for _, pair := range [][2]map[string]map[string]int{{p.Teams, other.Teams}, {p.Classes, other.Classes}} {
+		for name, sums := range pair[1] {
+			if pair[0][name] == nil {
+				pair[0][name] = map[string]int{}
 			}
 			for s, n := range sums {
-				x[0][name][s] += n
+				pair[0][name][s] += n
 			}
 		}
 	}
-	for z, s := range o.Zones {
+	for z, s := range other.Zones {
 		p.Zones[z] = p.Zones[z].Add(s)
 	}
-	p.Rows = append(p.Rows, o.Rows...)
-	if o.After != "" && (p.After == "" || o.After < p.After) {
-		p.After = o.After // beyond it not all of the other's rows are here
+	p.Rows = append(p.Rows, other.Rows...)
+	if other.After != "" && (p.After == "" || other.After < p.After) {
+		p.After = other.After // the other page has no rows beyond this job
 	}
-	p.Unknown = append(p.Unknown, o.Unknown...)
-	p.SinceStateAnswer = max(p.SinceStateAnswer, o.SinceStateAnswer)
+	p.Unknown = append(p.Unknown, other.Unknown...)
+	p.SinceStateAnswer = max(p.SinceStateAnswer, other.SinceStateAnswer)
 }
 
-// Add adds machines up.
-func (z ZoneSums) Add(o ZoneSums) ZoneSums {
-	return ZoneSums{z.Up + o.Up, z.Booting + o.Booting, z.Silent + o.Silent, z.Drained + o.Drained, z.Unknown + o.Unknown, z.GPUs + o.GPUs, z.Used + o.Used}
+// Add returns the sum of two counts.
+func (z ZoneSums) Add(other ZoneSums) ZoneSums {
+	return ZoneSums{z.Up + other.Up, z.Booting + other.Booting, z.Silent + other.Silent, z.Drained + other.Drained, z.Unknown + other.Unknown, z.GPUs + other.GPUs, z.Used + other.Used}
 }
 
-// Finish orders the rows and keeps as many as were asked for. Of a job that is there
-// twice, since its share went from one node to another meanwhile, the row that is over
-// stays, else the later one.
+// Finish sorts the rows and cuts the page to the limit of the query. A job has two rows if
+// its partition moved from one node to another meanwhile; then a final row is kept,
+// otherwise the later one.
 func (p *Page) Finish(q *Query) {
-	slices.SortFunc(p.Rows, byJob)
+	slices.SortFunc(p.Rows, compareRows)
 	kept := p.Rows[:0]
 	for _, r := range p.Rows {
 		if len(kept) > 0 && kept[len(kept)-1].Job == r.Job {
@@ -214,8 +217,9 @@
 	slices.Sort(p.Unknown)
 }
 
-// late orders accounts of one job.
-func late(r Row) int64 {
+// precedence orders two rows of one job: final rows come before others, then later rows
+// before earlier ones.
+func precedence(r Row) int64 {
 	if IsFinal(r.State) {
 		return 1<<62 + r.AsOf
 	}
