--- a/internal/storage/cloud.go
+++ b/internal/storage/cloud.go
@@ -12,20 +12,22 @@
 	"dapplestage.example/dapplestage/internal/transport"
 )
 
-// ErrNoCapacity means that the cloud has no such machine to give at present.
+// ErrNoCapacity means that the cloud has no machine of the requested type available now.
 var ErrNoCapacity = errors.New("no capacity")
 
-// Cloud calls the cloud within this node's part of its rate.
+// Cloud is the client of the cloud. It keeps to this node's part of the cloud's request rate.
 type Cloud struct{ client *transport.Client }
 
 const cloudTimeout = 5 * time.Second
 
-// NewCloud plans the rate for one of nodes nodes.
+// NewCloud makes a client that gives each of nodes nodes an equal part of nine tenths of the
+// cloud's request rate.
 func NewCloud(addr string, limits protocol.CloudSettings, nodes int) *Cloud {
 	return &Cloud{transport.NewClient(addr, 0.9*limits.RPS/float64(nodes))}
 }
 
-func (c *Cloud) call(ctx context.Context, method, path string, body, into any) error {
+// call makes one request and parses the answer into out, if that is not nil.
+func (c *Cloud) call(ctx context.Context, method, path string, body, out any) error {
 	var data []byte
 	if body != nil {
 		var err error
@@ -33,55 +35,56 @@
 			return err
 		}
 	}
-	a, err := c.client.Call(ctx, cloudTimeout, method, path, data)
+	answer, err := c.client.Call(ctx, cloudTimeout, method, path, data)
 	if err != nil {
 		return err
 	}
-	if a.Status == 503 {
-		var e struct {
+	if answer.Status == 503 {
+		var failure struct {
 			Error string `json:"error"`
 		}
-		if json.Unmarshal(a.Body, &e) == nil && e.Error == "no capacity" {
+		if json.Unmarshal(answer.Body, &failure) == nil && failure.Error == "no capacity" {
 			return ErrNoCapacity
 		}
 	}
-	if a.Status != 200 {
-		return fmt.Errorf("cloud: status %d", a.Status)
+	if answer.Status != 200 {
+		return fmt.Errorf("cloud: status %d", answer.Status)
 	}
-	if into == nil {
+	if out == nil {
 		return nil
 	}
-	return json.Unmarshal(a.Body, into)
+	return json.Unmarshal(answer.Body, out)
 }
 
-// Catalog reads the machine types.
+// Catalog reads the machine types that the cloud offers.
 func (c *Cloud) Catalog(ctx context.Context) ([]protocol.MachineType, error) {
-	var cat protocol.Catalog
-	if err := c.call(ctx, "GET", "/catalog", nil, &cat); err != nil {
+	var catalog protocol.Catalog
+	if err := c.call(ctx, "GET", "/catalog", nil, &catalog); err != nil {
 		return nil, err
 	}
-	for _, t := range cat.Types {
+	for _, t := range catalog.Types {
 		if t.Name == "" || t.CPUs < 0 || t.GPUs < 0 || t.MemoryGB < 0 || len(t.Zones) == 0 {
 			return nil, errors.New("cloud: malformed catalogue")
 		}
 	}
-	return cat.Types, nil
+	return catalog.Types, nil
 }
 
-// Rent asks for machines.
+// Rent requests machines and returns the names of those rented.
 func (c *Cloud) Rent(ctx context.Context, r protocol.RentRequest) ([]string, error) {
-	var got protocol.MachineNames
-	err := c.call(ctx, "POST", "/hosts", r, &got)
-	return got.Machines, err
+	var rented protocol.MachineNames
+	err := c.call(ctx, "POST", "/hosts", r, &rented)
+	return rented.Machines, err
 }
 
-// Return gives machines back: when it returns nil they are gone, with
-// everything on them.
+// Return returns machines to the cloud. If the error is nil they have ended, with everything
+// that ran on them.
 func (c *Cloud) Return(ctx context.Context, names []string) error {
 	return c.call(ctx, "POST", "/hosts/return", protocol.MachineNames{Machines: names}, nil)
 }
 
-// List reads the whole lagging list.
+// List reads the cloud's list of machines, all pages. The list lags behind rentals and
+// returns.
 func (c *Cloud) List(ctx context.Context) ([]protocol.ListedMachine, error) {
 	var all []protocol.ListedMachine
 	since := ""
--- a/internal/storage/commit.go
+++ b/internal/storage/commit.go
@@ -7,19 +7,20 @@
 	"time"
 )
 
-// Op is a change that must happen whole or not at all. Done is called once,
-// on the committer's routine.
+// Op is a group of writes that is applied atomically, and only if all its conditions hold.
+// Done is called once, on a goroutine of the committer.
 type Op struct {
 	Conds  []Cond
 	Writes []Write
-	// NoRetry says that an unanswered attempt ends the op, since somebody waits.
+	// NoRetry ends the op with an error if an attempt is not answered, instead of retrying
+	// it: its user waits for a result.
 	NoRetry bool
-	Purpose uint8 // what it is for, as the caller counts
+	Purpose uint8 // what the op is for; the caller counts changes by it
 	Done    func(Result)
 }
 
-// Result says how an op ended. With neither OK nor Err its condition on
-// one of Failed did not hold.
+// Result is the outcome of an op. If neither OK nor Err is set, the op's conditions on the
+// keys in Failed did not hold.
 type Result struct {
 	OK       bool
 	Revision uint64
@@ -27,6 +28,7 @@
 	Err      error
 }
 
+// size estimates the bytes that the op takes in a transaction.
 func (o *Op) size() int {
 	n := 64 * len(o.Conds)
 	for _, w := range o.Writes {
@@ -35,36 +37,37 @@
 	return n
 }
 
-// CanAdd says whether an op may have one write more, with a condition on its key.
+// CanAdd reports whether the op can take one more write, and a condition on its key, without
+// exceeding the limits of a transaction.
 func (o *Op) CanAdd(w Write, txnOps int) bool {
-	more := Op{Conds: []Cond{{Key: w.Key()}}, Writes: []Write{w}}
-	return len(o.Writes) < txnOps && len(o.Conds) < 4*txnOps && o.size()+more.size() <= maxTxnBytes
+	addition := Op{Conds: []Cond{{Key: w.Key()}}, Writes: []Write{w}}
+	return len(o.Writes) < txnOps && len(o.Conds) < 4*txnOps && o.size()+addition.size() <= maxTxnBytes
 }
 
-// maxTxnBytes keeps a transaction below the service's 64 KiB.
+// maxTxnBytes keeps a transaction below the state service's limit of 64 KiB.
 const maxTxnBytes = 56 << 10
 
-// Committer packs waiting ops into transactions, one in flight at a time (group
-// commit), so that the write rate goes far. Those that users wait for are in flight
-// several at a time: with a state service that takes 150 ms instead of 5 a user who came
-// right after another waited for two transactions.
+// Committer combines waiting ops into transactions (group commit), so that fewer requests
+// are needed. One transaction is in flight at a time, except at UserPriority, where several
+// are: with a state service that took 150 ms instead of 5 ms, a user whose request came right
+// after another one waited for two transactions.
 type Committer struct {
 	store     Service
 	txnOps    int
 	limiter   *RateLimiter
 	priority  Priority
 	submitted chan *Op
-	// Spent, if set, is told of each op of an answered transaction: its writes count
-	// against the rate whether it was stored or not.
+	// OnAnswered, if set, is called for each op of a transaction that the state service
+	// answered. The op's writes count against the rate whether they were applied or not.
 	OnAnswered func(op *Op)
 }
 
-// NewCommitter makes a committer of ops of a level; Run serves it.
-func NewCommitter(s Service, txnOps int, pace *RateLimiter, level Priority) *Committer {
-	return &Committer{store: s, txnOps: txnOps, limiter: pace, priority: level, submitted: make(chan *Op, 4096)}
+// NewCommitter makes a committer of ops of one priority. It commits while Run runs.
+func NewCommitter(service Service, txnOps int, limiter *RateLimiter, priority Priority) *Committer {
+	return &Committer{store: service, txnOps: txnOps, limiter: limiter, priority: priority, submitted: make(chan *Op, 4096)}
 }
 
-// Submit queues an op. It returns false, and drops the op, if too many wait.
+// Submit queues an op. If the queue is full it drops the op and returns false.
 func (c *Committer) Submit(o *Op) bool {
 	select {
 	case c.submitted <- o:
@@ -74,12 +77,12 @@
 	}
 }
 
-// Run commits ops in order until ctx ends.
+// Run commits the submitted ops, in order except at UserPriority, until ctx ends.
 func (c *Committer) Run(ctx context.Context) {
 	var queue []*Op
-	lanes := make(chan struct{}, maxUserTxns)
-	var flying sync.WaitGroup
-	defer flying.Wait()
+	slots := make(chan struct{}, maxUserTxns)
+	var inFlight sync.WaitGroup
+	defer inFlight.Wait()
 	for ctx.Err() == nil {
 		if len(queue) == 0 {
 			select {
@@ -97,27 +100,27 @@
 				more = false
 			}
 		}
-		most := c.txnOps
+		maxWrites := c.txnOps
 		if !c.limiter.HasSpareRate() {
-			most = max(len(queue[0].Writes), c.limiter.contendedBatchSize(c.txnOps))
+			maxWrites = max(len(queue[0].Writes), c.limiter.contendedBatchSize(c.txnOps))
 		}
-		batch, rest := pack(queue, most)
+		batch, rest := pack(queue, maxWrites)
 		if c.priority != UserPriority {
 			queue = append(c.commit(ctx, batch), rest...)
 			continue
 		}
 		queue = rest
 		select {
-		case lanes <- struct{}{}:
+		case slots <- struct{}{}:
 		case <-ctx.Done():
 			return
 		}
-		flying.Add(1)
+		inFlight.Add(1)
 		go func() {
-			defer flying.Done()
-			again := c.commit(ctx, batch)
-			<-lanes
-			for _, o := range again {
+			defer inFlight.Done()
+			retry := c.commit(ctx, batch)
+			<-slots
+			for _, o := range retry {
 				if !c.Submit(o) {
 					o.Done(Result{Err: ErrRefused})
 				}
@@ -126,24 +129,24 @@
 	}
 }
 
-// maxUserTxns is how many transactions that users wait for are in flight at a time.
+// maxUserTxns limits how many transactions at UserPriority are in flight at a time.
 const maxUserTxns = 8
 
-// pack takes ops from the front of the queue as long as one transaction holds
-// them. Two ops on the same key never share a transaction: the second one's
-// condition is about the first one's outcome.
-func pack(queue []*Op, txnOps int) (batch, rest []*Op) {
+// pack splits the queue into a batch of ops from its front that fit into one transaction,
+// and the rest. An op never shares a transaction with an earlier one that writes a key of
+// its conditions, as these refer to the revision after the earlier op.
+func pack(queue []*Op, maxWrites int) (batch, rest []*Op) {
 	writes, bytes := 0, 0
-	conds := map[string]uint64{}
+	revisions := map[string]uint64{}
 	written := map[string]bool{}
 	for i, o := range queue {
-		fits := writes+len(o.Writes) <= txnOps && bytes+o.size() <= maxTxnBytes
-		extra := 0
+		fits := writes+len(o.Writes) <= maxWrites && bytes+o.size() <= maxTxnBytes
+		newConds := 0
 		for _, cd := range o.Conds {
-			st, ok := conds[cd.Key]
+			revision, ok := revisions[cd.Key]
 			if !ok {
-				extra++
-			} else if st != cd.Revision {
+				newConds++
+			} else if revision != cd.Revision {
 				fits = false
 			}
 			if written[cd.Key] {
@@ -151,11 +154,11 @@
 			}
 		}
 		for _, w := range o.Writes {
-			if _, ok := conds[w.Key()]; written[w.Key()] || (ok && i > 0 && !hasCond(o, w.Key())) {
+			if _, ok := revisions[w.Key()]; written[w.Key()] || (ok && i > 0 && !hasCond(o, w.Key())) {
 				fits = false
 			}
 		}
-		if len(conds)+extra > 4*txnOps {
+		if len(revisions)+newConds > 4*maxWrites {
 			fits = false
 		}
 		if !fits && i > 0 {
@@ -164,7 +167,7 @@
 		writes += len(o.Writes)
 		bytes += o.size()
 		for _, cd := range o.Conds {
-			conds[cd.Key] = cd.Revision
+			revisions[cd.Key] = cd.Revision
 		}
 		for _, w := range o.Writes {
 			written[w.Key()] = true
@@ -182,8 +185,8 @@
 	return false
 }
 
-// commit runs one transaction and returns the ops to try again.
-func (c *Committer) commit(ctx context.Context, batch []*Op) (again []*Op) {
+// commit runs one transaction of a batch and returns the ops to retry.
+func (c *Committer) commit(ctx context.Context, batch []*Op) (retry []*Op) {
 	seen := map[string]bool{}
 	var conds []Cond
 	var writes []Write
@@ -197,11 +200,11 @@
 		writes = append(writes, o.Writes...)
 	}
 	var ok bool
-	var epoch uint64
+	var revision uint64
 	var failed []string
 	err := c.limiter.wait(ctx, len(writes), c.priority)
 	if err == nil {
-		ok, epoch, failed, err = c.store.Txn(ctx, conds, writes)
+		ok, revision, failed, err = c.store.Txn(ctx, conds, writes)
 	}
 	if c.OnAnswered != nil && err == nil {
 		for _, o := range batch {
@@ -211,15 +214,15 @@
 	switch {
 	case err != nil:
 		for _, o := range batch {
-			// An unanswered transaction may still be applied; trying the same
-			// conditions again is safe, since only one of the two can hold.
+			// An unanswered transaction may still be applied. A retry with the same
+			// conditions is safe, since at most one of the two can succeed.
 			if o.NoRetry || errors.Is(err, ErrNoLease) || errors.Is(err, ErrMalformed) || ctx.Err() != nil {
 				o.Done(Result{Err: err})
 			} else {
-				again = append(again, o)
+				retry = append(retry, o)
 			}
 		}
-		if len(again) > 0 {
+		if len(retry) > 0 {
 			select {
 			case <-time.After(250 * time.Millisecond):
 			case <-ctx.Done():
@@ -227,26 +230,26 @@
 		}
 	case ok:
 		for _, o := range batch {
-			o.Done(Result{OK: true, Revision: epoch})
+			o.Done(Result{OK: true, Revision: revision})
 		}
 	default:
-		bad := map[string]bool{}
+		failedKeys := map[string]bool{}
 		for _, k := range failed {
-			bad[k] = true
+			failedKeys[k] = true
 		}
 		for _, o := range batch {
-			var mine []string
+			var ownFailed []string
 			for _, cd := range o.Conds {
-				if bad[cd.Key] {
-					mine = append(mine, cd.Key)
+				if failedKeys[cd.Key] {
+					ownFailed = append(ownFailed, cd.Key)
 				}
 			}
-			if len(mine) > 0 || len(failed) == 0 {
-				o.Done(Result{Revision: epoch, Failed: mine})
+			if len(ownFailed) > 0 || len(failed) == 0 {
+				o.Done(Result{Revision: revision, Failed: ownFailed})
 			} else {
-				again = append(again, o)
+				retry = append(retry, o)
 			}
 		}
 	}
-	return again
+	return retry
 }
--- a/internal/storage/journal/journal.go
+++ b/internal/storage/journal/journal.go
@@ -1,13 +1,13 @@
-// Package journal keeps a gateway's registers on disk, in a bbolt file: one value a
-// job, the latest state alone, so that it grows with the number of jobs and not with
-// what happened to them. Every write is one transaction for all that waits (group
-// commit), durable before Write returns.
+// Package journal stores a gateway's registers on disk, in a bbolt file. It has one value
+// per job, the latest state only, so that the file grows with the number of jobs and not with
+// the number of their changes. Every Write is one transaction for all of its entries (group
+// commit), and returns when they are durable.
 //
-// bbolt survives an end at any byte: pages are written aside and the last step is
-// one page. What it does not notice by itself is made noticeable here: every value
-// has a checksum over key and value, the number of values is stored, the file must
-// be as long as it says, and both meta pages must be whole, since with a damaged one
-// bbolt would go back silently to the transaction before.
+// bbolt survives a crash at any byte of a write: it writes changed pages to free space, and
+// the last step writes a single page. This package detects the damage that bbolt does not:
+// every value has a checksum over key and value, the number of values is stored, the file
+// must be as long as its meta page says, and both meta pages must be intact, since with a
+// damaged one bbolt would silently go back to the previous transaction.
 package journal
 
 import (
@@ -26,37 +26,39 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-// ErrDamaged means that the file does not hold what was written. A member must not go on
-// with less than it promised, so it does not start.
+// ErrDamaged means that the file does not contain what was written. A member must not run
+// without promises that it has made to others, so it does not start with a damaged journal.
 var ErrDamaged = errors.New("journal damaged")
 
-// layoutVersion of the layout; another one is refused.
+// layoutVersion is the version of the file's layout. Files with another one are rejected.
 const layoutVersion = 1
 
+// Buckets, and keys of the metadata bucket.
 var (
 	registersBucket = []byte("registers")
 	metadataBucket  = []byte("about")
-	keyStart        = []byte("starts")
-	keyCount        = []byte("count")
-	keyVersion      = []byte("version")
-	keyMember       = []byte("member")
+	keyStart        = []byte("starts")  // how often the file has been opened
+	keyCount        = []byte("count")   // number of values in the registers bucket
+	keyVersion      = []byte("version") // layoutVersion
+	keyMember       = []byte("member")  // name of the member that the file belongs to
 )
 
-// Journal is an open file. One process at a time can have it.
+// Journal is an open journal file. Only one process at a time can have it open.
 type Journal struct {
 	db    *bolt.DB
 	count uint64
 	path  string
 }
 
-// Entry is one value.
+// Entry is one register with its key.
 type Entry = storage.Entry
 
-// Open opens or makes the file for a member and reads all of it. start is higher at
-// each opening.
+// Open opens or creates the file of a member and reads all of it. start counts the openings
+// of the file, so it is higher each time.
 func Open(path, member string) (j *Journal, entries []Entry, start uint32, err error) {
-	// bbolt panics on pages that make no sense, and follows what they say out of the
-	// file; its own check does so on a routine of its own, where it can't be caught.
+	// On damaged pages bbolt panics, or follows their references beyond the end of the
+	// file, which faults. bbolt's own check can't be used: it does the same on a goroutine
+	// of its own, where the panic can't be recovered.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
@@ -92,11 +94,11 @@
 		if _, err := tx.CreateBucketIfNotExists(registersBucket); err != nil {
 			return err
 		}
-		b, err := tx.CreateBucketIfNotExists(metadataBucket)
+		metadata, err := tx.CreateBucketIfNotExists(metadataBucket)
 		if err != nil {
 			return err
 		}
-		return errors.Join(b.Put(keyVersion, []byte{layoutVersion}), b.Put(keyMember, []byte(member)), b.Put(keyStart, encodeUint64(uint64(start))), b.Put(keyCount, encodeUint64(j.count)))
+		return errors.Join(metadata.Put(keyVersion, []byte{layoutVersion}), metadata.Put(keyMember, []byte(member)), metadata.Put(keyStart, encodeUint64(uint64(start))), metadata.Put(keyCount, encodeUint64(j.count)))
 	})
 	if err != nil {
 		return nil, nil, 0, fmt.Errorf("journal %s: %w", path, err)
@@ -104,23 +106,24 @@
 	return j, entries, start, nil
 }
 
+// load reads all registers, checks them, and reads the number of openings so far.
 func (j *Journal) load(tx *bolt.Tx, member string, entries *[]Entry, start *uint32) error {
-	b, r := tx.Bucket(metadataBucket), tx.Bucket(registersBucket)
-	if b == nil && r == nil {
-		return nil // new
+	metadata, registers := tx.Bucket(metadataBucket), tx.Bucket(registersBucket)
+	if metadata == nil && registers == nil {
+		return nil // a new file
 	}
 	damaged := func(why string) error { return fmt.Errorf("%w: %s: %s", ErrDamaged, j.path, why) }
-	if b == nil || r == nil || len(b.Get(keyStart)) != 8 || len(b.Get(keyCount)) != 8 {
-		return damaged("a part is missing")
+	if metadata == nil || registers == nil || len(metadata.Get(keyStart)) != 8 || len(metadata.Get(keyCount)) != 8 {
+		return damaged("a bucket or its metadata is missing")
 	}
-	if v := b.Get(keyVersion); len(v) != 1 || v[0] != layoutVersion {
+	if v := metadata.Get(keyVersion); len(v) != 1 || v[0] != layoutVersion {
 		return fmt.Errorf("journal %s has layout %v, this program understands %d", j.path, v, layoutVersion)
 	}
-	if m := string(b.Get(keyMember)); m != member {
-		return fmt.Errorf("journal %s belongs to member %q, not to %q", j.path, m, member)
+	if owner := string(metadata.Get(keyMember)); owner != member {
+		return fmt.Errorf("journal %s belongs to member %q, not to %q", j.path, owner, member)
 	}
-	*start = uint32(binary.BigEndian.Uint64(b.Get(keyStart)))
-	err := r.ForEach(func(k, v []byte) error {
+	*start = uint32(binary.BigEndian.Uint64(metadata.Get(keyStart)))
+	err := registers.ForEach(func(k, v []byte) error {
 		if len(v) < 8 || binary.BigEndian.Uint64(v) != checksum(k, v[8:]) {
 			return damaged(fmt.Sprintf("value of %q", k))
 		}
@@ -131,13 +134,14 @@
 		return err
 	}
 	j.count = uint64(len(*entries))
-	if stored := binary.BigEndian.Uint64(b.Get(keyCount)); stored != j.count {
+	if stored := binary.BigEndian.Uint64(metadata.Get(keyCount)); stored != j.count {
 		return damaged(fmt.Sprintf("%d values of %d", j.count, stored))
 	}
 	return nil
 }
 
-// checkMetaPages refuses a file one of whose two meta pages is not whole.
+// checkMetaPages returns ErrDamaged if one of the file's two meta pages is damaged, or if the
+// file is shorter than the newer one says.
 func checkMetaPages(path string) error {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -148,7 +152,7 @@
 	}
 	defer f.Close()
 	if st, err := f.Stat(); err != nil || st.Size() == 0 {
-		return err // made, and ended before the first page was written
+		return err // empty: the process ended before it wrote the first page
 	}
 	const (
 		pageHeader = 16
@@ -156,56 +160,57 @@
 		sumAt      = 56 // after magic, version, page size, flags, root, free list, pages, transaction
 	)
 	page := make([]byte, pageHeader+metaSize)
-	size, latest, pages := int64(0), uint64(0), int64(0)
+	pageSize, latestTxn, pageCount := int64(0), uint64(0), int64(0)
 	for i := range 2 {
-		if _, err := f.ReadAt(page, int64(i)*size); err != nil {
+		if _, err := f.ReadAt(page, int64(i)*pageSize); err != nil {
 			return fmt.Errorf("%w: %s: meta page %d can't be read", ErrDamaged, path, i)
 		}
-		m := page[pageHeader:]
+		meta := page[pageHeader:]
 		if i == 0 {
-			size = int64(binary.NativeEndian.Uint32(m[8:]))
+			pageSize = int64(binary.NativeEndian.Uint32(meta[8:]))
 		}
-		h := fnv.New64a()
-		h.Write(m[:sumAt])
-		if h.Sum64() != binary.NativeEndian.Uint64(m[sumAt:]) || size < 1024 || size > 1<<20 {
+		hash := fnv.New64a()
+		hash.Write(meta[:sumAt])
+		if hash.Sum64() != binary.NativeEndian.Uint64(meta[sumAt:]) || pageSize < 1024 || pageSize > 1<<20 {
 			return fmt.Errorf("%w: %s: meta page %d", ErrDamaged, path, i)
 		}
-		if tx := binary.NativeEndian.Uint64(m[48:]); tx >= latest {
-			latest, pages = tx, int64(binary.NativeEndian.Uint64(m[40:]))
+		if txn := binary.NativeEndian.Uint64(meta[48:]); txn >= latestTxn {
+			latestTxn, pageCount = txn, int64(binary.NativeEndian.Uint64(meta[40:]))
 		}
 	}
-	if st, err := f.Stat(); err != nil || st.Size() < pages*size {
-		return fmt.Errorf("%w: %s: shorter than its %d pages", ErrDamaged, path, pages)
+	if st, err := f.Stat(); err != nil || st.Size() < pageCount*pageSize {
+		return fmt.Errorf("%w: %s: shorter than its %d pages", ErrDamaged, path, pageCount)
 	}
 	return nil
 }
 
+// checksum covers key and value, so that a value stored under another key is detected.
 func checksum(key, value []byte) uint64 {
-	d := xxhash.New()
-	d.Write(key)
-	d.Write([]byte{0})
-	d.Write(value)
-	return d.Sum64()
+	digest := xxhash.New()
+	digest.Write(key)
+	digest.Write([]byte{0})
+	digest.Write(value)
+	return digest.Sum64()
 }
 
 func encodeUint64(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-// Write stores entries, all or none, and returns when they are durable. After an
-// error (a full disk, say) nothing has changed and it can be tried again.
+// Write stores all entries in one transaction and returns when they are durable. After an
+// error (of a full disk, for example) nothing has changed, and Write can be retried.
 func (j *Journal) Write(entries []Entry) error {
 	if len(entries) == 0 {
 		return nil
 	}
 	count := j.count
 	err := j.db.Update(func(tx *bolt.Tx) error {
-		r := tx.Bucket(registersBucket)
+		registers := tx.Bucket(registersBucket)
 		for _, e := range entries {
 			k := []byte(e.Key)
-			if r.Get(k) == nil {
+			if registers.Get(k) == nil {
 				count++
 			}
 			v := binary.BigEndian.AppendUint64(make([]byte, 0, 8+len(e.Value)), checksum(k, e.Value))
-			if err := r.Put(k, append(v, e.Value...)); err != nil {
+			if err := registers.Put(k, append(v, e.Value...)); err != nil {
 				return err
 			}
 		}
@@ -217,7 +222,7 @@
 	return err
 }
 
-// Size is the file's size.
+// Size returns the size of the file in bytes, or 0 if it can't be determined.
 func (j *Journal) Size() int64 {
 	st, err := os.Stat(j.path)
 	if err != nil {
@@ -226,5 +231,5 @@
 	return st.Size()
 }
 
-// Close lets go of the file.
+// Close closes the file.
 func (j *Journal) Close() error { return j.db.Close() }
--- a/internal/storage/journal/journal_test.go
+++ b/internal/storage/journal/journal_test.go
@@ -12,6 +12,7 @@
 	"pgregory.net/rapid"
 )
 
+// openJournal opens a journal and returns its entries as a map.
 func openJournal(t testing.TB, path string) (*Journal, map[string]string, uint32) {
 	t.Helper()
 	j, es, start, err := Open(path, "gate")
@@ -25,8 +26,9 @@
 	return j, m, start
 }
 
-// TestWhatWasWrittenIsRead draws writes and reopenings.
-func TestWhatWasWrittenIsRead(t *testing.T) {
+// TestReadsBackWrites draws writes and reopenings: each opening reads the latest values, and its
+// start number is higher than the one before.
+func TestReadsBackWrites(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		path := filepath.Join(t.TempDir(), "j")
 		want := map[string]string{}
@@ -56,9 +58,9 @@
 	})
 }
 
-// TestDamageIsNeverSilent flips a bit anywhere: the journal is refused, or holds
+// TestDamageIsDetected flips one bit anywhere in the file. Either Open fails, or it reads
 // exactly what was written (the bit was in a free page).
-func TestDamageIsNeverSilent(t *testing.T) {
+func TestDamageIsDetected(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "j")
 	j, _, _ := openJournal(t, path)
 	want := map[string]string{}
@@ -106,12 +108,13 @@
 		same++
 	}
 	if refused < 100 {
-		t.Errorf("%d refused, %d unharmed", refused, same)
+		t.Errorf("%d refused, %d read without loss", refused, same)
 	}
 }
 
-// TestTornTail: a file cut anywhere is refused or whole.
-func TestTornTail(t *testing.T) {
+// TestTruncatedFile cuts the file at various lengths. Either Open fails with ErrDamaged, or it
+// reads all values.
+func TestTruncatedFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "j")
 	j, _, _ := openJournal(t, path)
 	for i := range 200 {
@@ -136,7 +139,7 @@
 	}
 }
 
-func TestOneProcessAndOneMember(t *testing.T) {
+func TestOpenRejectsSecondProcessAndOtherMember(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "j")
 	j, _, _ := openJournal(t, path)
 	if _, _, _, err := Open(path, "gate"); err == nil || !strings.Contains(err.Error(), "in use") {
@@ -148,7 +151,7 @@
 	}
 }
 
-// BenchmarkWrite shows what group commit is worth: jobs in one write.
+// BenchmarkWrite measures the gain of group commit, by the number of jobs in one Write.
 func BenchmarkWrite(b *testing.B) {
 	for _, n := range []int{1, 10, 100} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/storage/pace_test.go
+++ b/internal/storage/pace_test.go
@@ -9,12 +9,12 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// While users' changes use up the whole rate, the books still get theirs stored.
-// (Seen on a simulated day: for 35 s of submissions no rented machine was
-// recorded, and so none rented after the first.)
-func TestBooksAreNotStarved(t *testing.T) {
+// Guards against starvation of background changes while user changes use up the whole rate.
+// On a simulated day no rented machine was recorded during 35 s of submissions, and so no
+// machine was rented after the first.
+func TestBackgroundNotStarvedByUserChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := NewRateLimiter(protocol.StateSettings{WriteRPS: 40, TxnOps: 12}, 3)
+		limiter := NewRateLimiter(protocol.StateSettings{WriteRPS: 40, TxnOps: 12}, 3)
 		ctx := t.Context()
 		stop := make(chan struct{})
 		go func() {
@@ -23,81 +23,81 @@
 				case <-stop:
 					return
 				default:
-					p.wait(ctx, 4, UserPriority)
+					limiter.wait(ctx, 4, UserPriority)
 				}
 			}
 		}()
 		start := time.Now()
 		for range 10 {
-			if err := p.wait(ctx, 2, BackgroundPriority); err != nil {
+			if err := limiter.wait(ctx, 2, BackgroundPriority); err != nil {
 				t.Fatal(err)
 			}
 		}
 		if took := time.Since(start); took > 15*time.Second {
-			t.Errorf("20 changes of the books took %v beside a wave of users", took)
+			t.Errorf("20 background changes took %v beside a wave of user changes", took)
 		}
 		close(stop)
 		synctest.Wait()
 		time.Sleep(time.Minute)
-		// With the rate unused again, a user need not wait for the books' changes.
-		go p.wait(ctx, 12, BackgroundPriority)
+		// With the rate unused again, a user change need not wait for background changes.
+		go limiter.wait(ctx, 12, BackgroundPriority)
 		synctest.Wait()
 		start = time.Now()
-		p.wait(ctx, 1, UserPriority)
+		limiter.wait(ctx, 1, UserPriority)
 		if took := time.Since(start); took > 0 {
-			t.Errorf("a user waited %v for the books", took)
+			t.Errorf("a user change waited %v for background changes", took)
 		}
 		time.Sleep(time.Minute)
 	})
 }
 
-// While what is ordinary takes all that there is of the rate, a user's change does not
-// wait, and a pressing one hardly. (On simulated days with 20 changes a second the placing
-// of small tasks kept half of the submissions for more than 200 ms.)
-func TestUsersDoNotWaitForTheBooks(t *testing.T) {
+// While background changes use the whole rate, user changes do not wait and urgent ones wait
+// only briefly. On simulated days with 20 changes a second the placement of small tasks
+// delayed half of the submissions by more than 200 ms.
+func TestUserChangesDoNotWaitForBackground(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := NewRateLimiter(protocol.StateSettings{WriteRPS: 20, TxnOps: 12}, 3)
+		limiter := NewRateLimiter(protocol.StateSettings{WriteRPS: 20, TxnOps: 12}, 3)
 		ctx, cancel := context.WithCancel(t.Context())
 		done := 0
 		go func() {
-			for p.wait(ctx, 4, BackgroundPriority) == nil {
+			for limiter.wait(ctx, 4, BackgroundPriority) == nil {
 				done += 4
 			}
 		}()
 		time.Sleep(20 * time.Second)
-		var user, pressing time.Duration
+		var userWait, urgentWait time.Duration
 		for i := range 40 {
 			time.Sleep(time.Second)
-			level, longest := UserPriority, &user
+			level, longest := UserPriority, &userWait
 			if i%2 == 1 {
-				level, longest = UrgentPriority, &pressing
+				level, longest = UrgentPriority, &urgentWait
 			}
-			from := time.Now()
-			p.wait(ctx, 1, level)
-			*longest = max(*longest, time.Since(from))
+			start := time.Now()
+			limiter.wait(ctx, 1, level)
+			*longest = max(*longest, time.Since(start))
 		}
-		if user > 20*time.Millisecond || pressing > 400*time.Millisecond {
-			t.Errorf("a user's change waited up to %v, a pressing one up to %v", user, pressing)
+		if userWait > 20*time.Millisecond || urgentWait > 400*time.Millisecond {
+			t.Errorf("a user change waited up to %v, an urgent one up to %v", userWait, urgentWait)
 		}
 		if made := float64(done) / 60; made < 4 {
-			t.Errorf("only %.1f ordinary changes a second of 6", made)
+			t.Errorf("only %.1f background changes a second of 6", made)
 		}
 		cancel()
 	})
 }
 
-// A wave of pressing changes leaves the ordinary ones their least.
-func TestOrdinaryChangesAreNotStarved(t *testing.T) {
+// Background changes get their minimum of the rate during a wave of urgent changes.
+func TestBackgroundNotStarvedByUrgentChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := NewRateLimiter(protocol.StateSettings{WriteRPS: 40, TxnOps: 12}, 3)
+		limiter := NewRateLimiter(protocol.StateSettings{WriteRPS: 40, TxnOps: 12}, 3)
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() {
-			for p.wait(ctx, 4, UrgentPriority) == nil {
+			for limiter.wait(ctx, 4, UrgentPriority) == nil {
 			}
 		}()
 		done := 0
 		go func() {
-			for p.wait(ctx, 2, BackgroundPriority) == nil {
+			for limiter.wait(ctx, 2, BackgroundPriority) == nil {
 				done += 2
 			}
 		}()
@@ -105,7 +105,7 @@
 		cancel()
 		synctest.Wait()
 		if done < 60 {
-			t.Errorf("%d ordinary changes in a minute", done)
+			t.Errorf("%d background changes in a minute", done)
 		}
 	})
 }
--- a/internal/storage/segments/segments.go
+++ b/internal/storage/segments/segments.go
@@ -1,12 +1,13 @@
-// Package segments keeps a site's gateway registers in the site's state service: a
-// log of batches, many registers a value, so that a claim or an answer costs a small
-// part of a change. A fence key names the process that may write; every write, and
-// every proof that reads are current, is conditional on it, so a daemon that was
-// replaced while it stood still can change and promise nothing any more.
+// Package segments stores a site's gateway registers in the site's state service, as a log of
+// segments. A segment is one value with many registers, so that a claim or an answer costs
+// only a small fraction of a change of the state service. A fence key names the process that
+// may write. Every write, and every proof that reads are current, is conditional on it: a
+// daemon that was replaced while it was stalled can no longer write or promise anything.
 //
-// The log is bounded by what is alive in it: while more than twice as many segments
-// are there as the live registers need, the oldest ones' live registers are written
-// again with the next batch and the segments are deleted in the same transaction.
+// The log's size is bounded by its live registers, the latest ones of each key. While there
+// are more than twice as many segments as the live registers need, the live registers of the
+// oldest segments are written again with the next batch, and these segments are deleted in the
+// same transaction.
 package segments
 
 import (
@@ -28,59 +29,62 @@
 // ErrReplaced means that another daemon of the same site has taken over.
 var ErrReplaced = errors.New("another daemon of this site has taken over")
 
-// Keys. None is under the controllers' watched prefix.
+// Keys in the state service. None is under the prefix that the controllers watch.
 const (
 	fenceKey      = "g/fence"
-	segmentPrefix = "g/s/"
+	segmentPrefix = "g/s/" // followed by the segment's number
 )
 
-// layoutVersion of the layout; another one is refused.
+// layoutVersion is the version of the stored layout. Values with another one are rejected.
 const layoutVersion = 1
 
-// Entry is one register, or another small record, by key.
+// Entry is one register, or another small record, with its key.
 type Entry = storage.Entry
 
+// fence is the value of the fence key. Start counts how often the log has been opened.
 type fence struct {
 	Version int    `json:"version"`
 	Member  string `json:"member"`
 	Start   uint32 `json:"start"`
 }
 
-// Limits are the state service's, and the part of its changes that may be used.
+// Limits are the limits of the state service, and the rate of changes that the log may use.
 type Limits struct {
 	ValueKB      float64
 	TxnOps       int
 	ChangesPerS  float64
-	CompactAfter int // segments that are always allowed; 0: 8
+	CompactAfter int // number of segments up to which the log is never compacted; 0: 8
 }
 
-// Log is the open log.
+// Log is an open log.
 type Log struct {
 	store         storage.Service
 	log           *slog.Logger
 	limits        Limits
 	limiter       *rate.Limiter
-	fenceRevision uint64 // of the fence
-	nextSegment   uint64 // segment
-	oldestSegment uint64
-	live          map[string]liveEntry
-	keysBySegment map[uint64][]string // the keys of each segment, live there or not
-	liveBytes     int                 // of the live entries
-	changes       int64               // changes made
+	fenceRevision uint64 // revision of this process's write of the fence key
+	nextSegment   uint64 // number of the next segment to be written
+	oldestSegment uint64 // number of the oldest segment that exists
+	live          map[string]live
+	keysBySegment map[uint64][]string // keys of each segment, whether their latest entry is in it or not
+	liveBytes     int                 // encoded size of the live entries
+	changesMade   int64               // writes made to the state service so far
 }
 
-type liveEntry struct {
-	segment uint64
+// live is the latest value of a key.
+type live struct {
+	segment uint64 // the segment that has it
 	value   []byte
 }
 
-// Open takes the log over and reads it.
-func Open(ctx context.Context, store storage.Service, member string, lim Limits, log *slog.Logger) (*Log, []Entry, uint32, error) {
-	if lim.CompactAfter == 0 {
-		lim.CompactAfter = 8
+// Open acquires the fence, which takes the log over from any earlier process, and reads the
+// live entries. The returned number counts the openings of the log, so it is higher each time.
+func Open(ctx context.Context, store storage.Service, member string, limits Limits, log *slog.Logger) (*Log, []Entry, uint32, error) {
+	if limits.CompactAfter == 0 {
+		limits.CompactAfter = 8
 	}
-	l := &Log{store: store, log: log, limits: lim, nextSegment: 1, oldestSegment: 1, live: map[string]liveEntry{}, keysBySegment: map[uint64][]string{},
-		limiter: rate.NewLimiter(rate.Limit(max(0.5, lim.ChangesPerS)), max(lim.TxnOps, int(lim.ChangesPerS)))}
+	l := &Log{store: store, log: log, limits: limits, nextSegment: 1, oldestSegment: 1, live: map[string]live{}, keysBySegment: map[uint64][]string{},
+		limiter: rate.NewLimiter(rate.Limit(max(0.5, limits.ChangesPerS)), max(limits.TxnOps, int(limits.ChangesPerS)))}
 	start, err := l.acquireFence(ctx, member)
 	if err != nil {
 		return nil, nil, 0, err
@@ -90,14 +94,14 @@
 		return nil, nil, 0, err
 	}
 	var order []string
-	for _, it := range items { // in the order of their numbers, which are padded
+	for _, it := range items { // ordered by number, since the keys have it in fixed width
 		seg, err := strconv.ParseUint(strings.TrimPrefix(it.Key, segmentPrefix), 16, 64)
-		var s segmentRecord
+		var record segmentRecord
 		if err == nil {
-			err = json.Unmarshal(it.Value, &s)
+			err = json.Unmarshal(it.Value, &record)
 		}
-		if err == nil && s.Version != layoutVersion {
-			err = fmt.Errorf("layout %d, this program understands %d", s.Version, layoutVersion)
+		if err == nil && record.Version != layoutVersion {
+			err = fmt.Errorf("layout %d, this program understands %d", record.Version, layoutVersion)
 		}
 		if err != nil {
 			return nil, nil, 0, fmt.Errorf("gateway log: %s: %w", it.Key, err)
@@ -107,11 +111,11 @@
 		}
 		l.nextSegment = seg + 1
 		l.keysBySegment[seg] = nil
-		for i := range s.Entries {
-			if _, ok := l.live[s.Entries[i].Key]; !ok {
-				order = append(order, s.Entries[i].Key)
+		for i := range record.Entries {
+			if _, ok := l.live[record.Entries[i].Key]; !ok {
+				order = append(order, record.Entries[i].Key)
 			}
-			l.setLive(seg, &s.Entries[i])
+			l.setLive(seg, &record.Entries[i])
 		}
 	}
 	entries := make([]Entry, 0, len(order))
@@ -121,7 +125,8 @@
 	return l, entries, start, nil
 }
 
-// acquireFence makes this process the one that may write.
+// acquireFence writes the fence key, which makes this process the only one that may write
+// to the log.
 func (l *Log) acquireFence(ctx context.Context, member string) (uint32, error) {
 	for {
 		it, err := l.store.Get(ctx, fenceKey)
@@ -141,34 +146,37 @@
 		}
 		f.Start++
 		v, _ := json.Marshal(f)
-		ok, epoch, _, err := l.store.Txn(ctx, []storage.Cond{cond}, []storage.Write{{Put: fenceKey, Value: v}})
+		ok, revision, _, err := l.store.Txn(ctx, []storage.Cond{cond}, []storage.Write{{Put: fenceKey, Value: v}})
 		if err != nil {
 			return 0, err
 		}
 		if ok {
-			l.fenceRevision = epoch
+			l.fenceRevision = revision
 			return f.Start, nil
 		}
 	}
 }
 
-// segmentRecord is a segment's value. encoding/json writes the entries' bytes as base64.
+// segmentRecord is the stored value of a segment. encoding/json writes the entries' values as
+// base64.
 type segmentRecord struct {
 	Version int     `json:"v"`
 	Entries []Entry `json:"e"`
 }
 
+// segmentKey returns the key of a segment. Numbers have a fixed width, so that keys sort by them.
 func segmentKey(n uint64) string { return fmt.Sprintf("%s%016x", segmentPrefix, n) }
 
-// segmentCapacity is what a value takes of entries: base64, keys, names.
+// segmentCapacity returns how many bytes of encoded entries fit into a segment.
 func (l *Log) segmentCapacity() int { return int(l.limits.ValueKB*1024) - 64 }
 
+// encodedSize returns the size of an entry in a segment's value: base64, key and field names.
 func encodedSize(e *Entry) int { return (len(e.Value)+2)/3*4 + len(e.Key) + 28 }
 
-// Write stores entries in order, as few changes as hold them, and returns when all
-// are durable or the daemon has been replaced. It tries again for as long as the
-// state service does not answer. Without entries it only proves that this process
-// is still the one that may write.
+// Write stores entries in order, in as few changes as possible. It returns nil when all are
+// durable, and ErrReplaced if another process has acquired the fence. While the state service
+// does not answer, Write retries until ctx ends. Without entries it only proves that this
+// process still holds the fence.
 func (l *Log) Write(ctx context.Context, entries []Entry) error {
 	if len(entries) == 0 {
 		for {
@@ -191,7 +199,7 @@
 		}
 		entries = entries[n:]
 	}
-	// What did not fit beside the entries.
+	// Do the compaction that did not fit into the transactions of the entries.
 	for range 8 {
 		before := len(l.keysBySegment)
 		if !l.needsCompaction(0) {
@@ -207,46 +215,47 @@
 	return nil
 }
 
-// maxTxnBytes keeps a transaction below the service's 64 KiB.
+// maxTxnBytes keeps a transaction below the state service's limit of 64 KiB.
 const maxTxnBytes = 48 << 10
 
-// batch is what one transaction will write: new segments, and old ones to be deleted.
+// batch collects the changes of one transaction: new segments, and old ones to delete.
 type batch struct {
 	log          *Log
-	full         [][]Entry // full segments
-	current      []Entry   // the segment being filled
-	currentBytes int       // bytes of current
-	totalBytes   int       // bytes of all
-	keys         map[string]bool
-	deletions    []uint64
+	full         [][]Entry       // full segments
+	current      []Entry         // the segment being filled
+	currentBytes int             // bytes of current
+	totalBytes   int             // bytes of all new segments
+	keys         map[string]bool // keys of the entries in the new segments
+	deletions    []uint64        // segments to delete
 }
 
-// add takes an entry in; false if the transaction has no room for it.
+// add adds an entry to the batch. It returns false if the transaction has no room for it.
 func (b *batch) add(e Entry) bool {
-	s := encodedSize(&e)
-	if b.currentBytes+s > b.log.segmentCapacity() && len(b.current) > 0 {
+	entrySize := encodedSize(&e)
+	if b.currentBytes+entrySize > b.log.segmentCapacity() && len(b.current) > 0 {
 		if len(b.full)+2 > max(1, b.log.limits.TxnOps-2) {
 			return false
 		}
 		b.full = append(b.full, b.current)
 		b.current, b.currentBytes = nil, 0
 	}
-	if b.totalBytes+s > maxTxnBytes && b.totalBytes > 0 {
+	if b.totalBytes+entrySize > maxTxnBytes && b.totalBytes > 0 {
 		return false
 	}
-	b.current, b.currentBytes, b.totalBytes = append(b.current, e), b.currentBytes+s, b.totalBytes+s
+	b.current, b.currentBytes, b.totalBytes = append(b.current, e), b.currentBytes+entrySize, b.totalBytes+entrySize
 	b.keys[e.Key] = true
 	return true
 }
 
-// hasRoom says whether the transaction has room for the current segment and one more deletion.
+// hasRoom reports whether the transaction has room for the current segment and one more
+// deletion.
 func (b *batch) hasRoom() bool { return len(b.full)+1+len(b.deletions)+1 <= b.log.limits.TxnOps }
 
-// maxDeletedSegments is how many segments one transaction deletes at the most.
+// maxDeletedSegments limits how many segments one transaction deletes.
 const maxDeletedSegments = 4
 
-// compact moves the live entries of the oldest segments into the transaction, and deletes
-// those segments, while there are too many.
+// compact adds the live entries of the oldest segments to the batch, and the deletion of these
+// segments, while the log has too many.
 func (b *batch) compact() {
 	l := b.log
 	for victim := l.oldestSegment; l.needsCompaction(len(b.deletions)) && len(b.deletions) < maxDeletedSegments && victim < l.nextSegment; victim++ {
@@ -256,25 +265,28 @@
 	}
 }
 
-// moveLiveEntries takes in the live entries of a segment, to be deleted; false if they do not fit.
+// moveLiveEntries adds the live entries of a segment to the batch, and the segment's deletion.
+// It returns false, and does not delete the segment, if they do not all fit.
 func (b *batch) moveLiveEntries(victim uint64) bool {
 	before := *b
-	fits := b.hasRoom()
+	hasRoom := b.hasRoom()
 	var moved []string
 	for _, k := range b.log.keysBySegment[victim] {
-		v := b.log.live[k]
-		if !fits || v.segment != victim || b.keys[k] {
+		entry := b.log.live[k]
+		if !hasRoom || entry.segment != victim || b.keys[k] {
 			continue
 		}
-		if fits = b.add(Entry{Key: k, Value: v.value}); fits {
+		if hasRoom = b.add(Entry{Key: k, Value: entry.value}); hasRoom {
 			moved = append(moved, k)
 		}
 	}
-	if fits && b.hasRoom() {
+	if hasRoom && b.hasRoom() {
 		b.deletions = append(b.deletions, victim)
 		return true
 	}
-	if len(b.full) == len(before.full) { // what was added of it does no harm; it stays
+	// Undo the additions, unless a segment was completed with them. Then they stay: a second
+	// copy of a live entry does no harm.
+	if len(b.full) == len(before.full) {
 		b.current, b.currentBytes, b.totalBytes = before.current, before.currentBytes, before.totalBytes
 		for _, k := range moved {
 			delete(b.keys, k)
@@ -283,7 +295,7 @@
 	return false
 }
 
-// segments are the new segments' entries.
+// segments returns the entries of each new segment.
 func (b *batch) segments() [][]Entry {
 	if len(b.current) == 0 {
 		return b.full
@@ -291,8 +303,8 @@
 	return append(b.full, b.current)
 }
 
-// writeBatch makes one transaction of as many entries as fit, and of the oldest
-// segments' live entries while there are too many segments.
+// writeBatch writes as many of the entries as fit into one transaction, and compacts the log
+// with it if there is room for all of them. It returns how many entries it has written.
 func (l *Log) writeBatch(ctx context.Context, entries []Entry) (int, error) {
 	b := &batch{log: l, keys: map[string]bool{}}
 	n := 0
@@ -313,8 +325,8 @@
 	return n, nil
 }
 
-// commitBatch stores new segments and deletes old ones.
-func (l *Log) commitBatch(ctx context.Context, segs [][]Entry, drop []uint64) error {
+// commitBatch stores the new segments and deletes old ones in one transaction.
+func (l *Log) commitBatch(ctx context.Context, segs [][]Entry, deletions []uint64) error {
 	conds := []storage.Cond{{Key: fenceKey, Revision: l.fenceRevision}}
 	var writes []storage.Write
 	for i, s := range segs {
@@ -326,14 +338,15 @@
 		conds = append(conds, storage.Cond{Key: key})
 		writes = append(writes, storage.Write{Put: key, Value: v})
 	}
-	for _, d := range drop {
-		writes = append(writes, storage.Write{Delete: segmentKey(d)})
+	for _, deleted := range deletions {
+		writes = append(writes, storage.Write{Delete: segmentKey(deleted)})
 	}
 	return l.commit(ctx, conds, writes)
 }
 
-// applyWritten takes in what was stored and deleted.
-func (l *Log) applyWritten(segs [][]Entry, drop []uint64) {
+// applyWritten updates the index of the log after new segments were stored and old ones
+// deleted.
+func (l *Log) applyWritten(segs [][]Entry, deletions []uint64) {
 	for i, s := range segs {
 		seg := l.nextSegment + uint64(i)
 		l.keysBySegment[seg] = nil
@@ -341,8 +354,8 @@
 			l.setLive(seg, &s[i])
 		}
 	}
-	for _, d := range drop {
-		delete(l.keysBySegment, d)
+	for _, deleted := range deletions {
+		delete(l.keysBySegment, deleted)
 	}
 	l.nextSegment += uint64(len(segs))
 	for l.oldestSegment < l.nextSegment {
@@ -353,23 +366,24 @@
 	}
 }
 
-// needsCompaction says whether there are more segments than twice what the live entries
-// need, if as many as dropped are deleted.
-func (l *Log) needsCompaction(dropped int) bool {
-	return len(l.keysBySegment)-dropped > max(l.limits.CompactAfter, 2*(l.liveBytes/l.segmentCapacity()+1))
+// needsCompaction reports whether the log, after the deletion of some segments, has more than
+// CompactAfter segments and more than twice as many as the live entries need.
+func (l *Log) needsCompaction(deleted int) bool {
+	return len(l.keysBySegment)-deleted > max(l.limits.CompactAfter, 2*(l.liveBytes/l.segmentCapacity()+1))
 }
 
-// setLive notes an entry of a segment as the live one.
+// setLive records an entry of a segment as the live one of its key.
 func (l *Log) setLive(seg uint64, e *Entry) {
 	if old, ok := l.live[e.Key]; ok {
 		l.liveBytes -= encodedSize(&Entry{Key: e.Key, Value: old.value})
 	}
 	l.liveBytes += encodedSize(e)
-	l.live[e.Key] = liveEntry{seg, e.Value}
+	l.live[e.Key] = live{seg, e.Value}
 	l.keysBySegment[seg] = append(l.keysBySegment[seg], e.Key)
 }
 
-// commit makes one transaction certain: done, or this process replaced.
+// commit retries one transaction until its outcome is certain: either it was applied, or this
+// process has been replaced.
 func (l *Log) commit(ctx context.Context, conds []storage.Cond, writes []storage.Write) error {
 	if err := l.limiter.WaitN(ctx, min(len(writes), l.limiter.Burst())); err != nil {
 		return err
@@ -378,7 +392,7 @@
 		ok, _, failed, err := l.store.Txn(ctx, conds, writes)
 		switch {
 		case err == nil && ok:
-			l.changes += int64(len(writes))
+			l.changesMade += int64(len(writes))
 			return nil
 		case err == nil:
 			for _, k := range failed {
@@ -386,15 +400,15 @@
 					return ErrReplaced
 				}
 			}
-			// The segment is there: an earlier attempt was executed after all, or
-			// somebody else wrote it.
+			// The segment exists already: an earlier attempt was executed without an
+			// answer, or another process wrote it.
 			if writes[0].Put == "" {
-				return nil // only deletions, and they have no conditions but the fence
+				return nil // only deletions, which are conditional on the fence alone
 			}
 			it, err := l.store.Get(ctx, writes[0].Put)
 			if err == nil && it.Value != nil {
 				if sameJSON(it.Value, writes[0].Value) {
-					l.changes += int64(len(writes))
+					l.changesMade += int64(len(writes))
 					return nil
 				}
 				return fmt.Errorf("gateway log: %s was written by somebody else", writes[0].Put)
@@ -412,11 +426,13 @@
 	}
 }
 
+// sameJSON reports whether two JSON texts differ only in white space.
 func sameJSON(a, b []byte) bool {
 	var x, y bytes.Buffer
 	return json.Compact(&x, a) == nil && json.Compact(&y, b) == nil && bytes.Equal(x.Bytes(), y.Bytes())
 }
 
+// waitToRetry waits for the pause between two attempts.
 func waitToRetry(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
@@ -426,7 +442,8 @@
 	}
 }
 
-// Stats tells how large the log is: segments, live entries, changes made.
+// Stats returns the number of segments and of live entries, and how many changes of the state
+// service the log has made.
 func (l *Log) Stats() (segs, entries int, changes int64) {
-	return len(l.keysBySegment), len(l.live), l.changes
+	return len(l.keysBySegment), len(l.live), l.changesMade
 }
--- a/internal/storage/segments/segments_test.go
+++ b/internal/storage/segments/segments_test.go
@@ -16,11 +16,12 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-// unreliableState is a state service that refuses, and executes without answering.
+// unreliableState is a state service that refuses some transactions and executes some without
+// answering. It checks the limits of each.
 type unreliableState struct {
 	*standin.State
 	rng           *rand.Rand
-	maxValueBytes int // bytes of a value
+	maxValueBytes int // limit of a value
 	t             testing.TB
 }
 
@@ -49,10 +50,10 @@
 
 var testLimits = Limits{ValueKB: 8, TxnOps: 12, ChangesPerS: 1000}
 
-// TestLogKeepsTheLatest draws writes, reopenings and a service in trouble: what is
-// read is the latest of each key, transactions keep their limits, and the log stays
-// bounded by what is alive.
-func TestLogKeepsTheLatest(t *testing.T) {
+// TestLogKeepsLatestValues draws writes and reopenings with an unreliable state service. Each
+// opening reads the latest value of each key, transactions keep within their limits, and the
+// number of segments is bounded by the number of live entries.
+func TestLogKeepsLatestValues(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
 		synctest.Test(t, func(t *testing.T) {
@@ -97,8 +98,9 @@
 	})
 }
 
-// TestReplacedDaemonWritesNothing: a daemon that stood still finds that another has
-// taken over, on a write as on a proof that it may answer.
+// TestReplacedDaemonWritesNothing guards against a daemon that goes on after a stall though
+// another one has acquired the fence. Both a write and a proof that it still holds the fence
+// fail.
 func TestReplacedDaemonWritesNothing(t *testing.T) {
 	ctx := t.Context()
 	s := standin.NewState()
@@ -126,15 +128,16 @@
 	}
 }
 
-// TestGrowth: 20,000 small final records take a bounded number of segments.
-func TestGrowth(t *testing.T) {
+// TestLogSizeIsBounded writes three values for each of 2,000 jobs, the last of them small. The
+// number of segments is bounded by what the last values need.
+func TestLogSizeIsBounded(t *testing.T) {
 	ctx := t.Context()
 	l, _, _, err := Open(ctx, standin.NewState(), "quito", Limits{ValueKB: 8, TxnOps: 12, ChangesPerS: 1e6}, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range 2000 {
-		for _, n := range []int{600, 600, 120} { // promise, record, end
+		for _, n := range []int{600, 600, 120} { // bytes of a job's successive values: promise, record, end
 			if err := l.Write(ctx, []Entry{{Key: fmt.Sprintf("job-%d", i), Value: make([]byte, n)}}); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -19,8 +19,8 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// Whatever is packed together fits the limits, keeps the order, and never holds
-// two ops where one decides on what the other writes.
+// Each batch keeps within the limits of a transaction and the order of the queue. It has no op
+// with a condition on a key that an earlier op of the batch writes.
 func TestPack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		txnOps := rapid.IntRange(4, 32).Draw(t, "ops")
@@ -49,7 +49,7 @@
 						t.Fatalf("%s is written by an earlier op of the same transaction", c.Key)
 					}
 					if st, ok := conds[c.Key]; ok && st != c.Revision {
-						t.Fatalf("two stamps for %s", c.Key)
+						t.Fatalf("two revisions for %s", c.Key)
 					}
 					conds[c.Key] = c.Revision
 				}
@@ -67,7 +67,7 @@
 	})
 }
 
-// scriptedService answers transactions as told.
+// scriptedService answers transactions with the given answers, in order.
 type scriptedService struct {
 	Service
 	answers []func(conds []Cond, writes []Write) (bool, uint64, []string, error)
@@ -81,9 +81,9 @@
 	return f(conds, writes)
 }
 
-// One op whose condition fails does not take the others of its transaction
-// with it; an op that nobody waits for is tried again when no answer comes.
-func TestCommitterKeepsInnocentOps(t *testing.T) {
+// If the condition of one op fails, the other ops of its transaction are retried. Without an
+// answer an op is retried too, unless it has NoRetry.
+func TestCommitterRetriesOpsWithoutFailedCondition(t *testing.T) {
 	s := &scriptedService{answers: []func([]Cond, []Write) (bool, uint64, []string, error){
 		func([]Cond, []Write) (bool, uint64, []string, error) { return false, 9, []string{"bad"}, nil },
 		func([]Cond, []Write) (bool, uint64, []string, error) { return true, 10, nil, nil },
@@ -93,24 +93,24 @@
 	op := func(key string) *Op {
 		return &Op{Conds: []Cond{{key, 1}}, Writes: []Write{{Put: key, Value: json.RawMessage("1")}}, Done: func(r Result) { got[key] = r }}
 	}
-	again := c.commit(t.Context(), []*Op{op("good"), op("bad")})
-	if len(again) != 1 || got["bad"].OK || len(got["bad"].Failed) != 1 {
-		t.Fatalf("again %d, results %+v", len(again), got)
+	retry := c.commit(t.Context(), []*Op{op("good"), op("bad")})
+	if len(retry) != 1 || got["bad"].OK || len(got["bad"].Failed) != 1 {
+		t.Fatalf("again %d, results %+v", len(retry), got)
 	}
-	if again = c.commit(t.Context(), again); len(again) != 0 || !got["good"].OK || got["good"].Revision != 10 {
-		t.Fatalf("again %d, results %+v", len(again), got)
+	if retry = c.commit(t.Context(), retry); len(retry) != 0 || !got["good"].OK || got["good"].Revision != 10 {
+		t.Fatalf("again %d, results %+v", len(retry), got)
 	}
-	once := op("once")
-	once.NoRetry = true
+	noRetry := op("once")
+	noRetry.NoRetry = true
 	s.answers = append(s.answers, func([]Cond, []Write) (bool, uint64, []string, error) { return false, 0, nil, ErrUnknown })
-	if again = c.commit(t.Context(), []*Op{once, op("patient")}); len(again) != 1 || got["once"].Err == nil {
-		t.Fatalf("again %d, results %+v", len(again), got)
+	if retry = c.commit(t.Context(), []*Op{noRetry, op("patient")}); len(retry) != 1 || got["once"].Err == nil {
+		t.Fatalf("again %d, results %+v", len(retry), got)
 	}
 }
 
-// A malformed answer counts as no answer: above all it is never taken for
+// A malformed answer is treated like a missing one. In particular it is not taken for
 // "no such key".
-func TestMalformedAnswersAreNoAnswers(t *testing.T) {
+func TestMalformedAnswerIsUnknownOutcome(t *testing.T) {
 	var status int
 	var body string
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -145,7 +145,7 @@
 	}
 }
 
-// slowStore answers after a while, whatever is asked.
+// slowStore answers every transaction with success after a delay.
 type slowStore struct {
 	Service
 	delay    time.Duration
@@ -157,13 +157,13 @@
 	return true, uint64(s.revision.Add(1)), nil, nil
 }
 
-// With a slow state service users do not wait for one another's transactions; the books,
-// whose order matters, go one after the other.
-func TestUsersAreStoredSideBySide(t *testing.T) {
-	for level, want := range map[Priority]time.Duration{UserPriority: 150 * time.Millisecond, BackgroundPriority: 600 * time.Millisecond} {
+// With a slow state service user changes do not wait for one another's transactions.
+// Background changes, whose order matters, are committed one after the other.
+func TestUserTransactionsRunInParallel(t *testing.T) {
+	for priority, want := range map[Priority]time.Duration{UserPriority: 150 * time.Millisecond, BackgroundPriority: 600 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
-			c := NewCommitter(&slowStore{delay: 150 * time.Millisecond}, 12, NewRateLimiter(protocol.StateSettings{WriteRPS: 300, TxnOps: 12}, 1), level)
+			c := NewCommitter(&slowStore{delay: 150 * time.Millisecond}, 12, NewRateLimiter(protocol.StateSettings{WriteRPS: 300, TxnOps: 12}, 1), priority)
 			done := make(chan struct{})
 			go func() { defer close(done); c.Run(ctx) }()
 			var all sync.WaitGroup
@@ -171,11 +171,11 @@
 			for i := range 4 {
 				all.Add(1)
 				c.Submit(&Op{Writes: []Write{{Put: fmt.Sprint("k", i), Value: json.RawMessage("1")}}, Done: func(Result) { all.Done() }})
-				synctest.Wait() // the one before is under way
+				synctest.Wait() // the one before is in flight
 			}
 			all.Wait()
-			if took := time.Since(start); took > want+20*time.Millisecond || level == BackgroundPriority && took < 300*time.Millisecond {
-				t.Errorf("level %d: four changes took %v, want %v", level, took, want)
+			if took := time.Since(start); took > want+20*time.Millisecond || priority == BackgroundPriority && took < 300*time.Millisecond {
+				t.Errorf("level %d: four changes took %v, want %v", priority, took, want)
 			}
 			cancel()
 			<-done
--- a/internal/storage/workers.go
+++ b/internal/storage/workers.go
@@ -10,37 +10,38 @@
 	"dapplestage.example/dapplestage/internal/transport"
 )
 
-// Workers calls workers directly.
+// Workers is the client for direct calls to workers.
 type Workers struct{ client *transport.Client }
 
-// NewWorkers makes the client.
+// NewWorkers makes the client. Its calls are not rate-limited.
 func NewWorkers() *Workers { return &Workers{transport.NewClient("", 0)} }
 
-// Command sends orders; executed is false if the worker refused them.
-func (w *Workers) Command(ctx context.Context, addr string, o protocol.Orders) (r *protocol.Report, executed bool, err error) {
-	data, err := json.Marshal(o)
+// Command sends orders to a worker and returns its report. executed is false if the worker
+// refused the orders.
+func (w *Workers) Command(ctx context.Context, addr string, orders protocol.Orders) (report *protocol.Report, executed bool, err error) {
+	data, err := json.Marshal(orders)
 	if err != nil {
 		return nil, false, err
 	}
-	a, err := w.client.Call(ctx, 2*time.Second, "POST", "http://"+addr+"/commands", data)
+	answer, err := w.client.Call(ctx, 2*time.Second, "POST", "http://"+addr+"/commands", data)
 	if err != nil {
 		return nil, false, err
 	}
-	if a.Status != 200 && a.Status != 409 {
-		return nil, false, fmt.Errorf("worker: status %d", a.Status)
+	if answer.Status != 200 && answer.Status != 409 {
+		return nil, false, fmt.Errorf("worker: status %d", answer.Status)
 	}
-	r, err = protocol.ParseReport(a.Body)
-	return r, a.Status == 200, err
+	report, err = protocol.ParseReport(answer.Body)
+	return report, answer.Status == 200, err
 }
 
-// Inspect asks a worker for its report.
+// Inspect reads a worker's report.
 func (w *Workers) Inspect(ctx context.Context, addr string) (*protocol.Report, error) {
-	a, err := w.client.Call(ctx, 2*time.Second, "GET", "http://"+addr+"/inspect", nil)
+	answer, err := w.client.Call(ctx, 2*time.Second, "GET", "http://"+addr+"/inspect", nil)
 	if err != nil {
 		return nil, err
 	}
-	if a.Status != 200 {
-		return nil, fmt.Errorf("worker: status %d", a.Status)
+	if answer.Status != 200 {
+		return nil, fmt.Errorf("worker: status %d", answer.Status)
 	}
-	return protocol.ParseReport(a.Body)
+	return protocol.ParseReport(answer.Body)
 }
