--- a/internal/storage/journal/journal.go
+++ b/internal/storage/journal/journal.go
@@ -1,5 +1,5 @@
-// Package journal stores a gateway's registers on disk, in a bbolt file. It has one value
-// per job, the latest state only, so that the file grows with the number of jobs and not with
+// Package journal stores a gateway's registers, its durable state for each job, on disk in a
+// bbolt file. It has one value per job, the latest state only, so that the file grows with the number of jobs and not with
 // the number of their changes. Every Write is one transaction for all of its entries (group
 // commit), and returns when they are durable.
 //
@@ -27,7 +27,7 @@
 )
 
 // ErrDamaged means that the file does not contain what was written. A member must not run
-// without promises that it has made to others, so it does not start with a damaged journal.
+// without the promises that it has made to other members, so it does not start with a damaged journal.
 var ErrDamaged = errors.New("journal damaged")
 
 // layoutVersion is the version of the file's layout. Files with another one are rejected.
@@ -155,9 +155,9 @@
 		return err // empty: the process ended before it wrote the first page
 	}
 	const (
-		pageHeader = 16
-		metaSize   = 64
-		sumAt      = 56 // after magic, version, page size, flags, root, free list, pages, transaction
+		pageHeader     = 16
+		metaSize       = 64
+		checksumOffset = 56 // after magic, version, page size, flags, root, free list, pages, transaction
 	)
 	page := make([]byte, pageHeader+metaSize)
 	pageSize, latestTxn, pageCount := int64(0), uint64(0), int64(0)
@@ -170,8 +170,8 @@
 			pageSize = int64(binary.NativeEndian.Uint32(meta[8:]))
 		}
 		hash := fnv.New64a()
-		hash.Write(meta[:sumAt])
-		if hash.Sum64() != binary.NativeEndian.Uint64(meta[sumAt:]) || pageSize < 1024 || pageSize > 1<<20 {
+		hash.Write(meta[:checksumOffset])
+		if hash.Sum64() != binary.NativeEndian.Uint64(meta[checksumOffset:]) || pageSize < 1024 || pageSize > 1<<20 {
 			return fmt.Errorf("%w: %s: meta page %d", ErrDamaged, path, i)
 		}
 		if txn := binary.NativeEndian.Uint64(meta[48:]); txn >= latestTxn {
--- a/internal/storage/state.go
+++ b/internal/storage/state.go
@@ -69,15 +69,16 @@
 	Value []byte
 }
 
-// Service is the interface of the state service; Store implements it.
+// Service is the interface of the state service. Its methods are documented at Store, which
+// implements it.
 type Service interface {
 	Get(ctx context.Context, key string) (Item, error)
 	List(ctx context.Context, prefix string) ([]Item, uint64, error)
-	Txn(ctx context.Context, conds []Cond, writes []Write) (ok bool, epoch uint64, failed []string, err error)
-	Grant(ctx context.Context, life time.Duration) (uint64, error)
+	Txn(ctx context.Context, conds []Cond, writes []Write) (ok bool, revision uint64, failed []string, err error)
+	Grant(ctx context.Context, ttl time.Duration) (uint64, error)
 	Renew(ctx context.Context, lease uint64) error
 	Release(ctx context.Context, lease uint64) error
-	Watch(ctx context.Context, prefix string, since uint64, hold time.Duration) ([]Item, uint64, error)
+	Watch(ctx context.Context, prefix string, since uint64, timeout time.Duration) ([]Item, uint64, error)
 }
 
 // Store is the client of the state service. It keeps to this node's part of the service's
--- a/internal/transport/front_test.go
+++ b/internal/transport/front_test.go
@@ -55,7 +55,7 @@
 	return n == 0 && err != nil && !(isNet && netErr.Timeout())
 }
 
-// eventually waits until a condition holds.
+// eventually waits until a condition holds, and fails with a text if it does not.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
--- a/internal/transport/rpc/rpc.go
+++ b/internal/transport/rpc/rpc.go
@@ -151,7 +151,7 @@
 
 // Run keeps a stream to the member at addr until ctx ends, and sends the queued messages on it.
 func (p *Peer) Run(ctx context.Context, addr string, keyring *keys.Keyring, log *slog.Logger) error {
-	var lastError string
+	var lastError string // the last refusal that was logged; the same one is not logged again
 	onRefusal := func(err error) {
 		if lastError != err.Error() {
 			lastError = err.Error()
