--- a/internal/coordination/node/node.go
+++ b/internal/coordination/node/node.go
@@ -122,23 +122,23 @@
 	endedJobs          []EndedJob // jobs that ended recently
 
 	statusReads   statusread.Queue[*statusRead] // users.go: status reads that wait for a read barrier
-	changeDemand  changeDemand                  // shares.go: the rate of changes that this node needs
+	changeDemand  changeDemand                  // partitions.go: the rate of changes that this node needs
 	planningFacts planningFacts                 // facts.go: the input of decisions
 	cloudState    cloudState                    // machines.go: requests to the cloud, and machines without a record
-	reachability  reachability                  // sight.go, peers.go: whether workers and zones can be reached
+	reachability  reachability                  // reachability.go, peers.go: whether workers and zones can be reached
 	account       account                       // account.go: history of ended jobs
 	cacheHints    cacheHints                    // peers.go: image caches that the next hints report
-	loadControl   loadControl                   // square.go: orders limited by a budget, and this node's load
+	loadControl   loadControl                   // reconcile.go: orders limited by a budget, and this node's load
 	standby       standbyState                  // standby.go: which nodes are standbys of which partitions
 	corruptKeys   map[string]uint64             // corrupt.go: keys whose stored value can't be decoded, with its revision
 	cancelling    map[*job]bool                 // cancels.go: jobs that are being cancelled
 	cancelWaiters []cancelWaiter                // cancels.go: users who wait until the job that they cancelled has ended
-	changeCounts  changeCounts                  // spending.go: number of changes by purpose
+	changeCounts  changeCounts                  // changecounts.go: number of changes by purpose
 	adoption      *duty.Adoption                // adopt.go: adoption of machines without a record
 	rentalFence   protocol.RentalFenceRecord    // fence under which rentals are recorded
 	freshCluster  bool                          // the state service held no partition owner when this node first read it
 	packed        packedState                   // packed.go: entries that store many jobs in one change
-	incarnations  incarnations                  // lives.go: this and other processes that use this node's name
+	incarnations  incarnations                  // incarnations.go: this and other processes that use this node's name
 }
 
 // catalog is the catalogue of machine types, from its two sources.
@@ -224,7 +224,7 @@
 	nextRent           time.Time             // when to decide on rentals again
 	window             *decide.Window
 	recentArrivals     []arrival             // arrivals seen by this node, also while it was not the owner
-	reconciliation     *start.Reconciliation // while owned: which machines have reported under the current token; see square.go
+	reconciliation     *start.Reconciliation // while owned: which machines have reported under the current token; see reconcile.go
 	previousOwner      string                // node that owned it before
 	takeover           takeover              // while owned: how this node became the owner; see standby.go
 	newJobs            []*job                // jobs that the window has not counted yet
--- a/internal/coordination/node/sim_test.go
+++ b/internal/coordination/node/sim_test.go
@@ -49,7 +49,7 @@
 	frozenUntil        map[string]time.Time // until when a node is stalled
 	refusePeerConns    bool                 // connections between controllers are refused
 
-	// Faults of the scenarios; see meetings_test.go.
+	// Faults of the scenarios; see fault_scenarios_test.go.
 	delayedTxnRate       float64              // fraction of transactions that are not answered and are executed 2 to 12 s later
 	duplicateReportRate  float64              // fraction of reports of which a copy arrives again, 2 s to two leases later
 	delayedCommandRate   float64              // fraction of direct commands that are delayed by 2 to 12 s
@@ -66,7 +66,7 @@
 	kept                 []protocol.Report    // the kept copies
 	heldReportRate       float64              // fraction of reports that are held back until releaseReports
 	releaseOnOwnerChange bool                 // kept reports arrive when a partition's owner changes, or soon after
-	isolatedZone         string               // the zone that is cut off from everything outside; see zone_cut_test.go
+	isolatedZone         string               // the zone that is cut off from everything outside; see zone_outage_test.go
 	users                []*user              // of the running workload
 	userOf               map[string]*user     // users by the IDs of their jobs
 	answers              *answerChecker       // checks all answers to users
