--- a/internal/protocol/mistakes.go
+++ b/internal/protocol/mistakes.go
@@ -6,34 +6,34 @@
 	"net/netip"
 )
 
-// SettingErrors collects what is wrong with a settings file: one error for each field.
+// SettingErrors collects the errors of a settings file, one for each invalid field.
 type SettingErrors struct{ errs []error }
 
-// Add notes a mistake. The text begins with the field.
-func (m *SettingErrors) Add(format string, args ...any) {
-	m.errs = append(m.errs, fmt.Errorf(format, args...))
+// Add adds an error. Its text begins with the name of the field.
+func (e *SettingErrors) Add(format string, args ...any) {
+	e.errs = append(e.errs, fmt.Errorf(format, args...))
 }
 
-// CheckAddress notes a field that is not an IP address and port.
-func (m *SettingErrors) CheckAddress(field, value string) {
+// CheckAddress adds an error if the value is not an IP address and port.
+func (e *SettingErrors) CheckAddress(field, value string) {
 	if _, err := netip.ParseAddrPort(value); err != nil {
-		m.Add("%s: not an address and port: %q", field, value)
+		e.Add("%s: not an address and port: %q", field, value)
 	}
 }
 
-// CheckRange notes a field that is out of its bounds.
-func (m *SettingErrors) CheckRange(field string, value, least, most float64) {
-	if !(value >= least && value <= most) {
-		m.Add("%s: %g is not within %g to %g", field, value, least, most)
+// CheckRange adds an error if the value is not within lower and upper, both included.
+func (e *SettingErrors) CheckRange(field string, value, lower, upper float64) {
+	if !(value >= lower && value <= upper) {
+		e.Add("%s: %g is not within %g to %g", field, value, lower, upper)
 	}
 }
 
-// CheckPositive notes a field that is not above 0.
-func (m *SettingErrors) CheckPositive(field string, value float64) {
+// CheckPositive adds an error if the value is not above 0.
+func (e *SettingErrors) CheckPositive(field string, value float64) {
 	if !(value > 0) {
-		m.Add("%s: must be above 0", field)
+		e.Add("%s: must be above 0", field)
 	}
 }
 
-// Err joins all mistakes, one a line; nil if there are none.
-func (m *SettingErrors) Err() error { return errors.Join(m.errs...) }
+// Err returns all errors joined, one per line, or nil if there are none.
+func (e *SettingErrors) Err() error { return errors.Join(e.errs...) }
--- a/internal/protocol/peer.go
+++ b/internal/protocol/peer.go
@@ -13,64 +13,67 @@
 	"dapplestage.example/dapplestage/internal/protocol/peerfb"
 )
 
-// Hint is what a controller tells its siblings about itself, and of what some
-// of its machines hold.
+// Hint is the message that a controller sends to its peers periodically: its own state,
+// and facts about some of its machines, rental offers and jobs.
 type Hint struct {
 	Node               string
 	StateOK            bool
-	WorkersUnreachable bool    // it hears no worker
-	ChangeRate         float32 // changes a second that it would make
+	WorkersUnreachable bool    // no worker reaches the node or answers it
+	ChangeRate         float32 // state service changes per second that the node would make
 	Revision           uint64
 	Caches             []ImageCache
-	Incarnation        uint64 // its lease: no other life has it
-	Seq                uint64 // of this hint in that life
+	Incarnation        uint64 // the node's lease, which is unique to this run of its process
+	Seq                uint64 // sequence number of this hint within the incarnation
 	Machines           []MachineHint
 	RefusedOffers      []RefusedOffer
 	// CancelledJobs are some of the jobs that are being cancelled.
 	CancelledJobs []CancelledJob
 }
 
-// CancelledJob is a job that is being cancelled, and the revision of the record that says so.
+// CancelledJob is a job that is being cancelled, and the revision of the job record that
+// requests it.
 type CancelledJob struct {
 	Job      string
 	Revision uint64
 }
 
-// MachineHint is what a holder has learned of a machine and the state service does not know.
+// MachineHint holds facts about a machine that its partition's owner knows and that are
+// not stored in the state service.
 type MachineHint struct {
 	Machine  string
-	SecPerGB float64 // 0: nothing
-	AgeS     float64 // since its last report was answered
+	SecPerGB float64 // measured image fetch time; 0: not known
+	AgeS     float64 // seconds since the owner last answered a report of the machine
 }
 
-// RefusedOffer is a kind of machine that the cloud refuses at present.
+// RefusedOffer is an offer (type, zone and spot) that the cloud refused lately. It is not
+// requested again for ForS seconds.
 type RefusedOffer struct {
 	Type, Zone string
 	Spot       bool
 	ForS       float64
 }
 
-// ImageCache is what a machine's image cache is thought to hold, the most recently
+// ImageCache is the expected content of a machine's image cache, with the most recently
 // used image last.
 type ImageCache struct {
 	Machine string
 	Images  []CachedImage
 }
 
-// CachedImage is an image in a cache.
+// CachedImage is an image in a machine's cache.
 type CachedImage struct {
 	Name string
 	GB   float64
 }
 
-// Encode writes a hint as FlatBuffers.
+// Encode encodes a hint with FlatBuffers.
 func (h Hint) Encode() []byte {
 	b := flatbuffers.NewBuilder(64)
 	node := b.CreateString(h.Node)
 	images, caches := encodeCaches(b, h.Caches)
-	known := encodeKnown(b, h.Machines)
-	refused := encodeRefused(b, h.RefusedOffers)
-	cancelled := encodeCancelled(b, h.CancelledJobs)
+	known := encodeMachineHints(b, h.Machines)
+	refused := encodeRefusedOffers(b, h.RefusedOffers)
+	cancelled := encodeCancelledJobs(b, h.CancelledJobs)
 	peerfb.HintStart(b)
 	peerfb.HintAddImages(b, images)
 	peerfb.HintAddCaches(b, caches)
@@ -88,7 +91,7 @@
 	return b.FinishedBytes()
 }
 
-// encodeCaches writes each image once, and for each machine which of them it holds.
+// encodeCaches writes each image once, and for each machine the indices of its images.
 func encodeCaches(b *flatbuffers.Builder, all []ImageCache) (images, caches flatbuffers.UOffsetT) {
 	index := map[CachedImage]uint16{}
 	var imageOffsets, cacheOffsets []flatbuffers.UOffsetT
@@ -126,7 +129,7 @@
 	return peerfb.CacheEnd(b)
 }
 
-func encodeKnown(b *flatbuffers.Builder, all []MachineHint) flatbuffers.UOffsetT {
+func encodeMachineHints(b *flatbuffers.Builder, all []MachineHint) flatbuffers.UOffsetT {
 	var offsets []flatbuffers.UOffsetT
 	for _, k := range all {
 		name := b.CreateString(k.Machine)
@@ -139,7 +142,7 @@
 	return b.CreateVectorOfTables(offsets)
 }
 
-func encodeRefused(b *flatbuffers.Builder, all []RefusedOffer) flatbuffers.UOffsetT {
+func encodeRefusedOffers(b *flatbuffers.Builder, all []RefusedOffer) flatbuffers.UOffsetT {
 	var offsets []flatbuffers.UOffsetT
 	for _, r := range all {
 		typ, zone := b.CreateString(r.Type), b.CreateString(r.Zone)
@@ -153,7 +156,7 @@
 	return b.CreateVectorOfTables(offsets)
 }
 
-func encodeCancelled(b *flatbuffers.Builder, all []CancelledJob) flatbuffers.UOffsetT {
+func encodeCancelledJobs(b *flatbuffers.Builder, all []CancelledJob) flatbuffers.UOffsetT {
 	var offsets []flatbuffers.UOffsetT
 	for _, c := range all {
 		job := b.CreateString(c.Job)
@@ -165,66 +168,68 @@
 	return b.CreateVectorOfTables(offsets)
 }
 
-// minMessage is the length of the shortest message: its root and a file identifier.
-const minMessage = 8
+// minMessageBytes is the length of the shortest message: a root offset and a file identifier.
+const minMessageBytes = 8
 
-// decode reads a message. FlatBuffers are not checked by their reader, so that a malformed
-// one may make it panic: that is caught here. what names the message in the error.
-func decode[T any](what string, data []byte, read func(data []byte) (T, error)) (message T, err error) {
+// decodeMessage reads a message with read and returns an error if it is malformed. The
+// FlatBuffers accessors do not validate their input and may panic on malformed data; the
+// panic is recovered here. what names the message in the error.
+func decodeMessage[T any](what string, data []byte, read func(data []byte) (T, error)) (message T, err error) {
 	defer func() {
 		if recover() != nil {
 			var none T
 			message, err = none, fmt.Errorf("malformed %s", what)
 		}
 	}()
-	if len(data) < minMessage {
+	if len(data) < minMessageBytes {
 		return message, fmt.Errorf("malformed %s", what)
 	}
 	return read(data)
 }
 
-// DecodeHint reads a hint; a malformed one is an error.
-func DecodeHint(data []byte) (Hint, error) { return decode("hint", data, readHint) }
+// DecodeHint decodes a hint. It returns an error if the hint is malformed.
+func DecodeHint(data []byte) (Hint, error) { return decodeMessage("hint", data, readHint) }
 
 func readHint(data []byte) (Hint, error) {
-	f := peerfb.GetRootAsHint(data, 0)
-	h := Hint{Node: string(f.Node()), StateOK: f.StateOk(), WorkersUnreachable: f.Blind(), ChangeRate: f.Changes(), Revision: f.Revision(), Incarnation: f.Life(), Seq: f.Seq()}
+	msg := peerfb.GetRootAsHint(data, 0)
+	h := Hint{Node: string(msg.Node()), StateOK: msg.StateOk(), WorkersUnreachable: msg.Blind(), ChangeRate: msg.Changes(), Revision: msg.Revision(), Incarnation: msg.Life(), Seq: msg.Seq()}
 	if h.Node == "" {
 		return Hint{}, errors.New("hint without a node")
 	}
-	// A vector can't have more elements than the message has bytes, whatever it says.
-	most := len(data)
-	h.Caches = readCaches(f, most)
+	// A malformed message may claim any vector length; a vector can't have more elements
+	// than the message has bytes.
+	maxElements := len(data)
+	h.Caches = readCaches(msg, maxElements)
 	var k peerfb.Known
-	for i := range min(f.KnownLength(), most) {
-		f.Known(&k, i)
+	for i := range min(msg.KnownLength(), maxElements) {
+		msg.Known(&k, i)
 		h.Machines = append(h.Machines, MachineHint{string(k.Machine()), float64(k.SecPerGb()), float64(k.AgeS())})
 	}
 	var r peerfb.Refused
-	for i := range min(f.RefusedLength(), most) {
-		f.Refused(&r, i)
+	for i := range min(msg.RefusedLength(), maxElements) {
+		msg.Refused(&r, i)
 		h.RefusedOffers = append(h.RefusedOffers, RefusedOffer{string(r.Type()), string(r.Zone()), r.Spot(), float64(r.ForS())})
 	}
 	var c peerfb.Cancelled
-	for i := range min(f.CancelledLength(), most) {
-		f.Cancelled(&c, i)
+	for i := range min(msg.CancelledLength(), maxElements) {
+		msg.Cancelled(&c, i)
 		h.CancelledJobs = append(h.CancelledJobs, CancelledJob{string(c.Job()), c.Revision()})
 	}
 	return h, nil
 }
 
-func readCaches(f *peerfb.Hint, most int) (caches []ImageCache) {
+func readCaches(msg *peerfb.Hint, maxElements int) (caches []ImageCache) {
 	var im peerfb.Image
-	images := make([]CachedImage, min(f.ImagesLength(), most))
+	images := make([]CachedImage, min(msg.ImagesLength(), maxElements))
 	for i := range images {
-		f.Images(&im, i)
+		msg.Images(&im, i)
 		images[i] = CachedImage{string(im.Name()), float64(im.Gb())}
 	}
 	var c peerfb.Cache
-	for i := range min(f.CachesLength(), most) {
-		f.Caches(&c, i)
+	for i := range min(msg.CachesLength(), maxElements) {
+		msg.Caches(&c, i)
 		cache := ImageCache{Machine: string(c.Machine())}
-		for k := range min(c.HoldsLength(), most) {
+		for k := range min(c.HoldsLength(), maxElements) {
 			cache.Images = append(cache.Images, images[c.Holds(k)])
 		}
 		caches = append(caches, cache)
--- a/internal/protocol/peer_test.go
+++ b/internal/protocol/peer_test.go
@@ -23,30 +23,31 @@
 	})
 }
 
-func TestQuestionsRoundTrip(t *testing.T) {
+func TestPeerQueryRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.StringMatching(`[a-z0-9-]{0,20}`)
-		a := PeerQuery{Job: text.Draw(t, "job"), Team: text.Draw(t, "team"), Cause: text.Draw(t, "cause"), MinWaitS: float64(rapid.IntRange(0, 4000).Draw(t, "since")) / 4, After: text.Draw(t, "after"), Limit: rapid.IntRange(0, 200).Draw(t, "most"),
+		query := PeerQuery{Job: text.Draw(t, "job"), Team: text.Draw(t, "team"), Cause: text.Draw(t, "cause"), MinWaitS: float64(rapid.IntRange(0, 4000).Draw(t, "since")) / 4, After: text.Draw(t, "after"), Limit: rapid.IntRange(0, 200).Draw(t, "most"),
 			Kind: text.Draw(t, "kind"), State: text.Draw(t, "state"), Zone: text.Draw(t, "zone"), Image: text.Draw(t, "image"), Text: text.Draw(t, "text"), Class: text.Draw(t, "class"), SinceMS: rapid.Int64().Draw(t, "ms")}
-		if got, err := DecodePeerQuery(a.Encode()); err != nil || got != a {
-			t.Fatalf("%+v became %+v, %v", a, got, err)
+		if got, err := DecodePeerQuery(query.Encode()); err != nil || got != query {
+			t.Fatalf("%+v became %+v, %v", query, got, err)
 		}
-		told := PeerAnswer{"n-" + text.Draw(t, "node"), rapid.IntRange(200, 599).Draw(t, "status"), append([]byte{}, rapid.SliceOfN(rapid.Byte(), 0, 90).Draw(t, "body")...)}
-		if got, err := DecodePeerAnswer(told.Encode()); err != nil || !reflect.DeepEqual(got, told) {
-			t.Fatalf("%+v became %+v, %v", told, got, err)
+		answer := PeerAnswer{"n-" + text.Draw(t, "node"), rapid.IntRange(200, 599).Draw(t, "status"), append([]byte{}, rapid.SliceOfN(rapid.Byte(), 0, 90).Draw(t, "body")...)}
+		if got, err := DecodePeerAnswer(answer.Encode()); err != nil || !reflect.DeepEqual(got, answer) {
+			t.Fatalf("%+v became %+v, %v", answer, got, err)
 		}
-		for _, good := range [][]byte{a.Encode(), told.Encode()} {
+		for _, good := range [][]byte{query.Encode(), answer.Encode()} {
 			good[rapid.IntRange(0, len(good)-1).Draw(t, "at")] ^= byte(rapid.IntRange(1, 255).Draw(t, "flip"))
 			DecodePeerQuery(good)
 			DecodePeerAnswer(good)
 		}
 	})
 	if IsPeerQuery(Hint{Node: "n-1"}.Encode()) {
-		t.Error("a hint is taken for a question")
+		t.Error("a hint is taken for a query")
 	}
 }
 
-// Whatever arrives, decoding ends without harm.
+// Guards against panics on malformed hints: arbitrary and corrupted data is decoded or
+// rejected.
 func TestMalformedHints(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		data := rapid.SliceOfN(rapid.Byte(), 0, 80).Draw(t, "data")
--- a/internal/protocol/record.go
+++ b/internal/protocol/record.go
@@ -5,37 +5,39 @@
 	"strconv"
 )
 
-// Keys in the state service. Everything under Root is watched by every node;
-// what is final moves to FinalKey, so that the watched part stays small.
+// Keys in the state service. Every node watches all keys below WatchedRoot and keeps a
+// replica of them. The outcome of a job that has ended moves to its FinalKey, which is not
+// watched, so that the watched part stays small.
 const (
 	WatchedRoot       = "d/"
-	TokenCounterKey   = WatchedRoot + "counter"
-	JobPrefix         = WatchedRoot + "jobs/"
-	OwnerRoot         = WatchedRoot + "shares/"
-	MachineRoot       = WatchedRoot + "machines/"
-	NodeRoot          = WatchedRoot + "nodes/"
-	LivenessCheckRoot = WatchedRoot + "doubts/"
-	MovesKey          = WatchedRoot + "moves"
-	PolicyKey         = WatchedRoot + "settings"
-	RentalFenceKey    = WatchedRoot + "rentals"
-	CatalogKey        = WatchedRoot + "catalog"
-	ClassesKey        = WatchedRoot + "classes"
-	LogRoot           = WatchedRoot + "log/"
-	InboxRoot         = WatchedRoot + "in/"
-	FormatKey         = WatchedRoot + "format"
-	FinalRoot         = "f/"
-	TicketRoot        = "t/"
-	HistoryRoot       = "l/"
+	TokenCounterKey   = WatchedRoot + "counter"   // TokenCounterRecord
+	JobPrefix         = WatchedRoot + "jobs/"     // JobRecord and further chunks, by job
+	OwnerRoot         = WatchedRoot + "shares/"   // OwnerRecord, by partition
+	MachineRoot       = WatchedRoot + "machines/" // BatchRecord
+	NodeRoot          = WatchedRoot + "nodes/"    // NodeRecord, by node
+	LivenessCheckRoot = WatchedRoot + "doubts/"   // LivenessCheckRecord, by node
+	MovesKey          = WatchedRoot + "moves"     // MovesRecord
+	PolicyKey         = WatchedRoot + "settings"  // the operators' settings
+	RentalFenceKey    = WatchedRoot + "rentals"   // RentalFenceRecord
+	CatalogKey        = WatchedRoot + "catalog"   // CatalogRecord
+	ClassesKey        = WatchedRoot + "classes"   // classes of tickets
+	LogRoot           = WatchedRoot + "log/"      // Entry, by partition and slot
+	InboxRoot         = WatchedRoot + "in/"       // Entry, by node and slot
+	FormatKey         = WatchedRoot + "format"    // FormatRecord
+	FinalRoot         = "f/"                      // FinalRecord, by job
+	TicketRoot        = "t/"                      // template and arguments, by ticket
+	HistoryRoot       = "l/"                      // segments of the job history
 )
 
-// TasksPerChunk is how many tasks share one stored value: 128 placements with
-// long machine names stay well below the smallest value limit.
+// TasksPerChunk is the number of tasks whose state is stored in one value. 128
+// placements with long machine names stay well below the smallest value limit of a state
+// service.
 const TasksPerChunk = 128
 
-// JobKey is the key of a job's head, which holds chunk 0.
+// JobKey is the key of a JobRecord, which includes chunk 0 of the job's tasks.
 func JobKey(id string) string { return JobPrefix + id }
 
-// ChunkKey is the key of a job's chunk k of tasks.
+// ChunkKey is the key of chunk k of a job's tasks.
 func ChunkKey(id string, k int) string {
 	if k == 0 {
 		return JobKey(id)
@@ -43,61 +45,70 @@
 	return JobPrefix + id + "/" + strconv.Itoa(k)
 }
 
-// LogKey is the key of a slot of a share's log.
-func LogKey(share, slot int) string { return LogRoot + strconv.Itoa(share) + "/" + strconv.Itoa(slot) }
+// LogKey is the key of a slot of a partition's log.
+func LogKey(partition, slot int) string {
+	return LogRoot + strconv.Itoa(partition) + "/" + strconv.Itoa(slot)
+}
 
-// InboxKey is the key of a slot of the jobs that a node accepted.
+// InboxKey is the key of a slot of a node's inbox, which holds the jobs that the node
+// accepted.
 func InboxKey(node string, slot int) string { return InboxRoot + node + "/" + strconv.Itoa(slot) }
 
-// FinalKey is the key of what a job became in the end.
+// FinalKey is the key of a job's FinalRecord.
 func FinalKey(id string) string { return FinalRoot + id }
 
-// TicketKey is the key of a ticket's template and arguments, which are written once.
+// TicketKey is the key of a ticket's template and arguments. They are written once and
+// never changed.
 func TicketKey(id string) string { return TicketRoot + id }
 
-// OwnerKey is the key that names the holder of a share.
-func OwnerKey(share int) string { return OwnerRoot + strconv.Itoa(share) + "/holder" }
+// OwnerKey is the key of a partition's OwnerRecord.
+func OwnerKey(partition int) string { return OwnerRoot + strconv.Itoa(partition) + "/holder" }
 
-// BatchKey is the key of a batch of machines.
+// BatchKey is the key of a BatchRecord of machines.
 func BatchKey(name string) string { return MachineRoot + name }
 
-// NodeKey is the key that says a node lives.
+// NodeKey is the key of a node's NodeRecord, which exists while the node's lease lasts.
 func NodeKey(name string) string { return NodeRoot + name }
 
-// LivenessCheckKey is the key by which a node that doubts whether another one lives asks it.
+// LivenessCheckKey is the key under which other nodes ask whether the named node is alive.
 func LivenessCheckKey(name string) string { return LivenessCheckRoot + name }
 
-// LivenessCheckRecord is such a question. Who is asked answers by writing its own record anew.
+// LivenessCheckRecord is a request of one node to another to show that it is alive. The other
+// node answers by writing its own NodeRecord again.
 type LivenessCheckRecord struct {
 	RequestedBy string `json:"by"`
 }
 
-// Placement records that a task may be on a machine. It is stored before the
-// start is commanded and removed only once the task is known to be gone.
+// Placement records that a task may be running on a machine. It is stored before the
+// start command is sent, and removed only once the task is known not to run there.
 type Placement struct {
 	Task    int    `json:"i"`
 	Attempt uint64 `json:"a"`
 	Machine string `json:"m"`
 }
 
-// Chunk is the state of up to ChunkTasks tasks: placements, and done ranges
-// (first and last task).
+// Chunk is the state of up to TasksPerChunk tasks: their placements, and the ranges (first
+// and last task) of those that are done.
 type Chunk struct {
 	Placed []Placement `json:"p,omitempty"`
 	Done   [][2]int    `json:"d,omitempty"`
-	// Errors are tasks of a ticket's step that ended with an error, and how often.
+	// Errors lists the tasks of a ticket's step that ended with an error, each with the
+	// number of its errors.
 	Errors [][2]int `json:"q,omitempty"`
-	// LogSeq is the entry of the share's log up to which this is how the tasks are.
+	// LogSeq is the sequence number of the last entry of the partition's log that the chunk
+	// includes.
 	LogSeq uint64 `json:"v,omitempty"`
 }
 
-// EntryVersion is the version of entries that this release writes and understands.
+// EntryVersion is the version of entries that this release writes, and the latest that it
+// can read.
 const EntryVersion = 1
 
-// Entry is a value that tells of many jobs: what is new of jobs of a share, in its log,
-// written by its holder alone; or jobs that a node accepted, in its inbox. Entries are
-// numbered; a slot is written again when nothing in it is needed any more that the new
-// entry does not say.
+// Entry is one stored value with the changes of many jobs. An entry of a partition's log
+// holds changes of the partition's jobs and is written only by the partition's owner. An
+// entry of a node's inbox holds the jobs that the node accepted. Entries have sequence
+// numbers and are stored in a ring of slots. A slot is overwritten only when the new entry
+// repeats everything in the old one that is still needed.
 type Entry struct {
 	Version  int           `json:"v"`
 	Seq      uint64        `json:"s"`
@@ -106,7 +117,7 @@
 	Jobs     []AcceptedJob `json:"a,omitempty"`
 }
 
-// Part is how some tasks of a job are from then on, or that it has ended.
+// Part is the state of some tasks of a job as of its entry, or the end of the job.
 type Part struct {
 	Job         string        `json:"j"`
 	NextAttempt uint64        `json:"n,omitempty"` // as in JobRecord
@@ -114,66 +125,68 @@
 	LostRuns    int           `json:"l,omitempty"`
 	LastLostMS  int64         `json:"u,omitempty"`
 	Placed      []PlacedRange `json:"p,omitempty"`
-	Unplaced    [][2]int      `json:"w,omitempty"` // first and last of tasks that wait again
+	Unplaced    [][2]int      `json:"w,omitempty"` // ranges (first and last task) that wait again
 	Done        [][2]int      `json:"d,omitempty"`
-	FinalStatus string        `json:"x,omitempty"` // what the job became: f/<id> says so too
-	Tasks       int           `json:"t,omitempty"` // of one that has ended
+	FinalStatus string        `json:"x,omitempty"` // of a job that has ended; also stored under f/<id>
+	Tasks       int           `json:"t,omitempty"` // number of tasks of a job that has ended
 }
 
-// PlacedRange is tasks with the same attempt on one machine: the first and the last task, the
-// attempt, and the machine's number in Entry.Machines.
+// PlacedRange is a range of tasks with the same attempt on one machine: first task, last
+// task, attempt, and index of the machine in Entry.Machines.
 type PlacedRange [4]uint64
 
-// AcceptedJob is a job that a node accepted.
+// AcceptedJob is a job that a node accepted, in an entry of the node's inbox.
 type AcceptedJob struct {
 	Spec        *JobSpec `json:"s"`
 	SubmittedMS int64    `json:"t"`
 }
 
-// FormatRecord is under FormatKey: whether entries are written.
+// FormatRecord is stored under FormatKey and tells whether entries are written.
 type FormatRecord struct {
 	Packed bool `json:"packed"`
 }
 
-// JobRecord is a job's head.
+// JobRecord is the main record of a job. It includes chunk 0 of the job's tasks.
 type JobRecord struct {
 	Spec            *JobSpec `json:"s"`
 	SubmittedMS     int64    `json:"t"`
 	Cancelled       bool     `json:"x,omitempty"`
-	CancelRequested bool     `json:"o,omitempty"` // to be cancelled; nobody was told that it is
-	NextAttempt     uint64   `json:"n"`
-	Tries           int      `json:"e,omitempty"` // of a job that fails on every machine
-	Claim           uint32   `json:"g,omitempty"` // of a job that came through the gateway: the site's claim on it
+	CancelRequested bool     `json:"o,omitempty"` // to be cancelled; not confirmed to a user yet
+	NextAttempt     uint64   `json:"n"`           // number of the next attempt of any of its tasks
+	Tries           int      `json:"e,omitempty"` // attempts, of a job that fails on every machine
+	Claim           uint32   `json:"g,omitempty"` // of a gateway job: the epoch of the site's claim on it
 	Step            *StepRef `json:"k,omitempty"` // of a ticket's step
-	Failed          bool     `json:"f,omitempty"` // of a ticket's step: it is to end, since the ticket or it has failed
-	// LostRuns is how many runs were lost with their machine or lease, and when the last was:
-	// written with the changes that a loss takes anyway.
+	Failed          bool     `json:"f,omitempty"` // of a ticket's step: it is to end, because it or the ticket has failed
+	// LostRuns is the number of runs that were lost with their machine or its lease, and
+	// LastLostMS the time of the last loss. They are written along with the changes that a
+	// loss causes anyway.
 	LostRuns   int   `json:"l,omitempty"`
 	LastLostMS int64 `json:"u,omitempty"`
-	// Ticket makes this a ticket's record, which has no Spec and no tasks of its own: a
-	// version that knows no tickets leaves it alone.
+	// Ticket is set in the record of a ticket, which has no Spec and no tasks of its own.
+	// Releases without support for tickets ignore such a record.
 	Ticket *TicketRecord `json:"w,omitempty"`
 	Chunk
 }
 
-// StepRef ties a job to the step of a ticket.
+// StepRef identifies the step of a ticket that a job runs.
 type StepRef struct {
 	Ticket     string `json:"t"`
 	Step       int    `json:"s"`
-	MaxRetries int    `json:"r"` // of a task, after its first run
+	MaxRetries int    `json:"r"` // of a task, not counting its first run
 }
 
-// TicketRecord is a render-farm ticket. Its steps are jobs of their own; what became
-// of those that are over is here, so that who takes the share over reads nothing else.
+// TicketRecord is a render-farm ticket. Each of its steps runs as a job of its own. The
+// outcome of finished steps is stored here, so that a new owner of the partition needs no
+// other record.
 type TicketRecord struct {
 	Name          string       `json:"m"`
-	Base          *JobSpec     `json:"b"` // what all steps have in common
+	Base          *JobSpec     `json:"b"` // the part of the job specification that all steps share
 	Terms         TicketTerms  `json:"a"`
 	Steps         []TicketStep `json:"z"`
-	FailureReason string       `json:"y,omitempty"` // why it fails
+	FailureReason string       `json:"y,omitempty"` // empty: the ticket has not failed
 }
 
-// TicketStep is a step: what its tasks take, and what became of it.
+// TicketStep is a step of a ticket: the resources of its tasks, and its outcome.
 type TicketStep struct {
 	Name         string   `json:"n"`
 	Tasks        int      `json:"t"`
@@ -183,54 +196,55 @@
 	MemoryGB     float64  `json:"m"`
 	Types        []string `json:"y,omitempty"`
 	Zone         string   `json:"z,omitempty"`
-	State        string   `json:"s,omitempty"` // JobDone, JobFailed or JobCancelled; empty: not over
-	Done         int      `json:"o,omitempty"` // tasks, of one that is over
+	State        string   `json:"s,omitempty"` // JobDone, JobFailed or JobCancelled; empty: not finished
+	Done         int      `json:"o,omitempty"` // number of done tasks, of a finished step
 	Failed       int      `json:"f,omitempty"`
-	FailedRanges [][2]int `json:"w,omitempty"` // the first ranges of them
+	FailedRanges [][2]int `json:"w,omitempty"` // the first ranges of failed tasks
 }
 
-// TicketTerms are what a ticket asked for and what its class granted.
+// TicketTerms holds the limits and the priority that a ticket requested, and those that
+// its class granted.
 type TicketTerms struct {
 	MaxRetries        GrantedLimit `json:"maxRetriesPerTask"`
 	MaxFailedTasks    GrantedLimit `json:"maxFailedTasksCount"`
-	RequestedPriority string       `json:"askedUrgency,omitempty"` // if another than was granted
+	RequestedPriority string       `json:"askedUrgency,omitempty"` // empty: the granted one
 	Priority          string       `json:"urgency"`
 }
 
-// GrantedLimit is a number that was asked for, if it was, and what was granted.
+// GrantedLimit is a limit as it was requested (nil: not requested) and as it was granted.
 type GrantedLimit struct {
 	Requested *int `json:"asked,omitempty"`
 	Granted   int  `json:"granted"`
 }
 
-// FinalRecord is what remains of a job.
+// FinalRecord is the record that remains of a job after its end.
 type FinalRecord struct {
 	Status string `json:"s"`
 	Tasks  int    `json:"n"`
-	// Claim is not 0 for a job of the gateway: then this says what became of the
-	// site's claims up to it, and the gateway knows what became of the job.
+	// Claim is not 0 for a gateway job. The record then gives the outcome of the site's
+	// claims up to this epoch; the outcome of the job itself is kept by the gateway.
 	Claim uint32 `json:"g,omitempty"`
-	// Ticket is what remains of a ticket.
+	// Ticket is set in the final record of a ticket.
 	Ticket *TicketRecord `json:"w,omitempty"`
 }
 
-// OwnerRecord names the holder of a share. It is attached to the node's
-// lease; Lease tells a restarted node from its former self.
+// OwnerRecord names the owner of a partition. The state service removes it when the
+// owner's lease ends. Lease distinguishes a restarted node from its previous incarnation.
 type OwnerRecord struct {
 	Node  string `json:"node"`
 	Token uint64 `json:"token"`
 	Lease uint64 `json:"lease"`
 }
 
-// BatchRecord assigns machines that were rented or moved together to a share,
-// fenced by Token if they were moved. Only the share's holder changes it.
+// BatchRecord assigns machines that were rented or moved together to a partition. If they
+// were moved, Token is their fencing token. Only the partition's owner changes the record.
 type BatchRecord struct {
 	Partition int             `json:"share"`
 	Token     uint64          `json:"token,omitempty"`
 	Machines  []MachineRecord `json:"m"`
 }
 
-// MachineRecord is one machine of a batch. Share and Token are the batch's.
+// MachineRecord is one machine of a batch. Partition and Token are copied from the batch.
 type MachineRecord struct {
 	Partition int    `json:"-"`
 	Token     uint64 `json:"-"`
@@ -241,76 +255,78 @@
 	Addr      string `json:"a,omitempty"`
 }
 
-// TokenCounterRecord is the never-deleted counter of tokens.
+// TokenCounterRecord is the counter of fencing tokens. It is never deleted.
 type TokenCounterRecord struct {
 	Token uint64 `json:"token"`
 }
 
-// NodeRecord says that a node lives, on its lease.
+// NodeRecord states that a node is alive. It is bound to the node's lease.
 type NodeRecord struct {
 	Lease           uint64 `json:"lease"`
-	Version         int    `json:"v,omitempty"` // of the records that it understands
-	RequiresRecords bool   `json:"p,omitempty"` // it needs jobs in records of their own: it takes tickets, or jobs of a gateway
+	Version         int    `json:"v,omitempty"` // RecordVersion of the node's release
+	RequiresRecords bool   `json:"p,omitempty"` // the node accepts tickets or gateway jobs, which need records of their own
 }
 
-// RecordVersion is the version of the records of this release: 1 records rentals under
-// the fence, and tells that a job is cancelled only when nothing of it is left; 2 reads
-// and writes entries; 3 tells that a ticket is cancelled only when nothing of it is left.
+// RecordVersion is the version of the records of this release. Version 1 records rentals
+// under the rental fence, and confirms the cancellation of a job only when none of its tasks
+// is left. Version 2 reads and writes entries. Version 3 confirms the cancellation of a
+// ticket only when none of its tasks is left.
 const RecordVersion = 3
 
-// PackedVersion is the first version that reads and writes entries.
+// PackedVersion is the first RecordVersion that reads and writes entries.
 const PackedVersion = 2
 
-// CatalogRecord is the cloud's catalogue as a node last read it: who starts while the cloud
-// does not answer knows the types of the machines that run.
+// CatalogRecord is the cloud's catalog as a node last read it. A node that starts while the
+// cloud does not answer learns the types of the running machines from it.
 type CatalogRecord struct {
 	Types []MachineType `json:"types"`
 }
 
-// RentalFenceRecord is under FenceKey: a rental is recorded only if it is as it was when the
-// rental was asked for, and it is raised before machines without a record are taken up.
+// RentalFenceRecord is stored under RentalFenceKey. A rental is recorded only if the fence is
+// unchanged since the rental was requested. The fence is raised before machines without a
+// record are adopted, so that the late answer to an earlier rental can't record them too.
 type RentalFenceRecord struct {
 	Generation uint64 `json:"round"`
 }
 
-// MovesRecord is the leader's last plan: machines that their holders are to hand to
-// another share if they are still free.
+// MovesRecord is the leader's latest plan of moves: machines that the owners of their
+// partitions hand over to another partition if the machines are still free.
 type MovesRecord struct {
 	Moves []Move `json:"moves"`
 }
 
-// Move hands a machine to a share, if Spare only if its own share does not expect
-// to need it.
+// Move hands a machine over to a partition; with OnlyIfUnneeded, only if its present
+// partition does not expect to need it.
 type Move struct {
 	Machine        string `json:"m"`
 	Partition      int    `json:"to"`
 	OnlyIfUnneeded bool   `json:"s,omitempty"`
-	Rank           int    `json:"r,omitempty"` // of the job that it is for: only less urgent work makes way
-	Drain          bool   `json:"d,omitempty"` // nothing is stopped on it: it goes once its tasks have ended
+	Rank           int    `json:"r,omitempty"` // of the job that needs the machine: only tasks of a lower priority are preempted
+	Drain          bool   `json:"d,omitempty"` // no task is preempted: the machine moves once its tasks have ended
 }
 
-// Check says what of a chunk can't be true.
+// Check returns an error if the chunk has an impossible value.
 func (c *Chunk) Check() error {
 	for _, d := range c.Done {
 		if d[0] < 0 || d[0] > d[1] || d[1] >= MaxTasks {
-			return fmt.Errorf("done tasks %v", d)
+			return fmt.Errorf("invalid range of done tasks: %v", d)
 		}
 	}
 	for _, p := range c.Placed {
 		if p.Task < 0 || p.Task >= MaxTasks || p.Machine == "" {
-			return fmt.Errorf("task %d on %q", p.Task, p.Machine)
+			return fmt.Errorf("invalid placement of task %d on machine %q", p.Task, p.Machine)
 		}
 	}
 	for _, e := range c.Errors {
 		if e[0] < 0 || e[0] >= MaxTasks || e[1] < 0 {
-			return fmt.Errorf("errors %v", e)
+			return fmt.Errorf("invalid error count of a task: %v", e)
 		}
 	}
 	return nil
 }
 
-// Check says what of a job's head can't be true. A head of neither a job nor a ticket that
-// this release knows is left alone.
+// Check returns an error if the record has an impossible value. A record that is neither a
+// job nor a ticket as this release knows them is only checked as a chunk.
 func (r *JobRecord) Check() error {
 	if s := r.Spec; s != nil && (s.Tasks < 1 || s.Tasks > MaxTasks || s.CPUs < 0 || s.GPUs < 0) {
 		return fmt.Errorf("a job of %d tasks of %v CPUs and %v GPUs", s.Tasks, s.CPUs, s.GPUs)
@@ -318,11 +334,11 @@
 	if t := r.Ticket; t != nil && t.Base != nil {
 		for _, st := range t.Steps {
 			if st.Tasks < 1 || st.Tasks > MaxTasks {
-				return fmt.Errorf("step %s of %d tasks", st.Name, st.Tasks)
+				return fmt.Errorf("step %s has an invalid number of tasks: %d", st.Name, st.Tasks)
 			}
 			for _, d := range st.Deps {
 				if d < 0 || d >= len(t.Steps) {
-					return fmt.Errorf("step %s depends on step %d of %d", st.Name, d, len(t.Steps))
+					return fmt.Errorf("step %s depends on step %d, but there are %d steps", st.Name, d, len(t.Steps))
 				}
 			}
 		}
@@ -330,7 +346,7 @@
 	return r.Chunk.Check()
 }
 
-// Check says what of a batch can't be true.
+// Check returns an error if the batch has an impossible value.
 func (r *BatchRecord) Check() error {
 	for _, m := range r.Machines {
 		if m.Name == "" || m.Type == "" {
@@ -340,25 +356,25 @@
 	return nil
 }
 
-// Check says what of an entry can't be true.
+// Check returns an error if the entry has an impossible value.
 func (e *Entry) Check() error {
 	for _, p := range e.Parts {
 		for _, r := range p.Placed {
 			if r[3] >= uint64(len(e.Machines)) || r[0] > r[1] || r[1] >= MaxTasks {
-				return fmt.Errorf("job %s: run %v of %d machines", p.Job, r, len(e.Machines))
+				return fmt.Errorf("job %s: invalid placed range %v with %d machines", p.Job, r, len(e.Machines))
 			}
 		}
 		for _, ranges := range [][][2]int{p.Unplaced, p.Done} {
 			for _, r := range ranges {
 				if r[0] < 0 || r[0] > r[1] || r[1] >= MaxTasks {
-					return fmt.Errorf("job %s: tasks %v", p.Job, r)
+					return fmt.Errorf("job %s: invalid range of tasks %v", p.Job, r)
 				}
 			}
 		}
 	}
 	for i, a := range e.Jobs {
 		if a.Spec == nil || a.Spec.Tasks < 1 || a.Spec.Tasks > MaxTasks {
-			return fmt.Errorf("job %d of the entry has no submission that can be", i)
+			return fmt.Errorf("accepted job %d of the entry has no valid submission", i)
 		}
 	}
 	return nil
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -7,7 +7,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Settings is the file that the platform hands over. Unknown fields are ignored.
+// Settings is the settings file of a controller, written by the platform that starts it.
+// Unknown fields are ignored.
 type Settings struct {
 	Node     string `toml:"node"`
 	Zone     string `toml:"location"`
@@ -31,14 +32,14 @@
 	} `toml:"params"`
 }
 
-// Peer is another controller node.
+// Peer is another controller of the same cluster.
 type Peer struct {
 	Node string `toml:"node"`
 	Zone string `toml:"location"`
 	Addr string `toml:"peer_addr"`
 }
 
-// Team is a team's guarantee and limit; 0 means none.
+// Team holds a team's guarantees and limits of CPUs and GPUs; 0 means none.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -47,7 +48,8 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// Objective is an aim on starting or finishing.
+// Objective is a service level objective: the fraction of a class's jobs that are to
+// start or finish within a time.
 type Objective struct {
 	Kind     string  `toml:"kind"`
 	Class    string  `toml:"class"`
@@ -55,7 +57,7 @@
 	Fraction float64 `toml:"share"`
 }
 
-// WorkerSettings are the workers' times.
+// WorkerSettings are the intervals and timeouts of workers.
 type WorkerSettings struct {
 	ReportS   float64 `toml:"report_s"`
 	LeaseS    float64 `toml:"lease_s"`
@@ -64,7 +66,7 @@
 	CancelS   float64 `toml:"cancel_s"`
 }
 
-// StateSettings are the state service's limits.
+// StateSettings are the limits of the state service.
 type StateSettings struct {
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
@@ -72,21 +74,21 @@
 	TxnOps   int     `toml:"txn_ops"`
 }
 
-// CloudSettings are the cloud's limits.
+// CloudSettings are the cloud's request limit and the lag of its list of machines.
 type CloudSettings struct {
 	RPS      float64 `toml:"rps"`
 	ListLagS float64 `toml:"list_lag_s"`
 }
 
-// NodeQuota is what this node may use.
+// NodeQuota limits the resources that this controller's process may use.
 type NodeQuota struct {
 	Cores    float64 `toml:"cores"`
 	MemoryMB float64 `toml:"memory_mb"`
 	FDLimit  int     `toml:"fd_limit"`
 }
 
-// ReadSettings reads and checks a settings file. The error joins one mistake
-// per line, each naming its field.
+// ReadSettings reads and checks a settings file. The error has a line for each invalid
+// field, which begins with the field's name.
 func ReadSettings(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -95,7 +97,7 @@
 	return ParseSettings(data)
 }
 
-// ParseSettings reads and checks settings.
+// ParseSettings parses and checks settings.
 func ParseSettings(data []byte) (*Settings, error) {
 	s := &Settings{}
 	if err := toml.Unmarshal(data, s); err != nil {
@@ -105,77 +107,79 @@
 }
 
 func (s *Settings) check() error {
-	m := &SettingErrors{}
+	errs := &SettingErrors{}
 	if s.Node == "" {
-		m.Add("node: missing")
+		errs.Add("node: missing")
 	}
-	m.CheckAddress("api_addr", s.APIAddr)
-	m.CheckAddress("cluster_listen", s.PeerAddr)
-	m.CheckAddress("external.cloud", s.External.Cloud)
-	m.CheckAddress("external.state", s.External.State)
-	s.checkSiblings(m)
+	errs.CheckAddress("api_addr", s.APIAddr)
+	errs.CheckAddress("cluster_listen", s.PeerAddr)
+	errs.CheckAddress("external.cloud", s.External.Cloud)
+	errs.CheckAddress("external.state", s.External.State)
+	s.checkPeers(errs)
 	p := &s.Params
 	if p.Nodes == 0 {
 		p.Nodes = len(s.Peers) + 1
 	}
 	if p.Nodes < 1 || p.Nodes > 1000 {
-		m.Add("params.initial_size: out of range: %d", p.Nodes)
+		errs.Add("params.initial_size: out of range: %d", p.Nodes)
 	}
-	checkTeams(m, p.Teams)
-	s.checkLimits(m)
-	return m.Err()
+	checkTeams(errs, p.Teams)
+	s.checkLimits(errs)
+	return errs.Err()
 }
 
-func (s *Settings) checkSiblings(m *SettingErrors) {
+func (s *Settings) checkPeers(errs *SettingErrors) {
 	seen := map[string]bool{s.Node: true}
-	for i, sib := range s.Peers {
-		if sib.Node == "" || seen[sib.Node] {
-			m.Add("siblings[%d].node: missing or repeated: %q", i, sib.Node)
+	for i, peer := range s.Peers {
+		if peer.Node == "" || seen[peer.Node] {
+			errs.Add("siblings[%d].node: missing or repeated: %q", i, peer.Node)
 		}
-		seen[sib.Node] = true
-		m.CheckAddress(fmt.Sprintf("siblings[%d].peer_addr", i), sib.Addr)
+		seen[peer.Node] = true
+		errs.CheckAddress(fmt.Sprintf("siblings[%d].peer_addr", i), peer.Addr)
 	}
 }
 
-func checkTeams(m *SettingErrors, teams []Team) {
+func checkTeams(errs *SettingErrors, teams []Team) {
 	if len(teams) == 0 {
-		m.Add("params.teams: none")
+		errs.Add("params.teams: none")
 	}
 	seen := map[string]bool{}
 	for i, t := range teams {
 		if t.Name == "" || seen[t.Name] {
-			m.Add("params.teams[%d].name: missing or repeated: %q", i, t.Name)
+			errs.Add("params.teams[%d].name: missing or repeated: %q", i, t.Name)
 		}
 		seen[t.Name] = true
 		if t.CPUs < 0 || t.GPUs < 0 || t.CPUsMax < 0 || t.GPUsMax < 0 {
-			m.Add("params.teams[%d]: negative amount", i)
+			errs.Add("params.teams[%d]: negative amount", i)
 		}
 		if (t.CPUsMax > 0 && t.CPUs > t.CPUsMax) || (t.GPUsMax > 0 && t.GPUs > t.GPUsMax) {
-			m.Add("params.teams[%d]: guarantee above the limit", i)
+			errs.Add("params.teams[%d]: guarantee above the limit", i)
 		}
 	}
 }
 
-// leastTxnOps is the least number of writes that a transaction must be able to hold.
-const leastTxnOps = 4
+// minTxnOps is the minimum number of writes that a transaction of the state service must
+// allow.
+const minTxnOps = 4
 
-// checkLimits checks the limits of the workers, the outside services and this machine.
-func (s *Settings) checkLimits(m *SettingErrors) {
+// checkLimits checks the limits of the workers, the state service, the cloud and this
+// process.
+func (s *Settings) checkLimits(errs *SettingErrors) {
 	p := &s.Params
-	m.CheckPositive("params.workers.report_s", p.Workers.ReportS)
-	m.CheckPositive("params.workers.lease_s", p.Workers.LeaseS)
-	m.CheckPositive("params.workers.cancel_s", p.Workers.CancelS)
-	m.CheckPositive("params.state.rps", p.State.RPS)
-	m.CheckPositive("params.state.write_rps", p.State.WriteRPS)
-	m.CheckPositive("params.state.value_kb", p.State.ValueKB)
-	m.CheckPositive("params.state.txn_ops", float64(p.State.TxnOps))
-	m.CheckPositive("params.cloud.rps", p.Cloud.RPS)
-	m.CheckPositive("params.quota.cores", p.Quota.Cores)
-	m.CheckPositive("params.quota.memory_mb", p.Quota.MemoryMB)
+	errs.CheckPositive("params.workers.report_s", p.Workers.ReportS)
+	errs.CheckPositive("params.workers.lease_s", p.Workers.LeaseS)
+	errs.CheckPositive("params.workers.cancel_s", p.Workers.CancelS)
+	errs.CheckPositive("params.state.rps", p.State.RPS)
+	errs.CheckPositive("params.state.write_rps", p.State.WriteRPS)
+	errs.CheckPositive("params.state.value_kb", p.State.ValueKB)
+	errs.CheckPositive("params.state.txn_ops", float64(p.State.TxnOps))
+	errs.CheckPositive("params.cloud.rps", p.Cloud.RPS)
+	errs.CheckPositive("params.quota.cores", p.Quota.Cores)
+	errs.CheckPositive("params.quota.memory_mb", p.Quota.MemoryMB)
 	if p.Workers.CancelS <= p.Workers.LeaseS {
-		m.Add("params.workers.cancel_s: must be above lease_s")
+		errs.Add("params.workers.cancel_s: must be above lease_s")
 	}
-	if p.State.TxnOps > 0 && p.State.TxnOps < leastTxnOps {
-		m.Add("params.state.txn_ops: at least %d needed", leastTxnOps)
+	if p.State.TxnOps > 0 && p.State.TxnOps < minTxnOps {
+		errs.Add("params.state.txn_ops: at least %d needed", minTxnOps)
 	}
 }
--- a/internal/protocol/wire.go
+++ b/internal/protocol/wire.go
@@ -11,24 +11,25 @@
 	"strings"
 )
 
-// Limits that every deployment shares.
+// Limits that are the same in every deployment.
 const (
 	MaxBodyBytes = 64 << 10
 	MaxTasks     = 100000
-	// maxAmount bounds resource amounts and durations; anything above is absurd.
+	// maxAmount is the upper bound of resource amounts and durations. Larger values are
+	// rejected as nonsense.
 	maxAmount = 1e9
-	// maxStored bounds a job's description in its record.
-	maxStored = 2500
+	// maxSpecBytes is the upper bound of an encoded JobSpec in a job's record.
+	maxSpecBytes = 2500
 )
 
 // Shapes of a job.
 const (
-	Array   = "sweep"
-	Gang    = "gang"
-	Service = "standing"
+	Array   = "sweep"    // independent tasks
+	Gang    = "gang"     // tasks that must run at the same time
+	Service = "standing" // replicas that run until they are cancelled
 )
 
-// Task states and causes of an exit as workers report them.
+// Task states and exit causes in workers' reports.
 const (
 	TaskFetching = "fetching"
 	TaskWaiting  = "waiting"
@@ -41,22 +42,23 @@
 	CausePeers      = "peers"
 	CauseIncomplete = "incomplete"
 	CauseError      = "error"
-	CauseNoCapacity = "full"
+	CauseNoCapacity = "full" // the task does not fit on the machine
 	CauseBusy       = "in_use"
 	CauseUnknown    = "no_such"
 )
 
-// Job states as users see them.
+// Job states in answers to users.
 const (
 	JobQueued    = "queued"
 	JobRunning   = "running"
 	JobDone      = "done"
 	JobCancelled = "withdrawn"
-	// JobFailed is told of tickets alone: too many of its tasks used up their tries.
+	// JobFailed is a state of tickets only: more of the ticket's tasks failed after all
+	// their retries than the ticket's terms allow.
 	JobFailed = "failed"
 )
 
-// Commands to workers.
+// Operations of a Command to a worker.
 const (
 	OpStart  = "run"
 	OpStop   = "halt"
@@ -71,9 +73,9 @@
 	Low
 )
 
-var priorities = map[string]int{"critical": Production, "high": High, "standard": Normal, "best_effort": Low}
+var priorityRanks = map[string]int{"critical": Production, "high": High, "standard": Normal, "best_effort": Low}
 
-// JobSpec is a submission, and is stored as received.
+// JobSpec is a job submission. It is stored as it was received.
 type JobSpec struct {
 	ID          string   `json:"id"`
 	Class       string   `json:"lot"`
@@ -97,20 +99,22 @@
 	DeadlineS   *float64 `json:"dueS,omitempty"`
 }
 
-// Rank is the job's priority, 0 the highest.
-func (s *JobSpec) Rank() int { return priorities[s.Priority] }
+// Rank returns the job's priority as a number; 0 is the highest priority.
+func (s *JobSpec) Rank() int { return priorityRanks[s.Priority] }
 
+// requiredFields are the fields of a submission that must be present and not null.
 var requiredFields = []string{"id", "lot", "crew", "shape", "urgency", "pieces", "vcpus", "cards", "memGb",
 	"bundle", "sizeGb", "together", "scatter", "loaners", "expectS", "snapshotS", "storeS"}
 
-// nullableFields are the fields that may be null or missing.
+// nullableFields are the fields of a submission that may be null or missing.
 var nullableFields = []string{"builds", "region", "dueS"}
 
-// ErrEmbeddedTicket says that a submission carries a ticket.
+// ErrEmbeddedTicket reports that a submission carries a ticket.
 var ErrEmbeddedTicket = errors.New("field ticket: no tickets are taken here")
 
-// ParseJob reads a submission. Its error is the reason for a 400; it is ErrTicket if
-// the submission carries a ticket, which must not run as if it carried none.
+// ParseJob reads and checks a submission. The error is the reason for an answer with
+// status 400. It is ErrEmbeddedTicket if the submission carries a ticket: such a
+// submission must not run as an ordinary job.
 func ParseJob(body []byte) (*JobSpec, error) {
 	if len(body) > MaxBodyBytes {
 		return nil, errors.New("body over 64 KiB")
@@ -122,20 +126,21 @@
 	if v, ok := fields["ticket"]; ok && !bytes.Equal(v, []byte("null")) {
 		return nil, ErrEmbeddedTicket
 	}
-	for _, f := range requiredFields {
-		if v, ok := fields[f]; !ok || bytes.Equal(v, []byte("null")) {
-			return nil, fmt.Errorf("field %s is missing", f)
+	for _, name := range requiredFields {
+		if v, ok := fields[name]; !ok || bytes.Equal(v, []byte("null")) {
+			return nil, fmt.Errorf("field %s is missing", name)
 		}
 	}
 	s := &JobSpec{}
 	if err := json.Unmarshal(knownFields(fields), s); err != nil {
-		var te *json.UnmarshalTypeError
-		if errors.As(err, &te) {
-			return nil, fmt.Errorf("field %s is invalid", te.Field)
+		var typeErr *json.UnmarshalTypeError
+		if errors.As(err, &typeErr) {
+			return nil, fmt.Errorf("field %s is invalid", typeErr.Field)
 		}
 		return nil, errors.New("invalid JSON")
 	}
-	// Stored, these two would read as null, which allows any.
+	// An empty list or string is omitted from the stored record and would be read back
+	// as null, which allows any machine type or zone.
 	if s.Types != nil && len(s.Types) == 0 {
 		return nil, errors.New("field builds is invalid: no machine type is allowed")
 	}
@@ -145,15 +150,17 @@
 	if err := s.check(); err != nil {
 		return nil, err
 	}
-	// With the placements of a chunk it must fit the smallest stored value.
-	if stored, err := json.Marshal(s); err != nil || len(stored) > maxStored {
+	// The job's record holds the spec and the placements of chunk 0, and must fit the
+	// smallest value limit of a state service.
+	if stored, err := json.Marshal(s); err != nil || len(stored) > maxSpecBytes {
 		return nil, errors.New("field builds and names are invalid: too long together")
 	}
 	return s, nil
 }
 
-// knownFields is a submission without fields that are not known: encoding/json would take one
-// that differs in case alone for the known one.
+// knownFields encodes a submission without its unknown fields. encoding/json matches names
+// regardless of case, so it would read an unknown field as a known one if the two names
+// differ in case only.
 func knownFields(fields map[string]json.RawMessage) []byte {
 	known := make(map[string]json.RawMessage, len(fields))
 	for _, name := range slices.Concat(requiredFields, nullableFields) {
@@ -163,13 +170,13 @@
 	}
 	data, err := json.Marshal(known)
 	if err != nil {
-		panic(err) // what was read as JSON is JSON
+		panic(err) // the raw values were read from valid JSON
 	}
 	return data
 }
 
-// ParseStoredJob reads a submission as this package writes it, where what is false
-// or empty is left out.
+// ParseStoredJob reads a submission from a stored record. This package writes records
+// without the fields that are false or empty, so missing fields are accepted.
 func ParseStoredJob(data []byte) (*JobSpec, error) {
 	s := &JobSpec{}
 	if err := json.Unmarshal(data, s); err != nil {
@@ -198,7 +205,7 @@
 	if s.Shape != Array && s.Shape != Gang && s.Shape != Service {
 		return errors.New("field shape is invalid")
 	}
-	if _, ok := priorities[s.Priority]; !ok {
+	if _, ok := priorityRanks[s.Priority]; !ok {
 		return errors.New("field urgency is invalid")
 	}
 	if s.Tasks < 1 || s.Tasks > MaxTasks {
@@ -226,32 +233,32 @@
 	return nil
 }
 
-// ValidJobID says whether id has the form job-<digits>.
+// ValidJobID reports whether id has the form job-<digits>.
 func ValidJobID(id string) bool {
-	n, ok := strings.CutPrefix(id, "job-")
-	if !ok || n == "" || len(n) > 32 {
+	digits, ok := strings.CutPrefix(id, "job-")
+	if !ok || digits == "" || len(digits) > 32 {
 		return false
 	}
-	return strings.Trim(n, "0123456789") == ""
+	return strings.Trim(digits, "0123456789") == ""
 }
 
-// JobStatus answers submissions, polls and cancellations.
+// JobStatus is the answer to submissions, status requests and cancellations.
 type JobStatus struct {
 	ID      string `json:"id"`
 	Status  string `json:"status"`
 	Done    int    `json:"done"`
 	Running int    `json:"running"`
-	// Of a ticket: its tasks that failed, and the terms that it was taken on.
+	// For tickets only: the number of failed tasks, and the terms that were granted.
 	Failed int          `json:"failed,omitempty"`
 	Terms  *TicketTerms `json:"terms,omitempty"`
 }
 
-// TaskID names a task on the wire.
+// TaskID returns the name of a task on the wire: <job>/<number>.
 func TaskID(job string, task int) string { return job + "/" + strconv.Itoa(task) }
 
-// ParseTaskID splits a task's name.
-func ParseTaskID(s string) (job string, task int, ok bool) {
-	job, num, ok := strings.Cut(s, "/")
+// ParseTaskID splits the name of a task into its job and its number.
+func ParseTaskID(name string) (job string, task int, ok bool) {
+	job, num, ok := strings.Cut(name, "/")
 	if !ok || !ValidJobID(job) {
 		return "", 0, false
 	}
@@ -262,7 +269,7 @@
 	return job, task, true
 }
 
-// TaskReport is one task in a worker's report.
+// TaskReport is the state of one task in a worker's report.
 type TaskReport struct {
 	Task    string `json:"piece"`
 	Attempt uint64 `json:"try"`
@@ -271,7 +278,7 @@
 	Saved   bool   `json:"stored,omitempty"`
 }
 
-// Report is a worker's account of its machine.
+// Report is a worker's heartbeat: the state of its machine and of the tasks there.
 type Report struct {
 	Machine string       `json:"host"`
 	Addr    string       `json:"endpoint"`
@@ -302,7 +309,7 @@
 	return r, nil
 }
 
-// Command is one order to a worker.
+// Command tells a worker to start, stop or forget one attempt of a task.
 type Command struct {
 	Op      string  `json:"verb"`
 	Task    string  `json:"piece"`
@@ -310,19 +317,20 @@
 	GraceS  float64 `json:"windDownS,omitempty"`
 }
 
-// Orders answers a report, or goes to a worker directly with its session.
+// Orders are commands with a fencing token. They are the answer to a report, or are sent
+// to a worker directly together with the worker's session.
 type Orders struct {
 	Token    uint64    `json:"baton"`
 	Session  uint64    `json:"shift,omitempty"`
 	Commands []Command `json:"orders"`
 }
 
-// Redirect names the node that a worker should report to.
+// Redirect names the controller that a worker should report to.
 type Redirect struct {
 	ReportTo string `json:"foreman,omitempty"`
 }
 
-// MachineType is an entry of the cloud's catalogue.
+// MachineType is an entry of the cloud's catalog.
 type MachineType struct {
 	Name        string   `json:"label"`
 	CPUs        float64  `json:"vcpus"`
@@ -341,7 +349,7 @@
 	Types []MachineType `json:"builds"`
 }
 
-// RentRequest asks the cloud for machines; Request is never used twice.
+// RentRequest asks the cloud for machines. A RequestID is never used twice.
 type RentRequest struct {
 	RequestID string `json:"ask"`
 	Type      string `json:"build"`
@@ -350,12 +358,13 @@
 	Count     int    `json:"number"`
 }
 
-// MachineNames lists machines rented or to be returned.
+// MachineNames lists machines that were rented or that are to be returned.
 type MachineNames struct {
 	Machines []string `json:"hosts"`
 }
 
-// ListedMachine is an entry of the cloud's lagging list.
+// ListedMachine is an entry of the cloud's list of machines, which lags behind the
+// cloud's actual state.
 type ListedMachine struct {
 	ID    string  `json:"id"`
 	Addr  string  `json:"endpoint"`
@@ -366,7 +375,7 @@
 	AgeS  float64 `json:"ageS"`
 }
 
-// MachineList is a page of the cloud's list.
+// MachineList is a page of the cloud's list of machines.
 type MachineList struct {
 	Machines []ListedMachine `json:"hosts"`
 	More     bool            `json:"hasNext"`
--- a/internal/protocol/wire_test.go
+++ b/internal/protocol/wire_test.go
@@ -24,10 +24,10 @@
 	if s.Tasks != 16 || !s.OneZone || !s.Spot || s.Rank() != High || s.Zone != "" || *s.DeadlineS != 900 {
 		t.Fatalf("read as %+v", s)
 	}
-	// What is stored and read again is the same job.
+	// The stored form reads as the same job.
 	again, err := ParseJob(append(mustMarshal(t, s)[:len(mustMarshal(t, s))-1], []byte(`,"together":true,"scatter":false,"loaners":true}`)...))
 	if err != nil || again.Image != s.Image {
-		t.Fatalf("stored form not understood: %v", err)
+		t.Fatalf("stored form not read: %v", err)
 	}
 }
 
@@ -39,8 +39,8 @@
 	return b
 }
 
-// Every field that is missing, null, of another type or absurd is refused, and
-// the refusal names it.
+// A submission with a field that is missing, null, of another type or out of range is
+// rejected, and the error names the field.
 func TestParseJobRefusesBadFields(t *testing.T) {
 	var good map[string]any
 	if err := json.Unmarshal([]byte(goodJob), &good); err != nil {
@@ -74,7 +74,7 @@
 	}
 }
 
-// Kinds of fields of a submission, with values that are none.
+// Invalid values for the kinds of fields of a submission.
 var (
 	notText    = []string{`1`, `true`, `[]`, `{}`, `""`}
 	notAmount  = []string{`"1"`, `true`, `[]`, `{}`, `-1`, `-0.001`, `1e10`, `1e400`}
@@ -83,7 +83,8 @@
 	notNames   = []string{`"g8"`, `1`, `true`, `{}`, `[]`, `[""]`, `[null]`, `[1]`, `["g8",""]`}
 )
 
-// submissionFields are the fields of POST /api/jobs as PROTOCOL lists them.
+// submissionFields are the fields of POST /api/jobs as PROTOCOL lists them, with valid and
+// invalid values.
 var submissionFields = []struct {
 	name     string
 	nullable bool
@@ -112,10 +113,11 @@
 	{"dueS", true, []string{`0`, `900.5`}, notAmount},
 }
 
-// Every field that is missing, null where it may not be, of another type or out of range is
-// refused, and the refusal names it; one that may be null may be missing; a field that is not
-// known, also one that differs in case alone, changes nothing.
-func TestEveryFieldOfASubmission(t *testing.T) {
+// Guards against silently accepted fields: a field that is missing, null where that is not
+// allowed, of another type or out of range is rejected, and the error names it. Nullable
+// fields may be missing. Unknown fields, also those that differ from a known one in case
+// only, change nothing.
+func TestSubmissionFields(t *testing.T) {
 	var good map[string]json.RawMessage
 	if err := json.Unmarshal([]byte(goodJob), &good); err != nil {
 		t.Fatal(err)
@@ -159,12 +161,12 @@
 			refused(value)
 		}
 		if _, err := ParseJob(bytes.Replace([]byte(goodJob), []byte(`"`+f.name+`"`), []byte(`"`+strings.ToUpper(f.name)+`"`), 1)); (err == nil) != f.nullable {
-			t.Errorf("%s in upper case alone: %v", f.name, err)
+			t.Errorf("%s given in upper case only: %v", f.name, err)
 		}
 		for _, value := range append(f.bad, "null") {
 			body := fmt.Sprintf(`%s,%q:%s}`, strings.TrimSuffix(goodJob, "}"), strings.ToUpper(f.name), value)
 			if got, err := ParseJob([]byte(body)); err != nil || !reflect.DeepEqual(got, want) {
-				t.Errorf("with a field %s = %s besides: %+v, %v", strings.ToUpper(f.name), value, got, err)
+				t.Errorf("with an additional field %s = %s: %+v, %v", strings.ToUpper(f.name), value, got, err)
 			}
 		}
 	}
@@ -188,7 +190,8 @@
 	})
 }
 
-func TestParseReportNeverAcceptsHalf(t *testing.T) {
+// Guards against truncated reports that are read as complete ones.
+func TestParseReportRejectsTruncated(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		body := `{"host":"host-1","endpoint":"10.1.0.2:9000","build":"g8","region":"a","loaners":true,"shift":1,"tally":88,"baton":41,"recallS":null,"pieces":[{"piece":"job-1/3","try":2,"status":"running"}]}`
 		if _, err := ParseReport([]byte(body)); err != nil {
@@ -201,7 +204,7 @@
 	})
 }
 
-func TestSettingsNameEveryMistake(t *testing.T) {
+func TestSettingsErrorsNameFields(t *testing.T) {
 	_, err := ParseSettings([]byte(`node = ""
 api_addr = "nowhere"
 [params.workers]
