--- a/internal/protocol/gateway/gateway.go
+++ b/internal/protocol/gateway/gateway.go
@@ -1,6 +1,8 @@
-// Package gateway is the format of what the members of a gateway (gateways and
-// sites) tell one another, and of the batches of registers that each of them
-// stores. FlatBuffers carry it; the schema is gateway.fbs.
+// Package gateway defines the messages between the members of a gateway (gateways and
+// sites), the batches of registers that each member stores, and the settings file of a
+// member. Members agree on each job with a consensus protocol: a job's record is a
+// register with ballots that a majority of the members accepts. Messages are encoded with
+// FlatBuffers; the schema is gateway.fbs.
 package gateway
 
 import (
@@ -13,123 +15,124 @@
 	"dapplestage.example/dapplestage/internal/protocol/gateway/gatewayfb"
 )
 
-// Version is the format's version; another one is refused, never skipped.
+// Version is the version of the message format. A message of any other version is rejected
+// with an error, never ignored.
 const Version = 1
 
-// MaxMembers bounds the members of a gateway: their sets are bit masks.
+// MaxMembers is the maximum number of members of a gateway. Sets of members are bit masks.
 const MaxMembers = 15
 
-// maxItems bounds the items of an envelope.
+// maxItems is the maximum number of items in an envelope.
 const maxItems = 4096
 
-// Kind says what an item asks or tells.
+// Kind is the kind of an item.
 type Kind uint8
 
-// Kinds of items. Stored batches hold State items only.
+// Kinds of items. Stored batches contain RegisterState and SiteState items only.
 const (
-	RegisterState Kind = iota // an acceptor's register
-	Prepare                   // promise to accept nothing below Ballot
-	Promise                   // promised; Accepted and Record are what was accepted before
-	Accept                    // accept Record under Ballot
-	Accepted                  // done
-	Nack                      // refused, Why says for what reason; Accepted is the higher ballot
-	Commit                    // a majority has accepted what was proposed under Ballot
-	Read                      // tell what you accepted; Ballot.N numbers the request
-	ReadReply                 // the answer to Read
-	Notice                    // a site is told what became of a job that concerns it
-	Ack                       // the site knows: claims of its own below Record.Epoch are dead
-	Progress                  // how many tasks of an open job are done (Record.Tasks) and run, for display
-	RenewLease                // a site asks for its lease; Ballot is number and session
-	LeaseGranted              // granted
-	LeaseDenied               // not granted, notices are not acknowledged
+	RegisterState Kind = iota // the stored register of an acceptor
+	Prepare                   // request to promise to accept nothing below Ballot
+	Promise                   // answer to Prepare; Accepted and Record are the proposal accepted before
+	Accept                    // request to accept Record under Ballot
+	Accepted                  // answer to Accept
+	Nack                      // rejected for the reason Code; Accepted is the higher ballot
+	Commit                    // a majority has accepted the proposal of Ballot
+	Read                      // request for the accepted record; Ballot.Number identifies the request
+	ReadReply                 // answer to Read
+	Notice                    // sent to a site: the new record of a job that concerns the site
+	Ack                       // answer to Notice: the site's claims below Record.Epoch are revoked there
+	Progress                  // numbers of done (Record.Tasks) and running tasks of an open job, for display
+	RenewLease                // a site's request for its lease; Ballot is the request's number and session
+	LeaseGranted              // the lease is granted
+	LeaseDenied               // the lease is not granted: the site has not acknowledged its notices
 
 	// Between a site's daemon and its controllers.
-	Submit // run the job under the claim Record.Epoch
-	Stop   // the claim Record.Epoch and all before are over
-	Poll   // tell how it is
-	Result // the answer; Why is a code
+	Submit // run the job under the claim of Record.Epoch
+	Stop   // end the claim of Record.Epoch and all earlier ones
+	Poll   // report the state of the job
+	Result // answer to Submit, Stop and Poll; Code is its result
 
-	// Stored by a site beside its registers.
-	SiteState // Durable: it is drained
+	// Stored by a site in addition to its registers.
+	SiteState // the state of the site; Durable: it is drained
 	kindCount
 )
 
-// Reasons of a Nack.
+// Reasons of a Nack, in Item.Code.
 const (
-	HigherBallot uint8 = iota // another proposer came first
-	LeaseActive               // the site that is to lose the job may still run it
+	HigherBallot uint8 = iota // a higher ballot was promised to another proposer
+	LeaseActive               // the site that would lose the job may still run it under its lease
 )
 
-// Codes of a Result.
+// Codes of a Result, in Item.Code.
 const (
-	Unavailable uint8 = iota // nothing is known to have happened; ask again
-	Active                   // the site has it: not over yet
-	ClaimEnded               // nothing of it runs there, and no claim up to Record.Epoch ever will
-	Completed                // all its tasks are done
-	Refused                  // it can never run there
-	Conflict                 // the site has a job of its own under this id
-	NotFound                 // the site knows no such job
+	Unavailable uint8 = iota // nothing is known to have happened; retry the call
+	Active                   // the job is at the site and has not ended
+	ClaimEnded               // no task of it runs at the site, nor ever will under a claim up to Record.Epoch
+	Completed                // all tasks of the job are done
+	Refused                  // the job can never run at the site
+	Conflict                 // the site has an own job with this id
+	NotFound                 // the site has no job with this id
 )
 
-// Ballot orders proposals of one register. Who holds the proposer's member
-// number and the number of its start, so that two processes that both think they
-// are the same member never share a ballot.
+// Ballot orders the proposals of one register. Proposer combines the proposer's member
+// number with the number of its start, so that two processes that both run as the same
+// member never use the same ballot.
 type Ballot struct {
 	Number   uint64
 	Proposer uint32
 }
 
-// Less orders ballots.
+// Less reports whether b is lower than o.
 func (b Ballot) Less(o Ballot) bool {
 	return b.Number < o.Number || b.Number == o.Number && b.Proposer < o.Proposer
 }
 
-// Final answers of a job.
+// Outcomes of a job.
 const (
 	Open uint8 = iota
 	Done
 	Cancelled
 )
 
-// Record is what is agreed on about one job.
+// Record is the state of one job that the members agree on.
 type Record struct {
-	Spec          []byte // the submission; dropped once the job is final
-	Epoch         uint32 // rises with every claim
-	Owner         uint8  // the site that holds it, its member number + 1; 0: none
-	PrevOwner     uint8  // the site that it was taken from without its proof, + 1; 0: none
-	Stopped       bool   // the holder has proved that nothing of it runs any more
-	LostSites     uint32 // sites that lost it without a proof
-	ExcludedSites uint32 // sites that can never run it
+	Spec          []byte // the submission; removed once the job has a final outcome
+	Epoch         uint32 // incremented with every claim
+	Owner         uint8  // the site that owns the job, as its member number + 1; 0: none
+	PrevOwner     uint8  // the site that the job was taken from before it confirmed its stop, + 1; 0: none
+	Stopped       bool   // the owner has confirmed that no task of the job runs any more
+	LostSites     uint32 // bit mask of the sites that lost the job before they confirmed its stop
+	ExcludedSites uint32 // bit mask of the sites that can never run the job
 	Outcome       uint8
-	FinishedBy    uint8 // the site whose work it was, + 1
+	FinishedBy    uint8 // the site that completed the job, + 1
 	Tasks         uint32
 	CreatedMS     uint64
 }
 
-// Item is one thing asked, told or stored about one register.
+// Item is one request, answer or stored state that concerns one register.
 type Item struct {
 	Kind       Kind
 	ID         string
 	Ballot     Ballot
 	Accepted   Ballot
-	HasRecord  bool // Record is there
+	HasRecord  bool // Record is set
 	Committed  bool
-	Durable    bool   // an Ack that outlives the site's daemon
-	Running    uint32 // tasks
+	Durable    bool   // of an Ack: it stays valid after a restart of the site's daemon
+	Running    uint32 // number of running tasks
 	Code       uint8
-	AckedSites uint32 // sites that acknowledged durably
+	AckedSites uint32 // bit mask of the sites that acknowledged durably
 	Record     Record
 }
 
-// Envelope is one message, or one stored batch.
+// Envelope is one message or one stored batch.
 type Envelope struct {
 	Items []Item
 	Hint  *Hint
-	// ConfigChecksum is what the sender was set up with, as a checksum.
+	// ConfigChecksum is the Checksum of the sender's settings.
 	ConfigChecksum uint64
 }
 
-// Hint is what a site tells of itself.
+// Hint is a site's description of itself, on which routing is based.
 type Hint struct {
 	Drained  bool
 	GPUs     float64 // of machines that are up
@@ -140,28 +143,30 @@
 	Images   []string // cached on some machine
 }
 
-// TypeHint is a machine type of a site.
+// TypeHint describes a machine type of a site.
 type TypeHint struct {
 	Name                 string
 	CPUs, GPUs, MemoryGB float64
 	Zones                []string
 }
 
-// TeamHint is a team at a site.
+// TeamHint describes a team's limits, usage and waiting tasks at a site.
 type TeamHint struct {
 	Name                             string
 	CPUsMax, GPUsMax, GPUs, UsedGPUs float64
 	Waiting                          int
 }
 
-// Lease is what a site's daemon answers its controllers.
+// Lease is the answer of a site's daemon to its controllers: for how long they may run
+// gateway jobs, the revision that their replica of the state service must have reached, and
+// the jobs that must not run any more.
 type Lease struct {
 	RemainingMS uint32
 	MinRevision uint64
 	LostJobs    []string
 }
 
-// Bounds of a hint and of a lease.
+// Maximum numbers of elements in a hint and in a lease.
 const (
 	MaxTypes    = 64
 	MaxTeams    = 200
@@ -169,18 +174,18 @@
 	MaxLostJobs = 2000
 )
 
-// Encode writes an envelope.
+// Encode encodes an envelope.
 func Encode(e *Envelope) []byte {
 	b := flatbuffers.NewBuilder(256 + 256*len(e.Items))
-	offs := make([]flatbuffers.UOffsetT, len(e.Items))
+	offsets := make([]flatbuffers.UOffsetT, len(e.Items))
 	for i := range e.Items {
-		offs[i] = encodeItem(b, &e.Items[i])
+		offsets[i] = encodeItem(b, &e.Items[i])
 	}
-	gatewayfb.EnvelopeStartItemsVector(b, len(offs))
-	for i := len(offs) - 1; i >= 0; i-- {
-		b.PrependUOffsetT(offs[i])
+	gatewayfb.EnvelopeStartItemsVector(b, len(offsets))
+	for i := len(offsets) - 1; i >= 0; i-- {
+		b.PrependUOffsetT(offsets[i])
 	}
-	items := b.EndVector(len(offs))
+	items := b.EndVector(len(offsets))
 	var hint flatbuffers.UOffsetT
 	if e.Hint != nil {
 		hint = encodeHint(b, e.Hint)
@@ -232,8 +237,8 @@
 	return gatewayfb.RegisterEnd(b)
 }
 
-// Decode reads an envelope; whatever the bytes are, it returns an error rather
-// than panic.
+// Decode decodes an envelope. It returns an error if the data is malformed; it never
+// panics.
 func Decode(data []byte) (e *Envelope, err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -243,23 +248,23 @@
 	if len(data) < 8 {
 		return nil, errors.New("malformed gateway message: too short")
 	}
-	f := gatewayfb.GetRootAsEnvelope(data, 0)
-	if v := f.Version(); v != Version {
+	msg := gatewayfb.GetRootAsEnvelope(data, 0)
+	if v := msg.Version(); v != Version {
 		return nil, fmt.Errorf("gateway message of version %d, this program understands %d", v, Version)
 	}
-	n := f.ItemsLength()
+	n := msg.ItemsLength()
 	if n > maxItems {
 		return nil, fmt.Errorf("malformed gateway message: %d items, at most %d", n, maxItems)
 	}
-	e = &Envelope{Items: make([]Item, n), ConfigChecksum: f.Config()}
-	if h := f.Hint(nil); h != nil {
+	e = &Envelope{Items: make([]Item, n), ConfigChecksum: msg.Config()}
+	if h := msg.Hint(nil); h != nil {
 		if e.Hint, err = decodeHint(h); err != nil {
 			return nil, err
 		}
 	}
 	var r gatewayfb.Register
 	for i := range n {
-		f.Items(&r, i)
+		msg.Items(&r, i)
 		if e.Items[i], err = decodeItem(&r); err != nil {
 			return nil, err
 		}
@@ -292,19 +297,19 @@
 }
 
 func encodeHint(b *flatbuffers.Builder, h *Hint) flatbuffers.UOffsetT {
-	vector := func(offs []flatbuffers.UOffsetT) flatbuffers.UOffsetT {
-		b.StartVector(4, len(offs), 4)
-		for i := len(offs) - 1; i >= 0; i-- {
-			b.PrependUOffsetT(offs[i])
+	vector := func(offsets []flatbuffers.UOffsetT) flatbuffers.UOffsetT {
+		b.StartVector(4, len(offsets), 4)
+		for i := len(offsets) - 1; i >= 0; i-- {
+			b.PrependUOffsetT(offsets[i])
 		}
-		return b.EndVector(len(offs))
+		return b.EndVector(len(offsets))
 	}
-	strings := func(ss []string) flatbuffers.UOffsetT {
-		offs := make([]flatbuffers.UOffsetT, len(ss))
-		for i, s := range ss {
-			offs[i] = b.CreateString(s)
+	strings := func(list []string) flatbuffers.UOffsetT {
+		offsets := make([]flatbuffers.UOffsetT, len(list))
+		for i, s := range list {
+			offsets[i] = b.CreateString(s)
 		}
-		return vector(offs)
+		return vector(offsets)
 	}
 	var types, teams []flatbuffers.UOffsetT
 	for i := range h.Types {
@@ -330,26 +335,26 @@
 		gatewayfb.TeamAddWaiting(b, uint32(t.Waiting))
 		teams = append(teams, gatewayfb.TeamEnd(b))
 	}
-	ty, te, im := vector(types), vector(teams), strings(h.Images)
+	typeVector, teamVector, imageVector := vector(types), vector(teams), strings(h.Images)
 	gatewayfb.HintStart(b)
 	gatewayfb.HintAddDrained(b, h.Drained)
 	gatewayfb.HintAddGpus(b, float32(h.GPUs))
 	gatewayfb.HintAddFreeGpus(b, float32(h.FreeGPUs))
 	gatewayfb.HintAddWaiting(b, uint32(h.Waiting))
-	gatewayfb.HintAddTypes(b, ty)
-	gatewayfb.HintAddTeams(b, te)
-	gatewayfb.HintAddImages(b, im)
+	gatewayfb.HintAddTypes(b, typeVector)
+	gatewayfb.HintAddTeams(b, teamVector)
+	gatewayfb.HintAddImages(b, imageVector)
 	return gatewayfb.HintEnd(b)
 }
 
-func decodeHint(f *gatewayfb.Hint) (*Hint, error) {
-	if f.TypesLength() > MaxTypes || f.TeamsLength() > MaxTeams || f.ImagesLength() > MaxImages {
-		return nil, fmt.Errorf("malformed gateway message: hint of %d types, %d teams, %d images", f.TypesLength(), f.TeamsLength(), f.ImagesLength())
+func decodeHint(msg *gatewayfb.Hint) (*Hint, error) {
+	if msg.TypesLength() > MaxTypes || msg.TeamsLength() > MaxTeams || msg.ImagesLength() > MaxImages {
+		return nil, fmt.Errorf("malformed gateway message: hint of %d types, %d teams, %d images", msg.TypesLength(), msg.TeamsLength(), msg.ImagesLength())
 	}
-	h := &Hint{Drained: f.Drained(), GPUs: float64(f.Gpus()), FreeGPUs: float64(f.FreeGpus()), Waiting: int(f.Waiting())}
+	h := &Hint{Drained: msg.Drained(), GPUs: float64(msg.Gpus()), FreeGPUs: float64(msg.FreeGpus()), Waiting: int(msg.Waiting())}
 	var mt gatewayfb.MachineType
-	for i := range f.TypesLength() {
-		f.Types(&mt, i)
+	for i := range msg.TypesLength() {
+		msg.Types(&mt, i)
 		t := TypeHint{Name: string(mt.Name()), CPUs: float64(mt.Cpus()), GPUs: float64(mt.Gpus()), MemoryGB: float64(mt.MemoryGb())}
 		for k := range min(mt.ZonesLength(), MaxTypes) {
 			t.Zones = append(t.Zones, string(mt.Zones(k)))
@@ -357,29 +362,29 @@
 		h.Types = append(h.Types, t)
 	}
 	var tm gatewayfb.Team
-	for i := range f.TeamsLength() {
-		f.Teams(&tm, i)
+	for i := range msg.TeamsLength() {
+		msg.Teams(&tm, i)
 		h.Teams = append(h.Teams, TeamHint{Name: string(tm.Name()), CPUsMax: float64(tm.CpusMax()), GPUsMax: float64(tm.GpusMax()),
 			GPUs: float64(tm.Gpus()), UsedGPUs: float64(tm.UsedGpus()), Waiting: int(tm.Waiting())})
 	}
-	for i := range f.ImagesLength() {
-		h.Images = append(h.Images, string(f.Images(i)))
+	for i := range msg.ImagesLength() {
+		h.Images = append(h.Images, string(msg.Images(i)))
 	}
 	return h, nil
 }
 
-// EncodeLease writes a lease's answer.
+// EncodeLease encodes a lease.
 func EncodeLease(l *Lease) []byte {
 	b := flatbuffers.NewBuilder(256)
-	offs := make([]flatbuffers.UOffsetT, min(len(l.LostJobs), MaxLostJobs))
-	for i := range offs {
-		offs[i] = b.CreateString(l.LostJobs[i])
+	offsets := make([]flatbuffers.UOffsetT, min(len(l.LostJobs), MaxLostJobs))
+	for i := range offsets {
+		offsets[i] = b.CreateString(l.LostJobs[i])
 	}
-	b.StartVector(4, len(offs), 4)
-	for i := len(offs) - 1; i >= 0; i-- {
-		b.PrependUOffsetT(offs[i])
+	b.StartVector(4, len(offsets), 4)
+	for i := len(offsets) - 1; i >= 0; i-- {
+		b.PrependUOffsetT(offsets[i])
 	}
-	dead := b.EndVector(len(offs))
+	dead := b.EndVector(len(offsets))
 	gatewayfb.LeaseStart(b)
 	gatewayfb.LeaseAddVersion(b, Version)
 	gatewayfb.LeaseAddLeftMs(b, l.RemainingMS)
@@ -389,7 +394,7 @@
 	return b.FinishedBytes()
 }
 
-// DecodeLease reads a lease's answer.
+// DecodeLease decodes a lease. It returns an error if the data is malformed.
 func DecodeLease(data []byte) (l *Lease, err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -399,16 +404,16 @@
 	if len(data) < 8 {
 		return nil, errors.New("malformed lease: too short")
 	}
-	f := gatewayfb.GetRootAsLease(data, 0)
-	if v := f.Version(); v != Version {
+	msg := gatewayfb.GetRootAsLease(data, 0)
+	if v := msg.Version(); v != Version {
 		return nil, fmt.Errorf("lease of version %d, this program understands %d", v, Version)
 	}
-	if f.DeadLength() > MaxLostJobs {
+	if msg.DeadLength() > MaxLostJobs {
 		return nil, errors.New("malformed lease: too many jobs")
 	}
-	l = &Lease{RemainingMS: f.LeftMs(), MinRevision: f.Floor()}
-	for i := range f.DeadLength() {
-		l.LostJobs = append(l.LostJobs, string(f.Dead(i)))
+	l = &Lease{RemainingMS: msg.LeftMs(), MinRevision: msg.Floor()}
+	for i := range msg.DeadLength() {
+		l.LostJobs = append(l.LostJobs, string(msg.Dead(i)))
 	}
 	return l, nil
 }
--- a/internal/protocol/gateway/gateway_test.go
+++ b/internal/protocol/gateway/gateway_test.go
@@ -39,7 +39,8 @@
 	})
 }
 
-// TestDecodeDamaged: whatever arrives is refused or read, never a panic.
+// Guards against panics on malformed messages: corrupted and truncated data is decoded or
+// rejected.
 func TestDecodeDamaged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		data := Encode(&Envelope{Items: []Item{drawItem(t), drawItem(t)}})
@@ -58,7 +59,7 @@
 	}
 }
 
-func TestOtherVersionIsRefused(t *testing.T) {
+func TestOtherVersionIsRejected(t *testing.T) {
 	data := Encode(&Envelope{})
 	for i := range data {
 		if data[i] == Version {
@@ -69,5 +70,5 @@
 			}
 		}
 	}
-	t.Error("another version was not refused by name")
+	t.Error("no message of another version was rejected with an error that names the version")
 }
--- a/internal/protocol/gateway/settings.go
+++ b/internal/protocol/gateway/settings.go
@@ -12,8 +12,8 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// Settings is a member's file. What stands above [[members]] and the members
-// themselves must be the same for all of them.
+// Settings is the settings file of a member. The times and the members must be the same
+// for all members; see Checksum.
 type Settings struct {
 	Member string `toml:"member"`
 	Listen string `toml:"listen"`   // for the other members
@@ -21,8 +21,8 @@
 
 	LeaseS           float64 `toml:"lease_s"`
 	ControllerLeaseS float64 `toml:"controllers_s"`
-	MaxWorkerLeaseS  float64 `toml:"workers_lease_s"` // the longest of any site
-	MinCancelS       float64 `toml:"cancel_s"`        // the shortest of any site
+	MaxWorkerLeaseS  float64 `toml:"workers_lease_s"` // the longest lease_s of workers of any site
+	MinCancelS       float64 `toml:"cancel_s"`        // the shortest cancel_s of any site
 	MaxInFlight      int     `toml:"in_flight"`
 
 	Members []Member `toml:"members"`
@@ -45,26 +45,26 @@
 	Site struct {
 		// Settings is the settings file of one of the site's controllers.
 		Settings string `toml:"settings"`
-		// Local is where the controllers ask for the lease.
+		// Local is the address at which the controllers request the lease.
 		Local       string   `toml:"local"`
 		Controllers []string `toml:"controllers"`
-		// Part is the part of the state service's changes that may be used.
+		// Part is the fraction of the state service's write rate that the daemon may use.
 		Part float64 `toml:"part"`
 	} `toml:"site"`
 
 	dir string
 }
 
-// Member is a member as the others know it.
+// Member is an entry of the list of members.
 type Member struct {
 	Name string `toml:"name"`
 	Addr string `toml:"addr"`
 	Site bool   `toml:"site"`
 }
 
-// ReadSettings reads and checks a member's file, and for a site the controllers'
-// settings that it names. The error has a line for each mistake, which names field
-// and bound.
+// ReadSettings reads and checks a member's settings file, and for a site also the settings
+// file of a controller that it names. The error has a line for each invalid field, which
+// names the field and its bounds.
 func ReadSettings(path string) (*Settings, *protocol.Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -77,17 +77,17 @@
 	if err := toml.Unmarshal(data, s); err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", path, err)
 	}
-	mistakes := &protocol.SettingErrors{}
-	s.check(mistakes)
+	errs := &protocol.SettingErrors{}
+	s.check(errs)
 	var site *protocol.Settings
 	if s.IsSite() && s.Site.Settings != "" {
 		if site, err = protocol.ReadSettings(s.ResolvePath(s.Site.Settings)); err != nil {
-			mistakes.Add("site.settings: %w", err)
+			errs.Add("site.settings: %w", err)
 		} else if w := site.Params.Workers; w.LeaseS > s.MaxWorkerLeaseS || w.CancelS < s.MinCancelS {
-			mistakes.Add("workers_lease_s: the site's lease_s %g must be at most that (%g), and its cancel_s %g at least cancel_s (%g)", w.LeaseS, s.MaxWorkerLeaseS, w.CancelS, s.MinCancelS)
+			errs.Add("workers_lease_s: the site's lease_s %g must be at most that (%g), and its cancel_s %g at least cancel_s (%g)", w.LeaseS, s.MaxWorkerLeaseS, w.CancelS, s.MinCancelS)
 		}
 	}
-	if err := mistakes.Err(); err != nil {
+	if err := errs.Err(); err != nil {
 		return nil, nil, err
 	}
 	slices.SortFunc(s.Members, func(a, b Member) int {
@@ -99,12 +99,13 @@
 	return s, site, nil
 }
 
-// IsSite says whether this member is a site's.
+// IsSite reports whether this member is a site.
 func (s *Settings) IsSite() bool {
 	return slices.ContainsFunc(s.Members, func(p Member) bool { return p.Name == s.Member && p.Site })
 }
 
-// ResolvePath is a file named in the settings: relative to their own place.
+// ResolvePath returns the path of a file that the settings name. Relative paths are relative
+// to the directory of the settings file.
 func (s *Settings) ResolvePath(p string) string {
 	if p == "" || filepath.IsAbs(p) {
 		return p
@@ -112,8 +113,8 @@
 	return filepath.Join(s.dir, p)
 }
 
-// Checksum is of what all members must agree on. Addresses may differ: members may
-// reach one another by different ways.
+// Checksum returns a checksum of the settings that must be the same for all members.
+// Addresses may differ, because members may reach one another on different routes.
 func (s *Settings) Checksum() uint64 {
 	h := fnv.New64a()
 	fmt.Fprint(h, Version, s.LeaseS, s.ControllerLeaseS, s.MaxWorkerLeaseS, s.MinCancelS)
@@ -123,70 +124,71 @@
 	return h.Sum64()
 }
 
-func (s *Settings) check(m *protocol.SettingErrors) {
-	m.CheckAddress("listen", s.Listen)
-	m.CheckAddress("api_addr", s.API)
-	s.checkTimes(m)
-	s.checkMembers(m)
+func (s *Settings) check(errs *protocol.SettingErrors) {
+	errs.CheckAddress("listen", s.Listen)
+	errs.CheckAddress("api_addr", s.API)
+	s.checkTimes(errs)
+	s.checkMembers(errs)
 	if s.Keys.Dir == "" && (s.Keys.Member == "" || s.Keys.Authority == "") {
-		m.Add("keys.dir: missing (or keys.member and keys.authority)")
+		errs.Add("keys.dir: missing (or keys.member and keys.authority)")
 	}
 	if s.IsSite() {
-		s.checkSite(m)
+		s.checkSite(errs)
 	} else if s.Journal.Path == "" {
-		m.Add("journal.path: missing")
+		errs.Add("journal.path: missing")
 	}
 }
 
-func (s *Settings) checkTimes(m *protocol.SettingErrors) {
-	m.CheckRange("lease_s", s.LeaseS, 2, 60)
-	m.CheckRange("controllers_s", s.ControllerLeaseS, 1, 30)
-	m.CheckRange("workers_lease_s", s.MaxWorkerLeaseS, 1, 3600)
-	m.CheckRange("in_flight", float64(s.MaxInFlight), 1, 100000)
-	m.CheckRange("route.per_second", s.Route.PerSecond, 0.1, 10000)
-	m.CheckRange("route.ramp_s", s.Route.RampS, 0, 3600)
-	m.CheckRange("route.stale_s", s.Route.StaleS, 3, 600)
-	m.CheckRange("route.open_per_site", float64(s.Route.Open), 1, 1e6)
-	m.CheckRange("route.move_after_s", s.Route.MoveAfterS, 0, 86400)
-	// A cancellation must end what the site's workers run though the site can't be told.
-	if most := s.MinCancelS - s.MaxWorkerLeaseS - s.ControllerLeaseS - 4; s.LeaseS*1.002 >= most {
-		m.Add("lease_s: %g must be below %g (cancel_s %g less workers_lease_s %g, controllers_s %g and 4)", s.LeaseS, most, s.MinCancelS, s.MaxWorkerLeaseS, s.ControllerLeaseS)
+func (s *Settings) checkTimes(errs *protocol.SettingErrors) {
+	errs.CheckRange("lease_s", s.LeaseS, 2, 60)
+	errs.CheckRange("controllers_s", s.ControllerLeaseS, 1, 30)
+	errs.CheckRange("workers_lease_s", s.MaxWorkerLeaseS, 1, 3600)
+	errs.CheckRange("in_flight", float64(s.MaxInFlight), 1, 100000)
+	errs.CheckRange("route.per_second", s.Route.PerSecond, 0.1, 10000)
+	errs.CheckRange("route.ramp_s", s.Route.RampS, 0, 3600)
+	errs.CheckRange("route.stale_s", s.Route.StaleS, 3, 600)
+	errs.CheckRange("route.open_per_site", float64(s.Route.Open), 1, 1e6)
+	errs.CheckRange("route.move_after_s", s.Route.MoveAfterS, 0, 86400)
+	// A cancellation must stop the tasks on a site's workers within cancel_s even if the site
+	// can't be reached: by the expiry of its lease, then of its controllers' and its workers'.
+	if limit := s.MinCancelS - s.MaxWorkerLeaseS - s.ControllerLeaseS - 4; s.LeaseS*1.002 >= limit {
+		errs.Add("lease_s: %g must be below %g (cancel_s %g less workers_lease_s %g, controllers_s %g and 4)", s.LeaseS, limit, s.MinCancelS, s.MaxWorkerLeaseS, s.ControllerLeaseS)
 	}
 }
 
-func (s *Settings) checkMembers(m *protocol.SettingErrors) {
+func (s *Settings) checkMembers(errs *protocol.SettingErrors) {
 	if n := len(s.Members); n < 3 || n > MaxMembers {
-		m.Add("members: %d, at least 3 and at most %d", n, MaxMembers)
+		errs.Add("members: %d, at least 3 and at most %d", n, MaxMembers)
 	}
 	seen, sites := map[string]bool{}, 0
 	for i, p := range s.Members {
 		if p.Name == "" || seen[p.Name] {
-			m.Add("members[%d].name: missing or repeated: %q", i, p.Name)
+			errs.Add("members[%d].name: missing or repeated: %q", i, p.Name)
 		}
 		seen[p.Name] = true
 		if p.Site {
 			sites++
 		}
-		m.CheckAddress(fmt.Sprintf("members[%d].addr", i), p.Addr)
+		errs.CheckAddress(fmt.Sprintf("members[%d].addr", i), p.Addr)
 	}
 	if !seen[s.Member] {
-		m.Add("member: %q is not among the members", s.Member)
+		errs.Add("member: %q is not among the members", s.Member)
 	}
 	if sites < 2 {
-		m.Add("members: %d sites, at least 2", sites)
+		errs.Add("members: %d sites, at least 2", sites)
 	}
 }
 
-func (s *Settings) checkSite(m *protocol.SettingErrors) {
-	m.CheckAddress("site.local", s.Site.Local)
+func (s *Settings) checkSite(errs *protocol.SettingErrors) {
+	errs.CheckAddress("site.local", s.Site.Local)
 	if len(s.Site.Controllers) == 0 {
-		m.Add("site.controllers: none")
+		errs.Add("site.controllers: none")
 	}
 	for i, c := range s.Site.Controllers {
-		m.CheckAddress(fmt.Sprintf("site.controllers[%d]", i), c)
+		errs.CheckAddress(fmt.Sprintf("site.controllers[%d]", i), c)
 	}
 	if s.Site.Settings == "" {
-		m.Add("site.settings: missing")
+		errs.Add("site.settings: missing")
 	}
-	m.CheckRange("site.part", s.Site.Part, 0.01, 0.9)
+	errs.CheckRange("site.part", s.Site.Part, 0.01, 0.9)
 }
--- a/internal/protocol/gateway/settings_test.go
+++ b/internal/protocol/gateway/settings_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// TestSettingsNameFieldAndBound: the shipped examples are fine; each mistake gets one
-// line that names field and bound.
-func TestSettingsNameFieldAndBound(t *testing.T) {
+// The shipped examples are valid. For each invalid field the error has one line that names
+// the field and its bounds.
+func TestSettingsErrorsNameFieldAndBound(t *testing.T) {
 	dir := filepath.Join("..", "..", "..", "examples", "gateway")
 	for _, name := range []string{"gate", "quito", "xela"} {
 		if _, _, err := ReadSettings(filepath.Join(dir, name+".toml")); err != nil {
@@ -50,8 +50,8 @@
 	}
 }
 
-// Members whose files differ in what they must agree on have other checksums;
-// addresses may differ.
+// Settings that differ in a value that all members must share have different checksums.
+// Addresses may differ.
 func TestChecksum(t *testing.T) {
 	path := filepath.Join("..", "..", "..", "examples", "gateway", "gate.toml")
 	a, _, err := ReadSettings(path)
@@ -61,10 +61,10 @@
 	b, _, _ := ReadSettings(path)
 	b.Members[1].Addr = "10.0.0.1:1"
 	if a.Checksum() != b.Checksum() {
-		t.Error("addresses count")
+		t.Error("the checksum depends on addresses")
 	}
 	b.LeaseS++
 	if a.Checksum() == b.Checksum() {
-		t.Error("leases do not count")
+		t.Error("the checksum does not depend on the lease")
 	}
 }
