--- a/internal/protocol/ticket/combine.go
+++ b/internal/protocol/ticket/combine.go
@@ -8,12 +8,15 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// The grammar of a combination expression: "A * (B, C)". A product runs through all
-// combinations, the last one fastest; in parentheses values go together, one by one.
+// combineExpr is the grammar of a combination expression, such as "A * (B, C)". A
+// product takes all combinations of its factors, the last factor varying fastest. The
+// expressions in parentheses are paired value by value. Syntax errors show the names of the
+// grammar's types to users.
 type combineExpr struct {
 	Product []*combineTerm `parser:"@@ ('*' @@)*"`
 }
 
+// combineTerm is a factor of a product: a parameter or a group of expressions.
 type combineTerm struct {
 	Name  string         `parser:"  @Ident"`
 	Group []*combineExpr `parser:"| '(' @@ (',' @@)* ')'"`
@@ -27,8 +30,8 @@
 	})))
 })
 
-// parseCombine reads a combination expression.
-func parseCombine(s string) (*combineExpr, error) {
+// parseCombination parses a combination expression.
+func parseCombination(s string) (*combineExpr, error) {
 	if len(s) > 1280 {
 		return nil, fmt.Errorf("%d characters, at most 1280 are taken", len(s))
 	}
@@ -51,7 +54,8 @@
 	return e, nil
 }
 
-// names are the parameters in an expression, in its order.
+// names appends the names of the parameters in the expression to into, in order of
+// appearance.
 func (e *combineExpr) names(into []string) []string {
 	for _, t := range e.Product {
 		if t.Group == nil {
@@ -64,11 +68,11 @@
 	return into
 }
 
-// axis is a task parameter with its values.
+// axis is a task parameter with all of its values.
 type axis struct {
 	name, typ string
 	ints      intRange // of an INT
-	list      []string // of all others
+	list      []string // of any other type
 }
 
 func (a *axis) len() int {
@@ -85,28 +89,29 @@
 	return a.list[i]
 }
 
-// combination says how axes are combined: one of them, a product, or a group.
+// combination is a node of the tree that combines the axes: one axis, a product, or a group.
 type combination struct {
-	axis    int // of a leaf
-	product bool
-	kids    []*combination
-	count   int
+	axis     int // of a leaf
+	product  bool
+	children []*combination
+	count    int
 }
 
-// TaskSpace is the parameters of a step's tasks, by the task's number. It holds no task.
+// TaskSpace maps the number of a task of a step to the task's parameters. It computes them on
+// request and stores no tasks.
 type TaskSpace struct {
 	axes []*axis
 	root *combination // nil: one task without parameters
 }
 
-// Binding is a parameter of one task.
+// Binding is a parameter of one task with its value.
 type Binding struct {
 	Name  string `json:"name"`
 	Type  string `json:"type"`
 	Value string `json:"value"`
 }
 
-// Len is the number of tasks.
+// Len returns the number of tasks.
 func (s *TaskSpace) Len() int {
 	if s == nil || s.root == nil {
 		return 1
@@ -114,38 +119,39 @@
 	return s.root.count
 }
 
-// At is the parameters of one task, in the order of the definitions.
+// At returns the parameters of one task, in the order of their definitions.
 func (s *TaskSpace) At(task int) []Binding {
 	if s == nil || s.root == nil || task < 0 || task >= s.Len() {
 		return nil
 	}
-	at := make([]int, len(s.axes))
-	s.root.pick(task, at)
+	indexes := make([]int, len(s.axes))
+	s.root.selectValues(task, indexes)
 	out := make([]Binding, len(s.axes))
 	for i, a := range s.axes {
-		out[i] = Binding{a.name, a.typ, a.at(at[i])}
+		out[i] = Binding{a.name, a.typ, a.at(indexes[i])}
 	}
 	return out
 }
 
-func (sh *combination) pick(i int, at []int) {
+// selectValues sets the value index of each axis for the i-th combination.
+func (c *combination) selectValues(i int, indexes []int) {
 	switch {
-	case sh.kids == nil:
-		at[sh.axis] = i
-	case sh.product:
-		for k := len(sh.kids) - 1; k >= 0; k-- {
-			kid := sh.kids[k]
-			kid.pick(i%kid.count, at)
-			i /= kid.count
+	case c.children == nil:
+		indexes[c.axis] = i
+	case c.product:
+		for k := len(c.children) - 1; k >= 0; k-- {
+			child := c.children[k]
+			child.selectValues(i%child.count, indexes)
+			i /= child.count
 		}
 	default:
-		for _, kid := range sh.kids {
-			kid.pick(i, at)
+		for _, child := range c.children {
+			child.selectValues(i, indexes)
 		}
 	}
 }
 
-// newSpace combines axes as an expression says; without one, as their product.
+// newSpace combines axes by an expression; without one, it takes their product.
 func newSpace(axes []*axis, expr *combineExpr) (*TaskSpace, error) {
 	if expr == nil {
 		expr = &combineExpr{}
@@ -159,45 +165,46 @@
 	}
 	s := &TaskSpace{axes: axes}
 	var err error
-	s.root, err = s.shape(expr, byName)
+	s.root, err = s.combine(expr, byName)
 	return s, err
 }
 
-func (s *TaskSpace) shape(e *combineExpr, byName map[string]int) (*combination, error) {
-	sh := &combination{product: true, count: 1}
+// combine returns the combination of an expression. byName are the indices of the axes.
+func (s *TaskSpace) combine(e *combineExpr, byName map[string]int) (*combination, error) {
+	product := &combination{product: true, count: 1}
 	for _, t := range e.Product {
-		kid, err := s.term(t, byName)
+		child, err := s.combineFactor(t, byName)
 		if err != nil {
 			return nil, err
 		}
 		// Both are at most MaxTasks, so their product can't overflow.
-		if sh.count *= kid.count; sh.count > MaxTasks {
+		if product.count *= child.count; product.count > MaxTasks {
 			return nil, fmt.Errorf("more than %d tasks", MaxTasks)
 		}
-		sh.kids = append(sh.kids, kid)
+		product.children = append(product.children, child)
 	}
-	if len(sh.kids) == 1 {
-		return sh.kids[0], nil
+	if len(product.children) == 1 {
+		return product.children[0], nil
 	}
-	return sh, nil
+	return product, nil
 }
 
-func (s *TaskSpace) term(t *combineTerm, byName map[string]int) (*combination, error) {
+func (s *TaskSpace) combineFactor(t *combineTerm, byName map[string]int) (*combination, error) {
 	if t.Group == nil {
 		i := byName[t.Name]
 		return &combination{axis: i, count: s.axes[i].len()}, nil
 	}
-	sh := &combination{}
+	group := &combination{}
 	for _, g := range t.Group {
-		kid, err := s.shape(g, byName)
+		child, err := s.combine(g, byName)
 		if err != nil {
 			return nil, err
 		}
-		if sh.kids != nil && kid.count != sh.count {
-			return nil, fmt.Errorf("what goes together in parentheses must have the same number of values, not %d and %d", sh.count, kid.count)
+		if group.children != nil && child.count != group.count {
+			return nil, fmt.Errorf("what goes together in parentheses must have the same number of values, not %d and %d", group.count, child.count)
 		}
-		sh.count = kid.count
-		sh.kids = append(sh.kids, kid)
+		group.count = child.count
+		group.children = append(group.children, child)
 	}
-	return sh, nil
+	return group, nil
 }
--- a/internal/protocol/ticket/expand.go
+++ b/internal/protocol/ticket/expand.go
@@ -7,31 +7,32 @@
 	"strings"
 )
 
-// Plan is a template with its parameters: what is to run. Tasks are numbers; their
-// parameters are found by number and never all written out.
+// Plan is an expanded template: the steps to run, with the job parameters filled in. Tasks
+// are identified by number; their parameters are computed from the number and never stored
+// for all tasks.
 type Plan struct {
 	Name  string
-	Tasks int // of all steps
+	Tasks int // of all steps together
 	Steps []PlanStep
 }
 
 // PlanStep is one step of a plan.
 type PlanStep struct {
 	Name  string
-	Deps  []int // steps that must be done before
+	Deps  []int // indices of the steps that must be done before
 	Space *TaskSpace
-	// What a task takes; nil: not said, so the submission's or the class's holds.
+	// Resources of a task; nil: not given, so the submission's or the class's apply.
 	CPUs, GPUs, MemoryGB *float64
-	Types                []string // allowed machine types; nil: not said
+	Types                []string // allowed machine types; nil: not given
 	Zone                 string
 }
 
-// Args are the values given for job parameters, by name.
+// Args are the given values of job parameters, by name.
 type Args map[string]string
 
-// Expand gives a template's parameters their values, and counts its tasks.
+// Expand fills in the values of the job parameters and returns the steps with their tasks.
 func (t *Template) Expand(given Args) (*Plan, error) {
-	vals, err := t.bind(given)
+	vals, err := t.bindParameters(given)
 	if err != nil {
 		return nil, err
 	}
@@ -54,8 +55,8 @@
 	if p.Name, err = resolve(t.Name, "name"); err != nil {
 		return nil, err
 	}
-	if n := len([]rune(p.Name)); n > maxJobName {
-		return nil, &Error{Field: "name", Text: fmt.Sprintf("is %d characters long, at most %d are taken", n, maxJobName)}
+	if n := len([]rune(p.Name)); n > maxJobNameLength {
+		return nil, &Error{Field: "name", Text: fmt.Sprintf("is %d characters long, at most %d are taken", n, maxJobNameLength)}
 	}
 	index := map[string]int{}
 	for i, s := range t.Steps {
@@ -70,7 +71,7 @@
 		if ps.Space, err = s.Space.expand(resolve, path+".parameterSpace"); err != nil {
 			return nil, err
 		}
-		if err := ps.require(s.Host, resolve, path+".hostRequirements"); err != nil {
+		if err := ps.applyHostRequirements(s.Host, resolve, path+".hostRequirements"); err != nil {
 			return nil, err
 		}
 		// Each is at most MaxTasks, so the sum can't overflow.
@@ -82,8 +83,8 @@
 	return p, nil
 }
 
-// bind checks the values given against the definitions and adds defaults.
-func (t *Template) bind(given Args) (Args, error) {
+// bindParameters checks the given values against the parameter definitions and adds defaults.
+func (t *Template) bindParameters(given Args) (Args, error) {
 	vals := Args{}
 	for _, p := range t.Parameters {
 		path := "parameters." + p.Name
@@ -112,9 +113,10 @@
 	return vals, nil
 }
 
-type resolver func(s, path string) (string, error)
+// resolveFunc replaces the references in a format string; path names the field in errors.
+type resolveFunc func(s, path string) (string, error)
 
-func (d *ParameterSpace) expand(resolve resolver, path string) (*TaskSpace, error) {
+func (d *ParameterSpace) expand(resolve resolveFunc, path string) (*TaskSpace, error) {
 	if d == nil {
 		return nil, nil
 	}
@@ -122,14 +124,14 @@
 	for i, p := range d.Parameters {
 		path := fmt.Sprintf("%s.taskParameterDefinitions[%d].range", path, i)
 		a := &axis{name: p.Name, typ: p.Type}
-		bad := func(err error) error { return &Error{Field: path, Text: err.Error()} }
+		invalid := func(err error) error { return &Error{Field: path, Text: err.Error()} }
 		if p.Range.List == nil {
 			s, err := resolve(p.Range.Expr, path)
 			if err != nil {
 				return nil, err
 			}
 			if a.ints, err = parseRange(s); err != nil {
-				return nil, bad(err)
+				return nil, invalid(err)
 			}
 		}
 		size := 0
@@ -139,15 +141,15 @@
 				s, err = parseScalar(p.Type, &value{kind: text, text: s})
 			}
 			if err != nil {
-				return nil, bad(err)
+				return nil, invalid(err)
 			}
 			if size += len(s); size > maxString {
-				return nil, bad(fmt.Errorf("longer than %d characters once its references are replaced", maxString))
+				return nil, invalid(fmt.Errorf("longer than %d characters once its references are replaced", maxString))
 			}
 			if p.Type == "INT" {
 				n, err := parseInt(s)
 				if err != nil {
-					return nil, bad(err)
+					return nil, invalid(err)
 				}
 				a.ints = append(a.ints, sequence{n, 1, 1})
 			} else {
@@ -159,7 +161,7 @@
 	var e *combineExpr
 	if d.Combination != "" {
 		var err error
-		if e, err = parseCombine(d.Combination); err != nil {
+		if e, err = parseCombination(d.Combination); err != nil {
 			return nil, &Error{Field: path + ".combination", Text: err.Error()}
 		}
 	}
@@ -170,8 +172,9 @@
 	return s, nil
 }
 
-// require turns host requirements into what the scheduler knows.
-func (s *PlanStep) require(h *HostRequirements, resolve resolver, path string) error {
+// applyHostRequirements translates host requirements into the scheduler's resources, machine
+// types and zone.
+func (s *PlanStep) applyHostRequirements(h *HostRequirements, resolve resolveFunc, path string) error {
 	if h == nil {
 		return nil
 	}
@@ -186,7 +189,7 @@
 			}
 			s.GPUs = &v
 		case "amount.worker.memory":
-			v /= 1024 // the format counts MiB
+			v /= 1024 // the format's unit is MiB
 			s.MemoryGB = &v
 		}
 	}
@@ -204,16 +207,16 @@
 				*list.to = append(*list.to, v)
 			}
 		}
-		if err := s.attribute(a.Name, any, all); err != nil {
+		if err := s.applyAttribute(a.Name, any, all); err != nil {
 			return &Error{Field: fmt.Sprintf("%s.attributes[%d]", path, i), Text: err.Error()}
 		}
 	}
 	return nil
 }
 
-// attribute narrows a step to machines with a property. Each machine has one value
-// of each, so allOf holds only if it names a single one.
-func (s *PlanStep) attribute(name string, any, all []string) error {
+// applyAttribute restricts a step to machines with an attribute. A machine has exactly one
+// value of each attribute, so allOf can be satisfied only if it names a single value.
+func (s *PlanStep) applyAttribute(name string, any, all []string) error {
 	allowed := any
 	if all != nil {
 		if len(slices.Compact(slices.Sorted(slices.Values(all)))) > 1 {
@@ -224,7 +227,7 @@
 		}
 		allowed = all[:1]
 	}
-	only := func(have string) error {
+	requireValue := func(have string) error {
 		if !slices.Contains(allowed, have) {
 			return fmt.Errorf("machines here are %s, not %s", have, strings.Join(allowed, ", "))
 		}
@@ -232,9 +235,9 @@
 	}
 	switch name {
 	case "attr.worker.os.family":
-		return only("linux")
+		return requireValue("linux")
 	case "attr.worker.cpu.arch":
-		return only("x86_64")
+		return requireValue("x86_64")
 	case "attr.dapplestage.build":
 		s.Types = allowed
 	case "attr.dapplestage.region":
--- a/internal/protocol/ticket/format.go
+++ b/internal/protocol/ticket/format.go
@@ -9,11 +9,12 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// maxString bounds a string after its references were replaced, so that a short
-// ticket does not become a long one.
+// maxString is the maximum length of a string after its references were replaced, so that a
+// short ticket can't expand to a long one.
 const maxString = 32 << 10
 
-// The grammar of a format string: text with references such as {{ Param.Frame }}.
+// formatString is the grammar of a format string: text with references such as
+// {{ Param.Frame }}.
 type formatString struct {
 	Parts []*formatPart `parser:"@@*"`
 }
@@ -41,7 +42,7 @@
 	return participle.MustBuild[formatString](participle.Lexer(formatLexer))
 })
 
-// parseFormat reads a format string.
+// parseFormat parses a format string.
 func parseFormat(s string) (*formatString, error) {
 	if !strings.Contains(s, "{{") {
 		return &formatString{Parts: []*formatPart{{Text: s}}}, nil
@@ -53,7 +54,7 @@
 	return f, nil
 }
 
-// refs are the references in a format string.
+// refs returns the references in a format string.
 func (f *formatString) refs() []string {
 	var out []string
 	for _, p := range f.Parts {
@@ -64,16 +65,16 @@
 	return out
 }
 
-// resolve replaces each reference once. What a value holds is never read as a
-// format string again, so that a parameter can't reach what its place does not give.
-func (f *formatString) resolve(of func(ref string) (string, bool)) (string, error) {
+// resolve replaces each reference once. A value is never parsed as a format string again,
+// so that a parameter's value can't refer to anything that is out of its scope.
+func (f *formatString) resolve(lookup func(ref string) (string, bool)) (string, error) {
 	var b strings.Builder
 	for _, p := range f.Parts {
 		s := p.Text
 		if p.Ref != nil {
 			ref := strings.Join(p.Ref, ".")
 			var ok bool
-			if s, ok = of(ref); !ok {
+			if s, ok = lookup(ref); !ok {
 				return "", fmt.Errorf("{{%s}} has no value here", ref)
 			}
 		}
--- a/internal/protocol/ticket/ranges.go
+++ b/internal/protocol/ticket/ranges.go
@@ -12,10 +12,10 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// MaxTasks is the most tasks of a step, and of a ticket.
+// MaxTasks is the maximum number of tasks of a step and of a ticket.
 const MaxTasks = 100000
 
-// The grammar of a range expression: "1-100:2", "3,7-9", "-5--1", "10-1:-1".
+// rangeExpr is the grammar of a range expression: "1-100:2", "3,7-9", "-5--1", "10-1:-1".
 type rangeExpr struct {
 	Parts []*rangePart `parser:"@@ (',' @@)*"`
 }
@@ -27,14 +27,14 @@
 	Step *string `parser:"(':' @Int)?)?"`
 }
 
-// The minus of a number and the one between two are told apart by the parser: a
-// range is read from words that the lexer makes of digits and signs.
+// rangeLexer distinguishes the minus sign of a number from the dash between two numbers: a
+// minus after a number is a dash.
 var rangeLexer = lexer.MustStateful(lexer.Rules{
 	"Root": {
 		{Name: "space", Pattern: `[ \t]+`},
 		{Name: "Int", Pattern: `-?[0-9]+`, Action: lexer.Push("After")},
 	},
-	"After": { // behind a number a minus is a dash
+	"After": { // after a number a minus is a dash
 		{Name: "space", Pattern: `[ \t]+`},
 		{Name: "Dash", Pattern: `-`, Action: lexer.Pop()},
 		{Name: "Mark", Pattern: `[,:]`, Action: lexer.Pop()},
@@ -53,11 +53,11 @@
 
 func (r sequence) at(i int) int64 { return r.from + int64(i)*r.step }
 
-// intRange is what an integer range stands for, never written out.
+// intRange is the values of an integer range, as sequences that are never expanded.
 type intRange []sequence
 
-// parseRange reads a range expression. The number of its values is known to be at
-// most MaxTasks, whatever the numbers in it.
+// parseRange parses a range expression. The result has at most MaxTasks values, whatever
+// the bounds in the expression.
 func parseRange(s string) (intRange, error) {
 	if len(s) > 4096 {
 		return nil, fmt.Errorf("a range expression of %d characters, at most 4096 are taken", len(s))
@@ -69,7 +69,7 @@
 	var out intRange
 	total := 0
 	for _, p := range e.Parts {
-		r, err := p.run()
+		r, err := p.sequence()
 		if err != nil {
 			return nil, fmt.Errorf("range expression %s: %v", quoteClipped(s), err)
 		}
@@ -78,13 +78,14 @@
 		}
 		out = append(out, r)
 	}
-	if a, twice := out.repeated(); twice {
+	if a, twice := out.findDuplicate(); twice {
 		return nil, fmt.Errorf("range expression %s: %d is in it twice", quoteClipped(s), a)
 	}
 	return out, nil
 }
 
-// parseErrorText is a parser's complaint with its column, without the empty file name.
+// parseErrorText returns the text of a parser error with its column, without the file name,
+// which is empty.
 func parseErrorText(err error) string {
 	if pe, ok := err.(participle.Error); ok {
 		return fmt.Sprintf("column %d: %s", pe.Position().Column, pe.Message())
@@ -92,7 +93,7 @@
 	return err.Error()
 }
 
-func (p *rangePart) run() (sequence, error) {
+func (p *rangePart) sequence() (sequence, error) {
 	from, err := parseInt(p.From)
 	if err != nil || p.To == nil {
 		return sequence{from, 1, 1}, err
@@ -113,7 +114,7 @@
 	case from < to && step < 0, from > to && step > 0:
 		return sequence{}, fmt.Errorf("from %d to %d with a step of %d is empty", from, to, step)
 	}
-	// The distance of two int64 fits a uint64, and so does the size of a step.
+	// The difference of two int64 fits a uint64, and so does the absolute value of a step.
 	dist, size := uint64(to)-uint64(from), uint64(step)
 	if from > to {
 		dist = uint64(from) - uint64(to)
@@ -154,9 +155,9 @@
 	panic("ticket: index out of range")
 }
 
-// repeated finds a value that is in two parts of a range. Parts whose bounds lie
-// apart are not looked into.
-func (r intRange) repeated() (int64, bool) {
+// findDuplicate returns a value that is in two sequences of a range, if there is one.
+// Sequences whose bounds don't overlap are not enumerated.
+func (r intRange) findDuplicate() (int64, bool) {
 	type span struct {
 		lo, hi int64
 		sequence
@@ -172,17 +173,17 @@
 		return 1
 	})
 	seen := roaring64.New()
-	reach, filled := int64(math.MinInt64), false
-	var before []span // since the last place that no part crosses
+	maxCovered, seenFilled := int64(math.MinInt64), false
+	var overlapping []span // spans since the last gap between spans
 	for i, s := range spans {
-		if i > 0 && s.lo <= reach {
-			if !filled {
-				for _, b := range before {
+		if i > 0 && s.lo <= maxCovered {
+			if !seenFilled {
+				for _, b := range overlapping {
 					for k := range b.count {
 						seen.Add(uint64(b.at(k)))
 					}
 				}
-				filled = true
+				seenFilled = true
 			}
 			for k := range s.count {
 				if !seen.CheckedAdd(uint64(s.at(k))) {
@@ -190,11 +191,11 @@
 				}
 			}
 		} else {
-			before, filled = before[:0], false
+			overlapping, seenFilled = overlapping[:0], false
 			seen.Clear()
 		}
-		before = append(before, s)
-		reach = max(reach, s.hi)
+		overlapping = append(overlapping, s)
+		maxCovered = max(maxCovered, s.hi)
 	}
 	return 0, false
 }
--- a/internal/protocol/ticket/submission.go
+++ b/internal/protocol/ticket/submission.go
@@ -14,16 +14,17 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// Submission is a ticket as it was submitted, by either path.
+// Submission is a ticket as it was submitted: by itself, or embedded in an ordinary job
+// submission.
 type Submission struct {
 	ID       string
 	Class    string
 	Team     string
-	Shape    string // empty: the class's
-	Priority string // empty: by Priority, or the class's
-	// What each task takes where its step does not say; nil: the class's.
+	Shape    string // empty: the class's default
+	Priority string // empty: derived from TicketPriority, or the class's default
+	// Resources of a task unless its step gives them; nil: the class's.
 	CPUs, GPUs, MemoryGB   *float64
-	Image                  string // empty: the class's, with its size
+	Image                  string // empty: the class's image and size
 	ImageGB                *float64
 	Types                  []string
 	Zone                   string
@@ -35,25 +36,25 @@
 
 	Template       *Template
 	Args           Args
-	TicketPriority *int // 0 to 100
-	MaxRetries     *int // of a task, after its first run
-	MaxFailedTasks *int // that the ticket survives
-	Tasks          *int // in an ordinary submission: must be the ticket's tasks
+	TicketPriority *int // 0 to 100, as render farms use
+	MaxRetries     *int // of a task, not counting its first run
+	MaxFailedTasks *int // number of failed tasks that the ticket tolerates
+	Tasks          *int // in an ordinary submission: must equal the ticket's number of tasks
 }
 
-// mostAsked bounds the numbers that may be asked for; what is granted is the class's
-// matter.
-const mostAsked = 1<<31 - 1
+// maxRequested is the maximum of the numbers in a request. The class decides which values
+// are granted.
+const maxRequested = 1<<31 - 1
 
-// ParseTicket reads the body of POST /tickets. Fields that are not known are refused.
-func ParseTicket(body []byte) (*Submission, error) { return parse(body, false) }
+// ParseTicket parses the body of POST /tickets. Unknown fields are rejected.
+func ParseTicket(body []byte) (*Submission, error) { return parseSubmission(body, false) }
 
-// ParseEmbedded reads an ordinary submission that carries a ticket in its field
-// ticket. As in any ordinary submission, fields that are not known are ignored; in
-// the ticket they are refused.
-func ParseEmbedded(body []byte) (*Submission, error) { return parse(body, true) }
+// ParseEmbedded parses an ordinary job submission that embeds a ticket in its field
+// ticket. Unknown fields of the submission are ignored, as in any ordinary submission;
+// unknown fields of the ticket are rejected.
+func ParseEmbedded(body []byte) (*Submission, error) { return parseSubmission(body, true) }
 
-func parse(body []byte, carried bool) (*Submission, error) {
+func parseSubmission(body []byte, embedded bool) (*Submission, error) {
 	if len(body) > protocol.MaxBodyBytes {
 		return nil, &Error{Text: "body over 64 KiB"}
 	}
@@ -66,30 +67,30 @@
 		return nil, err
 	}
 	s := &Submission{}
-	f := r.object(doc, "")
-	t := f
-	s.readJob(r, f, carried)
-	if carried {
-		v, path := f.require("ticket")
+	jobFields := r.object(doc, "")
+	ticketFields := jobFields
+	s.readJobFields(r, jobFields, embedded)
+	if embedded {
+		v, path := jobFields.require("ticket")
 		if v.kind != null {
-			t = r.object(v, path)
+			ticketFields = r.object(v, path)
 		}
-	} else if v, path := f.get("clientToken"); v != nil {
-		token := r.str(v, path, 1, 64, false)
+	} else if v, path := jobFields.get("clientToken"); v != nil {
+		token := r.stringValue(v, path, 1, 64, false)
 		if s.ID != "" {
 			r.fail(v, path, "id and clientToken can't both be given")
 		} else if s.Team != "" {
 			s.ID = TokenTicketID(s.Team, token)
 		}
 	}
-	s.readTicket(r, t)
+	s.readTicketFields(r, ticketFields)
 	if r.err == nil && s.ID == "" {
 		r.fail(doc, "id", "is missing")
 	}
-	if !carried {
-		f.rejectUnknown()
-	} else if t != f {
-		t.rejectUnknown()
+	if !embedded {
+		jobFields.rejectUnknown()
+	} else if ticketFields != jobFields {
+		ticketFields.rejectUnknown()
 	}
 	if r.err != nil {
 		return nil, r.err
@@ -97,15 +98,15 @@
 	return s, nil
 }
 
-// readJob reads the fields that an ordinary submission has too, under their names
-// there.
-func (s *Submission) readJob(r *documentReader, f *objectFields, carried bool) {
+// readJobFields reads the fields that an ordinary job submission has too, under the same
+// names.
+func (s *Submission) readJobFields(r *documentReader, f *objectFields, embedded bool) {
 	if v, path := f.get("id"); v != nil {
-		if s.ID = r.str(v, path, 1, 40, false); !protocol.ValidJobID(s.ID) {
+		if s.ID = r.stringValue(v, path, 1, 40, false); !protocol.ValidJobID(s.ID) {
 			r.fail(v, path, "must be job- and 1 to 32 digits")
 		}
 	}
-	s.Class, s.Team, s.Image, s.Zone = f.label("lot", true), f.label("crew", true), f.label("bundle", false), f.label("region", false)
+	s.Class, s.Team, s.Image, s.Zone = f.optLabel("lot", true), f.optLabel("crew", true), f.optLabel("bundle", false), f.optLabel("region", false)
 	s.Shape = f.oneOf("shape", "", protocol.Array, protocol.Gang, protocol.Service)
 	s.Priority = f.oneOf("urgency", "", "critical", "high", "standard", "best_effort")
 	s.CPUs, s.GPUs, s.MemoryGB, s.ImageGB = f.optAmount("vcpus"), f.optAmount("cards"), f.optAmount("memGb"), f.optAmount("sizeGb")
@@ -117,22 +118,22 @@
 	s.OneZone, s.Spread, s.Spot = orZero(f.optBool("together")), orZero(f.optBool("scatter")), f.optBool("loaners")
 	s.EstimateS, s.CheckpointS, s.SaveS, s.DeadlineS = orZero(f.optAmount("expectS")), orZero(f.optAmount("snapshotS")), orZero(f.optAmount("storeS")), f.optAmount("dueS")
 	if v, path := f.get("builds"); v != nil {
-		for i, it := range r.list(v, path, 1, 64) {
-			s.Types = append(s.Types, r.str(it, itemPath(path, i), 1, 64, false))
+		for i, it := range r.listItems(v, path, 1, 64) {
+			s.Types = append(s.Types, r.stringValue(it, itemPath(path, i), 1, 64, false))
 		}
 	}
-	if carried {
+	if embedded {
 		s.Tasks = f.optInt("pieces", 1, MaxTasks)
 	}
 }
 
-// label reads a short text.
-func (f *objectFields) label(field string, needed bool) string {
+// optLabel reads a short string; empty if it is not given and not required.
+func (f *objectFields) optLabel(field string, required bool) string {
 	v, path := f.get(field)
 	switch {
 	case v != nil:
-		return f.reader.str(v, path, 1, 200, false)
-	case needed:
+		return f.reader.stringValue(v, path, 1, 200, false)
+	case required:
 		f.reader.fail(f.object, path, "is missing")
 	}
 	return ""
@@ -164,7 +165,7 @@
 	return &b
 }
 
-// orZero is what p points to, or the zero value for nil.
+// orZero returns the value that p points to, or the zero value if p is nil.
 func orZero[T any](p *T) (v T) {
 	if p != nil {
 		v = *p
@@ -172,8 +173,9 @@
 	return v
 }
 
-// readTicket reads the template and what users know from submitting one.
-func (s *Submission) readTicket(r *documentReader, f *objectFields) {
+// readTicketFields reads the template and the fields that users know from submitting a
+// template to a render farm.
+func (s *Submission) readTicketFields(r *documentReader, f *objectFields) {
 	form := f.oneOf("templateType", "", "JSON", "YAML")
 	if v, path := f.require("template"); v.kind != null {
 		var err error
@@ -202,7 +204,7 @@
 		r.object(v, path)
 		for i, name := range v.keys {
 			it := v.items[i]
-			// Both 5 and {"int":"5"} are known to users.
+			// Clients send both 5 and {"int":"5"}.
 			if it.kind == object && len(it.keys) == 1 && (it.keys[0] == "int" || it.keys[0] == "float" || it.keys[0] == "string" || it.keys[0] == "path") {
 				it = it.items[0]
 			}
@@ -213,13 +215,14 @@
 		}
 	}
 	s.TicketPriority = f.optInt("priority", 0, 100)
-	s.MaxRetries = f.optInt("maxRetriesPerTask", 0, mostAsked)
-	s.MaxFailedTasks = f.optInt("maxFailedTasksCount", 0, mostAsked)
-	f.oneOf("targetTaskRunStatus", "READY", "READY") // a ticket can't be held
+	s.MaxRetries = f.optInt("maxRetriesPerTask", 0, maxRequested)
+	s.MaxFailedTasks = f.optInt("maxFailedTasksCount", 0, maxRequested)
+	f.oneOf("targetTaskRunStatus", "READY", "READY") // a ticket can't be submitted in a suspended state
 }
 
-// digits makes an id of what names it: the same for the same parts, at any node.
-func digits(parts ...string) string {
+// derivedJobID returns a job id derived from parts. It is the same for the same parts at any
+// node.
+func derivedJobID(parts ...string) string {
 	h := sha256.New()
 	for _, p := range parts {
 		fmt.Fprintf(h, "%d:%s", len(p), p)
@@ -229,21 +232,23 @@
 	return fmt.Sprintf("job-%030d", n)
 }
 
-// TokenTicketID is the id of a ticket that a team submits under a token of its client.
-func TokenTicketID(crew, token string) string { return digits("ticket", crew, token) }
+// TokenTicketID returns the id of a ticket that a team submits with a client token.
+func TokenTicketID(team, token string) string { return derivedJobID("ticket", team, token) }
 
-// StepJobID is the id of the job of a ticket's step. Users upload its description under
-// it before they submit the ticket.
-func StepJobID(ticket string, step int) string { return digits("step", ticket, strconv.Itoa(step)) }
+// StepJobID returns the id of the job that runs a step of a ticket. Users upload the
+// step's description under this id before they submit the ticket.
+func StepJobID(ticket string, step int) string {
+	return derivedJobID("step", ticket, strconv.Itoa(step))
+}
 
-// StoredTicket is what is kept of a ticket beside its record, so that any node can tell
-// the parameters of its tasks.
+// StoredTicket is stored in addition to a ticket's record, so that any node can compute the
+// parameters of the ticket's tasks.
 type StoredTicket struct {
 	Template json.RawMessage `json:"template"`
 	Args     Args            `json:"args"`
 }
 
-// Pack makes a ticket's template and arguments small.
+// Pack encodes and compresses the ticket's template and arguments as a StoredTicket.
 func (s *Submission) Pack() ([]byte, error) {
 	tmpl, err := s.Template.EncodeJSON()
 	if err != nil {
@@ -263,10 +268,11 @@
 	return b.Bytes(), err
 }
 
-// Unpack expands what Pack made.
+// Unpack decodes the result of Pack and expands the template. Larger data than 8 times
+// MaxTextBytes is truncated, and then rejected as malformed.
 func Unpack(packed []byte) (*Template, *Plan, error) {
-	const most = 8 * MaxTextBytes
-	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), most))
+	const maxBytes = 8 * MaxTextBytes
+	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxBytes))
 	var s StoredTicket
 	if err == nil {
 		err = json.Unmarshal(data, &s)
--- a/internal/protocol/ticket/template.go
+++ b/internal/protocol/ticket/template.go
@@ -11,24 +11,24 @@
 	"unicode/utf8"
 )
 
-// Version is the template version that is read.
+// Version is the supported version of the template format.
 const Version = "jobtemplate-2023-09"
 
-// Limits of a template; the format's own where it names one.
+// Limits of a template. They are those of the format where the format defines one.
 const (
-	maxParameters = 50
-	maxSteps      = 48 // ours: a ticket's record must fit a stored value
-	maxAxes       = 16
-	maxList       = 1024
-	maxName       = 64
-	maxJobName    = 128
-	maxDescribed  = 2048
-	maxEnvs       = 16
-	maxFiles      = 32
-	maxArgs       = 256
+	maxParameters     = 50
+	maxSteps          = 48 // not a limit of the format: a ticket's record must fit one stored value
+	maxTaskParameters = 16
+	maxListItems      = 1024
+	maxNameLength     = 64
+	maxJobNameLength  = 128
+	maxDescription    = 2048
+	maxEnvironments   = 16
+	maxFiles          = 32
+	maxArgs           = 256
 )
 
-// Template is a job template as it was written: format strings are kept unresolved.
+// Template is a job template as it was written. Format strings are kept unresolved.
 type Template struct {
 	Version      string        `json:"specificationVersion"`
 	Name         string        `json:"name"`
@@ -38,7 +38,7 @@
 	Steps        []Step        `json:"steps"`
 }
 
-// Parameter is a job parameter's definition. Numbers are kept as text.
+// Parameter is the definition of a job parameter. Numbers are kept as text.
 type Parameter struct {
 	Name        string          `json:"name"`
 	Type        string          `json:"type"`
@@ -54,8 +54,8 @@
 	Interface   json.RawMessage `json:"userInterface,omitempty"`
 }
 
-// Environment is set up on a worker before tasks and taken down after them. It does
-// not concern scheduling: whatever runs the tasks gets it with their description.
+// Environment is set up on a worker before tasks and removed after them. It has no
+// influence on scheduling; the program that runs the tasks reads it from the template.
 type Environment struct {
 	Name        string            `json:"name"`
 	Description string            `json:"description,omitempty"`
@@ -63,20 +63,20 @@
 	Script      *Script           `json:"script,omitempty"`
 }
 
-// Script is what runs on a worker.
+// Script holds the actions that run on a worker, and the files that they need.
 type Script struct {
 	Actions Actions `json:"actions"`
 	Files   []File  `json:"embeddedFiles,omitempty"`
 }
 
-// Actions are a step's (onRun) or an environment's (onEnter, onExit).
+// Actions are the actions of a step (onRun) or of an environment (onEnter, onExit).
 type Actions struct {
 	Run   *Action `json:"onRun,omitempty"`
 	Enter *Action `json:"onEnter,omitempty"`
 	Exit  *Action `json:"onExit,omitempty"`
 }
 
-// Action is a command.
+// Action is a command that runs on a worker.
 type Action struct {
 	Command     string       `json:"command"`
 	Args        []string     `json:"args,omitempty"`
@@ -84,12 +84,12 @@
 	Cancelation *Cancelation `json:"cancelation,omitempty"`
 }
 
-// Cancelation says how an action is stopped.
+// Cancelation defines how an action is stopped.
 type Cancelation struct {
 	Mode string `json:"mode"`
 }
 
-// File is a text that is put on the worker.
+// File is an embedded text file that is written on the worker.
 type File struct {
 	Name     string `json:"name"`
 	Type     string `json:"type"`
@@ -98,7 +98,7 @@
 	Runnable bool   `json:"runnable,omitempty"`
 }
 
-// Step is a step with its tasks.
+// Step is a step of a template.
 type Step struct {
 	Name         string            `json:"name"`
 	Description  string            `json:"description,omitempty"`
@@ -109,50 +109,51 @@
 	Script       Script            `json:"script"`
 }
 
-// Dependency names a step that must be done before.
+// Dependency names a step that must be done before this one starts.
 type Dependency struct {
 	On string `json:"dependsOn"`
 }
 
-// HostRequirements is what a step's tasks need of their machine.
+// HostRequirements are the requirements of a step's tasks on their machine.
 type HostRequirements struct {
 	Amounts    []Amount    `json:"amounts,omitempty"`
 	Attributes []Attribute `json:"attributes,omitempty"`
 }
 
-// Amount is an amount that a task takes.
+// Amount is an amount of a resource that a task needs.
 type Amount struct {
 	Name string  `json:"name"`
 	Min  float64 `json:"min"`
 }
 
-// Attribute is a property that a machine must have.
+// Attribute is an attribute that a machine must have.
 type Attribute struct {
 	Name  string   `json:"name"`
 	AnyOf []string `json:"anyOf,omitempty"`
 	AllOf []string `json:"allOf,omitempty"`
 }
 
-// ParameterSpace defines the parameters of a step's tasks.
+// ParameterSpace defines the parameters of a step's tasks and how their values are combined.
 type ParameterSpace struct {
 	Parameters  []TaskParameter `json:"taskParameterDefinitions"`
 	Combination string          `json:"combination,omitempty"`
 }
 
-// TaskParameter is a parameter of a step's tasks.
+// TaskParameter is the definition of a parameter of a step's tasks.
 type TaskParameter struct {
 	Name  string `json:"name"`
 	Type  string `json:"type"`
 	Range Range  `json:"range"`
 }
 
-// Range is an expression for integers, or a list of values; both may have references.
+// Range is a range expression of integers, or a list of values. Both may contain
+// references.
 type Range struct {
 	Expr string
 	List []string
 }
 
-// MarshalJSON writes a range as the format has it.
+// MarshalJSON encodes a range as the format defines it: as a string or a list.
 func (r Range) MarshalJSON() ([]byte, error) {
 	if r.List != nil {
 		return json.Marshal(r.List)
@@ -160,8 +161,8 @@
 	return json.Marshal(r.Expr)
 }
 
-// ParseTemplate reads and checks a template. form is "JSON", "YAML" or empty for
-// whichever it is. The error is an *Error.
+// ParseTemplate parses and checks a template. form is "JSON" or "YAML", or empty to detect
+// which it is. The error is an *Error.
 func ParseTemplate(data []byte, form string) (*Template, error) {
 	v, err := parseDocument(data, form)
 	if err != nil {
@@ -170,27 +171,29 @@
 	return parseTemplateValue(v, "")
 }
 
-// EncodeJSON writes a template as JSON, which reads as the same template.
+// EncodeJSON encodes a template as JSON, which parses as the same template.
 func (t *Template) EncodeJSON() ([]byte, error) { return json.Marshal(t) }
 
-// documentReader takes a document apart, and keeps the first error.
+// documentReader reads the values of a document and keeps the first error.
 type documentReader struct {
 	err    *Error
-	params map[string]string // job parameters by name: their type
+	params map[string]string // types of the job parameters, by name
 }
 
+// fail records an error, unless there is one already.
 func (r *documentReader) fail(v *value, path, format string, a ...any) {
 	if r.err == nil {
 		r.err = &Error{Line: v.line, Col: v.col, Field: path, Text: fmt.Sprintf(format, a...)}
 	}
 }
 
-// objectFields hands out the fields of an object; what is not asked for is refused by name.
+// objectFields gives access to the fields of an object. It records which fields were read,
+// so that rejectUnknown can reject the others.
 type objectFields struct {
 	reader *documentReader
 	object *value
 	path   string
-	taken  map[string]bool
+	used   map[string]bool
 }
 
 func joinPath(path, name string) string {
@@ -200,6 +203,7 @@
 	return path + "." + name
 }
 
+// object returns access to the fields of a value, which must be an object.
 func (r *documentReader) object(v *value, path string) *objectFields {
 	if v.kind != object {
 		r.fail(v, path, "must be an object, not %s", v.kind)
@@ -207,9 +211,9 @@
 	return &objectFields{r, v, path, map[string]bool{}}
 }
 
-// get is a field, nil if it is missing or null.
+// get returns a field and its path. The field is nil if it is missing or null.
 func (f *objectFields) get(name string) (*value, string) {
-	f.taken[name] = true
+	f.used[name] = true
 	for i, k := range f.object.keys {
 		if k == name && f.object.kind == object && f.object.items[i].kind != null {
 			return f.object.items[i], joinPath(f.path, name)
@@ -218,6 +222,7 @@
 	return nil, joinPath(f.path, name)
 }
 
+// require returns a field and its path, and fails if the field is missing or null.
 func (f *objectFields) require(name string) (*value, string) {
 	v, path := f.get(name)
 	if v == nil {
@@ -227,8 +232,9 @@
 	return v, path
 }
 
-// unsupported are fields that the format has and this reader does not take, and why.
-var unsupported = map[string]string{
+// unsupportedFields are the fields of the format that this package does not support, with the
+// error text for each.
+var unsupportedFields = map[string]string{
 	"extensions":                  "extensions are not supported",
 	"max":                         "an upper bound on a machine's amount is not supported",
 	"notifyPeriodInSeconds":       "a notice before a task is stopped is not supported",
@@ -237,26 +243,28 @@
 	"parameterDefinitionsFromURI": "is not supported",
 }
 
+// rejectUnknown fails if the object has a field that was not read.
 func (f *objectFields) rejectUnknown() {
 	if f.object.kind != object {
 		return
 	}
 	for i, k := range f.object.keys {
-		if why, known := unsupported[k]; known && !f.taken[k] {
+		if why, known := unsupportedFields[k]; known && !f.used[k] {
 			f.reader.fail(f.object.items[i], joinPath(f.path, k), "%s", why)
-		} else if !f.taken[k] {
+		} else if !f.used[k] {
 			f.reader.fail(f.object.items[i], joinPath(f.path, k), "is not a field of the format, or not supported")
 		}
 	}
 }
 
-func (r *documentReader) list(v *value, path string, least, most int) []*value {
+// listItems returns the items of a list and checks their number.
+func (r *documentReader) listItems(v *value, path string, minItems, maxItems int) []*value {
 	if v.kind != list {
 		r.fail(v, path, "must be a list, not %s", v.kind)
 		return nil
 	}
-	if len(v.items) < least || len(v.items) > most {
-		r.fail(v, path, "has %d items, must have %d to %d", len(v.items), least, most)
+	if len(v.items) < minItems || len(v.items) > maxItems {
+		r.fail(v, path, "has %d items, must have %d to %d", len(v.items), minItems, maxItems)
 		return nil
 	}
 	return v.items
@@ -264,19 +272,20 @@
 
 func itemPath(path string, i int) string { return fmt.Sprintf("%s[%d]", path, i) }
 
-// str is a string without control characters, lines in some places apart.
-func (r *documentReader) str(v *value, path string, least, most int, lines bool) string {
+// stringValue returns a string and checks its length in characters. Control characters are
+// rejected, except line breaks and tabs in a multiline string.
+func (r *documentReader) stringValue(v *value, path string, minLength, maxLength int, multiline bool) string {
 	if v.kind != text {
 		if v.kind != null {
 			r.fail(v, path, "must be a string, not %s", v.kind)
 		}
 		return ""
 	}
-	if n := utf8.RuneCountInString(v.text); n < least || n > most {
-		r.fail(v, path, "is %d characters long, must be %d to %d", n, least, most)
+	if n := utf8.RuneCountInString(v.text); n < minLength || n > maxLength {
+		r.fail(v, path, "is %d characters long, must be %d to %d", n, minLength, maxLength)
 	}
 	for _, c := range v.text {
-		if unicode.IsControl(c) && !(lines && (c == '\n' || c == '\t' || c == '\r')) {
+		if unicode.IsControl(c) && !(multiline && (c == '\n' || c == '\t' || c == '\r')) {
 			r.fail(v, path, "holds the control character U+%04X", c)
 			break
 		}
@@ -284,80 +293,85 @@
 	return v.text
 }
 
-func (f *objectFields) optStr(name string, most int, lines bool) string {
+func (f *objectFields) optStr(name string, maxLength int, multiline bool) string {
 	v, path := f.get(name)
 	if v == nil {
 		return ""
 	}
-	return f.reader.str(v, path, 0, most, lines)
+	return f.reader.stringValue(v, path, 0, maxLength, multiline)
 }
 
-func (f *objectFields) oneOf(name, fallback string, of ...string) string {
+// oneOf returns an optional field that must have one of the allowed values.
+func (f *objectFields) oneOf(name, fallback string, allowed ...string) string {
 	v, path := f.get(name)
 	if v == nil {
 		return fallback
 	}
-	s := f.reader.str(v, path, 1, maxName, false)
-	if !slices.Contains(of, s) {
-		f.reader.fail(v, path, "%s is not supported; one of %s is", quoteClipped(s), strings.Join(of, ", "))
+	s := f.reader.stringValue(v, path, 1, maxNameLength, false)
+	if !slices.Contains(allowed, s) {
+		f.reader.fail(v, path, "%s is not supported; one of %s is", quoteClipped(s), strings.Join(allowed, ", "))
 	}
 	return s
 }
 
-func identifier(s string) bool {
+// isIdentifier reports whether s consists of letters, digits and underscores, and does not
+// begin with a digit.
+func isIdentifier(s string) bool {
 	for i, c := range s {
 		if c != '_' && !(c >= 'a' && c <= 'z') && !(c >= 'A' && c <= 'Z') && (i == 0 || c < '0' || c > '9') {
 			return false
 		}
 	}
-	return s != "" && len(s) <= maxName
+	return s != "" && len(s) <= maxNameLength
 }
 
+// identifier returns a required field that must be an identifier.
 func (f *objectFields) identifier(name string) string {
 	v, path := f.require(name)
-	s := f.reader.str(v, path, 1, maxName, false)
-	if s != "" && !identifier(s) {
-		f.reader.fail(v, path, "%s is not a name of letters, digits and _, at most %d", quoteClipped(s), maxName)
+	s := f.reader.stringValue(v, path, 1, maxNameLength, false)
+	if s != "" && !isIdentifier(s) {
+		f.reader.fail(v, path, "%s is not a name of letters, digits and _, at most %d", quoteClipped(s), maxNameLength)
 	}
 	return s
 }
 
-func (f *objectFields) optInt(name string, least, most int) *int {
+func (f *objectFields) optInt(name string, lower, upper int) *int {
 	v, path := f.get(name)
 	if v == nil {
 		return nil
 	}
 	n, err := strconv.Atoi(v.text)
-	if v.kind != integer && v.kind != text || err != nil || n < least || n > most {
-		f.reader.fail(v, path, "must be an integer from %d to %d", least, most)
+	if v.kind != integer && v.kind != text || err != nil || n < lower || n > upper {
+		f.reader.fail(v, path, "must be an integer from %d to %d", lower, upper)
 	}
 	return &n
 }
 
-// scope is which references a format string may have.
+// scope defines which references a format string may have.
 type scope struct {
-	onWorker bool            // scripts: sessions and files too
+	onWorker bool            // scripts, which may also refer to sessions and files
 	task     map[string]bool // the step's task parameters
-	files    map[string]bool // by prefix and name
+	files    map[string]bool // embedded files, by prefix and name
 }
 
-// format checks a format string's references.
-func (r *documentReader) format(v *value, path string, least, most int, lines bool, sc scope) string {
-	s := r.str(v, path, least, most, lines)
+// formatString returns a format string and checks its references.
+func (r *documentReader) formatString(v *value, path string, minLength, maxLength int, multiline bool, sc scope) string {
+	s := r.stringValue(v, path, minLength, maxLength, multiline)
 	f, err := parseFormat(s)
 	if err != nil {
 		r.fail(v, path, "%v", err)
 		return s
 	}
 	for _, ref := range f.refs() {
-		if why := r.refuse(ref, sc); why != "" {
+		if why := r.checkReference(ref, sc); why != "" {
 			r.fail(v, path, "{{%s}}: %s", ref, why)
 		}
 	}
 	return s
 }
 
-func (r *documentReader) refuse(ref string, sc scope) string {
+// checkReference returns why a reference is invalid in the scope, or the empty string.
+func (r *documentReader) checkReference(ref string, sc scope) string {
 	parts := strings.Split(ref, ".")
 	switch {
 	case len(parts) == 2 && (parts[0] == "Param" || parts[0] == "RawParam"):
@@ -391,13 +405,13 @@
 	f := r.object(v, path)
 	t := &Template{}
 	ver, vpath := f.require("specificationVersion")
-	if t.Version = r.str(ver, vpath, 1, maxName, false); t.Version != Version {
+	if t.Version = r.stringValue(ver, vpath, 1, maxNameLength, false); t.Version != Version {
 		r.fail(ver, vpath, "%s is not supported; %s is", quoteClipped(t.Version), Version)
 	}
 	f.get("$schema")
 	if v, path := f.get("parameterDefinitions"); v != nil {
-		for i, it := range r.list(v, path, 1, maxParameters) {
-			p := r.parameter(it, itemPath(path, i))
+		for i, it := range r.listItems(v, path, 1, maxParameters) {
+			p := r.readParameter(it, itemPath(path, i))
 			if _, twice := r.params[p.Name]; twice {
 				r.fail(it, itemPath(path, i), "parameter %s is defined twice", p.Name)
 			}
@@ -406,25 +420,25 @@
 		}
 	}
 	name, npath := f.require("name")
-	t.Name = r.format(name, npath, 1, maxString, false, scope{})
-	t.Description = f.optStr("description", maxDescribed, true)
+	t.Name = r.formatString(name, npath, 1, maxString, false, scope{})
+	t.Description = f.optStr("description", maxDescription, true)
 	envs := map[string]bool{}
-	t.Environments = r.environments(f, "jobEnvironments", envs)
+	t.Environments = r.readEnvironments(f, "jobEnvironments", envs)
 	steps, spath := f.require("steps")
-	seen := map[string]int{}
-	var places []*value
+	stepIndex := map[string]int{}
+	var stepValues []*value
 	if steps.kind != null {
-		for i, it := range r.list(steps, spath, 1, maxSteps) {
-			s := r.step(it, itemPath(spath, i), envs)
-			if _, twice := seen[s.Name]; twice {
+		for i, it := range r.listItems(steps, spath, 1, maxSteps) {
+			s := r.readStep(it, itemPath(spath, i), envs)
+			if _, twice := stepIndex[s.Name]; twice {
 				r.fail(it, itemPath(spath, i)+".name", "step %s is defined twice", quoteClipped(s.Name))
 			}
-			seen[s.Name] = i
+			stepIndex[s.Name] = i
 			t.Steps = append(t.Steps, s)
-			places = append(places, it)
+			stepValues = append(stepValues, it)
 		}
 	}
-	r.dependencies(t, spath, seen, places)
+	r.checkDependencies(t, spath, stepIndex, stepValues)
 	f.rejectUnknown()
 	if r.err != nil {
 		return nil, r.err
@@ -432,9 +446,10 @@
 	return t, nil
 }
 
-// dependencies refuses unknown and cyclic ones, and names the cycle.
-func (r *documentReader) dependencies(t *Template, path string, seen map[string]int, places []*value) {
-	state := make([]int, len(t.Steps)) // 1: being looked at, 2: fine
+// checkDependencies rejects dependencies on unknown steps and cyclic dependencies. The error
+// names the cycle.
+func (r *documentReader) checkDependencies(t *Template, path string, stepIndex map[string]int, stepValues []*value) {
+	state := make([]int, len(t.Steps)) // 1: being visited, 2: checked
 	var chain []string
 	var visit func(i int)
 	visit = func(i int) {
@@ -442,13 +457,13 @@
 		chain = append(chain, t.Steps[i].Name)
 		for k, d := range t.Steps[i].Dependencies {
 			p := fmt.Sprintf("%s[%d].dependencies[%d].dependsOn", path, i, k)
-			j, ok := seen[d.On]
+			j, ok := stepIndex[d.On]
 			switch {
 			case !ok:
-				r.fail(places[i], p, "there is no step %s", quoteClipped(d.On))
+				r.fail(stepValues[i], p, "there is no step %s", quoteClipped(d.On))
 			case state[j] == 1:
 				cycle := append(slices.Clone(chain[slices.Index(chain, d.On):]), d.On)
-				r.fail(places[i], p, "steps depend on one another: %s", strings.Join(cycle, " -> "))
+				r.fail(stepValues[i], p, "steps depend on one another: %s", strings.Join(cycle, " -> "))
 			case state[j] == 0:
 				visit(j)
 			}
@@ -465,24 +480,24 @@
 
 var parameterTypes = []string{"INT", "FLOAT", "STRING", "PATH"}
 
-func (r *documentReader) parameter(v *value, path string) Parameter {
+func (r *documentReader) readParameter(v *value, path string) Parameter {
 	f := r.object(v, path)
 	p := Parameter{Name: f.identifier("name")}
 	f.require("type")
 	p.Type = f.oneOf("type", "", parameterTypes...)
-	p.Description = f.optStr("description", maxDescribed, true)
-	r.bounds(f, &p)
+	p.Description = f.optStr("description", maxDescription, true)
+	r.readBounds(f, &p)
 	if p.Type == "PATH" {
 		p.ObjectType = f.oneOf("objectType", "", "FILE", "DIRECTORY")
 		p.DataFlow = f.oneOf("dataFlow", "", "NONE", "IN", "OUT", "INOUT")
 	}
 	if v, path := f.get("allowedValues"); v != nil {
-		for i, it := range r.list(v, path, 1, maxList) {
-			p.Allowed = append(p.Allowed, r.checked(&p, it, itemPath(path, i), false))
+		for i, it := range r.listItems(v, path, 1, maxListItems) {
+			p.Allowed = append(p.Allowed, r.readChecked(&p, it, itemPath(path, i), false))
 		}
 	}
 	if v, path := f.get("default"); v != nil {
-		s := r.checked(&p, v, path, true)
+		s := r.readChecked(&p, v, path, true)
 		p.Default = &s
 	}
 	if v, path := f.get("userInterface"); v != nil {
@@ -493,13 +508,14 @@
 	return p
 }
 
-// bounds reads the least and the greatest value of a number, or length of a text.
-func (r *documentReader) bounds(f *objectFields, p *Parameter) {
+// readBounds reads the minimum and maximum of a numeric parameter's value or of a text
+// parameter's length.
+func (r *documentReader) readBounds(f *objectFields, p *Parameter) {
 	switch p.Type {
 	case "":
 	case "INT", "FLOAT":
-		p.Min, p.Max = r.bound(f, "minValue", p.Type), r.bound(f, "maxValue", p.Type)
-		if p.Min != nil && p.Max != nil && r.err == nil && less(p.Type, *p.Max, *p.Min) {
+		p.Min, p.Max = r.readBound(f, "minValue", p.Type), r.readBound(f, "maxValue", p.Type)
+		if p.Min != nil && p.Max != nil && r.err == nil && lessValue(p.Type, *p.Max, *p.Min) {
 			r.fail(f.object, f.path+".maxValue", "%s is below minValue %s", *p.Max, *p.Min)
 		}
 	default:
@@ -510,7 +526,7 @@
 	}
 }
 
-func (r *documentReader) bound(f *objectFields, name, typ string) *string {
+func (r *documentReader) readBound(f *objectFields, name, typ string) *string {
 	v, path := f.get(name)
 	if v == nil {
 		return nil
@@ -522,8 +538,8 @@
 	return &s
 }
 
-// checked reads a value of a parameter and holds it to the parameter's definition.
-func (r *documentReader) checked(p *Parameter, v *value, path string, allowed bool) string {
+// readChecked reads a value of a parameter and checks it against the parameter's definition.
+func (r *documentReader) readChecked(p *Parameter, v *value, path string, allowed bool) string {
 	s, err := parseScalar(p.Type, v)
 	if err == nil {
 		err = p.check(s, allowed)
@@ -534,10 +550,10 @@
 	return s
 }
 
-// maxParameterValue is the longest value of a job parameter.
+// maxParameterValue is the maximum length of a job parameter's value in characters.
 const maxParameterValue = 1024
 
-// parseScalar reads a value of a parameter's type into its text.
+// parseScalar checks that a value is of a parameter's type and returns it as text.
 func parseScalar(typ string, v *value) (string, error) {
 	switch typ {
 	case "INT":
@@ -561,7 +577,8 @@
 	return v.text, nil
 }
 
-func less(typ, a, b string) bool {
+// lessValue reports whether a is below b; both are valid numbers of the type.
+func lessValue(typ, a, b string) bool {
 	if typ == "INT" {
 		x, _ := strconv.ParseInt(a, 10, 64)
 		y, _ := strconv.ParseInt(b, 10, 64)
@@ -572,22 +589,23 @@
 	return x < y
 }
 
-// check holds a value against a definition's bounds.
+// check checks a value against the bounds of the definition; with allowed, also against the
+// list of allowed values.
 func (p *Parameter) check(s string, allowed bool) error {
 	n := utf8.RuneCountInString(s)
 	switch {
 	case n > maxParameterValue:
 		return fmt.Errorf("is %d characters long, at most %d are taken", n, maxParameterValue)
-	case p.Min != nil && less(p.Type, s, *p.Min):
+	case p.Min != nil && lessValue(p.Type, s, *p.Min):
 		return fmt.Errorf("%s is below minValue %s", s, *p.Min)
-	case p.Max != nil && less(p.Type, *p.Max, s):
+	case p.Max != nil && lessValue(p.Type, *p.Max, s):
 		return fmt.Errorf("%s is above maxValue %s", s, *p.Max)
 	case p.MinLength != nil && n < *p.MinLength:
 		return fmt.Errorf("is %d characters long, below minLength %d", n, *p.MinLength)
 	case p.MaxLength != nil && n > *p.MaxLength:
 		return fmt.Errorf("is %d characters long, above maxLength %d", n, *p.MaxLength)
 	case allowed && p.Allowed != nil && !slices.ContainsFunc(p.Allowed, func(a string) bool {
-		return a == s || p.Type == "FLOAT" && !less(p.Type, a, s) && !less(p.Type, s, a)
+		return a == s || p.Type == "FLOAT" && !lessValue(p.Type, a, s) && !lessValue(p.Type, s, a)
 	}):
 		return fmt.Errorf("%s is not one of allowedValues", quoteClipped(s))
 	}
@@ -599,17 +617,17 @@
 	return nil
 }
 
-func (r *documentReader) step(v *value, path string, jobEnvs map[string]bool) Step {
+func (r *documentReader) readStep(v *value, path string, jobEnvs map[string]bool) Step {
 	f := r.object(v, path)
 	s := Step{}
 	name, npath := f.require("name")
-	s.Name = r.str(name, npath, 1, maxName, false)
-	s.Description = f.optStr("description", maxDescribed, true)
+	s.Name = r.stringValue(name, npath, 1, maxNameLength, false)
+	s.Description = f.optStr("description", maxDescription, true)
 	if v, path := f.get("dependencies"); v != nil {
-		for i, it := range r.list(v, path, 1, maxSteps) {
+		for i, it := range r.listItems(v, path, 1, maxSteps) {
 			d := r.object(it, itemPath(path, i))
 			on, opath := d.require("dependsOn")
-			dep := Dependency{r.str(on, opath, 1, maxName, false)}
+			dep := Dependency{r.stringValue(on, opath, 1, maxNameLength, false)}
 			if slices.Contains(s.Dependencies, dep) {
 				r.fail(it, opath, "%s is named twice", quoteClipped(dep.On))
 			}
@@ -618,11 +636,11 @@
 		}
 	}
 	if v, path := f.get("hostRequirements"); v != nil {
-		s.Host = r.host(v, path)
+		s.Host = r.readHostRequirements(v, path)
 	}
 	task := map[string]bool{}
 	if v, path := f.get("parameterSpace"); v != nil {
-		s.Space = r.space(v, path)
+		s.Space = r.readParameterSpace(v, path)
 		for _, p := range s.Space.Parameters {
 			task[p.Name] = true
 		}
@@ -631,10 +649,10 @@
 	for e := range jobEnvs {
 		envs[e] = true
 	}
-	s.Environments = r.environments(f, "stepEnvironments", envs)
+	s.Environments = r.readEnvironments(f, "stepEnvironments", envs)
 	script, spath := f.require("script")
 	if script.kind != null {
-		s.Script = r.script(script, spath, "Task", task, "onRun")
+		s.Script = r.readScript(script, spath, "Task", task, "onRun")
 		if s.Script.Actions.Run == nil {
 			r.fail(script, spath+".actions.onRun", "is missing")
 		}
@@ -643,24 +661,24 @@
 	return s
 }
 
-// amounts are the names of amounts that machines have here.
-var amounts = []string{"amount.worker.vcpu", "amount.worker.memory", "amount.worker.gpu"}
+// knownAmounts are the names of the supported amounts.
+var knownAmounts = []string{"amount.worker.vcpu", "amount.worker.memory", "amount.worker.gpu"}
 
-// attributes are the names of properties that are known here.
-var attributes = []string{"attr.worker.os.family", "attr.worker.cpu.arch", "attr.dapplestage.build", "attr.dapplestage.region"}
+// knownAttributes are the names of the supported attributes.
+var knownAttributes = []string{"attr.worker.os.family", "attr.worker.cpu.arch", "attr.dapplestage.build", "attr.dapplestage.region"}
 
-func (r *documentReader) host(v *value, path string) *HostRequirements {
+func (r *documentReader) readHostRequirements(v *value, path string) *HostRequirements {
 	f := r.object(v, path)
 	h := &HostRequirements{}
 	names := map[string]bool{}
 	if v, path := f.get("amounts"); v != nil {
-		for i, it := range r.list(v, path, 1, 50) {
-			h.Amounts = append(h.Amounts, r.amount(it, itemPath(path, i), names))
+		for i, it := range r.listItems(v, path, 1, 50) {
+			h.Amounts = append(h.Amounts, r.readAmount(it, itemPath(path, i), names))
 		}
 	}
 	if v, path := f.get("attributes"); v != nil {
-		for i, it := range r.list(v, path, 1, 50) {
-			h.Attributes = append(h.Attributes, r.attribute(it, itemPath(path, i), names))
+		for i, it := range r.listItems(v, path, 1, 50) {
+			h.Attributes = append(h.Attributes, r.readAttribute(it, itemPath(path, i), names))
 		}
 	}
 	if h.Amounts == nil && h.Attributes == nil {
@@ -670,10 +688,11 @@
 	return h
 }
 
-// hostName reads the name of a requirement, one of those known, which none before has.
-func (r *documentReader) hostName(f *objectFields, known []string, names map[string]bool) string {
+// readRequirementName reads the name of a requirement. It must be one of known and not be in
+// names, to which it is added.
+func (r *documentReader) readRequirementName(f *objectFields, known []string, names map[string]bool) string {
 	v, path := f.require("name")
-	s := r.str(v, path, 1, 100, false)
+	s := r.stringValue(v, path, 1, 100, false)
 	if s != "" && !slices.Contains(known, s) {
 		r.fail(v, path, "%s is not supported; of %s", quoteClipped(s), strings.Join(known, ", "))
 	}
@@ -684,9 +703,9 @@
 	return s
 }
 
-func (r *documentReader) amount(it *value, path string, names map[string]bool) Amount {
+func (r *documentReader) readAmount(it *value, path string, names map[string]bool) Amount {
 	f := r.object(it, path)
-	a := Amount{Name: r.hostName(f, amounts, names)}
+	a := Amount{Name: r.readRequirementName(f, knownAmounts, names)}
 	v, vpath := f.require("min")
 	x, err := strconv.ParseFloat(v.text, 64)
 	if v.kind != null && (v.kind != integer && v.kind != float || err != nil || !(x >= 0) || x > 1e6) {
@@ -697,13 +716,13 @@
 	return a
 }
 
-func (r *documentReader) attribute(it *value, path string, names map[string]bool) Attribute {
+func (r *documentReader) readAttribute(it *value, path string, names map[string]bool) Attribute {
 	f := r.object(it, path)
-	a := Attribute{Name: r.hostName(f, attributes, names)}
+	a := Attribute{Name: r.readRequirementName(f, knownAttributes, names)}
 	values := func(name string) (out []string) {
 		if v, path := f.get(name); v != nil {
-			for i, it := range r.list(v, path, 1, 50) {
-				out = append(out, r.format(it, itemPath(path, i), 1, 100, false, scope{}))
+			for i, it := range r.listItems(v, path, 1, 50) {
+				out = append(out, r.formatString(it, itemPath(path, i), 1, 100, false, scope{}))
 			}
 		}
 		return out
@@ -716,14 +735,14 @@
 	return a
 }
 
-func (r *documentReader) space(v *value, path string) *ParameterSpace {
+func (r *documentReader) readParameterSpace(v *value, path string) *ParameterSpace {
 	f := r.object(v, path)
 	s := &ParameterSpace{}
 	defs, dpath := f.require("taskParameterDefinitions")
 	names := map[string]bool{}
 	if defs.kind != null {
-		for i, it := range r.list(defs, dpath, 1, maxAxes) {
-			p := r.taskParameter(it, itemPath(dpath, i))
+		for i, it := range r.listItems(defs, dpath, 1, maxTaskParameters) {
+			p := r.readTaskParameter(it, itemPath(dpath, i))
 			if names[p.Name] {
 				r.fail(it, itemPath(dpath, i), "parameter %s is defined twice", p.Name)
 			}
@@ -732,25 +751,25 @@
 		}
 	}
 	if v, path := f.get("combination"); v != nil {
-		s.Combination = r.str(v, path, 1, 1280, false)
-		e, err := parseCombine(s.Combination)
+		s.Combination = r.stringValue(v, path, 1, 1280, false)
+		e, err := parseCombination(s.Combination)
 		if err != nil {
 			r.fail(v, path, "%v", err)
 		} else {
-			left := map[string]bool{}
+			missing := map[string]bool{}
 			for n := range names {
-				left[n] = true
+				missing[n] = true
 			}
 			for _, n := range e.names(nil) {
 				if !names[n] {
 					r.fail(v, path, "there is no task parameter %s", quoteClipped(n))
-				} else if !left[n] {
+				} else if !missing[n] {
 					r.fail(v, path, "%s is in it twice", n)
 				}
-				delete(left, n)
+				delete(missing, n)
 			}
 			for _, p := range s.Parameters {
-				if left[p.Name] {
+				if missing[p.Name] {
 					r.fail(v, path, "%s is not in it", p.Name)
 				}
 			}
@@ -760,7 +779,7 @@
 	return s
 }
 
-func (r *documentReader) taskParameter(v *value, path string) TaskParameter {
+func (r *documentReader) readTaskParameter(v *value, path string) TaskParameter {
 	f := r.object(v, path)
 	p := TaskParameter{Name: f.identifier("name")}
 	if t, tpath := f.require("type"); t.kind == text && t.text == "CHUNK[INT]" {
@@ -770,11 +789,11 @@
 	rng, rpath := f.require("range")
 	switch {
 	case rng.kind == list:
-		for i, it := range r.list(rng, rpath, 1, maxList) {
+		for i, it := range r.listItems(rng, rpath, 1, maxListItems) {
 			ipath := itemPath(rpath, i)
 			s := it.text
 			if it.kind == text {
-				s = r.format(it, ipath, 0, maxParameterValue, false, scope{})
+				s = r.formatString(it, ipath, 0, maxParameterValue, false, scope{})
 			}
 			if !strings.Contains(s, "{{") {
 				var err error
@@ -785,11 +804,11 @@
 			p.Range.List = append(p.Range.List, s)
 		}
 	case rng.kind == text && p.Type == "INT":
-		p.Range.Expr = r.format(rng, rpath, 1, 4096, false, scope{})
+		p.Range.Expr = r.formatString(rng, rpath, 1, 4096, false, scope{})
 		if e, err := parseFormat(p.Range.Expr); err == nil {
 			for _, ref := range e.refs() {
-				// A string could bring commas and dashes of its own: only numbers may
-				// stand in an expression.
+				// A string parameter could insert commas and dashes into the expression,
+				// so only integer parameters are allowed.
 				if _, name, _ := strings.Cut(ref, "."); r.params[name] != "INT" {
 					r.fail(rng, rpath, "{{%s}}: only INT parameters may stand in a range expression", ref)
 				}
@@ -807,36 +826,36 @@
 	return p
 }
 
-func (r *documentReader) environments(f *objectFields, name string, seen map[string]bool) (out []Environment) {
+func (r *documentReader) readEnvironments(f *objectFields, name string, names map[string]bool) (out []Environment) {
 	v, path := f.get(name)
 	if v == nil {
 		return nil
 	}
-	for i, it := range r.list(v, path, 1, maxEnvs) {
+	for i, it := range r.listItems(v, path, 1, maxEnvironments) {
 		path := itemPath(path, i)
 		f := r.object(it, path)
 		e := Environment{}
 		n, npath := f.require("name")
-		e.Name = r.str(n, npath, 1, maxName, false)
-		if seen[e.Name] {
+		e.Name = r.stringValue(n, npath, 1, maxNameLength, false)
+		if names[e.Name] {
 			r.fail(n, npath, "environment %s is defined twice", quoteClipped(e.Name))
 		}
-		seen[e.Name] = true
-		e.Description = f.optStr("description", maxDescribed, true)
+		names[e.Name] = true
+		e.Description = f.optStr("description", maxDescription, true)
 		if v, path := f.get("variables"); v != nil {
-			if r.object(v, path); len(v.keys) > maxList || len(v.keys) == 0 {
-				r.fail(v, path, "has %d items, must have 1 to %d", len(v.keys), maxList)
+			if r.object(v, path); len(v.keys) > maxListItems || len(v.keys) == 0 {
+				r.fail(v, path, "has %d items, must have 1 to %d", len(v.keys), maxListItems)
 			}
 			e.Variables = map[string]string{}
 			for k, name := range v.keys {
-				if !identifier(name) {
-					r.fail(v.items[k], joinPath(path, name), "is not a name of letters, digits and _, at most %d", maxName)
+				if !isIdentifier(name) {
+					r.fail(v.items[k], joinPath(path, name), "is not a name of letters, digits and _, at most %d", maxNameLength)
 				}
-				e.Variables[name] = r.format(v.items[k], joinPath(path, name), 0, 2048, true, scope{onWorker: true})
+				e.Variables[name] = r.formatString(v.items[k], joinPath(path, name), 0, 2048, true, scope{onWorker: true})
 			}
 		}
 		if v, path := f.get("script"); v != nil {
-			s := r.script(v, path, "Env", nil, "onEnter", "onExit")
+			s := r.readScript(v, path, "Env", nil, "onEnter", "onExit")
 			e.Script = &s
 		}
 		if e.Script == nil && e.Variables == nil {
@@ -848,28 +867,28 @@
 	return out
 }
 
-func (r *documentReader) script(v *value, path, prefix string, task map[string]bool, actions ...string) Script {
+func (r *documentReader) readScript(v *value, path, prefix string, task map[string]bool, actions ...string) Script {
 	f := r.object(v, path)
 	s := Script{}
 	sc := scope{onWorker: true, task: task, files: map[string]bool{}}
 	if v, path := f.get("embeddedFiles"); v != nil {
-		items := r.list(v, path, 1, maxFiles)
-		for i, it := range items { // their names first: they may name one another
-			r.fileName(it, itemPath(path, i), prefix, sc.files)
+		items := r.listItems(v, path, 1, maxFiles)
+		for i, it := range items { // all names first, since files may refer to one another
+			r.noteFileName(it, itemPath(path, i), prefix, sc.files)
 		}
 		for i, it := range items {
-			s.Files = append(s.Files, r.file(it, itemPath(path, i), sc))
+			s.Files = append(s.Files, r.readFile(it, itemPath(path, i), sc))
 		}
 	}
 	if v, path := f.require("actions"); v.kind != null {
-		s.Actions = r.actions(v, path, sc, actions)
+		s.Actions = r.readActions(v, path, sc, actions)
 	}
 	f.rejectUnknown()
 	return s
 }
 
-// fileName notes the name of an embedded file, which none before has.
-func (r *documentReader) fileName(it *value, path, prefix string, files map[string]bool) {
+// noteFileName records the name of an embedded file, which must not be in files yet.
+func (r *documentReader) noteFileName(it *value, path, prefix string, files map[string]bool) {
 	name, _ := r.object(it, path).get("name")
 	if name == nil {
 		return
@@ -881,17 +900,17 @@
 	files[key] = true
 }
 
-func (r *documentReader) file(it *value, path string, sc scope) File {
+func (r *documentReader) readFile(it *value, path string, sc scope) File {
 	f := r.object(it, path)
 	file := File{Name: f.identifier("name")}
 	f.require("type")
 	file.Type = f.oneOf("type", "", "TEXT")
-	file.Filename = f.optStr("filename", maxName, false)
+	file.Filename = f.optStr("filename", maxNameLength, false)
 	if strings.ContainsAny(file.Filename, `/\`) || file.Filename == "." || file.Filename == ".." {
 		r.fail(it, path+".filename", "%s is not a plain file name", quoteClipped(file.Filename))
 	}
 	d, dpath := f.require("data")
-	file.Data = r.format(d, dpath, 1, maxString, true, sc)
+	file.Data = r.formatString(d, dpath, 1, maxString, true, sc)
 	if v, path := f.get("runnable"); v != nil {
 		if v.kind != boolean {
 			r.fail(v, path, "must be true or false")
@@ -902,32 +921,33 @@
 	return file
 }
 
-// actions reads those actions of a script that it may have, of which it needs one.
-func (r *documentReader) actions(v *value, path string, sc scope, names []string) (out Actions) {
+// readActions reads the actions of a script. Only those in names are allowed, and at least one
+// of them is required.
+func (r *documentReader) readActions(v *value, path string, sc scope, names []string) (out Actions) {
 	f := r.object(v, path)
-	into := map[string]**Action{"onRun": &out.Run, "onEnter": &out.Enter, "onExit": &out.Exit}
-	any := false
+	targets := map[string]**Action{"onRun": &out.Run, "onEnter": &out.Enter, "onExit": &out.Exit}
+	found := false
 	for _, name := range names {
 		if v, path := f.get(name); v != nil {
-			any = true
-			*into[name] = r.action(v, path, sc)
+			found = true
+			*targets[name] = r.readAction(v, path, sc)
 		}
 	}
-	if !any {
+	if !found {
 		r.fail(v, path, "one of %s is needed", strings.Join(names, ", "))
 	}
 	f.rejectUnknown()
 	return out
 }
 
-func (r *documentReader) action(v *value, path string, sc scope) *Action {
+func (r *documentReader) readAction(v *value, path string, sc scope) *Action {
 	f := r.object(v, path)
 	a := &Action{}
 	c, cpath := f.require("command")
-	a.Command = r.format(c, cpath, 1, maxParameterValue, false, sc)
+	a.Command = r.formatString(c, cpath, 1, maxParameterValue, false, sc)
 	if v, path := f.get("args"); v != nil {
-		for i, it := range r.list(v, path, 0, maxArgs) {
-			a.Args = append(a.Args, r.format(it, itemPath(path, i), 0, 8192, true, sc))
+		for i, it := range r.listItems(v, path, 0, maxArgs) {
+			a.Args = append(a.Args, r.formatString(it, itemPath(path, i), 0, 8192, true, sc))
 		}
 	}
 	a.Timeout = f.optInt("timeout", 1, 1<<31-1)
--- a/internal/protocol/ticket/ticket_test.go
+++ b/internal/protocol/ticket/ticket_test.go
@@ -49,7 +49,7 @@
 	return tm
 }
 
-func TestSample(t *testing.T) {
+func TestExpandSample(t *testing.T) {
 	tm := mustParse(t, sample)
 	p, err := tm.Expand(Args{"Album": "Boda de Inés"})
 	if err != nil {
@@ -63,8 +63,9 @@
 	}
 }
 
-// Each mistake is refused with its field named, and nothing is passed over.
-func TestMistakes(t *testing.T) {
+// Guards against templates whose errors are ignored: every invalid template is rejected with
+// an error that names the field or the fault.
+func TestInvalidTemplates(t *testing.T) {
 	step := func(body string) string {
 		return "specificationVersion: jobtemplate-2023-09\nname: n\nparameterDefinitions: [{name: S, type: STRING, default: a}, {name: N, type: INT, default: 3}, {name: P, type: PATH, default: /p}]\nsteps:\n- name: a\n  script: {actions: {onRun: {command: c}}}\n" + body
 	}
@@ -109,8 +110,8 @@
 	}
 }
 
-// Places are told, in JSON as in YAML.
-func TestErrorsHavePlaces(t *testing.T) {
+// Errors have the line, column and field of the value, in JSON and in YAML.
+func TestErrorsHavePositions(t *testing.T) {
 	for _, text := range []string{"specificationVersion: jobtemplate-2023-09\nname: n\nsteps:\n- name: a\n  script: {actions: {onRun: {command: 7}}}\n",
 		"{\"specificationVersion\": \"jobtemplate-2023-09\", \"name\": \"n\",\n\"steps\": [\n{\"name\": \"a\",\n \"script\":\n {\"actions\": {\"onRun\": {\"command\": 7}}}}]}"} {
 		_, err := ParseTemplate([]byte(text), "")
@@ -121,8 +122,9 @@
 	}
 }
 
-// A parameter's value is text wherever it is put: it can't bring references of its own.
-func TestParametersStayInTheirPlace(t *testing.T) {
+// Guards against parameter values that are parsed as format strings: references in a value
+// stay text. Values that violate their definition are rejected.
+func TestParameterValuesAreNotExpanded(t *testing.T) {
 	tm := mustParse(t, sample)
 	p, err := tm.Expand(Args{"Album": "{{Param.Last}} {{"})
 	if err != nil || p.Name != "Preview of {{Param.Last}} {{" {
@@ -130,17 +132,18 @@
 	}
 	for _, a := range []Args{{"Album": "a\nb"}, {"Album": ""}, {"Album": strings.Repeat("x", 41)}, {}, {"Album": "a", "Last": "5001"}, {"Album": "a", "Last": "1-9"}, {"Album": "a", "Other": "1"}} {
 		if _, err := tm.Expand(a); err == nil {
-			t.Errorf("%q taken", a)
+			t.Errorf("accepted %q", a)
 		}
 	}
-	// A value is used in every place: what grows must be bounded.
+	// A value may be inserted many times, so the length of the result must be limited.
 	big := mustParse(t, "specificationVersion: jobtemplate-2023-09\nname: '"+strings.Repeat("{{Param.A}}", 2000)+"'\nparameterDefinitions: [{name: A, type: STRING}]\nsteps: [{name: a, script: {actions: {onRun: {command: c}}}}]")
 	if _, err := big.Expand(Args{"A": strings.Repeat("x", 1000)}); err == nil || !strings.Contains(err.Error(), "longer than") {
 		t.Error(err)
 	}
 }
 
-// 200 bytes must not become a billion tasks.
+// Guards against small templates that expand to a huge number of tasks: 200 bytes could
+// define a billion.
 func TestExpansionIsBounded(t *testing.T) {
 	axes := func(n int, rng string) string {
 		var b strings.Builder
@@ -165,8 +168,8 @@
 	}
 }
 
-// plainSpace writes out all tasks: a second, slow way that the quick one is held to.
-func plainSpace(axes []*axis, e *combineExpr) []map[string]string {
+// enumerateTasks is a slow reference implementation of TaskSpace that lists all tasks.
+func enumerateTasks(axes []*axis, e *combineExpr) []map[string]string {
 	var product func(terms []*combineTerm) []map[string]string
 	term := func(t *combineTerm) []map[string]string {
 		if t.Group == nil {
@@ -178,9 +181,9 @@
 			}
 			return out
 		}
-		all := plainSpace(axes, t.Group[0])
+		all := enumerateTasks(axes, t.Group[0])
 		for _, g := range t.Group[1:] {
-			for i, m := range plainSpace(axes, g) {
+			for i, m := range enumerateTasks(axes, g) {
 				for k, v := range m {
 					all[i][k] = v
 				}
@@ -210,10 +213,10 @@
 	return product(e.Product)
 }
 
-// gen draws templates.
-type gen struct{ t *rapid.T }
+// generator draws random templates.
+type generator struct{ t *rapid.T }
 
-func (g gen) rangeExpr() string {
+func (g generator) rangeExpr() string {
 	var parts []string
 	at := rapid.IntRange(-500, 500).Draw(g.t, "from")
 	for range rapid.IntRange(1, 3).Draw(g.t, "parts") {
@@ -230,9 +233,9 @@
 	return strings.Join(parts, ",")
 }
 
-// combination draws an expression over names in which each is once, with groups of
-// axes that have as many values.
-func (g gen) space() (*ParameterSpace, []*axis) {
+// space draws a parameter space. Its combination expression names each parameter once, and
+// its groups have parameters with the same number of values.
+func (g generator) space() (*ParameterSpace, []*axis) {
 	d := &ParameterSpace{}
 	var axes []*axis
 	var terms []string
@@ -259,13 +262,13 @@
 	return d, axes
 }
 
-func TestExpansionAgreesWithWritingOut(t *testing.T) {
+func TestTaskSpaceMatchesEnumeration(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d, axes := gen{t}.space()
+		d, axes := generator{t}.space()
 		var e *combineExpr
 		if d.Combination != "" {
 			var err error
-			if e, err = parseCombine(d.Combination); err != nil {
+			if e, err = parseCombination(d.Combination); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -279,7 +282,7 @@
 				e.Product = append(e.Product, &combineTerm{Name: a.name})
 			}
 		}
-		want := plainSpace(axes, e)
+		want := enumerateTasks(axes, e)
 		if s.Len() != len(want) {
 			t.Fatalf("%d tasks, want %d", s.Len(), len(want))
 		}
@@ -293,7 +296,7 @@
 	})
 }
 
-func (g gen) template() *Template {
+func (g generator) template() *Template {
 	tm := &Template{Version: Version, Name: "n {{Param.P0}}", Description: rapid.StringMatching(`[ -~\n]{0,40}`).Draw(g.t, "description")}
 	low, high, word := "-3", "70", rapid.StringMatching(`[^\p{C}"\\]{0,12}`).Draw(g.t, "word")
 	tm.Parameters = []Parameter{{Name: "P0", Type: "STRING", Default: &word}, {Name: "P1", Type: "INT", Min: &low, Max: &high, Default: &high}}
@@ -319,10 +322,10 @@
 	return tm
 }
 
-// What is printed reads as the same, as JSON and as YAML.
-func TestPrintAndParse(t *testing.T) {
+// An encoded template parses as the same template, both as JSON and as YAML.
+func TestEncodeAndParse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tm := gen{t}.template()
+		tm := generator{t}.template()
 		out, err := tm.EncodeJSON()
 		if err != nil {
 			t.Fatal(err)
@@ -351,12 +354,13 @@
 		t.Error(err, p)
 	}
 	for i := range data {
-		Unpack(data[:i]) // cut short: an error, not a crash
+		Unpack(data[:i]) // truncated data must cause an error, not a panic
 	}
 }
 
-// The same work by either path reads as the same submission.
-func TestBothPathsReadTheSame(t *testing.T) {
+// A ticket by itself and the same ticket embedded in an ordinary submission are read as the
+// same Submission.
+func TestTicketAndEmbeddedTicketReadTheSame(t *testing.T) {
 	tm, _ := mustParse(t, sample).EncodeJSON()
 	rest := fmt.Sprintf(`"template":%s,"parameters":{"Album":"a","Last":{"int":"12"}},"priority":80,"maxRetriesPerTask":9,"maxFailedTasksCount":2`, tm)
 	job := `"id":"job-7","lot":"preview-render","crew":"red","bundle":"img","sizeGb":2.5,"loaners":true,"region":null`
@@ -399,8 +403,8 @@
 	}
 }
 
-// Ranges are held to a set of values written out.
-func TestRangesAgainstPlainSets(t *testing.T) {
+// Range expressions are compared with enumerated sets of values, including duplicates.
+func TestRangesMatchEnumeratedSets(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 2000 {
 		var parts []string
@@ -481,8 +485,8 @@
 			}
 			r.at(r.len() - 1)
 		}
-		if e, err := parseCombine(s); err == nil && len(e.names(nil)) == 0 {
-			t.Fatal("nothing in it")
+		if e, err := parseCombination(s); err == nil && len(e.names(nil)) == 0 {
+			t.Fatal("combination without a parameter")
 		}
 		if e, err := parseFormat(s); err == nil && len(e.refs()) == 0 {
 			if back, err := e.resolve(nil); err != nil && len(s) <= maxString || err == nil && back != s {
--- a/internal/protocol/ticket/tree.go
+++ b/internal/protocol/ticket/tree.go
@@ -14,18 +14,18 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Limits of a document as text. A ticket travels in a request, so its text can't be
-// longer than that; what it may become when it is expanded has limits of its own.
+// Limits of a document. A ticket is sent in one request, whose size limits its text;
+// expansion has limits of its own.
 const (
 	MaxTextBytes = 60 << 10
 	maxDepth     = 24
-	maxNodes     = 20000
+	maxValues    = 20000
 )
 
-// Error is what is wrong with a ticket, and where.
+// Error is an error in a ticket, with its position and field.
 type Error struct {
-	Line, Col int    // 1 and up; 0: not known
-	Field     string // such as steps[0].parameterSpace.combination
+	Line, Col int    // counted from 1; 0: not known
+	Field     string // path of the field, such as steps[0].parameterSpace.combination
 	Text      string
 }
 
@@ -41,6 +41,7 @@
 	return b.String()
 }
 
+// valueKind is the type of a value in a document.
 type valueKind uint8
 
 const (
@@ -57,40 +58,42 @@
 
 func (k valueKind) String() string { return kindNames[k] }
 
-// value is a piece of a document with its place.
+// value is a value in a document, with its position.
 type value struct {
 	kind      valueKind
 	line, col int
-	text      string   // of a scalar: what was written, or the string
-	keys      []string // of an object, beside items
+	text      string   // of a scalar: its text; of a string: its content
+	keys      []string // of an object: the names of its items, in the same order
 	items     []*value
 }
 
-// parseDocument reads JSON or YAML. form is "JSON", "YAML", or empty for whichever it is.
-func parseDocument(data []byte, form string) (*value, error) {
+// parseDocument parses a document. syntax is "JSON" or "YAML"; if it is empty, a document
+// that begins with a brace is JSON, and any other is YAML.
+func parseDocument(data []byte, syntax string) (*value, error) {
 	switch {
 	case len(data) > MaxTextBytes:
 		return nil, &Error{Text: fmt.Sprintf("%d bytes long, at most %d are taken", len(data), MaxTextBytes)}
 	case !utf8.Valid(data):
 		return nil, &Error{Text: "not UTF-8"}
-	case form == "":
-		form = "YAML"
+	case syntax == "":
+		syntax = "YAML"
 		if t := bytes.TrimLeft(data, " \t\r\n"); len(t) > 0 && t[0] == '{' {
-			form = "JSON"
+			syntax = "JSON"
 		}
 	}
-	if form == "JSON" {
+	if syntax == "JSON" {
 		return parseJSON(data)
 	}
 	return parseYAML(data)
 }
 
-// sizeLimiter refuses documents that are too deep or have too many parts.
-type sizeLimiter struct{ nodes int }
+// sizeLimiter rejects documents that are nested too deeply or have too many values.
+type sizeLimiter struct{ values int }
 
-func (c *sizeLimiter) enter(depth, line, col int) error {
-	if c.nodes++; c.nodes > maxNodes {
-		return &Error{Line: line, Col: col, Text: fmt.Sprintf("more than %d values", maxNodes)}
+// countValue counts a value. It returns an error if a limit is exceeded.
+func (c *sizeLimiter) countValue(depth, line, col int) error {
+	if c.values++; c.values > maxValues {
+		return &Error{Line: line, Col: col, Text: fmt.Sprintf("more than %d values", maxValues)}
 	}
 	if depth > maxDepth {
 		return &Error{Line: line, Col: col, Text: fmt.Sprintf("nested more than %d deep", maxDepth)}
@@ -98,52 +101,53 @@
 	return nil
 }
 
+// jsonReader reads a JSON document and tracks the position of its values.
 type jsonReader struct {
 	sizeLimiter
-	data []byte
-	dec  *json.Decoder
-	line int // of the offset counted up to
-	from int
-	bol  int // where that line begins
+	data      []byte
+	decoder   *json.Decoder
+	line      int // line number at the offset scanned
+	scanned   int // offset up to which lines were counted
+	lineStart int // offset of the first byte of that line
 }
 
 func parseJSON(data []byte) (*value, error) {
-	r := &jsonReader{data: data, dec: json.NewDecoder(bytes.NewReader(data)), line: 1}
-	r.dec.UseNumber()
-	v, err := r.read(0)
+	r := &jsonReader{data: data, decoder: json.NewDecoder(bytes.NewReader(data)), line: 1}
+	r.decoder.UseNumber()
+	v, err := r.readValue(0)
 	if err == nil {
-		if _, more := r.dec.Token(); more != io.EOF {
-			err = r.at("something follows the document")
+		if _, more := r.decoder.Token(); more != io.EOF {
+			err = r.errorHere("something follows the document")
 		}
 	}
 	return v, err
 }
 
-// place is the line and column of the next token.
-func (r *jsonReader) place() (line, col int) {
-	off := int(r.dec.InputOffset())
+// position returns the line and column of the next token.
+func (r *jsonReader) position() (line, col int) {
+	off := int(r.decoder.InputOffset())
 	for off < len(r.data) && strings.IndexByte(" \t\r\n,:", r.data[off]) >= 0 {
 		off++
 	}
-	for ; r.from < off; r.from++ {
-		if r.data[r.from] == '\n' {
-			r.line, r.bol = r.line+1, r.from+1
+	for ; r.scanned < off; r.scanned++ {
+		if r.data[r.scanned] == '\n' {
+			r.line, r.lineStart = r.line+1, r.scanned+1
 		}
 	}
-	return r.line, off - r.bol + 1
+	return r.line, off - r.lineStart + 1
 }
 
-func (r *jsonReader) at(text string) error {
-	line, col := r.place()
+func (r *jsonReader) errorHere(text string) error {
+	line, col := r.position()
 	return &Error{Line: line, Col: col, Text: text}
 }
 
-func (r *jsonReader) read(depth int) (*value, error) {
-	line, col := r.place()
-	if err := r.enter(depth, line, col); err != nil {
+func (r *jsonReader) readValue(depth int) (*value, error) {
+	line, col := r.position()
+	if err := r.countValue(depth, line, col); err != nil {
 		return nil, err
 	}
-	tok, err := r.dec.Token()
+	tok, err := r.decoder.Token()
 	if err != nil {
 		var syntax *json.SyntaxError
 		if errors.As(err, &syntax) {
@@ -165,10 +169,10 @@
 		if t == '{' {
 			v.kind = object
 		}
-		for r.dec.More() {
+		for r.decoder.More() {
 			if v.kind == object {
-				kline, kcol := r.place()
-				k, err := r.dec.Token()
+				kline, kcol := r.position()
+				k, err := r.decoder.Token()
 				key, ok := k.(string)
 				if err != nil || !ok {
 					return nil, &Error{Line: kline, Col: kcol, Text: "a name in quotes is expected"}
@@ -177,19 +181,20 @@
 					return nil, err
 				}
 			}
-			item, err := r.read(depth + 1)
+			item, err := r.readValue(depth + 1)
 			if err != nil {
 				return nil, err
 			}
 			v.items = append(v.items, item)
 		}
-		if _, err := r.dec.Token(); err != nil {
-			return nil, r.at("a list or an object is not closed")
+		if _, err := r.decoder.Token(); err != nil {
+			return nil, r.errorHere("a list or an object is not closed")
 		}
 	}
 	return v, nil
 }
 
+// addKey adds the name of an item of an object. A name that is given twice is an error.
 func (v *value) addKey(key string, line, col int) error {
 	for _, k := range v.keys {
 		if k == key {
@@ -200,6 +205,7 @@
 	return nil
 }
 
+// numberKind tells integers from other numbers by their text.
 func numberKind(s string) valueKind {
 	if strings.ContainsAny(s, ".eE") {
 		return float
@@ -230,7 +236,7 @@
 	return c.fromYAML(doc.Content[0], 0)
 }
 
-// yamlError finds the line in the library's message.
+// yamlError converts an error of the YAML library and takes the line out of its message.
 func yamlError(err error) error {
 	msg := strings.TrimPrefix(err.Error(), "yaml: ")
 	e := &Error{Text: msg}
@@ -245,14 +251,14 @@
 }
 
 func (c *sizeLimiter) fromYAML(n *yaml.Node, depth int) (*value, error) {
-	if err := c.enter(depth, n.Line, n.Column); err != nil {
+	if err := c.countValue(depth, n.Line, n.Column); err != nil {
 		return nil, err
 	}
-	bad := func(s string) (*value, error) { return nil, &Error{Line: n.Line, Col: n.Column, Text: s} }
+	fail := func(s string) (*value, error) { return nil, &Error{Line: n.Line, Col: n.Column, Text: s} }
 	v := &value{line: n.Line, col: n.Column}
 	switch {
 	case n.Kind == yaml.AliasNode || n.Anchor != "":
-		return bad("anchors and aliases are not taken: write the value out")
+		return fail("anchors and aliases are not taken: write the value out")
 	case n.Kind == yaml.ScalarNode:
 		v.text = n.Value
 		switch n.ShortTag() {
@@ -263,17 +269,17 @@
 		case "!!int":
 			v.kind = integer
 			if strings.Trim(strings.TrimLeft(n.Value, "+-"), "0123456789") != "" {
-				return bad("integers are written in decimal: " + quoteClipped(n.Value))
+				return fail("integers are written in decimal: " + quoteClipped(n.Value))
 			}
 		case "!!float":
 			v.kind = float
 			if f, err := strconv.ParseFloat(n.Value, 64); err != nil || math.IsInf(f, 0) || math.IsNaN(f) {
-				return bad("not a finite decimal number: " + quoteClipped(n.Value))
+				return fail("not a finite decimal number: " + quoteClipped(n.Value))
 			}
 		case "!!str", "!!timestamp":
 			v.kind = text
 		default:
-			return bad("tags are not taken: " + quoteClipped(n.Tag))
+			return fail("tags are not taken: " + quoteClipped(n.Tag))
 		}
 	case n.Kind == yaml.SequenceNode:
 		v.kind = list
@@ -301,12 +307,12 @@
 			v.items = append(v.items, item)
 		}
 	default:
-		return bad("not understood")
+		return fail("not understood")
 	}
 	return v, nil
 }
 
-// decoded is a value as encoding/json knows it.
+// decoded converts the value to the types that encoding/json decodes into.
 func (v *value) decoded() any {
 	switch v.kind {
 	case boolean:
@@ -331,7 +337,7 @@
 	return nil
 }
 
-// quoteClipped shortens what is quoted in an error.
+// quoteClipped quotes a string for an error message and shortens it to 60 bytes.
 func quoteClipped(s string) string {
 	if len(s) > 60 {
 		s = strings.ToValidUTF8(s[:60], "") + "..."
