--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -59,11 +59,11 @@
 
 // WorkerSettings are the intervals and timeouts of workers.
 type WorkerSettings struct {
-	ReportS   float64 `toml:"report_s"`
-	LeaseS    float64 `toml:"lease_s"`
-	GangWaitS float64 `toml:"gang_wait_s"`
-	GangPeerS float64 `toml:"gang_peer_s"`
-	CancelS   float64 `toml:"cancel_s"`
+	ReportS   float64 `toml:"report_s"`    // interval of a worker's reports
+	LeaseS    float64 `toml:"lease_s"`     // after this time without an answer a worker ends its tasks
+	GangWaitS float64 `toml:"gang_wait_s"` // after this time a task gives up waiting for the rest of its gang
+	GangPeerS float64 `toml:"gang_peer_s"` // within this time all tasks of a gang must be told to save
+	CancelS   float64 `toml:"cancel_s"`    // within this time of its cancellation a job must have stopped
 }
 
 // StateSettings are the limits of the state service.
--- a/internal/protocol/wire.go
+++ b/internal/protocol/wire.go
@@ -275,7 +275,7 @@
 	Attempt uint64 `json:"try"`
 	State   string `json:"status"`
 	Cause   string `json:"cause,omitempty"`
-	Saved   bool   `json:"stored,omitempty"`
+	Saved   bool   `json:"stored,omitempty"` // the task saved a checkpoint before it stopped
 }
 
 // Report is a worker's heartbeat: the state of its machine and of the tasks there.
@@ -285,10 +285,10 @@
 	Type    string       `json:"build"`
 	Zone    string       `json:"region"`
 	Spot    bool         `json:"loaners"`
-	Session uint64       `json:"shift"`
-	Seq     uint64       `json:"tally"`
-	Token   uint64       `json:"baton"`
-	NoticeS *float64     `json:"recallS"`
+	Session uint64       `json:"shift"`   // incremented each time the worker's lease expires
+	Seq     uint64       `json:"tally"`   // sequence number of the report
+	Token   uint64       `json:"baton"`   // highest fencing token that the worker has received
+	NoticeS *float64     `json:"recallS"` // seconds until a spot machine is interrupted; nil: no notice
 	Tasks   []TaskReport `json:"pieces"`
 }
 
@@ -314,7 +314,7 @@
 	Op      string  `json:"verb"`
 	Task    string  `json:"piece"`
 	Attempt uint64  `json:"try"`
-	GraceS  float64 `json:"windDownS,omitempty"`
+	GraceS  float64 `json:"windDownS,omitempty"` // time for the task to save a checkpoint
 }
 
 // Orders are commands with a fencing token. They are the answer to a report, or are sent
