--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -82,8 +82,8 @@
 }
 
 // New makes a console of some sites.
-func New(ask FetchFunc, now func() time.Time, sites ...string) *Model {
-	return &Model{fetch: ask, now: now, sites: sites, siteStates: make([]siteState, max(1, len(sites))), query: ledger.Query{Limit: 100}, width: 80, height: 24}
+func New(fetch FetchFunc, now func() time.Time, sites ...string) *Model {
+	return &Model{fetch: fetch, now: now, sites: sites, siteStates: make([]siteState, max(1, len(sites))), query: ledger.Query{Limit: 100}, width: 80, height: 24}
 }
 
 // tick says that time has passed.
@@ -102,11 +102,11 @@
 		return nil
 	}
 	m.requestPending, m.nextRequest = true, m.now().Add(RequestInterval)
-	a := Request{SiteIndex: m.siteIndex, Query: m.query}
+	request := Request{SiteIndex: m.siteIndex, Query: m.query}
 	if m.view == viewJob {
-		a.Job = m.job
+		request.Job = m.job
 	}
-	return func() tea.Msg { return m.fetch(a) }
+	return func() tea.Msg { return m.fetch(request) }
 }
 
 // Update takes in a key, an answer or time.
@@ -170,13 +170,13 @@
 		m.typing, m.query.Text = false, ""
 		m.firstPage()
 	case "backspace":
-		if r := []rune(m.query.Text); len(r) > 0 {
-			m.query.Text = string(r[:len(r)-1])
+		if typed := []rune(m.query.Text); len(typed) > 0 {
+			m.query.Text = string(typed[:len(typed)-1])
 		}
 	default:
-		for _, r := range runes {
-			if unicode.IsPrint(r) && len(m.query.Text) < maxSearchLength {
-				m.query.Text += string(r)
+		for _, typed := range runes {
+			if unicode.IsPrint(typed) && len(m.query.Text) < maxSearchLength {
+				m.query.Text += string(typed)
 			}
 		}
 	}
@@ -260,8 +260,8 @@
 }
 
 func (m *Model) previousPage() {
-	if l := len(m.previousPages); m.view == viewJobs && l > 0 {
-		m.query.After, m.previousPages, m.cursor, m.nextRequest = m.previousPages[l-1], m.previousPages[:l-1], 0, time.Time{}
+	if n := len(m.previousPages); m.view == viewJobs && n > 0 {
+		m.query.After, m.previousPages, m.cursor, m.nextRequest = m.previousPages[n-1], m.previousPages[:n-1], 0, time.Time{}
 	}
 }
 
@@ -305,9 +305,9 @@
 		return nil
 	case m.view == viewOverview:
 		var out []ledger.Row
-		for _, r := range m.page.Rows {
-			if r.State == ledger.Stuck || r.State == ledger.Unknown {
-				out = append(out, r)
+		for _, row := range m.page.Rows {
+			if row.State == ledger.Stuck || row.State == ledger.Unknown {
+				out = append(out, row)
 			}
 		}
 		return out
@@ -322,13 +322,13 @@
 	}
 	switch m.view {
 	case viewTeams, viewClasses:
-		of := m.page.Teams
+		sums := m.page.Teams
 		if m.view == viewClasses {
-			of = m.page.Classes
+			sums = m.page.Classes
 		}
-		return slices.SortedFunc(maps.Keys(of), func(a, b string) int {
-			x, y := of[a], of[b]
-			return cmp.Or(y[ledger.Stuck]-x[ledger.Stuck], y[ledger.Unknown]-x[ledger.Unknown], y[ledger.Waiting]-x[ledger.Waiting], strings.Compare(a, b))
+		return slices.SortedFunc(maps.Keys(sums), func(a, b string) int {
+			sumsA, sumsB := sums[a], sums[b]
+			return cmp.Or(sumsB[ledger.Stuck]-sumsA[ledger.Stuck], sumsB[ledger.Unknown]-sumsA[ledger.Unknown], sumsB[ledger.Waiting]-sumsA[ledger.Waiting], strings.Compare(a, b))
 		})
 	case viewZones:
 		return slices.Sorted(maps.Keys(m.page.Zones))
@@ -363,10 +363,10 @@
 	if len(m.sites) > 1 {
 		head = "" // the sites' name takes its place
 	}
-	for i, v := range viewNames {
-		mark := fmt.Sprintf(" %d:%s", i+1, v)
+	for i, name := range viewNames {
+		mark := fmt.Sprintf(" %d:%s", i+1, name)
 		if i == m.view || m.view == viewJob && i == m.previousView {
-			mark = fmt.Sprintf(" [%d:%s]", i+1, v)
+			mark = fmt.Sprintf(" [%d:%s]", i+1, name)
 		}
 		head += mark
 	}
@@ -391,10 +391,10 @@
 	}
 	// The cursor stays on the screen, and the heading with it.
 	if m.view != viewJob && len(rows) > 0 {
-		heads := m.headingLines()
-		if at := heads + m.cursor; at >= height {
-			from := at - height + 1
-			rows = append(slices.Clone(rows[:heads]), rows[min(len(rows), heads+from):]...)
+		headings := m.headingLines()
+		if cursorLine := headings + m.cursor; cursorLine >= height {
+			firstRow := cursorLine - height + 1
+			rows = append(slices.Clone(rows[:headings]), rows[min(len(rows), headings+firstRow):]...)
 		}
 	}
 	out := make([]string, height)
@@ -403,9 +403,9 @@
 }
 
 // fitLine makes a line safe and as wide as the screen: names are whatever users chose.
-func fitLine(s string, width int) string {
+func fitLine(line string, width int) string {
 	out := make([]rune, 0, width)
-	for _, r := range s {
+	for _, r := range line {
 		if !unicode.IsPrint(r) {
 			r = '?'
 		}
@@ -426,39 +426,39 @@
 		return ""
 	}
 	age := m.now().Sub(m.receivedAt)
-	s := fmt.Sprintf("as %s told it %.0f s ago", m.node, age.Seconds())
+	line := fmt.Sprintf("as %s told it %.0f s ago", m.node, age.Seconds())
 	if m.err != nil {
-		s = fmt.Sprintf("NOT KNOWN since %.0f s: %v", age.Seconds(), m.err)
+		line = fmt.Sprintf("NOT KNOWN since %.0f s: %v", age.Seconds(), m.err)
 	} else if m.page != nil && m.page.SinceStateAnswer > 3 {
-		s += fmt.Sprintf("; the state service answered %.0f s before", m.page.SinceStateAnswer)
+		line += fmt.Sprintf("; the state service answered %.0f s before", m.page.SinceStateAnswer)
 	}
 	if m.page != nil && len(m.page.Unknown) > 0 {
-		s += "; " + m.page.Unknown[0]
+		line += "; " + m.page.Unknown[0]
 		if n := len(m.page.Unknown) - 1; n > 0 {
-			s += fmt.Sprintf(" (and %d more)", n)
+			line += fmt.Sprintf(" (and %d more)", n)
 		}
 	}
-	return s
+	return line
 }
 
 func (m *Model) filterLine() string {
 	var parts []string
-	for _, p := range [][2]string{{"state", m.query.State}, {"team", m.query.Team}, {"class", m.query.Class}, {"zone", m.query.Zone}, {"search", m.query.Text}} {
-		if p[1] != "" || p[0] == "search" && m.typing {
-			parts = append(parts, p[0]+"="+p[1])
+	for _, filter := range [][2]string{{"state", m.query.State}, {"team", m.query.Team}, {"class", m.query.Class}, {"zone", m.query.Zone}, {"search", m.query.Text}} {
+		if filter[1] != "" || filter[0] == "search" && m.typing {
+			parts = append(parts, filter[0]+"="+filter[1])
 		}
 	}
-	s := strings.Join(parts, " ")
+	line := strings.Join(parts, " ")
 	if m.typing {
-		s += "_"
+		line += "_"
 	}
 	if len(m.previousPages) > 0 {
-		s += fmt.Sprintf("  page %d", len(m.previousPages)+1)
+		line += fmt.Sprintf("  page %d", len(m.previousPages)+1)
 	}
 	if m.view == viewJobs && m.page != nil && m.page.After != "" {
-		s += "  more: n"
+		line += "  more: n"
 	}
-	return s
+	return line
 }
 
 // headingLines is how many lines stand above a view's list.
@@ -477,48 +477,48 @@
 }
 
 func (m *Model) tableLines() []string {
-	p := m.page
+	page := m.page
 	var out []string
 	switch m.view {
 	case viewOverview:
-		for _, s := range ledger.States {
+		for _, state := range ledger.States {
 			note := ""
 			switch {
-			case p.JobsByState[s] == 0:
-			case s == ledger.Stuck:
+			case page.JobsByState[state] == 0:
+			case state == ledger.Stuck:
 				note = "  <- look"
-			case s == ledger.Unknown:
+			case state == ledger.Unknown:
 				note = "  <- not known, not fine"
 			}
-			out = append(out, fmt.Sprintf("  %-10s %8d jobs%s", s, p.JobsByState[s], note))
+			out = append(out, fmt.Sprintf("  %-10s %8d jobs%s", state, page.JobsByState[state], note))
 		}
 		out = append(out, "", fmt.Sprintf("  %-26s %-16s %-12s %s", "STUCK, NOT KNOWN (of this page)", "TEAM", "CLASS", "WHY"))
 		out = append(out, "")
-		for i, r := range m.listedJobs() {
-			out = append(out, fmt.Sprintf("%s%-26s %-16.16s %-12.12s %s", m.cursorMark(i), r.Job, r.Team, r.Class, r.Why))
+		for i, row := range m.listedJobs() {
+			out = append(out, fmt.Sprintf("%s%-26s %-16.16s %-12.12s %s", m.cursorMark(i), row.Job, row.Team, row.Class, row.Why))
 		}
 	case viewTeams, viewClasses:
-		of, name := p.Teams, "TEAM"
+		groups, name := page.Teams, "TEAM"
 		if m.view == viewClasses {
-			of, name = p.Classes, "CLASS"
+			groups, name = page.Classes, "CLASS"
 		}
 		out = append(out, fmt.Sprintf("  %-24s %6s %6s %6s %6s %6s %6s %6s", name, "STUCK", "UNKNWN", "WAIT", "START", "RUN", "FAILED", "DONE"))
-		for i, t := range m.listedNames() {
-			s := of[t]
-			out = append(out, fmt.Sprintf("%s%-24.24s %6d %6d %6d %6d %6d %6d %6d", m.cursorMark(i), t, s[ledger.Stuck], s[ledger.Unknown], s[ledger.Waiting], s[ledger.Starting], s[ledger.Running], s[ledger.Failed], s[ledger.Done]))
+		for i, group := range m.listedNames() {
+			state := groups[group]
+			out = append(out, fmt.Sprintf("%s%-24.24s %6d %6d %6d %6d %6d %6d %6d", m.cursorMark(i), group, state[ledger.Stuck], state[ledger.Unknown], state[ledger.Waiting], state[ledger.Starting], state[ledger.Running], state[ledger.Failed], state[ledger.Done]))
 		}
 	case viewZones:
 		out = append(out, fmt.Sprintf("  %-20s %6s %8s %8s %7s %8s %12s", "ZONE", "UP", "BOOTING", "DRAINED", "SILENT", "UNKNOWN", "GPUS USED"))
-		for i, z := range m.listedNames() {
-			s := p.Zones[z]
-			out = append(out, fmt.Sprintf("%s%-20.20s %6d %8d %8d %7d %8d %6g/%g", m.cursorMark(i), z, s.Up, s.Booting, s.Drained, s.Silent, s.Unknown, s.Used, s.GPUs))
+		for i, zone := range m.listedNames() {
+			state := page.Zones[zone]
+			out = append(out, fmt.Sprintf("%s%-20.20s %6d %8d %8d %7d %8d %6g/%g", m.cursorMark(i), zone, state.Up, state.Booting, state.Drained, state.Silent, state.Unknown, state.Used, state.GPUs))
 		}
 	case viewJobs:
 		out = append(out, fmt.Sprintf("  %-20s %-12s %-10s %-9s %9s %5s  %s", "JOB", "TEAM", "CLASS", "STATE", "DONE", "RUN", "WHY"))
-		for i, r := range p.Rows {
-			out = append(out, fmt.Sprintf("%s%-20.20s %-12.12s %-10.10s %-9s %9s %5d  %s", m.cursorMark(i), r.Job, r.Team, r.Class, r.State, fmt.Sprintf("%d/%d", r.Done, r.Tasks), r.Running, r.Why))
+		for i, row := range page.Rows {
+			out = append(out, fmt.Sprintf("%s%-20.20s %-12.12s %-10.10s %-9s %9s %5d  %s", m.cursorMark(i), row.Job, row.Team, row.Class, row.State, fmt.Sprintf("%d/%d", row.Done, row.Tasks), row.Running, row.Why))
 		}
-		if len(p.Rows) == 0 {
+		if len(page.Rows) == 0 {
 			out = append(out, "  no such jobs")
 		}
 	}
--- a/internal/coordination/gateway/api.go
+++ b/internal/coordination/gateway/api.go
@@ -18,51 +18,51 @@
 )
 
 // API is a member's interface for users, as a site's, and for operators.
-func (d *Daemon) API(extra ...prometheus.Collector) http.Handler {
-	r := httprouter.New()
-	r.RedirectTrailingSlash, r.RedirectFixedPath = false, false
+func (d *Daemon) API(collectors ...prometheus.Collector) http.Handler {
+	router := httprouter.New()
+	router.RedirectTrailingSlash, router.RedirectFixedPath = false, false
 	reg := prometheus.NewRegistry()
-	m := newMetrics(reg, d)
-	reg.MustRegister(extra...)
-	r.POST("/api/jobs", func(w http.ResponseWriter, r *http.Request, _ httprouter.Params) { d.postJob(w, r, m) })
-	r.GET("/api/jobs/:id", func(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
-		d.serveRequest(w, r, m, Request{Kind: Poll, ID: p.ByName("id")})
+	metrics := newMetrics(reg, d)
+	reg.MustRegister(collectors...)
+	router.POST("/api/jobs", func(w http.ResponseWriter, r *http.Request, _ httprouter.Params) { d.postJob(w, r, metrics) })
+	router.GET("/api/jobs/:id", func(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
+		d.serveRequest(w, r, metrics, Request{Kind: Poll, ID: p.ByName("id")})
 	})
-	r.POST("/api/jobs/:id/cancel", func(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
+	router.POST("/api/jobs/:id/cancel", func(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 		io.Copy(io.Discard, io.LimitReader(r.Body, protocol.MaxBodyBytes))
-		d.serveRequest(w, r, m, Request{Kind: Cancel, ID: p.ByName("id")})
+		d.serveRequest(w, r, metrics, Request{Kind: Cancel, ID: p.ByName("id")})
 	})
-	r.GET("/ready", d.getReady)
-	r.GET("/admin/gateway/status", func(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-		if s, ok := d.Status(r); ok {
-			writeJSON(w, http.StatusOK, 0, s)
+	router.GET("/ready", d.getReady)
+	router.GET("/admin/gateway/status", func(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+		if status, ok := d.Status(r); ok {
+			writeJSON(w, http.StatusOK, 0, status)
 		}
 	})
-	r.GET("/admin/gateway/jobs/:id", d.getJobView)
-	r.PUT("/admin/gateway/drained", d.putDrained)
-	r.Handler("GET", "/metrics", promhttp.HandlerFor(reg, promhttp.HandlerOpts{DisableCompression: true, MaxRequestsInFlight: 2}))
-	return r
+	router.GET("/admin/gateway/jobs/:id", d.getJobView)
+	router.PUT("/admin/gateway/drained", d.putDrained)
+	router.Handler("GET", "/metrics", promhttp.HandlerFor(reg, promhttp.HandlerOpts{DisableCompression: true, MaxRequestsInFlight: 2}))
+	return router
 }
 
-func (d *Daemon) postJob(w http.ResponseWriter, r *http.Request, m *metrics) {
+func (d *Daemon) postJob(w http.ResponseWriter, r *http.Request, metrics *metrics) {
 	data, err := io.ReadAll(io.LimitReader(r.Body, protocol.MaxBodyBytes+1))
-	var s *protocol.JobSpec
+	var spec *protocol.JobSpec
 	if err == nil {
-		s, err = protocol.ParseJob(data)
+		spec, err = protocol.ParseJob(data)
 	}
-	var stored []byte
+	var body []byte
 	if err == nil {
-		stored, err = json.Marshal(s)
+		body, err = json.Marshal(spec)
 	}
 	if err != nil {
 		writeJSON(w, http.StatusBadRequest, 0, errorBody{err.Error()})
 		return
 	}
-	d.serveRequest(w, r, m, Request{Kind: Submit, ID: s.ID, Spec: s, Body: stored, NowMS: uint64(time.Now().UnixMilli())})
+	d.serveRequest(w, r, metrics, Request{Kind: Submit, ID: spec.ID, Spec: spec, Body: body, NowMS: uint64(time.Now().UnixMilli())})
 }
 
 func (d *Daemon) getReady(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	if s, ok := d.Status(r); ok && s.Majority && s.Store == "ok" {
+	if status, ok := d.Status(r); ok && status.Majority && status.Store == "ok" {
 		writeJSON(w, http.StatusOK, 0, struct{}{})
 		return
 	}
@@ -74,13 +74,13 @@
 		v  JobView
 		ok bool
 	}
-	f, ok := runOnCore(d, r.Context(), func() found { v, ok := d.core.jobView(p.ByName("id")); return found{v, ok} })
+	result, ok := runOnCore(d, r.Context(), func() found { v, ok := d.core.jobView(p.ByName("id")); return found{v, ok} })
 	switch {
 	case !ok:
-	case !f.ok:
+	case !result.ok:
 		writeJSON(w, http.StatusNotFound, 0, errorBody{"this member knows no such job"})
 	default:
-		writeJSON(w, http.StatusOK, 0, f.v)
+		writeJSON(w, http.StatusOK, 0, result.v)
 	}
 }
 
@@ -93,12 +93,12 @@
 	if err != nil {
 		status, data = http.StatusInternalServerError, []byte("{}")
 	}
-	h := w.Header()
-	h.Set("Content-Type", "application/json")
+	header := w.Header()
+	header.Set("Content-Type", "application/json")
 	if retryS > 0 {
-		h.Set("Retry-After", strconv.Itoa(retryS))
+		header.Set("Retry-After", strconv.Itoa(retryS))
 	}
-	h.Set("Content-Length", strconv.Itoa(len(data)))
+	header.Set("Content-Length", strconv.Itoa(len(data)))
 	w.WriteHeader(status)
 	w.Write(data)
 }
@@ -107,41 +107,41 @@
 // userPatience of when it sees the request.
 const answerTimeout = 4 * time.Second
 
-func (d *Daemon) serveRequest(w http.ResponseWriter, r *http.Request, m *metrics, q Request) {
-	if !protocol.ValidJobID(q.ID) {
+func (d *Daemon) serveRequest(w http.ResponseWriter, r *http.Request, metrics *metrics, req Request) {
+	if !protocol.ValidJobID(req.ID) {
 		writeJSON(w, http.StatusNotFound, 0, errorBody{"no such job"})
 		return
 	}
-	came := time.Now()
-	a, ok := d.request(r.Context(), q)
+	received := time.Now()
+	answer, ok := d.request(r.Context(), req)
 	if !ok {
 		writeJSON(w, http.StatusServiceUnavailable, 1, errorBody{"overloaded, or ending"})
 		return
 	}
-	kind := []string{"submit", "poll", "cancel"}[q.Kind]
-	m.requests.WithLabelValues(kind, strconv.Itoa(a.Code)).Inc()
-	m.duration.WithLabelValues(kind).Observe(time.Since(came).Seconds())
-	if a.Reason != "" {
-		writeJSON(w, a.Code, a.RetryS, errorBody{a.Reason})
+	kind := []string{"submit", "poll", "cancel"}[req.Kind]
+	metrics.requests.WithLabelValues(kind, strconv.Itoa(answer.Code)).Inc()
+	metrics.duration.WithLabelValues(kind).Observe(time.Since(received).Seconds())
+	if answer.Reason != "" {
+		writeJSON(w, answer.Code, answer.RetryS, errorBody{answer.Reason})
 		return
 	}
-	writeJSON(w, a.Code, a.RetryS, a.State)
+	writeJSON(w, answer.Code, answer.RetryS, answer.State)
 }
 
 // request asks the core for a user and waits for its answer.
-func (d *Daemon) request(ctx context.Context, q Request) (Answer, bool) {
+func (d *Daemon) request(ctx context.Context, req Request) (Answer, bool) {
 	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
 	answers := make(chan Answer, 1)
 	d.enqueue(func() {
 		d.lastToken++
-		q.Token = d.lastToken
-		d.pendingAnswers[q.Token] = answers
-		d.applyEffects(d.core.HandleRequest(d.now(), q))
+		req.Token = d.lastToken
+		d.pendingAnswers[req.Token] = answers
+		d.applyEffects(d.core.HandleRequest(d.now(), req))
 	})
 	select {
-	case a := <-answers:
-		return a, true
+	case answer := <-answers:
+		return answer, true
 	case <-ctx.Done():
 	case <-d.ctx.Done():
 	}
@@ -151,12 +151,12 @@
 // Status is what the member knows.
 func (d *Daemon) Status(r *http.Request) (Status, bool) {
 	return runOnCore(d, r.Context(), func() Status {
-		s := d.core.status()
-		s.Store = "ok"
+		status := d.core.status()
+		status.Store = "ok"
 		if d.storeErr != nil {
-			s.Store = fmt.Sprintf("not written for %.0f s: %v", time.Since(d.storeFailingSince).Seconds(), d.storeErr)
+			status.Store = fmt.Sprintf("not written for %.0f s: %v", time.Since(d.storeFailingSince).Seconds(), d.storeErr)
 		}
-		return s
+		return status
 	})
 }
 
@@ -166,57 +166,57 @@
 }
 
 func (d *Daemon) putDrained(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	var c DrainChange
+	var change DrainChange
 	data, err := io.ReadAll(io.LimitReader(r.Body, 1024))
 	if err == nil {
-		err = json.Unmarshal(data, &c)
+		err = json.Unmarshal(data, &change)
 	}
 	switch {
-	case err != nil || c.On == nil:
+	case err != nil || change.On == nil:
 		writeJSON(w, http.StatusBadRequest, 0, errorBody{`need {"on":true} or {"on":false}`})
 		return
 	case d.site == nil:
 		writeJSON(w, http.StatusBadRequest, 0, errorBody{"this member is no site's: ask the site's own daemon"})
 		return
 	}
-	if err := d.setDrained(r.Context(), *c.On); err != nil {
+	if err := d.setDrained(r.Context(), *change.On); err != nil {
 		writeJSON(w, http.StatusServiceUnavailable, 2, errorBody{"not stored: " + err.Error()})
 		return
 	}
-	if s, ok := d.Status(r); ok {
-		writeJSON(w, http.StatusOK, 0, s)
+	if status, ok := d.Status(r); ok {
+		writeJSON(w, http.StatusOK, 0, status)
 	}
 }
 
 // LeaseHandler answers the site's controllers.
-func (d *Daemon) LeaseHandler(most time.Duration) http.Handler {
-	r := httprouter.New()
-	r.GET("/site/jobs/:id", func(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
+func (d *Daemon) LeaseHandler(maxLease time.Duration) http.Handler {
+	router := httprouter.New()
+	router.GET("/site/jobs/:id", func(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 		// Whether a submission straight at the site repeats one of the gateway: 404 if
 		// this member knows of none. If it does, a majority is asked how the job is,
 		// since nobody may be told less than before; 409 says that it can't be.
 		id := p.ByName("id")
-		known, ok := runOnCore(d, r.Context(), func() bool { reg := d.core.registers[id]; return reg != nil && reg.hasRecord })
-		if ok && !known {
+		exists, ok := runOnCore(d, r.Context(), func() bool { reg := d.core.registers[id]; return reg != nil && reg.hasRecord })
+		if ok && !exists {
 			writeJSON(w, http.StatusNotFound, 0, errorBody{"no job of the gateway"})
 			return
 		}
-		if a, ok := d.request(r.Context(), Request{Kind: Poll, ID: id}); ok && a.Code == http.StatusOK {
-			writeJSON(w, http.StatusOK, 0, a.State)
+		if answer, ok := d.request(r.Context(), Request{Kind: Poll, ID: id}); ok && answer.Code == http.StatusOK {
+			writeJSON(w, http.StatusOK, 0, answer.State)
 			return
 		}
 		writeJSON(w, http.StatusConflict, 1, errorBody{"a job of the gateway; how it is can't be told now"})
 	})
-	r.GET("/site/lease", func(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-		l, ok := d.SiteLease(r.Context(), most)
+	router.GET("/site/lease", func(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+		lease, ok := d.SiteLease(r.Context(), maxLease)
 		if !ok {
 			writeJSON(w, http.StatusServiceUnavailable, 1, errorBody{"ending"})
 			return
 		}
 		w.Header().Set("Content-Type", "application/octet-stream")
-		w.Write(wire.EncodeLease(&l))
+		w.Write(wire.EncodeLease(&lease))
 	})
-	return r
+	return router
 }
 
 // metrics are the member's figures for Prometheus. Labels are bounded: kinds of
@@ -227,12 +227,12 @@
 }
 
 func newMetrics(reg *prometheus.Registry, d *Daemon) *metrics {
-	m := &metrics{
+	metrics := &metrics{
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "dapplestage_gateway_requests_total", Help: "Users' requests by kind and status."}, []string{"kind", "status"}),
 		duration: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "dapplestage_gateway_request_seconds", Help: "Time to answer a user.",
 			Buckets: []float64{.005, .01, .03, .1, .2, .5, 1, 2.5}}, []string{"kind"})}
-	reg.MustRegister(m.requests, m.duration, &coreCollector{d})
-	return m
+	reg.MustRegister(metrics.requests, metrics.duration, &coreCollector{d})
+	return metrics
 }
 
 // coreCollector reads the core's figures when they are asked for.
@@ -255,31 +255,31 @@
 
 // Collect implements prometheus.Collector.
 func (c *coreCollector) Collect(ch chan<- prometheus.Metric) {
-	s, ok := runOnCore(c.d, c.d.ctx, func() Status {
-		s := c.d.core.status()
+	status, ok := runOnCore(c.d, c.d.ctx, func() Status {
+		status := c.d.core.status()
 		if c.d.storeErr == nil {
-			s.Store = "ok"
+			status.Store = "ok"
 		}
-		return s
+		return status
 	})
 	if !ok {
 		return
 	}
-	for _, m := range s.Members {
-		if m.Site {
-			ch <- prometheus.MustNewConstMetric(descOpenJobs, prometheus.GaugeValue, float64(m.OwnedJobs), m.Name)
+	for _, member := range status.Members {
+		if member.Site {
+			ch <- prometheus.MustNewConstMetric(descOpenJobs, prometheus.GaugeValue, float64(member.OwnedJobs), member.Name)
 		}
-		ch <- prometheus.MustNewConstMetric(descMemberSilence, prometheus.GaugeValue, m.SilentS, m.Name)
+		ch <- prometheus.MustNewConstMetric(descMemberSilence, prometheus.GaugeValue, member.SilentS, member.Name)
 	}
-	ch <- prometheus.MustNewConstMetric(descHandoffs, prometheus.GaugeValue, float64(s.Handoffs))
+	ch <- prometheus.MustNewConstMetric(descHandoffs, prometheus.GaugeValue, float64(status.Handoffs))
 	store := 0.0
-	if s.Store == "ok" {
+	if status.Store == "ok" {
 		store = 1
 	}
 	ch <- prometheus.MustNewConstMetric(descStoreOK, prometheus.GaugeValue, store)
-	n := s.Counts
-	for kind, v := range map[string]uint64{"accepted": n.Accepted, "finished": n.Finished, "cancelled": n.Cancelled, "taken_from_lost_site": n.Forced,
-		"handed_over": n.Moved, "ballot_refused": n.Nacks, "lease_denied": n.Denied, "turned_away": n.Refused, "stale_claim": n.Stale} {
-		ch <- prometheus.MustNewConstMetric(descEvents, prometheus.CounterValue, float64(v), kind)
+	counts := status.Counts
+	for kind, value := range map[string]uint64{"accepted": counts.Accepted, "finished": counts.Finished, "cancelled": counts.Cancelled, "taken_from_lost_site": counts.Forced,
+		"handed_over": counts.Moved, "ballot_refused": counts.Nacks, "lease_denied": counts.Denied, "turned_away": counts.Refused, "stale_claim": counts.Stale} {
+		ch <- prometheus.MustNewConstMetric(descEvents, prometheus.CounterValue, float64(value), kind)
 	}
 }
--- a/internal/coordination/gateway/core.go
+++ b/internal/coordination/gateway/core.go
@@ -175,8 +175,8 @@
 
 // New makes a member's core from what it has stored. inc is higher with each start
 // of the member. now is its steady clock.
-func New(cfg Config, inc uint32, restored []wire.Item, seed uint64, log *slog.Logger, now time.Duration) *Core {
-	c := &Core{cfg: cfg, incarnation: inc, rng: rand.New(rand.NewPCG(seed, uint64(inc))), log: log, now: now, startedAt: now,
+func New(cfg Config, incarnation uint32, restored []wire.Item, seed uint64, log *slog.Logger, now time.Duration) *Core {
+	c := &Core{cfg: cfg, incarnation: incarnation, rng: rand.New(rand.NewPCG(seed, uint64(incarnation))), log: log, now: now, startedAt: now,
 		registers: map[string]*register{}, openJobs: map[string]*register{}, rounds: map[string]*round{}, readBatches: map[uint64]*readBatch{},
 		progress: map[string]progress{}, routeLimits: make([]routeLimit, len(cfg.Members)), ownedJobs: make([]int, len(cfg.Members)),
 		dirtyRegisters: map[string]struct{}{}, lastHeard: make([]time.Duration, len(cfg.Members)), hints: make([]receivedHint, len(cfg.Members)),
@@ -214,9 +214,9 @@
 		}
 	}
 	// What each site has to know is found again; it says again what it knows.
-	for i, l := range c.grants {
-		if l != nil {
-			c.rebuildNotices(i, l)
+	for i, grant := range c.grants {
+		if grant != nil {
+			c.rebuildNotices(i, grant)
 		}
 	}
 	return c
@@ -239,9 +239,9 @@
 }
 
 // countOwned counts an open job at the site that holds it.
-func (c *Core) countOwned(r *register, by int) {
+func (c *Core) countOwned(r *register, delta int) {
 	if r.hasRecord && r.record.Outcome == wire.Open && r.record.Owner > 0 && int(r.record.Owner) <= len(c.ownedJobs) {
-		c.ownedJobs[r.record.Owner-1] += by
+		c.ownedJobs[r.record.Owner-1] += delta
 	}
 }
 
@@ -264,31 +264,31 @@
 		if len(c.localItems) == 0 {
 			break
 		}
-		l := c.localItems
+		items := c.localItems
 		c.localItems = nil
-		for i := range l {
-			c.handleItem(c.cfg.Self, &l[i])
+		for i := range items {
+			c.handleItem(c.cfg.Self, &items[i])
 		}
 	}
-	out := c.effects
+	effects := c.effects
 	c.effects = Effects{Send: map[int][]wire.Item{}}
-	return out
+	return effects
 }
 
 // flushBatch hands out what is to be stored, and lets go what waits for nothing.
 func (c *Core) flushBatch() {
 	if len(c.dirtyRegisters) > 0 || c.barrierPending || c.siteStateDirty {
 		c.lastBatchSeq++
-		b := Batch{Seq: c.lastBatchSeq}
+		batch := Batch{Seq: c.lastBatchSeq}
 		for _, id := range sortedKeys(c.dirtyRegisters) {
-			b.Items = append(b.Items, c.registers[id].storedItem(id))
+			batch.Items = append(batch.Items, c.registers[id].storedItem(id))
 		}
 		if c.siteStateDirty {
-			b.Items = append(b.Items, wire.Item{Kind: wire.SiteState, Durable: c.site.drained})
+			batch.Items = append(batch.Items, wire.Item{Kind: wire.SiteState, Durable: c.site.drained})
 		}
 		clear(c.dirtyRegisters)
 		c.barrierPending, c.siteStateDirty = false, false
-		c.effects.Store = append(c.effects.Store, b)
+		c.effects.Store = append(c.effects.Store, batch)
 	}
 	c.releaseReplies()
 }
@@ -301,12 +301,12 @@
 // releaseReplies sends what waited for a batch that is durable now.
 func (c *Core) releaseReplies() {
 	n := 0
-	for _, h := range c.heldReplies {
-		if h.seq > c.storedSeq {
+	for _, held := range c.heldReplies {
+		if held.seq > c.storedSeq {
 			break
 		}
 		n++
-		c.send(h.to, h.item)
+		c.send(held.to, held.item)
 	}
 	c.heldReplies = c.heldReplies[n:]
 }
@@ -331,14 +331,14 @@
 }
 
 // Receive takes in a message from another member.
-func (c *Core) Receive(now time.Duration, from int, e *wire.Envelope) Effects {
+func (c *Core) Receive(now time.Duration, from int, envelope *wire.Envelope) Effects {
 	return c.step(now, func() {
 		c.lastHeard[from] = c.now
-		if e.Hint != nil {
-			c.hints[from] = receivedHint{c.now, e.Hint}
+		if envelope.Hint != nil {
+			c.hints[from] = receivedHint{c.now, envelope.Hint}
 		}
-		for i := range e.Items {
-			c.handleItem(from, &e.Items[i])
+		for i := range envelope.Items {
+			c.handleItem(from, &envelope.Items[i])
 		}
 	})
 }
@@ -433,8 +433,8 @@
 		return true
 	}
 	site := int(rec.PrevOwner) - 1
-	l := c.grants[site]
-	if l == nil || l.revoked[id] >= rec.Epoch {
+	grant := c.grants[site]
+	if grant == nil || grant.revoked[id] >= rec.Epoch {
 		return true
 	}
 	return !c.tasksMayRun(site)
@@ -518,11 +518,11 @@
 			r.ackedSites &^= memberBit(int(rec.PrevOwner) - 1)
 		}
 	}
-	was, is := r.hasRecord && r.record.Outcome != wire.Open, rec.Outcome != wire.Open
+	wasFinal, isFinal := r.hasRecord && r.record.Outcome != wire.Open, rec.Outcome != wire.Open
 	switch {
-	case is && !was:
+	case isFinal && !wasFinal:
 		c.finalCount++
-	case was && !is: // it was never agreed on
+	case wasFinal && !isFinal: // it was never agreed on
 		c.finalCount--
 	}
 	c.countOwned(r, -1)
@@ -534,46 +534,46 @@
 	if committed {
 		c.setCommitted(id, r)
 	}
-	for i, l := range c.grants {
-		if l != nil {
-			c.trackNotice(i, l, id, r)
+	for i, grant := range c.grants {
+		if grant != nil {
+			c.trackNotice(i, grant, id, r)
 		}
 	}
 }
 
 // trackNotice notes whether a site has to know of a register.
-func (c *Core) trackNotice(site int, l *leaseGrant, id string, r *register) {
+func (c *Core) trackNotice(site int, grant *leaseGrant, id string, r *register) {
 	concerns, blocks := noticeRequired(&r.record, site)
 	if r.ackedSites&memberBit(site) != 0 {
 		concerns, blocks = concerns && !blocks, false
 	}
-	c.untrackNotice(l, id)
+	c.untrackNotice(grant, id)
 	if !concerns {
 		return
 	}
-	l.notices[id] = false
+	grant.notices[id] = false
 	if blocks {
-		l.blocksLease[id] = true
-		l.unackedBlocking++
+		grant.blocksLease[id] = true
+		grant.unackedBlocking++
 	}
 }
 
-func (c *Core) untrackNotice(l *leaseGrant, id string) {
-	if known, ok := l.notices[id]; ok {
-		if l.blocksLease[id] && !known {
-			l.unackedBlocking--
+func (c *Core) untrackNotice(grant *leaseGrant, id string) {
+	if acked, ok := grant.notices[id]; ok {
+		if grant.blocksLease[id] && !acked {
+			grant.unackedBlocking--
 		}
-		delete(l.notices, id)
-		delete(l.blocksLease, id)
+		delete(grant.notices, id)
+		delete(grant.blocksLease, id)
 	}
 }
 
 // rebuildNotices finds again what a site has to know: it has started anew, or this member has.
-func (c *Core) rebuildNotices(site int, l *leaseGrant) {
-	l.notices, l.blocksLease, l.unackedBlocking = map[string]bool{}, map[string]bool{}, 0
+func (c *Core) rebuildNotices(site int, grant *leaseGrant) {
+	grant.notices, grant.blocksLease, grant.unackedBlocking = map[string]bool{}, map[string]bool{}, 0
 	for id, r := range c.registers {
 		if r.hasRecord {
-			c.trackNotice(site, l, id, r)
+			c.trackNotice(site, grant, id, r)
 		}
 	}
 }
@@ -581,38 +581,38 @@
 // onRenew grants a site its lease, unless the site does not know yet that a job is
 // not its any more. With either answer it is told of what concerns it.
 func (c *Core) onRenew(from int, it *wire.Item) {
-	l := c.grants[from]
-	if l == nil {
+	grant := c.grants[from]
+	if grant == nil {
 		return
 	}
 	session := uint64(it.Ballot.Proposer)
-	if session < l.session {
+	if session < grant.session {
 		return // from before its last start
 	}
-	if session > l.session {
-		l.session = session
-		c.rebuildNotices(from, l)
+	if session > grant.session {
+		grant.session = session
+		c.rebuildNotices(from, grant)
 	}
 	kind := wire.LeaseGranted
-	if l.unackedBlocking > 0 && !c.cfg.Faults.IgnoreLease {
+	if grant.unackedBlocking > 0 && !c.cfg.Faults.IgnoreLease {
 		kind = wire.LeaseDenied
 		c.counts.Denied++
 	} else {
-		l.tasksUntil = max(l.tasksUntil, c.now+c.grantDuration())
+		grant.tasksUntil = max(grant.tasksUntil, c.now+c.grantDuration())
 	}
-	var first, rest []string
-	for id, known := range l.notices {
+	var blocking, others []string
+	for id, acked := range grant.notices {
 		switch {
-		case known:
-		case l.blocksLease[id]:
-			first = append(first, id)
+		case acked:
+		case grant.blocksLease[id]:
+			blocking = append(blocking, id)
 		case c.registers[id].committed:
-			rest = append(rest, id)
+			others = append(others, id)
 		}
 	}
-	slices.Sort(first)
-	slices.Sort(rest)
-	for i, id := range append(first, rest...) {
+	slices.Sort(blocking)
+	slices.Sort(others)
+	for i, id := range append(blocking, others...) {
 		if i >= maxNotices {
 			break
 		}
@@ -624,34 +624,34 @@
 
 // onAck learns that a site knows: claims of its own below an epoch are dead there.
 func (c *Core) onAck(from int, it *wire.Item) {
-	l := c.grants[from]
-	if l == nil || !it.Durable && uint64(it.Ballot.Proposer) != l.session {
+	grant := c.grants[from]
+	if grant == nil || !it.Durable && uint64(it.Ballot.Proposer) != grant.session {
 		return // said before the site's daemon started anew: it may have forgotten
 	}
 	r := c.registers[it.ID]
 	if r == nil || !r.hasRecord || it.Record.Epoch > r.record.Epoch && r.record.Outcome == wire.Open {
-		if it.Code == ackRevoked && len(l.revoked) < 10000 {
-			l.revoked[it.ID] = max(l.revoked[it.ID], it.Record.Epoch)
+		if it.Code == ackRevoked && len(grant.revoked) < 10000 {
+			grant.revoked[it.ID] = max(grant.revoked[it.ID], it.Record.Epoch)
 		}
 		return
 	}
-	delete(l.revoked, it.ID)
-	known, ok := l.notices[it.ID]
+	delete(grant.revoked, it.ID)
+	acked, ok := grant.notices[it.ID]
 	if !ok || it.Record.Epoch < revokedBelow(&r.record) {
 		return
 	}
-	if l.blocksLease[it.ID] && !it.Durable {
-		if !known {
-			l.notices[it.ID] = true
-			l.unackedBlocking--
+	if grant.blocksLease[it.ID] && !it.Durable {
+		if !acked {
+			grant.notices[it.ID] = true
+			grant.unackedBlocking--
 		}
 		return
 	}
-	if l.blocksLease[it.ID] {
+	if grant.blocksLease[it.ID] {
 		r.ackedSites |= memberBit(from)
 		c.dirtyRegisters[it.ID] = struct{}{}
 	}
-	c.untrackNotice(l, it.ID)
+	c.untrackNotice(grant, it.ID)
 }
 
 // ackRevoked marks an Ack that answers the notice of a claim not accepted here.
@@ -678,15 +678,15 @@
 // later ones a little later; the agreement makes doing it twice harmless.
 func (c *Core) reconcileJobs() {
 	for i := range c.cfg.Members {
-		if l := c.grants[i]; l != nil {
-			c.routeLimits[i].setAvailable(c.now, !c.unreachable(i) && c.now < l.tasksUntil)
+		if grant := c.grants[i]; grant != nil {
+			c.routeLimits[i].setAvailable(c.now, !c.unreachable(i) && c.now < grant.tasksUntil)
 		}
 	}
 	if c.reachableCount() < c.majority() {
 		return
 	}
-	rank := c.reconcileDelay()
-	begun := 0
+	delay := c.reconcileDelay()
+	started := 0
 	probed := make([]bool, len(c.cfg.Members)) // sites from which a job is being taken
 	for _, id := range c.reconcileOrder() {
 		r := c.openJobs[id]
@@ -699,12 +699,12 @@
 			}
 			continue
 		}
-		if begun >= maxReconciles || len(c.rounds) >= c.cfg.MaxInFlight {
+		if started >= maxReconciles || len(c.rounds) >= c.cfg.MaxInFlight {
 			c.reconcileFrom = id
 			return
 		}
-		if c.reconcileJob(id, r, rank, probed) {
-			begun++
+		if c.reconcileJob(id, r, delay, probed) {
+			started++
 		}
 	}
 	c.reconcileFrom = ""
@@ -715,22 +715,22 @@
 // three members that all tried twice a second, with stores that take a tenth of a second,
 // kept one another from a majority for more than a minute.)
 func (c *Core) reconcileDelay() time.Duration {
-	before := 0
+	reachableBefore := 0
 	for i := range c.cfg.Self {
 		if !c.unreachable(i) {
-			before++
+			reachableBefore++
 		}
 	}
-	return time.Duration(before) * reconcileTurn
+	return time.Duration(reachableBefore) * reconcileTurn
 }
 
 // reconcileJob proposes what a job needs, if it needs something and it is this member's turn.
-func (c *Core) reconcileJob(id string, r *register, rank time.Duration, probed []bool) (begun bool) {
+func (c *Core) reconcileJob(id string, r *register, delay time.Duration, probed []bool) (started bool) {
 	if !r.committed {
-		if c.now-r.acceptedAt <= silenceTimeout+rank {
+		if c.now-r.acceptedAt <= silenceTimeout+delay {
 			return false
 		}
-		c.scheduleNextReconcile(r, rank)
+		c.scheduleNextReconcile(r, delay)
 		c.propose(id, op{kind: opLearn, background: true}, backgroundTimeout, nil)
 		return true
 	}
@@ -739,27 +739,27 @@
 	}
 	site := int(r.record.Owner) - 1
 	switch {
-	case r.record.Stopped && c.now-r.acceptedAt > rank:
-	case !r.record.Stopped && c.mayReclaim(site, rank, probed[site]):
+	case r.record.Stopped && c.now-r.acceptedAt > delay:
+	case !r.record.Stopped && c.mayReclaim(site, delay, probed[site]):
 		probed[site] = true
 	default:
 		return false
 	}
-	c.scheduleNextReconcile(r, rank)
+	c.scheduleNextReconcile(r, delay)
 	return c.proposeReclaim(id, r)
 }
 
 // mayReclaim says whether a job may be taken from a site that has not released it: as far as
 // this member knows nobody grants its lease any more.
-func (c *Core) mayReclaim(site int, rank time.Duration, probed bool) bool {
-	l := c.grants[site]
-	return !c.tasksMayRun(site) && c.now > l.tasksUntil+maxGrantSkew+rank && c.now >= l.noClaimBefore && !(l.grantedByOthers && probed)
+func (c *Core) mayReclaim(site int, delay time.Duration, probed bool) bool {
+	grant := c.grants[site]
+	return !c.tasksMayRun(site) && c.now > grant.tasksUntil+maxGrantSkew+delay && c.now >= grant.noClaimBefore && !(grant.grantedByOthers && probed)
 }
 
 // scheduleNextReconcile notes that this member has looked after a job: the others get their turn
 // before it does so again.
-func (c *Core) scheduleNextReconcile(r *register, rank time.Duration) {
-	r.nextReconcile = c.now + reconcileTurn + rank + time.Duration(c.rng.Int64N(int64(reconcileTurn)))
+func (c *Core) scheduleNextReconcile(r *register, delay time.Duration) {
+	r.nextReconcile = c.now + reconcileTurn + delay + time.Duration(c.rng.Int64N(int64(reconcileTurn)))
 }
 
 // reconcileOrder lists the open jobs, starting where the last look had to end.
@@ -777,12 +777,12 @@
 	}
 	from, epoch, stopped := int(r.record.Owner)-1, r.record.Epoch, r.record.Stopped
 	c.countRouted(to)
-	o := op{kind: opClaim, site: to, epoch: epoch, background: true}
+	claim := op{kind: opClaim, site: to, epoch: epoch, background: true}
 	if !stopped {
-		o.forcedFrom = memberNumber(from)
+		claim.forcedFrom = memberNumber(from)
 	}
-	c.propose(id, o, backgroundTimeout, func(rec wire.Record, exists bool, o opResult) {
-		if o != resultChanged {
+	c.propose(id, claim, backgroundTimeout, func(rec wire.Record, exists bool, result opResult) {
+		if result != resultChanged {
 			return
 		}
 		if stopped {
--- a/internal/coordination/gateway/daemon.go
+++ b/internal/coordination/gateway/daemon.go
@@ -52,11 +52,11 @@
 // NewDaemon makes a member that lives until ctx ends. start is higher with each
 // start of the member; items are what it has stored; send must not block; site is
 // nil for a gateway.
-func NewDaemon(ctx context.Context, cfg Config, start uint32, items []wire.Item, store Store, send func(to int, e *wire.Envelope), site Site, seed uint64, log *slog.Logger) *Daemon {
+func NewDaemon(ctx context.Context, cfg Config, incarnation uint32, items []wire.Item, store Store, send func(to int, e *wire.Envelope), site Site, seed uint64, log *slog.Logger) *Daemon {
 	d := &Daemon{cfg: cfg, log: log, mailbox: make(chan func(), 4096), startedAt: time.Now(), store: store, send: send, site: site,
 		batches: make(chan Batch, 4096), calls: make(chan Call, 4*maxCallsInFlight), pendingAnswers: map[uint64]chan<- Answer{}}
 	d.ctx, d.stop = context.WithCancelCause(ctx)
-	d.core = New(cfg, start, items, seed, log, 0)
+	d.core = New(cfg, incarnation, items, seed, log, 0)
 	return d
 }
 
@@ -104,8 +104,8 @@
 }
 
 // applyEffects carries out effects.
-func (d *Daemon) applyEffects(e Effects) {
-	for _, b := range e.Store {
+func (d *Daemon) applyEffects(effects Effects) {
+	for _, b := range effects.Store {
 		select {
 		case d.batches <- b:
 		case <-d.ctx.Done():
@@ -113,24 +113,24 @@
 		}
 	}
 	for to := range d.cfg.Members {
-		if items := e.Send[to]; to != d.cfg.Self && (len(items) > 0 || e.Hint != nil) {
+		if items := effects.Send[to]; to != d.cfg.Self && (len(items) > 0 || effects.Hint != nil) {
 			// A message that is too long is sent in parts: the order does not matter.
 			for len(items) > maxItemsPerMessage {
 				d.send(to, &wire.Envelope{Items: items[:maxItemsPerMessage]})
 				items = items[maxItemsPerMessage:]
 			}
-			d.send(to, &wire.Envelope{Items: items, Hint: e.Hint})
+			d.send(to, &wire.Envelope{Items: items, Hint: effects.Hint})
 		}
 	}
-	for _, a := range e.Answers {
-		if ch := d.pendingAnswers[a.Token]; ch != nil {
-			delete(d.pendingAnswers, a.Token)
-			ch <- a
+	for _, answer := range effects.Answers {
+		if ch := d.pendingAnswers[answer.Token]; ch != nil {
+			delete(d.pendingAnswers, answer.Token)
+			ch <- answer
 		}
 	}
-	for _, c := range e.Calls {
+	for _, call := range effects.Calls {
 		select {
-		case d.calls <- c:
+		case d.calls <- call:
 		default: // never more than mostCalls are under way
 			d.stop(fmt.Errorf("%w: calls pile up", ErrFatal))
 		}
@@ -154,11 +154,11 @@
 		for i := range items {
 			latest[items[i].ID] = i
 		}
-		for more := true; more; {
+		for draining := true; draining; {
 			select {
-			case b := <-d.batches:
-				batch.Seq = b.Seq
-				for _, it := range b.Items {
+			case next := <-d.batches:
+				batch.Seq = next.Seq
+				for _, it := range next.Items {
 					if i, ok := latest[it.ID]; ok {
 						items[i] = it
 					} else {
@@ -167,7 +167,7 @@
 					}
 				}
 			default:
-				more = false
+				draining = false
 			}
 		}
 		if !d.storeItems(items) {
@@ -180,12 +180,12 @@
 // storeItems tries until the items are durable. Meanwhile this member promises and
 // accepts nothing more, since nothing is told before it is stored.
 func (d *Daemon) storeItems(items []wire.Item) bool {
-	for try := 0; ; try++ {
+	for attempt := 0; ; attempt++ {
 		err := d.store.Write(d.ctx, items)
 		switch {
 		case err == nil:
-			if try > 0 {
-				d.log.Info("store written again", "items", len(items), "tries", try+1)
+			if attempt > 0 {
+				d.log.Info("store written again", "items", len(items), "tries", attempt+1)
 			}
 			d.enqueue(func() { d.storeErr = nil })
 			return true
@@ -196,7 +196,7 @@
 			d.stop(err)
 			return false
 		}
-		if try%10 == 0 {
+		if attempt%10 == 0 {
 			d.log.Error("store can't be written: this member answers nothing new", "why", err, "items", len(items))
 		}
 		d.enqueue(func() {
@@ -229,12 +229,12 @@
 			calls = append(calls, c)
 		}
 		wait := time.After(callBatchDelay)
-		for more := true; more && len(calls) < 64; {
+		for gathering := true; gathering && len(calls) < 64; {
 			select {
 			case c := <-d.calls:
 				calls = append(calls, c)
 			case <-wait:
-				more = false
+				gathering = false
 			}
 		}
 		select {
@@ -244,17 +244,17 @@
 		}
 		go func() {
 			defer func() { <-slots }()
-			got := d.site.Call(d.ctx, calls)
-			known := map[callKey]bool{}
-			for i := range got {
-				known[callKeyOf(&got[i].Call)] = true
+			results := d.site.Call(d.ctx, calls)
+			answered := map[callKey]bool{}
+			for i := range results {
+				answered[callKeyOf(&results[i].Call)] = true
 			}
 			for _, c := range calls {
-				if !known[callKeyOf(&c)] {
-					got = append(got, Result{Call: c, Code: wire.Unavailable})
+				if !answered[callKeyOf(&c)] {
+					results = append(results, Result{Call: c, Code: wire.Unavailable})
 				}
 			}
-			d.enqueue(func() { d.applyEffects(d.core.SiteResults(d.now(), got)) })
+			d.enqueue(func() { d.applyEffects(d.core.SiteResults(d.now(), results)) })
 		}()
 	}
 }
@@ -271,8 +271,8 @@
 // pollHints asks the controllers how the site is, every other second.
 func (d *Daemon) pollHints() {
 	for d.ctx.Err() == nil {
-		if h := d.site.Hint(d.ctx); h != nil {
-			d.enqueue(func() { d.core.SetHint(d.now(), h) })
+		if hint := d.site.Hint(d.ctx); hint != nil {
+			d.enqueue(func() { d.core.SetHint(d.now(), hint) })
 		}
 		select {
 		case <-d.ctx.Done():
@@ -287,21 +287,21 @@
 }
 
 // runOnCore runs f on the routine that owns the core and returns what it returns.
-func runOnCore[T any](d *Daemon, ctx context.Context, f func() T) (v T, ok bool) {
+func runOnCore[T any](d *Daemon, ctx context.Context, f func() T) (value T, ok bool) {
 	reply := make(chan T, 1)
 	d.enqueue(func() { reply <- f() })
 	select {
-	case v = <-reply:
-		return v, true
+	case value = <-reply:
+		return value, true
 	case <-ctx.Done():
 	case <-d.ctx.Done():
 	}
-	return v, false
+	return value, false
 }
 
 // SiteLease is what the site's controllers are told now.
-func (d *Daemon) SiteLease(ctx context.Context, most time.Duration) (wire.Lease, bool) {
-	return runOnCore(d, ctx, func() wire.Lease { return d.core.SiteLease(d.now(), most) })
+func (d *Daemon) SiteLease(ctx context.Context, maxLease time.Duration) (wire.Lease, bool) {
+	return runOnCore(d, ctx, func() wire.Lease { return d.core.SiteLease(d.now(), maxLease) })
 }
 
 // setDrained drains the site, or takes it back into service; it is stored first.
@@ -310,12 +310,12 @@
 	defer cancel()
 	seq, ok := runOnCore(d, ctx, func() uint64 { d.applyEffects(d.core.SetDrained(d.now(), on)); return d.core.lastBatchSeq })
 	for ok {
-		stored, again := runOnCore(d, ctx, func() uint64 { return d.core.storedSeq })
-		if stored >= seq {
+		storedSeq, alive := runOnCore(d, ctx, func() uint64 { return d.core.storedSeq })
+		if storedSeq >= seq {
 			return nil
 		}
 		time.Sleep(20 * time.Millisecond)
-		ok = again
+		ok = alive
 	}
 	return errors.New("the state service does not answer; it takes effect here and may last")
 }
--- a/internal/coordination/gateway/daemon_test.go
+++ b/internal/coordination/gateway/daemon_test.go
@@ -43,15 +43,15 @@
 type memSite struct{}
 
 func (memSite) Call(_ context.Context, calls []Call) []Result {
-	var rs []Result
-	for _, c := range calls {
-		r := Result{Call: c, Code: wire.Active}
-		if c.Kind == wire.Stop {
-			r.Code = wire.ClaimEnded
+	var results []Result
+	for _, call := range calls {
+		result := Result{Call: call, Code: wire.Active}
+		if call.Kind == wire.Stop {
+			result.Code = wire.ClaimEnded
 		}
-		rs = append(rs, r)
+		results = append(results, result)
 	}
-	return rs
+	return results
 }
 
 func (memSite) Hint(context.Context) *wire.Hint {
@@ -70,70 +70,70 @@
 
 func newTestCluster(t *testing.T) *testCluster { return newTestClusterMoving(t, 0) }
 
-func newTestClusterMoving(t *testing.T, moveAfter float64) *testCluster {
-	x := &testCluster{t: t}
+func newTestClusterMoving(t *testing.T, moveAfterS float64) *testCluster {
+	c := &testCluster{t: t}
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	t.Cleanup(func() { cancel(); wg.Wait() })
 	for i := range 3 {
-		cfg := Config{Members: twoSites, Self: i, LeaseTime: 2 * time.Second, StopTime: time.Second, MaxInFlight: 100, Route: DefaultRoute()}
-		cfg.Route.RampS = 0
-		cfg.Route.MoveAfterS = moveAfter
-		st := &memStore{items: map[string]wire.Item{}}
+		config := Config{Members: twoSites, Self: i, LeaseTime: 2 * time.Second, StopTime: time.Second, MaxInFlight: 100, Route: DefaultRoute()}
+		config.Route.RampS = 0
+		config.Route.MoveAfterS = moveAfterS
+		store := &memStore{items: map[string]wire.Item{}}
 		var site Site
 		if i > 0 {
 			site = memSite{}
 		}
-		d := NewDaemon(ctx, cfg, 1, nil, st, func(to int, e *wire.Envelope) {
+		daemon := NewDaemon(ctx, config, 1, nil, store, func(to int, e *wire.Envelope) {
 			data := wire.Encode(e)
-			x.mu.Lock()
-			drop := x.disconnected[i] || x.disconnected[to]
-			x.mu.Unlock()
+			c.mu.Lock()
+			drop := c.disconnected[i] || c.disconnected[to]
+			c.mu.Unlock()
 			if drop {
 				return
 			}
 			go func() {
 				if e, err := wire.Decode(data); err == nil {
-					x.daemons[to].Receive(i, e)
+					c.daemons[to].Receive(i, e)
 				}
 			}()
 		}, site, uint64(i), slog.New(slog.DiscardHandler))
-		x.daemons, x.stores = append(x.daemons, d), append(x.stores, st)
+		c.daemons, c.stores = append(c.daemons, daemon), append(c.stores, store)
 	}
-	for _, d := range x.daemons {
-		x.apis = append(x.apis, d.API())
+	for _, daemon := range c.daemons {
+		c.apis = append(c.apis, daemon.API())
 		wg.Add(1)
-		go func() { defer wg.Done(); d.Run() }()
+		go func() { defer wg.Done(); daemon.Run() }()
 	}
-	x.waitFor("all ready", func() bool {
-		for i := range x.apis {
-			if code, _, _ := x.request(i, "GET", "/ready", ""); code != 200 {
+	c.waitFor("all ready", func() bool {
+		for i := range c.apis {
+			if code, _, _ := c.request(i, "GET", "/ready", ""); code != 200 {
 				return false
 			}
 		}
-		_, body, _ := x.request(0, "GET", "/admin/gateway/status", "")
+		_, body, _ := c.request(0, "GET", "/admin/gateway/status", "")
 		return strings.Count(body, `"lease":"granted`) == 2 && strings.Count(body, `"hint_age_s":-1`) == 1
 	})
-	return x
+	return c
 }
 
-func (x *testCluster) setDisconnected(m int, away bool) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.disconnected[m] = away
+func (c *testCluster) setDisconnected(member int, disconnected bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.disconnected[member] = disconnected
 }
 
-func (x *testCluster) request(m int, method, path, body string) (int, string, http.Header) {
+func (c *testCluster) request(member int, method, path, body string) (int, string, http.Header) {
 	w := httptest.NewRecorder()
-	x.apis[m].ServeHTTP(w, httptest.NewRequest(method, path, strings.NewReader(body)))
+	c.apis[member].ServeHTTP(w, httptest.NewRequest(method, path, strings.NewReader(body)))
 	return w.Code, w.Body.String(), w.Header()
 }
 
-func (x *testCluster) waitFor(what string, f func() bool) {
-	x.t.Helper()
-	for end := time.Now().Add(20 * time.Second); !f(); time.Sleep(10 * time.Millisecond) {
-		if time.Now().After(end) {
-			x.t.Fatal("never: " + what)
+func (c *testCluster) waitFor(what string, condition func() bool) {
+	c.t.Helper()
+	for deadline := time.Now().Add(20 * time.Second); !condition(); time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			c.t.Fatal("never: " + what)
 		}
 	}
 }
@@ -143,20 +143,20 @@
 }
 
 // submit repeats a submission until it is accepted, as users do.
-func (x *testCluster) submit(m int, id string) {
-	x.t.Helper()
-	x.waitFor(id+" accepted", func() bool {
-		code, _, _ := x.request(m, "POST", "/api/jobs", jobJSON(id))
+func (c *testCluster) submit(member int, id string) {
+	c.t.Helper()
+	c.waitFor(id+" accepted", func() bool {
+		code, _, _ := c.request(member, "POST", "/api/jobs", jobJSON(id))
 		return code == 201 || code == 200
 	})
 }
 
 // owner is the site that the members agree holds job-1.
-func (x *testCluster) owner() string {
-	_, body, _ := x.request(0, "GET", "/admin/gateway/jobs/job-1", "")
-	for _, m := range []string{"quito", "xela"} {
-		if strings.Contains(body, `"holder":"`+m+`"`) && strings.Contains(body, `"agreed":true`) {
-			return m
+func (c *testCluster) owner() string {
+	_, body, _ := c.request(0, "GET", "/admin/gateway/jobs/job-1", "")
+	for _, name := range []string{"quito", "xela"} {
+		if strings.Contains(body, `"holder":"`+name+`"`) && strings.Contains(body, `"agreed":true`) {
+			return name
 		}
 	}
 	return ""
@@ -165,38 +165,38 @@
 // TestAnyOneMemberMayBeAway: the other two accept, tell and cancel; with two away
 // the third answers 503 at once, with a time to come back.
 func TestAnyOneMemberMayBeAway(t *testing.T) {
-	x := newTestCluster(t)
-	for gone := range 3 {
-		x.setDisconnected(gone, true)
-		here := (gone + 1) % 3
-		id := "job-1" + string(rune('0'+gone))
-		x.submit(here, id)
-		other := (gone + 2) % 3
-		x.waitFor("told by the other", func() bool { code, _, _ := x.request(other, "GET", "/api/jobs/"+id, ""); return code == 200 })
-		x.waitFor("cancelled", func() bool {
-			code, body, _ := x.request(other, "POST", "/api/jobs/"+id+"/cancel", "")
+	c := newTestCluster(t)
+	for disconnected := range 3 {
+		c.setDisconnected(disconnected, true)
+		first := (disconnected + 1) % 3
+		id := "job-1" + string(rune('0'+disconnected))
+		c.submit(first, id)
+		second := (disconnected + 2) % 3
+		c.waitFor("told by the other", func() bool { code, _, _ := c.request(second, "GET", "/api/jobs/"+id, ""); return code == 200 })
+		c.waitFor("cancelled", func() bool {
+			code, body, _ := c.request(second, "POST", "/api/jobs/"+id+"/cancel", "")
 			return code == 200 && strings.Contains(body, "withdrawn")
 		})
-		x.setDisconnected(gone, false)
-		x.waitFor("told by who was away", func() bool {
-			code, body, _ := x.request(gone, "GET", "/api/jobs/"+id, "")
+		c.setDisconnected(disconnected, false)
+		c.waitFor("told by who was away", func() bool {
+			code, body, _ := c.request(disconnected, "GET", "/api/jobs/"+id, "")
 			return code == 200 && strings.Contains(body, "withdrawn")
 		})
 	}
-	x.setDisconnected(1, true)
-	x.setDisconnected(2, true)
-	x.waitFor("503 at once", func() bool {
-		begun := time.Now()
-		code, body, h := x.request(0, "POST", "/api/jobs", jobJSON("job-99"))
-		return code == 503 && h.Get("Retry-After") != "" && strings.Contains(body, "too few members") && time.Since(begun) < time.Second
+	c.setDisconnected(1, true)
+	c.setDisconnected(2, true)
+	c.waitFor("503 at once", func() bool {
+		started := time.Now()
+		code, body, header := c.request(0, "POST", "/api/jobs", jobJSON("job-99"))
+		return code == 503 && header.Get("Retry-After") != "" && strings.Contains(body, "too few members") && time.Since(started) < time.Second
 	})
-	if code, _, _ := x.request(0, "GET", "/ready", ""); code != 503 {
+	if code, _, _ := c.request(0, "GET", "/ready", ""); code != 503 {
 		t.Errorf("ready without a majority: %d", code)
 	}
-	if code, body, _ := x.request(0, "GET", "/api/jobs/job-10", ""); code != 200 || !strings.Contains(body, "withdrawn") {
+	if code, body, _ := c.request(0, "GET", "/api/jobs/job-10", ""); code != 200 || !strings.Contains(body, "withdrawn") {
 		t.Errorf("a final answer is known without others: %d %s", code, body)
 	}
-	if _, body, _ := x.request(0, "GET", "/admin/gateway/status", ""); !strings.Contains(body, `"state":"unknown"`) {
+	if _, body, _ := c.request(0, "GET", "/admin/gateway/status", ""); !strings.Contains(body, `"state":"unknown"`) {
 		t.Errorf("members away are not shown as unknown: %s", body)
 	}
 }
@@ -204,33 +204,33 @@
 // TestFullDisk: a member whose store is full promises nothing and says so; the
 // other two go on, and it takes part again once there is room.
 func TestFullDisk(t *testing.T) {
-	x := newTestCluster(t)
-	x.stores[0].setWriteErr(errors.New("no space left on device"))
-	x.submit(1, "job-1") // by the two sites
-	x.waitFor("said", func() bool {
-		x.request(0, "POST", "/api/jobs", jobJSON("job-2"))
-		_, body, _ := x.request(0, "GET", "/admin/gateway/status", "")
+	c := newTestCluster(t)
+	c.stores[0].setWriteErr(errors.New("no space left on device"))
+	c.submit(1, "job-1") // by the two sites
+	c.waitFor("said", func() bool {
+		c.request(0, "POST", "/api/jobs", jobJSON("job-2"))
+		_, body, _ := c.request(0, "GET", "/admin/gateway/status", "")
 		return strings.Contains(body, "no space left on device")
 	})
-	if code, _, _ := x.request(0, "GET", "/ready", ""); code != 503 {
+	if code, _, _ := c.request(0, "GET", "/ready", ""); code != 503 {
 		t.Error("ready with a full disk")
 	}
-	x.stores[0].mu.Lock()
-	if n := len(x.stores[0].items); n != 0 {
+	c.stores[0].mu.Lock()
+	if n := len(c.stores[0].items); n != 0 {
 		t.Errorf("%d registers on the full disk", n)
 	}
-	x.stores[0].mu.Unlock()
-	x.stores[0].setWriteErr(nil)
-	x.waitFor("ready again", func() bool { code, _, _ := x.request(0, "GET", "/ready", ""); return code == 200 })
-	x.setDisconnected(2, true) // now its part is needed
-	x.submit(0, "job-3")
-	x.waitFor("job-1 told", func() bool { code, _, _ := x.request(0, "GET", "/api/jobs/job-1", ""); return code == 200 })
+	c.stores[0].mu.Unlock()
+	c.stores[0].setWriteErr(nil)
+	c.waitFor("ready again", func() bool { code, _, _ := c.request(0, "GET", "/ready", ""); return code == 200 })
+	c.setDisconnected(2, true) // now its part is needed
+	c.submit(0, "job-3")
+	c.waitFor("job-1 told", func() bool { code, _, _ := c.request(0, "GET", "/api/jobs/job-1", ""); return code == 200 })
 }
 
 // TestBadInputIsNamed: one clear error a mistake.
 func TestBadInputIsNamed(t *testing.T) {
-	x := newTestCluster(t)
-	for _, c := range []struct {
+	c := newTestCluster(t)
+	for _, tc := range []struct {
 		method, path, body string
 		code               int
 		says               string
@@ -245,8 +245,8 @@
 		{"PUT", "/admin/gateway/drained", `{"on":true}`, 400, "no site's"},
 		{"PUT", "/admin/gateway/drained", `{}`, 400, `need {"on":true}`},
 	} {
-		if code, body, _ := x.request(0, c.method, c.path, c.body); code != c.code || !strings.Contains(body, strings.ReplaceAll(c.says, `"`, `\"`)) {
-			t.Errorf("%s %s: %d %s, want %d %q", c.method, c.path, code, body, c.code, c.says)
+		if code, body, _ := c.request(0, tc.method, tc.path, tc.body); code != tc.code || !strings.Contains(body, strings.ReplaceAll(tc.says, `"`, `\"`)) {
+			t.Errorf("%s %s: %d %s, want %d %q", tc.method, tc.path, code, body, tc.code, tc.says)
 		}
 	}
 }
@@ -254,31 +254,31 @@
 // TestDrainHandsOver: a drained site's job is at the other site without waiting for
 // any lease, and the drained one is given nothing.
 func TestDrainHandsOver(t *testing.T) {
-	x := newTestCluster(t)
-	x.submit(0, "job-1")
-	holder := x.owner
-	x.waitFor("held", func() bool { return holder() != "" })
+	c := newTestCluster(t)
+	c.submit(0, "job-1")
+	holder := c.owner
+	c.waitFor("held", func() bool { return holder() != "" })
 	first := holder()
-	at := map[string]int{"quito": 1, "xela": 2}[first]
-	begun := time.Now()
-	if code, body, _ := x.request(at, "PUT", "/admin/gateway/drained", `{"on":true}`); code != 200 {
+	drained := map[string]int{"quito": 1, "xela": 2}[first]
+	started := time.Now()
+	if code, body, _ := c.request(drained, "PUT", "/admin/gateway/drained", `{"on":true}`); code != 200 {
 		t.Fatalf("%d %s", code, body)
 	}
-	x.waitFor("handed over", func() bool { h := holder(); return h != "" && h != first })
-	t.Logf("handed over in %v", time.Since(begun))
-	x.stores[at].mu.Lock()
-	if it := x.stores[at].items[""]; it.Kind != wire.SiteState || !it.Durable {
+	c.waitFor("handed over", func() bool { now := holder(); return now != "" && now != first })
+	t.Logf("handed over in %v", time.Since(started))
+	c.stores[drained].mu.Lock()
+	if item := c.stores[drained].items[""]; item.Kind != wire.SiteState || !item.Durable {
 		t.Error("that it is drained is not stored")
 	}
-	x.stores[at].mu.Unlock()
+	c.stores[drained].mu.Unlock()
 }
 
 // TestJobThatWaitsInVainIsMoved: a site that starts nothing of a job for the stated
 // time, while another has room, hands it over in order.
 func TestJobThatWaitsInVainIsMoved(t *testing.T) {
-	x := newTestClusterMoving(t, 0.5)
-	x.submit(0, "job-1")
-	x.waitFor("held", func() bool { return x.owner() != "" })
-	first := x.owner()
-	x.waitFor("moved", func() bool { h := x.owner(); return h != "" && h != first })
+	c := newTestClusterMoving(t, 0.5)
+	c.submit(0, "job-1")
+	c.waitFor("held", func() bool { return c.owner() != "" })
+	first := c.owner()
+	c.waitFor("moved", func() bool { now := c.owner(); return now != "" && now != first })
 }
--- a/internal/coordination/gateway/duty.go
+++ b/internal/coordination/gateway/duty.go
@@ -82,260 +82,260 @@
 	maxRevoked       = 50000
 )
 
-func newSiteAgent(c *Core) *siteAgent {
-	d := &siteAgent{core: c, session: c.incarnation, lastRenewal: c.now - time.Hour, renewalSent: map[uint64]time.Duration{}, grantVotes: map[uint64]uint32{},
-		leaseExpiry: c.now - time.Hour, assignments: map[string]*assignment{}, revoked: map[string]uint32{}}
-	return d
+func newSiteAgent(core *Core) *siteAgent {
+	s := &siteAgent{core: core, session: core.incarnation, lastRenewal: core.now - time.Hour, renewalSent: map[uint64]time.Duration{}, grantVotes: map[uint64]uint32{},
+		leaseExpiry: core.now - time.Hour, assignments: map[string]*assignment{}, revoked: map[string]uint32{}}
+	return s
 }
 
 // tick asks for the lease and for what is due of the controllers.
-func (d *siteAgent) tick() {
-	c := d.core
-	if c.now-d.lastRenewal >= c.cfg.LeaseTime/5 {
-		d.renewLease()
+func (s *siteAgent) tick() {
+	core := s.core
+	if core.now-s.lastRenewal >= core.cfg.LeaseTime/5 {
+		s.renewLease()
 	}
-	if c.now-d.lastScan < scanInterval {
+	if core.now-s.lastScan < scanInterval {
 		return
 	}
-	d.lastScan = c.now
-	for _, id := range sortedKeys(d.assignments) {
-		if d.callsInFlight >= maxCallsInFlight {
+	s.lastScan = core.now
+	for _, id := range sortedKeys(s.assignments) {
+		if s.callsInFlight >= maxCallsInFlight {
 			break
 		}
-		d.callControllers(id, d.assignments[id])
+		s.callControllers(id, s.assignments[id])
 	}
 }
 
-func (d *siteAgent) renewLease() {
-	c := d.core
-	d.lastRenewal = c.now
-	d.nonce++
-	d.renewalSent[d.nonce] = c.now
-	for m := range c.cfg.Members {
-		c.send(m, wire.Item{Kind: wire.RenewLease, Ballot: wire.Ballot{Number: d.nonce, Proposer: d.session}})
-	}
-	for n, at := range d.renewalSent {
-		if c.now-at > c.cfg.LeaseTime {
-			delete(d.renewalSent, n)
-			delete(d.grantVotes, n)
+func (s *siteAgent) renewLease() {
+	core := s.core
+	s.lastRenewal = core.now
+	s.nonce++
+	s.renewalSent[s.nonce] = core.now
+	for m := range core.cfg.Members {
+		core.send(m, wire.Item{Kind: wire.RenewLease, Ballot: wire.Ballot{Number: s.nonce, Proposer: s.session}})
+	}
+	for nonce, sentAt := range s.renewalSent {
+		if core.now-sentAt > core.cfg.LeaseTime {
+			delete(s.renewalSent, nonce)
+			delete(s.grantVotes, nonce)
 		}
 	}
 }
 
 // leaseValid says whether the site may run gateway jobs.
-func (d *siteAgent) leaseValid() bool {
-	return d.core.now < d.leaseExpiry || d.core.cfg.Faults.IgnoreLease
+func (s *siteAgent) leaseValid() bool {
+	return s.core.now < s.leaseExpiry || s.core.cfg.Faults.IgnoreLease
 }
 
 // onLeaseItem handles what members that grant the lease say.
-func (d *siteAgent) onLeaseItem(from int, it *wire.Item) {
-	c := d.core
+func (s *siteAgent) onLeaseItem(from int, it *wire.Item) {
+	core := s.core
 	switch it.Kind {
 	case wire.LeaseGranted:
-		sent, ok := d.renewalSent[it.Ballot.Number]
-		if !ok || it.Ballot.Proposer != d.session {
+		sent, ok := s.renewalSent[it.Ballot.Number]
+		if !ok || it.Ballot.Proposer != s.session {
 			return
 		}
-		d.grantVotes[it.Ballot.Number] |= memberBit(from)
-		if bitCount(d.grantVotes[it.Ballot.Number]) >= c.majority() {
-			if d.leaseExpiry < c.now {
-				c.log.Info("site has its lease", "jobs", len(d.assignments))
+		s.grantVotes[it.Ballot.Number] |= memberBit(from)
+		if bitCount(s.grantVotes[it.Ballot.Number]) >= core.majority() {
+			if s.leaseExpiry < core.now {
+				core.log.Info("site has its lease", "jobs", len(s.assignments))
 			}
 			// It counts from when it was asked for, whenever the answers came.
-			d.leaseExpiry = max(d.leaseExpiry, sent+c.cfg.LeaseTime)
+			s.leaseExpiry = max(s.leaseExpiry, sent+core.cfg.LeaseTime)
 		}
 	case wire.Notice:
-		d.onNotice(from, it)
+		s.onNotice(from, it)
 	}
 }
 
 // onNotice learns what a member that grants the lease says of a job that concerns the site.
-func (d *siteAgent) onNotice(from int, it *wire.Item) {
-	c := d.core
+func (s *siteAgent) onNotice(from int, it *wire.Item) {
+	core := s.core
 	if it.Committed {
-		d.applyRecord(it.ID, &it.Record)
-		d.acknowledge(from, it.ID, &it.Record)
+		s.applyRecord(it.ID, &it.Record)
+		s.acknowledge(from, it.ID, &it.Record)
 		return
 	}
-	if d.revoked[it.ID] >= it.Record.Epoch {
-		d.acknowledge(from, it.ID, &it.Record)
+	if s.revoked[it.ID] >= it.Record.Epoch {
+		s.acknowledge(from, it.ID, &it.Record)
 		return
 	}
-	if rec := &it.Record; rec.PrevOwner == memberNumber(c.cfg.Self) && rec.Outcome == wire.Open && c.now >= d.leaseExpiry {
+	if rec := &it.Record; rec.PrevOwner == memberNumber(core.cfg.Self) && rec.Outcome == wire.Open && core.now >= s.leaseExpiry {
 		// Some members have accepted that this site lost the job, others still grant
 		// it time, and so neither the claim nor the lease finds a majority. Without a
 		// lease the site runs nothing anyway: it gives the claim up by itself.
-		if w := d.assignments[it.ID]; w == nil || !w.mustStop {
-			d.assignments[it.ID] = &assignment{mustStop: true, voluntary: true, revokeBelow: rec.Epoch, epoch: rec.Epoch - 1, addedAt: c.now}
+		if a := s.assignments[it.ID]; a == nil || !a.mustStop {
+			s.assignments[it.ID] = &assignment{mustStop: true, voluntary: true, revokeBelow: rec.Epoch, epoch: rec.Epoch - 1, addedAt: core.now}
 		}
 		return
 	}
-	if len(c.rounds) < c.cfg.MaxInFlight {
-		c.propose(it.ID, op{kind: opLearn}, backgroundTimeout, nil)
+	if len(core.rounds) < core.cfg.MaxInFlight {
+		core.propose(it.ID, op{kind: opLearn}, backgroundTimeout, nil)
 	}
 }
 
 // newAck says, as this start of the daemon, that claims below an epoch are dead here.
-func (d *siteAgent) newAck(id string, epoch uint32) wire.Item {
-	return wire.Item{Kind: wire.Ack, ID: id, Ballot: wire.Ballot{Proposer: d.session}, Record: wire.Record{Epoch: epoch}}
+func (s *siteAgent) newAck(id string, epoch uint32) wire.Item {
+	return wire.Item{Kind: wire.Ack, ID: id, Ballot: wire.Ballot{Proposer: s.session}, Record: wire.Record{Epoch: epoch}}
 }
 
 // acknowledge tells a member that grants the lease what the site knows: not only that it has been told, but
 // that its controllers will not run the job any more.
-func (d *siteAgent) acknowledge(to int, id string, rec *wire.Record) {
-	concerns, blocks := noticeRequired(rec, d.core.cfg.Self)
-	it := d.newAck(id, rec.Epoch)
+func (s *siteAgent) acknowledge(to int, id string, rec *wire.Record) {
+	concerns, blocks := noticeRequired(rec, s.core.cfg.Self)
+	it := s.newAck(id, rec.Epoch)
 	switch {
 	case concerns && !blocks:
-	case d.revoked[id] >= revokedBelow(rec):
+	case s.revoked[id] >= revokedBelow(rec):
 		it.Record.Epoch, it.Durable, it.Code = revokedBelow(rec), true, ackRevoked
-	case d.assignments[id] != nil && d.assignments[id].mustStop && d.assignments[id].revokeBelow >= revokedBelow(rec):
+	case s.assignments[id] != nil && s.assignments[id].mustStop && s.assignments[id].revokeBelow >= revokedBelow(rec):
 		it.Record.Epoch = revokedBelow(rec)
 	default:
 		return
 	}
-	d.core.send(to, it)
+	s.core.send(to, it)
 }
 
 // applyRecord takes in a record that a majority has agreed on.
-func (d *siteAgent) applyRecord(id string, rec *wire.Record) {
-	c := d.core
-	w := d.assignments[id]
-	if rec.Outcome == wire.Open && rec.Owner == memberNumber(c.cfg.Self) {
+func (s *siteAgent) applyRecord(id string, rec *wire.Record) {
+	core := s.core
+	a := s.assignments[id]
+	if rec.Outcome == wire.Open && rec.Owner == memberNumber(core.cfg.Self) {
 		switch {
-		case w != nil && (w.epoch > rec.Epoch || w.epoch == rec.Epoch && !w.mustStop || w.mustStop && w.revokeBelow > rec.Epoch):
+		case a != nil && (a.epoch > rec.Epoch || a.epoch == rec.Epoch && !a.mustStop || a.mustStop && a.revokeBelow > rec.Epoch):
 			return
 		case rec.Stopped:
 			return
-		case d.revoked[id] > rec.Epoch:
+		case s.revoked[id] > rec.Epoch:
 			// Given up here, and nobody has it instead: released in order.
-			d.assignments[id] = &assignment{epoch: rec.Epoch, spec: rec.Spec, createdMS: rec.CreatedMS, addedAt: c.now, handOver: true}
+			s.assignments[id] = &assignment{epoch: rec.Epoch, spec: rec.Spec, createdMS: rec.CreatedMS, addedAt: core.now, handOver: true}
 			return
 		}
-		d.addAssignment(id, &assignment{epoch: rec.Epoch, spec: rec.Spec, createdMS: rec.CreatedMS, addedAt: c.now})
-		for m := range c.cfg.Members {
-			c.send(m, d.newAck(id, rec.Epoch))
+		s.addAssignment(id, &assignment{epoch: rec.Epoch, spec: rec.Spec, createdMS: rec.CreatedMS, addedAt: core.now})
+		for m := range core.cfg.Members {
+			core.send(m, s.newAck(id, rec.Epoch))
 		}
 		return
 	}
-	below := revokedBelow(rec)
-	concerns, blocks := noticeRequired(rec, c.cfg.Self)
+	revokedEpoch := revokedBelow(rec)
+	concerns, blocks := noticeRequired(rec, core.cfg.Self)
 	switch {
-	case rec.Outcome != wire.Open && rec.FinishedBy == memberNumber(c.cfg.Self):
-		delete(d.assignments, id)
-	case w != nil && !w.mustStop && w.epoch >= below:
+	case rec.Outcome != wire.Open && rec.FinishedBy == memberNumber(core.cfg.Self):
+		delete(s.assignments, id)
+	case a != nil && !a.mustStop && a.epoch >= revokedEpoch:
 		// Older than what is known: somebody missed what came after.
-	case w != nil && w.mustStop && w.revokeBelow >= below:
-	case d.revoked[id] >= below:
-		delete(d.assignments, id)
-	case w != nil && (w.mustStop || w.epoch < below) || concerns && blocks:
-		if w != nil && !w.mustStop {
-			c.counts.Stale++
+	case a != nil && a.mustStop && a.revokeBelow >= revokedEpoch:
+	case s.revoked[id] >= revokedEpoch:
+		delete(s.assignments, id)
+	case a != nil && (a.mustStop || a.epoch < revokedEpoch) || concerns && blocks:
+		if a != nil && !a.mustStop {
+			core.counts.Stale++
 		}
-		d.addAssignment(id, &assignment{mustStop: true, revokeBelow: below, epoch: below - 1, addedAt: c.now})
+		s.addAssignment(id, &assignment{mustStop: true, revokeBelow: revokedEpoch, epoch: revokedEpoch - 1, addedAt: core.now})
 	}
 }
 
 // addAssignment takes up work, at once where there is room for another call.
-func (d *siteAgent) addAssignment(id string, w *assignment) {
-	d.assignments[id] = w
-	if d.callsInFlight < maxCallsInFlight {
-		d.callControllers(id, w)
+func (s *siteAgent) addAssignment(id string, a *assignment) {
+	s.assignments[id] = a
+	if s.callsInFlight < maxCallsInFlight {
+		s.callControllers(id, a)
 	}
 }
 
 // callControllers asks the controllers for what a job needs next.
-func (d *siteAgent) callControllers(id string, w *assignment) {
-	c := d.core
-	if w.callInFlight || c.now < w.nextCall || w.changePending {
+func (s *siteAgent) callControllers(id string, a *assignment) {
+	core := s.core
+	if a.callInFlight || core.now < a.nextCall || a.changePending {
 		return
 	}
-	call := Call{Kind: wire.Poll, ID: id, Epoch: w.epoch}
+	call := Call{Kind: wire.Poll, ID: id, Epoch: a.epoch}
 	switch {
-	case w.mustStop:
+	case a.mustStop:
 		call.Kind = wire.Stop
-	case d.drained && !w.handOver:
-		w.handOver = true
+	case s.drained && !a.handOver:
+		a.handOver = true
 		call.Kind = wire.Stop
-	case w.handOver:
+	case a.handOver:
 		call.Kind = wire.Stop
-	case !w.submitted:
-		if !d.leaseValid() {
+	case !a.submitted:
+		if !s.leaseValid() {
 			return
 		}
-		call.Kind, call.Spec, call.CreatedMS = wire.Submit, w.spec, w.createdMS
+		call.Kind, call.Spec, call.CreatedMS = wire.Submit, a.spec, a.createdMS
 	}
-	w.callInFlight, w.lastCall = true, c.now
-	d.callsInFlight++
-	c.effects.Calls = append(c.effects.Calls, call)
+	a.callInFlight, a.lastCall = true, core.now
+	s.callsInFlight++
+	core.effects.Calls = append(core.effects.Calls, call)
 }
 
 // SiteResults takes in what the controllers answered.
-func (c *Core) SiteResults(now time.Duration, rs []Result) Effects {
+func (c *Core) SiteResults(now time.Duration, results []Result) Effects {
 	return c.step(now, func() {
-		for i := range rs {
-			c.site.onResult(&rs[i])
+		for i := range results {
+			c.site.onResult(&results[i])
 		}
 	})
 }
 
-func (d *siteAgent) onResult(r *Result) {
-	c := d.core
-	d.callsInFlight--
+func (s *siteAgent) onResult(r *Result) {
+	core := s.core
+	s.callsInFlight--
 	id := r.Call.ID
-	w := d.assignments[id]
-	if r.Revision > d.minRevision {
-		d.minRevision = r.Revision // what was stored with it must be known before more is run
+	a := s.assignments[id]
+	if r.Revision > s.minRevision {
+		s.minRevision = r.Revision // what was stored with it must be known before more is run
 	}
-	if w == nil {
+	if a == nil {
 		return
 	}
-	w.callInFlight = false
+	a.callInFlight = false
 	if r.Code == wire.Unavailable {
-		w.failedCalls++
+		a.failedCalls++
 	} else {
-		w.failedCalls = 0
+		a.failedCalls = 0
 	}
-	w.nextCall = c.now + c.callRetryDelay(w.failedCalls, w.mustStop)
-	if r.Call.Epoch != w.epoch {
-		w.nextCall = c.now
+	a.nextCall = core.now + core.callRetryDelay(a.failedCalls, a.mustStop)
+	if r.Call.Epoch != a.epoch {
+		a.nextCall = core.now
 		return // of an earlier claim
 	}
 	if r.Code == wire.Completed {
-		d.proposeFinished(id, w, r)
+		s.proposeFinished(id, a, r)
 		return
 	}
 	switch r.Call.Kind {
 	case wire.Submit:
 		switch r.Code {
 		case wire.Active:
-			w.submitted, w.nextCall = true, c.now+pollInterval/2
+			a.submitted, a.nextCall = true, core.now+pollInterval/2
 		case wire.Refused, wire.Conflict:
-			c.log.Warn("site can't run a job that it was given", "job", id, "why", r.Reason)
-			w.handOver, w.excludeSite, w.nextCall = true, true, c.now
+			core.log.Warn("site can't run a job that it was given", "job", id, "why", r.Reason)
+			a.handOver, a.excludeSite, a.nextCall = true, true, core.now
 		case wire.ClaimEnded:
 			// Its claim was ended here, which only this daemon or an earlier one asks for.
-			w.handOver, w.nextCall = true, c.now
+			a.handOver, a.nextCall = true, core.now
 		}
 	case wire.Poll:
 		switch r.Code {
 		case wire.Active:
-			d.reportProgress(id, w, r)
+			s.reportProgress(id, a, r)
 		case wire.NotFound:
-			w.submitted, w.nextCall = false, c.now
+			a.submitted, a.nextCall = false, core.now
 		case wire.ClaimEnded:
-			w.handOver, w.nextCall = true, c.now
+			a.handOver, a.nextCall = true, core.now
 		}
 	case wire.Stop:
-		d.onStopResult(id, w, r)
+		s.onStopResult(id, a, r)
 	}
 }
 
 // callRetryDelay is when a call that brought nothing is made again: later and later, not all
 // at once, so that a site in trouble is asked less. What keeps the site from its
 // lease is asked for again soon.
-func (c *Core) callRetryDelay(tries int, urgent bool) time.Duration {
-	wait := callRetryBase << min(max(tries-1, 0), 4)
+func (c *Core) callRetryDelay(failedCalls int, urgent bool) time.Duration {
+	wait := callRetryBase << min(max(failedCalls-1, 0), 4)
 	if urgent {
 		wait = min(wait, 2*callRetryBase)
 	}
@@ -344,41 +344,41 @@
 
 // reportProgress tells the other members how far a job is, and lets go of it if it waits in
 // vain here while there is room elsewhere.
-func (d *siteAgent) reportProgress(id string, w *assignment, r *Result) {
-	c := d.core
-	w.nextCall = c.now + pollInterval + time.Duration(len(d.assignments))*time.Millisecond
-	if p := (progress{r.Done, r.Running}); p != w.lastProgress {
-		w.lastProgress = p
-		c.progress[id] = p
-		for m := range c.cfg.Members {
-			if m != c.cfg.Self {
-				c.send(m, wire.Item{Kind: wire.Progress, ID: id, Record: wire.Record{Tasks: r.Done}, Running: r.Running})
+func (s *siteAgent) reportProgress(id string, a *assignment, r *Result) {
+	core := s.core
+	a.nextCall = core.now + pollInterval + time.Duration(len(s.assignments))*time.Millisecond
+	if current := (progress{r.Done, r.Running}); current != a.lastProgress {
+		a.lastProgress = current
+		core.progress[id] = current
+		for m := range core.cfg.Members {
+			if m != core.cfg.Self {
+				core.send(m, wire.Item{Kind: wire.Progress, ID: id, Record: wire.Record{Tasks: r.Done}, Running: r.Running})
 			}
 		}
 	}
-	w.everPlaced = w.everPlaced || r.Running > 0 || r.Done > 0
+	a.everPlaced = a.everPlaced || r.Running > 0 || r.Done > 0
 	// With each claim it waits longer, so that it is not sent to and fro.
-	if after := c.cfg.Route.MoveAfterS * float64(min(w.epoch, 20)); !w.everPlaced && after > 0 && (c.now-w.addedAt).Seconds() > after && d.otherSiteHasCapacity(w) {
-		c.log.Info("job waits in vain and is handed over", "job", id, "waited_s", (c.now - w.addedAt).Seconds())
-		w.handOver, w.nextCall = true, c.now
+	if waitLimit := core.cfg.Route.MoveAfterS * float64(min(a.epoch, 20)); !a.everPlaced && waitLimit > 0 && (core.now-a.addedAt).Seconds() > waitLimit && s.otherSiteHasCapacity(a) {
+		core.log.Info("job waits in vain and is handed over", "job", id, "waited_s", (core.now - a.addedAt).Seconds())
+		a.handOver, a.nextCall = true, core.now
 	}
 }
 
 // otherSiteHasCapacity says whether another site could start all of a job now.
-func (d *siteAgent) otherSiteHasCapacity(w *assignment) bool {
-	c := d.core
-	if w.parsedSpec == nil {
-		w.parsedSpec = &protocol.JobSpec{}
-		if json.Unmarshal(w.spec, w.parsedSpec) != nil {
+func (s *siteAgent) otherSiteHasCapacity(a *assignment) bool {
+	core := s.core
+	if a.parsedSpec == nil {
+		a.parsedSpec = &protocol.JobSpec{}
+		if json.Unmarshal(a.spec, a.parsedSpec) != nil {
 			return false
 		}
 	}
-	for i := range c.cfg.Members {
-		if i == c.cfg.Self || c.grants[i] == nil {
+	for i := range core.cfg.Members {
+		if i == core.cfg.Self || core.grants[i] == nil {
 			continue
 		}
-		h := c.hints[i].hint
-		if h != nil && !c.unreachable(i) && !h.Drained && h.Waiting == 0 && CanRun(w.parsedSpec, h) && h.FreeGPUs >= w.parsedSpec.GPUs*float64(minTasksToStart(w.parsedSpec)) {
+		hint := core.hints[i].hint
+		if hint != nil && !core.unreachable(i) && !hint.Drained && hint.Waiting == 0 && CanRun(a.parsedSpec, hint) && hint.FreeGPUs >= a.parsedSpec.GPUs*float64(minTasksToStart(a.parsedSpec)) {
 			return true
 		}
 	}
@@ -386,85 +386,85 @@
 }
 
 // onStopResult learns how far a stop is.
-func (d *siteAgent) onStopResult(id string, w *assignment, r *Result) {
-	c := d.core
+func (s *siteAgent) onStopResult(id string, a *assignment, r *Result) {
+	core := s.core
 	switch {
 	case r.Code != wire.ClaimEnded && r.Code != wire.Active && r.Code != wire.Conflict:
 		return // ask again
-	case w.mustStop && w.voluntary && r.Code == wire.Active:
-		w.nextCall = c.now + pollInterval/2 // its tasks are still leaving
-	case w.mustStop && w.voluntary:
-		d.recordRevoked(id, w.revokeBelow)
-		for m := range c.cfg.Members {
-			c.send(m, wire.Item{Kind: wire.Ack, ID: id, Durable: true, Code: ackRevoked, Record: wire.Record{Epoch: w.revokeBelow}})
+	case a.mustStop && a.voluntary && r.Code == wire.Active:
+		a.nextCall = core.now + pollInterval/2 // its tasks are still leaving
+	case a.mustStop && a.voluntary:
+		s.recordRevoked(id, a.revokeBelow)
+		for m := range core.cfg.Members {
+			core.send(m, wire.Item{Kind: wire.Ack, ID: id, Durable: true, Code: ackRevoked, Record: wire.Record{Epoch: a.revokeBelow}})
 		}
 		// Perhaps the other claim never finds a majority: then this one is released.
-		w.changePending = true
-		c.propose(id, op{kind: opLearn}, backgroundTimeout, func(rec wire.Record, exists bool, o opResult) {
-			w.changePending = false
-			if o == resultUnknown || d.assignments[id] != w {
+		a.changePending = true
+		core.propose(id, op{kind: opLearn}, backgroundTimeout, func(rec wire.Record, exists bool, result opResult) {
+			a.changePending = false
+			if result == resultUnknown || s.assignments[id] != a {
 				return
 			}
-			delete(d.assignments, id)
-			d.applyRecord(id, &rec)
+			delete(s.assignments, id)
+			s.applyRecord(id, &rec)
 		})
-	case w.mustStop:
+	case a.mustStop:
 		// Stored: the controllers start nothing of it, whoever runs them.
-		d.recordRevoked(id, w.revokeBelow)
-		delete(d.assignments, id)
-		if reg := c.registers[id]; reg != nil && reg.hasRecord {
-			rec := reg.record
-			for m := range c.cfg.Members {
-				d.acknowledge(m, id, &rec)
+		s.recordRevoked(id, a.revokeBelow)
+		delete(s.assignments, id)
+		if acceptor := core.registers[id]; acceptor != nil && acceptor.hasRecord {
+			rec := acceptor.record
+			for m := range core.cfg.Members {
+				s.acknowledge(m, id, &rec)
 			}
 		}
 	case r.Code == wire.ClaimEnded || r.Code == wire.Conflict:
-		w.changePending = true
-		c.propose(id, op{kind: opRelease, site: c.cfg.Self, epoch: w.epoch, excludeSite: w.excludeSite}, backgroundTimeout, func(rec wire.Record, exists bool, o opResult) {
-			w.changePending = false
-			if o == resultUnknown || d.assignments[id] != w {
+		a.changePending = true
+		core.propose(id, op{kind: opRelease, site: core.cfg.Self, epoch: a.epoch, excludeSite: a.excludeSite}, backgroundTimeout, func(rec wire.Record, exists bool, result opResult) {
+			a.changePending = false
+			if result == resultUnknown || s.assignments[id] != a {
 				return
 			}
-			delete(d.assignments, id)
-			d.recordRevoked(id, w.epoch+1)
-			if reg := c.registers[id]; reg != nil && rec.Outcome == wire.Open && rec.Stopped {
+			delete(s.assignments, id)
+			s.recordRevoked(id, a.epoch+1)
+			if acceptor := core.registers[id]; acceptor != nil && rec.Outcome == wire.Open && rec.Stopped {
 				r := register{record: rec}
-				c.proposeReclaim(id, &r)
+				core.proposeReclaim(id, &r)
 			}
 		})
 	default:
-		w.nextCall = c.now + pollInterval/2 // its tasks are still leaving
+		a.nextCall = core.now + pollInterval/2 // its tasks are still leaving
 	}
 }
 
 // recordRevoked remembers that claims below an epoch are dead at the site.
-func (d *siteAgent) recordRevoked(id string, below uint32) {
-	if _, ok := d.revoked[id]; !ok {
-		d.revokedOrder = append(d.revokedOrder, id)
-		if len(d.revokedOrder) > maxRevoked {
-			delete(d.revoked, d.revokedOrder[0])
-			d.revokedOrder = d.revokedOrder[1:]
+func (s *siteAgent) recordRevoked(id string, epoch uint32) {
+	if _, ok := s.revoked[id]; !ok {
+		s.revokedOrder = append(s.revokedOrder, id)
+		if len(s.revokedOrder) > maxRevoked {
+			delete(s.revoked, s.revokedOrder[0])
+			s.revokedOrder = s.revokedOrder[1:]
 		}
 	}
-	d.revoked[id] = max(d.revoked[id], below)
+	s.revoked[id] = max(s.revoked[id], epoch)
 }
 
 // proposeFinished offers what the site has completed: it counts unless something else does.
-func (d *siteAgent) proposeFinished(id string, w *assignment, r *Result) {
-	c := d.core
-	w.changePending = true
-	c.propose(id, op{kind: opFinish, site: c.cfg.Self, tasks: r.Done}, backgroundTimeout, func(rec wire.Record, exists bool, o opResult) {
-		w.changePending = false
-		if o == resultUnknown || d.assignments[id] != w {
+func (s *siteAgent) proposeFinished(id string, a *assignment, r *Result) {
+	core := s.core
+	a.changePending = true
+	core.propose(id, op{kind: opFinish, site: core.cfg.Self, tasks: r.Done}, backgroundTimeout, func(rec wire.Record, exists bool, result opResult) {
+		a.changePending = false
+		if result == resultUnknown || s.assignments[id] != a {
 			return
 		}
-		if o == resultChanged {
-			c.counts.Finished++
+		if result == resultChanged {
+			core.counts.Finished++
 		}
-		delete(d.assignments, id)
-		d.recordRevoked(id, ^uint32(0))
-		for m := range c.cfg.Members {
-			d.acknowledge(m, id, &rec)
+		delete(s.assignments, id)
+		s.recordRevoked(id, ^uint32(0))
+		for m := range core.cfg.Members {
+			s.acknowledge(m, id, &rec)
 		}
 	})
 }
@@ -472,26 +472,26 @@
 // SiteLease is what the site's controllers are told: how long from now on they may run
 // gateway jobs, which of them not, and how much of the state service they must
 // have seen.
-func (c *Core) SiteLease(now, most time.Duration) wire.Lease {
+func (c *Core) SiteLease(now, maxLease time.Duration) wire.Lease {
 	c.now = max(c.now, now)
-	d := c.site
-	l := wire.Lease{MinRevision: d.minRevision}
-	for id, w := range d.assignments {
-		if w.mustStop {
-			l.LostJobs = append(l.LostJobs, id)
+	s := c.site
+	lease := wire.Lease{MinRevision: s.minRevision}
+	for id, a := range s.assignments {
+		if a.mustStop {
+			lease.LostJobs = append(lease.LostJobs, id)
 		}
 	}
-	if len(l.LostJobs) > wire.MaxLostJobs {
-		return wire.Lease{MinRevision: d.minRevision} // too much to tell: nothing may run until it is stored
+	if len(lease.LostJobs) > wire.MaxLostJobs {
+		return wire.Lease{MinRevision: s.minRevision} // too much to tell: nothing may run until it is stored
 	}
-	left := d.leaseExpiry - c.now
+	remaining := s.leaseExpiry - c.now
 	if c.cfg.Faults.IgnoreLease {
-		left = most
+		remaining = maxLease
 	}
-	if left > 0 {
-		l.RemainingMS = uint32(min(left, most).Milliseconds())
+	if remaining > 0 {
+		lease.RemainingMS = uint32(min(remaining, maxLease).Milliseconds())
 	}
-	return l
+	return lease
 }
 
 // SetDrained drains the site or takes it back into service. It lasts once the batch
@@ -500,28 +500,28 @@
 	return c.step(now, func() { c.site.setDrained(on) })
 }
 
-func (d *siteAgent) setDrained(on bool) {
-	c := d.core
-	if d.drained == on {
+func (s *siteAgent) setDrained(on bool) {
+	core := s.core
+	if s.drained == on {
 		return
 	}
-	d.drained = on
-	c.siteStateDirty = true
-	if h := c.hints[c.cfg.Self].hint; h != nil {
-		h.Drained = on
+	s.drained = on
+	core.siteStateDirty = true
+	if hint := core.hints[core.cfg.Self].hint; hint != nil {
+		hint.Drained = on
 	}
 	if !on {
-		for _, w := range d.assignments {
-			if w.handOver && !w.excludeSite && !w.callInFlight && !w.changePending && w.lastCall == 0 {
-				w.handOver = false // not asked to stop yet
+		for _, a := range s.assignments {
+			if a.handOver && !a.excludeSite && !a.callInFlight && !a.changePending && a.lastCall == 0 {
+				a.handOver = false // not asked to stop yet
 			}
 		}
 	}
-	c.log.Info("site drained", "on", on, "jobs", len(d.assignments))
+	core.log.Info("site drained", "on", on, "jobs", len(s.assignments))
 }
 
 // SetHint takes in what the site's controllers say of themselves.
-func (c *Core) SetHint(now time.Duration, h *wire.Hint) {
-	h.Drained = c.site.drained
-	c.hints[c.cfg.Self] = receivedHint{max(c.now, now), h}
+func (c *Core) SetHint(now time.Duration, hint *wire.Hint) {
+	hint.Drained = c.site.drained
+	c.hints[c.cfg.Self] = receivedHint{max(c.now, now), hint}
 }
--- a/internal/coordination/gateway/front.go
+++ b/internal/coordination/gateway/front.go
@@ -46,148 +46,148 @@
 
 // HandleRequest takes a user's request. The answer comes with the effects of this or a later
 // step, within userPatience.
-func (c *Core) HandleRequest(now time.Duration, q Request) Effects {
-	return c.step(now, func() { c.handleRequest(&q) })
+func (c *Core) HandleRequest(now time.Duration, req Request) Effects {
+	return c.step(now, func() { c.handleRequest(&req) })
 }
 
-func (c *Core) answerWithJob(q *Request, code int, rec *wire.Record) {
-	c.effects.Answers = append(c.effects.Answers, Answer{Token: q.Token, Code: code, State: c.jobStatus(q.ID, rec)})
+func (c *Core) answerWithJob(req *Request, code int, rec *wire.Record) {
+	c.effects.Answers = append(c.effects.Answers, Answer{Token: req.Token, Code: code, State: c.jobStatus(req.ID, rec)})
 }
 
 // answerWithError answers with an error that trying again would not change.
-func (c *Core) answerWithError(q *Request, code int, why string) {
-	c.effects.Answers = append(c.effects.Answers, Answer{Token: q.Token, Code: code, Reason: why})
+func (c *Core) answerWithError(req *Request, code int, reason string) {
+	c.effects.Answers = append(c.effects.Answers, Answer{Token: req.Token, Code: code, Reason: reason})
 }
 
 // noMajority is what a user is told whose request too few members have answered.
 const noMajority = "no majority answered in time"
 
-func (c *Core) answerRetryLater(q *Request, retryS int, why string) {
+func (c *Core) answerRetryLater(req *Request, retryS int, reason string) {
 	c.counts.Refused++
-	c.effects.Answers = append(c.effects.Answers, Answer{Token: q.Token, Code: http.StatusServiceUnavailable, RetryS: retryS, Reason: why})
+	c.effects.Answers = append(c.effects.Answers, Answer{Token: req.Token, Code: http.StatusServiceUnavailable, RetryS: retryS, Reason: reason})
 }
 
 // jobStatus is a record as users see it.
 func (c *Core) jobStatus(id string, rec *wire.Record) protocol.JobStatus {
-	s := protocol.JobStatus{ID: id, Status: protocol.JobQueued}
+	status := protocol.JobStatus{ID: id, Status: protocol.JobQueued}
 	switch rec.Outcome {
 	case wire.Done:
-		s.Status, s.Done = protocol.JobDone, int(rec.Tasks)
+		status.Status, status.Done = protocol.JobDone, int(rec.Tasks)
 	case wire.Cancelled:
-		s.Status = protocol.JobCancelled
+		status.Status = protocol.JobCancelled
 	default:
 		if p := c.progress[id]; p.running+p.done > 0 {
-			s.Done, s.Running = int(p.done), int(p.running)
+			status.Done, status.Running = int(p.done), int(p.running)
 			if p.running > 0 {
-				s.Status = protocol.JobRunning
+				status.Status = protocol.JobRunning
 			}
 		}
 	}
-	return s
+	return status
 }
 
-func (c *Core) handleRequest(q *Request) {
-	if r := c.registers[q.ID]; r != nil && r.hasRecord && r.committed && r.record.Outcome != wire.Open {
+func (c *Core) handleRequest(req *Request) {
+	if r := c.registers[req.ID]; r != nil && r.hasRecord && r.committed && r.record.Outcome != wire.Open {
 		// What is final never changes.
-		c.answerWithJob(q, http.StatusOK, &r.record)
+		c.answerWithJob(req, http.StatusOK, &r.record)
 		return
 	}
 	if c.reachableCount() < c.majority() {
-		c.answerRetryLater(q, 5, "too few members of the gateway can be reached")
+		c.answerRetryLater(req, 5, "too few members of the gateway can be reached")
 		return
 	}
-	switch q.Kind {
+	switch req.Kind {
 	case Submit:
-		c.submitJob(q)
+		c.submitJob(req)
 	case Poll:
-		c.readExisting(q, func(rec *wire.Record) { c.answerWithJob(q, http.StatusOK, rec) })
+		c.readExisting(req, func(rec *wire.Record) { c.answerWithJob(req, http.StatusOK, rec) })
 	case Cancel:
-		if r := c.registers[q.ID]; r == nil || !r.hasRecord {
+		if r := c.registers[req.ID]; r == nil || !r.hasRecord {
 			// A proposal would leave a promise at every member, for a job that perhaps
 			// nobody has submitted.
-			c.readExisting(q, func(*wire.Record) { c.cancelJob(q) })
+			c.readExisting(req, func(*wire.Record) { c.cancelJob(req) })
 			return
 		}
-		c.cancelJob(q)
+		c.cancelJob(req)
 	}
 }
 
 // readExisting reads a job from a majority and hands its record over. Without a majority,
 // or if there is no such job, it answers the user itself.
-func (c *Core) readExisting(q *Request, then func(rec *wire.Record)) {
-	c.readFromMajority(q.ID, func(rec *wire.Record, exists, ok bool) {
+func (c *Core) readExisting(req *Request, onRecord func(rec *wire.Record)) {
+	c.readFromMajority(req.ID, func(rec *wire.Record, exists, ok bool) {
 		switch {
 		case !ok:
-			c.answerRetryLater(q, 1, noMajority)
+			c.answerRetryLater(req, 1, noMajority)
 		case !exists:
-			c.answerWithError(q, http.StatusNotFound, "no such job")
+			c.answerWithError(req, http.StatusNotFound, "no such job")
 		default:
-			then(rec)
+			onRecord(rec)
 		}
 	})
 }
 
-func (c *Core) cancelJob(q *Request) {
-	c.propose(q.ID, op{kind: opCancel}, userTimeout, func(rec wire.Record, exists bool, o opResult) {
+func (c *Core) cancelJob(req *Request) {
+	c.propose(req.ID, op{kind: opCancel}, userTimeout, func(rec wire.Record, exists bool, result opResult) {
 		switch {
-		case o == resultUnknown:
-			c.answerRetryLater(q, 1, noMajority)
+		case result == resultUnknown:
+			c.answerRetryLater(req, 1, noMajority)
 		case !exists:
-			c.answerWithError(q, http.StatusNotFound, "no such job")
+			c.answerWithError(req, http.StatusNotFound, "no such job")
 		default:
-			if o == resultChanged {
+			if result == resultChanged {
 				c.counts.Cancelled++
 			}
-			c.answerWithJob(q, http.StatusOK, &rec)
+			c.answerWithJob(req, http.StatusOK, &rec)
 		}
 	})
 }
 
-func (c *Core) submitJob(q *Request) {
+func (c *Core) submitJob(req *Request) {
 	if c.submissionsInFlight >= c.cfg.MaxInFlight {
-		c.answerRetryLater(q, 1+c.rng.IntN(3), "too many submissions under way")
+		c.answerRetryLater(req, 1+c.rng.IntN(3), "too many submissions under way")
 		return
 	}
-	to, why := c.chooseSite(q.Spec, 0, -1)
+	site, route := c.chooseSite(req.Spec, 0, -1)
 	c.submissionsInFlight++
-	if why != routeFound {
+	if route != routeFound {
 		// A repeat is judged by what was accepted.
-		c.readFromMajority(q.ID, func(rec *wire.Record, exists, ok bool) {
+		c.readFromMajority(req.ID, func(rec *wire.Record, exists, ok bool) {
 			c.submissionsInFlight--
 			switch {
 			case !ok:
-				c.answerRetryLater(q, 1, noMajority)
+				c.answerRetryLater(req, 1, noMajority)
 			case exists:
-				c.answerWithJob(q, http.StatusOK, rec)
-			case why == routeNeverFits:
-				c.answerWithError(q, http.StatusUnprocessableEntity, "it can run at no site: unknown team, above the team's limit, or a task fits no allowed machine type")
-			case why == routeSitesFull:
-				c.answerRetryLater(q, 2+c.rng.IntN(4), "all sites have as much under way as they may")
+				c.answerWithJob(req, http.StatusOK, rec)
+			case route == routeNeverFits:
+				c.answerWithError(req, http.StatusUnprocessableEntity, "it can run at no site: unknown team, above the team's limit, or a task fits no allowed machine type")
+			case route == routeSitesFull:
+				c.answerRetryLater(req, 2+c.rng.IntN(4), "all sites have as much under way as they may")
 			default:
-				c.answerRetryLater(q, 2+c.rng.IntN(4), "no site is known to be able to take it")
+				c.answerRetryLater(req, 2+c.rng.IntN(4), "no site is known to be able to take it")
 			}
 		})
 		return
 	}
-	o := op{kind: opCreate, spec: q.Body, site: to, tasks: uint32(q.Spec.Tasks), createdMS: q.NowMS}
-	c.countRouted(to)
-	c.propose(q.ID, o, userTimeout, func(rec wire.Record, exists bool, got opResult) {
+	create := op{kind: opCreate, spec: req.Body, site: site, tasks: uint32(req.Spec.Tasks), createdMS: req.NowMS}
+	c.countRouted(site)
+	c.propose(req.ID, create, userTimeout, func(rec wire.Record, exists bool, result opResult) {
 		c.submissionsInFlight--
-		switch got {
+		switch result {
 		case resultUnknown:
-			c.answerRetryLater(q, 1, noMajority)
+			c.answerRetryLater(req, 1, noMajority)
 		case resultChanged:
 			c.counts.Accepted++
-			c.answerWithJob(q, http.StatusCreated, &rec)
+			c.answerWithJob(req, http.StatusCreated, &rec)
 		default:
-			c.answerWithJob(q, http.StatusOK, &rec)
+			c.answerWithJob(req, http.StatusOK, &rec)
 		}
 	})
 }
 
 // onProgress takes in how far a job is, for display.
 func (c *Core) onProgress(from int, it *wire.Item) {
-	if r := c.openJobs[it.ID]; r != nil && r.record.Owner == memberNumber(from) {
+	if register := c.openJobs[it.ID]; register != nil && register.record.Owner == memberNumber(from) {
 		c.progress[it.ID] = progress{it.Record.Tasks, it.Running}
 	}
 }
@@ -218,98 +218,98 @@
 // readBatchInterval bundles reads.
 const readBatchInterval = 20 * time.Millisecond
 
-func (c *Core) readFromMajority(id string, then func(rec *wire.Record, exists, ok bool)) {
+func (c *Core) readFromMajority(id string, onResult func(rec *wire.Record, exists, ok bool)) {
 	if len(c.queuedReads) > 20000 {
-		then(nil, false, false)
+		onResult(nil, false, false)
 		return
 	}
-	c.queuedReads = append(c.queuedReads, &readRequest{id, c.now + userTimeout, then})
+	c.queuedReads = append(c.queuedReads, &readRequest{id, c.now + userTimeout, onResult})
 	c.sendReads(true)
 }
 
-func (c *Core) sendReads(first bool) {
-	if len(c.queuedReads) == 0 || first && len(c.queuedReads) > 1 || c.now-c.lastReadBatch < readBatchInterval {
+func (c *Core) sendReads(immediate bool) {
+	if len(c.queuedReads) == 0 || immediate && len(c.queuedReads) > 1 || c.now-c.lastReadBatch < readBatchInterval {
 		return
 	}
 	c.lastReadBatch = c.now
 	c.readSeq++
-	b := &readBatch{byID: map[string]*readState{}, deadline: c.now + userTimeout}
-	c.readBatches[c.readSeq] = b
+	batch := &readBatch{byID: map[string]*readState{}, deadline: c.now + userTimeout}
+	c.readBatches[c.readSeq] = batch
 	n := min(len(c.queuedReads), 500)
-	for _, q := range c.queuedReads[:n] {
-		s := b.byID[q.id]
-		if s == nil {
-			s = &readState{}
-			b.byID[q.id] = s
+	for _, req := range c.queuedReads[:n] {
+		state := batch.byID[req.id]
+		if state == nil {
+			state = &readState{}
+			batch.byID[req.id] = state
 			for m := range c.cfg.Members {
-				c.send(m, wire.Item{Kind: wire.Read, ID: q.id, Ballot: wire.Ballot{Number: c.readSeq, Proposer: c.incarnation}})
+				c.send(m, wire.Item{Kind: wire.Read, ID: req.id, Ballot: wire.Ballot{Number: c.readSeq, Proposer: c.incarnation}})
 			}
 		}
-		s.requests = append(s.requests, q)
+		state.requests = append(state.requests, req)
 	}
 	c.queuedReads = c.queuedReads[n:]
 }
 
 func (c *Core) onRead(from int, it *wire.Item) {
-	found := wire.Item{Kind: wire.ReadReply, ID: it.ID, Ballot: it.Ballot}
-	if r := c.registers[it.ID]; r != nil && r.hasRecord {
-		found.Accepted, found.HasRecord, found.Committed, found.Record = r.accepted, true, r.committed, r.record
-		found.Record.Spec = nil
+	reply := wire.Item{Kind: wire.ReadReply, ID: it.ID, Ballot: it.Ballot}
+	if register := c.registers[it.ID]; register != nil && register.hasRecord {
+		reply.Accepted, reply.HasRecord, reply.Committed, reply.Record = register.accepted, true, register.committed, register.record
+		reply.Record.Spec = nil
 	}
 	c.barrierPending = true
-	c.sendWhenDurable(from, found)
+	c.sendWhenDurable(from, reply)
 }
 
 func (c *Core) onFound(from int, it *wire.Item) {
-	b := c.readBatches[it.Ballot.Number]
-	if b == nil || it.Ballot.Proposer != c.incarnation {
+	batch := c.readBatches[it.Ballot.Number]
+	if batch == nil || it.Ballot.Proposer != c.incarnation {
 		return
 	}
-	s := b.byID[it.ID]
-	if s == nil || s.votes&memberBit(from) != 0 {
+	state := batch.byID[it.ID]
+	if state == nil || state.votes&memberBit(from) != 0 {
 		return
 	}
-	s.votes |= memberBit(from)
-	keepHighest(&s.highest, &s.matching, it)
-	if bitCount(s.votes) < c.majority() {
+	state.votes |= memberBit(from)
+	keepHighest(&state.highest, &state.matching, it)
+	if bitCount(state.votes) < c.majority() {
 		return
 	}
-	delete(b.byID, it.ID)
-	if len(b.byID) == 0 {
+	delete(batch.byID, it.ID)
+	if len(batch.byID) == 0 {
 		delete(c.readBatches, it.Ballot.Number)
 	}
-	rec := s.highest.Record
-	if s.highest.HasRecord && rec.Outcome != wire.Open && !s.highest.Committed && s.matching < c.majority() {
+	rec := state.highest.Record
+	if state.highest.HasRecord && rec.Outcome != wire.Open && !state.highest.Committed && state.matching < c.majority() {
 		// Perhaps not agreed on: see to it that it is, or what is.
-		reqs := s.requests
-		c.propose(it.ID, op{kind: opLearn}, userTimeout, func(rec wire.Record, exists bool, o opResult) {
-			for _, q := range reqs {
-				q.onResult(&rec, exists, o != resultUnknown)
+		requests := state.requests
+		c.propose(it.ID, op{kind: opLearn}, userTimeout, func(rec wire.Record, exists bool, result opResult) {
+			for _, req := range requests {
+				req.onResult(&rec, exists, result != resultUnknown)
 			}
 		})
 		return
 	}
-	if s.highest.HasRecord && rec.Outcome != wire.Open {
+	if state.highest.HasRecord && rec.Outcome != wire.Open {
 		// Agreed on, and it never changes: from now on it is told without asking.
-		if own := c.registerOf(it.ID); !own.hasRecord || own.accepted.Less(s.highest.Accepted) {
-			c.setRecord(it.ID, own, s.highest.Accepted, &rec, true)
+		if register := c.registerOf(it.ID); !register.hasRecord || register.accepted.Less(state.highest.Accepted) {
+			c.setRecord(it.ID, register, state.highest.Accepted, &rec, true)
 		}
 	}
-	for _, q := range s.requests {
-		q.onResult(&rec, s.highest.HasRecord, true)
+	for _, req := range state.requests {
+		req.onResult(&rec, state.highest.HasRecord, true)
 	}
 }
 
 // expireReads gives up what no majority answers.
 func (c *Core) expireReads() {
-	for nonce, b := range c.readBatches {
-		if c.now < b.deadline {
+	for nonce, batch := range c.readBatches {
+		if c.now < batch.deadline {
 			continue
 		}
 		delete(c.readBatches, nonce)
-		for _, id := range sortedKeys(b.byID) {
-			for _, q := range b.byID[id].requests {
-				q.onResult(nil, false, false)
+		for _, id := range sortedKeys(batch.byID) {
+			for _, req := range batch.byID[id].requests {
+				req.onResult(nil, false, false)
 			}
 		}
 	}
@@ -322,23 +322,23 @@
 		c.log.Error("stored submission not understood", "why", err)
 		return 0, false
 	}
-	to, why := c.chooseSite(&spec, rec.ExcludedSites, int(rec.Owner)-1)
-	return to, why == routeFound
+	site, route := c.chooseSite(&spec, rec.ExcludedSites, int(rec.Owner)-1)
+	return site, route == routeFound
 }
 
 // chooseSite asks the policy with what is known now.
-func (c *Core) chooseSite(spec *protocol.JobSpec, barred uint32, not int) (int, routeResult) {
+func (c *Core) chooseSite(spec *protocol.JobSpec, excluded uint32, except int) (int, routeResult) {
 	views := make([]SiteView, 0, len(c.cfg.Members))
 	for i, m := range c.cfg.Members {
-		if !m.Site || i == not {
+		if !m.Site || i == except {
 			continue
 		}
-		v := SiteView{Site: i, Excluded: barred&memberBit(i) != 0, HintAgeS: math.Inf(1), Unavailable: c.unreachable(i) || c.now >= c.grants[i].tasksUntil && c.now > c.startedAt+c.cfg.LeaseTime,
+		view := SiteView{Site: i, Excluded: excluded&memberBit(i) != 0, HintAgeS: math.Inf(1), Unavailable: c.unreachable(i) || c.now >= c.grants[i].tasksUntil && c.now > c.startedAt+c.cfg.LeaseTime,
 			OpenJobs: c.ownedJobs[i], UnseenJobs: c.routeLimits[i].unseenJobs(c.now), WithinRate: c.routeLimits[i].allowed(c.now, c.cfg.Route)}
-		if h := c.hints[i]; h.hint != nil {
-			v.Hint, v.HintAgeS = h.hint, (c.now - h.receivedAt).Seconds()
+		if hint := c.hints[i]; hint.hint != nil {
+			view.Hint, view.HintAgeS = hint.hint, (c.now - hint.receivedAt).Seconds()
 		}
-		views = append(views, v)
+		views = append(views, view)
 	}
 	return Route(spec, views, c.cfg.Route)
 }
--- a/internal/coordination/gateway/policy_test.go
+++ b/internal/coordination/gateway/policy_test.go
@@ -17,28 +17,28 @@
 		exists := false
 		ends := 0
 		for range rapid.IntRange(1, 40).Draw(t, "changes") {
-			o := op{kind: opKind(rapid.IntRange(0, int(opCancel)).Draw(t, "kind")), site: rapid.IntRange(0, 3).Draw(t, "site"),
+			change := op{kind: opKind(rapid.IntRange(0, int(opCancel)).Draw(t, "kind")), site: rapid.IntRange(0, 3).Draw(t, "site"),
 				epoch: uint32(rapid.IntRange(0, 6).Draw(t, "epoch")), excludeSite: rapid.Bool().Draw(t, "bar"), spec: []byte("{}")}
-			next, got := applyOp(rec, exists, o)
-			if got != resultChanged {
+			next, result := applyOp(rec, exists, change)
+			if result != resultChanged {
 				if exists && (next.Epoch != rec.Epoch || next.Outcome != rec.Outcome || next.Owner != rec.Owner) {
-					t.Fatalf("%v changed a record without saying so", o.kind)
+					t.Fatalf("%v changed a record without saying so", change.kind)
 				}
 				continue
 			}
 			if rec.Outcome != wire.Open {
-				t.Fatalf("a final record was changed by %v", o.kind)
+				t.Fatalf("a final record was changed by %v", change.kind)
 			}
 			switch {
-			case exists && o.kind == opClaim:
-				if next.Epoch != rec.Epoch+1 || o.epoch != rec.Epoch || next.Owner == rec.Owner {
-					t.Fatalf("claim of epoch %d made %+v of %+v", o.epoch, next, rec)
+			case exists && change.kind == opClaim:
+				if next.Epoch != rec.Epoch+1 || change.epoch != rec.Epoch || next.Owner == rec.Owner {
+					t.Fatalf("claim of epoch %d made %+v of %+v", change.epoch, next, rec)
 				}
 				if forced := !rec.Stopped; forced != (next.PrevOwner == rec.Owner) {
 					t.Fatalf("forced is %v, previous %d of holder %d", forced, next.PrevOwner, rec.Owner)
 				}
 			case exists && next.Epoch != rec.Epoch:
-				t.Fatalf("%v changed the epoch", o.kind)
+				t.Fatalf("%v changed the epoch", change.kind)
 			}
 			if next.Outcome != wire.Open {
 				ends++
@@ -52,27 +52,27 @@
 }
 
 func drawSpec(t *rapid.T) *protocol.JobSpec {
-	s := &protocol.JobSpec{ID: "job-1", Team: rapid.SampledFrom([]string{"red", "blue", "nobody"}).Draw(t, "team"),
+	spec := &protocol.JobSpec{ID: "job-1", Team: rapid.SampledFrom([]string{"red", "blue", "nobody"}).Draw(t, "team"),
 		Shape: rapid.SampledFrom([]string{protocol.Array, protocol.Gang, protocol.Service}).Draw(t, "shape"),
 		Tasks: rapid.IntRange(1, 20).Draw(t, "tasks"), GPUs: float64(rapid.IntRange(0, 8).Draw(t, "gpus")), CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 4}
 	if rapid.Bool().Draw(t, "zoned") {
-		s.Zone = rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone")
+		spec.Zone = rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone")
 	}
-	return s
+	return spec
 }
 
 func drawSites(t *rapid.T) []SiteView {
 	var out []SiteView
 	for i := range rapid.IntRange(1, 4).Draw(t, "sites") {
-		v := SiteView{Site: i, Unavailable: rapid.Bool().Draw(t, "away"), Excluded: rapid.IntRange(0, 4).Draw(t, "barred") == 0,
+		view := SiteView{Site: i, Unavailable: rapid.Bool().Draw(t, "away"), Excluded: rapid.IntRange(0, 4).Draw(t, "barred") == 0,
 			HintAgeS: rapid.Float64Range(0, 30).Draw(t, "age"), WithinRate: rapid.IntRange(0, 3).Draw(t, "allowed") > 0, OpenJobs: rapid.SampledFrom([]int{0, 19999, 20000}).Draw(t, "open")}
 		if rapid.IntRange(0, 4).Draw(t, "known") > 0 {
-			v.Hint = &wire.Hint{Drained: rapid.IntRange(0, 4).Draw(t, "drained") == 0, GPUs: 8, FreeGPUs: float64(rapid.IntRange(0, 8).Draw(t, "free")),
+			view.Hint = &wire.Hint{Drained: rapid.IntRange(0, 4).Draw(t, "drained") == 0, GPUs: 8, FreeGPUs: float64(rapid.IntRange(0, 8).Draw(t, "free")),
 				Waiting: rapid.IntRange(0, 50).Draw(t, "waiting"),
 				Types:   []wire.TypeHint{{Name: "g", CPUs: 24, GPUs: 4, MemoryGB: 100, Zones: []string{rapid.SampledFrom([]string{"a", "b"}).Draw(t, "has")}}},
 				Teams:   []wire.TeamHint{{Name: "red", GPUsMax: 8}, {Name: "blue"}}}
 		}
-		out = append(out, v)
+		out = append(out, view)
 	}
 	return out
 }
@@ -81,26 +81,26 @@
 func TestRouteChoosesOnlyWhatFits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec, sites := drawSpec(t), drawSites(t)
-		to, v := Route(spec, sites, DefaultRoute())
-		if v != routeFound {
+		chosen, result := Route(spec, sites, DefaultRoute())
+		if result != routeFound {
 			for _, s := range sites {
-				if v == routeNeverFits && !s.Excluded && (s.Hint == nil || CanRun(spec, s.Hint)) {
+				if result == routeNeverFits && !s.Excluded && (s.Hint == nil || CanRun(spec, s.Hint)) {
 					t.Fatalf("called impossible though site %d is unknown or could run it", s.Site)
 				}
 				if s.Hint != nil && !s.Excluded && !s.Unavailable && !s.Hint.Drained && s.WithinRate && s.OpenJobs < 20000 && CanRun(spec, s.Hint) {
-					t.Fatalf("%v though site %d can take it", v, s.Site)
+					t.Fatalf("%v though site %d can take it", result, s.Site)
 				}
 			}
 			return
 		}
-		s := sites[to]
+		s := sites[chosen]
 		if s.Hint == nil || s.Excluded || s.Unavailable || s.Hint.Drained || !s.WithinRate || s.OpenJobs >= 20000 || !CanRun(spec, s.Hint) {
-			t.Fatalf("site %d was chosen: %+v", to, s)
+			t.Fatalf("site %d was chosen: %+v", chosen, s)
 		}
 		// More work there never makes another choice worse for it: the choice is stable.
 		s.Hint.Waiting = 0
-		if again, v := Route(spec, sites, DefaultRoute()); v != routeFound || again != to {
-			t.Fatalf("less work at site %d moved the job to %d", to, again)
+		if again, result := Route(spec, sites, DefaultRoute()); result != routeFound || again != chosen {
+			t.Fatalf("less work at site %d moved the job to %d", chosen, again)
 		}
 	})
 }
@@ -109,13 +109,13 @@
 // rate after the ramp; it is never given more than the rate in a second.
 func TestSlowStart(t *testing.T) {
 	cfg := RouteConfig{JobsPerSecond: 40, RampS: 60}
-	var b routeLimit
-	b.setAvailable(0, true)
+	var limit routeLimit
+	limit.setAvailable(0, true)
 	given := make([]int, 80)
 	for ms := 0; ms < 80_000; ms += 10 {
 		now := time.Duration(ms) * time.Millisecond
-		if b.allowed(now, cfg) {
-			b.takeToken(now)
+		if limit.allowed(now, cfg) {
+			limit.takeToken(now)
 			given[ms/1000]++
 		}
 	}
@@ -127,9 +127,9 @@
 			t.Errorf("given fell from %d to %d in second %d", given[i-8], given[i], i)
 		}
 	}
-	b.setAvailable(80*time.Second, false)
-	b.setAvailable(90*time.Second, true)
-	if r := b.rate(90*time.Second, cfg); r > 2.1 {
-		t.Errorf("rate %v after it came back again", r)
+	limit.setAvailable(80*time.Second, false)
+	limit.setAvailable(90*time.Second, true)
+	if rate := limit.rate(90*time.Second, cfg); rate > 2.1 {
+		t.Errorf("rate %v after it came back again", rate)
 	}
 }
--- a/internal/coordination/gateway/record.go
+++ b/internal/coordination/gateway/record.go
@@ -47,18 +47,18 @@
 // in whatever order: a final answer is never changed; the epoch only rises; a
 // claim follows either the holder's proof that it stopped or a forced one, which
 // names the site that it was taken from; only the holder releases.
-func applyOp(rec wire.Record, exists bool, o op) (wire.Record, opResult) {
+func applyOp(rec wire.Record, exists bool, change op) (wire.Record, opResult) {
 	switch {
-	case !exists && o.kind != opCreate:
+	case !exists && change.kind != opCreate:
 		return rec, resultRefused
 	case !exists:
-		return wire.Record{Spec: o.spec, Epoch: 1, Owner: memberNumber(o.site), CreatedMS: o.createdMS, Tasks: o.tasks}, resultChanged
-	case rec.Outcome != wire.Open || o.kind == opLearn || o.kind == opCreate:
+		return wire.Record{Spec: change.spec, Epoch: 1, Owner: memberNumber(change.site), CreatedMS: change.createdMS, Tasks: change.tasks}, resultChanged
+	case rec.Outcome != wire.Open || change.kind == opLearn || change.kind == opCreate:
 		return rec, resultUnchanged
 	}
-	switch o.kind {
+	switch change.kind {
 	case opClaim:
-		if rec.Epoch != o.epoch || rec.ExcludedSites&memberBit(o.site) != 0 || rec.Owner == memberNumber(o.site) {
+		if rec.Epoch != change.epoch || rec.ExcludedSites&memberBit(change.site) != 0 || rec.Owner == memberNumber(change.site) {
 			return rec, resultRefused
 		}
 		rec.PrevOwner = 0
@@ -66,22 +66,22 @@
 			rec.PrevOwner = rec.Owner
 			rec.LostSites |= memberBit(int(rec.Owner) - 1)
 		}
-		rec.LostSites &^= memberBit(o.site)
+		rec.LostSites &^= memberBit(change.site)
 		rec.Epoch++
-		rec.Owner, rec.Stopped = memberNumber(o.site), false
+		rec.Owner, rec.Stopped = memberNumber(change.site), false
 	case opRelease:
-		if rec.Epoch != o.epoch || rec.Owner != memberNumber(o.site) {
+		if rec.Epoch != change.epoch || rec.Owner != memberNumber(change.site) {
 			return rec, resultRefused
 		}
 		if rec.Stopped {
 			return rec, resultUnchanged
 		}
 		rec.Stopped = true
-		if o.excludeSite {
-			rec.ExcludedSites |= memberBit(o.site)
+		if change.excludeSite {
+			rec.ExcludedSites |= memberBit(change.site)
 		}
 	case opFinish:
-		rec.Outcome, rec.FinishedBy, rec.Spec = wire.Done, memberNumber(o.site), nil
+		rec.Outcome, rec.FinishedBy, rec.Spec = wire.Done, memberNumber(change.site), nil
 	case opCancel:
 		rec.Outcome, rec.Spec = wire.Cancelled, nil
 	}
--- a/internal/coordination/gateway/round.go
+++ b/internal/coordination/gateway/round.go
@@ -46,17 +46,17 @@
 
 // propose asks for a change of a job's record. then, if not nil, is told how it
 // ended, once.
-func (c *Core) propose(id string, o op, patience time.Duration, then func(wire.Record, bool, opResult)) {
-	ch := &pendingChange{op: o, deadline: c.now + patience, onResult: then}
+func (c *Core) propose(id string, change op, timeout time.Duration, onResult func(wire.Record, bool, opResult)) {
+	pending := &pendingChange{op: change, deadline: c.now + timeout, onResult: onResult}
 	r := c.rounds[id]
 	if r == nil {
 		r = &round{id: id}
 		c.rounds[id] = r
-		r.queued = append(r.queued, ch)
+		r.queued = append(r.queued, pending)
 		c.startRound(r)
 		return
 	}
-	r.queued = append(r.queued, ch)
+	r.queued = append(r.queued, pending)
 }
 
 // startRound begins a round under a ballot above all that were seen.
@@ -72,8 +72,8 @@
 func (c *Core) sendRound(r *round) {
 	r.lastSent = c.now
 	it := wire.Item{Kind: wire.Prepare, ID: r.id, Ballot: r.ballot}
-	for _, ch := range r.queued {
-		it.Record.PrevOwner = max(it.Record.PrevOwner, ch.op.forcedFrom)
+	for _, pending := range r.queued {
+		it.Record.PrevOwner = max(it.Record.PrevOwner, pending.op.forcedFrom)
 	}
 	if r.phase == phaseAccepting {
 		it.Kind, it.HasRecord, it.Record = wire.Accept, true, r.record
@@ -98,10 +98,10 @@
 			r.refusedForLease |= memberBit(from)
 			// Somebody else hears the site. To ask again and again would cost every
 			// member a stored promise a job.
-			for _, ch := range append(r.queued, r.applied...) {
-				if f := ch.op.forcedFrom; f != 0 && c.grants[f-1] != nil {
-					l := c.grants[f-1]
-					l.noClaimBefore, l.grantedByOthers = c.now+time.Second, true
+			for _, pending := range append(r.queued, r.applied...) {
+				if site := pending.op.forcedFrom; site != 0 && c.grants[site-1] != nil {
+					grant := c.grants[site-1]
+					grant.noClaimBefore, grant.grantedByOthers = c.now+time.Second, true
 				}
 			}
 		}
@@ -124,13 +124,13 @@
 
 // keepHighest keeps, of what members say they accepted, what has the highest ballot, and
 // counts how many say the same.
-func keepHighest(best *wire.Item, same *int, it *wire.Item) {
+func keepHighest(highest *wire.Item, matching *int, it *wire.Item) {
 	switch {
-	case it.HasRecord && (!best.HasRecord || best.Accepted.Less(it.Accepted)):
-		*best, *same = *it, 1
-	case it.HasRecord && it.Accepted == best.Accepted:
-		*same++
-		best.Committed = best.Committed || it.Committed
+	case it.HasRecord && (!highest.HasRecord || highest.Accepted.Less(it.Accepted)):
+		*highest, *matching = *it, 1
+	case it.HasRecord && it.Accepted == highest.Accepted:
+		*matching++
+		highest.Committed = highest.Committed || it.Committed
 	}
 }
 
@@ -138,25 +138,25 @@
 // show, and proposes the result.
 func (c *Core) proposeRecord(r *round) {
 	rec, exists := r.highest.Record, r.highest.HasRecord
-	any := false
-	for _, ch := range r.queued {
-		next, o := applyOp(rec, exists, ch.op)
-		if c.cfg.Faults.OverwriteFinal && rec.Outcome != wire.Open && (ch.op.kind == opFinish || ch.op.kind == opCancel) {
+	anyChanged := false
+	for _, pending := range r.queued {
+		next, result := applyOp(rec, exists, pending.op)
+		if c.cfg.Faults.OverwriteFinal && rec.Outcome != wire.Open && (pending.op.kind == opFinish || pending.op.kind == opCancel) {
 			reopened := rec
 			reopened.Outcome = wire.Open
-			next, o = applyOp(reopened, exists, ch.op)
+			next, result = applyOp(reopened, exists, pending.op)
 		}
-		if c.cfg.Faults.IgnoreEpoch && ch.op.kind == opClaim && o == resultRefused && rec.Outcome == wire.Open {
-			next, o = rec, resultChanged
-			next.Epoch, next.Owner, next.Stopped = rec.Epoch+1, memberNumber(ch.op.site), false
+		if c.cfg.Faults.IgnoreEpoch && pending.op.kind == opClaim && result == resultRefused && rec.Outcome == wire.Open {
+			next, result = rec, resultChanged
+			next.Epoch, next.Owner, next.Stopped = rec.Epoch+1, memberNumber(pending.op.site), false
 		}
-		ch.result = o
-		if o == resultChanged {
-			rec, exists, any = next, true, true
+		pending.result = result
+		if result == resultChanged {
+			rec, exists, anyChanged = next, true, true
 		}
 	}
 	r.applied, r.queued = append(r.applied, r.queued...), nil
-	if !any && (!exists || r.highest.Committed || r.matching >= c.majority()) {
+	if !anyChanged && (!exists || r.highest.Committed || r.matching >= c.majority()) {
 		// Nothing to change, and what there is has been agreed on.
 		if exists {
 			c.applyAgreed(r.id, &r.highest)
@@ -170,20 +170,20 @@
 }
 
 // applyAgreed takes in what a majority agreed on earlier.
-func (c *Core) applyAgreed(id string, best *wire.Item) {
+func (c *Core) applyAgreed(id string, agreed *wire.Item) {
 	r := c.registerOf(id)
-	if r.hasRecord && r.accepted == best.Accepted {
+	if r.hasRecord && r.accepted == agreed.Accepted {
 		if !r.committed {
 			c.setCommitted(id, r)
 		}
 		return
 	}
-	if r.hasRecord && best.Accepted.Less(r.accepted) {
+	if r.hasRecord && agreed.Accepted.Less(r.accepted) {
 		return
 	}
 	// Not accepted here. What a majority has agreed on may be taken in whatever was
 	// promised meanwhile: every higher proposal is made from it anyway.
-	c.setRecord(id, r, best.Accepted, &best.Record, true)
+	c.setRecord(id, r, agreed.Accepted, &agreed.Record, true)
 }
 
 // committed: a majority has accepted the round's record. From now on every round
@@ -195,11 +195,11 @@
 			c.send(m, it)
 		}
 	}
-	if own := c.registers[r.id]; own != nil && own.hasRecord && own.accepted == r.ballot {
-		if !own.committed {
-			c.setCommitted(r.id, own)
+	if register := c.registers[r.id]; register != nil && register.hasRecord && register.accepted == r.ballot {
+		if !register.committed {
+			c.setCommitted(r.id, register)
 		}
-	} else if own == nil || !own.hasRecord || own.accepted.Less(r.ballot) {
+	} else if register == nil || !register.hasRecord || register.accepted.Less(r.ballot) {
 		c.setRecord(r.id, c.registerOf(r.id), r.ballot, &r.record, true)
 	}
 	c.finishRound(r, r.record, true)
@@ -207,7 +207,7 @@
 
 // finishRound tells the round's callers, and begins the next round if others wait.
 func (c *Core) finishRound(r *round, rec wire.Record, exists bool) {
-	done := r.applied
+	finished := r.applied
 	r.applied = nil
 	if len(r.queued) == 0 {
 		delete(c.rounds, r.id)
@@ -215,9 +215,9 @@
 		r.attempts = 0
 		c.startRound(r)
 	}
-	for _, ch := range done {
-		if ch.onResult != nil {
-			ch.onResult(rec, exists, ch.result)
+	for _, pending := range finished {
+		if pending.onResult != nil {
+			pending.onResult(rec, exists, pending.result)
 		}
 	}
 }
@@ -229,22 +229,22 @@
 	r.attempts++
 	if r.refusedForLease != 0 {
 		// A forced claim is for whoever cares to try anew, when the lease is over.
-		for _, ch := range r.queued {
-			if ch.op.kind == opClaim {
-				ch.deadline = c.now
+		for _, pending := range r.queued {
+			if pending.op.kind == opClaim {
+				pending.deadline = c.now
 			}
 		}
 	}
-	for _, ch := range r.queued {
-		if ch.op.background && r.attempts >= 2 {
-			ch.deadline = c.now // somebody else is at it
+	for _, pending := range r.queued {
+		if pending.op.background && r.attempts >= 2 {
+			pending.deadline = c.now // somebody else is at it
 		}
 	}
-	span := 60 * time.Millisecond << min(r.attempts, 5)
+	maxDelay := 60 * time.Millisecond << min(r.attempts, 5)
 	if r.refusedForLease != 0 {
-		span += 500 * time.Millisecond
+		maxDelay += 500 * time.Millisecond
 	}
-	r.retryAt = c.now + 10*time.Millisecond + time.Duration(c.rng.Int64N(int64(span)))
+	r.retryAt = c.now + 10*time.Millisecond + time.Duration(c.rng.Int64N(int64(maxDelay)))
 }
 
 // tickRounds sends again, begins anew, and gives up what its callers wait for no
@@ -252,18 +252,18 @@
 func (c *Core) tickRounds() {
 	for _, id := range sortedKeys(c.rounds) {
 		r := c.rounds[id]
-		keep := func(chs []*pendingChange) []*pendingChange {
-			var left []*pendingChange
-			for _, ch := range chs {
-				if c.now < ch.deadline {
-					left = append(left, ch)
-				} else if ch.onResult != nil {
-					ch.onResult(wire.Record{}, false, resultUnknown)
+		expire := func(changes []*pendingChange) []*pendingChange {
+			var live []*pendingChange
+			for _, pending := range changes {
+				if c.now < pending.deadline {
+					live = append(live, pending)
+				} else if pending.onResult != nil {
+					pending.onResult(wire.Record{}, false, resultUnknown)
 				}
 			}
-			return left
+			return live
 		}
-		r.queued, r.applied = keep(r.queued), keep(r.applied)
+		r.queued, r.applied = expire(r.queued), expire(r.applied)
 		switch {
 		case len(r.queued) == 0 && len(r.applied) == 0:
 			delete(c.rounds, id)
@@ -290,9 +290,9 @@
 	return ids
 }
 
-func bitCount(x uint32) int {
+func bitCount(mask uint32) int {
 	n := 0
-	for ; x != 0; x &= x - 1 {
+	for ; mask != 0; mask &= mask - 1 {
 		n++
 	}
 	return n
--- a/internal/coordination/gateway/route.go
+++ b/internal/coordination/gateway/route.go
@@ -57,67 +57,67 @@
 // one with the least work waiting a GPU, counting an image that it lacks and a
 // guarantee that its team has used up there as work. What is unknown is never
 // taken for good news: a site without a fresh hint comes after all others.
-func Route(spec *protocol.JobSpec, sites []SiteView, cfg RouteConfig) (site int, v routeResult) {
-	best, at := math.Inf(1), -1
-	known, able, there := 0, 0, 0
+func Route(spec *protocol.JobSpec, sites []SiteView, cfg RouteConfig) (site int, result routeResult) {
+	lowest, chosen := math.Inf(1), -1
+	knownSites, capableSites, availableSites := 0, 0, 0
 	for i := range sites {
-		s := &sites[i]
-		if s.Excluded {
-			known++
+		view := &sites[i]
+		if view.Excluded {
+			knownSites++
 			continue
 		}
-		if s.Hint == nil {
+		if view.Hint == nil {
 			continue
 		}
-		known++
-		if !CanRun(spec, s.Hint) {
+		knownSites++
+		if !CanRun(spec, view.Hint) {
 			continue
 		}
-		able++
-		if s.Unavailable || s.Hint.Drained {
+		capableSites++
+		if view.Unavailable || view.Hint.Drained {
 			continue
 		}
-		there++
-		if !s.WithinRate || cfg.MaxOpenPerSite > 0 && s.OpenJobs >= cfg.MaxOpenPerSite {
+		availableSites++
+		if !view.WithinRate || cfg.MaxOpenPerSite > 0 && view.OpenJobs >= cfg.MaxOpenPerSite {
 			continue
 		}
-		if c := routingCost(spec, s, cfg); c < best {
-			best, at = c, s.Site
+		if cost := routingCost(spec, view, cfg); cost < lowest {
+			lowest, chosen = cost, view.Site
 		}
 	}
 	switch {
-	case at >= 0:
-		return at, routeFound
-	case there > 0:
+	case chosen >= 0:
+		return chosen, routeFound
+	case availableSites > 0:
 		return 0, routeSitesFull
-	case able == 0 && known == len(sites) && known > 0:
+	case capableSites == 0 && knownSites == len(sites) && knownSites > 0:
 		return 0, routeNeverFits
 	}
 	return 0, routeNoSite
 }
 
 // routingCost is about how many tasks wait before the job, for each GPU that is up.
-func routingCost(spec *protocol.JobSpec, s *SiteView, cfg RouteConfig) float64 {
-	h := s.Hint
-	if s.HintAgeS > cfg.HintMaxAgeS {
-		return 1e6 + s.UnseenJobs
+func routingCost(spec *protocol.JobSpec, view *SiteView, cfg RouteConfig) float64 {
+	hint := view.Hint
+	if view.HintAgeS > cfg.HintMaxAgeS {
+		return 1e6 + view.UnseenJobs
 	}
-	c := (float64(h.Waiting) + s.UnseenJobs) / max(1, h.GPUs)
-	if free := h.FreeGPUs - s.UnseenJobs*max(spec.GPUs, 0.25); free < spec.GPUs*float64(minTasksToStart(spec)) {
-		c += 0.5 // it would have to wait, or machines to be rented
+	cost := (float64(hint.Waiting) + view.UnseenJobs) / max(1, hint.GPUs)
+	if free := hint.FreeGPUs - view.UnseenJobs*max(spec.GPUs, 0.25); free < spec.GPUs*float64(minTasksToStart(spec)) {
+		cost += 0.5 // it would have to wait, or machines to be rented
 	}
-	if !slices.Contains(h.Images, spec.Image) {
-		c += min(1, spec.ImageGB/20)
+	if !slices.Contains(hint.Images, spec.Image) {
+		cost += min(1, spec.ImageGB/20)
 	}
-	for i := range h.Teams {
-		if t := &h.Teams[i]; t.Name == spec.Team {
-			c += float64(t.Waiting) / max(1, h.GPUs)
-			if t.GPUs > 0 && t.UsedGPUs+spec.GPUs*float64(minTasksToStart(spec)) > t.GPUs {
-				c++ // beyond its guarantee there
+	for i := range hint.Teams {
+		if team := &hint.Teams[i]; team.Name == spec.Team {
+			cost += float64(team.Waiting) / max(1, hint.GPUs)
+			if team.GPUs > 0 && team.UsedGPUs+spec.GPUs*float64(minTasksToStart(spec)) > team.GPUs {
+				cost++ // beyond its guarantee there
 			}
 		}
 	}
-	return c
+	return cost
 }
 
 func minTasksToStart(spec *protocol.JobSpec) int {
@@ -129,21 +129,21 @@
 
 // CanRun says whether a site could ever run a job: its team is known there, the
 // team's limit allows it, and a task fits an allowed machine type in an allowed zone.
-func CanRun(spec *protocol.JobSpec, h *wire.Hint) bool {
-	at := slices.IndexFunc(h.Teams, func(t wire.TeamHint) bool { return t.Name == spec.Team })
-	if at < 0 {
+func CanRun(spec *protocol.JobSpec, hint *wire.Hint) bool {
+	index := slices.IndexFunc(hint.Teams, func(team wire.TeamHint) bool { return team.Name == spec.Team })
+	if index < 0 {
 		return false
 	}
-	t, n := &h.Teams[at], float64(minTasksToStart(spec))
-	if t.GPUsMax > 0 && spec.GPUs*n > t.GPUsMax+1e-3 || t.CPUsMax > 0 && spec.CPUs*n > t.CPUsMax+1e-3 {
+	team, tasks := &hint.Teams[index], float64(minTasksToStart(spec))
+	if team.GPUsMax > 0 && spec.GPUs*tasks > team.GPUsMax+1e-3 || team.CPUsMax > 0 && spec.CPUs*tasks > team.CPUsMax+1e-3 {
 		return false
 	}
-	for i := range h.Types {
-		m := &h.Types[i]
-		if len(spec.Types) > 0 && !slices.Contains(spec.Types, m.Name) || spec.Zone != "" && !slices.Contains(m.Zones, spec.Zone) {
+	for i := range hint.Types {
+		machineType := &hint.Types[i]
+		if len(spec.Types) > 0 && !slices.Contains(spec.Types, machineType.Name) || spec.Zone != "" && !slices.Contains(machineType.Zones, spec.Zone) {
 			continue
 		}
-		if spec.CPUs <= m.CPUs+1e-3 && spec.GPUs <= m.GPUs+1e-3 && spec.MemoryGB <= m.MemoryGB+1e-3 {
+		if spec.CPUs <= machineType.CPUs+1e-3 && spec.GPUs <= machineType.GPUs+1e-3 && spec.MemoryGB <= machineType.MemoryGB+1e-3 {
 			return true
 		}
 	}
@@ -174,13 +174,13 @@
 	if cfg.RampS <= 0 {
 		return cfg.JobsPerSecond
 	}
-	part := min(1, 0.05+0.95*(now-b.availableSince).Seconds()/cfg.RampS)
-	return cfg.JobsPerSecond * part
+	fraction := min(1, 0.05+0.95*(now-b.availableSince).Seconds()/cfg.RampS)
+	return cfg.JobsPerSecond * fraction
 }
 
 func (b *routeLimit) allowed(now time.Duration, cfg RouteConfig) bool {
-	r := b.rate(now, cfg)
-	b.tokens = min(max(1, r), b.tokens+r*(now-b.lastRefill).Seconds())
+	rate := b.rate(now, cfg)
+	b.tokens = min(max(1, rate), b.tokens+rate*(now-b.lastRefill).Seconds())
 	b.lastRefill = now
 	return b.tokens >= 1
 }
--- a/internal/coordination/gateway/sim_test.go
+++ b/internal/coordination/gateway/sim_test.go
@@ -123,11 +123,11 @@
 	finalAt         time.Duration
 }
 
-func newSim(seed uint64, faults Faults, names []Member) *sim {
+func newSim(seed uint64, faults Faults, members []Member) *sim {
 	s := &sim{rng: rand.New(rand.NewPCG(seed, 99)), cutUntil: map[[2]int]time.Duration{}, pendingAnswers: map[uint64]func(Answer){}, faults: faults}
-	for i, m := range names {
-		mem := &simMember{sim: s, index: i, disk: map[string]wire.Item{}, clockRate: 1 + s.rng.Float64()*0.0005, clockOffset: time.Duration(s.rng.Int64N(int64(time.Hour)))}
-		s.members = append(s.members, mem)
+	for i, m := range members {
+		member := &simMember{sim: s, index: i, disk: map[string]wire.Item{}, clockRate: 1 + s.rng.Float64()*0.0005, clockOffset: time.Duration(s.rng.Int64N(int64(time.Hour)))}
+		s.members = append(s.members, member)
 		var site *simSite
 		if m.Site {
 			site = &simSite{sim: s, index: i, jobs: map[string]*simSiteJob{}, tombstones: map[string]uint32{}, done: map[string]uint32{}, running: true, revoked: map[string]bool{}}
@@ -137,18 +137,18 @@
 		s.sites = append(s.sites, site)
 	}
 	for _, m := range s.members {
-		m.start(names)
+		m.start(members)
 	}
 	return s
 }
 
-func (s *sim) schedule(d time.Duration, f func()) {
+func (s *sim) schedule(delay time.Duration, f func()) {
 	s.eventSeq++
-	heap.Push(&s.queue, event{s.now + d, s.eventSeq, f})
+	heap.Push(&s.queue, event{s.now + delay, s.eventSeq, f})
 }
 
-func (s *sim) randDuration(a, b time.Duration) time.Duration {
-	return a + time.Duration(s.rng.Int64N(int64(b-a)))
+func (s *sim) randDuration(low, high time.Duration) time.Duration {
+	return low + time.Duration(s.rng.Int64N(int64(high-low)))
 }
 
 func (s *sim) run(until time.Duration) {
@@ -173,7 +173,7 @@
 	return m.clockOffset + time.Duration(float64(m.sim.now)*m.clockRate)
 }
 
-func (m *simMember) start(names []Member) {
+func (m *simMember) start(members []Member) {
 	m.incarnation++
 	m.generation++
 	m.running = true
@@ -186,7 +186,7 @@
 	if os.Getenv("SIM_LOG") != "" {
 		log = slog.New(slog.NewTextHandler(os.Stdout, nil)).With("member", m.index)
 	}
-	cfg := Config{Members: names, Self: m.index, LeaseTime: simLease, StopTime: StopBound(simControllers, simWorkers), MaxInFlight: 500, Route: DefaultRoute(), Faults: m.sim.faults}
+	cfg := Config{Members: members, Self: m.index, LeaseTime: simLease, StopTime: StopBound(simControllers, simWorkers), MaxInFlight: 500, Route: DefaultRoute(), Faults: m.sim.faults}
 	m.core = New(cfg, m.incarnation, items, uint64(m.incarnation)*31+uint64(m.index), log, m.clock())
 	if m.sim.sites[m.index] != nil {
 		m.applyEffects(m.core.SetDrained(m.clock(), m.drained))
@@ -224,32 +224,32 @@
 	try()
 }
 
-func (m *simMember) applyEffects(e Effects) {
+func (m *simMember) applyEffects(effects Effects) {
 	s := m.sim
 	if s.beforeEffects != nil {
-		switch s.beforeEffects(m, &e) {
+		switch s.beforeEffects(m, &effects) {
 		case 1:
 			return
 		case 2:
-			e = Effects{Store: e.Store}
+			effects = Effects{Store: effects.Store}
 		}
 	}
 	for to := range s.members {
-		items := e.Send[to]
-		if to == m.index || len(items) == 0 && e.Hint == nil {
+		items := effects.Send[to]
+		if to == m.index || len(items) == 0 && effects.Hint == nil {
 			continue
 		}
-		s.deliver(m.index, to, wire.Encode(&wire.Envelope{Items: items, Hint: e.Hint}))
+		s.deliver(m.index, to, wire.Encode(&wire.Envelope{Items: items, Hint: effects.Hint}))
 	}
-	m.batches = append(m.batches, e.Store...)
+	m.batches = append(m.batches, effects.Store...)
 	m.storeBatches()
-	for _, a := range e.Answers {
-		if f := s.pendingAnswers[a.Token]; f != nil {
-			delete(s.pendingAnswers, a.Token)
-			s.schedule(s.randDuration(time.Millisecond, 10*time.Millisecond), func() { f(a) })
+	for _, answer := range effects.Answers {
+		if onAnswer := s.pendingAnswers[answer.Token]; onAnswer != nil {
+			delete(s.pendingAnswers, answer.Token)
+			s.schedule(s.randDuration(time.Millisecond, 10*time.Millisecond), func() { onAnswer(answer) })
 		}
 	}
-	for _, call := range e.Calls {
+	for _, call := range effects.Calls {
 		s.sites[m.index].handleCall(m, call)
 	}
 }
@@ -261,23 +261,23 @@
 		return
 	}
 	m.writing = true
-	took := s.randDuration(2*time.Millisecond, 30*time.Millisecond)
+	duration := s.randDuration(2*time.Millisecond, 30*time.Millisecond)
 	if s.storeTime > 0 && s.sites[m.index] != nil {
-		took = s.randDuration(s.storeTime/2, s.storeTime)
+		duration = s.randDuration(s.storeTime/2, s.storeTime)
 	}
 	batch, gen := m.batches, m.generation
 	m.batches = nil
-	s.schedule(max(0, m.storeStalledUntil-s.now)+took, func() {
+	s.schedule(max(0, m.storeStalledUntil-s.now)+duration, func() {
 		if m.generation != gen && s.rng.IntN(2) == 0 {
 			return // ended before it was written
 		}
-		for _, b := range batch {
-			for _, it := range b.Items {
-				if it.Kind == wire.SiteState {
+		for _, stored := range batch {
+			for _, item := range stored.Items {
+				if item.Kind == wire.SiteState {
 					continue // the sim drains again by itself
 				}
-				if old, ok := m.disk[it.ID]; !ok || m.generation == gen || !it.Accepted.Less(old.Accepted) && !it.Ballot.Less(old.Ballot) {
-					m.disk[it.ID] = it
+				if old, ok := m.disk[item.ID]; !ok || m.generation == gen || !item.Accepted.Less(old.Accepted) && !item.Ballot.Less(old.Ballot) {
+					m.disk[item.ID] = item
 				}
 			}
 		}
@@ -292,12 +292,12 @@
 // deliver carries a message. Through a cut it is lost, or held and delivered
 // minutes late; now and then it comes twice.
 func (s *sim) deliver(from, to int, data []byte) {
-	wait := s.randDuration(time.Millisecond, 15*time.Millisecond)
-	if end := s.cutUntil[[2]int{from, to}]; s.now < end {
+	delay := s.randDuration(time.Millisecond, 15*time.Millisecond)
+	if cutEnd := s.cutUntil[[2]int{from, to}]; s.now < cutEnd {
 		if s.rng.IntN(2) == 0 {
 			return
 		}
-		wait += end - s.now
+		delay += cutEnd - s.now
 	} else if s.rng.Float64() < s.lossRate {
 		return
 	}
@@ -306,26 +306,26 @@
 		times = 2
 	}
 	for range times {
-		s.schedule(wait, func() {
+		s.schedule(delay, func() {
 			m := s.members[to]
 			if !m.running {
 				return
 			}
 			m.whenRunning(func() {
-				e, err := wire.Decode(data)
+				envelope, err := wire.Decode(data)
 				if err != nil {
 					panic(err)
 				}
-				m.applyEffects(m.core.Receive(m.clock(), from, e))
+				m.applyEffects(m.core.Receive(m.clock(), from, envelope))
 			})
 		})
-		wait += s.randDuration(0, 20*time.Second)
+		delay += s.randDuration(0, 20*time.Second)
 	}
 }
 
-func (x *simSite) hint() *wire.Hint {
+func (site *simSite) hint() *wire.Hint {
 	waiting, running := 0, 0
-	for _, j := range x.jobs {
+	for _, j := range site.jobs {
 		if j.started {
 			running++
 		} else {
@@ -339,82 +339,82 @@
 
 // handleCall carries what the daemon asks to the controllers, where it may be done late,
 // and the answer back.
-func (x *simSite) handleCall(m *simMember, call Call) {
-	s := x.sim
-	to := s.randDuration(time.Millisecond, 60*time.Millisecond)
+func (site *simSite) handleCall(m *simMember, call Call) {
+	s := site.sim
+	delay := s.randDuration(time.Millisecond, 60*time.Millisecond)
 	gen := m.generation
-	back := func(r Result) {
-		r.Call = call
+	reply := func(result Result) {
+		result.Call = call
 		s.schedule(s.randDuration(time.Millisecond, 10*time.Millisecond), func() {
 			if m.generation == gen && m.running {
-				m.whenRunning(func() { m.applyEffects(m.core.SiteResults(m.clock(), []Result{r})) })
+				m.whenRunning(func() { m.applyEffects(m.core.SiteResults(m.clock(), []Result{result})) })
 			}
 		})
 	}
-	if s.now < x.disconnectedUntil || !x.running || s.now < m.storeStalledUntil {
+	if s.now < site.disconnectedUntil || !site.running || s.now < m.storeStalledUntil {
 		if s.rng.IntN(2) == 0 { // held, and done when nobody waits any more
-			s.schedule(max(x.disconnectedUntil, m.storeStalledUntil)-s.now+s.randDuration(0, 30*time.Second), func() { x.execute(call) })
+			s.schedule(max(site.disconnectedUntil, m.storeStalledUntil)-s.now+s.randDuration(0, 30*time.Second), func() { site.execute(call) })
 		}
-		s.schedule(1500*time.Millisecond, func() { back(Result{Code: wire.Unavailable}) })
+		s.schedule(1500*time.Millisecond, func() { reply(Result{Code: wire.Unavailable}) })
 		return
 	}
-	s.schedule(to, func() { back(x.execute(call)) })
+	s.schedule(delay, func() { reply(site.execute(call)) })
 }
 
 // execute is what the controllers do with a call, each by one conditional write.
-func (x *simSite) execute(c Call) Result {
-	j := x.jobs[c.ID]
-	if n, ok := x.done[c.ID]; ok {
-		return Result{Code: wire.Completed, Done: n}
+func (site *simSite) execute(call Call) Result {
+	job := site.jobs[call.ID]
+	if doneTasks, ok := site.done[call.ID]; ok {
+		return Result{Code: wire.Completed, Done: doneTasks}
 	}
-	tombstone, dead := x.tombstones[c.ID]
-	switch c.Kind {
+	tombstone, fenced := site.tombstones[call.ID]
+	switch call.Kind {
 	case wire.Submit:
 		switch {
-		case j != nil && j.epoch == c.Epoch:
+		case job != nil && job.epoch == call.Epoch:
 			return Result{Code: wire.Active}
-		case j != nil && !j.stopRequested && j.epoch < c.Epoch:
-			x.revision++
-			j.epoch = c.Epoch
-			return Result{Code: wire.Active, Revision: x.revision}
-		case j != nil:
+		case job != nil && !job.stopRequested && job.epoch < call.Epoch:
+			site.revision++
+			job.epoch = call.Epoch
+			return Result{Code: wire.Active, Revision: site.revision}
+		case job != nil:
 			return Result{Code: wire.Unavailable}
-		case dead && tombstone >= c.Epoch:
+		case fenced && tombstone >= call.Epoch:
 			return Result{Code: wire.ClaimEnded}
 		}
-		x.revision++
-		delete(x.tombstones, c.ID)
-		x.jobs[c.ID] = &simSiteJob{epoch: c.Epoch, remaining: x.sim.findJob(c.ID).runTime}
-		return Result{Code: wire.Active, Revision: x.revision}
+		site.revision++
+		delete(site.tombstones, call.ID)
+		site.jobs[call.ID] = &simSiteJob{epoch: call.Epoch, remaining: site.sim.findJob(call.ID).runTime}
+		return Result{Code: wire.Active, Revision: site.revision}
 	case wire.Stop:
-		if j != nil && j.epoch <= c.Epoch {
-			if !j.stopRequested {
-				x.revision++
-				j.stopRequested, j.epoch = true, c.Epoch
+		if job != nil && job.epoch <= call.Epoch {
+			if !job.stopRequested {
+				site.revision++
+				job.stopRequested, job.epoch = true, call.Epoch
 			}
-			if j.started {
-				return Result{Code: wire.Active, Revision: x.revision}
+			if job.started {
+				return Result{Code: wire.Active, Revision: site.revision}
 			}
-			delete(x.jobs, c.ID)
+			delete(site.jobs, call.ID)
 		}
-		if j == nil || j.epoch <= c.Epoch {
-			if !dead || tombstone < c.Epoch {
-				x.revision++
-				x.tombstones[c.ID] = c.Epoch
+		if job == nil || job.epoch <= call.Epoch {
+			if !fenced || tombstone < call.Epoch {
+				site.revision++
+				site.tombstones[call.ID] = call.Epoch
 			}
 		}
-		return Result{Code: wire.ClaimEnded, Revision: x.revision}
+		return Result{Code: wire.ClaimEnded, Revision: site.revision}
 	}
 	switch {
-	case j == nil && dead && tombstone >= c.Epoch:
+	case job == nil && fenced && tombstone >= call.Epoch:
 		return Result{Code: wire.ClaimEnded}
-	case j == nil:
+	case job == nil:
 		return Result{Code: wire.NotFound}
-	case j.epoch != c.Epoch:
+	case job.epoch != call.Epoch:
 		return Result{Code: wire.Unavailable}
 	}
 	r := Result{Code: wire.Active}
-	if j.started {
+	if job.started {
 		r.Running = 1
 	}
 	return r
@@ -422,25 +422,25 @@
 
 // fetchLease asks the daemon how long gateway jobs may run. What the answer says counts
 // from when it was asked for.
-func (x *simSite) fetchLease() {
-	s, m := x.sim, x.sim.members[x.index]
-	s.schedule(500*time.Millisecond, x.fetchLease)
-	if !x.running || !m.running || s.now < x.disconnectedUntil {
+func (site *simSite) fetchLease() {
+	s, m := site.sim, site.sim.members[site.index]
+	s.schedule(500*time.Millisecond, site.fetchLease)
+	if !site.running || !m.running || s.now < site.disconnectedUntil {
 		return
 	}
 	sent := s.now
 	s.schedule(s.randDuration(time.Millisecond, 20*time.Millisecond), func() {
 		m.whenRunning(func() {
-			l := m.core.SiteLease(m.clock(), simControllers)
+			lease := m.core.SiteLease(m.clock(), simControllers)
 			s.schedule(s.randDuration(time.Millisecond, 20*time.Millisecond), func() {
-				if !x.running {
+				if !site.running {
 					return
 				}
-				x.leaseExpiry = max(x.leaseExpiry, sent+time.Duration(float64(l.RemainingMS)*(1-maxClockDrift))*time.Millisecond)
-				x.minRevision = max(x.minRevision, l.MinRevision)
-				x.revoked = map[string]bool{}
-				for _, id := range l.LostJobs {
-					x.revoked[id] = true
+				site.leaseExpiry = max(site.leaseExpiry, sent+time.Duration(float64(lease.RemainingMS)*(1-maxClockDrift))*time.Millisecond)
+				site.minRevision = max(site.minRevision, lease.MinRevision)
+				site.revoked = map[string]bool{}
+				for _, id := range lease.LostJobs {
+					site.revoked[id] = true
 				}
 			})
 		})
@@ -448,53 +448,53 @@
 }
 
 // step is what controllers and workers do by themselves.
-func (x *simSite) step() {
+func (site *simSite) step() {
 	const dt = 100 * time.Millisecond
-	s := x.sim
-	s.schedule(dt, x.step)
+	s := site.sim
+	s.schedule(dt, site.step)
 	if s.rng.IntN(2) == 0 {
-		x.replicaRevision = x.revision
+		site.replicaRevision = site.revision
 	}
 	running := 0
-	for _, j := range x.jobs {
+	for _, j := range site.jobs {
 		if j.started {
 			running++
 		}
 	}
-	for _, id := range sortedKeys(x.jobs) {
-		j := x.jobs[id]
-		open := x.running && s.now < x.leaseExpiry && x.replicaRevision >= x.minRevision && !x.revoked[id] && !j.stopRequested
+	for _, id := range sortedKeys(site.jobs) {
+		j := site.jobs[id]
+		mayRun := site.running && s.now < site.leaseExpiry && site.replicaRevision >= site.minRevision && !site.revoked[id] && !j.stopRequested
 		switch {
-		case !j.started && open && running < 8:
+		case !j.started && mayRun && running < 8:
 			j.started, j.stopsAt = true, 0
 			running++
-			s.logf("site %d starts %s claim %d", x.index, id, j.epoch)
-			for _, o := range s.sites {
-				if o != nil && o != x && o.jobs[id] != nil && o.jobs[id].started {
-					s.violation("%s runs at site %d and starts at site %d", id, o.index, x.index)
+			s.logf("site %d starts %s claim %d", site.index, id, j.epoch)
+			for _, other := range s.sites {
+				if other != nil && other != site && other.jobs[id] != nil && other.jobs[id].started {
+					s.violation("%s runs at site %d and starts at site %d", id, other.index, site.index)
 				}
 			}
-		case j.started && !open && j.stopsAt == 0:
+		case j.started && !mayRun && j.stopsAt == 0:
 			// Its worker may get no answer, and goes on until its own lease ends.
 			j.stopsAt = s.now + s.randDuration(0, simWorkers)
-			s.logf("site %d stops %s", x.index, id)
+			s.logf("site %d stops %s", site.index, id)
 		case j.started && j.stopsAt != 0 && s.now >= j.stopsAt:
 			j.started, j.stopsAt = false, 0
 			if j.stopRequested {
-				delete(x.jobs, id)
-				x.tombstones[id] = j.epoch
+				delete(site.jobs, id)
+				site.tombstones[id] = j.epoch
 			}
 		case j.started:
 			j.remaining -= dt
-			if j.remaining <= 0 && x.running {
-				delete(x.jobs, id)
-				x.revision++
-				x.done[id] = 1
-				s.logf("site %d has done %s", x.index, id)
+			if j.remaining <= 0 && site.running {
+				delete(site.jobs, id)
+				site.revision++
+				site.done[id] = 1
+				s.logf("site %d has done %s", site.index, id)
 			}
 		}
-		if sj := s.findJob(id); j.started && sj.finalStatus == protocol.JobCancelled && s.now > sj.finalAt+simCancel {
-			s.violation("%s runs at site %d %v after its user was told that it is cancelled", id, x.index, s.now-sj.finalAt)
+		if simulated := s.findJob(id); j.started && simulated.finalStatus == protocol.JobCancelled && s.now > simulated.finalAt+simCancel {
+			s.violation("%s runs at site %d %v after its user was told that it is cancelled", id, site.index, s.now-simulated.finalAt)
 		}
 	}
 }
@@ -509,13 +509,13 @@
 }
 
 // userRequest is a user's request to one member; the answer may be lost.
-func (s *sim) userRequest(m *simMember, q Request, then func(Answer)) {
+func (s *sim) userRequest(m *simMember, req Request, onAnswer func(Answer)) {
 	s.lastToken++
-	q.Token = s.lastToken
-	s.pendingAnswers[q.Token] = then
+	req.Token = s.lastToken
+	s.pendingAnswers[req.Token] = onAnswer
 	s.schedule(s.randDuration(time.Millisecond, 10*time.Millisecond), func() {
 		if m.running && s.now >= m.stalledUntil {
-			m.applyEffects(m.core.HandleRequest(m.clock(), q))
+			m.applyEffects(m.core.HandleRequest(m.clock(), req))
 		}
 	})
 }
@@ -530,10 +530,10 @@
 		if j.accepted {
 			return
 		}
-		known := *j
-		s.userRequest(s.randomMember(), Request{Kind: Submit, ID: j.id, Spec: spec, Body: []byte(`{"id":"` + j.id + `","crew":"red","shape":"sweep","pieces":1,"cards":1}`)}, func(a Answer) {
-			s.checkAnswer(j, known, a)
-			if a.Code == 201 || a.Code == 200 {
+		knownBefore := *j
+		s.userRequest(s.randomMember(), Request{Kind: Submit, ID: j.id, Spec: spec, Body: []byte(`{"id":"` + j.id + `","crew":"red","shape":"sweep","pieces":1,"cards":1}`)}, func(answer Answer) {
+			s.checkAnswer(j, knownBefore, answer)
+			if answer.Code == 201 || answer.Code == 200 {
 				j.accepted = true
 			}
 		})
@@ -544,8 +544,8 @@
 			s.schedule(s.randDuration(10*time.Second, 20*time.Second), poll)
 			return
 		}
-		known := *j
-		s.userRequest(s.randomMember(), Request{Kind: Poll, ID: j.id}, func(a Answer) { s.checkAnswer(j, known, a) })
+		knownBefore := *j
+		s.userRequest(s.randomMember(), Request{Kind: Poll, ID: j.id}, func(answer Answer) { s.checkAnswer(j, knownBefore, answer) })
 		s.schedule(s.randDuration(2*time.Second, 5*time.Second), poll)
 	}
 	cancel = func() {
@@ -553,8 +553,8 @@
 			return
 		}
 		j.cancelRequested = true
-		known := *j
-		s.userRequest(s.randomMember(), Request{Kind: Cancel, ID: j.id}, func(a Answer) { s.checkAnswer(j, known, a) })
+		knownBefore := *j
+		s.userRequest(s.randomMember(), Request{Kind: Cancel, ID: j.id}, func(answer Answer) { s.checkAnswer(j, knownBefore, answer) })
 		s.schedule(s.randDuration(time.Second, 3*time.Second), cancel)
 	}
 	j.submittedAt = s.now
@@ -567,76 +567,76 @@
 
 // checkAnswer checks what a user hears against all it had heard when it asked: answers to
 // requests under way at once may come in any order.
-func (s *sim) checkAnswer(j *simJob, known simJob, a Answer) {
-	s.logf("user of %s is told %d %s", j.id, a.Code, a.State.Status)
+func (s *sim) checkAnswer(j *simJob, knownBefore simJob, answer Answer) {
+	s.logf("user of %s is told %d %s", j.id, answer.Code, answer.State.Status)
 	switch {
-	case a.Code == 404 && known.accepted:
+	case answer.Code == 404 && knownBefore.accepted:
 		s.violation("%s was accepted and is unknown", j.id)
-	case a.Code == 422:
+	case answer.Code == 422:
 		s.violation("%s is called impossible", j.id)
-	case a.Code != 200 && a.Code != 201:
+	case answer.Code != 200 && answer.Code != 201:
 		return
 	}
-	st := a.State.Status
-	final := st == protocol.JobDone || st == protocol.JobCancelled
+	status := answer.State.Status
+	final := status == protocol.JobDone || status == protocol.JobCancelled
 	switch {
-	case known.finalStatus != "" && st != known.finalStatus, final && j.finalStatus != "" && st != j.finalStatus:
-		s.violation("%s was called %s and is called %s", j.id, j.finalStatus, st)
-	case st == protocol.JobCancelled && !j.cancelRequested:
+	case knownBefore.finalStatus != "" && status != knownBefore.finalStatus, final && j.finalStatus != "" && status != j.finalStatus:
+		s.violation("%s was called %s and is called %s", j.id, j.finalStatus, status)
+	case status == protocol.JobCancelled && !j.cancelRequested:
 		s.violation("%s is cancelled and nobody asked", j.id)
-	case st == protocol.JobDone:
-		ok := false
-		for _, x := range s.sites {
-			ok = ok || x != nil && x.done[j.id] > 0
+	case status == protocol.JobDone:
+		doneSomewhere := false
+		for _, site := range s.sites {
+			doneSomewhere = doneSomewhere || site != nil && site.done[j.id] > 0
 		}
-		if !ok {
+		if !doneSomewhere {
 			s.violation("%s is called done and no site has done it", j.id)
 		}
 	}
 	if final && j.finalStatus == "" {
-		j.finalStatus, j.finalAt = st, s.now
+		j.finalStatus, j.finalAt = status, s.now
 	}
 }
 
 // injectFaults does something bad, and arranges for its end.
-func (s *sim) injectFaults(names []Member) {
+func (s *sim) injectFaults(members []Member) {
 	if s.faultsStopped {
 		return
 	}
-	s.schedule(s.randDuration(2*time.Second, 25*time.Second), func() { s.injectFaults(names) })
+	s.schedule(s.randDuration(2*time.Second, 25*time.Second), func() { s.injectFaults(members) })
 	m := s.randomMember()
-	long := s.randDuration(time.Second, 70*time.Second)
+	duration := s.randDuration(time.Second, 70*time.Second)
 	switch s.rng.IntN(9) {
 	case 0, 1:
 		if m.running {
-			s.logf("member %d ends for %v", m.index, long)
+			s.logf("member %d ends for %v", m.index, duration)
 			m.running = false
 			m.generation++
-			s.schedule(long, func() { m.start(names) })
+			s.schedule(duration, func() { m.start(members) })
 		}
 	case 2:
-		s.logf("member %d stands still for %v", m.index, long)
-		m.stalledUntil = max(m.stalledUntil, s.now+long)
+		s.logf("member %d stands still for %v", m.index, duration)
+		m.stalledUntil = max(m.stalledUntil, s.now+duration)
 	case 3, 4:
-		o := s.randomMember()
-		s.logf("no way from %d to %d for %v", m.index, o.index, long)
-		s.cutUntil[[2]int{m.index, o.index}] = s.now + long
+		other := s.randomMember()
+		s.logf("no way from %d to %d for %v", m.index, other.index, duration)
+		s.cutUntil[[2]int{m.index, other.index}] = s.now + duration
 		if s.rng.IntN(3) > 0 {
-			s.cutUntil[[2]int{o.index, m.index}] = s.now + long
+			s.cutUntil[[2]int{other.index, m.index}] = s.now + duration
 		}
 	case 5:
-		s.logf("store of %d slow for %v", m.index, long)
-		m.storeStalledUntil = s.now + long
+		s.logf("store of %d slow for %v", m.index, duration)
+		m.storeStalledUntil = s.now + duration
 	case 6:
-		if x := s.sites[m.index]; x != nil {
-			s.logf("daemon and controllers of %d apart for %v", m.index, long)
-			x.disconnectedUntil = s.now + long
+		if site := s.sites[m.index]; site != nil {
+			s.logf("daemon and controllers of %d apart for %v", m.index, duration)
+			site.disconnectedUntil = s.now + duration
 		}
 	case 7:
-		if x := s.sites[m.index]; x != nil && x.running {
-			s.logf("controllers of %d end for %v", m.index, long)
-			x.running, x.leaseExpiry = false, 0
-			s.schedule(long, func() { x.running = true })
+		if site := s.sites[m.index]; site != nil && site.running {
+			s.logf("controllers of %d end for %v", m.index, duration)
+			site.running, site.leaseExpiry = false, 0
+			s.schedule(duration, func() { site.running = true })
 		}
 	case 8:
 		if s.sites[m.index] != nil {
@@ -650,13 +650,13 @@
 }
 
 // runSim runs one seed to its end.
-func runSim(seed uint64, faults Faults, names []Member) *sim {
-	s := newSim(seed, faults, names)
+func runSim(seed uint64, faults Faults, members []Member) *sim {
+	s := newSim(seed, faults, members)
 	s.lossRate = s.rng.Float64() * 0.05
 	if seed%4 == 3 { // the sites' rates of changes are nearly used up
 		s.storeTime = 400 * time.Millisecond
 	}
-	s.schedule(5*time.Second, func() { s.injectFaults(names) })
+	s.schedule(5*time.Second, func() { s.injectFaults(members) })
 	for i := range 14 {
 		j := &simJob{id: fmt.Sprintf("job-%06d", i), runTime: s.randDuration(time.Second, 40*time.Second)}
 		s.jobs = append(s.jobs, j)
@@ -671,9 +671,9 @@
 			m.applyEffects(m.core.SetDrained(m.clock(), false))
 		}
 	}
-	for _, x := range s.sites {
-		if x != nil {
-			x.disconnectedUntil = 0
+	for _, site := range s.sites {
+		if site != nil {
+			site.disconnectedUntil = 0
 		}
 	}
 	s.run(480 * time.Second)
@@ -696,24 +696,24 @@
 	if j.finalStatus == protocol.JobCancelled {
 		want = wire.Cancelled
 	}
-	has := 0
-	var top wire.Item
+	storing := 0
+	var latest wire.Item
 	for _, m := range s.members {
-		it, ok := m.disk[j.id]
-		if ok && it.Record.Outcome == want {
-			has++
+		item, ok := m.disk[j.id]
+		if ok && item.Record.Outcome == want {
+			storing++
 		}
-		if ok && it.Committed && it.Record.Outcome != wire.Open && it.Record.Outcome != want {
+		if ok && item.Committed && item.Record.Outcome != wire.Open && item.Record.Outcome != want {
 			s.violation("member %d holds another end of %s as agreed on", m.index, j.id)
 		}
-		if ok && top.Accepted.Less(it.Accepted) {
-			top = it
+		if ok && latest.Accepted.Less(item.Accepted) {
+			latest = item
 		}
 	}
-	if has < len(s.members)/2+1 {
-		s.violation("%s: its end is stored by %d of %d members", j.id, has, len(s.members))
+	if storing < len(s.members)/2+1 {
+		s.violation("%s: its end is stored by %d of %d members", j.id, storing, len(s.members))
 	}
-	if top.Record.Outcome != want {
+	if latest.Record.Outcome != want {
 		s.violation("%s: the latest record does not hold its end", j.id)
 	}
 }
@@ -805,37 +805,37 @@
 // handoff that follows: before the step's effects, or after it has stored and before
 // it has sent anything. The other site or the gateway's next start finishes it.
 func TestGatewayEndsAtEveryStep(t *testing.T) {
-	for _, only := range []int{1, 2} {
-		t.Run(map[int]string{1: "before anything", 2: "after storing"}[only], func(t *testing.T) {
+	for _, outcome := range []int{1, 2} {
+		t.Run(map[int]string{1: "before anything", 2: "after storing"}[outcome], func(t *testing.T) {
 			t.Parallel()
 			reached := 0
 			for step := range 60 {
 				s := newSim(uint64(step), Faults{}, twoSites)
-				taking, steps, ended := false, 0, false
-				s.beforeEffects = func(m *simMember, e *Effects) int {
-					if m.index != 0 || ended || s.now < 10*time.Second {
+				claiming, steps, stopped := false, 0, false
+				s.beforeEffects = func(m *simMember, effects *Effects) int {
+					if m.index != 0 || stopped || s.now < 10*time.Second {
 						return 0
 					}
 					for _, id := range sortedKeys(m.core.rounds) {
-						for _, ch := range append(m.core.rounds[id].queued, m.core.rounds[id].applied...) {
-							taking = taking || ch.op.kind == opClaim
+						for _, change := range append(m.core.rounds[id].queued, m.core.rounds[id].applied...) {
+							claiming = claiming || change.op.kind == opClaim
 						}
 					}
-					if !taking {
+					if !claiming {
 						return 0
 					}
 					if steps++; steps <= step {
 						return 0
 					}
-					ended = true
+					stopped = true
 					m.running = false
 					m.generation++
 					s.schedule(30*time.Second, func() { m.start(twoSites) })
-					if only == 2 {
+					if outcome == 2 {
 						m.generation-- // what is handed to the store is written
 						s.schedule(0, func() { m.generation++ })
 					}
-					return only
+					return outcome
 				}
 				for i := range 3 {
 					j := &simJob{id: fmt.Sprintf("job-%06d", i), runTime: 25 * time.Second}
@@ -860,7 +860,7 @@
 					reportViolations(t, uint64(step), s)
 					return
 				}
-				if ended {
+				if stopped {
 					reached++
 				}
 			}
--- a/internal/coordination/gateway/siteclient.go
+++ b/internal/coordination/gateway/siteclient.go
@@ -23,8 +23,8 @@
 // NewControllers makes a client of some controllers.
 func NewControllers(addrs []string, log *slog.Logger) *Controllers {
 	c := &Controllers{addrs: addrs, log: log}
-	for _, a := range addrs {
-		c.clients = append(c.clients, transport.NewClient(a, 0))
+	for _, addr := range addrs {
+		c.clients = append(c.clients, transport.NewClient(addr, 0))
 	}
 	return c
 }
@@ -37,41 +37,41 @@
 // Call implements Site. Whether calls that got no answer were executed is not
 // known, and they may be yet: each names its claim.
 func (c *Controllers) Call(ctx context.Context, calls []Call) []Result {
-	e := &wire.Envelope{Items: make([]wire.Item, len(calls))}
+	envelope := &wire.Envelope{Items: make([]wire.Item, len(calls))}
 	byID := map[string]*Call{}
 	for i := range calls {
-		q := &calls[i]
-		e.Items[i] = wire.Item{Kind: q.Kind, ID: q.ID, Record: wire.Record{Epoch: q.Epoch, Spec: q.Spec, CreatedMS: q.CreatedMS}}
-		byID[q.ID] = q
+		call := &calls[i]
+		envelope.Items[i] = wire.Item{Kind: call.Kind, ID: call.ID, Record: wire.Record{Epoch: call.Epoch, Spec: call.Spec, CreatedMS: call.CreatedMS}}
+		byID[call.ID] = call
 	}
-	at := int(c.preferred.Load()) % len(c.clients)
-	a, err := c.clients[at].Call(ctx, callTimeout, "POST", "/site/calls", wire.Encode(e))
-	if err != nil || a.Status != 200 {
-		c.log.Debug("controller does not answer", "addr", c.addrs[at], "status", a.Status, "why", err)
-		c.preferred.Store(int64(at + 1))
+	index := int(c.preferred.Load()) % len(c.clients)
+	answer, err := c.clients[index].Call(ctx, callTimeout, "POST", "/site/calls", wire.Encode(envelope))
+	if err != nil || answer.Status != 200 {
+		c.log.Debug("controller does not answer", "addr", c.addrs[index], "status", answer.Status, "why", err)
+		c.preferred.Store(int64(index + 1))
 		return nil
 	}
-	got, err := wire.Decode(a.Body)
+	reply, err := wire.Decode(answer.Body)
 	if err != nil {
-		c.log.Warn("controller's answer not understood", "addr", c.addrs[at], "why", err)
-		c.preferred.Store(int64(at + 1))
+		c.log.Warn("controller's answer not understood", "addr", c.addrs[index], "why", err)
+		c.preferred.Store(int64(index + 1))
 		return nil
 	}
 	var out []Result
-	busy := 0
-	for i := range got.Items {
-		it := &got.Items[i]
-		q := byID[it.ID]
-		if q == nil || it.Record.Epoch != q.Epoch || it.Kind != wire.Result {
+	unavailable := 0
+	for i := range reply.Items {
+		it := &reply.Items[i]
+		call := byID[it.ID]
+		if call == nil || it.Record.Epoch != call.Epoch || it.Kind != wire.Result {
 			continue
 		}
 		if it.Code == wire.Unavailable {
-			busy++
+			unavailable++
 		}
-		out = append(out, Result{Call: *q, Code: it.Code, Done: it.Record.Tasks, Running: it.Running, Revision: it.Ballot.Number, Reason: string(it.Record.Spec)})
+		out = append(out, Result{Call: *call, Code: it.Code, Done: it.Record.Tasks, Running: it.Running, Revision: it.Ballot.Number, Reason: string(it.Record.Spec)})
 	}
-	if len(out) < len(calls) || busy == len(calls) {
-		c.preferred.Store(int64(at + 1)) // perhaps another one has the state service
+	if len(out) < len(calls) || unavailable == len(calls) {
+		c.preferred.Store(int64(index + 1)) // perhaps another one has the state service
 	}
 	return out
 }
@@ -80,48 +80,48 @@
 // that it holds.
 func (c *Controllers) Hint(ctx context.Context) *wire.Hint {
 	hints := make(chan *wire.Hint, len(c.clients))
-	for _, cl := range c.clients {
+	for _, client := range c.clients {
 		go func() {
-			a, err := cl.Call(ctx, hintTimeout, "GET", "/site/hint", nil)
-			if err != nil || a.Status != 200 {
+			answer, err := client.Call(ctx, hintTimeout, "GET", "/site/hint", nil)
+			if err != nil || answer.Status != 200 {
 				hints <- nil
 				return
 			}
-			e, err := wire.Decode(a.Body)
+			envelope, err := wire.Decode(answer.Body)
 			if err != nil {
 				hints <- nil
 				return
 			}
-			hints <- e.Hint
+			hints <- envelope.Hint
 		}()
 	}
-	var all []*wire.Hint
+	var received []*wire.Hint
 	for range c.clients {
-		if h := <-hints; h != nil {
-			all = append(all, h)
+		if hint := <-hints; hint != nil {
+			received = append(received, hint)
 		}
 	}
-	return sumHints(all)
+	return sumHints(received)
 }
 
 // sumHints adds up what controllers know of their shares; nil if none says anything.
-func sumHints(all []*wire.Hint) *wire.Hint {
-	if len(all) == 0 {
+func sumHints(hints []*wire.Hint) *wire.Hint {
+	if len(hints) == 0 {
 		return nil
 	}
-	sum := &wire.Hint{Types: all[0].Types, Teams: slices.Clone(all[0].Teams), Images: slices.Clone(all[0].Images),
-		GPUs: all[0].GPUs, FreeGPUs: all[0].FreeGPUs, Waiting: all[0].Waiting}
-	for _, h := range all[1:] {
-		sum.GPUs += h.GPUs
-		sum.FreeGPUs += h.FreeGPUs
-		sum.Waiting += h.Waiting
-		for i := range min(len(sum.Teams), len(h.Teams)) {
-			sum.Teams[i].UsedGPUs += h.Teams[i].UsedGPUs
-			sum.Teams[i].Waiting += h.Teams[i].Waiting
+	sum := &wire.Hint{Types: hints[0].Types, Teams: slices.Clone(hints[0].Teams), Images: slices.Clone(hints[0].Images),
+		GPUs: hints[0].GPUs, FreeGPUs: hints[0].FreeGPUs, Waiting: hints[0].Waiting}
+	for _, hint := range hints[1:] {
+		sum.GPUs += hint.GPUs
+		sum.FreeGPUs += hint.FreeGPUs
+		sum.Waiting += hint.Waiting
+		for i := range min(len(sum.Teams), len(hint.Teams)) {
+			sum.Teams[i].UsedGPUs += hint.Teams[i].UsedGPUs
+			sum.Teams[i].Waiting += hint.Teams[i].Waiting
 		}
-		for _, im := range h.Images {
-			if len(sum.Images) < wire.MaxImages && !slices.Contains(sum.Images, im) {
-				sum.Images = append(sum.Images, im)
+		for _, image := range hint.Images {
+			if len(sum.Images) < wire.MaxImages && !slices.Contains(sum.Images, image) {
+				sum.Images = append(sum.Images, image)
 			}
 		}
 	}
--- a/internal/coordination/gateway/status.go
+++ b/internal/coordination/gateway/status.go
@@ -41,51 +41,51 @@
 func roundToTenth(d time.Duration) float64 { return float64(d/(100*time.Millisecond)) / 10 }
 
 func (c *Core) status() Status {
-	s := Status{Member: c.cfg.Members[c.cfg.Self].Name, Majority: c.reachableCount() >= c.majority(), OpenJobs: len(c.openJobs), FinalJobs: c.finalCount,
+	status := Status{Member: c.cfg.Members[c.cfg.Self].Name, Majority: c.reachableCount() >= c.majority(), OpenJobs: len(c.openJobs), FinalJobs: c.finalCount,
 		ChangesInFlight: len(c.rounds), Counts: c.counts}
 	for _, r := range c.openJobs {
 		if !r.committed {
-			s.Undecided++
+			status.Undecided++
 		}
 		if r.record.Stopped {
-			s.Handoffs++
+			status.Handoffs++
 		}
 	}
 	for _, r := range c.rounds {
-		if slices.ContainsFunc(append(r.queued, r.applied...), func(ch *pendingChange) bool { return ch.op.kind == opClaim }) {
-			s.Handoffs++
+		if slices.ContainsFunc(append(r.queued, r.applied...), func(pending *pendingChange) bool { return pending.op.kind == opClaim }) {
+			status.Handoffs++
 		}
 	}
 	for i := range c.cfg.Members {
-		s.Members = append(s.Members, c.memberStatus(i))
+		status.Members = append(status.Members, c.memberStatus(i))
 	}
-	return s
+	return status
 }
 
 func (c *Core) memberStatus(i int) MemberStatus {
-	m := c.cfg.Members[i]
-	v := MemberStatus{Name: m.Name, Site: m.Site, State: "heard", SilentS: roundToTenth(c.now - c.lastHeard[i]), OwnedJobs: c.ownedJobs[i], HintAgeS: -1}
+	member := c.cfg.Members[i]
+	status := MemberStatus{Name: member.Name, Site: member.Site, State: "heard", SilentS: roundToTenth(c.now - c.lastHeard[i]), OwnedJobs: c.ownedJobs[i], HintAgeS: -1}
 	switch {
 	case i == c.cfg.Self:
-		v.State, v.SilentS = "this member", 0
+		status.State, status.SilentS = "this member", 0
 	case c.unreachable(i):
-		v.State = "unknown"
+		status.State = "unknown"
 	}
-	l := c.grants[i]
-	if l == nil {
-		return v
+	grant := c.grants[i]
+	if grant == nil {
+		return status
 	}
-	v.UnackedNotices, v.Lease, v.Drained = l.unackedBlocking, c.leaseStatus(i), "unknown"
-	h := c.hints[i]
-	if h.hint == nil {
-		return v
+	status.UnackedNotices, status.Lease, status.Drained = grant.unackedBlocking, c.leaseStatus(i), "unknown"
+	hint := c.hints[i]
+	if hint.hint == nil {
+		return status
 	}
-	v.HintAgeS = roundToTenth(c.now - h.receivedAt)
+	status.HintAgeS = roundToTenth(c.now - hint.receivedAt)
 	if !c.unreachable(i) {
-		v.Drained = fmt.Sprint(h.hint.Drained)
-		v.WaitingTasks, v.FreeGPUs = h.hint.Waiting, h.hint.FreeGPUs
+		status.Drained = fmt.Sprint(hint.hint.Drained)
+		status.WaitingTasks, status.FreeGPUs = hint.hint.Waiting, hint.hint.FreeGPUs
 	}
-	return v
+	return status
 }
 
 // leaseStatus says what this member knows of a site's lease.
@@ -113,11 +113,11 @@
 	By      string `json:"by,omitempty"`
 }
 
-func (c *Core) memberName(n uint8) string {
-	if n == 0 || int(n) > len(c.cfg.Members) {
+func (c *Core) memberName(number uint8) string {
+	if number == 0 || int(number) > len(c.cfg.Members) {
 		return ""
 	}
-	return c.cfg.Members[n-1].Name
+	return c.cfg.Members[number-1].Name
 }
 
 func (c *Core) jobView(id string) (JobView, bool) {
@@ -125,12 +125,12 @@
 	if r == nil || !r.hasRecord {
 		return JobView{ID: id}, false
 	}
-	v := JobView{ID: id, Owner: c.memberName(r.record.Owner), Epoch: r.record.Epoch, Agreed: r.committed, Stopped: r.record.Stopped, By: c.memberName(r.record.FinishedBy), Final: "open"}
+	view := JobView{ID: id, Owner: c.memberName(r.record.Owner), Epoch: r.record.Epoch, Agreed: r.committed, Stopped: r.record.Stopped, By: c.memberName(r.record.FinishedBy), Final: "open"}
 	switch r.record.Outcome {
 	case wire.Done:
-		v.Final = "done"
+		view.Final = "done"
 	case wire.Cancelled:
-		v.Final = "withdrawn"
+		view.Final = "withdrawn"
 	}
-	return v, true
+	return view, true
 }
--- a/internal/coordination/ticket/admit.go
+++ b/internal/coordination/ticket/admit.go
@@ -46,109 +46,109 @@
 // Admit turns a submission into what is stored, by the class of its lot. It is the
 // one way in for tickets, whichever path they came by, and depends on nothing else:
 // the same ticket becomes the same jobs at every node.
-func Admit(s *format.Submission, classes ClassTable, lim Limits) (*Admitted, error) {
-	c, ok := classes[s.Class]
+func Admit(sub *format.Submission, classes ClassTable, limits Limits) (*Admitted, error) {
+	c, ok := classes[sub.Class]
 	if !ok {
-		return nil, neverRuns("lot: %q takes no tickets; %s do", s.Class, cmp.Or(strings.Join(classes.Names(), ", "), "none"))
+		return nil, neverRuns("lot: %q takes no tickets; %s do", sub.Class, cmp.Or(strings.Join(classes.Names(), ", "), "none"))
 	}
-	plan, err := s.Template.Expand(s.Args)
+	plan, err := sub.Template.Expand(sub.Args)
 	if err != nil {
 		return nil, malformed("%v", err)
 	}
 	if plan.Tasks > c.MaxTasks {
 		return nil, neverRuns("a ticket of %s may have %d tasks, this one has %d", c.Name, c.MaxTasks, plan.Tasks)
 	}
-	if s.Tasks != nil && *s.Tasks != plan.Tasks {
-		return nil, malformed("pieces: %d, but the ticket has %d tasks", *s.Tasks, plan.Tasks)
+	if sub.Tasks != nil && *sub.Tasks != plan.Tasks {
+		return nil, malformed("pieces: %d, but the ticket has %d tasks", *sub.Tasks, plan.Tasks)
 	}
 	rec := &protocol.TicketRecord{Name: plan.Name}
-	if rec.Terms, err = c.grantTerms(s); err != nil {
+	if rec.Terms, err = c.grantTerms(sub); err != nil {
 		return nil, err
 	}
-	if rec.Base, err = c.baseSpec(s, plan.Tasks, rec.Terms.Priority); err != nil {
+	if rec.Base, err = c.baseSpec(sub, plan.Tasks, rec.Terms.Priority); err != nil {
 		return nil, err
 	}
-	for i, ps := range plan.Steps {
-		st, err := c.newStep(s, rec.Base, ps)
+	for i, planStep := range plan.Steps {
+		step, err := c.newStep(sub, rec.Base, planStep)
 		if err != nil {
 			return nil, err
 		}
-		rec.Steps = append(rec.Steps, st)
+		rec.Steps = append(rec.Steps, step)
 		if data, err := json.Marshal(StepSpec(rec, i)); err != nil || len(data) > maxStepSpecBytes {
-			return nil, malformed("step %s: its names are too long together: %d bytes, at most %d are stored", ps.Name, len(data), maxStepSpecBytes)
+			return nil, malformed("step %s: its names are too long together: %d bytes, at most %d are stored", planStep.Name, len(data), maxStepSpecBytes)
 		}
 	}
-	return packTicket(s, rec, lim)
+	return packTicket(sub, rec, limits)
 }
 
 // baseSpec is what all steps of a ticket have in common: what the submission says, or else the
 // class.
-func (c Class) baseSpec(s *format.Submission, tasks int, urgency string) (*protocol.JobSpec, error) {
-	shape := cmp.Or(s.Shape, c.Shapes[0])
+func (c Class) baseSpec(sub *format.Submission, tasks int, urgency string) (*protocol.JobSpec, error) {
+	shape := cmp.Or(sub.Shape, c.Shapes[0])
 	if !slices.Contains(c.Shapes, shape) {
 		return nil, neverRuns("shape: %s is not among those of %s: %s", shape, c.Name, strings.Join(c.Shapes, ", "))
 	}
-	b := &protocol.JobSpec{ID: s.ID, Class: s.Class, Team: s.Team, Shape: shape, Priority: urgency, Tasks: tasks,
-		Image: c.Image, ImageGB: c.ImageGB, Types: s.Types, Zone: s.Zone, OneZone: s.OneZone, Spread: s.Spread, Spot: c.Spot,
-		EstimateS: cmp.Or(s.EstimateS, c.EstimateS), CheckpointS: s.CheckpointS, SaveS: s.SaveS, DeadlineS: s.DeadlineS}
-	if s.Image != "" {
-		b.Image, b.ImageGB = s.Image, *s.ImageGB
+	spec := &protocol.JobSpec{ID: sub.ID, Class: sub.Class, Team: sub.Team, Shape: shape, Priority: urgency, Tasks: tasks,
+		Image: c.Image, ImageGB: c.ImageGB, Types: sub.Types, Zone: sub.Zone, OneZone: sub.OneZone, Spread: sub.Spread, Spot: c.Spot,
+		EstimateS: cmp.Or(sub.EstimateS, c.EstimateS), CheckpointS: sub.CheckpointS, SaveS: sub.SaveS, DeadlineS: sub.DeadlineS}
+	if sub.Image != "" {
+		spec.Image, spec.ImageGB = sub.Image, *sub.ImageGB
 	}
-	if b.Image == "" {
+	if spec.Image == "" {
 		return nil, malformed("bundle: is missing, and its class has none")
 	}
-	if s.Spot != nil {
-		b.Spot = *s.Spot
+	if sub.Spot != nil {
+		spec.Spot = *sub.Spot
 	}
-	b.CPUs, b.GPUs, b.MemoryGB = valueOr(s.CPUs, c.CPUs), valueOr(s.GPUs, c.GPUs), valueOr(s.MemoryGB, c.MemoryGB)
-	return b, nil
+	spec.CPUs, spec.GPUs, spec.MemoryGB = valueOr(sub.CPUs, c.CPUs), valueOr(sub.GPUs, c.GPUs), valueOr(sub.MemoryGB, c.MemoryGB)
+	return spec, nil
 }
 
 // newStep is what a step's tasks take, within what the submission and the class allow.
-func (c Class) newStep(s *format.Submission, base *protocol.JobSpec, ps format.PlanStep) (protocol.TicketStep, error) {
-	st := protocol.TicketStep{Name: ps.Name, Tasks: ps.Space.Len(), Deps: ps.Deps,
-		CPUs: valueOr(ps.CPUs, base.CPUs), GPUs: valueOr(ps.GPUs, base.GPUs), MemoryGB: valueOr(ps.MemoryGB, base.MemoryGB), Types: ps.Types, Zone: ps.Zone}
-	if ps.Types != nil && s.Types != nil {
-		if st.Types = intersect(ps.Types, s.Types); st.Types == nil {
-			return st, neverRuns("step %s: none of its machine types is among the submission's builds", ps.Name)
+func (c Class) newStep(sub *format.Submission, base *protocol.JobSpec, planStep format.PlanStep) (protocol.TicketStep, error) {
+	step := protocol.TicketStep{Name: planStep.Name, Tasks: planStep.Space.Len(), Deps: planStep.Deps,
+		CPUs: valueOr(planStep.CPUs, base.CPUs), GPUs: valueOr(planStep.GPUs, base.GPUs), MemoryGB: valueOr(planStep.MemoryGB, base.MemoryGB), Types: planStep.Types, Zone: planStep.Zone}
+	if planStep.Types != nil && sub.Types != nil {
+		if step.Types = intersect(planStep.Types, sub.Types); step.Types == nil {
+			return step, neverRuns("step %s: none of its machine types is among the submission's builds", planStep.Name)
 		}
 	}
-	if ps.Zone != "" && s.Zone != "" && ps.Zone != s.Zone {
-		return st, neverRuns("step %s: its region %s is not the submission's, %s", ps.Name, ps.Zone, s.Zone)
+	if planStep.Zone != "" && sub.Zone != "" && planStep.Zone != sub.Zone {
+		return step, neverRuns("step %s: its region %s is not the submission's, %s", planStep.Name, planStep.Zone, sub.Zone)
 	}
 	switch {
-	case st.CPUs == 0 && st.GPUs == 0 && st.MemoryGB == 0:
-		return st, malformed("step %s: a task takes nothing; say so in its hostRequirements, the submission or the class", ps.Name)
-	case c.MaxCPUs > 0 && st.CPUs > c.MaxCPUs:
-		return st, neverRuns("step %s: %g vcpus a task, %s allows %g", ps.Name, st.CPUs, c.Name, c.MaxCPUs)
-	case c.MaxGPUs > 0 && st.GPUs > c.MaxGPUs:
-		return st, neverRuns("step %s: %g cards a task, %s allows %g", ps.Name, st.GPUs, c.Name, c.MaxGPUs)
+	case step.CPUs == 0 && step.GPUs == 0 && step.MemoryGB == 0:
+		return step, malformed("step %s: a task takes nothing; say so in its hostRequirements, the submission or the class", planStep.Name)
+	case c.MaxCPUs > 0 && step.CPUs > c.MaxCPUs:
+		return step, neverRuns("step %s: %g vcpus a task, %s allows %g", planStep.Name, step.CPUs, c.Name, c.MaxCPUs)
+	case c.MaxGPUs > 0 && step.GPUs > c.MaxGPUs:
+		return step, neverRuns("step %s: %g cards a task, %s allows %g", planStep.Name, step.GPUs, c.Name, c.MaxGPUs)
 	}
-	return st, nil
+	return step, nil
 }
 
 // packTicket packs a ticket's template and arguments, and says whether what is to be stored fits.
-func packTicket(s *format.Submission, rec *protocol.TicketRecord, lim Limits) (*Admitted, error) {
-	packed, err := s.Pack()
+func packTicket(sub *format.Submission, rec *protocol.TicketRecord, limits Limits) (*Admitted, error) {
+	packed, err := sub.Pack()
 	if err != nil {
 		return nil, malformed("%v", err)
 	}
 	// Packed bytes are stored as base64; a record grows by what becomes of its steps.
-	if n, most := len(packed)*4/3+64, lim.MaxValueBytes; n > most {
-		return nil, neverRuns("template: %d bytes even when packed, at most %d are stored", n, most)
+	if size, maxBytes := len(packed)*4/3+64, limits.MaxValueBytes; size > maxBytes {
+		return nil, neverRuns("template: %d bytes even when packed, at most %d are stored", size, maxBytes)
 	}
 	data, err := json.Marshal(rec)
-	if n, most := len(data)+512+130*len(rec.Steps), lim.MaxValueBytes; err != nil || n > most {
-		return nil, neverRuns("steps: %d bytes with what will become of them, at most %d are stored", n, most)
+	if size, maxBytes := len(data)+512+130*len(rec.Steps), limits.MaxValueBytes; err != nil || size > maxBytes {
+		return nil, neverRuns("steps: %d bytes with what will become of them, at most %d are stored", size, maxBytes)
 	}
-	return &Admitted{ID: s.ID, Record: rec, PackedTemplate: packed}, nil
+	return &Admitted{ID: sub.ID, Record: rec, PackedTemplate: packed}, nil
 }
 
-func valueOr(p *float64, otherwise float64) float64 {
-	if p != nil {
-		return *p
+func valueOr(value *float64, fallback float64) float64 {
+	if value != nil {
+		return *value
 	}
-	return otherwise
+	return fallback
 }
 
 func intersect(a, b []string) (out []string) {
@@ -161,33 +161,33 @@
 }
 
 // grantTerms says what of its wishes a ticket gets.
-func (c Class) grantTerms(s *format.Submission) (t protocol.TicketTerms, err error) {
-	number := func(name string, asked *int, otherwise, most int) protocol.GrantedLimit {
-		g := protocol.GrantedLimit{Requested: asked, Granted: otherwise}
+func (c Class) grantTerms(sub *format.Submission) (terms protocol.TicketTerms, err error) {
+	limit := func(name string, asked *int, fallback, maximum int) protocol.GrantedLimit {
+		granted := protocol.GrantedLimit{Requested: asked, Granted: fallback}
 		if asked != nil {
-			if g.Granted = min(*asked, most); *asked > most && c.OnExcess == RefuseExcess && err == nil {
-				err = neverRuns("%s: %d asked for, %s allows %d", name, *asked, c.Name, most)
+			if granted.Granted = min(*asked, maximum); *asked > maximum && c.OnExcess == RefuseExcess && err == nil {
+				err = neverRuns("%s: %d asked for, %s allows %d", name, *asked, c.Name, maximum)
 			}
 		}
-		return g
+		return granted
 	}
-	t.MaxRetries = number("maxRetriesPerTask", s.MaxRetries, c.MaxRetries, c.MaxRetries)
-	t.MaxFailedTasks = number("maxFailedTasksCount", s.MaxFailedTasks, 0, c.MaxFailedTasks)
-	asked := s.Priority
-	if asked == "" && s.TicketPriority != nil {
-		asked = urgencyOfPriority(*s.TicketPriority)
+	terms.MaxRetries = limit("maxRetriesPerTask", sub.MaxRetries, c.MaxRetries, c.MaxRetries)
+	terms.MaxFailedTasks = limit("maxFailedTasksCount", sub.MaxFailedTasks, 0, c.MaxFailedTasks)
+	asked := sub.Priority
+	if asked == "" && sub.TicketPriority != nil {
+		asked = urgencyOfPriority(*sub.TicketPriority)
 	}
-	t.Priority = asked
+	terms.Priority = asked
 	if asked == "" {
-		t.Priority = urgencies[min(slices.Index(urgencies, "standard"), slices.Index(urgencies, c.MaxUrgency))]
+		terms.Priority = urgencies[min(slices.Index(urgencies, "standard"), slices.Index(urgencies, c.MaxUrgency))]
 	}
-	if slices.Index(urgencies, t.Priority) > slices.Index(urgencies, c.MaxUrgency) {
+	if slices.Index(urgencies, terms.Priority) > slices.Index(urgencies, c.MaxUrgency) {
 		if c.OnExcess == RefuseExcess && err == nil {
 			err = neverRuns("urgency: %s asked for, %s allows %s", asked, c.Name, c.MaxUrgency)
 		}
-		t.Priority, t.RequestedPriority = c.MaxUrgency, asked
+		terms.Priority, terms.RequestedPriority = c.MaxUrgency, asked
 	}
-	return t, err
+	return terms, err
 }
 
 // urgencyOfPriority reads the priorities of 0 to 100 that render farms have.
@@ -205,18 +205,18 @@
 
 // StepSpec is the job that a step becomes.
 func StepSpec(rec *protocol.TicketRecord, step int) *protocol.JobSpec {
-	st := &rec.Steps[step]
-	s := *rec.Base
-	s.ID = format.StepJobID(rec.Base.ID, step)
-	s.Tasks, s.CPUs, s.GPUs, s.MemoryGB = st.Tasks, st.CPUs, st.GPUs, st.MemoryGB
-	if st.Types != nil {
-		s.Types = st.Types
+	ticketStep := &rec.Steps[step]
+	spec := *rec.Base
+	spec.ID = format.StepJobID(rec.Base.ID, step)
+	spec.Tasks, spec.CPUs, spec.GPUs, spec.MemoryGB = ticketStep.Tasks, ticketStep.CPUs, ticketStep.GPUs, ticketStep.MemoryGB
+	if ticketStep.Types != nil {
+		spec.Types = ticketStep.Types
 	}
-	if st.Zone != "" {
-		s.Zone = st.Zone
+	if ticketStep.Zone != "" {
+		spec.Zone = ticketStep.Zone
 	}
-	s.DeadlineS = nil // it is the ticket's, from its submission
-	return &s
+	spec.DeadlineS = nil // it is the ticket's, from its submission
+	return &spec
 }
 
 // StepRef ties a step's job to its ticket.
@@ -248,15 +248,15 @@
 
 // Describe makes the descriptions of a ticket's steps, which its user uploads as for
 // any other job, under the ids of the steps' jobs.
-func Describe(s *format.Submission, a *Admitted) ([]Description, error) {
-	if s.Template == nil {
+func Describe(sub *format.Submission, admitted *Admitted) ([]Description, error) {
+	if sub.Template == nil {
 		return nil, errors.New("no template")
 	}
 	var out []Description
-	for i, st := range s.Template.Steps {
-		spec := StepSpec(a.Record, i)
-		out = append(out, Description{JobSpec: *spec, OneZone: spec.OneZone, Spread: spec.Spread, Spot: spec.Spot, Step: DescriptionStep{Ticket: a.ID, Name: a.Record.Name, Step: st.Name,
-			Args: s.Args, Space: st.Space, Script: st.Script, Environments: slices.Concat(s.Template.Environments, st.Environments)}})
+	for i, step := range sub.Template.Steps {
+		spec := StepSpec(admitted.Record, i)
+		out = append(out, Description{JobSpec: *spec, OneZone: spec.OneZone, Spread: spec.Spread, Spot: spec.Spot, Step: DescriptionStep{Ticket: admitted.ID, Name: admitted.Record.Name, Step: step.Name,
+			Args: sub.Args, Space: step.Space, Script: step.Script, Environments: slices.Concat(sub.Template.Environments, step.Environments)}})
 	}
 	return out, nil
 }
--- a/internal/coordination/ticket/classes.go
+++ b/internal/coordination/ticket/classes.go
@@ -62,39 +62,39 @@
 	if err := toml.Unmarshal(data, &file); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	t := ClassTable{}
-	for i, c := range file.Classes {
-		c = c.withDefaults()
-		if err := c.Validate(); err != nil {
+	table := ClassTable{}
+	for i, class := range file.Classes {
+		class = class.withDefaults()
+		if err := class.Validate(); err != nil {
 			return nil, fmt.Errorf("%s: classes[%d].%w", path, i, err)
 		}
-		if _, twice := t[c.Name]; twice {
-			return nil, fmt.Errorf("%s: classes[%d].lot: %q is there twice", path, i, c.Name)
+		if _, exists := table[class.Name]; exists {
+			return nil, fmt.Errorf("%s: classes[%d].lot: %q is there twice", path, i, class.Name)
 		}
-		t[c.Name] = c
+		table[class.Name] = class
 	}
-	if len(t) == 0 || len(t) > MaxClasses {
-		return nil, fmt.Errorf("%s: classes: %d of them, must be 1 to %d", path, len(t), MaxClasses)
+	if len(table) == 0 || len(table) > MaxClasses {
+		return nil, fmt.Errorf("%s: classes: %d of them, must be 1 to %d", path, len(table), MaxClasses)
 	}
-	return t, nil
+	return table, nil
 }
 
 // ParseClass reads one class from JSON, as the administration API takes it.
 func ParseClass(lot string, data []byte) (Class, error) {
-	d := json.NewDecoder(strings.NewReader(string(data)))
-	d.DisallowUnknownFields()
-	var c Class
-	if err := d.Decode(&c); err != nil {
-		return c, fmt.Errorf("class: %v", err)
+	decoder := json.NewDecoder(strings.NewReader(string(data)))
+	decoder.DisallowUnknownFields()
+	var class Class
+	if err := decoder.Decode(&class); err != nil {
+		return class, fmt.Errorf("class: %v", err)
 	}
-	if c.Name == "" {
-		c.Name = lot
+	if class.Name == "" {
+		class.Name = lot
 	}
-	if c.Name != lot {
-		return c, fmt.Errorf("lot: %q is not the one that is set, %q", c.Name, lot)
+	if class.Name != lot {
+		return class, fmt.Errorf("lot: %q is not the one that is set, %q", class.Name, lot)
 	}
-	c = c.withDefaults()
-	return c, c.Validate()
+	class = class.withDefaults()
+	return class, class.Validate()
 }
 
 // withDefaults gives what was left out its default.
@@ -131,14 +131,14 @@
 	case len(c.Image) > 200:
 		return errors.New("bundle: must be at most 200 characters")
 	}
-	for _, f := range []struct {
+	for _, field := range []struct {
 		name string
 		v    float64
 		most float64
 	}{{"retries", float64(c.MaxRetries), maxRetries}, {"failed", float64(c.MaxFailedTasks), format.MaxTasks}, {"vcpus", c.CPUs, 1e6}, {"cards", c.GPUs, 1e6},
 		{"memGb", c.MemoryGB, 1e6}, {"sizeGb", c.ImageGB, 1e6}, {"expectS", c.EstimateS, 1e9}, {"mostVcpus", c.MaxCPUs, 1e6}, {"mostCards", c.MaxGPUs, 1e6}} {
-		if !(f.v >= 0 && f.v <= f.most) {
-			return fmt.Errorf("%s: must be 0 to %g", f.name, f.most)
+		if !(field.v >= 0 && field.v <= field.most) {
+			return fmt.Errorf("%s: must be 0 to %g", field.name, field.most)
 		}
 	}
 	if c.MaxTasks < 1 || c.MaxTasks > format.MaxTasks {
@@ -150,12 +150,12 @@
 // WithStored is a table with what operators stored put over it.
 func (t ClassTable) WithStored(stored ClassTable) ClassTable {
 	out := ClassTable{}
-	for lot, c := range t {
-		out[lot] = c
+	for lot, class := range t {
+		out[lot] = class
 	}
-	for lot, c := range stored {
-		if c.Validate() == nil {
-			out[lot] = c
+	for lot, class := range stored {
+		if class.Validate() == nil {
+			out[lot] = class
 		}
 	}
 	return out
--- a/internal/coordination/ticket/progress.go
+++ b/internal/coordination/ticket/progress.go
@@ -26,65 +26,65 @@
 
 // NextAction says what to do about a ticket. most is how many of its steps may be open at
 // a time.
-func NextAction(rec *protocol.TicketRecord, cancelled bool, now []StepState, most int) Action {
-	failed, open, done := 0, 0, 0
-	for i, st := range rec.Steps {
-		failed += st.Failed + now[i].FailedTasks
-		if now[i].Open {
-			open++
+func NextAction(rec *protocol.TicketRecord, cancelled bool, states []StepState, maxOpen int) Action {
+	failedTasks, openSteps, doneSteps := 0, 0, 0
+	for i, step := range rec.Steps {
+		failedTasks += step.Failed + states[i].FailedTasks
+		if states[i].Open {
+			openSteps++
 		}
-		if st.State == protocol.JobDone {
-			done++
+		if step.State == protocol.JobDone {
+			doneSteps++
 		}
 	}
-	going := !cancelled && rec.FailureReason == ""
-	if most := rec.Terms.MaxFailedTasks.Granted; going && failed > most {
-		return Action{FailReason: failureReason(rec, now, failed, most)}
+	active := !cancelled && rec.FailureReason == ""
+	if maxOpen := rec.Terms.MaxFailedTasks.Granted; active && failedTasks > maxOpen {
+		return Action{FailReason: failureReason(rec, states, failedTasks, maxOpen)}
 	}
-	var n Action
-	for i, st := range rec.Steps {
+	var action Action
+	for i, step := range rec.Steps {
 		switch {
-		case !going && now[i].Open && !now[i].StopRequested:
-			n.StopSteps = append(n.StopSteps, i)
-		case !going:
-		case now[i].IDTaken && st.State == "":
-			return Action{FailReason: fmt.Sprintf("step %s: another job has the id of its job", st.Name)}
-		case now[i].Open && now[i].FailedTasks > 0 && !now[i].StopRequested && rec.Base.Shape == protocol.Gang:
-			n.StopSteps = append(n.StopSteps, i)
+		case !active && states[i].Open && !states[i].StopRequested:
+			action.StopSteps = append(action.StopSteps, i)
+		case !active:
+		case states[i].IDTaken && step.State == "":
+			return Action{FailReason: fmt.Sprintf("step %s: another job has the id of its job", step.Name)}
+		case states[i].Open && states[i].FailedTasks > 0 && !states[i].StopRequested && rec.Base.Shape == protocol.Gang:
+			action.StopSteps = append(action.StopSteps, i)
 		}
 	}
-	if going {
-		n.OpenSteps = OpenableSteps(rec, now, most)
+	if active {
+		action.OpenSteps = OpenableSteps(rec, states, maxOpen)
 	}
 	switch {
-	case n.StopSteps != nil:
-		return Action{StopSteps: n.StopSteps}
-	case n.OpenSteps != nil:
-		return Action{OpenSteps: n.OpenSteps}
-	case open > 0:
+	case action.StopSteps != nil:
+		return Action{StopSteps: action.StopSteps}
+	case action.OpenSteps != nil:
+		return Action{OpenSteps: action.OpenSteps}
+	case openSteps > 0:
 	case cancelled && rec.FailureReason == "": // whichever was stored first, and so told, holds
-		n.FinalStatus = protocol.JobCancelled
-	case going && done == len(rec.Steps):
-		n.FinalStatus = protocol.JobDone
+		action.FinalStatus = protocol.JobCancelled
+	case active && doneSteps == len(rec.Steps):
+		action.FinalStatus = protocol.JobDone
 	default:
-		n.FinalStatus = protocol.JobFailed
+		action.FinalStatus = protocol.JobFailed
 	}
-	return n
+	return action
 }
 
 // OpenableSteps are the steps that a ticket's holder may open, under the same record, beside
 // those known to be open. Who changes the record must make sure that they are not, or
 // a step would go on that nobody stops. (Found with simulated troubles: a node that
 // had not yet heard of a step's job cancelled the ticket without it.)
-func OpenableSteps(rec *protocol.TicketRecord, now []StepState, most int) (out []int) {
-	open := 0
-	for _, s := range now {
-		if s.Open {
-			open++
+func OpenableSteps(rec *protocol.TicketRecord, states []StepState, maxOpen int) (out []int) {
+	openSteps := 0
+	for _, state := range states {
+		if state.Open {
+			openSteps++
 		}
 	}
-	for i, st := range rec.Steps {
-		if st.State == "" && !now[i].Open && depsDone(rec, i) && open+len(out) < most {
+	for i, step := range rec.Steps {
+		if step.State == "" && !states[i].Open && depsDone(rec, i) && openSteps+len(out) < maxOpen {
 			out = append(out, i)
 		}
 	}
@@ -93,25 +93,25 @@
 
 // depsDone says whether all that a step depends on is done.
 func depsDone(rec *protocol.TicketRecord, step int) bool {
-	for _, d := range rec.Steps[step].Deps {
-		if rec.Steps[d].State != protocol.JobDone {
+	for _, dep := range rec.Steps[step].Deps {
+		if rec.Steps[dep].State != protocol.JobDone {
 			return false
 		}
 	}
 	return true
 }
 
-func failureReason(rec *protocol.TicketRecord, now []StepState, failed, most int) string {
-	in := ""
-	for i, st := range rec.Steps {
-		if st.Failed+now[i].FailedTasks > 0 {
-			if in != "" {
-				in += ", "
+func failureReason(rec *protocol.TicketRecord, states []StepState, failed, allowed int) string {
+	names := ""
+	for i, step := range rec.Steps {
+		if step.Failed+states[i].FailedTasks > 0 {
+			if names != "" {
+				names += ", "
 			}
-			in += st.Name
+			names += step.Name
 		}
 	}
-	return fmt.Sprintf("tasks that failed %d times each: %d, in %s; the ticket may have %d", rec.Terms.MaxRetries.Granted+1, failed, in, most)
+	return fmt.Sprintf("tasks that failed %d times each: %d, in %s; the ticket may have %d", rec.Terms.MaxRetries.Granted+1, failed, names, allowed)
 }
 
 // maxFailedRanges bounds the ranges of failed tasks that are remembered of a step.
@@ -119,18 +119,18 @@
 
 // WithStepEnded is a ticket's record once a step's job is over as status. which are its failed
 // tasks, as ranges.
-func WithStepEnded(rec *protocol.TicketRecord, step int, status string, done, failed int, which [][2]int) *protocol.TicketRecord {
+func WithStepEnded(rec *protocol.TicketRecord, step int, status string, done, failed int, failedRanges [][2]int) *protocol.TicketRecord {
 	out := *rec
 	out.Steps = append([]protocol.TicketStep{}, rec.Steps...)
-	st := &out.Steps[step]
-	st.State, st.Done, st.Failed, st.FailedRanges = status, done, failed, which[:min(len(which), maxFailedRanges)]
+	ended := &out.Steps[step]
+	ended.State, ended.Done, ended.Failed, ended.FailedRanges = status, done, failed, failedRanges[:min(len(failedRanges), maxFailedRanges)]
 	return &out
 }
 
 // WithFailure is a ticket's record once it fails.
-func WithFailure(rec *protocol.TicketRecord, why string) *protocol.TicketRecord {
+func WithFailure(rec *protocol.TicketRecord, reason string) *protocol.TicketRecord {
 	out := *rec
-	out.FailureReason = why
+	out.FailureReason = reason
 	return &out
 }
 
--- a/internal/report/plot.go
+++ b/internal/report/plot.go
@@ -36,38 +36,38 @@
 // plot draws samples over time. A gap in the samples is a gap in the curve: what was not
 // seen is not drawn.
 func plot(title string, samples []ledger.Sample, lines []curve) template.HTML {
-	var b bytes.Buffer
-	p := &plotter{canvas: svg.New(&b), samples: samples, curves: lines, from: samples[0].AtMS, to: samples[len(samples)-1].AtMS, maxValue: 1}
+	var buffer bytes.Buffer
+	p := &plotter{canvas: svg.New(&buffer), samples: samples, curves: lines, from: samples[0].AtMS, to: samples[len(samples)-1].AtMS, maxValue: 1}
 	for i := range samples {
-		for _, l := range lines {
-			p.maxValue = max(p.maxValue, l.value(&samples[i]))
+		for _, curve := range lines {
+			p.maxValue = max(p.maxValue, curve.value(&samples[i]))
 		}
 	}
 	p.canvas.Startview(plotWidth, plotHeight, 0, 0, plotWidth, plotHeight)
 	p.canvas.Title(title)
 	p.drawAxes()
 	p.drawHeading(title)
-	for _, l := range lines {
-		p.drawCurve(l)
+	for _, curve := range lines {
+		p.drawCurve(curve)
 	}
 	p.canvas.End()
 	// All of it is numbers and fixed words. The declaration before it is not for HTML.
-	s := b.String()
-	return template.HTML(s[strings.Index(s, "<svg"):])
+	document := buffer.String()
+	return template.HTML(document[strings.Index(document, "<svg"):])
 }
 
 func (p *plotter) x(ms int64) int {
 	return left + int(float64(ms-p.from)/float64(max(1, p.to-p.from))*float64(plotWidth-left-right))
 }
 
-func (p *plotter) y(v int) int { return plotHeight - bottom - v*(plotHeight-top-bottom)/p.maxValue }
+func (p *plotter) y(value int) int { return plotHeight - bottom - value*(plotHeight-top-bottom)/p.maxValue }
 
 // drawAxes draws lines for no, half and the greatest value, and the times of both ends.
 func (p *plotter) drawAxes() {
 	const small = "font:11px sans-serif;fill:#555"
-	for _, v := range []int{0, p.maxValue / 2, p.maxValue} {
-		p.canvas.Line(left, p.y(v), plotWidth-right, p.y(v), "stroke:#ddd")
-		p.canvas.Text(left-6, p.y(v)+4, thousands(v), small+";text-anchor:end")
+	for _, value := range []int{0, p.maxValue / 2, p.maxValue} {
+		p.canvas.Line(left, p.y(value), plotWidth-right, p.y(value), "stroke:#ddd")
+		p.canvas.Text(left-6, p.y(value)+4, thousands(value), small+";text-anchor:end")
 	}
 	for _, ms := range []int64{p.from, p.to} {
 		anchor := "start"
@@ -81,30 +81,30 @@
 // drawHeading writes the title, and from the right the names of the curves.
 func (p *plotter) drawHeading(title string) {
 	p.canvas.Text(left, 14, title, "font:bold 12px sans-serif;fill:#222")
-	at := plotWidth - right
-	for _, l := range slices.Backward(p.curves) {
-		p.canvas.Text(at, 14, l.name, fmt.Sprintf("font:12px sans-serif;text-anchor:end;fill:%s", l.colour))
-		at -= 8*len(l.name) + 8
+	rightEdge := plotWidth - right
+	for _, curve := range slices.Backward(p.curves) {
+		p.canvas.Text(rightEdge, 14, curve.name, fmt.Sprintf("font:12px sans-serif;text-anchor:end;fill:%s", curve.colour))
+		rightEdge -= 8*len(curve.name) + 8
 	}
 }
 
 // drawCurve draws a line for each stretch of samples without a gap.
-func (p *plotter) drawCurve(l curve) {
+func (p *plotter) drawCurve(curve curve) {
 	var xs, ys []int
 	flush := func() {
 		if len(xs) > 1 {
-			p.canvas.Polyline(xs, ys, "fill:none;stroke-width:2;stroke:"+l.colour)
+			p.canvas.Polyline(xs, ys, "fill:none;stroke-width:2;stroke:"+curve.colour)
 		} else if len(xs) == 1 {
-			p.canvas.Circle(xs[0], ys[0], 2, "fill:"+l.colour)
+			p.canvas.Circle(xs[0], ys[0], 2, "fill:"+curve.colour)
 		}
 		xs, ys = nil, nil
 	}
 	for i := range p.samples {
-		s := &p.samples[i]
-		if i > 0 && s.AtMS-p.samples[i-1].AtMS > 2*ledger.SampleInterval.Milliseconds() {
+		sample := &p.samples[i]
+		if i > 0 && sample.AtMS-p.samples[i-1].AtMS > 2*ledger.SampleInterval.Milliseconds() {
 			flush()
 		}
-		xs, ys = append(xs, p.x(s.AtMS)), append(ys, p.y(l.value(s)))
+		xs, ys = append(xs, p.x(sample.AtMS)), append(ys, p.y(curve.value(sample)))
 	}
 	flush()
 }
