--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -50,49 +50,49 @@
 // Collect puts a report together from pages. Sums are made of the rows, so that each job
 // counts once however long the pages took; beyond most rows those of the first page are
 // all there is.
-func Collect(fetch FetchPage, samples []ledger.Sample, most int) (*Data, error) {
-	var d *Data
+func Collect(fetch FetchPage, samples []ledger.Sample, maxRows int) (*Data, error) {
+	var data *Data
 	for after := ""; ; {
-		p, err := fetch(after)
+		page, err := fetch(after)
 		if err != nil {
 			return nil, err
 		}
-		if d == nil {
-			d = &Data{Node: p.Node, AsOf: p.AsOf, RememberedSince: p.RememberedSince, JobsByState: p.JobsByState, Teams: p.Teams, Classes: p.Classes, Zones: p.Zones, Samples: samples}
+		if data == nil {
+			data = &Data{Node: page.Node, AsOf: page.AsOf, RememberedSince: page.RememberedSince, JobsByState: page.JobsByState, Teams: page.Teams, Classes: page.Classes, Zones: page.Zones, Samples: samples}
 		}
-		d.StateAge = max(d.StateAge, p.SinceStateAnswer)
-		for _, u := range p.Unknown {
-			if !slices.ContainsFunc(d.Unknown, func(o string) bool { return withoutNumbers(o) == withoutNumbers(u) }) {
-				d.Unknown = append(d.Unknown, u)
+		data.StateAge = max(data.StateAge, page.SinceStateAnswer)
+		for _, unknown := range page.Unknown {
+			if !slices.ContainsFunc(data.Unknown, func(known string) bool { return withoutNumbers(known) == withoutNumbers(unknown) }) {
+				data.Unknown = append(data.Unknown, unknown)
 			}
 		}
-		d.Rows = append(d.Rows, p.Rows...)
-		if p.After == "" || p.After == after {
+		data.Rows = append(data.Rows, page.Rows...)
+		if page.After == "" || page.After == after {
 			break
 		}
-		if after = p.After; len(d.Rows) >= most {
+		if after = page.After; len(data.Rows) >= maxRows {
 			total := 0
-			for _, n := range d.JobsByState {
+			for _, n := range data.JobsByState {
 				total += n
 			}
-			d.Left = max(1, total-len(d.Rows))
+			data.Left = max(1, total-len(data.Rows))
 			break
 		}
 	}
-	slices.SortStableFunc(d.Rows, func(a, b ledger.Row) int {
+	slices.SortStableFunc(data.Rows, func(a, b ledger.Row) int {
 		return cmp.Or(stateRank(a.State)-stateRank(b.State), cmp.Compare(a.Submitted, b.Submitted), cmp.Compare(a.Job, b.Job))
 	})
-	return d, nil
+	return data, nil
 }
 
 // withoutNumbers is what is not known, without for how long: each page says it anew.
-func withoutNumbers(u string) string {
+func withoutNumbers(unknown string) string {
 	return strings.Map(func(r rune) rune {
 		if r >= '0' && r <= '9' || r == '.' {
 			return -1
 		}
 		return r
-	}, u)
+	}, unknown)
 }
 
 func stateRank(state string) int { return slices.Index(ledger.States, state) }
@@ -101,26 +101,26 @@
 func (d *Data) Recount() {
 	d.JobsByState, d.Teams, d.Classes = map[string]int{}, map[string]map[string]int{}, map[string]map[string]int{}
 	for i := range d.Rows {
-		r := &d.Rows[i]
-		d.JobsByState[r.State]++
-		for by, name := range map[*map[string]map[string]int]string{&d.Teams: r.Team, &d.Classes: r.Class} {
+		row := &d.Rows[i]
+		d.JobsByState[row.State]++
+		for by, name := range map[*map[string]map[string]int]string{&d.Teams: row.Team, &d.Classes: row.Class} {
 			if (*by)[name] == nil {
 				(*by)[name] = map[string]int{}
 			}
-			(*by)[name][r.State]++
+			(*by)[name][row.State]++
 		}
 	}
 }
 
 // KeepJobs leaves the jobs of a list, and returns those of which nothing is here.
 func (d *Data) KeepJobs(ids []string) (missing []string) {
-	at := map[string]int{}
+	index := map[string]int{}
 	for i := range d.Rows {
-		at[d.Rows[i].Job] = i + 1
+		index[d.Rows[i].Job] = i + 1
 	}
 	var rows []ledger.Row
 	for _, id := range ids {
-		if i := at[id]; i > 0 {
+		if i := index[id]; i > 0 {
 			rows = append(rows, d.Rows[i-1])
 		} else {
 			missing = append(missing, id)
@@ -133,21 +133,21 @@
 
 // CSV writes one line a job.
 func (d *Data) CSV(out io.Writer) error {
-	w := csv.NewWriter(out)
-	w.Write([]string{"job", "ticket", "team", "class", "shape", "image", "state", "why", "tasks", "done", "running", "starting", "waiting", "failed", "silent", "lost", "saved_s", "zones", "submitted", "ended", "as_of", "node"})
-	at := func(ms int64) string {
+	writer := csv.NewWriter(out)
+	writer.Write([]string{"job", "ticket", "team", "class", "shape", "image", "state", "why", "tasks", "done", "running", "starting", "waiting", "failed", "silent", "lost", "saved_s", "zones", "submitted", "ended", "as_of", "node"})
+	timestamp := func(ms int64) string {
 		if ms == 0 {
 			return ""
 		}
 		return time.UnixMilli(ms).UTC().Format(time.RFC3339)
 	}
-	for _, r := range d.Rows {
-		n := strconv.Itoa
-		w.Write([]string{escapeFormula(r.Job), escapeFormula(r.Ticket), escapeFormula(r.Team), escapeFormula(r.Class), r.Shape, escapeFormula(r.Image), r.State, escapeFormula(r.Why), n(r.Tasks), n(r.Done), n(r.Running), n(r.Starting), n(r.Waiting), n(r.Failed), n(r.Silent), n(r.Lost),
-			strconv.FormatFloat(r.SavedS, 'f', 0, 64), escapeFormula(strings.Join(r.Zones, " ")), at(r.Submitted), at(r.Ended), at(r.AsOf), escapeFormula(r.Node)})
+	for _, row := range d.Rows {
+		itoa := strconv.Itoa
+		writer.Write([]string{escapeFormula(row.Job), escapeFormula(row.Ticket), escapeFormula(row.Team), escapeFormula(row.Class), row.Shape, escapeFormula(row.Image), row.State, escapeFormula(row.Why), itoa(row.Tasks), itoa(row.Done), itoa(row.Running), itoa(row.Starting), itoa(row.Waiting), itoa(row.Failed), itoa(row.Silent), itoa(row.Lost),
+			strconv.FormatFloat(row.SavedS, 'f', 0, 64), escapeFormula(strings.Join(row.Zones, " ")), timestamp(row.Submitted), timestamp(row.Ended), timestamp(row.AsOf), escapeFormula(row.Node)})
 	}
-	w.Flush()
-	return w.Error()
+	writer.Flush()
+	return writer.Error()
 }
 
 // escapeFormula keeps a table program from taking a name for a formula.
@@ -165,25 +165,25 @@
 
 // Compare tells what has changed since an earlier report: jobs whose state is another,
 // those that are new, and those of which the later one knows nothing any more.
-func Compare(old, now *Data) []Change {
-	was := map[string]*ledger.Row{}
-	for i := range old.Rows {
-		was[old.Rows[i].Job] = &old.Rows[i]
+func Compare(before, after *Data) []Change {
+	byJob := map[string]*ledger.Row{}
+	for i := range before.Rows {
+		byJob[before.Rows[i].Job] = &before.Rows[i]
 	}
 	var out []Change
-	for i := range now.Rows {
-		r := &now.Rows[i]
-		o := was[r.Job]
-		delete(was, r.Job)
+	for i := range after.Rows {
+		row := &after.Rows[i]
+		earlier := byJob[row.Job]
+		delete(byJob, row.Job)
 		switch {
-		case o == nil:
-			out = append(out, Change{r.Job, r.Team, r.Class, "", r.State, r.Why})
-		case o.State != r.State:
-			out = append(out, Change{r.Job, r.Team, r.Class, o.State, r.State, r.Why})
+		case earlier == nil:
+			out = append(out, Change{row.Job, row.Team, row.Class, "", row.State, row.Why})
+		case earlier.State != row.State:
+			out = append(out, Change{row.Job, row.Team, row.Class, earlier.State, row.State, row.Why})
 		}
 	}
-	for _, o := range was {
-		out = append(out, Change{o.Job, o.Team, o.Class, o.State, "", "not in the later report"})
+	for _, earlier := range byJob {
+		out = append(out, Change{earlier.Job, earlier.Team, earlier.Class, earlier.State, "", "not in the later report"})
 	}
 	slices.SortFunc(out, func(a, b Change) int {
 		return cmp.Or(stateRank(a.Is)-stateRank(b.Is), cmp.Compare(a.Job, b.Job))
@@ -196,35 +196,35 @@
 	if d.Lost != "" {
 		return []string{"Nothing is known of this site: " + d.Lost + ". It is not said to be fine."}
 	}
-	n := func(state string) int { return d.JobsByState[state] }
-	jobs := func(c int, is, are string) string {
-		if c == 1 {
-			return "1 job " + is
+	count := func(state string) int { return d.JobsByState[state] }
+	describeJobs := func(count int, singular, plural string) string {
+		if count == 1 {
+			return "1 job " + singular
 		}
-		return fmt.Sprintf("%s jobs %s", thousands(c), are)
+		return fmt.Sprintf("%s jobs %s", thousands(count), plural)
 	}
 	var out []string
-	if len(d.Unknown) > 0 || n(ledger.Unknown) > 0 {
-		out = append(out, jobs(n(ledger.Unknown), "is not known", "are not known")+": who could tell does not answer. It is not said to be fine.")
+	if len(d.Unknown) > 0 || count(ledger.Unknown) > 0 {
+		out = append(out, describeJobs(count(ledger.Unknown), "is not known", "are not known")+": who could tell does not answer. It is not said to be fine.")
 	}
-	if n(ledger.Stuck) > 0 {
-		out = append(out, jobs(n(ledger.Stuck), "is stuck", "are stuck")+teamsWithJobsIn(d, ledger.Stuck)+".")
-	} else if n(ledger.Unknown) > 0 {
+	if count(ledger.Stuck) > 0 {
+		out = append(out, describeJobs(count(ledger.Stuck), "is stuck", "are stuck")+teamsWithJobsIn(d, ledger.Stuck)+".")
+	} else if count(ledger.Unknown) > 0 {
 		out = append(out, "Of what is known nothing is stuck.")
 	} else {
 		out = append(out, "Nothing is stuck.")
 	}
-	out = append(out, fmt.Sprintf("%s, %s for machines, %s being started, %s being stopped.", jobs(n(ledger.Running), "runs", "run"), thousands(n(ledger.Waiting))+" wait", thousands(n(ledger.Starting))+" are", thousands(n(ledger.Stopping))+" are"))
-	out = append(out, fmt.Sprintf("Since %s: %s done, %s withdrawn by their users, %s failed.", formatTime(d.RememberedSince), thousands(n(ledger.Done)), thousands(n(ledger.Withdrawn)), thousands(n(ledger.Failed))))
+	out = append(out, fmt.Sprintf("%s, %s for machines, %s being started, %s being stopped.", describeJobs(count(ledger.Running), "runs", "run"), thousands(count(ledger.Waiting))+" wait", thousands(count(ledger.Starting))+" are", thousands(count(ledger.Stopping))+" are"))
+	out = append(out, fmt.Sprintf("Since %s: %s done, %s withdrawn by their users, %s failed.", formatTime(d.RememberedSince), thousands(count(ledger.Done)), thousands(count(ledger.Withdrawn)), thousands(count(ledger.Failed))))
 	return out
 }
 
 // teamsWithJobsIn names the teams with jobs in a state.
 func teamsWithJobsIn(d *Data, state string) string {
 	var names []string
-	for t, s := range d.Teams {
-		if s[state] > 0 {
-			names = append(names, t)
+	for team, sums := range d.Teams {
+		if sums[state] > 0 {
+			names = append(names, team)
 		}
 	}
 	slices.SortFunc(names, func(a, b string) int { return cmp.Or(d.Teams[b][state]-d.Teams[a][state], cmp.Compare(a, b)) })
@@ -249,13 +249,13 @@
 func formatTime(ms int64) string { return time.UnixMilli(ms).UTC().Format("2006-01-02 15:04:05 UTC") }
 
 // HTML writes the page of one site: readable without scripts, on a phone and printed.
-func (d *Data) HTML(out io.Writer) error { return HTML(out, d) }
+func (data *Data) HTML(out io.Writer) error { return HTML(out, data) }
 
 // HTML writes a page of several sites.
 func HTML(out io.Writer, sites ...*Data) error {
 	var bodies []map[string]any
-	for i, d := range sites {
-		bodies = append(bodies, d.templateData(i))
+	for i, data := range sites {
+		bodies = append(bodies, data.templateData(i))
 	}
 	return page.Execute(out, map[string]any{"Sites": bodies, "Many": len(sites) > 1, "AsOf": formatTime(sites[0].AsOf)})
 }
@@ -267,28 +267,28 @@
 		Rows  []ledger.Row
 	}
 	var groups []group
-	for _, s := range ledger.States {
-		g := group{State: s}
-		for _, r := range d.Rows {
-			if r.State == s {
-				g.Rows = append(g.Rows, r)
+	for _, state := range ledger.States {
+		group := group{State: state}
+		for _, row := range d.Rows {
+			if row.State == state {
+				group.Rows = append(group.Rows, row)
 			}
 		}
-		if g.Rows != nil {
-			groups = append(groups, g)
+		if group.Rows != nil {
+			groups = append(groups, group)
 		}
 	}
 	var plots []template.HTML
-	for _, p := range []struct {
+	for _, chart := range []struct {
 		title string
 		lines []curve
 	}{
-		{"Tasks", []curve{{"running", "#2b6", func(s *ledger.Sample) int { return s.Running }}, {"waiting", "#c80", func(s *ledger.Sample) int { return s.Waiting }}}},
-		{"Machines", []curve{{"up", "#27c", func(s *ledger.Sample) int { return s.Machines }}, {"silent", "#c33", func(s *ledger.Sample) int { return s.Silent }}}},
-		{"Jobs stuck, runs lost", []curve{{"stuck", "#a3a", func(s *ledger.Sample) int { return s.Stuck }}, {"lost", "#c33", func(s *ledger.Sample) int { return s.Lost }}}},
+		{"Tasks", []curve{{"running", "#2b6", func(state *ledger.Sample) int { return state.Running }}, {"waiting", "#c80", func(s *ledger.Sample) int { return s.Waiting }}}},
+		{"Machines", []curve{{"up", "#27c", func(state *ledger.Sample) int { return state.Machines }}, {"silent", "#c33", func(s *ledger.Sample) int { return s.Silent }}}},
+		{"Jobs stuck, runs lost", []curve{{"stuck", "#a3a", func(state *ledger.Sample) int { return state.Stuck }}, {"lost", "#c33", func(s *ledger.Sample) int { return s.Lost }}}},
 	} {
 		if len(d.Samples) > 1 {
-			plots = append(plots, plot(p.title, d.Samples, p.lines))
+			plots = append(plots, plot(chart.title, d.Samples, chart.lines))
 		}
 	}
 	id := ""
@@ -305,13 +305,13 @@
 	Sums []int
 }
 
-func sumTable(m map[string]map[string]int) (out []tableRow) {
-	for name, sums := range m {
-		r := tableRow{Name: name}
-		for _, s := range ledger.States {
-			r.Sums = append(r.Sums, sums[s])
+func sumTable(sumsByName map[string]map[string]int) (out []tableRow) {
+	for name, sums := range sumsByName {
+		row := tableRow{Name: name}
+		for _, state := range ledger.States {
+			row.Sums = append(row.Sums, sums[state])
 		}
-		out = append(out, r)
+		out = append(out, row)
 	}
 	slices.SortFunc(out, func(a, b tableRow) int {
 		return cmp.Or(b.Sums[0]-a.Sums[0], b.Sums[1]-a.Sums[1], cmp.Compare(a.Name, b.Name))
