--- a/internal/coordination/gateway/api.go
+++ b/internal/coordination/gateway/api.go
@@ -17,7 +17,8 @@
 	wire "dapplestage.example/dapplestage/internal/protocol/gateway"
 )
 
-// API is a member's interface for users, as a site's, and for operators.
+// API returns the HTTP interface of a member: the users' interface, which is the same as
+// that of a site, and the operators' interface.
 func (d *Daemon) API(collectors ...prometheus.Collector) http.Handler {
 	router := httprouter.New()
 	router.RedirectTrailingSlash, router.RedirectFixedPath = false, false
@@ -44,6 +45,7 @@
 	return router
 }
 
+// postJob validates a submission and passes it to the core.
 func (d *Daemon) postJob(w http.ResponseWriter, r *http.Request, metrics *metrics) {
 	data, err := io.ReadAll(io.LimitReader(r.Body, protocol.MaxBodyBytes+1))
 	var spec *protocol.JobSpec
@@ -61,6 +63,8 @@
 	d.serveRequest(w, r, metrics, Request{Kind: Submit, ID: spec.ID, Spec: spec, Body: body, NowMS: uint64(time.Now().UnixMilli())})
 }
 
+// getReady answers 200 if the member can decide requests: it reaches a majority and can
+// write its store.
 func (d *Daemon) getReady(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	if status, ok := d.Status(r); ok && status.Majority && status.Store == "ok" {
 		writeJSON(w, http.StatusOK, 0, struct{}{})
@@ -69,6 +73,7 @@
 	writeJSON(w, http.StatusServiceUnavailable, 1, errorBody{"no majority of members is heard, or the store can't be written"})
 }
 
+// getJobView answers with this member's record of a job.
 func (d *Daemon) getJobView(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 	type found struct {
 		v  JobView
@@ -84,10 +89,12 @@
 	}
 }
 
+// errorBody is the JSON body of an error answer.
 type errorBody struct {
 	Error string `json:"error"`
 }
 
+// writeJSON answers with a JSON body and, if retryS is not 0, a Retry-After header.
 func writeJSON(w http.ResponseWriter, status, retryS int, body any) {
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -103,10 +110,11 @@
 	w.Write(data)
 }
 
-// answerTimeout is how long a user is kept waiting; the core answers within
-// userPatience of when it sees the request.
+// answerTimeout is the longest time that a user waits for an answer. The core answers
+// within userTimeout of receiving the request.
 const answerTimeout = 4 * time.Second
 
+// serveRequest passes a user request to the core and writes the answer.
 func (d *Daemon) serveRequest(w http.ResponseWriter, r *http.Request, metrics *metrics, req Request) {
 	if !protocol.ValidJobID(req.ID) {
 		writeJSON(w, http.StatusNotFound, 0, errorBody{"no such job"})
@@ -128,7 +136,8 @@
 	writeJSON(w, answer.Code, answer.RetryS, answer.State)
 }
 
-// request asks the core for a user and waits for its answer.
+// request passes a user request to the core and waits for the answer; false if there is
+// none in time.
 func (d *Daemon) request(ctx context.Context, req Request) (Answer, bool) {
 	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
@@ -148,7 +157,7 @@
 	return Answer{}, false
 }
 
-// Status is what the member knows.
+// Status returns the state of the gateway as this member knows it.
 func (d *Daemon) Status(r *http.Request) (Status, bool) {
 	return runOnCore(d, r.Context(), func() Status {
 		status := d.core.status()
@@ -160,11 +169,12 @@
 	})
 }
 
-// DrainChange asks for a site to be drained, or taken back.
+// DrainChange is the request to drain a site or to return it to service.
 type DrainChange struct {
 	On *bool `json:"on"`
 }
 
+// putDrained drains the site of this member or returns it to service.
 func (d *Daemon) putDrained(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	var change DrainChange
 	data, err := io.ReadAll(io.LimitReader(r.Body, 1024))
@@ -188,13 +198,14 @@
 	}
 }
 
-// LeaseHandler answers the site's controllers.
+// LeaseHandler returns the HTTP interface for the site's controllers: the lease, and the
+// lookup of jobs of the gateway. maxLease is the longest lease that a controller is given.
 func (d *Daemon) LeaseHandler(maxLease time.Duration) http.Handler {
 	router := httprouter.New()
 	router.GET("/site/jobs/:id", func(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
-		// Whether a submission straight at the site repeats one of the gateway: 404 if
-		// this member knows of none. If it does, a majority is asked how the job is,
-		// since nobody may be told less than before; 409 says that it can't be.
+		// Reports whether a submission made directly at the site repeats a job of the gateway:
+		// 404 if this member knows no such job. If it does, the status is read from a majority,
+		// since no user may be told an older status than before; 409 if that fails.
 		id := p.ByName("id")
 		exists, ok := runOnCore(d, r.Context(), func() bool { reg := d.core.registers[id]; return reg != nil && reg.hasRecord })
 		if ok && !exists {
@@ -219,13 +230,14 @@
 	return router
 }
 
-// metrics are the member's figures for Prometheus. Labels are bounded: kinds of
-// requests, status codes and the members' names.
+// metrics are the member's Prometheus metrics. The labels are bounded: request kinds,
+// status codes and member names.
 type metrics struct {
 	requests *prometheus.CounterVec
 	duration *prometheus.HistogramVec
 }
 
+// newMetrics creates and registers the metrics of a member.
 func newMetrics(reg *prometheus.Registry, d *Daemon) *metrics {
 	metrics := &metrics{
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "dapplestage_gateway_requests_total", Help: "Users' requests by kind and status."}, []string{"kind", "status"}),
@@ -235,7 +247,7 @@
 	return metrics
 }
 
-// coreCollector reads the core's figures when they are asked for.
+// coreCollector collects metrics from the core's state when they are scraped.
 type coreCollector struct{ d *Daemon }
 
 var (
--- a/internal/coordination/gateway/core.go
+++ b/internal/coordination/gateway/core.go
@@ -9,172 +9,179 @@
 	wire "dapplestage.example/dapplestage/internal/protocol/gateway"
 )
 
-// Member is a gateway or a site.
+// Member is a participant in the agreement: a gateway, or the daemon of a site.
 type Member struct {
 	Name string
 	Site bool
 }
 
-// Config is what all members must agree on, and who this one is. Members come in
-// the same order everywhere.
+// Config holds the settings on which all members must agree, and the index of this member.
+// Members are listed in the same order everywhere.
 type Config struct {
 	Members []Member
 	Self    int
-	// LeaseTime is a site's lease: how long it may run gateway jobs after it last
-	// asked a majority.
+	// LeaseTime is the duration of a site's lease: for how long after it last asked a majority
+	// the site may run gateway jobs.
 	LeaseTime time.Duration
-	// StopTime is how long after the end of its lease a site's tasks may run on: the
-	// controllers' part and the workers' lease (see StopBound).
+	// StopTime is for how long after its lease has expired a site's tasks may still run: the
+	// sum of the controllers' lease and the workers' lease (see StopBound).
 	StopTime time.Duration
-	// MaxInFlight bounds the submissions that a member has under way.
+	// MaxInFlight limits the submissions that a member handles concurrently.
 	MaxInFlight int
 	Route       RouteConfig
-	// Faults switches protections off, so that tests can show that they are needed.
+	// Faults disables safety checks, so that tests can show that each of them is needed.
 	Faults Faults
 }
 
-// Faults are deliberate mistakes for tests of the checker.
+// Faults are deliberate faults that tests use to verify that the simulation detects them.
 type Faults struct {
 	IgnoreLease, IgnoreEpoch, OverwriteFinal bool
 }
 
-// maxClockDrift is by how much two steady clocks may differ: each runs up to 0.05% fast.
+// maxClockDrift is the greatest relative difference between two monotonic clocks: each may
+// run up to 0.05% fast.
 const maxClockDrift = 0.001
 
-// StopBound is how long after its lease's end a site may still run a task: until
-// the controllers' own part of the lease is over, an answer sent just before has
-// reached its worker (workers drop what is later than 4 s), and the worker's lease
-// that it renewed has run out.
+// StopBound returns for how long after its lease has expired a site may still run a task:
+// until the controllers' own lease has expired, an answer sent just before has reached its
+// worker (workers drop answers that arrive more than 4 s late), and the worker lease
+// renewed by that answer has expired.
 func StopBound(controllers, workers time.Duration) time.Duration {
 	return time.Duration(float64(controllers+workers)*(1+maxClockDrift)) + 4*time.Second
 }
 
-// HandoffBound is how long after a lost site's last grant another site has claimed
-// its jobs at the latest, if members and their stores answer: the time granted, the
-// turn of the member that asks last, and its rounds.
+// HandoffBound returns the maximum time from the last lease granted to a lost site until
+// another site has claimed its jobs, if the members and their stores respond: the granted
+// time, the reconciliation delay of the last member, and the rounds of that member.
 func HandoffBound(c Config) time.Duration {
 	return time.Duration(float64(c.LeaseTime+c.StopTime)*(1+maxClockDrift)) + maxGrantSkew + time.Duration(len(c.Members))*reconcileTurn + 2*reconcileInterval
 }
 
-// Times within which the core acts.
+// Timeouts, intervals and limits of the core.
 const (
-	resendInterval    = 400 * time.Millisecond // unanswered proposals are sent again
-	userTimeout       = 2500 * time.Millisecond
-	backgroundTimeout = 4 * time.Second
-	silenceTimeout    = 3 * time.Second // a member not heard for so long counts as away
+	resendInterval    = 400 * time.Millisecond  // unanswered proposals are sent again after this time
+	userTimeout       = 2500 * time.Millisecond // limit for the answer to a user
+	backgroundTimeout = 4 * time.Second         // limit for a change that no user waits for
+	silenceTimeout    = 3 * time.Second         // a member silent for longer counts as unreachable
 	reconcileInterval = 500 * time.Millisecond
-	reconcileTurn     = time.Second            // how long one member is left to look after a job
-	maxGrantSkew      = 500 * time.Millisecond // by how much the members' last grants differ
+	reconcileTurn     = time.Second            // delay between the attempts of successive members to reconcile a job
+	maxGrantSkew      = 500 * time.Millisecond // greatest time between the members' last grants of one lease
 	hintInterval      = time.Second
-	maxNotices        = 128 // in one answer to a renewal
-	maxReconciles     = 64  // takeovers and look-ups under way
+	maxNotices        = 128 // per answer to a lease renewal
+	maxReconciles     = 64  // reclaims and learning rounds started in one pass
 )
 
-// register is an acceptor's part of one job.
+// register is this member's acceptor state for one job.
 type register struct {
 	promised, accepted wire.Ballot
-	hasRecord          bool
-	committed          bool
-	ackedSites         uint32
-	acceptedAt         time.Duration // when it was last accepted
-	nextReconcile      time.Duration // when this member may look after it again
+	hasRecord          bool          // whether record is set
+	committed          bool          // whether record is known to be accepted by a majority
+	ackedSites         uint32        // bit mask of the sites that acknowledged record durably
+	acceptedAt         time.Duration // when record was last accepted
+	nextReconcile      time.Duration // earliest time at which this member reconciles the job again
 	record             wire.Record
 }
 
-// leaseGrant is what this member granted one site, and what that site must know.
+// leaseGrant is the lease that this member granted to one site, and the notices that the
+// site has to acknowledge.
 type leaseGrant struct {
-	tasksUntil    time.Duration // the site may run jobs until then
-	noClaimBefore time.Duration // others grant it: take nothing from it before
-	// contested: others granted it when this member last tried to take a job from it.
-	// One job a time shows whether they still do.
+	tasksUntil    time.Duration // the site may run tasks until then
+	noClaimBefore time.Duration // other members grant its lease: no forced claim before then
+	// grantedByOthers is set when other members still granted the lease at this member's last
+	// forced claim on a job of the site. While it is set, only one job at a time is claimed,
+	// to find out whether they still do.
 	grantedByOthers bool
-	session         uint64
-	// notices is what the site has to know; true: it has said so, but may forget.
+	session         uint64 // number of the daemon start that the site renews under
+	// notices holds the jobs whose records the site has to know. The value is true once the
+	// site has acknowledged a notice that blocks its lease, but not durably, so that it may
+	// forget it.
 	notices         map[string]bool
-	unackedBlocking int // of pending, those that block its lease and are false
-	blocksLease     map[string]bool
-	revoked         map[string]uint32 // of jobs not accepted here: claims the site says are dead
+	unackedBlocking int               // number of notices that block the lease and are not acknowledged
+	blocksLease     map[string]bool   // jobs whose notice must be acknowledged before the lease is renewed
+	revoked         map[string]uint32 // for records not accepted here: the epoch below which the site reports its claims as revoked
 }
 
-// Effects is what the caller must do. Batches are stored in order, and Stored is
-// told when one is durable. Everything else can be done in any order, lost or
+// Effects is what the caller must carry out. Batches are stored in order, and BatchStored
+// is called when one is durable. Everything else may be done in any order, be lost or be
 // repeated.
 type Effects struct {
 	Send    map[int][]wire.Item
-	Hint    *wire.Hint // goes to all other members, when not nil
+	Hint    *wire.Hint // if not nil, sent to all other members
 	Store   []Batch
 	Answers []Answer
 	Calls   []Call
 }
 
-// Batch is what becomes durable together. One without items is a barrier: it shows
-// that this member's store is still its own.
+// Batch is a set of items that become durable together. A batch without items is a barrier:
+// its completion proves that the store still belongs to this process.
 type Batch struct {
 	Seq   uint64
 	Items []wire.Item
 }
 
-// Core is one member's whole state.
+// Core is the complete state of one member.
 type Core struct {
 	cfg         Config
-	incarnation uint32
+	incarnation uint32 // number of this start of the member
 	rng         *rand.Rand
 	log         *slog.Logger
 	now         time.Duration
 
-	registers           map[string]*register
-	openJobs            map[string]*register
-	finalCount          int
+	registers           map[string]*register // by job id
+	openJobs            map[string]*register // registers of jobs without an outcome
+	finalCount          int                  // number of registers with an outcome
 	startedAt           time.Duration
-	grants              []*leaseGrant // by member; nil for gateways
-	lastHeard           []time.Duration
-	hints               []receivedHint
-	rounds              map[string]*round
-	progress            map[string]progress
-	routeLimits         []routeLimit
-	ownedJobs           []int // open jobs by the site that holds them
-	maxBallotNumber     uint64
-	readBatches         map[uint64]*readBatch
-	readSeq             uint64
-	queuedReads         []*readRequest // to be asked together
+	grants              []*leaseGrant         // by member; nil for gateways
+	lastHeard           []time.Duration       // time of the last message, by member
+	hints               []receivedHint        // last load report, by member
+	rounds              map[string]*round     // rounds in progress, by job id
+	progress            map[string]progress   // task counts of open jobs, for display
+	routeLimits         []routeLimit          // rate limits of routing, by member
+	ownedJobs           []int                 // number of open jobs, by owning site
+	maxBallotNumber     uint64                // highest ballot number seen
+	readBatches         map[uint64]*readBatch // reads in progress, by number
+	readSeq             uint64                // number of the last read batch
+	queuedReads         []*readRequest        // reads to be sent with the next batch
 	lastReadBatch       time.Duration
 	submissionsInFlight int
 
 	site *siteAgent // nil at a gateway
 
 	effects        Effects
-	localItems     []wire.Item // from this member to itself
-	dirtyRegisters map[string]struct{}
-	barrierPending bool
-	// siteDirty: whether the site is drained is to be stored.
+	localItems     []wire.Item         // items from this member to itself
+	dirtyRegisters map[string]struct{} // registers changed since the last batch, by job id
+	barrierPending bool                // a reply needs proof that the store still belongs to this process
+	// siteStateDirty is set when the site's drain state has to be stored.
 	siteStateDirty bool
-	lastBatchSeq   uint64 // last batch handed out
-	storedSeq      uint64 // last batch known to be durable
-	heldReplies    []heldReply
+	lastBatchSeq   uint64      // number of the last batch handed to the caller
+	storedSeq      uint64      // number of the last batch known to be durable
+	heldReplies    []heldReply // replies that wait for a batch to become durable
 	lastReconcile  time.Duration
 	lastHintSent   time.Duration
-	reconcileFrom  string
+	reconcileFrom  string // job at which the next reconciliation pass starts
 	counts         Counts
 }
 
-// Counts are what the metrics tell.
+// Counts are the event counters that the metrics and the status report.
 type Counts struct {
 	Accepted, Finished, Cancelled, Forced, Moved, Nacks, Denied, Refused, Stale uint64
 }
 
+// heldReply is an item that is sent once the batch with number seq is durable.
 type heldReply struct {
 	seq  uint64
 	to   int
 	item wire.Item
 }
 
+// receivedHint is a site's last load report and the time at which it arrived.
 type receivedHint struct {
 	receivedAt time.Duration
 	hint       *wire.Hint
 }
 
-// New makes a member's core from what it has stored. inc is higher with each start
-// of the member. now is its steady clock.
+// New creates the core of a member from its stored items. incarnation increases with each
+// start of the member. now is the current reading of its monotonic clock.
 func New(cfg Config, incarnation uint32, restored []wire.Item, seed uint64, log *slog.Logger, now time.Duration) *Core {
 	c := &Core{cfg: cfg, incarnation: incarnation, rng: rand.New(rand.NewPCG(seed, uint64(incarnation))), log: log, now: now, startedAt: now,
 		registers: map[string]*register{}, openJobs: map[string]*register{}, rounds: map[string]*round{}, readBatches: map[uint64]*readBatch{},
@@ -213,7 +220,8 @@
 			}
 		}
 	}
-	// What each site has to know is found again; it says again what it knows.
+	// The notices that each site has to acknowledge are rebuilt from the records; the site
+	// acknowledges again those that it knows.
 	for i, grant := range c.grants {
 		if grant != nil {
 			c.rebuildNotices(i, grant)
@@ -226,9 +234,10 @@
 	return &leaseGrant{notices: map[string]bool{}, blocksLease: map[string]bool{}, revoked: map[string]uint32{}}
 }
 
-// majority of the members.
+// majority returns the number of members that form a majority.
 func (c *Core) majority() int { return len(c.cfg.Members)/2 + 1 }
 
+// registerOf returns a job's register, which it creates if there is none.
 func (c *Core) registerOf(id string) *register {
 	r := c.registers[id]
 	if r == nil {
@@ -238,14 +247,14 @@
 	return r
 }
 
-// countOwned counts an open job at the site that holds it.
+// countOwned adds delta to the number of open jobs of the site that owns the job.
 func (c *Core) countOwned(r *register, delta int) {
 	if r.hasRecord && r.record.Outcome == wire.Open && r.record.Owner > 0 && int(r.record.Owner) <= len(c.ownedJobs) {
 		c.ownedJobs[r.record.Owner-1] += delta
 	}
 }
 
-// updateOpen keeps the sets of open and final registers.
+// updateOpen keeps openJobs and progress in step with a register that has changed.
 func (c *Core) updateOpen(id string, r *register) {
 	if r.hasRecord && r.record.Outcome == wire.Open {
 		c.openJobs[id] = r
@@ -255,7 +264,8 @@
 	}
 }
 
-// step runs f, then everything that it causes at once, and returns the effects.
+// step runs f, then handles the items that it sends to this member itself, and returns the
+// effects of all of it.
 func (c *Core) step(now time.Duration, f func()) Effects {
 	c.now = max(c.now, now)
 	f()
@@ -275,7 +285,8 @@
 	return effects
 }
 
-// flushBatch hands out what is to be stored, and lets go what waits for nothing.
+// flushBatch hands the changes to be stored to the caller as one batch, and sends the
+// replies that wait for no batch.
 func (c *Core) flushBatch() {
 	if len(c.dirtyRegisters) > 0 || c.barrierPending || c.siteStateDirty {
 		c.lastBatchSeq++
@@ -293,12 +304,12 @@
 	c.releaseReplies()
 }
 
-// storedItem is a register as it is stored.
+// storedItem returns the register in the form in which it is stored.
 func (r *register) storedItem(id string) wire.Item {
 	return wire.Item{Kind: wire.RegisterState, ID: id, Ballot: r.promised, Accepted: r.accepted, HasRecord: r.hasRecord, Committed: r.committed, AckedSites: r.ackedSites, Record: r.record}
 }
 
-// releaseReplies sends what waited for a batch that is durable now.
+// releaseReplies sends the replies whose batch is durable.
 func (c *Core) releaseReplies() {
 	n := 0
 	for _, held := range c.heldReplies {
@@ -311,7 +322,8 @@
 	c.heldReplies = c.heldReplies[n:]
 }
 
-// send sends an item now; to this member itself, it is handled in the next step.
+// send sends an item without waiting for the store. An item to this member itself is
+// handled later in the same step.
 func (c *Core) send(to int, it wire.Item) {
 	if to == c.cfg.Self {
 		c.localItems = append(c.localItems, it)
@@ -320,8 +332,8 @@
 	c.effects.Send[to] = append(c.effects.Send[to], it)
 }
 
-// sendWhenDurable sends an item once all that this member has changed is durable: nobody may
-// be told what a crash could take back.
+// sendWhenDurable sends an item once all changes made so far are durable: no other member
+// may be told anything that a crash could undo.
 func (c *Core) sendWhenDurable(to int, it wire.Item) {
 	seq := c.lastBatchSeq
 	if len(c.dirtyRegisters) > 0 || c.barrierPending || c.siteStateDirty {
@@ -330,7 +342,7 @@
 	c.heldReplies = append(c.heldReplies, heldReply{seq, to, it})
 }
 
-// Receive takes in a message from another member.
+// Receive handles a message from another member.
 func (c *Core) Receive(now time.Duration, from int, envelope *wire.Envelope) Effects {
 	return c.step(now, func() {
 		c.lastHeard[from] = c.now
@@ -343,7 +355,7 @@
 	})
 }
 
-// BatchStored says that all batches up to seq are durable.
+// BatchStored reports to the core that all batches up to seq are durable.
 func (c *Core) BatchStored(now time.Duration, seq uint64) Effects {
 	return c.step(now, func() {
 		c.storedSeq = max(c.storedSeq, seq)
@@ -351,7 +363,7 @@
 	})
 }
 
-// Tick does what is due by time alone.
+// Tick performs all actions that are due by time.
 func (c *Core) Tick(now time.Duration) Effects {
 	return c.step(now, func() {
 		c.tickRounds()
@@ -402,7 +414,8 @@
 	}
 }
 
-// onPrepare promises.
+// onPrepare promises to accept no lower ballot, unless it has promised a higher one or the
+// proposal would take the job from a site whose lease may still be valid.
 func (c *Core) onPrepare(from int, it *wire.Item) {
 	r := c.registerOf(it.ID)
 	c.maxBallotNumber = max(c.maxBallotNumber, it.Ballot.Number)
@@ -411,8 +424,8 @@
 		return
 	}
 	if site := int(it.Record.PrevOwner) - 1; site >= 0 && site < len(c.grants) && c.grants[site] != nil && c.tasksMayRun(site) && !c.cfg.Faults.IgnoreLease {
-		// Said before anything is accepted: a claim that only some accepted would keep
-		// its site from its lease, and others from taking the job.
+		// The refusal comes before anything is accepted: a claim accepted by a minority only
+		// would block the lease of the site and keep other members from claiming the job.
 		c.send(from, wire.Item{Kind: wire.Nack, ID: it.ID, Ballot: it.Ballot, Code: wire.LeaseActive})
 		return
 	}
@@ -423,11 +436,12 @@
 	c.sendWhenDurable(from, wire.Item{Kind: wire.Promise, ID: it.ID, Ballot: it.Ballot, Accepted: r.accepted, HasRecord: r.hasRecord, Committed: r.committed, Record: r.record})
 }
 
-// mayAcceptClaim says whether, as far as this member granted leases, the site that a
-// record was taken from without its proof can run nothing of it any more. It is
-// asked of every member of the majority that accepts the claim, and every lease was
-// granted by a majority too. A final record gives the job to nobody; the site has
-// to know of it before its lease is renewed, as of a cancellation.
+// mayAcceptClaim reports whether a record may be accepted that takes a job from a site
+// without that site's proof that it has stopped it. It may if, by the leases that this
+// member granted, no task of the job can run at the site any more. Every member of the
+// majority that accepts the claim checks this; every lease is granted by a majority too,
+// and any two majorities share a member. A final record gives the job to no other site: as
+// after a cancellation, the site has to know the record before its lease is renewed.
 func (c *Core) mayAcceptClaim(id string, rec *wire.Record, r *register) bool {
 	if rec.PrevOwner == 0 || rec.Outcome != wire.Open || c.cfg.Faults.IgnoreLease || r.hasRecord && r.record.Epoch >= rec.Epoch {
 		return true
@@ -440,19 +454,21 @@
 	return !c.tasksMayRun(site)
 }
 
-// tasksMayRun says whether a site may, as far as this member knows, still run jobs. A
-// member that has just started has forgotten what it granted.
+// tasksMayRun reports whether, as far as this member knows, a site may still run gateway
+// jobs. A member that has just started no longer knows which leases it granted, so it
+// assumes that it granted one to each site just before.
 func (c *Core) tasksMayRun(site int) bool {
 	return c.now < c.grants[site].tasksUntil || c.now < c.startedAt+c.grantDuration()
 }
 
-// grantDuration is how long after a renewal has come the site may run tasks by this
-// member's clock.
+// grantDuration returns for how long, by this member's clock, a site may run tasks after
+// its renewal request has arrived.
 func (c *Core) grantDuration() time.Duration {
 	return time.Duration(float64(c.cfg.LeaseTime+c.cfg.StopTime) * (1 + maxClockDrift))
 }
 
-// onAccept accepts a proposed record.
+// onAccept accepts a proposed record, unless a higher ballot was promised or the site that
+// loses the job may still run it.
 func (c *Core) onAccept(from int, it *wire.Item) {
 	r := c.registerOf(it.ID)
 	c.maxBallotNumber = max(c.maxBallotNumber, it.Ballot.Number)
@@ -467,7 +483,8 @@
 	if !c.mayAcceptClaim(it.ID, &it.Record, r) {
 		site := int(it.Record.PrevOwner) - 1
 		c.send(from, wire.Item{Kind: wire.Nack, ID: it.ID, Ballot: it.Ballot, Code: wire.LeaseActive})
-		// The site may know already that its claim is dead, and then says so.
+		// The site may know already that its claim is revoked; it then answers the notice with an
+		// acknowledgement.
 		c.send(site, wire.Item{Kind: wire.Notice, ID: it.ID, Accepted: it.Ballot, HasRecord: true, Record: it.Record})
 		return
 	}
@@ -476,13 +493,13 @@
 	c.sendWhenDurable(from, wire.Item{Kind: wire.Accepted, ID: it.ID, Ballot: it.Ballot})
 }
 
-// onCommit learns that a majority accepted what was proposed under a ballot. Who
-// missed the proposal finds out what it was.
+// onCommit handles the news that a majority accepted the record proposed under a ballot. A
+// member that did not accept that record starts a round to learn it.
 func (c *Core) onCommit(from int, it *wire.Item) {
 	r := c.registers[it.ID]
 	if r == nil || !r.hasRecord || r.accepted.Less(it.Ballot) {
 		if r != nil && r.hasRecord && r.record.Outcome != wire.Open {
-			return // nothing comes after a final answer
+			return // a final record is never replaced
 		}
 		if len(c.rounds) < c.cfg.MaxInFlight {
 			c.propose(it.ID, op{kind: opLearn}, backgroundTimeout, nil)
@@ -494,18 +511,19 @@
 	}
 }
 
+// setCommitted marks a register's record as accepted by a majority.
 func (c *Core) setCommitted(id string, r *register) {
 	r.committed = true
 	if r.record.Outcome != wire.Open {
-		c.dirtyRegisters[id] = struct{}{} // so that it need not be found out again
+		c.dirtyRegisters[id] = struct{}{} // stored, so that it need not be learned again after a restart
 	}
 	if c.site != nil {
 		c.site.applyRecord(id, &r.record)
 	}
 }
 
-// setRecord takes a record into a register, and notes which sites have to know of it.
-// What a site acknowledged of an earlier claim or loss says nothing of a later one.
+// setRecord replaces a register's record and determines which sites have to know the new
+// one. An acknowledgement of an earlier claim or loss does not count for a later one.
 func (c *Core) setRecord(id string, r *register, accepted wire.Ballot, rec *wire.Record, committed bool) {
 	switch {
 	case !r.hasRecord || rec.Epoch > r.record.Epoch+1:
@@ -522,7 +540,7 @@
 	switch {
 	case isFinal && !wasFinal:
 		c.finalCount++
-	case wasFinal && !isFinal: // it was never agreed on
+	case wasFinal && !isFinal: // the final record was never accepted by a majority
 		c.finalCount--
 	}
 	c.countOwned(r, -1)
@@ -541,23 +559,25 @@
 	}
 }
 
-// trackNotice notes whether a site has to know of a register.
+// trackNotice determines whether a site has to acknowledge a register's record, and whether
+// its lease waits for that.
 func (c *Core) trackNotice(site int, grant *leaseGrant, id string, r *register) {
-	concerns, blocks := noticeRequired(&r.record, site)
+	required, blocksLease := noticeRequired(&r.record, site)
 	if r.ackedSites&memberBit(site) != 0 {
-		concerns, blocks = concerns && !blocks, false
+		required, blocksLease = required && !blocksLease, false
 	}
 	c.untrackNotice(grant, id)
-	if !concerns {
+	if !required {
 		return
 	}
 	grant.notices[id] = false
-	if blocks {
+	if blocksLease {
 		grant.blocksLease[id] = true
 		grant.unackedBlocking++
 	}
 }
 
+// untrackNotice forgets the notice for a job.
 func (c *Core) untrackNotice(grant *leaseGrant, id string) {
 	if acked, ok := grant.notices[id]; ok {
 		if grant.blocksLease[id] && !acked {
@@ -568,7 +588,8 @@
 	}
 }
 
-// rebuildNotices finds again what a site has to know: it has started anew, or this member has.
+// rebuildNotices determines anew what a site has to acknowledge, after a restart of the
+// site or of this member.
 func (c *Core) rebuildNotices(site int, grant *leaseGrant) {
 	grant.notices, grant.blocksLease, grant.unackedBlocking = map[string]bool{}, map[string]bool{}, 0
 	for id, r := range c.registers {
@@ -578,8 +599,9 @@
 	}
 }
 
-// onRenew grants a site its lease, unless the site does not know yet that a job is
-// not its any more. With either answer it is told of what concerns it.
+// onRenew grants a site its lease, unless the site has not yet acknowledged that it no
+// longer owns some job. With either answer it sends the site the notices that are not
+// acknowledged.
 func (c *Core) onRenew(from int, it *wire.Item) {
 	grant := c.grants[from]
 	if grant == nil {
@@ -587,7 +609,7 @@
 	}
 	session := uint64(it.Ballot.Proposer)
 	if session < grant.session {
-		return // from before its last start
+		return // sent before its last start
 	}
 	if session > grant.session {
 		grant.session = session
@@ -622,11 +644,12 @@
 	c.sendWhenDurable(from, wire.Item{Kind: kind, Ballot: it.Ballot})
 }
 
-// onAck learns that a site knows: claims of its own below an epoch are dead there.
+// onAck handles a site's acknowledgement that its claims on a job below an epoch are
+// revoked there.
 func (c *Core) onAck(from int, it *wire.Item) {
 	grant := c.grants[from]
 	if grant == nil || !it.Durable && uint64(it.Ballot.Proposer) != grant.session {
-		return // said before the site's daemon started anew: it may have forgotten
+		return // sent before the site's daemon restarted, which may have lost it
 	}
 	r := c.registers[it.ID]
 	if r == nil || !r.hasRecord || it.Record.Epoch > r.record.Epoch && r.record.Outcome == wire.Open {
@@ -654,15 +677,17 @@
 	c.untrackNotice(grant, it.ID)
 }
 
-// ackRevoked marks an Ack that answers the notice of a claim not accepted here.
+// ackRevoked is the code of an Ack that answers the notice of a claim not accepted by this
+// member.
 const ackRevoked = 1
 
-// unreachable says whether a member has not been heard of lately.
+// unreachable reports whether no message has arrived from a member for silenceTimeout.
 func (c *Core) unreachable(m int) bool {
 	return m != c.cfg.Self && c.now-c.lastHeard[m] > silenceTimeout
 }
 
-// reachableCount counts the members that were heard lately, this one included.
+// reachableCount returns the number of members that are not unreachable, including this
+// one.
 func (c *Core) reachableCount() int {
 	n := 0
 	for i := range c.cfg.Members {
@@ -673,9 +698,10 @@
 	return n
 }
 
-// reconcileJobs looks after open jobs that nobody else seems to: those whose record is not
-// known to be agreed on, and those whose site has lost them. All members do it,
-// later ones a little later; the agreement makes doing it twice harmless.
+// reconcileJobs acts on open jobs that no other member seems to handle: those whose record
+// is not known to be accepted by a majority, and those whose site has released or lost
+// them. All members do this, each some time after the previous one. Doing it twice is
+// harmless, since every change goes through the agreement.
 func (c *Core) reconcileJobs() {
 	for i := range c.cfg.Members {
 		if grant := c.grants[i]; grant != nil {
@@ -687,7 +713,7 @@
 	}
 	delay := c.reconcileDelay()
 	started := 0
-	probed := make([]bool, len(c.cfg.Members)) // sites from which a job is being taken
+	probed := make([]bool, len(c.cfg.Members)) // sites from which a job is being claimed by force
 	for _, id := range c.reconcileOrder() {
 		r := c.openJobs[id]
 		if r == nil || c.now < r.nextReconcile {
@@ -710,10 +736,10 @@
 	c.reconcileFrom = ""
 }
 
-// reconcileDelay is how much later than the first member that is there this one looks after jobs:
-// it does so only if those before it do not for some seconds. (Found with real processes:
+// reconcileDelay returns how much later than the first reachable member this one reconciles
+// jobs: it acts only if the members before it do not for some seconds. Without the delay,
 // three members that all tried twice a second, with stores that take a tenth of a second,
-// kept one another from a majority for more than a minute.)
+// kept one another from a majority for more than a minute.
 func (c *Core) reconcileDelay() time.Duration {
 	reachableBefore := 0
 	for i := range c.cfg.Self {
@@ -724,7 +750,8 @@
 	return time.Duration(reachableBefore) * reconcileTurn
 }
 
-// reconcileJob proposes what a job needs, if it needs something and it is this member's turn.
+// reconcileJob proposes the change that a job needs, if it needs one and this member's
+// delay has passed. It reports whether it started a round.
 func (c *Core) reconcileJob(id string, r *register, delay time.Duration, probed []bool) (started bool) {
 	if !r.committed {
 		if c.now-r.acceptedAt <= silenceTimeout+delay {
@@ -749,27 +776,28 @@
 	return c.proposeReclaim(id, r)
 }
 
-// mayReclaim says whether a job may be taken from a site that has not released it: as far as
-// this member knows nobody grants its lease any more.
+// mayReclaim reports whether a job may be claimed from a site that has not released it: as
+// far as this member knows, no member grants the lease of the site any more.
 func (c *Core) mayReclaim(site int, delay time.Duration, probed bool) bool {
 	grant := c.grants[site]
 	return !c.tasksMayRun(site) && c.now > grant.tasksUntil+maxGrantSkew+delay && c.now >= grant.noClaimBefore && !(grant.grantedByOthers && probed)
 }
 
-// scheduleNextReconcile notes that this member has looked after a job: the others get their turn
-// before it does so again.
+// scheduleNextReconcile sets when this member reconciles the job again, late enough for the
+// other members to act first.
 func (c *Core) scheduleNextReconcile(r *register, delay time.Duration) {
 	r.nextReconcile = c.now + reconcileTurn + delay + time.Duration(c.rng.Int64N(int64(reconcileTurn)))
 }
 
-// reconcileOrder lists the open jobs, starting where the last look had to end.
+// reconcileOrder returns the open jobs, starting where the previous pass stopped.
 func (c *Core) reconcileOrder() []string {
 	ids := sortedKeys(c.openJobs)
 	at, _ := slices.BinarySearch(ids, c.reconcileFrom)
 	return append(ids[at:], ids[:at]...)
 }
 
-// proposeReclaim proposes another site for a job that its site has released or lost.
+// proposeReclaim proposes a new site for a job that its owner has released or lost. It
+// reports whether there is such a site.
 func (c *Core) proposeReclaim(id string, r *register) bool {
 	to, ok := c.chooseNewSite(&r.record)
 	if !ok {
--- a/internal/coordination/gateway/daemon.go
+++ b/internal/coordination/gateway/daemon.go
@@ -10,48 +10,51 @@
 	wire "dapplestage.example/dapplestage/internal/protocol/gateway"
 )
 
-// Store keeps a member's registers. Write returns when the items are durable, all or
-// none of them; without items, when it is shown that the store is still this
-// process's own. It is called by one routine at a time. An error of kind ErrFatal
-// ends the daemon; after any other it is called again with the same items.
+// Store persists a member's registers. Write returns nil when all of the items are durable;
+// if it fails, none or all of them may be. Without items it returns nil once it is proved
+// that the store still belongs to this process. Only one goroutine calls it at a time. An
+// error that wraps ErrFatal ends the daemon; after any other error the call is repeated
+// with the same items.
 type Store interface {
 	Write(ctx context.Context, items []wire.Item) error
 }
 
-// ErrFatal marks errors after which a member must not go on.
-var ErrFatal = errors.New("the member can't go on")
+// ErrFatal marks errors after which a member must not continue.
+var ErrFatal = errors.New("the member can't continue")
 
-// Site carries calls to the site's controllers.
+// Site sends calls to the site's controllers.
 type Site interface {
-	// Call makes some calls. What it returns no result for is not known to have happened.
+	// Call makes calls to the controllers. Of calls without a result it is not known whether
+	// they had any effect.
 	Call(ctx context.Context, calls []Call) []Result
-	// Hint asks the controllers how the site is; nil if none says.
+	// Hint returns the site's load as its controllers report it; nil if none answers.
 	Hint(ctx context.Context) *wire.Hint
 }
 
-// Daemon runs a member: one routine owns the core, everything else talks to it.
+// Daemon runs a member: one goroutine owns the core, and all others pass it functions to
+// run.
 type Daemon struct {
 	core              *Core
 	cfg               Config
 	log               *slog.Logger
 	ctx               context.Context
 	stop              context.CancelCauseFunc
-	mailbox           chan func()
-	startedAt         time.Time
+	mailbox           chan func() // functions for the goroutine that owns the core
+	startedAt         time.Time   // zero of the monotonic clock
 	store             Store
 	send              func(to int, e *wire.Envelope)
 	site              Site
 	batches           chan Batch
 	calls             chan Call
-	pendingAnswers    map[uint64]chan<- Answer
+	pendingAnswers    map[uint64]chan<- Answer // where the answers to user requests go, by token
 	lastToken         uint64
-	storeFailingSince time.Time // when the store first failed to write what waits
-	storeErr          error
+	storeFailingSince time.Time // when the store began to fail
+	storeErr          error     // last error of the store; nil: it can be written
 }
 
-// NewDaemon makes a member that lives until ctx ends. start is higher with each
-// start of the member; items are what it has stored; send must not block; site is
-// nil for a gateway.
+// NewDaemon creates a member that runs until ctx ends. incarnation increases with each
+// start of the member; items is the stored state; send must not block; site is nil for a
+// gateway.
 func NewDaemon(ctx context.Context, cfg Config, incarnation uint32, items []wire.Item, store Store, send func(to int, e *wire.Envelope), site Site, seed uint64, log *slog.Logger) *Daemon {
 	d := &Daemon{cfg: cfg, log: log, mailbox: make(chan func(), 4096), startedAt: time.Now(), store: store, send: send, site: site,
 		batches: make(chan Batch, 4096), calls: make(chan Call, 4*maxCallsInFlight), pendingAnswers: map[uint64]chan<- Answer{}}
@@ -60,10 +63,10 @@
 	return d
 }
 
-// now is the steady clock of the member.
+// now returns the member's monotonic clock.
 func (d *Daemon) now() time.Duration { return time.Since(d.startedAt) }
 
-// enqueue hands f to the routine that owns the core.
+// enqueue passes f to the goroutine that owns the core.
 func (d *Daemon) enqueue(f func()) {
 	select {
 	case d.mailbox <- f:
@@ -71,10 +74,11 @@
 	}
 }
 
-// tickInterval is how often the core looks at what is due.
+// tickInterval is how often the core checks what is due by time.
 const tickInterval = 20 * time.Millisecond
 
-// Run serves until the daemon's context ends, and says why it ended.
+// Run serves until the context of the daemon ends, and returns the cause unless it was
+// cancelled.
 func (d *Daemon) Run() error {
 	done := make(chan struct{})
 	go func() {
@@ -103,7 +107,7 @@
 	return nil
 }
 
-// applyEffects carries out effects.
+// applyEffects carries out the effects of a step.
 func (d *Daemon) applyEffects(effects Effects) {
 	for _, b := range effects.Store {
 		select {
@@ -114,7 +118,7 @@
 	}
 	for to := range d.cfg.Members {
 		if items := effects.Send[to]; to != d.cfg.Self && (len(items) > 0 || effects.Hint != nil) {
-			// A message that is too long is sent in parts: the order does not matter.
+			// A long message is sent in parts; their order does not matter.
 			for len(items) > maxItemsPerMessage {
 				d.send(to, &wire.Envelope{Items: items[:maxItemsPerMessage]})
 				items = items[maxItemsPerMessage:]
@@ -131,16 +135,16 @@
 	for _, call := range effects.Calls {
 		select {
 		case d.calls <- call:
-		default: // never more than mostCalls are under way
-			d.stop(fmt.Errorf("%w: calls pile up", ErrFatal))
+		default: // the core has at most maxCallsInFlight calls in flight
+			d.stop(fmt.Errorf("%w: too many calls to the controllers are queued", ErrFatal))
 		}
 	}
 }
 
-// maxItemsPerMessage bounds a message.
+// maxItemsPerMessage limits the items of one message.
 const maxItemsPerMessage = 1000
 
-// storeBatches stores batches in order, all that wait at once (group commit).
+// storeBatches stores batches in order, all that are queued in one write (group commit).
 func (d *Daemon) storeBatches() {
 	for {
 		var batch Batch
@@ -177,8 +181,8 @@
 	}
 }
 
-// storeItems tries until the items are durable. Meanwhile this member promises and
-// accepts nothing more, since nothing is told before it is stored.
+// storeItems retries until the items are durable. Meanwhile this member promises and
+// accepts nothing new, since replies wait until their state is stored.
 func (d *Daemon) storeItems(items []wire.Item) bool {
 	for attempt := 0; ; attempt++ {
 		err := d.store.Write(d.ctx, items)
@@ -213,11 +217,11 @@
 	}
 }
 
-// callBatchDelay is how long calls wait for others to go with.
+// callBatchDelay is how long a call waits for others to be sent in the same request.
 const callBatchDelay = 15 * time.Millisecond
 
-// sendCalls takes calls to the controllers, many in one request, several requests
-// under way.
+// sendCalls sends calls to the controllers, many per request and several requests
+// concurrently.
 func (d *Daemon) sendCalls() {
 	slots := make(chan struct{}, 4)
 	for {
@@ -259,7 +263,7 @@
 	}
 }
 
-// callKey is what names a call among others.
+// callKey identifies a call.
 type callKey struct {
 	kind  wire.Kind
 	id    string
@@ -268,7 +272,7 @@
 
 func callKeyOf(c *Call) callKey { return callKey{c.Kind, c.ID, c.Epoch} }
 
-// pollHints asks the controllers how the site is, every other second.
+// pollHints asks the controllers for the load of the site every 2 s.
 func (d *Daemon) pollHints() {
 	for d.ctx.Err() == nil {
 		if hint := d.site.Hint(d.ctx); hint != nil {
@@ -281,12 +285,13 @@
 	}
 }
 
-// Receive takes in a message of another member.
+// Receive handles a message from another member.
 func (d *Daemon) Receive(from int, e *wire.Envelope) {
 	d.enqueue(func() { d.applyEffects(d.core.Receive(d.now(), from, e)) })
 }
 
-// runOnCore runs f on the routine that owns the core and returns what it returns.
+// runOnCore runs f on the goroutine that owns the core and returns its result; false if the
+// context ends first.
 func runOnCore[T any](d *Daemon, ctx context.Context, f func() T) (value T, ok bool) {
 	reply := make(chan T, 1)
 	d.enqueue(func() { reply <- f() })
@@ -299,12 +304,12 @@
 	return value, false
 }
 
-// SiteLease is what the site's controllers are told now.
+// SiteLease returns the lease that the site's controllers are given now.
 func (d *Daemon) SiteLease(ctx context.Context, maxLease time.Duration) (wire.Lease, bool) {
 	return runOnCore(d, ctx, func() wire.Lease { return d.core.SiteLease(d.now(), maxLease) })
 }
 
-// setDrained drains the site, or takes it back into service; it is stored first.
+// setDrained drains the site or returns it to service, and waits until that is stored.
 func (d *Daemon) setDrained(ctx context.Context, on bool) error {
 	ctx, cancel := context.WithTimeout(ctx, userTimeout)
 	defer cancel()
--- a/internal/coordination/gateway/daemon_test.go
+++ b/internal/coordination/gateway/daemon_test.go
@@ -14,7 +14,7 @@
 	wire "dapplestage.example/dapplestage/internal/protocol/gateway"
 )
 
-// memStore is a store that can be full.
+// memStore is a Store in memory whose writes can be made to fail.
 type memStore struct {
 	mu       sync.Mutex
 	writeErr error
@@ -39,7 +39,7 @@
 	s.writeErr = err
 }
 
-// memSite takes every job and never ends one.
+// memSite is a Site that accepts every job and never completes one.
 type memSite struct{}
 
 func (memSite) Call(_ context.Context, calls []Call) []Result {
@@ -58,7 +58,7 @@
 	return &wire.Hint{GPUs: 8, FreeGPUs: 8, Types: []wire.TypeHint{{Name: "g4", CPUs: 24, GPUs: 4, MemoryGB: 192, Zones: []string{"a"}}}, Teams: []wire.TeamHint{{Name: "red"}}}
 }
 
-// testCluster is three members in one process.
+// testCluster is a gateway and two sites in one process.
 type testCluster struct {
 	t            *testing.T
 	daemons      []*Daemon
@@ -70,6 +70,8 @@
 
 func newTestCluster(t *testing.T) *testCluster { return newTestClusterMoving(t, 0) }
 
+// newTestClusterMoving returns a cluster that moves a job if none of its tasks was placed
+// for moveAfterS seconds.
 func newTestClusterMoving(t *testing.T, moveAfterS float64) *testCluster {
 	c := &testCluster{t: t}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -117,6 +119,7 @@
 	return c
 }
 
+// setDisconnected drops all messages to and from a member, or delivers them again.
 func (c *testCluster) setDisconnected(member int, disconnected bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -151,7 +154,7 @@
 	})
 }
 
-// owner is the site that the members agree holds job-1.
+// owner returns the site that owns job-1, once a majority has agreed on it; empty before.
 func (c *testCluster) owner() string {
 	_, body, _ := c.request(0, "GET", "/admin/gateway/jobs/job-1", "")
 	for _, name := range []string{"quito", "xela"} {
@@ -162,9 +165,10 @@
 	return ""
 }
 
-// TestAnyOneMemberMayBeAway: the other two accept, tell and cancel; with two away
-// the third answers 503 at once, with a time to come back.
-func TestAnyOneMemberMayBeAway(t *testing.T) {
+// With one member unreachable, the other two accept, show and cancel jobs. With two
+// unreachable, the third answers 503 at once with a Retry-After header, and still knows the
+// jobs whose outcome it has stored.
+func TestAnyMemberMayBeUnreachable(t *testing.T) {
 	c := newTestCluster(t)
 	for disconnected := range 3 {
 		c.setDisconnected(disconnected, true)
@@ -172,13 +176,13 @@
 		id := "job-1" + string(rune('0'+disconnected))
 		c.submit(first, id)
 		second := (disconnected + 2) % 3
-		c.waitFor("told by the other", func() bool { code, _, _ := c.request(second, "GET", "/api/jobs/"+id, ""); return code == 200 })
+		c.waitFor("status at the other member", func() bool { code, _, _ := c.request(second, "GET", "/api/jobs/"+id, ""); return code == 200 })
 		c.waitFor("cancelled", func() bool {
 			code, body, _ := c.request(second, "POST", "/api/jobs/"+id+"/cancel", "")
 			return code == 200 && strings.Contains(body, "withdrawn")
 		})
 		c.setDisconnected(disconnected, false)
-		c.waitFor("told by who was away", func() bool {
+		c.waitFor("status at the reconnected member", func() bool {
 			code, body, _ := c.request(disconnected, "GET", "/api/jobs/"+id, "")
 			return code == 200 && strings.Contains(body, "withdrawn")
 		})
@@ -194,20 +198,20 @@
 		t.Errorf("ready without a majority: %d", code)
 	}
 	if code, body, _ := c.request(0, "GET", "/api/jobs/job-10", ""); code != 200 || !strings.Contains(body, "withdrawn") {
-		t.Errorf("a final answer is known without others: %d %s", code, body)
+		t.Errorf("status of a final job without a majority: %d %s", code, body)
 	}
 	if _, body, _ := c.request(0, "GET", "/admin/gateway/status", ""); !strings.Contains(body, `"state":"unknown"`) {
-		t.Errorf("members away are not shown as unknown: %s", body)
+		t.Errorf("unreachable members are not shown as unknown: %s", body)
 	}
 }
 
-// TestFullDisk: a member whose store is full promises nothing and says so; the
-// other two go on, and it takes part again once there is room.
+// A member whose store is full promises nothing and shows the error in its status. The
+// other two continue, and it takes part again once its store can be written.
 func TestFullDisk(t *testing.T) {
 	c := newTestCluster(t)
 	c.stores[0].setWriteErr(errors.New("no space left on device"))
-	c.submit(1, "job-1") // by the two sites
-	c.waitFor("said", func() bool {
+	c.submit(1, "job-1") // accepted by the two sites
+	c.waitFor("error in the status", func() bool {
 		c.request(0, "POST", "/api/jobs", jobJSON("job-2"))
 		_, body, _ := c.request(0, "GET", "/admin/gateway/status", "")
 		return strings.Contains(body, "no space left on device")
@@ -222,18 +226,18 @@
 	c.stores[0].mu.Unlock()
 	c.stores[0].setWriteErr(nil)
 	c.waitFor("ready again", func() bool { code, _, _ := c.request(0, "GET", "/ready", ""); return code == 200 })
-	c.setDisconnected(2, true) // now its part is needed
+	c.setDisconnected(2, true) // now member 0 is needed for a majority
 	c.submit(0, "job-3")
-	c.waitFor("job-1 told", func() bool { code, _, _ := c.request(0, "GET", "/api/jobs/job-1", ""); return code == 200 })
+	c.waitFor("status of job-1", func() bool { code, _, _ := c.request(0, "GET", "/api/jobs/job-1", ""); return code == 200 })
 }
 
-// TestBadInputIsNamed: one clear error a mistake.
-func TestBadInputIsNamed(t *testing.T) {
+// Each invalid request is answered with its own status and an error that names the fault.
+func TestInvalidRequests(t *testing.T) {
 	c := newTestCluster(t)
 	for _, tc := range []struct {
 		method, path, body string
 		code               int
-		says               string
+		wantError          string
 	}{
 		{"POST", "/api/jobs", "{", 400, "not a JSON object"},
 		{"POST", "/api/jobs", strings.Replace(jobJSON("job-1"), `"pieces":1,`, `"pieces":0,`, 1), 400, "field pieces is invalid"},
@@ -245,40 +249,40 @@
 		{"PUT", "/admin/gateway/drained", `{"on":true}`, 400, "no site's"},
 		{"PUT", "/admin/gateway/drained", `{}`, 400, `need {"on":true}`},
 	} {
-		if code, body, _ := c.request(0, tc.method, tc.path, tc.body); code != tc.code || !strings.Contains(body, strings.ReplaceAll(tc.says, `"`, `\"`)) {
-			t.Errorf("%s %s: %d %s, want %d %q", tc.method, tc.path, code, body, tc.code, tc.says)
+		if code, body, _ := c.request(0, tc.method, tc.path, tc.body); code != tc.code || !strings.Contains(body, strings.ReplaceAll(tc.wantError, `"`, `\"`)) {
+			t.Errorf("%s %s: %d %s, want %d %q", tc.method, tc.path, code, body, tc.code, tc.wantError)
 		}
 	}
 }
 
-// TestDrainHandsOver: a drained site's job is at the other site without waiting for
-// any lease, and the drained one is given nothing.
+// A job of a drained site moves to the other site without waiting for a lease to expire,
+// and the drained site is given no job.
 func TestDrainHandsOver(t *testing.T) {
 	c := newTestCluster(t)
 	c.submit(0, "job-1")
-	holder := c.owner
-	c.waitFor("held", func() bool { return holder() != "" })
-	first := holder()
+	ownerOfJob := c.owner
+	c.waitFor("owned by a site", func() bool { return ownerOfJob() != "" })
+	first := ownerOfJob()
 	drained := map[string]int{"quito": 1, "xela": 2}[first]
 	started := time.Now()
 	if code, body, _ := c.request(drained, "PUT", "/admin/gateway/drained", `{"on":true}`); code != 200 {
 		t.Fatalf("%d %s", code, body)
 	}
-	c.waitFor("handed over", func() bool { now := holder(); return now != "" && now != first })
+	c.waitFor("handed over", func() bool { now := ownerOfJob(); return now != "" && now != first })
 	t.Logf("handed over in %v", time.Since(started))
 	c.stores[drained].mu.Lock()
 	if item := c.stores[drained].items[""]; item.Kind != wire.SiteState || !item.Durable {
-		t.Error("that it is drained is not stored")
+		t.Error("the drain state is not stored")
 	}
 	c.stores[drained].mu.Unlock()
 }
 
-// TestJobThatWaitsInVainIsMoved: a site that starts nothing of a job for the stated
-// time, while another has room, hands it over in order.
-func TestJobThatWaitsInVainIsMoved(t *testing.T) {
+// A site that places no task of a job for the configured time, while another site has
+// capacity, hands the job over.
+func TestWaitingJobIsMoved(t *testing.T) {
 	c := newTestClusterMoving(t, 0.5)
 	c.submit(0, "job-1")
-	c.waitFor("held", func() bool { return c.owner() != "" })
+	c.waitFor("owned by a site", func() bool { return c.owner() != "" })
 	first := c.owner()
 	c.waitFor("moved", func() bool { now := c.owner(); return now != "" && now != first })
 }
--- a/internal/coordination/gateway/duty.go
+++ b/internal/coordination/gateway/duty.go
@@ -8,78 +8,79 @@
 	wire "dapplestage.example/dapplestage/internal/protocol/gateway"
 )
 
-// siteAgent is what a site's member does for its own site: it keeps the site's lease,
-// has the jobs run that the site holds, has the others stopped, and proposes what
-// became of them.
+// siteAgent acts for the site of this member: it renews the site's lease, has the
+// controllers run the jobs that the site owns and stop all others, and proposes their
+// outcomes.
 type siteAgent struct {
 	core    *Core
-	session uint32
-
-	lastRenewal time.Duration // when the lease was last asked for
-	nonce       uint64
-	renewalSent map[uint64]time.Duration // when each renewal under way was sent
-	grantVotes  map[uint64]uint32
-	leaseExpiry time.Duration // of the lease
-
-	assignments   map[string]*assignment
-	revoked       map[string]uint32 // claims below are stored as dead at the site
-	revokedOrder  []string
-	minRevision   uint64
+	session uint32 // incarnation of this member; sent with renewals and acknowledgements
+
+	lastRenewal time.Duration            // when the lease was last requested
+	nonce       uint64                   // number of the last renewal request
+	renewalSent map[uint64]time.Duration // send time of each renewal in flight, by number
+	grantVotes  map[uint64]uint32        // bit mask of the members that granted each renewal, by number
+	leaseExpiry time.Duration
+
+	assignments   map[string]*assignment // by job id
+	revoked       map[string]uint32      // by job id: the epoch below which the site's claims are stored as revoked
+	revokedOrder  []string               // keys of revoked, the oldest first
+	minRevision   uint64                 // revision of the state service that a controller must have seen to run gateway jobs
 	drained       bool
 	callsInFlight int
-	lastScan      time.Duration
+	lastScan      time.Duration // when all assignments were last checked
 }
 
-// assignment is one job that the site holds, or has to see stopped.
+// assignment is a job that the site owns, or one that it has to stop.
 type assignment struct {
 	epoch      uint32
 	spec       []byte
-	createdMS  uint64 // when it was accepted
-	parsedSpec *protocol.JobSpec
+	createdMS  uint64            // when the job was accepted
+	parsedSpec *protocol.JobSpec // spec, decoded when first needed
 	addedAt    time.Duration
 
-	mustStop      bool   // nothing of it may run here
-	revokeBelow   uint32 // claims below are to be dead
-	voluntary     bool   // they are given up before anybody has the job instead
-	handOver      bool   // hand it over: stop, prove it, release
-	excludeSite   bool   // and never take it again
-	submitted     bool   // the controllers have it
+	mustStop      bool   // no task of the job may run here
+	revokeBelow   uint32 // the epoch below which claims are to be revoked
+	voluntary     bool   // the claims are given up although no majority has given the job to another site
+	handOver      bool   // stop the job, prove that it has stopped, and release it
+	excludeSite   bool   // exclude the site from owning the job again
+	submitted     bool   // the controllers have accepted the job
 	callInFlight  bool
-	nextCall      time.Duration
-	lastCall      time.Duration
-	everPlaced    bool // some task was placed
-	lastProgress  progress
-	changePending bool // a change of its record is under way
-	failedCalls   int  // calls in a row that brought nothing
+	nextCall      time.Duration // earliest time of the next call
+	lastCall      time.Duration // 0: no call was made
+	everPlaced    bool          // a task of the job has run here
+	lastProgress  progress      // last progress sent to the other members
+	changePending bool          // a change of the job's record is in progress
+	failedCalls   int           // consecutive calls without a result
 }
 
-// Call is something asked of the site's controllers, and its result.
+// Call is a request to the site's controllers.
 type Call struct {
 	Kind  wire.Kind // Submit, Stop or Poll
 	ID    string
 	Epoch uint32
 	Spec  []byte
-	// CreatedMS is when the job was accepted, by the time of day.
+	// CreatedMS is when the job was accepted, in Unix milliseconds.
 	CreatedMS uint64
 }
 
-// Result is a call's end. Code Busy: nothing is known to have happened.
+// Result is the outcome of a call. With the code Unavailable it is not known whether the
+// call had any effect.
 type Result struct {
 	Call     Call
 	Code     uint8
 	Done     uint32
 	Running  uint32
-	Revision uint64 // of the state service, with which a stop was stored
+	Revision uint64 // of the state service, at which the change was stored
 	Reason   string
 }
 
-// Times of the duty.
+// Intervals and limits of the site agent.
 const (
-	scanInterval     = 100 * time.Millisecond // new work is tended at once
+	scanInterval     = 100 * time.Millisecond // between checks of all assignments; the controllers are called for a new one at once
 	pollInterval     = time.Second
-	callRetryBase    = time.Second
+	callRetryBase    = time.Second // delay before the first retry of a call
 	maxCallsInFlight = 256
-	maxRevoked       = 50000
+	maxRevoked       = 50000 // entries of siteAgent.revoked; the oldest are dropped
 )
 
 func newSiteAgent(core *Core) *siteAgent {
@@ -88,7 +89,7 @@
 	return s
 }
 
-// tick asks for the lease and for what is due of the controllers.
+// tick renews the lease and makes the calls to the controllers that are due.
 func (s *siteAgent) tick() {
 	core := s.core
 	if core.now-s.lastRenewal >= core.cfg.LeaseTime/5 {
@@ -106,6 +107,7 @@
 	}
 }
 
+// renewLease asks all members for the lease and forgets renewals older than a lease.
 func (s *siteAgent) renewLease() {
 	core := s.core
 	s.lastRenewal = core.now
@@ -122,12 +124,12 @@
 	}
 }
 
-// leaseValid says whether the site may run gateway jobs.
+// leaseValid reports whether the site may run gateway jobs.
 func (s *siteAgent) leaseValid() bool {
 	return s.core.now < s.leaseExpiry || s.core.cfg.Faults.IgnoreLease
 }
 
-// onLeaseItem handles what members that grant the lease say.
+// onLeaseItem handles lease grants and notices from the members.
 func (s *siteAgent) onLeaseItem(from int, it *wire.Item) {
 	core := s.core
 	switch it.Kind {
@@ -141,7 +143,7 @@
 			if s.leaseExpiry < core.now {
 				core.log.Info("site has its lease", "jobs", len(s.assignments))
 			}
-			// It counts from when it was asked for, whenever the answers came.
+			// The lease starts when it was requested, not when the answers arrived.
 			s.leaseExpiry = max(s.leaseExpiry, sent+core.cfg.LeaseTime)
 		}
 	case wire.Notice:
@@ -149,7 +151,8 @@
 	}
 }
 
-// onNotice learns what a member that grants the lease says of a job that concerns the site.
+// onNotice handles the notice of a record that the site has to acknowledge before a member
+// grants its lease.
 func (s *siteAgent) onNotice(from int, it *wire.Item) {
 	core := s.core
 	if it.Committed {
@@ -162,9 +165,9 @@
 		return
 	}
 	if rec := &it.Record; rec.PrevOwner == memberNumber(core.cfg.Self) && rec.Outcome == wire.Open && core.now >= s.leaseExpiry {
-		// Some members have accepted that this site lost the job, others still grant
-		// it time, and so neither the claim nor the lease finds a majority. Without a
-		// lease the site runs nothing anyway: it gives the claim up by itself.
+		// Some members have accepted a claim that takes the job from this site, and others still
+		// grant the site its lease, so that neither the claim nor the lease finds a majority.
+		// Without a lease the site runs nothing anyway, so it gives its claim up by itself.
 		if a := s.assignments[it.ID]; a == nil || !a.mustStop {
 			s.assignments[it.ID] = &assignment{mustStop: true, voluntary: true, revokeBelow: rec.Epoch, epoch: rec.Epoch - 1, addedAt: core.now}
 		}
@@ -175,18 +178,19 @@
 	}
 }
 
-// newAck says, as this start of the daemon, that claims below an epoch are dead here.
+// newAck returns an acknowledgement, valid for this start of the daemon, that the site's
+// claims below an epoch are revoked.
 func (s *siteAgent) newAck(id string, epoch uint32) wire.Item {
 	return wire.Item{Kind: wire.Ack, ID: id, Ballot: wire.Ballot{Proposer: s.session}, Record: wire.Record{Epoch: epoch}}
 }
 
-// acknowledge tells a member that grants the lease what the site knows: not only that it has been told, but
-// that its controllers will not run the job any more.
+// acknowledge tells a member what the site has done about a record: not only that the
+// daemon has received it, but that the controllers will not run the job any more.
 func (s *siteAgent) acknowledge(to int, id string, rec *wire.Record) {
-	concerns, blocks := noticeRequired(rec, s.core.cfg.Self)
+	required, blocksLease := noticeRequired(rec, s.core.cfg.Self)
 	it := s.newAck(id, rec.Epoch)
 	switch {
-	case concerns && !blocks:
+	case required && !blocksLease:
 	case s.revoked[id] >= revokedBelow(rec):
 		it.Record.Epoch, it.Durable, it.Code = revokedBelow(rec), true, ackRevoked
 	case s.assignments[id] != nil && s.assignments[id].mustStop && s.assignments[id].revokeBelow >= revokedBelow(rec):
@@ -197,7 +201,7 @@
 	s.core.send(to, it)
 }
 
-// applyRecord takes in a record that a majority has agreed on.
+// applyRecord acts on a record that a majority has accepted.
 func (s *siteAgent) applyRecord(id string, rec *wire.Record) {
 	core := s.core
 	a := s.assignments[id]
@@ -208,7 +212,8 @@
 		case rec.Stopped:
 			return
 		case s.revoked[id] > rec.Epoch:
-			// Given up here, and nobody has it instead: released in order.
+			// The site has given its claim up and no other site owns the job: the job is released by
+			// a handover.
 			s.assignments[id] = &assignment{epoch: rec.Epoch, spec: rec.Spec, createdMS: rec.CreatedMS, addedAt: core.now, handOver: true}
 			return
 		}
@@ -219,16 +224,16 @@
 		return
 	}
 	revokedEpoch := revokedBelow(rec)
-	concerns, blocks := noticeRequired(rec, core.cfg.Self)
+	required, blocksLease := noticeRequired(rec, core.cfg.Self)
 	switch {
 	case rec.Outcome != wire.Open && rec.FinishedBy == memberNumber(core.cfg.Self):
 		delete(s.assignments, id)
 	case a != nil && !a.mustStop && a.epoch >= revokedEpoch:
-		// Older than what is known: somebody missed what came after.
+		// The record is older than the assignment: the member that sent it missed a later one.
 	case a != nil && a.mustStop && a.revokeBelow >= revokedEpoch:
 	case s.revoked[id] >= revokedEpoch:
 		delete(s.assignments, id)
-	case a != nil && (a.mustStop || a.epoch < revokedEpoch) || concerns && blocks:
+	case a != nil && (a.mustStop || a.epoch < revokedEpoch) || required && blocksLease:
 		if a != nil && !a.mustStop {
 			core.counts.Stale++
 		}
@@ -236,7 +241,8 @@
 	}
 }
 
-// addAssignment takes up work, at once where there is room for another call.
+// addAssignment adds an assignment and calls the controllers for it at once, if the limit
+// of calls in flight allows it.
 func (s *siteAgent) addAssignment(id string, a *assignment) {
 	s.assignments[id] = a
 	if s.callsInFlight < maxCallsInFlight {
@@ -244,7 +250,7 @@
 	}
 }
 
-// callControllers asks the controllers for what a job needs next.
+// callControllers makes the call to the controllers that a job needs next, if one is due.
 func (s *siteAgent) callControllers(id string, a *assignment) {
 	core := s.core
 	if a.callInFlight || core.now < a.nextCall || a.changePending {
@@ -270,7 +276,7 @@
 	core.effects.Calls = append(core.effects.Calls, call)
 }
 
-// SiteResults takes in what the controllers answered.
+// SiteResults handles the results of calls to the controllers.
 func (c *Core) SiteResults(now time.Duration, results []Result) Effects {
 	return c.step(now, func() {
 		for i := range results {
@@ -279,13 +285,14 @@
 	})
 }
 
+// onResult handles the result of one call to the controllers.
 func (s *siteAgent) onResult(r *Result) {
 	core := s.core
 	s.callsInFlight--
 	id := r.Call.ID
 	a := s.assignments[id]
 	if r.Revision > s.minRevision {
-		s.minRevision = r.Revision // what was stored with it must be known before more is run
+		s.minRevision = r.Revision // a controller must have seen this change before it runs more gateway jobs
 	}
 	if a == nil {
 		return
@@ -299,7 +306,7 @@
 	a.nextCall = core.now + core.callRetryDelay(a.failedCalls, a.mustStop)
 	if r.Call.Epoch != a.epoch {
 		a.nextCall = core.now
-		return // of an earlier claim
+		return // result of a call for an earlier claim
 	}
 	if r.Code == wire.Completed {
 		s.proposeFinished(id, a, r)
@@ -314,7 +321,8 @@
 			core.log.Warn("site can't run a job that it was given", "job", id, "why", r.Reason)
 			a.handOver, a.excludeSite, a.nextCall = true, true, core.now
 		case wire.ClaimEnded:
-			// Its claim was ended here, which only this daemon or an earlier one asks for.
+			// The claim was ended at the controllers, at the request of this daemon or of an earlier
+			// start of it.
 			a.handOver, a.nextCall = true, core.now
 		}
 	case wire.Poll:
@@ -331,19 +339,20 @@
 	}
 }
 
-// callRetryDelay is when a call that brought nothing is made again: later and later, not all
-// at once, so that a site in trouble is asked less. What keeps the site from its
-// lease is asked for again soon.
+// callRetryDelay returns the delay before the next call after consecutive calls without a
+// result. It grows exponentially, with jitter, so that a site in trouble gets fewer calls.
+// For a job that blocks the site's lease it stays short.
 func (c *Core) callRetryDelay(failedCalls int, urgent bool) time.Duration {
-	wait := callRetryBase << min(max(failedCalls-1, 0), 4)
+	delay := callRetryBase << min(max(failedCalls-1, 0), 4)
 	if urgent {
-		wait = min(wait, 2*callRetryBase)
+		delay = min(delay, 2*callRetryBase)
 	}
-	return wait*3/4 + time.Duration(c.rng.Int64N(int64(wait/2)))
+	return delay*3/4 + time.Duration(c.rng.Int64N(int64(delay/2)))
 }
 
-// reportProgress tells the other members how far a job is, and lets go of it if it waits in
-// vain here while there is room elsewhere.
+// reportProgress sends the progress of a job to the other members. It hands the job over if
+// none of its tasks has been placed here for too long while another site has capacity for
+// it.
 func (s *siteAgent) reportProgress(id string, a *assignment, r *Result) {
 	core := s.core
 	a.nextCall = core.now + pollInterval + time.Duration(len(s.assignments))*time.Millisecond
@@ -357,14 +366,15 @@
 		}
 	}
 	a.everPlaced = a.everPlaced || r.Running > 0 || r.Done > 0
-	// With each claim it waits longer, so that it is not sent to and fro.
+	// The limit grows with each claim, so that the job does not move back and forth between
+	// sites.
 	if waitLimit := core.cfg.Route.MoveAfterS * float64(min(a.epoch, 20)); !a.everPlaced && waitLimit > 0 && (core.now-a.addedAt).Seconds() > waitLimit && s.otherSiteHasCapacity(a) {
 		core.log.Info("job waits in vain and is handed over", "job", id, "waited_s", (core.now - a.addedAt).Seconds())
 		a.handOver, a.nextCall = true, core.now
 	}
 }
 
-// otherSiteHasCapacity says whether another site could start all of a job now.
+// otherSiteHasCapacity reports whether another site could start the whole job now.
 func (s *siteAgent) otherSiteHasCapacity(a *assignment) bool {
 	core := s.core
 	if a.parsedSpec == nil {
@@ -385,20 +395,21 @@
 	return false
 }
 
-// onStopResult learns how far a stop is.
+// onStopResult handles the result of a request to stop a job.
 func (s *siteAgent) onStopResult(id string, a *assignment, r *Result) {
 	core := s.core
 	switch {
 	case r.Code != wire.ClaimEnded && r.Code != wire.Active && r.Code != wire.Conflict:
-		return // ask again
+		return // the call is repeated
 	case a.mustStop && a.voluntary && r.Code == wire.Active:
-		a.nextCall = core.now + pollInterval/2 // its tasks are still leaving
+		a.nextCall = core.now + pollInterval/2 // some tasks are still stopping
 	case a.mustStop && a.voluntary:
 		s.recordRevoked(id, a.revokeBelow)
 		for m := range core.cfg.Members {
 			core.send(m, wire.Item{Kind: wire.Ack, ID: id, Durable: true, Code: ackRevoked, Record: wire.Record{Epoch: a.revokeBelow}})
 		}
-		// Perhaps the other claim never finds a majority: then this one is released.
+		// If the other claim never finds a majority, this site still owns the job and releases
+		// it.
 		a.changePending = true
 		core.propose(id, op{kind: opLearn}, backgroundTimeout, func(rec wire.Record, exists bool, result opResult) {
 			a.changePending = false
@@ -409,11 +420,12 @@
 			s.applyRecord(id, &rec)
 		})
 	case a.mustStop:
-		// Stored: the controllers start nothing of it, whoever runs them.
+		// The stop is stored in the state service, so no controller starts a task of the job
+		// again.
 		s.recordRevoked(id, a.revokeBelow)
 		delete(s.assignments, id)
-		if acceptor := core.registers[id]; acceptor != nil && acceptor.hasRecord {
-			rec := acceptor.record
+		if reg := core.registers[id]; reg != nil && reg.hasRecord {
+			rec := reg.record
 			for m := range core.cfg.Members {
 				s.acknowledge(m, id, &rec)
 			}
@@ -427,17 +439,17 @@
 			}
 			delete(s.assignments, id)
 			s.recordRevoked(id, a.epoch+1)
-			if acceptor := core.registers[id]; acceptor != nil && rec.Outcome == wire.Open && rec.Stopped {
+			if reg := core.registers[id]; reg != nil && rec.Outcome == wire.Open && rec.Stopped {
 				r := register{record: rec}
 				core.proposeReclaim(id, &r)
 			}
 		})
 	default:
-		a.nextCall = core.now + pollInterval/2 // its tasks are still leaving
+		a.nextCall = core.now + pollInterval/2 // some tasks are still stopping
 	}
 }
 
-// recordRevoked remembers that claims below an epoch are dead at the site.
+// recordRevoked remembers that the site's claims on a job below an epoch are revoked.
 func (s *siteAgent) recordRevoked(id string, epoch uint32) {
 	if _, ok := s.revoked[id]; !ok {
 		s.revokedOrder = append(s.revokedOrder, id)
@@ -449,7 +461,8 @@
 	s.revoked[id] = max(s.revoked[id], epoch)
 }
 
-// proposeFinished offers what the site has completed: it counts unless something else does.
+// proposeFinished proposes the completion of a job at this site as its outcome. It has no
+// effect if another outcome was agreed on first.
 func (s *siteAgent) proposeFinished(id string, a *assignment, r *Result) {
 	core := s.core
 	a.changePending = true
@@ -469,9 +482,9 @@
 	})
 }
 
-// SiteLease is what the site's controllers are told: how long from now on they may run
-// gateway jobs, which of them not, and how much of the state service they must
-// have seen.
+// SiteLease returns what the site's controllers are told: for how long from now they may
+// run gateway jobs, which of those jobs the site has lost, and the revision of the state
+// service that they must have seen before.
 func (c *Core) SiteLease(now, maxLease time.Duration) wire.Lease {
 	c.now = max(c.now, now)
 	s := c.site
@@ -482,7 +495,7 @@
 		}
 	}
 	if len(lease.LostJobs) > wire.MaxLostJobs {
-		return wire.Lease{MinRevision: s.minRevision} // too much to tell: nothing may run until it is stored
+		return wire.Lease{MinRevision: s.minRevision} // too many lost jobs to list: nothing may run until some stops are stored
 	}
 	remaining := s.leaseExpiry - c.now
 	if c.cfg.Faults.IgnoreLease {
@@ -494,8 +507,8 @@
 	return lease
 }
 
-// SetDrained drains the site or takes it back into service. It lasts once the batch
-// is durable.
+// SetDrained drains the site or returns it to service. The change survives a restart once
+// its batch is durable.
 func (c *Core) SetDrained(now time.Duration, on bool) Effects {
 	return c.step(now, func() { c.site.setDrained(on) })
 }
@@ -513,14 +526,14 @@
 	if !on {
 		for _, a := range s.assignments {
 			if a.handOver && !a.excludeSite && !a.callInFlight && !a.changePending && a.lastCall == 0 {
-				a.handOver = false // not asked to stop yet
+				a.handOver = false // no stop was requested yet
 			}
 		}
 	}
 	core.log.Info("site drained", "on", on, "jobs", len(s.assignments))
 }
 
-// SetHint takes in what the site's controllers say of themselves.
+// SetHint records the load report of the site's controllers.
 func (c *Core) SetHint(now time.Duration, hint *wire.Hint) {
 	hint.Drained = c.site.drained
 	c.hints[c.cfg.Self] = receivedHint{max(c.now, now), hint}
--- a/internal/coordination/gateway/front.go
+++ b/internal/coordination/gateway/front.go
@@ -10,64 +10,67 @@
 	wire "dapplestage.example/dapplestage/internal/protocol/gateway"
 )
 
-// The users' side: submissions, polls and cancellations. Whatever can't be
-// decided now is answered at once with 503 and a time to come back.
+// User requests: submissions, status polls and cancellations. A request that can't be
+// decided now is answered at once with 503 and a Retry-After time.
 
-// RequestKind is what a user wants.
+// RequestKind is the kind of a user request.
 type RequestKind uint8
 
-// Requests of users.
+// Kinds of user requests.
 const (
 	Submit RequestKind = iota
 	Poll
 	Cancel
 )
 
-// Request is one of a user's. Token is given back with the answer.
+// Request is a user request. Token identifies the answer to it.
 type Request struct {
 	Token uint64
 	Kind  RequestKind
 	ID    string
-	Spec  *protocol.JobSpec // of a submission, checked
-	Body  []byte            // the submission as it is stored
-	NowMS uint64
+	Spec  *protocol.JobSpec // validated job of a submission
+	Body  []byte            // encoded job of a submission, as it is stored
+	NowMS uint64            // time of a submission, in Unix milliseconds
 }
 
-// Answer is what a user is told.
+// Answer is the answer to a user request.
 type Answer struct {
 	Token  uint64
-	Code   int
-	RetryS int
+	Code   int // HTTP status
+	RetryS int // Retry-After in seconds; 0: none
 	State  protocol.JobStatus
-	Reason string // of an error
+	Reason string // error message; empty: State is the answer
 }
 
+// progress is the number of a job's tasks that are done and running.
 type progress struct{ done, running uint32 }
 
-// HandleRequest takes a user's request. The answer comes with the effects of this or a later
-// step, within userPatience.
+// HandleRequest handles a user request. The answer is among the effects of this step or of
+// a later one, within userTimeout.
 func (c *Core) HandleRequest(now time.Duration, req Request) Effects {
 	return c.step(now, func() { c.handleRequest(&req) })
 }
 
+// answerWithJob answers with the status of a job.
 func (c *Core) answerWithJob(req *Request, code int, rec *wire.Record) {
 	c.effects.Answers = append(c.effects.Answers, Answer{Token: req.Token, Code: code, State: c.jobStatus(req.ID, rec)})
 }
 
-// answerWithError answers with an error that trying again would not change.
+// answerWithError answers with an error that a retry would not change.
 func (c *Core) answerWithError(req *Request, code int, reason string) {
 	c.effects.Answers = append(c.effects.Answers, Answer{Token: req.Token, Code: code, Reason: reason})
 }
 
-// noMajority is what a user is told whose request too few members have answered.
+// noMajority is the error message for a request that too few members have answered.
 const noMajority = "no majority answered in time"
 
+// answerRetryLater answers with 503 and a time after which the user may retry.
 func (c *Core) answerRetryLater(req *Request, retryS int, reason string) {
 	c.counts.Refused++
 	c.effects.Answers = append(c.effects.Answers, Answer{Token: req.Token, Code: http.StatusServiceUnavailable, RetryS: retryS, Reason: reason})
 }
 
-// jobStatus is a record as users see it.
+// jobStatus returns the status of a job as users see it.
 func (c *Core) jobStatus(id string, rec *wire.Record) protocol.JobStatus {
 	status := protocol.JobStatus{ID: id, Status: protocol.JobQueued}
 	switch rec.Outcome {
@@ -88,7 +91,7 @@
 
 func (c *Core) handleRequest(req *Request) {
 	if r := c.registers[req.ID]; r != nil && r.hasRecord && r.committed && r.record.Outcome != wire.Open {
-		// What is final never changes.
+		// A committed outcome never changes.
 		c.answerWithJob(req, http.StatusOK, &r.record)
 		return
 	}
@@ -103,8 +106,8 @@
 		c.readExisting(req, func(rec *wire.Record) { c.answerWithJob(req, http.StatusOK, rec) })
 	case Cancel:
 		if r := c.registers[req.ID]; r == nil || !r.hasRecord {
-			// A proposal would leave a promise at every member, for a job that perhaps
-			// nobody has submitted.
+			// A proposal would store a promise at every member for a job that may never have been
+			// submitted.
 			c.readExisting(req, func(*wire.Record) { c.cancelJob(req) })
 			return
 		}
@@ -112,8 +115,8 @@
 	}
 }
 
-// readExisting reads a job from a majority and hands its record over. Without a majority,
-// or if there is no such job, it answers the user itself.
+// readExisting reads the record of a job from a majority and passes it to onRecord. Without
+// a majority, or if there is no such job, it answers the request itself.
 func (c *Core) readExisting(req *Request, onRecord func(rec *wire.Record)) {
 	c.readFromMajority(req.ID, func(rec *wire.Record, exists, ok bool) {
 		switch {
@@ -127,6 +130,7 @@
 	})
 }
 
+// cancelJob proposes the cancellation of a job and answers with the result.
 func (c *Core) cancelJob(req *Request) {
 	c.propose(req.ID, op{kind: opCancel}, userTimeout, func(rec wire.Record, exists bool, result opResult) {
 		switch {
@@ -143,6 +147,7 @@
 	})
 }
 
+// submitJob chooses a site for a new job, proposes its record and answers with the result.
 func (c *Core) submitJob(req *Request) {
 	if c.submissionsInFlight >= c.cfg.MaxInFlight {
 		c.answerRetryLater(req, 1+c.rng.IntN(3), "too many submissions under way")
@@ -151,7 +156,7 @@
 	site, route := c.chooseSite(req.Spec, 0, -1)
 	c.submissionsInFlight++
 	if route != routeFound {
-		// A repeat is judged by what was accepted.
+		// A repeated submission of an accepted job is answered with the status of that job.
 		c.readFromMajority(req.ID, func(rec *wire.Record, exists, ok bool) {
 			c.submissionsInFlight--
 			switch {
@@ -185,39 +190,45 @@
 	})
 }
 
-// onProgress takes in how far a job is, for display.
+// onProgress records the progress of a job, for display only.
 func (c *Core) onProgress(from int, it *wire.Item) {
-	if register := c.openJobs[it.ID]; register != nil && register.record.Owner == memberNumber(from) {
+	if reg := c.openJobs[it.ID]; reg != nil && reg.record.Owner == memberNumber(from) {
 		c.progress[it.ID] = progress{it.Record.Tasks, it.Running}
 	}
 }
 
-// Reads. An answer that is not final is compared with a majority first, many jobs
-// in one message. Each member answers from what it has accepted, once it is shown
-// that its store is still its own. What a majority has agreed on, at least one
-// of any majority knows; and every record is made from the one agreed on before.
+// Reads. A status that is not final is read from a majority before it is given to a user;
+// one message carries the reads of many jobs. Each member answers from the record that it
+// has accepted, once it is proved that its store still belongs to this process. Of every
+// majority, at least one member knows a record that a majority has accepted, and every
+// later record is made from that one.
 
+// readRequest is a read of one job for one user request.
 type readRequest struct {
 	id       string
 	deadline time.Duration
 	onResult func(rec *wire.Record, exists, ok bool)
 }
 
+// readBatch is a set of reads that were sent together.
 type readBatch struct {
 	byID     map[string]*readState
 	deadline time.Duration
 }
 
+// readState collects the replies for one job of a batch.
 type readState struct {
-	votes    uint32
-	highest  wire.Item
-	matching int
+	votes    uint32    // bit mask of the members that replied
+	highest  wire.Item // reply with the highest accepted ballot
+	matching int       // replies with the same ballot as highest
 	requests []*readRequest
 }
 
-// readBatchInterval bundles reads.
+// readBatchInterval is the shortest time between batches of reads.
 const readBatchInterval = 20 * time.Millisecond
 
+// readFromMajority reads the record of a job from a majority. It calls onResult once; ok is
+// false if no majority answered in time or too many reads wait.
 func (c *Core) readFromMajority(id string, onResult func(rec *wire.Record, exists, ok bool)) {
 	if len(c.queuedReads) > 20000 {
 		onResult(nil, false, false)
@@ -227,8 +238,11 @@
 	c.sendReads(true)
 }
 
-func (c *Core) sendReads(immediate bool) {
-	if len(c.queuedReads) == 0 || immediate && len(c.queuedReads) > 1 || c.now-c.lastReadBatch < readBatchInterval {
+// sendReads sends the queued reads as one batch, unless the last batch was sent less than
+// readBatchInterval ago. With onlyFirst set, it sends nothing if more than one read is
+// queued: the next tick sends them together.
+func (c *Core) sendReads(onlyFirst bool) {
+	if len(c.queuedReads) == 0 || onlyFirst && len(c.queuedReads) > 1 || c.now-c.lastReadBatch < readBatchInterval {
 		return
 	}
 	c.lastReadBatch = c.now
@@ -250,16 +264,19 @@
 	c.queuedReads = c.queuedReads[n:]
 }
 
+// onRead answers with the record that this member has accepted, without its spec.
 func (c *Core) onRead(from int, it *wire.Item) {
 	reply := wire.Item{Kind: wire.ReadReply, ID: it.ID, Ballot: it.Ballot}
-	if register := c.registers[it.ID]; register != nil && register.hasRecord {
-		reply.Accepted, reply.HasRecord, reply.Committed, reply.Record = register.accepted, true, register.committed, register.record
+	if reg := c.registers[it.ID]; reg != nil && reg.hasRecord {
+		reply.Accepted, reply.HasRecord, reply.Committed, reply.Record = reg.accepted, true, reg.committed, reg.record
 		reply.Record.Spec = nil
 	}
 	c.barrierPending = true
 	c.sendWhenDurable(from, reply)
 }
 
+// onFound counts a reply to a read and completes the reads of the job once a majority has
+// replied.
 func (c *Core) onFound(from int, it *wire.Item) {
 	batch := c.readBatches[it.Ballot.Number]
 	if batch == nil || it.Ballot.Proposer != c.incarnation {
@@ -280,7 +297,8 @@
 	}
 	rec := state.highest.Record
 	if state.highest.HasRecord && rec.Outcome != wire.Open && !state.highest.Committed && state.matching < c.majority() {
-		// Perhaps not agreed on: see to it that it is, or what is.
+		// The outcome may not be accepted by a majority: a round completes it or finds the record
+		// that is.
 		requests := state.requests
 		c.propose(it.ID, op{kind: opLearn}, userTimeout, func(rec wire.Record, exists bool, result opResult) {
 			for _, req := range requests {
@@ -290,9 +308,10 @@
 		return
 	}
 	if state.highest.HasRecord && rec.Outcome != wire.Open {
-		// Agreed on, and it never changes: from now on it is told without asking.
-		if register := c.registerOf(it.ID); !register.hasRecord || register.accepted.Less(state.highest.Accepted) {
-			c.setRecord(it.ID, register, state.highest.Accepted, &rec, true)
+		// The outcome is accepted by a majority and never changes: from now on it is answered
+		// without a read.
+		if reg := c.registerOf(it.ID); !reg.hasRecord || reg.accepted.Less(state.highest.Accepted) {
+			c.setRecord(it.ID, reg, state.highest.Accepted, &rec, true)
 		}
 	}
 	for _, req := range state.requests {
@@ -300,7 +319,7 @@
 	}
 }
 
-// expireReads gives up what no majority answers.
+// expireReads ends the reads that no majority has answered in time.
 func (c *Core) expireReads() {
 	for nonce, batch := range c.readBatches {
 		if c.now < batch.deadline {
@@ -315,18 +334,19 @@
 	}
 }
 
-// chooseNewSite chooses a site for a job that has to leave its own.
+// chooseNewSite chooses a site for a job that has to leave its current one.
 func (c *Core) chooseNewSite(rec *wire.Record) (int, bool) {
 	var spec protocol.JobSpec
 	if err := json.Unmarshal(rec.Spec, &spec); err != nil {
-		c.log.Error("stored submission not understood", "why", err)
+		c.log.Error("stored submission can't be decoded", "why", err)
 		return 0, false
 	}
 	site, route := c.chooseSite(&spec, rec.ExcludedSites, int(rec.Owner)-1)
 	return site, route == routeFound
 }
 
-// chooseSite asks the policy with what is known now.
+// chooseSite routes a job by the load and availability of the sites as this member knows
+// them.
 func (c *Core) chooseSite(spec *protocol.JobSpec, excluded uint32, except int) (int, routeResult) {
 	views := make([]SiteView, 0, len(c.cfg.Members))
 	for i, m := range c.cfg.Members {
@@ -343,5 +363,5 @@
 	return Route(spec, views, c.cfg.Route)
 }
 
-// countRouted notes that a site is being given a job.
+// countRouted counts a job that is given to a site against its rate.
 func (c *Core) countRouted(to int) { c.routeLimits[to].takeToken(c.now) }
--- a/internal/coordination/gateway/policy_test.go
+++ b/internal/coordination/gateway/policy_test.go
@@ -10,7 +10,8 @@
 	wire "dapplestage.example/dapplestage/internal/protocol/gateway"
 )
 
-// TestRecordInvariants applies drawn changes in any order to one record.
+// Random changes in random order never violate the invariants of a record: at most one
+// outcome, and the epoch changes only with a valid claim.
 func TestRecordInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var rec wire.Record
@@ -22,7 +23,7 @@
 			next, result := applyOp(rec, exists, change)
 			if result != resultChanged {
 				if exists && (next.Epoch != rec.Epoch || next.Outcome != rec.Outcome || next.Owner != rec.Owner) {
-					t.Fatalf("%v changed a record without saying so", change.kind)
+					t.Fatalf("%v changed a record but did not report it", change.kind)
 				}
 				continue
 			}
@@ -51,6 +52,7 @@
 	})
 }
 
+// drawSpec draws a job.
 func drawSpec(t *rapid.T) *protocol.JobSpec {
 	spec := &protocol.JobSpec{ID: "job-1", Team: rapid.SampledFrom([]string{"red", "blue", "nobody"}).Draw(t, "team"),
 		Shape: rapid.SampledFrom([]string{protocol.Array, protocol.Gang, protocol.Service}).Draw(t, "shape"),
@@ -61,6 +63,7 @@
 	return spec
 }
 
+// drawSites draws one to four sites as a member knows them.
 func drawSites(t *rapid.T) []SiteView {
 	var out []SiteView
 	for i := range rapid.IntRange(1, 4).Draw(t, "sites") {
@@ -77,7 +80,8 @@
 	return out
 }
 
-// TestRouteChoosesOnlyWhatFits draws jobs and sites.
+// For random jobs and sites, Route chooses only a site that can run the job, and reports a
+// failure only if there is none.
 func TestRouteChoosesOnlyWhatFits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec, sites := drawSpec(t), drawSites(t)
@@ -85,7 +89,7 @@
 		if result != routeFound {
 			for _, s := range sites {
 				if result == routeNeverFits && !s.Excluded && (s.Hint == nil || CanRun(spec, s.Hint)) {
-					t.Fatalf("called impossible though site %d is unknown or could run it", s.Site)
+					t.Fatalf("reported as never fitting though site %d is unknown or could run it", s.Site)
 				}
 				if s.Hint != nil && !s.Excluded && !s.Unavailable && !s.Hint.Drained && s.WithinRate && s.OpenJobs < 20000 && CanRun(spec, s.Hint) {
 					t.Fatalf("%v though site %d can take it", result, s.Site)
@@ -97,7 +101,7 @@
 		if s.Hint == nil || s.Excluded || s.Unavailable || s.Hint.Drained || !s.WithinRate || s.OpenJobs >= 20000 || !CanRun(spec, s.Hint) {
 			t.Fatalf("site %d was chosen: %+v", chosen, s)
 		}
-		// More work there never makes another choice worse for it: the choice is stable.
+		// The choice is stable: with less work waiting at the chosen site, it is chosen again.
 		s.Hint.Waiting = 0
 		if again, result := Route(spec, sites, DefaultRoute()); result != routeFound || again != chosen {
 			t.Fatalf("less work at site %d moved the job to %d", chosen, again)
@@ -105,8 +109,8 @@
 	})
 }
 
-// TestSlowStart: a site that came back is given a twentieth at first, and its whole
-// rate after the ramp; it is never given more than the rate in a second.
+// A site that became available is given jobs at a twentieth of the rate at first and at the
+// full rate after the ramp, and never more than the rate per second.
 func TestSlowStart(t *testing.T) {
 	cfg := RouteConfig{JobsPerSecond: 40, RampS: 60}
 	var limit routeLimit
@@ -120,16 +124,16 @@
 		}
 	}
 	if given[0] > 4 || given[70] < 38 || given[70] > 41 {
-		t.Errorf("given in the first second %d, after the ramp %d", given[0], given[70])
+		t.Errorf("jobs given in the first second: %d, after the ramp: %d", given[0], given[70])
 	}
 	for i := 10; i < 60; i++ {
 		if given[i] < given[i-8] {
-			t.Errorf("given fell from %d to %d in second %d", given[i-8], given[i], i)
+			t.Errorf("jobs per second fell from %d to %d in second %d", given[i-8], given[i], i)
 		}
 	}
 	limit.setAvailable(80*time.Second, false)
 	limit.setAvailable(90*time.Second, true)
 	if rate := limit.rate(90*time.Second, cfg); rate > 2.1 {
-		t.Errorf("rate %v after it came back again", rate)
+		t.Errorf("rate %v after the site became available again", rate)
 	}
 }
--- a/internal/coordination/gateway/record.go
+++ b/internal/coordination/gateway/record.go
@@ -4,49 +4,49 @@
 	wire "dapplestage.example/dapplestage/internal/protocol/gateway"
 )
 
-// opKind is a change that a member wants to make to a job's record.
+// opKind is the kind of a change to the record of a job.
 type opKind uint8
 
 const (
-	opLearn   opKind = iota // none: only find out, and commit, what there is
-	opCreate                // accept a job and let a site hold it
-	opClaim                 // another site takes it
-	opRelease               // the holder proves that nothing of it runs any more
-	opFinish                // a site has completed it
-	opCancel                // its user wants it no more
+	opLearn   opKind = iota // no change: learn the present record and commit it
+	opCreate                // accept a job and make a site its owner
+	opClaim                 // make another site the owner
+	opRelease               // the owner proves that no task of the job runs any more
+	opFinish                // a site has completed the job
+	opCancel                // its user has cancelled the job
 )
 
-// op is one change.
+// op is a change that a member proposes to the record of a job.
 type op struct {
 	kind        opKind
 	spec        []byte
-	site        int    // the site that takes, releases or has finished it
-	epoch       uint32 // the claim that the change is about
-	forcedFrom  uint8  // opClaim: the site, + 1, that it is taken from without its proof
-	excludeSite bool   // opRelease: the site can never run it
+	site        int    // the site that claims, releases or has finished the job
+	epoch       uint32 // the claim to which the change applies
+	forcedFrom  uint8  // opClaim: the number + 1 of the site that loses the job without proof that it has stopped it; 0: none
+	excludeSite bool   // opRelease: the site can never run the job
 	tasks       uint32
 	createdMS   uint64
-	background  bool // nobody waits for it, and others may be at it too
+	background  bool // no user waits for the change, and other members may propose it too
 }
 
-// opResult is what became of an op.
+// opResult is the result of an op.
 type opResult uint8
 
 const (
-	resultChanged   opResult = iota // the record is changed
-	resultUnchanged                 // what was wanted is so, or something final overtook it
-	resultRefused                   // the record does not allow it
-	resultUnknown                   // no majority answered; it may yet come true
+	resultChanged   opResult = iota // the record was changed
+	resultUnchanged                 // the record already is as requested, or the job has an outcome
+	resultRefused                   // the record does not allow the change
+	resultUnknown                   // no majority answered; the change may still take effect
 )
 
-// memberBit is a site's bit in a mask; one its number in a record.
+// memberBit returns a member's bit in a mask, memberNumber its number in a record.
 func memberBit(site int) uint32   { return 1 << site }
 func memberNumber(site int) uint8 { return uint8(site + 1) }
 
-// applyOp is the one place where a record changes. What it keeps, whatever ops come
-// in whatever order: a final answer is never changed; the epoch only rises; a
-// claim follows either the holder's proof that it stopped or a forced one, which
-// names the site that it was taken from; only the holder releases.
+// applyOp is the only function that changes a record. For ops in any order it maintains: an
+// outcome never changes; the epoch only increases; a claim follows either the proof of the
+// owner that it has stopped the job, or is forced and then names the site that lost the
+// job; only the owner releases a job.
 func applyOp(rec wire.Record, exists bool, change op) (wire.Record, opResult) {
 	switch {
 	case !exists && change.kind != opCreate:
@@ -88,12 +88,12 @@
 	return rec, resultChanged
 }
 
-// noticeRequired says whether a site has to know of a record, and whether it may be
-// told later: what only says that the site holds a job can wait, what says that a
-// job is not the site's any more must be known before its lease is renewed.
-func noticeRequired(rec *wire.Record, site int) (concerns, blocks bool) {
+// noticeRequired reports whether a site has to acknowledge a record, and whether its lease
+// is not renewed before. That the site owns a job can be acknowledged later; that it no
+// longer owns a job must be known before its lease is renewed.
+func noticeRequired(rec *wire.Record, site int) (required, blocksLease bool) {
 	if rec.Outcome != wire.Open && rec.FinishedBy == memberNumber(site) {
-		return false, false // it is done there
+		return false, false // the site itself completed the job
 	}
 	if rec.LostSites&memberBit(site) != 0 {
 		return true, true
@@ -107,8 +107,8 @@
 	return true, true
 }
 
-// revokedBelow is the epoch below which a record makes a site's claims dead: all of
-// them if the job is final.
+// revokedBelow returns the epoch below which a record revokes the claims of sites that do
+// not own the job; all claims, if the job has an outcome.
 func revokedBelow(rec *wire.Record) uint32 {
 	if rec.Outcome != wire.Open {
 		return ^uint32(0)
--- a/internal/coordination/gateway/round.go
+++ b/internal/coordination/gateway/round.go
@@ -7,45 +7,48 @@
 	wire "dapplestage.example/dapplestage/internal/protocol/gateway"
 )
 
-// A round is one member's attempt to change one record: promises of a majority,
-// the highest record accepted so far with the changes applied, and its acceptance
-// by a majority. One round a job is under way at a member; what comes meanwhile
-// waits for the next.
+// A round is an attempt of one member to change one record: it collects promises of a
+// majority, applies the pending changes to the record with the highest accepted ballot, and
+// has the result accepted by a majority. A member runs one round per job at a time; changes
+// that are proposed meanwhile wait for the next one.
 
+// roundPhase is the phase of a round.
 type roundPhase uint8
 
 const (
-	phaseBackoff roundPhase = iota
-	phasePreparing
-	phaseAccepting
+	phaseBackoff   roundPhase = iota // waits before the next attempt
+	phasePreparing                   // collects promises
+	phaseAccepting                   // collects acceptances
 )
 
+// pendingChange is a change that was proposed and has no result yet.
 type pendingChange struct {
 	op       op
-	deadline time.Duration // the caller's patience
-	onResult func(rec wire.Record, exists bool, o opResult)
+	deadline time.Duration // when the caller is told that the result is unknown
+	onResult func(rec wire.Record, exists bool, result opResult)
 	result   opResult
 }
 
+// round is the state of the round for one job.
 type round struct {
 	id              string
 	phase           roundPhase
 	ballot          wire.Ballot
-	votes           uint32 // members that promised or accepted
-	highest         wire.Item
-	matching        int // promises that agree with best
-	record          wire.Record
-	applied         []*pendingChange // part of what is being accepted
-	queued          []*pendingChange
+	votes           uint32           // bit mask of the members that promised or accepted
+	highest         wire.Item        // promise with the highest accepted ballot
+	matching        int              // promises with the same accepted ballot as highest
+	record          wire.Record      // record that is proposed
+	applied         []*pendingChange // changes that record includes
+	queued          []*pendingChange // changes for the next proposal
 	lastSent        time.Duration
 	retryAt         time.Duration
 	attempts        int
-	refusedForLease uint32 // members that refused for a lease
-	nackedBy        uint32
+	refusedForLease uint32 // bit mask of the members that refused because the site's lease may still be valid
+	nackedBy        uint32 // bit mask of the members that refused for any reason
 }
 
-// propose asks for a change of a job's record. then, if not nil, is told how it
-// ended, once.
+// propose proposes a change to the record of a job. onResult, if not nil, is called once
+// with the result.
 func (c *Core) propose(id string, change op, timeout time.Duration, onResult func(wire.Record, bool, opResult)) {
 	pending := &pendingChange{op: change, deadline: c.now + timeout, onResult: onResult}
 	r := c.rounds[id]
@@ -59,7 +62,7 @@
 	r.queued = append(r.queued, pending)
 }
 
-// startRound begins a round under a ballot above all that were seen.
+// startRound starts an attempt under a ballot above all ballots seen so far.
 func (c *Core) startRound(r *round) {
 	c.maxBallotNumber++
 	r.ballot = wire.Ballot{Number: c.maxBallotNumber, Proposer: c.incarnation<<8 | uint32(c.cfg.Self)}
@@ -68,7 +71,8 @@
 	c.sendRound(r)
 }
 
-// sendRound sends a round's question to all that have not answered it.
+// sendRound sends the request of the current phase to all members that have not answered
+// it.
 func (c *Core) sendRound(r *round) {
 	r.lastSent = c.now
 	it := wire.Item{Kind: wire.Prepare, ID: r.id, Ballot: r.ballot}
@@ -85,6 +89,7 @@
 	}
 }
 
+// onVote handles the answer of a member to a request of a round.
 func (c *Core) onVote(r *round, from int, it *wire.Item) {
 	if it.Ballot != r.ballot || r.phase == phaseBackoff {
 		return
@@ -96,8 +101,8 @@
 		r.nackedBy |= memberBit(from)
 		if it.Code == wire.LeaseActive {
 			r.refusedForLease |= memberBit(from)
-			// Somebody else hears the site. To ask again and again would cost every
-			// member a stored promise a job.
+			// Another member still grants the lease of the site. Repeating the claim for each job
+			// would cost every member a stored promise per job.
 			for _, pending := range append(r.queued, r.applied...) {
 				if site := pending.op.forcedFrom; site != 0 && c.grants[site-1] != nil {
 					grant := c.grants[site-1]
@@ -122,8 +127,8 @@
 	}
 }
 
-// keepHighest keeps, of what members say they accepted, what has the highest ballot, and
-// counts how many say the same.
+// keepHighest keeps the answer with the highest accepted ballot and counts the answers that
+// have that ballot.
 func keepHighest(highest *wire.Item, matching *int, it *wire.Item) {
 	switch {
 	case it.HasRecord && (!highest.HasRecord || highest.Accepted.Less(it.Accepted)):
@@ -134,7 +139,7 @@
 	}
 }
 
-// proposeRecord applies the changes that wait to the record that a majority's promises
+// proposeRecord applies the queued changes to the record that the promises of a majority
 // show, and proposes the result.
 func (c *Core) proposeRecord(r *round) {
 	rec, exists := r.highest.Record, r.highest.HasRecord
@@ -157,7 +162,7 @@
 	}
 	r.applied, r.queued = append(r.applied, r.queued...), nil
 	if !anyChanged && (!exists || r.highest.Committed || r.matching >= c.majority()) {
-		// Nothing to change, and what there is has been agreed on.
+		// No change is needed, and the present record is accepted by a majority.
 		if exists {
 			c.applyAgreed(r.id, &r.highest)
 		}
@@ -169,7 +174,7 @@
 	c.sendRound(r)
 }
 
-// applyAgreed takes in what a majority agreed on earlier.
+// applyAgreed applies a record that a majority accepted earlier.
 func (c *Core) applyAgreed(id string, agreed *wire.Item) {
 	r := c.registerOf(id)
 	if r.hasRecord && r.accepted == agreed.Accepted {
@@ -181,13 +186,13 @@
 	if r.hasRecord && agreed.Accepted.Less(r.accepted) {
 		return
 	}
-	// Not accepted here. What a majority has agreed on may be taken in whatever was
-	// promised meanwhile: every higher proposal is made from it anyway.
+	// This member did not accept the record. It may apply it whatever it has promised
+	// meanwhile, since every higher proposal is made from this record.
 	c.setRecord(id, r, agreed.Accepted, &agreed.Record, true)
 }
 
-// committed: a majority has accepted the round's record. From now on every round
-// starts from it.
+// onMajorityAccepted commits the record of a round that a majority has accepted. From now
+// on every round starts from it.
 func (c *Core) onMajorityAccepted(r *round) {
 	it := wire.Item{Kind: wire.Commit, ID: r.id, Ballot: r.ballot}
 	for m := range c.cfg.Members {
@@ -195,17 +200,18 @@
 			c.send(m, it)
 		}
 	}
-	if register := c.registers[r.id]; register != nil && register.hasRecord && register.accepted == r.ballot {
-		if !register.committed {
-			c.setCommitted(r.id, register)
+	if reg := c.registers[r.id]; reg != nil && reg.hasRecord && reg.accepted == r.ballot {
+		if !reg.committed {
+			c.setCommitted(r.id, reg)
 		}
-	} else if register == nil || !register.hasRecord || register.accepted.Less(r.ballot) {
+	} else if reg == nil || !reg.hasRecord || reg.accepted.Less(r.ballot) {
 		c.setRecord(r.id, c.registerOf(r.id), r.ballot, &r.record, true)
 	}
 	c.finishRound(r, r.record, true)
 }
 
-// finishRound tells the round's callers, and begins the next round if others wait.
+// finishRound reports the results to the callers of a round, and starts the next round if
+// changes are queued.
 func (c *Core) finishRound(r *round, rec wire.Record, exists bool) {
 	finished := r.applied
 	r.applied = nil
@@ -222,13 +228,15 @@
 	}
 }
 
-// backOff leaves the way to whoever came first, for a random while that grows.
+// backOff ends an attempt and schedules the next one after a random, growing delay, so that
+// the member that came first can finish.
 func (c *Core) backOff(r *round) {
 	r.queued, r.applied = append(r.applied, r.queued...), nil
 	r.phase = phaseBackoff
 	r.attempts++
 	if r.refusedForLease != 0 {
-		// A forced claim is for whoever cares to try anew, when the lease is over.
+		// A forced claim is not retried here: reconciliation proposes it again once the lease has
+		// expired.
 		for _, pending := range r.queued {
 			if pending.op.kind == opClaim {
 				pending.deadline = c.now
@@ -237,7 +245,7 @@
 	}
 	for _, pending := range r.queued {
 		if pending.op.background && r.attempts >= 2 {
-			pending.deadline = c.now // somebody else is at it
+			pending.deadline = c.now // another member is making the change
 		}
 	}
 	maxDelay := 60 * time.Millisecond << min(r.attempts, 5)
@@ -247,8 +255,8 @@
 	r.retryAt = c.now + 10*time.Millisecond + time.Duration(c.rng.Int64N(int64(maxDelay)))
 }
 
-// tickRounds sends again, begins anew, and gives up what its callers wait for no
-// more. What was given up may still come true.
+// tickRounds repeats unanswered requests, starts new attempts, and ends changes whose
+// deadline has passed. A change that was ended may still take effect.
 func (c *Core) tickRounds() {
 	for _, id := range sortedKeys(c.rounds) {
 		r := c.rounds[id]
@@ -279,8 +287,8 @@
 	}
 }
 
-// sortedKeys is how maps are walked where something follows from the order: the
-// same seed gives the same history.
+// sortedKeys returns the keys of a map in order. It is used wherever the order of iteration
+// has an effect, so that the same seed gives the same run.
 func sortedKeys[V any](m map[string]V) []string {
 	ids := make([]string, 0, len(m))
 	for id := range m {
@@ -290,6 +298,7 @@
 	return ids
 }
 
+// bitCount returns the number of bits that are set.
 func bitCount(mask uint32) int {
 	n := 0
 	for ; mask != 0; mask &= mask - 1 {
--- a/internal/coordination/gateway/route.go
+++ b/internal/coordination/gateway/route.go
@@ -9,54 +9,55 @@
 	wire "dapplestage.example/dapplestage/internal/protocol/gateway"
 )
 
-// Routing: pure functions of what is known of the sites.
+// Routing of jobs to sites, as pure functions of what a member knows about the sites.
 
-// RouteConfig are the limits of routing.
+// RouteConfig holds the limits of routing.
 type RouteConfig struct {
-	// JobsPerSecond is how many jobs a second a site is given at most.
+	// JobsPerSecond is the greatest rate at which a site is given jobs.
 	JobsPerSecond float64
-	// RampS is how long a site that came back takes to be given as many as others.
+	// RampS is how long it takes until a site that became available again is given jobs at the
+	// full rate.
 	RampS float64
-	// HintMaxAgeS is the age from which a hint says nothing of load.
+	// HintMaxAgeS is the age above which a hint is not used as the site's load.
 	HintMaxAgeS float64
-	// MaxOpenPerSite is how many unfinished jobs a site holds at most; 0: any number.
+	// MaxOpenPerSite limits the open jobs that a site owns; 0: no limit.
 	MaxOpenPerSite int
-	// MoveAfterS is how long a job may wait at a site without any task placed while
-	// another site has room for it; 0: for ever.
+	// MoveAfterS is how long a job may wait at a site with no task placed while another site
+	// has capacity for it; 0: without limit.
 	MoveAfterS float64
 }
 
-// DefaultRoute are the limits that a gateway starts with.
+// DefaultRoute returns the default limits of a gateway.
 func DefaultRoute() RouteConfig {
 	return RouteConfig{JobsPerSecond: 50, RampS: 60, HintMaxAgeS: 10, MaxOpenPerSite: 20000, MoveAfterS: 60}
 }
 
-// SiteView is what is known of one site.
+// SiteView is what a member knows about one site when it routes a job.
 type SiteView struct {
 	Site        int
-	Unavailable bool // not heard of, or without a lease
-	Excluded    bool // the job can never run there
-	HintAgeS    float64
-	Hint        *wire.Hint
-	UnseenJobs  float64 // jobs given to it that its hint can't show yet
-	OpenJobs    int     // unfinished jobs that it holds
-	WithinRate  bool    // within its rate
+	Unavailable bool       // unreachable, or without a lease
+	Excluded    bool       // the job can never run there
+	HintAgeS    float64    // +Inf: there is no hint
+	Hint        *wire.Hint // last load report; nil: none
+	UnseenJobs  float64    // estimated number of jobs given to the site that its hint does not include yet
+	OpenJobs    int        // open jobs that the site owns
+	WithinRate  bool       // a job is within the site's rate
 }
 
-// routeResult says whether a job can be routed.
+// routeResult is the result of routing a job.
 type routeResult uint8
 
 const (
-	routeFound     routeResult = iota
-	routeNeverFits             // no site can ever run it, and all sites are known
-	routeSitesFull             // only sites that have been given enough for now
-	routeNoSite                // no site that could is known to be there
+	routeFound     routeResult = iota // a site was chosen
+	routeNeverFits                    // no site can ever run the job, and all sites have reported their machine types and teams
+	routeSitesFull                    // the available sites that can run it are at their rate or job limit
+	routeNoSite                       // no site that can run it is known to be available
 )
 
-// Route chooses the site for a job: of those that can run it and are there, the
-// one with the least work waiting a GPU, counting an image that it lacks and a
-// guarantee that its team has used up there as work. What is unknown is never
-// taken for good news: a site without a fresh hint comes after all others.
+// Route chooses the site for a job: among the available sites that can run it, the one with
+// the least waiting work per GPU. An image that the site lacks and a guarantee that the
+// team has used up there count as work. Unknown load counts as high: a site without a fresh
+// hint comes after all others.
 func Route(spec *protocol.JobSpec, sites []SiteView, cfg RouteConfig) (site int, result routeResult) {
 	lowest, chosen := math.Inf(1), -1
 	knownSites, capableSites, availableSites := 0, 0, 0
@@ -96,7 +97,7 @@
 	return 0, routeNoSite
 }
 
-// routingCost is about how many tasks wait before the job, for each GPU that is up.
+// routingCost estimates the number of tasks that wait before the job per running GPU.
 func routingCost(spec *protocol.JobSpec, view *SiteView, cfg RouteConfig) float64 {
 	hint := view.Hint
 	if view.HintAgeS > cfg.HintMaxAgeS {
@@ -104,7 +105,7 @@
 	}
 	cost := (float64(hint.Waiting) + view.UnseenJobs) / max(1, hint.GPUs)
 	if free := hint.FreeGPUs - view.UnseenJobs*max(spec.GPUs, 0.25); free < spec.GPUs*float64(minTasksToStart(spec)) {
-		cost += 0.5 // it would have to wait, or machines to be rented
+		cost += 0.5 // the job would wait, or need new machines
 	}
 	if !slices.Contains(hint.Images, spec.Image) {
 		cost += min(1, spec.ImageGB/20)
@@ -113,13 +114,14 @@
 		if team := &hint.Teams[i]; team.Name == spec.Team {
 			cost += float64(team.Waiting) / max(1, hint.GPUs)
 			if team.GPUs > 0 && team.UsedGPUs+spec.GPUs*float64(minTasksToStart(spec)) > team.GPUs {
-				cost++ // beyond its guarantee there
+				cost++ // above the team's guarantee at the site
 			}
 		}
 	}
 	return cost
 }
 
+// minTasksToStart returns how many tasks of a job have to start together.
 func minTasksToStart(spec *protocol.JobSpec) int {
 	if spec.Shape == protocol.Array {
 		return 1
@@ -127,8 +129,8 @@
 	return spec.Tasks
 }
 
-// CanRun says whether a site could ever run a job: its team is known there, the
-// team's limit allows it, and a task fits an allowed machine type in an allowed zone.
+// CanRun reports whether a site could ever run a job: the site knows its team, the team's
+// limit allows it, and a task fits an allowed machine type in an allowed zone.
 func CanRun(spec *protocol.JobSpec, hint *wire.Hint) bool {
 	index := slices.IndexFunc(hint.Teams, func(team wire.TeamHint) bool { return team.Name == spec.Team })
 	if index < 0 {
@@ -150,18 +152,19 @@
 	return false
 }
 
-// routeLimit is how many jobs a site is given: a token bucket whose rate rises slowly
-// after the site has come back, so that a site in trouble gets less, not more.
+// routeLimit limits the rate at which a site is given jobs: a token bucket whose rate rises
+// slowly after the site became available, so that a site in trouble is given fewer jobs,
+// not more.
 type routeLimit struct {
 	tokens         float64
 	lastRefill     time.Duration
-	availableSince time.Duration // when the site was last found back
+	availableSince time.Duration // when the site last became available
 	available      bool
-	recentJobs     float64 // given lately, decaying
+	recentJobs     float64 // jobs given recently, with exponential decay
 	lastDecay      time.Duration
 }
 
-// setAvailable notes whether a site is there.
+// setAvailable records whether the site is available.
 func (b *routeLimit) setAvailable(now time.Duration, there bool) {
 	if there && !b.available {
 		b.availableSince, b.tokens, b.lastRefill = now, 1, now
@@ -169,7 +172,8 @@
 	b.available = there
 }
 
-// rate is how many jobs a second the site is given now: a twentieth at first.
+// rate returns the number of jobs per second that the site is given now; it starts at a
+// twentieth of the configured rate.
 func (b *routeLimit) rate(now time.Duration, cfg RouteConfig) float64 {
 	if cfg.RampS <= 0 {
 		return cfg.JobsPerSecond
@@ -178,6 +182,7 @@
 	return cfg.JobsPerSecond * fraction
 }
 
+// allowed refills the bucket and reports whether the site may be given a job now.
 func (b *routeLimit) allowed(now time.Duration, cfg RouteConfig) bool {
 	rate := b.rate(now, cfg)
 	b.tokens = min(max(1, rate), b.tokens+rate*(now-b.lastRefill).Seconds())
@@ -185,13 +190,15 @@
 	return b.tokens >= 1
 }
 
+// takeToken counts a job that is given to the site.
 func (b *routeLimit) takeToken(now time.Duration) {
 	b.tokens--
 	b.recentJobs = b.unseenJobs(now) + 1
 	b.lastDecay = now
 }
 
-// unseenJobs is about how many jobs were given that the site's hint can't show yet.
+// unseenJobs estimates the number of jobs given to the site that its hint does not include
+// yet.
 func (b *routeLimit) unseenJobs(now time.Duration) float64 {
 	return b.recentJobs * math.Exp(-(now-b.lastDecay).Seconds()/2)
 }
--- a/internal/coordination/gateway/sim_test.go
+++ b/internal/coordination/gateway/sim_test.go
@@ -16,25 +16,27 @@
 	wire "dapplestage.example/dapplestage/internal/protocol/gateway"
 )
 
-// The whole agreement with handoffs on one thread, from a seed: members with
-// clocks of their own, stores that are slow, messages that are lost, repeated or
-// held for minutes, sites whose controllers and workers go on by themselves, and
-// users. The checker compares what users were told with what machines ran and
-// with what the stores hold at the end.
+// Simulation of the whole agreement, including handovers, in one thread and from a seed. It
+// has members with clocks of their own, slow stores, messages that are lost, repeated or
+// delayed by minutes, sites whose controllers and workers continue without their daemon,
+// and users. The checker compares what users were told with what the machines ran and with
+// the stores at the end.
 
 const (
-	simLease       = 8 * time.Second
-	simControllers = 3 * time.Second
-	simWorkers     = 10 * time.Second
-	simCancel      = 40 * time.Second
+	simLease       = 8 * time.Second  // duration of a site's lease
+	simControllers = 3 * time.Second  // lease of a controller
+	simWorkers     = 10 * time.Second // lease of a worker
+	simCancel      = 40 * time.Second // a cancelled job may run for so long after its user was told
 )
 
+// event is a function that runs at a simulated time.
 type event struct {
 	at  time.Duration
 	seq int
 	f   func()
 }
 
+// eventQueue is a heap of events by time, then by order of scheduling.
 type eventQueue []event
 
 func (h eventQueue) Len() int { return len(h) }
@@ -49,55 +51,57 @@
 	return x
 }
 
+// sim is one simulated run.
 type sim struct {
 	rng            *rand.Rand
 	now            time.Duration
 	queue          eventQueue
 	eventSeq       int
 	members        []*simMember
-	sites          []*simSite // by member; nil: a gateway
-	cutUntil       map[[2]int]time.Duration
+	sites          []*simSite               // by member; nil: a gateway
+	cutUntil       map[[2]int]time.Duration // by sender and receiver: when the connection works again
 	lossRate       float64
 	jobs           []*simJob
 	lastToken      uint64
-	pendingAnswers map[uint64]func(Answer)
+	pendingAnswers map[uint64]func(Answer) // by token
 	violations     []string
 	trace          []string
 	faults         Faults
 	faultsStopped  bool
-	storeTime      time.Duration // of a site's store; 0: milliseconds
-	// before, if set, is asked before a member's effects are carried out; 0: all of
-	// them, 1: none, 2: only what is to be stored.
+	storeTime      time.Duration // duration of a write to a site's store; 0: milliseconds
+	// beforeEffects, if set, is called before the effects of a member are carried out. It
+	// returns 0 for all of them, 1 for none, 2 for only what is to be stored.
 	beforeEffects func(m *simMember, e *Effects) int
 }
 
+// simMember is a member whose core runs in simulated time.
 type simMember struct {
 	sim               *sim
 	index             int
 	core              *Core
 	incarnation       uint32
 	running           bool
-	generation        int
-	stalledUntil      time.Duration
+	generation        int           // changes with each start and stop of the process
+	stalledUntil      time.Duration // the process runs nothing until then
 	clockRate         float64
 	clockOffset       time.Duration
 	disk              map[string]wire.Item
-	storeStalledUntil time.Duration // its store stands still until then
+	storeStalledUntil time.Duration // its store completes no write until then
 	batches           []Batch
 	writing           bool
 	drained           bool
 }
 
-// simSite is a site's controllers and workers, which need its daemon only for the
-// lease and to be told of jobs.
+// simSite is a site's controllers and workers. They need the daemon only for the lease and
+// to be given jobs.
 type simSite struct {
 	sim               *sim
 	index             int
 	jobs              map[string]*simSiteJob
-	tombstones        map[string]uint32
-	done              map[string]uint32
-	revision          uint64
-	replicaRevision   uint64 // the replica's revision
+	tombstones        map[string]uint32 // by job: highest epoch whose claim was stopped
+	done              map[string]uint32 // by job: number of completed tasks
+	revision          uint64            // of the state service
+	replicaRevision   uint64            // revision that the controllers' replica has reached
 	leaseExpiry       time.Duration
 	minRevision       uint64
 	revoked           map[string]bool
@@ -105,21 +109,23 @@
 	disconnectedUntil time.Duration // daemon and controllers can't reach one another until then
 }
 
+// simSiteJob is a job at a site.
 type simSiteJob struct {
 	epoch         uint32
 	stopRequested bool
 	started       bool          // a task is on a machine
-	stopsAt       time.Duration // when it will be gone; 0: it is not leaving
-	remaining     time.Duration // work
+	stopsAt       time.Duration // when the task will have stopped; 0: it is not stopping
+	remaining     time.Duration // run time that is left
 }
 
+// simJob is a user's job and what its user was told.
 type simJob struct {
 	id              string
 	runTime         time.Duration
 	submittedAt     time.Duration
 	accepted        bool
-	cancelRequested bool // to cancel
-	finalStatus     string
+	cancelRequested bool
+	finalStatus     string // first final status that the user was told
 	finalAt         time.Duration
 }
 
@@ -164,15 +170,18 @@
 	s.trace = append(s.trace, fmt.Sprintf("%8.3f ", s.now.Seconds())+fmt.Sprintf(format, a...))
 }
 
+// violation records a violated invariant.
 func (s *sim) violation(format string, a ...any) {
 	s.logf("BROKEN "+format, a...)
 	s.violations = append(s.violations, fmt.Sprintf(format, a...))
 }
 
+// clock returns the member's monotonic clock, which has its own rate and offset.
 func (m *simMember) clock() time.Duration {
 	return m.clockOffset + time.Duration(float64(m.sim.now)*m.clockRate)
 }
 
+// start starts the process of a member from its store.
 func (m *simMember) start(members []Member) {
 	m.incarnation++
 	m.generation++
@@ -208,7 +217,7 @@
 	tick()
 }
 
-// whenRunning runs f when the member runs again, if it is the same process then.
+// whenRunning runs f once the member is not stalled, if it is still the same process then.
 func (m *simMember) whenRunning(f func()) {
 	gen := m.generation
 	var try func()
@@ -254,7 +263,7 @@
 	}
 }
 
-// storeBatches stores all batches that wait, one write at a time.
+// storeBatches stores all queued batches, one write at a time.
 func (m *simMember) storeBatches() {
 	s := m.sim
 	if m.writing || len(m.batches) == 0 {
@@ -269,12 +278,12 @@
 	m.batches = nil
 	s.schedule(max(0, m.storeStalledUntil-s.now)+duration, func() {
 		if m.generation != gen && s.rng.IntN(2) == 0 {
-			return // ended before it was written
+			return // the process stopped before the write
 		}
 		for _, stored := range batch {
 			for _, item := range stored.Items {
 				if item.Kind == wire.SiteState {
-					continue // the sim drains again by itself
+					continue // the simulation restores the drain state itself
 				}
 				if old, ok := m.disk[item.ID]; !ok || m.generation == gen || !item.Accepted.Less(old.Accepted) && !item.Ballot.Less(old.Ballot) {
 					m.disk[item.ID] = item
@@ -289,8 +298,8 @@
 	})
 }
 
-// deliver carries a message. Through a cut it is lost, or held and delivered
-// minutes late; now and then it comes twice.
+// deliver sends a message to a member. On a connection that is cut the message is lost, or
+// delayed until minutes later; now and then one is delivered twice.
 func (s *sim) deliver(from, to int, data []byte) {
 	delay := s.randDuration(time.Millisecond, 15*time.Millisecond)
 	if cutEnd := s.cutUntil[[2]int{from, to}]; s.now < cutEnd {
@@ -337,8 +346,8 @@
 		Teams: []wire.TeamHint{{Name: "red", GPUsMax: 100}}}
 }
 
-// handleCall carries what the daemon asks to the controllers, where it may be done late,
-// and the answer back.
+// handleCall passes a call of the daemon to the controllers, which may execute it late, and
+// returns the answer.
 func (site *simSite) handleCall(m *simMember, call Call) {
 	s := site.sim
 	delay := s.randDuration(time.Millisecond, 60*time.Millisecond)
@@ -352,7 +361,7 @@
 		})
 	}
 	if s.now < site.disconnectedUntil || !site.running || s.now < m.storeStalledUntil {
-		if s.rng.IntN(2) == 0 { // held, and done when nobody waits any more
+		if s.rng.IntN(2) == 0 { // delayed and executed when nobody waits for the answer any more
 			s.schedule(max(site.disconnectedUntil, m.storeStalledUntil)-s.now+s.randDuration(0, 30*time.Second), func() { site.execute(call) })
 		}
 		s.schedule(1500*time.Millisecond, func() { reply(Result{Code: wire.Unavailable}) })
@@ -361,7 +370,7 @@
 	s.schedule(delay, func() { reply(site.execute(call)) })
 }
 
-// execute is what the controllers do with a call, each by one conditional write.
+// execute executes a call at the controllers, by one conditional write each.
 func (site *simSite) execute(call Call) Result {
 	job := site.jobs[call.ID]
 	if doneTasks, ok := site.done[call.ID]; ok {
@@ -420,8 +429,8 @@
 	return r
 }
 
-// fetchLease asks the daemon how long gateway jobs may run. What the answer says counts
-// from when it was asked for.
+// fetchLease asks the daemon for how long gateway jobs may run. The lease counts from when
+// it was requested.
 func (site *simSite) fetchLease() {
 	s, m := site.sim, site.sim.members[site.index]
 	s.schedule(500*time.Millisecond, site.fetchLease)
@@ -447,11 +456,11 @@
 	})
 }
 
-// step is what controllers and workers do by themselves.
+// step advances the controllers and workers of a site.
 func (site *simSite) step() {
-	const dt = 100 * time.Millisecond
+	const interval = 100 * time.Millisecond
 	s := site.sim
-	s.schedule(dt, site.step)
+	s.schedule(interval, site.step)
 	if s.rng.IntN(2) == 0 {
 		site.replicaRevision = site.revision
 	}
@@ -475,7 +484,7 @@
 				}
 			}
 		case j.started && !mayRun && j.stopsAt == 0:
-			// Its worker may get no answer, and goes on until its own lease ends.
+			// The worker may get no answer and continue until its own lease expires.
 			j.stopsAt = s.now + s.randDuration(0, simWorkers)
 			s.logf("site %d stops %s", site.index, id)
 		case j.started && j.stopsAt != 0 && s.now >= j.stopsAt:
@@ -485,7 +494,7 @@
 				site.tombstones[id] = j.epoch
 			}
 		case j.started:
-			j.remaining -= dt
+			j.remaining -= interval
 			if j.remaining <= 0 && site.running {
 				delete(site.jobs, id)
 				site.revision++
@@ -508,7 +517,7 @@
 	return nil
 }
 
-// userRequest is a user's request to one member; the answer may be lost.
+// userRequest sends a user request to one member; the answer may be lost.
 func (s *sim) userRequest(m *simMember, req Request, onAnswer func(Answer)) {
 	s.lastToken++
 	req.Token = s.lastToken
@@ -522,7 +531,8 @@
 
 func (s *sim) randomMember() *simMember { return s.members[s.rng.IntN(len(s.members))] }
 
-// runUser submits a job and asks until it is over, at any member.
+// runUser submits a job and polls its status at random members until it is final. One in
+// four users cancels the job.
 func (s *sim) runUser(j *simJob) {
 	spec := &protocol.JobSpec{ID: j.id, Team: "red", Shape: protocol.Array, Tasks: 1, CPUs: 1, GPUs: 1, MemoryGB: 1, EstimateS: 5}
 	var submit, poll, cancel func()
@@ -565,15 +575,15 @@
 	}
 }
 
-// checkAnswer checks what a user hears against all it had heard when it asked: answers to
-// requests under way at once may come in any order.
+// checkAnswer checks an answer against everything that the user knew when the request was
+// sent: answers to concurrent requests may arrive in any order.
 func (s *sim) checkAnswer(j *simJob, knownBefore simJob, answer Answer) {
 	s.logf("user of %s is told %d %s", j.id, answer.Code, answer.State.Status)
 	switch {
 	case answer.Code == 404 && knownBefore.accepted:
 		s.violation("%s was accepted and is unknown", j.id)
 	case answer.Code == 422:
-		s.violation("%s is called impossible", j.id)
+		s.violation("%s was rejected as never fitting", j.id)
 	case answer.Code != 200 && answer.Code != 201:
 		return
 	}
@@ -581,7 +591,7 @@
 	final := status == protocol.JobDone || status == protocol.JobCancelled
 	switch {
 	case knownBefore.finalStatus != "" && status != knownBefore.finalStatus, final && j.finalStatus != "" && status != j.finalStatus:
-		s.violation("%s was called %s and is called %s", j.id, j.finalStatus, status)
+		s.violation("%s was reported %s and is now reported %s", j.id, j.finalStatus, status)
 	case status == protocol.JobCancelled && !j.cancelRequested:
 		s.violation("%s is cancelled and nobody asked", j.id)
 	case status == protocol.JobDone:
@@ -590,7 +600,7 @@
 			doneSomewhere = doneSomewhere || site != nil && site.done[j.id] > 0
 		}
 		if !doneSomewhere {
-			s.violation("%s is called done and no site has done it", j.id)
+			s.violation("%s is reported done and no site has completed it", j.id)
 		}
 	}
 	if final && j.finalStatus == "" {
@@ -598,7 +608,7 @@
 	}
 }
 
-// injectFaults does something bad, and arranges for its end.
+// injectFaults causes a random fault, and schedules its end and the next fault.
 func (s *sim) injectFaults(members []Member) {
 	if s.faultsStopped {
 		return
@@ -609,39 +619,39 @@
 	switch s.rng.IntN(9) {
 	case 0, 1:
 		if m.running {
-			s.logf("member %d ends for %v", m.index, duration)
+			s.logf("member %d stops for %v", m.index, duration)
 			m.running = false
 			m.generation++
 			s.schedule(duration, func() { m.start(members) })
 		}
 	case 2:
-		s.logf("member %d stands still for %v", m.index, duration)
+		s.logf("member %d stalls for %v", m.index, duration)
 		m.stalledUntil = max(m.stalledUntil, s.now+duration)
 	case 3, 4:
 		other := s.randomMember()
-		s.logf("no way from %d to %d for %v", m.index, other.index, duration)
+		s.logf("messages from %d to %d are cut for %v", m.index, other.index, duration)
 		s.cutUntil[[2]int{m.index, other.index}] = s.now + duration
 		if s.rng.IntN(3) > 0 {
 			s.cutUntil[[2]int{other.index, m.index}] = s.now + duration
 		}
 	case 5:
-		s.logf("store of %d slow for %v", m.index, duration)
+		s.logf("store of member %d stalls for %v", m.index, duration)
 		m.storeStalledUntil = s.now + duration
 	case 6:
 		if site := s.sites[m.index]; site != nil {
-			s.logf("daemon and controllers of %d apart for %v", m.index, duration)
+			s.logf("daemon and controllers of site %d are disconnected for %v", m.index, duration)
 			site.disconnectedUntil = s.now + duration
 		}
 	case 7:
 		if site := s.sites[m.index]; site != nil && site.running {
-			s.logf("controllers of %d end for %v", m.index, duration)
+			s.logf("controllers of site %d stop for %v", m.index, duration)
 			site.running, site.leaseExpiry = false, 0
 			s.schedule(duration, func() { site.running = true })
 		}
 	case 8:
 		if s.sites[m.index] != nil {
 			m.drained = !m.drained
-			s.logf("member %d drained %v", m.index, m.drained)
+			s.logf("member %d: drained %v", m.index, m.drained)
 			if m.running {
 				m.applyEffects(m.core.SetDrained(m.clock(), m.drained))
 			}
@@ -649,11 +659,11 @@
 	}
 }
 
-// runSim runs one seed to its end.
+// runSim runs one seed to its end: random faults for 200 s, then none until 480 s.
 func runSim(seed uint64, faults Faults, members []Member) *sim {
 	s := newSim(seed, faults, members)
 	s.lossRate = s.rng.Float64() * 0.05
-	if seed%4 == 3 { // the sites' rates of changes are nearly used up
+	if seed%4 == 3 { // the sites' stores are slow, as when their change rates are nearly used up
 		s.storeTime = 400 * time.Millisecond
 	}
 	s.schedule(5*time.Second, func() { s.injectFaults(members) })
@@ -686,8 +696,8 @@
 	return s
 }
 
-// checkStores compares what a user was told with what the stores hold: of every
-// majority at least one member must know it.
+// checkStores checks that the final status that a user was told is stored by a majority,
+// and that no member has stored another one.
 func (s *sim) checkStores(j *simJob) {
 	if j.finalStatus == "" {
 		return
@@ -704,17 +714,17 @@
 			storing++
 		}
 		if ok && item.Committed && item.Record.Outcome != wire.Open && item.Record.Outcome != want {
-			s.violation("member %d holds another end of %s as agreed on", m.index, j.id)
+			s.violation("member %d stores another outcome of %s as committed", m.index, j.id)
 		}
 		if ok && latest.Accepted.Less(item.Accepted) {
 			latest = item
 		}
 	}
 	if storing < len(s.members)/2+1 {
-		s.violation("%s: its end is stored by %d of %d members", j.id, storing, len(s.members))
+		s.violation("%s: its outcome is stored by %d of %d members", j.id, storing, len(s.members))
 	}
 	if latest.Record.Outcome != want {
-		s.violation("%s: the latest record does not hold its end", j.id)
+		s.violation("%s: the latest record does not have its outcome", j.id)
 	}
 }
 
@@ -723,6 +733,8 @@
 	threeSites = []Member{{"gate", false}, {"quito", true}, {"tikal", true}, {"xela", true}}
 )
 
+// reportViolations fails the test with the violations of a seed; SIM_TRACE also prints the
+// trace.
 func reportViolations(t *testing.T, seed uint64, s *sim) {
 	t.Helper()
 	t.Errorf("seed %d: %v", seed, s.violations)
@@ -733,7 +745,7 @@
 	}
 }
 
-// seedCount is how many seeds each setup plays; SIM_SEEDS asks for more.
+// seedCount returns the number of seeds per setup; SIM_SEEDS overrides it.
 func seedCount() uint64 {
 	if n, err := strconv.ParseUint(os.Getenv("SIM_SEEDS"), 10, 64); err == nil {
 		return n
@@ -741,7 +753,9 @@
 	return 100
 }
 
-// TestAgreement plays hundreds of seeds of every trouble at once.
+// TestAgreement runs many seeds with all kinds of faults and checks that no job runs at two
+// sites at once, no answer contradicts an earlier one, and every accepted job gets an
+// outcome that a majority stores.
 func TestAgreement(t *testing.T) {
 	setups := map[string][]Member{
 		"gateway and two sites":      twoSites,
@@ -766,6 +780,7 @@
 	}
 }
 
+// keysOf iterates over the keys of a map.
 func keysOf[V any](m map[string]V) func(func(string) bool) {
 	return func(yield func(string) bool) {
 		for k := range m {
@@ -776,8 +791,8 @@
 	}
 }
 
-// TestCheckerFindsFaults shows that the checker catches what the protections
-// prevent: each one switched off is found within the seeds.
+// The simulation detects the fault that each safety check prevents: with one check
+// disabled, some seed reports a violation.
 func TestCheckerFindsFaults(t *testing.T) {
 	for name, f := range map[string]Faults{"lease ignored": {IgnoreLease: true}, "epoch not compared": {IgnoreEpoch: true}, "answer overwritten": {OverwriteFinal: true}} {
 		t.Run(name, func(t *testing.T) {
@@ -793,7 +808,7 @@
 	}
 }
 
-// TestSameSeedSameHistory guards the repeatability that failing seeds rely on.
+// Two runs of one seed are the same; failing seeds could not be replayed otherwise.
 func TestSameSeedSameHistory(t *testing.T) {
 	a, b := runSim(3, Faults{}, twoSites), runSim(3, Faults{}, twoSites)
 	if !slices.Equal(a.trace, b.trace) {
@@ -801,12 +816,12 @@
 	}
 }
 
-// TestGatewayEndsAtEveryStep loses a site, and ends the gateway at each step of the
-// handoff that follows: before the step's effects, or after it has stored and before
-// it has sent anything. The other site or the gateway's next start finishes it.
-func TestGatewayEndsAtEveryStep(t *testing.T) {
+// A handover from a lost site survives a crash of the gateway at any step: before the
+// effects of the step, or after they are stored and before anything is sent. The other site
+// or the restarted gateway completes it.
+func TestGatewayStopsAtEveryStep(t *testing.T) {
 	for _, outcome := range []int{1, 2} {
-		t.Run(map[int]string{1: "before anything", 2: "after storing"}[outcome], func(t *testing.T) {
+		t.Run(map[int]string{1: "before any effect", 2: "after storing"}[outcome], func(t *testing.T) {
 			t.Parallel()
 			reached := 0
 			for step := range 60 {
@@ -832,7 +847,7 @@
 					m.generation++
 					s.schedule(30*time.Second, func() { m.start(twoSites) })
 					if outcome == 2 {
-						m.generation-- // what is handed to the store is written
+						m.generation-- // batches handed to the store are written
 						s.schedule(0, func() { m.generation++ })
 					}
 					return outcome
@@ -842,7 +857,8 @@
 					s.jobs = append(s.jobs, j)
 					s.schedule(4*time.Second+time.Duration(i)*100*time.Millisecond, func() { s.runUser(j) })
 				}
-				// quito is lost with its controllers, and comes back with its claims.
+				// quito's daemon stops, so its controllers lose the lease; it restarts later with its
+				// claims.
 				s.schedule(9*time.Second, func() {
 					quito := s.members[1]
 					quito.running = false
@@ -852,7 +868,7 @@
 				s.run(300 * time.Second)
 				for _, j := range s.jobs {
 					if !j.accepted || j.finalStatus == "" {
-						s.violation("%s: accepted %v, final answer %q", j.id, j.accepted, j.finalStatus)
+						s.violation("%s: accepted %v, final status %q", j.id, j.accepted, j.finalStatus)
 					}
 					s.checkStores(j)
 				}
@@ -865,9 +881,9 @@
 				}
 			}
 			if reached < 20 {
-				t.Errorf("the gateway ended in %d runs only", reached)
+				t.Errorf("the gateway was stopped in only %d runs", reached)
 			}
-			t.Logf("ended at %d steps", reached)
+			t.Logf("stopped at %d steps", reached)
 		})
 	}
 }
--- a/internal/coordination/gateway/siteclient.go
+++ b/internal/coordination/gateway/siteclient.go
@@ -11,16 +11,16 @@
 	"dapplestage.example/dapplestage/internal/transport"
 )
 
-// Controllers calls a site's controllers: any of them serves, the one that last
-// answered is asked first.
+// Controllers is a client of a site's controllers. Any of them can serve a call; the one
+// that last answered is tried first.
 type Controllers struct {
 	clients   []*transport.Client
 	addrs     []string
-	preferred atomic.Int64
+	preferred atomic.Int64 // index of the controller to try first
 	log       *slog.Logger
 }
 
-// NewControllers makes a client of some controllers.
+// NewControllers creates a client of the controllers at the given addresses.
 func NewControllers(addrs []string, log *slog.Logger) *Controllers {
 	c := &Controllers{addrs: addrs, log: log}
 	for _, addr := range addrs {
@@ -34,8 +34,9 @@
 	hintTimeout = time.Second
 )
 
-// Call implements Site. Whether calls that got no answer were executed is not
-// known, and they may be yet: each names its claim.
+// Call implements Site. Of calls without an answer it is not known whether they were
+// executed, and they may still be later; each call names its claim, so that a late one does
+// no harm.
 func (c *Controllers) Call(ctx context.Context, calls []Call) []Result {
 	envelope := &wire.Envelope{Items: make([]wire.Item, len(calls))}
 	byID := map[string]*Call{}
@@ -53,7 +54,7 @@
 	}
 	reply, err := wire.Decode(answer.Body)
 	if err != nil {
-		c.log.Warn("controller's answer not understood", "addr", c.addrs[index], "why", err)
+		c.log.Warn("controller's answer can't be decoded", "addr", c.addrs[index], "why", err)
 		c.preferred.Store(int64(index + 1))
 		return nil
 	}
@@ -71,13 +72,13 @@
 		out = append(out, Result{Call: *call, Code: it.Code, Done: it.Record.Tasks, Running: it.Running, Revision: it.Ballot.Number, Reason: string(it.Record.Spec)})
 	}
 	if len(out) < len(calls) || unavailable == len(calls) {
-		c.preferred.Store(int64(index + 1)) // perhaps another one has the state service
+		c.preferred.Store(int64(index + 1)) // another controller may reach the state service
 	}
 	return out
 }
 
-// Hint implements Site: what the controllers say, added up. Each knows the shares
-// that it holds.
+// Hint implements Site. It adds up the reports of all controllers, each of which knows the
+// partitions that it owns.
 func (c *Controllers) Hint(ctx context.Context) *wire.Hint {
 	hints := make(chan *wire.Hint, len(c.clients))
 	for _, client := range c.clients {
@@ -104,7 +105,7 @@
 	return sumHints(received)
 }
 
-// sumHints adds up what controllers know of their shares; nil if none says anything.
+// sumHints adds up the reports of controllers about their partitions; nil if there is none.
 func sumHints(hints []*wire.Hint) *wire.Hint {
 	if len(hints) == 0 {
 		return nil
--- a/internal/coordination/gateway/status.go
+++ b/internal/coordination/gateway/status.go
@@ -8,36 +8,37 @@
 	wire "dapplestage.example/dapplestage/internal/protocol/gateway"
 )
 
-// Status is what an operator sees. What is not known is said to be unknown, and
-// since when; it is never shown as fine.
+// Status is the state of the gateway for operators, as one member knows it. What is not
+// known is shown as unknown, with its age, and never as healthy.
 type Status struct {
 	Member          string         `json:"member"`
-	Majority        bool           `json:"majority"` // enough members are heard to decide anything
-	Store           string         `json:"store"`
+	Majority        bool           `json:"majority"` // whether this member reaches a majority of the members
+	Store           string         `json:"store"`    // ok, or since when and why it can't be written
 	OpenJobs        int            `json:"open_jobs"`
 	FinalJobs       int            `json:"final_jobs"`
 	ChangesInFlight int            `json:"changes_under_way"`
 	Handoffs        int            `json:"handoffs_under_way"`
-	Undecided       int            `json:"undecided"` // records not known to be agreed on
+	Undecided       int            `json:"undecided"` // open jobs whose record is not known to be accepted by a majority
 	Members         []MemberStatus `json:"members"`
 	Counts          Counts         `json:"counts"`
 }
 
-// MemberStatus is one member as this one sees it.
+// MemberStatus is the state of one member as this one knows it.
 type MemberStatus struct {
 	Name           string  `json:"name"`
 	Site           bool    `json:"site"`
-	State          string  `json:"state"` // this member, heard, unknown
-	SilentS        float64 `json:"since_s"`
-	Lease          string  `json:"lease,omitempty"` // granted, over, unknown
-	Drained        string  `json:"drained,omitempty"`
-	OwnedJobs      int     `json:"holds"`
-	UnackedNotices int     `json:"to_be_told"` // jobs it has to hear of before its next lease
+	State          string  `json:"state"`             // "this member", "heard" or "unknown"
+	SilentS        float64 `json:"since_s"`           // seconds since the last message from the member
+	Lease          string  `json:"lease,omitempty"`   // granted, not granted or unknown, with details
+	Drained        string  `json:"drained,omitempty"` // true, false or unknown
+	OwnedJobs      int     `json:"holds"`             // open jobs
+	UnackedNotices int     `json:"to_be_told"`        // jobs whose loss it has to acknowledge before its lease is renewed
 	WaitingTasks   int     `json:"waiting_tasks"`
 	FreeGPUs       float64 `json:"free_gpus"`
-	HintAgeS       float64 `json:"hint_age_s"` // -1: nothing is known of its load
+	HintAgeS       float64 `json:"hint_age_s"` // -1: its load is not known
 }
 
+// roundToTenth returns a duration in seconds, rounded down to tenths.
 func roundToTenth(d time.Duration) float64 { return float64(d/(100*time.Millisecond)) / 10 }
 
 func (c *Core) status() Status {
@@ -88,7 +89,7 @@
 	return status
 }
 
-// leaseStatus says what this member knows of a site's lease.
+// leaseStatus describes what this member knows of a site's lease.
 func (c *Core) leaseStatus(site int) string {
 	until := c.grants[site].tasksUntil
 	switch {
@@ -102,17 +103,19 @@
 	return "not granted"
 }
 
-// JobView is what the members' records say of one job, for operators.
+// JobView is one member's record of a job, for operators.
 type JobView struct {
 	ID      string `json:"id"`
 	Owner   string `json:"holder"`
 	Epoch   uint32 `json:"epoch"`
-	Agreed  bool   `json:"agreed"`
-	Stopped bool   `json:"stopped"`
-	Final   string `json:"final"`
-	By      string `json:"by,omitempty"`
+	Agreed  bool   `json:"agreed"`       // whether the record is known to be accepted by a majority
+	Stopped bool   `json:"stopped"`      // whether the owner has proved that no task runs any more
+	Final   string `json:"final"`        // open, done or withdrawn
+	By      string `json:"by,omitempty"` // site that completed the job
 }
 
+// memberName returns the name of the member with a number as records have it; empty if
+// there is none.
 func (c *Core) memberName(number uint8) string {
 	if number == 0 || int(number) > len(c.cfg.Members) {
 		return ""
--- a/internal/coordination/gateway/stores.go
+++ b/internal/coordination/gateway/stores.go
@@ -11,9 +11,11 @@
 	"dapplestage.example/dapplestage/internal/storage/segments"
 )
 
-// siteStateKey is beside the registers' keys, which are job ids.
+// siteStateKey is the key of the site's state, stored among the registers, whose keys are
+// job ids.
 const siteStateKey = "site"
 
+// storeKey returns the key under which an item is stored.
 func storeKey(it *wire.Item) string {
 	if it.Kind == wire.SiteState {
 		return siteStateKey
@@ -21,6 +23,7 @@
 	return it.ID
 }
 
+// encodeEntries encodes items as storage entries.
 func encodeEntries(items []wire.Item) []storage.Entry {
 	entries := make([]storage.Entry, len(items))
 	for i := range items {
@@ -29,6 +32,7 @@
 	return entries
 }
 
+// decodeEntry decodes one storage entry and checks that the item belongs to the key.
 func decodeEntry(key string, data []byte) (wire.Item, error) {
 	e, err := wire.Decode(data)
 	if err == nil && len(e.Items) != 1 {
@@ -39,20 +43,22 @@
 	}
 	it := e.Items[0]
 	if it.Kind != wire.RegisterState && it.Kind != wire.SiteState || storeKey(&it) != key {
-		return wire.Item{}, fmt.Errorf("stored register %q: it is another's", key)
+		return wire.Item{}, fmt.Errorf("stored register %q: the value belongs to another key", key)
 	}
 	return it, nil
 }
 
-// JournalStore keeps a gateway's registers on disk.
+// JournalStore stores a gateway's registers in a journal on disk.
 type JournalStore struct{ Journal *journal.Journal }
 
-// Write implements Store. The file belongs to one process, so no proof is needed.
+// Write implements Store. The file belongs to one process, so a write without items needs
+// no proof.
 func (s JournalStore) Write(_ context.Context, items []wire.Item) error {
 	return s.Journal.Write(encodeEntries(items))
 }
 
-// OpenJournal opens a gateway's journal.
+// OpenJournal opens a gateway's journal and returns the stored items and the number of this
+// start.
 func OpenJournal(path, member string) (*journal.Journal, []wire.Item, uint32, error) {
 	j, entries, start, err := journal.Open(path, member)
 	if err != nil {
@@ -66,7 +72,7 @@
 	return j, items, start, nil
 }
 
-// SegmentStore keeps a site's registers in its state service.
+// SegmentStore stores a site's registers in the site's state service.
 type SegmentStore struct{ Log *segments.Log }
 
 // Write implements Store.
@@ -78,7 +84,7 @@
 	return err
 }
 
-// DecodeEntries reads what a member's store held.
+// DecodeEntries decodes the entries of a member's store.
 func DecodeEntries(entries []storage.Entry) ([]wire.Item, error) {
 	items := make([]wire.Item, 0, len(entries))
 	for _, e := range entries {
