--- a/internal/coordination/ticket/admit.go
+++ b/internal/coordination/ticket/admit.go
@@ -12,40 +12,43 @@
 	format "dapplestage.example/dapplestage/internal/protocol/ticket"
 )
 
-// Refusal says why a ticket is not taken. Malformed: it can't be read as one;
-// otherwise it can never run here.
+// Refusal is the error for a ticket that is not accepted. Malformed: the submission is
+// invalid; otherwise the ticket can never run here.
 type Refusal struct {
 	Malformed bool
 	Why       string
 }
 
+// Error implements error.
 func (r *Refusal) Error() string { return r.Why }
 
+// neverRuns returns the refusal of a ticket that can never run here.
 func neverRuns(format string, a ...any) error { return &Refusal{Why: fmt.Sprintf(format, a...)} }
 
+// malformed returns the refusal of an invalid submission.
 func malformed(format string, a ...any) error {
 	return &Refusal{Malformed: true, Why: fmt.Sprintf(format, a...)}
 }
 
-// Limits of what a ticket is stored in.
+// Limits are the limits of the store that a ticket has to fit.
 type Limits struct {
 	MaxValueBytes int // of one stored value
 }
 
-// maxStepSpecBytes bounds the stored description of a step's job: with the placements and
-// errors of its tasks it must fit the smallest stored value.
+// maxStepSpecBytes limits the encoded spec of a step's job: with the placements and errors
+// of its tasks it must fit the smallest stored value.
 const maxStepSpecBytes = 1300
 
-// Admitted is a ticket as it is taken.
+// Admitted is an accepted ticket in the form in which it is stored.
 type Admitted struct {
 	ID             string
 	Record         *protocol.TicketRecord
-	PackedTemplate []byte // its template and arguments
+	PackedTemplate []byte // compressed template and arguments
 }
 
-// Admit turns a submission into what is stored, by the class of its lot. It is the
-// one way in for tickets, whichever path they came by, and depends on nothing else:
-// the same ticket becomes the same jobs at every node.
+// Admit validates a submission against its class and returns what is to be stored. All
+// tickets are admitted by it, whichever API they came by. It depends on nothing but its
+// arguments, so the same ticket becomes the same jobs at every node.
 func Admit(sub *format.Submission, classes ClassTable, limits Limits) (*Admitted, error) {
 	c, ok := classes[sub.Class]
 	if !ok {
@@ -81,14 +84,14 @@
 	return packTicket(sub, rec, limits)
 }
 
-// baseSpec is what all steps of a ticket have in common: what the submission says, or else the
-// class.
-func (c Class) baseSpec(sub *format.Submission, tasks int, urgency string) (*protocol.JobSpec, error) {
+// baseSpec returns the part of the spec that all steps of a ticket share: the values of the
+// submission, and those of the class where it has none.
+func (c Class) baseSpec(sub *format.Submission, tasks int, priority string) (*protocol.JobSpec, error) {
 	shape := cmp.Or(sub.Shape, c.Shapes[0])
 	if !slices.Contains(c.Shapes, shape) {
 		return nil, neverRuns("shape: %s is not among those of %s: %s", shape, c.Name, strings.Join(c.Shapes, ", "))
 	}
-	spec := &protocol.JobSpec{ID: sub.ID, Class: sub.Class, Team: sub.Team, Shape: shape, Priority: urgency, Tasks: tasks,
+	spec := &protocol.JobSpec{ID: sub.ID, Class: sub.Class, Team: sub.Team, Shape: shape, Priority: priority, Tasks: tasks,
 		Image: c.Image, ImageGB: c.ImageGB, Types: sub.Types, Zone: sub.Zone, OneZone: sub.OneZone, Spread: sub.Spread, Spot: c.Spot,
 		EstimateS: cmp.Or(sub.EstimateS, c.EstimateS), CheckpointS: sub.CheckpointS, SaveS: sub.SaveS, DeadlineS: sub.DeadlineS}
 	if sub.Image != "" {
@@ -104,7 +107,8 @@
 	return spec, nil
 }
 
-// newStep is what a step's tasks take, within what the submission and the class allow.
+// newStep returns a step with the resources of its tasks, checked against the submission
+// and the class.
 func (c Class) newStep(sub *format.Submission, base *protocol.JobSpec, planStep format.PlanStep) (protocol.TicketStep, error) {
 	step := protocol.TicketStep{Name: planStep.Name, Tasks: planStep.Space.Len(), Deps: planStep.Deps,
 		CPUs: valueOr(planStep.CPUs, base.CPUs), GPUs: valueOr(planStep.GPUs, base.GPUs), MemoryGB: valueOr(planStep.MemoryGB, base.MemoryGB), Types: planStep.Types, Zone: planStep.Zone}
@@ -127,13 +131,14 @@
 	return step, nil
 }
 
-// packTicket packs a ticket's template and arguments, and says whether what is to be stored fits.
+// packTicket compresses the template and arguments of a ticket, and refuses the ticket if
+// its values do not fit the store.
 func packTicket(sub *format.Submission, rec *protocol.TicketRecord, limits Limits) (*Admitted, error) {
 	packed, err := sub.Pack()
 	if err != nil {
 		return nil, malformed("%v", err)
 	}
-	// Packed bytes are stored as base64; a record grows by what becomes of its steps.
+	// The compressed bytes are stored as base64. The record grows by the states of its steps.
 	if size, maxBytes := len(packed)*4/3+64, limits.MaxValueBytes; size > maxBytes {
 		return nil, neverRuns("template: %d bytes even when packed, at most %d are stored", size, maxBytes)
 	}
@@ -144,6 +149,7 @@
 	return &Admitted{ID: sub.ID, Record: rec, PackedTemplate: packed}, nil
 }
 
+// valueOr returns the value, or the fallback if there is none.
 func valueOr(value *float64, fallback float64) float64 {
 	if value != nil {
 		return *value
@@ -151,6 +157,7 @@
 	return fallback
 }
 
+// intersect returns the elements of a that are also in b.
 func intersect(a, b []string) (out []string) {
 	for _, x := range a {
 		if slices.Contains(b, x) {
@@ -160,37 +167,37 @@
 	return out
 }
 
-// grantTerms says what of its wishes a ticket gets.
+// grantTerms returns the limits that a ticket is granted, given those that it requests.
 func (c Class) grantTerms(sub *format.Submission) (terms protocol.TicketTerms, err error) {
-	limit := func(name string, asked *int, fallback, maximum int) protocol.GrantedLimit {
-		granted := protocol.GrantedLimit{Requested: asked, Granted: fallback}
-		if asked != nil {
-			if granted.Granted = min(*asked, maximum); *asked > maximum && c.OnExcess == RefuseExcess && err == nil {
-				err = neverRuns("%s: %d asked for, %s allows %d", name, *asked, c.Name, maximum)
+	limit := func(name string, requested *int, fallback, maximum int) protocol.GrantedLimit {
+		granted := protocol.GrantedLimit{Requested: requested, Granted: fallback}
+		if requested != nil {
+			if granted.Granted = min(*requested, maximum); *requested > maximum && c.OnExcess == RefuseExcess && err == nil {
+				err = neverRuns("%s: %d asked for, %s allows %d", name, *requested, c.Name, maximum)
 			}
 		}
 		return granted
 	}
 	terms.MaxRetries = limit("maxRetriesPerTask", sub.MaxRetries, c.MaxRetries, c.MaxRetries)
 	terms.MaxFailedTasks = limit("maxFailedTasksCount", sub.MaxFailedTasks, 0, c.MaxFailedTasks)
-	asked := sub.Priority
-	if asked == "" && sub.TicketPriority != nil {
-		asked = urgencyOfPriority(*sub.TicketPriority)
+	requested := sub.Priority
+	if requested == "" && sub.TicketPriority != nil {
+		requested = urgencyOfPriority(*sub.TicketPriority)
 	}
-	terms.Priority = asked
-	if asked == "" {
+	terms.Priority = requested
+	if requested == "" {
 		terms.Priority = urgencies[min(slices.Index(urgencies, "standard"), slices.Index(urgencies, c.MaxUrgency))]
 	}
 	if slices.Index(urgencies, terms.Priority) > slices.Index(urgencies, c.MaxUrgency) {
 		if c.OnExcess == RefuseExcess && err == nil {
-			err = neverRuns("urgency: %s asked for, %s allows %s", asked, c.Name, c.MaxUrgency)
+			err = neverRuns("urgency: %s asked for, %s allows %s", requested, c.Name, c.MaxUrgency)
 		}
-		terms.Priority, terms.RequestedPriority = c.MaxUrgency, asked
+		terms.Priority, terms.RequestedPriority = c.MaxUrgency, requested
 	}
 	return terms, err
 }
 
-// urgencyOfPriority reads the priorities of 0 to 100 that render farms have.
+// urgencyOfPriority maps a render farm's priority of 0 to 100 to a priority of a job.
 func urgencyOfPriority(priority int) string {
 	switch {
 	case priority >= 90:
@@ -203,7 +210,7 @@
 	return "best_effort"
 }
 
-// StepSpec is the job that a step becomes.
+// StepSpec returns the spec of the job for a step.
 func StepSpec(rec *protocol.TicketRecord, step int) *protocol.JobSpec {
 	ticketStep := &rec.Steps[step]
 	spec := *rec.Base
@@ -215,27 +222,27 @@
 	if ticketStep.Zone != "" {
 		spec.Zone = ticketStep.Zone
 	}
-	spec.DeadlineS = nil // it is the ticket's, from its submission
+	spec.DeadlineS = nil // the deadline applies to the ticket and counts from its submission
 	return &spec
 }
 
-// StepRef ties a step's job to its ticket.
+// StepRef returns the reference from a step's job to its ticket.
 func StepRef(rec *protocol.TicketRecord, step int) *protocol.StepRef {
 	return &protocol.StepRef{Ticket: rec.Base.ID, Step: step, MaxRetries: rec.Terms.MaxRetries.Granted}
 }
 
-// Description is what workers are given of a step's job: its submission, with the
-// parameters of its tasks and the scripts.
+// Description is what workers receive about a step's job: its submission, the parameters of
+// its tasks and the scripts.
 type Description struct {
 	protocol.JobSpec
-	// Written out: a submission must have these even where they are false or empty.
+	// These are always encoded: a submission must have them even if they are false or empty.
 	OneZone bool            `json:"together"`
 	Spread  bool            `json:"scatter"`
 	Spot    bool            `json:"loaners"`
 	Step    DescriptionStep `json:"step"`
 }
 
-// DescriptionStep is the part of a description that is the ticket's.
+// DescriptionStep is the part of a description that comes from the ticket.
 type DescriptionStep struct {
 	Ticket       string                 `json:"ticket"`
 	Name         string                 `json:"name"` // of the ticket
@@ -243,11 +250,11 @@
 	Args         format.Args            `json:"parameters"`
 	Space        *format.ParameterSpace `json:"parameterSpace,omitempty"`
 	Script       format.Script          `json:"script"`
-	Environments []format.Environment   `json:"environments,omitempty"` // the job's, then the step's
+	Environments []format.Environment   `json:"environments,omitempty"` // those of the template, then those of the step
 }
 
-// Describe makes the descriptions of a ticket's steps, which its user uploads as for
-// any other job, under the ids of the steps' jobs.
+// Describe returns the descriptions of the steps of a ticket. The user uploads them under
+// the ids of the jobs for the steps, as for any other job.
 func Describe(sub *format.Submission, admitted *Admitted) ([]Description, error) {
 	if sub.Template == nil {
 		return nil, errors.New("no template")
--- a/internal/coordination/ticket/classes.go
+++ b/internal/coordination/ticket/classes.go
@@ -14,43 +14,44 @@
 	format "dapplestage.example/dapplestage/internal/protocol/ticket"
 )
 
-// What a class does with a ticket that asks for more than it allows.
+// Values of Class.OnExcess: what happens to a ticket that requests more than its class
+// allows.
 const (
-	ReduceExcess = "grant"  // give what is allowed, and say so
+	ReduceExcess = "grant"  // grant what is allowed, and report that in the status
 	RefuseExcess = "refuse" // refuse the ticket
 )
 
-// Urgencies, the least urgent first.
+// urgencies are the priorities of jobs, the lowest first.
 var urgencies = []string{"best_effort", "standard", "high", "critical"}
 
-// Class says what tickets of a lot may have. Its fields bear the names of the
-// submission's.
+// Class holds the limits and defaults for the tickets of a class. The fields have the names
+// of protocol.JobSpec, the encoded names are those of a submission.
 type Class struct {
 	Name           string   `toml:"lot" json:"lot"`
-	MaxUrgency     string   `toml:"urgency" json:"urgency"`     // the most urgent
-	Shapes         []string `toml:"shapes" json:"shapes"`       // the first is what a ticket gets that asks for none
-	OnExcess       string   `toml:"over" json:"over"`           // grant or refuse
-	MaxRetries     int      `toml:"retries" json:"retries"`     // of a task, after its first run
-	MaxFailedTasks int      `toml:"failed" json:"failed"`       // tasks that a ticket may survive
-	MaxTasks       int      `toml:"tasks" json:"tasks"`         // of a ticket
-	CPUs           float64  `toml:"vcpus" json:"vcpus"`         // of a task whose step says nothing
-	GPUs           float64  `toml:"cards" json:"cards"`         // of such a task
-	MemoryGB       float64  `toml:"memGb" json:"memGb"`         // of such a task
-	Image          string   `toml:"bundle" json:"bundle"`       // image of a ticket that names none
-	ImageGB        float64  `toml:"sizeGb" json:"sizeGb"`       // its size
-	Spot           bool     `toml:"loaners" json:"loaners"`     // spot machines, unless the ticket says
-	EstimateS      float64  `toml:"expectS" json:"expectS"`     // run time of a task, unless the ticket says
-	MaxCPUs        float64  `toml:"mostVcpus" json:"mostVcpus"` // of a task; 0: any
-	MaxGPUs        float64  `toml:"mostCards" json:"mostCards"` // of a task; 0: any
+	MaxUrgency     string   `toml:"urgency" json:"urgency"`     // highest priority
+	Shapes         []string `toml:"shapes" json:"shapes"`       // allowed shapes; the first is the default
+	OnExcess       string   `toml:"over" json:"over"`           // ReduceExcess or RefuseExcess
+	MaxRetries     int      `toml:"retries" json:"retries"`     // per task, after its first run
+	MaxFailedTasks int      `toml:"failed" json:"failed"`       // failed tasks before the ticket fails
+	MaxTasks       int      `toml:"tasks" json:"tasks"`         // per ticket
+	CPUs           float64  `toml:"vcpus" json:"vcpus"`         // default for a task whose step has no value
+	GPUs           float64  `toml:"cards" json:"cards"`         // default for such a task
+	MemoryGB       float64  `toml:"memGb" json:"memGb"`         // default for such a task
+	Image          string   `toml:"bundle" json:"bundle"`       // default image
+	ImageGB        float64  `toml:"sizeGb" json:"sizeGb"`       // size of the default image
+	Spot           bool     `toml:"loaners" json:"loaners"`     // default: whether tasks may run on spot machines
+	EstimateS      float64  `toml:"expectS" json:"expectS"`     // default for the run time of a task
+	MaxCPUs        float64  `toml:"mostVcpus" json:"mostVcpus"` // per task; 0: no limit
+	MaxGPUs        float64  `toml:"mostCards" json:"mostCards"` // per task; 0: no limit
 }
 
-// ClassTable is the classes by lot.
+// ClassTable holds the classes by name.
 type ClassTable map[string]Class
 
-// MaxClasses bounds the table, which is one stored value.
+// MaxClasses limits the size of the table, which is one stored value.
 const MaxClasses = 24
 
-// ReadClasses reads the classes of a file such as deploy/tickets.toml.
+// ReadClasses reads the classes from a file such as deploy/tickets.toml.
 func ReadClasses(path string) (ClassTable, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -79,8 +80,8 @@
 	return table, nil
 }
 
-// ParseClass reads one class from JSON, as the administration API takes it.
-func ParseClass(lot string, data []byte) (Class, error) {
+// ParseClass parses the JSON of one class, as the administration API receives it.
+func ParseClass(name string, data []byte) (Class, error) {
 	decoder := json.NewDecoder(strings.NewReader(string(data)))
 	decoder.DisallowUnknownFields()
 	var class Class
@@ -88,16 +89,16 @@
 		return class, fmt.Errorf("class: %v", err)
 	}
 	if class.Name == "" {
-		class.Name = lot
+		class.Name = name
 	}
-	if class.Name != lot {
-		return class, fmt.Errorf("lot: %q is not the one that is set, %q", class.Name, lot)
+	if class.Name != name {
+		return class, fmt.Errorf("lot: %q is not the one that is set, %q", class.Name, name)
 	}
 	class = class.withDefaults()
 	return class, class.Validate()
 }
 
-// withDefaults gives what was left out its default.
+// withDefaults returns the class with defaults for missing values.
 func (c Class) withDefaults() Class {
 	if c.MaxUrgency == "" {
 		c.MaxUrgency = "standard"
@@ -114,10 +115,12 @@
 	return c
 }
 
-// maxRetries bounds what a class may allow: a task's errors are counted in a byte.
+// maxRetries is the highest retry limit of a class: the errors of a task are counted in one
+// byte.
 const maxRetries = 100
 
-// Validate says what is wrong with a class, field and bound named.
+// Validate returns an error that names the first invalid field and its allowed values; nil
+// if the class is valid.
 func (c Class) Validate() error {
 	switch {
 	case c.Name == "" || len(c.Name) > 200 || strings.ContainsAny(c.Name, "/ "):
@@ -132,13 +135,13 @@
 		return errors.New("bundle: must be at most 200 characters")
 	}
 	for _, field := range []struct {
-		name string
-		v    float64
-		most float64
+		name  string
+		value float64
+		limit float64
 	}{{"retries", float64(c.MaxRetries), maxRetries}, {"failed", float64(c.MaxFailedTasks), format.MaxTasks}, {"vcpus", c.CPUs, 1e6}, {"cards", c.GPUs, 1e6},
 		{"memGb", c.MemoryGB, 1e6}, {"sizeGb", c.ImageGB, 1e6}, {"expectS", c.EstimateS, 1e9}, {"mostVcpus", c.MaxCPUs, 1e6}, {"mostCards", c.MaxGPUs, 1e6}} {
-		if !(field.v >= 0 && field.v <= field.most) {
-			return fmt.Errorf("%s: must be 0 to %g", field.name, field.most)
+		if !(field.value >= 0 && field.value <= field.limit) {
+			return fmt.Errorf("%s: must be 0 to %g", field.name, field.limit)
 		}
 	}
 	if c.MaxTasks < 1 || c.MaxTasks > format.MaxTasks {
@@ -147,26 +150,27 @@
 	return nil
 }
 
-// WithStored is a table with what operators stored put over it.
+// WithStored returns the table with the valid classes that operators have stored; they
+// replace those of the same name.
 func (t ClassTable) WithStored(stored ClassTable) ClassTable {
 	out := ClassTable{}
-	for lot, class := range t {
-		out[lot] = class
+	for name, class := range t {
+		out[name] = class
 	}
-	for lot, class := range stored {
+	for name, class := range stored {
 		if class.Validate() == nil {
-			out[lot] = class
+			out[name] = class
 		}
 	}
 	return out
 }
 
-// Names are the names of the classes in order.
+// Names returns the names of the classes in order.
 func (t ClassTable) Names() []string {
-	var out []string
-	for lot := range t {
-		out = append(out, lot)
+	var names []string
+	for name := range t {
+		names = append(names, name)
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(names)
+	return names
 }
--- a/internal/coordination/ticket/doc.go
+++ b/internal/coordination/ticket/doc.go
@@ -1,6 +1,7 @@
-// Package ticket decides about render-farm tickets: which class a ticket has and what
-// it is granted, which jobs its steps become, which step may start, when a task has
-// used up its tries and when the ticket is over. All of it is pure: no clock, no
-// store, no network. The node applies what it says in conditional writes, by the same
-// paths as every other job, so that no ticket passes classes, quotas or drains.
+// Package ticket makes the decisions about render-farm tickets: the class of a ticket and
+// the limits it is granted, the jobs that its steps become, which steps may start, when a
+// task has used up its retries, and when the ticket has ended. It is pure: it uses no
+// clock, no store and no network. The node applies the decisions in conditional writes, in
+// the same way as for every other job, so that no ticket bypasses classes, quotas or
+// drains.
 package ticket
--- a/internal/coordination/ticket/progress.go
+++ b/internal/coordination/ticket/progress.go
@@ -7,24 +7,25 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// StepState is how a step's job is, as its holder sees it.
+// StepState is the state of the job for a step, as the owner of the ticket's partition
+// knows it.
 type StepState struct {
-	Open          bool // there is a job
-	IDTaken       bool // a job that is not the ticket's has its id
-	FailedTasks   int  // tasks that used up their tries
-	StopRequested bool // it is to end already
+	Open          bool // the job exists and is not final
+	IDTaken       bool // another job has the id of the step's job
+	FailedTasks   int  // tasks that have used up their retries
+	StopRequested bool // the job is being stopped
 }
 
-// Action is what to do about a ticket. At most one of its parts is set; each becomes
-// one conditional write, and when that is stored the question is asked again.
+// Action is the next change of a ticket. At most one of its fields is set. Each becomes one
+// conditional write, and once that is stored NextAction is called again.
 type Action struct {
-	FailReason  string // the ticket fails, for this reason: all that runs of it is stopped
-	StopSteps   []int  // steps to stop: of a ticket that is to end, and gangs that can't complete
-	FinalStatus string // the ticket is over, as this
+	FailReason  string // the ticket fails for this reason, and all of its open steps are stopped
+	StopSteps   []int  // steps to stop: those of a ticket that is ending, and gangs that can't complete
+	FinalStatus string // the ticket ends with this status
 	OpenSteps   []int  // steps to start
 }
 
-// NextAction says what to do about a ticket. most is how many of its steps may be open at
+// NextAction returns the next change of a ticket. At most maxOpen of its steps are open at
 // a time.
 func NextAction(rec *protocol.TicketRecord, cancelled bool, states []StepState, maxOpen int) Action {
 	failedTasks, openSteps, doneSteps := 0, 0, 0
@@ -38,8 +39,8 @@
 		}
 	}
 	active := !cancelled && rec.FailureReason == ""
-	if maxOpen := rec.Terms.MaxFailedTasks.Granted; active && failedTasks > maxOpen {
-		return Action{FailReason: failureReason(rec, states, failedTasks, maxOpen)}
+	if maxFailed := rec.Terms.MaxFailedTasks.Granted; active && failedTasks > maxFailed {
+		return Action{FailReason: failureReason(rec, states, failedTasks, maxFailed)}
 	}
 	var action Action
 	for i, step := range rec.Steps {
@@ -62,7 +63,7 @@
 	case action.OpenSteps != nil:
 		return Action{OpenSteps: action.OpenSteps}
 	case openSteps > 0:
-	case cancelled && rec.FailureReason == "": // whichever was stored first, and so told, holds
+	case cancelled && rec.FailureReason == "": // a cancellation stored before a failure decides the status, since users were told of it
 		action.FinalStatus = protocol.JobCancelled
 	case active && doneSteps == len(rec.Steps):
 		action.FinalStatus = protocol.JobDone
@@ -72,10 +73,11 @@
 	return action
 }
 
-// OpenableSteps are the steps that a ticket's holder may open, under the same record, beside
-// those known to be open. Who changes the record must make sure that they are not, or
-// a step would go on that nobody stops. (Found with simulated troubles: a node that
-// had not yet heard of a step's job cancelled the ticket without it.)
+// OpenableSteps returns the steps that the owner of the ticket may open under the same
+// record, besides those known to be open. A write that changes the record must be
+// conditional on these steps not being open; otherwise a step could continue that nobody
+// stops: a node that had not yet seen the job of a step cancelled the ticket without
+// stopping that job.
 func OpenableSteps(rec *protocol.TicketRecord, states []StepState, maxOpen int) (out []int) {
 	openSteps := 0
 	for _, state := range states {
@@ -91,7 +93,7 @@
 	return out
 }
 
-// depsDone says whether all that a step depends on is done.
+// depsDone reports whether all steps that a step depends on are done.
 func depsDone(rec *protocol.TicketRecord, step int) bool {
 	for _, dep := range rec.Steps[step].Deps {
 		if rec.Steps[dep].State != protocol.JobDone {
@@ -101,6 +103,8 @@
 	return true
 }
 
+// failureReason describes the failed tasks of a ticket that has more of them than it may
+// have.
 func failureReason(rec *protocol.TicketRecord, states []StepState, failed, allowed int) string {
 	names := ""
 	for i, step := range rec.Steps {
@@ -114,11 +118,11 @@
 	return fmt.Sprintf("tasks that failed %d times each: %d, in %s; the ticket may have %d", rec.Terms.MaxRetries.Granted+1, failed, names, allowed)
 }
 
-// maxFailedRanges bounds the ranges of failed tasks that are remembered of a step.
+// maxFailedRanges limits the stored ranges of failed tasks per step.
 const maxFailedRanges = 4
 
-// WithStepEnded is a ticket's record once a step's job is over as status. which are its failed
-// tasks, as ranges.
+// WithStepEnded returns the record of a ticket after the job for a step has ended with the
+// given status. failedRanges are the ranges of its failed tasks.
 func WithStepEnded(rec *protocol.TicketRecord, step int, status string, done, failed int, failedRanges [][2]int) *protocol.TicketRecord {
 	out := *rec
 	out.Steps = append([]protocol.TicketStep{}, rec.Steps...)
@@ -127,15 +131,15 @@
 	return &out
 }
 
-// WithFailure is a ticket's record once it fails.
+// WithFailure returns the record of a ticket that fails for the given reason.
 func WithFailure(rec *protocol.TicketRecord, reason string) *protocol.TicketRecord {
 	out := *rec
 	out.FailureReason = reason
 	return &out
 }
 
-// StepOutcome is what a step's job is called when nothing of it is left: failed if a task
-// used up its tries or the ticket failed, withdrawn if it was cancelled, else done.
+// StepOutcome returns the final status of the job for a step: failed if a task used up its
+// retries or the ticket failed, cancelled if the ticket was cancelled, done otherwise.
 func StepOutcome(cancelled, stopped bool, failed int) string {
 	switch {
 	case stopped || failed > 0 && !cancelled:
@@ -146,12 +150,12 @@
 	return protocol.JobDone
 }
 
-// CountsAsRetry says whether a task's end counts against its retries. Only an error of the
-// task does. A task that was stopped, lost with its machine or lease, refused by its
-// worker, or that waited for its gang in vain is started again as often as it takes.
+// CountsAsRetry reports whether the end of a task counts against its retries. Only an error
+// of the task does. A task that was stopped, was lost with its machine or lease, was
+// refused by its worker, or waited in vain for its gang is started again without limit.
 func CountsAsRetry(cause string) bool { return cause == protocol.CauseError }
 
-// RetriesExhausted says whether a task has used up its tries.
+// RetriesExhausted reports whether a task with so many errors has used up its retries.
 func RetriesExhausted(errors, retries int) bool { return errors > retries }
 
 const (
@@ -159,8 +163,9 @@
 	maxRetryPause = 30 * time.Second
 )
 
-// RetryPause is how long a task waits before it is tried again after so many errors: twice
-// as long each time, so that what ails its machine or its data can pass.
+// RetryPause returns how long a task waits before its next attempt after so many errors.
+// The pause doubles with each error, so that a temporary fault of its machine or its data
+// can pass.
 func RetryPause(errors int) time.Duration {
 	if errors <= 0 {
 		return 0
--- a/internal/coordination/ticket/ticket_test.go
+++ b/internal/coordination/ticket/ticket_test.go
@@ -17,64 +17,64 @@
 	format "dapplestage.example/dapplestage/internal/protocol/ticket"
 )
 
-// drawRecord draws a ticket's record: steps that depend on earlier ones.
+// drawRecord draws the record of a ticket whose steps depend on earlier ones.
 func drawRecord(t *rapid.T) *protocol.TicketRecord {
-	r := &protocol.TicketRecord{Base: &protocol.JobSpec{ID: "job-1", Shape: protocol.Array}, Terms: protocol.TicketTerms{MaxFailedTasks: protocol.GrantedLimit{Granted: rapid.IntRange(0, 2).Draw(t, "survives")}}}
+	rec := &protocol.TicketRecord{Base: &protocol.JobSpec{ID: "job-1", Shape: protocol.Array}, Terms: protocol.TicketTerms{MaxFailedTasks: protocol.GrantedLimit{Granted: rapid.IntRange(0, 2).Draw(t, "survives")}}}
 	for i := range rapid.IntRange(1, 8).Draw(t, "steps") {
-		st := protocol.TicketStep{Name: fmt.Sprint("s", i), Tasks: rapid.IntRange(1, 3).Draw(t, "tasks")}
-		for d := range i {
+		step := protocol.TicketStep{Name: fmt.Sprint("s", i), Tasks: rapid.IntRange(1, 3).Draw(t, "tasks")}
+		for dep := range i {
 			if rapid.IntRange(0, 2).Draw(t, "dep") == 0 {
-				st.Deps = append(st.Deps, d)
+				step.Deps = append(step.Deps, dep)
 			}
 		}
-		r.Steps = append(r.Steps, st)
+		rec.Steps = append(rec.Steps, step)
 	}
-	return r
+	return rec
 }
 
-// Whatever its steps come to, a ticket goes on to one end: no step starts before those
-// it depends on are done, none starts twice, none after a failure or a cancellation,
-// and never more than allowed are open.
+// Whatever happens to its steps, every ticket reaches one final status: no step starts
+// before its dependencies are done, none starts twice or after a failure or a cancellation,
+// and never more than the limit are open.
 func TestProgress(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rec := drawRecord(t)
-		now := make([]StepState, len(rec.Steps))
-		most := rapid.IntRange(1, 4).Draw(t, "most")
+		states := make([]StepState, len(rec.Steps))
+		maxOpen := rapid.IntRange(1, 4).Draw(t, "most")
 		cancelled, started := false, map[int]bool{}
 		for round := 0; ; round++ {
 			if round > 200 {
-				t.Fatalf("no end: %+v %+v", rec, now)
+				t.Fatalf("ticket does not end: %+v %+v", rec, states)
 			}
-			d := NextAction(rec, cancelled, now, most)
+			action := NextAction(rec, cancelled, states, maxOpen)
 			switch {
-			case d.FinalStatus != "":
-				for i, st := range rec.Steps {
-					if now[i].Open {
-						t.Fatalf("over with %s open", st.Name)
+			case action.FinalStatus != "":
+				for i, step := range rec.Steps {
+					if states[i].Open {
+						t.Fatalf("ended with step %s open", step.Name)
 					}
-					if d.FinalStatus == protocol.JobDone && st.State != protocol.JobDone {
-						t.Fatalf("done, but %s is %q", st.Name, st.State)
+					if action.FinalStatus == protocol.JobDone && step.State != protocol.JobDone {
+						t.Fatalf("done, but %s is %q", step.Name, step.State)
 					}
 				}
-				if cancelled && rec.FailureReason == "" && d.FinalStatus != protocol.JobCancelled || rec.FailureReason != "" && d.FinalStatus != protocol.JobFailed {
-					t.Fatalf("%s, cancelled %v, failing %q", d.FinalStatus, cancelled, rec.FailureReason)
+				if cancelled && rec.FailureReason == "" && action.FinalStatus != protocol.JobCancelled || rec.FailureReason != "" && action.FinalStatus != protocol.JobFailed {
+					t.Fatalf("%s, cancelled %v, failing %q", action.FinalStatus, cancelled, rec.FailureReason)
 				}
 				return
-			case d.FailReason != "":
+			case action.FailReason != "":
 				if cancelled || rec.FailureReason != "" {
 					t.Fatal("failed twice, or after its cancellation")
 				}
-				rec = WithFailure(rec, d.FailReason)
-			case d.StopSteps != nil:
-				for _, i := range d.StopSteps {
-					now[i].StopRequested = true
+				rec = WithFailure(rec, action.FailReason)
+			case action.StopSteps != nil:
+				for _, i := range action.StopSteps {
+					states[i].StopRequested = true
 				}
-			case d.OpenSteps != nil:
-				if may := OpenableSteps(rec, now, most); !reflect.DeepEqual(may, d.OpenSteps) {
-					t.Fatalf("opens %v, may open %v", d.OpenSteps, may)
+			case action.OpenSteps != nil:
+				if openable := OpenableSteps(rec, states, maxOpen); !reflect.DeepEqual(openable, action.OpenSteps) {
+					t.Fatalf("opens %v, openable are %v", action.OpenSteps, openable)
 				}
-				for _, i := range d.OpenSteps {
-					if cancelled || rec.FailureReason != "" || started[i] || now[i].Open {
+				for _, i := range action.OpenSteps {
+					if cancelled || rec.FailureReason != "" || started[i] || states[i].Open {
 						t.Fatalf("step %d starts, cancelled %v, failing %q, before %v", i, cancelled, rec.FailureReason, started[i])
 					}
 					for _, dep := range rec.Steps[i].Deps {
@@ -83,50 +83,52 @@
 						}
 					}
 					started[i] = true
-					now[i] = StepState{Open: true}
+					states[i] = StepState{Open: true}
 				}
-				if open := slices.DeleteFunc(slices.Clone(now), func(s StepState) bool { return !s.Open }); len(open) > most {
-					t.Fatalf("%d open", len(open))
+				if open := slices.DeleteFunc(slices.Clone(states), func(s StepState) bool { return !s.Open }); len(open) > maxOpen {
+					t.Fatalf("%d steps are open", len(open))
 				}
 			default:
-				// Something happens to an open step.
+				// An event for a random open step.
 				var open []int
-				for i := range now {
-					if now[i].Open {
+				for i := range states {
+					if states[i].Open {
 						open = append(open, i)
 					}
 				}
 				if len(open) == 0 {
-					t.Fatalf("nothing open and nothing to do: %+v", rec)
+					t.Fatalf("no step is open and there is no action: %+v", rec)
 				}
 				i := rapid.SampledFrom(open).Draw(t, "which")
-				switch e := rapid.IntRange(0, 5).Draw(t, "event"); {
-				case e == 0 && !now[i].StopRequested && now[i].FailedTasks < rec.Steps[i].Tasks:
-					now[i].FailedTasks++
-				case e == 1 && !cancelled && rec.FailureReason == "":
+				switch event := rapid.IntRange(0, 5).Draw(t, "event"); {
+				case event == 0 && !states[i].StopRequested && states[i].FailedTasks < rec.Steps[i].Tasks:
+					states[i].FailedTasks++
+				case event == 1 && !cancelled && rec.FailureReason == "":
 					cancelled = true
 				default:
-					stopped := now[i].StopRequested && !cancelled
-					status := StepOutcome(now[i].StopRequested && cancelled, stopped, now[i].FailedTasks)
-					rec = WithStepEnded(rec, i, status, rec.Steps[i].Tasks-now[i].FailedTasks, now[i].FailedTasks, nil)
-					now[i] = StepState{}
+					stopped := states[i].StopRequested && !cancelled
+					status := StepOutcome(states[i].StopRequested && cancelled, stopped, states[i].FailedTasks)
+					rec = WithStepEnded(rec, i, status, rec.Steps[i].Tasks-states[i].FailedTasks, states[i].FailedTasks, nil)
+					states[i] = StepState{}
 				}
 			}
 		}
 	})
 }
 
-// A gang of which a task failed for good can't complete: it is stopped.
-func TestGangWithAFailedTaskIsStopped(t *testing.T) {
+// A gang with a task that has used up its retries can't complete: it is stopped and fails.
+func TestGangWithFailedTaskIsStopped(t *testing.T) {
 	rec := &protocol.TicketRecord{Base: &protocol.JobSpec{ID: "job-1", Shape: protocol.Gang}, Terms: protocol.TicketTerms{MaxFailedTasks: protocol.GrantedLimit{Granted: 5}}, Steps: []protocol.TicketStep{{Name: "a", Tasks: 3}}}
-	if d := NextAction(rec, false, []StepState{{Open: true, FailedTasks: 1}}, 2); !slices.Equal(d.StopSteps, []int{0}) {
-		t.Errorf("%+v", d)
+	if action := NextAction(rec, false, []StepState{{Open: true, FailedTasks: 1}}, 2); !slices.Equal(action.StopSteps, []int{0}) {
+		t.Errorf("%+v", action)
 	}
 	if got := StepOutcome(true, true, 1); got != protocol.JobFailed {
 		t.Error(got)
 	}
 }
 
+// Only an error of the task counts against its retries, a limit of n retries allows n+1
+// runs, and the pause between runs never shrinks or exceeds its maximum.
 func TestRetries(t *testing.T) {
 	for cause, counts := range map[string]bool{protocol.CauseError: true, protocol.CauseStopped: false, protocol.CausePeers: false, protocol.CauseIncomplete: false,
 		protocol.CauseNoCapacity: false, protocol.CauseBusy: false, protocol.CauseUnknown: false, protocol.CauseDone: false, "": false} {
@@ -135,77 +137,81 @@
 		}
 	}
 	if RetriesExhausted(3, 3) || !RetriesExhausted(4, 3) || !RetriesExhausted(1, 0) {
-		t.Error("three retries are four runs")
+		t.Error("a limit of three retries does not allow exactly four runs")
 	}
 	last := time.Duration(0)
-	for e := range 200 {
-		if p := RetryPause(e); p < last || p > maxRetryPause || e == 1 && p != minRetryPause {
-			t.Errorf("%v after %d errors, %v before", p, e, last)
+	for errors := range 200 {
+		if pause := RetryPause(errors); pause < last || pause > maxRetryPause || errors == 1 && pause != minRetryPause {
+			t.Errorf("pause %v after %d errors, %v after one less", pause, errors, last)
 		} else {
-			last = p
+			last = pause
 		}
 	}
 }
 
 func parseSubmission(t *testing.T, extra string) *format.Submission {
 	t.Helper()
-	s, err := format.ParseTicket([]byte(`{"id":"job-1","lot":"l","crew":"red",` + extra + `"template":{"specificationVersion":"jobtemplate-2023-09","name":"n","steps":[
+	sub, err := format.ParseTicket([]byte(`{"id":"job-1","lot":"l","crew":"red",` + extra + `"template":{"specificationVersion":"jobtemplate-2023-09","name":"n","steps":[
 		{"name":"a","script":{"actions":{"onRun":{"command":"c"}}},"parameterSpace":{"taskParameterDefinitions":[{"name":"F","type":"INT","range":"1-10"}]}},
 		{"name":"b","dependencies":[{"dependsOn":"a"}],"hostRequirements":{"amounts":[{"name":"amount.worker.gpu","min":2}],"attributes":[{"name":"attr.dapplestage.build","anyOf":["g4","g8"]}]},"script":{"actions":{"onRun":{"command":"c"}}}}]}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s
+	return sub
 }
 
-func TestClassesDecide(t *testing.T) {
-	c := Class{Name: "l", MaxUrgency: "standard", Shapes: []string{"sweep"}, OnExcess: ReduceExcess, MaxRetries: 2, MaxFailedTasks: 1, MaxTasks: 11, CPUs: 2, GPUs: 1, MemoryGB: 8, Image: "img", ImageGB: 3}
-	lim := Limits{MaxValueBytes: 8000}
-	a, err := Admit(parseSubmission(t, `"priority":95,"maxRetriesPerTask":7,"maxFailedTasksCount":4,"builds":["g8"],"expectS":9,`), ClassTable{"l": c}, lim)
+// A ticket gets the defaults of its class, and its requests are reduced to the limits of
+// the class or refused, as the class says.
+func TestClassLimits(t *testing.T) {
+	class := Class{Name: "l", MaxUrgency: "standard", Shapes: []string{"sweep"}, OnExcess: ReduceExcess, MaxRetries: 2, MaxFailedTasks: 1, MaxTasks: 11, CPUs: 2, GPUs: 1, MemoryGB: 8, Image: "img", ImageGB: 3}
+	limits := Limits{MaxValueBytes: 8000}
+	admitted, err := Admit(parseSubmission(t, `"priority":95,"maxRetriesPerTask":7,"maxFailedTasksCount":4,"builds":["g8"],"expectS":9,`), ClassTable{"l": class}, limits)
 	if err != nil {
 		t.Fatal(err)
 	}
-	tm, b := a.Record.Terms, StepSpec(a.Record, 1)
-	if tm.MaxRetries.Granted != 2 || *tm.MaxRetries.Requested != 7 || tm.MaxFailedTasks.Granted != 1 || tm.Priority != "standard" || tm.RequestedPriority != "critical" {
-		t.Errorf("%+v", tm)
+	terms, spec := admitted.Record.Terms, StepSpec(admitted.Record, 1)
+	if terms.MaxRetries.Granted != 2 || *terms.MaxRetries.Requested != 7 || terms.MaxFailedTasks.Granted != 1 || terms.Priority != "standard" || terms.RequestedPriority != "critical" {
+		t.Errorf("%+v", terms)
 	}
-	if b.GPUs != 2 || b.CPUs != 2 || b.Tasks != 1 || !slices.Equal(b.Types, []string{"g8"}) || b.Image != "img" || b.EstimateS != 9 || b.ID != format.StepJobID("job-1", 1) || b.Priority != "standard" {
-		t.Errorf("%+v", b)
+	if spec.GPUs != 2 || spec.CPUs != 2 || spec.Tasks != 1 || !slices.Equal(spec.Types, []string{"g8"}) || spec.Image != "img" || spec.EstimateS != 9 || spec.ID != format.StepJobID("job-1", 1) || spec.Priority != "standard" {
+		t.Errorf("%+v", spec)
 	}
-	refuse := c
+	refuse := class
 	refuse.OnExcess = RefuseExcess
-	small, gpu := c, c
+	small, gpu := class, class
 	small.MaxTasks, gpu.MaxGPUs = 10, 1
-	nothing := c
+	nothing := class
 	nothing.CPUs, nothing.GPUs, nothing.MemoryGB = 0, 0, 0
-	for _, x := range []struct {
-		extra string
-		class Class
-		lim   Limits
-		want  string
+	for _, tc := range []struct {
+		extra  string
+		class  Class
+		limits Limits
+		want   string
 	}{
-		{`"maxRetriesPerTask":3,`, refuse, lim, "maxRetriesPerTask: 3 asked for, l allows 2"},
-		{`"urgency":"high",`, refuse, lim, "urgency: high asked for"},
-		{`"maxFailedTasksCount":2,`, refuse, lim, "maxFailedTasksCount: 2"},
-		{`"shape":"standing",`, c, lim, "shape: standing"},
-		{`"shape":"gang",`, c, lim, "shape: gang"},
-		{``, small, lim, "may have 10 tasks, this one has 11"},
-		{``, gpu, lim, "2 cards a task, l allows 1"},
-		{`"builds":["g1"],`, c, lim, "none of its machine types"},
-		{``, nothing, lim, "a task takes nothing"},
-		{``, c, Limits{MaxValueBytes: 300}, "bytes"},
-		{``, Class{}, lim, "takes no tickets"},
+		{`"maxRetriesPerTask":3,`, refuse, limits, "maxRetriesPerTask: 3 asked for, l allows 2"},
+		{`"urgency":"high",`, refuse, limits, "urgency: high asked for"},
+		{`"maxFailedTasksCount":2,`, refuse, limits, "maxFailedTasksCount: 2"},
+		{`"shape":"standing",`, class, limits, "shape: standing"},
+		{`"shape":"gang",`, class, limits, "shape: gang"},
+		{``, small, limits, "may have 10 tasks, this one has 11"},
+		{``, gpu, limits, "2 cards a task, l allows 1"},
+		{`"builds":["g1"],`, class, limits, "none of its machine types"},
+		{``, nothing, limits, "a task takes nothing"},
+		{``, class, Limits{MaxValueBytes: 300}, "bytes"},
+		{``, Class{}, limits, "takes no tickets"},
 	} {
 		table := ClassTable{}
-		if x.class.Name != "" {
-			table["l"] = x.class
+		if tc.class.Name != "" {
+			table["l"] = tc.class
 		}
-		if _, err := Admit(parseSubmission(t, x.extra), table, x.lim); err == nil || !strings.Contains(err.Error(), x.want) {
-			t.Errorf("wanted %q, got %v", x.want, err)
+		if _, err := Admit(parseSubmission(t, tc.extra), table, tc.limits); err == nil || !strings.Contains(err.Error(), tc.want) {
+			t.Errorf("wanted %q, got %v", tc.want, err)
 		}
 	}
 }
 
+// Each invalid class is rejected with an error that names the field, and stored classes
+// replace those of the file only if they are valid.
 func TestClassFiles(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c.toml")
 	for text, want := range map[string]string{
@@ -225,30 +231,31 @@
 	if err != nil || len(table) != 2 {
 		t.Fatal(err)
 	}
-	over := ClassTable{"proofs": {Name: "proofs", MaxUrgency: "high", Shapes: []string{"sweep"}, OnExcess: ReduceExcess, MaxTasks: 1}, "broken": {}}
-	if both := table.WithStored(over); both["proofs"].MaxUrgency != "high" || len(both) != 2 || table["proofs"].MaxUrgency != "standard" {
-		t.Errorf("%+v", both)
+	stored := ClassTable{"proofs": {Name: "proofs", MaxUrgency: "high", Shapes: []string{"sweep"}, OnExcess: ReduceExcess, MaxTasks: 1}, "broken": {}}
+	if merged := table.WithStored(stored); merged["proofs"].MaxUrgency != "high" || len(merged) != 2 || table["proofs"].MaxUrgency != "standard" {
+		t.Errorf("%+v", merged)
 	}
 	if _, err := ParseClass("a", []byte(`{"urgency":"high","retires":3}`)); err == nil || !strings.Contains(err.Error(), "retires") {
 		t.Error(err)
 	}
 }
 
-// What workers are given reads as a submission, as any other job's description does.
+// The descriptions for workers parse as submissions, like the description of any other job,
+// and give the spec of the step.
 func TestDescriptionsAreSubmissions(t *testing.T) {
-	s := parseSubmission(t, "")
-	a, err := Admit(s, ClassTable{"l": {Name: "l", MaxUrgency: "standard", Shapes: []string{"sweep"}, OnExcess: ReduceExcess, MaxTasks: 50, CPUs: 1, Image: "i", ImageGB: 1}}, Limits{8000})
+	sub := parseSubmission(t, "")
+	admitted, err := Admit(sub, ClassTable{"l": {Name: "l", MaxUrgency: "standard", Shapes: []string{"sweep"}, OnExcess: ReduceExcess, MaxTasks: 50, CPUs: 1, Image: "i", ImageGB: 1}}, Limits{8000})
 	if err != nil {
 		t.Fatal(err)
 	}
-	ds, err := Describe(s, a)
-	if err != nil || len(ds) != 2 {
+	descriptions, err := Describe(sub, admitted)
+	if err != nil || len(descriptions) != 2 {
 		t.Fatal(err)
 	}
-	for i, d := range ds {
-		spec, err := protocol.ParseJob(mustJSON(t, d))
-		if err != nil || !reflect.DeepEqual(spec, StepSpec(a.Record, i)) {
-			t.Errorf("%v\n%+v\n%+v", err, spec, StepSpec(a.Record, i))
+	for i, description := range descriptions {
+		spec, err := protocol.ParseJob(mustJSON(t, description))
+		if err != nil || !reflect.DeepEqual(spec, StepSpec(admitted.Record, i)) {
+			t.Errorf("%v\n%+v\n%+v", err, spec, StepSpec(admitted.Record, i))
 		}
 	}
 }
