--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -1,6 +1,7 @@
-// Package console is the terminal console: a state machine that is told of keys and of
-// answers, and draws. It asks one question at a time and not more often than every two
-// seconds, whatever is pressed; all talking to nodes is done by whoever runs it.
+// Package console implements the terminal console as a state machine: its inputs are keys,
+// answers and time, its output is the screen. It has one request in flight at a time, and
+// repeats it at most every two seconds, whatever keys are pressed. The requests to the
+// nodes are made by the caller.
 package console
 
 import (
@@ -17,26 +18,26 @@
 	"dapplestage.example/dapplestage/internal/coordination/ledger"
 )
 
-// Request is a question: a page of the account, or one job.
+// Request asks for a page of the account, or for the explanation of one job.
 type Request struct {
-	SiteIndex int // by number
+	SiteIndex int // index of the site
 	Query     ledger.Query
-	Job       string // one job's reasons, instead of a page
+	Job       string // if set, explain this job instead of returning a page
 }
 
-// Answer is what came of a question.
+// Answer is the answer to a request.
 type Answer struct {
 	Request  Request
 	Page     *ledger.Page
-	JobLines []string // lines about one job
-	Node     string   // that answered
+	JobLines []string // explanation of the job
+	Node     string   // node that answered
 	Err      error
 }
 
-// FetchFunc asks a node and returns its answer.
+// FetchFunc sends a request to a node and returns its answer.
 type FetchFunc func(Request) Answer
 
-// Views of the console.
+// Views of the console, in the order of viewNames; viewJob is the explanation of one job.
 const (
 	viewOverview = iota
 	viewTeams
@@ -46,29 +47,30 @@
 	viewJob
 )
 
+// viewNames are the names of the views as they are displayed.
 var viewNames = []string{"overview", "teams", "classes", "machines", "jobs"}
 
-// RequestInterval is how often a node is asked.
+// RequestInterval is the time between repeated requests for the same view.
 const RequestInterval = 2 * time.Second
 
-// Model is the console's state.
+// Model is the state of the console.
 type Model struct {
 	fetch          FetchFunc
 	now            func() time.Time
 	view           int
-	previousView   int // the view that a job was opened from
+	previousView   int // view from which the job was opened
 	query          ledger.Query
-	typing         bool
-	cursor         int
-	previousPages  []string    // pages before this one
-	sites          []string    // names; empty: one without a name
-	siteIndex      int         // the site that is shown
-	siteStates     []siteState // what was last known of each
-	siteState                  // of the site that is shown
-	job            string
-	jobLines       []string
+	typing         bool        // a search text is being typed
+	cursor         int         // selected row
+	previousPages  []string    // start of each page before this one
+	sites          []string    // names; empty: one site without a name
+	siteIndex      int         // site that is displayed
+	siteStates     []siteState // last known state of each site
+	siteState                  // state of the displayed site
+	job            string      // job that is explained
+	jobLines       []string    // explanation; nil: not received yet
 	requestPending bool
-	nextRequest    time.Time // when to ask again
+	nextRequest    time.Time // earliest time of the next request
 	width          int
 	height         int
 }
@@ -78,25 +80,27 @@
 	page       *ledger.Page
 	err        error
 	node       string
-	receivedAt time.Time // when the page came
+	receivedAt time.Time // when the last answer arrived
 }
 
-// New makes a console of some sites.
+// New creates a console for the given sites.
 func New(fetch FetchFunc, now func() time.Time, sites ...string) *Model {
 	return &Model{fetch: fetch, now: now, sites: sites, siteStates: make([]siteState, max(1, len(sites))), query: ledger.Query{Limit: 100}, width: 80, height: 24}
 }
 
-// tick says that time has passed.
+// tick is the message that time has passed.
 type tick time.Time
 
+// scheduleTick returns the command that sends the next tick.
 func scheduleTick() tea.Cmd {
 	return tea.Tick(250*time.Millisecond, func(t time.Time) tea.Msg { return tick(t) })
 }
 
-// Init begins.
+// Init implements tea.Model.
 func (m *Model) Init() tea.Cmd { return tea.Batch(m.requestIfDue(), scheduleTick()) }
 
-// requestIfDue asks if it is time to and nothing is under way.
+// requestIfDue returns the command for the next request, if it is due and none is in
+// flight.
 func (m *Model) requestIfDue() tea.Cmd {
 	if m.requestPending || m.now().Before(m.nextRequest) {
 		return nil
@@ -109,7 +113,7 @@
 	return func() tea.Msg { return m.fetch(request) }
 }
 
-// Update takes in a key, an answer or time.
+// Update implements tea.Model. It handles a key, an answer or a tick.
 func (m *Model) Update(msg tea.Msg) (tea.Model, tea.Cmd) {
 	switch msg := msg.(type) {
 	case tea.WindowSizeMsg:
@@ -119,7 +123,7 @@
 	case Answer:
 		m.requestPending = false
 		if msg.Request.SiteIndex != m.siteIndex {
-			m.nextRequest = time.Time{} // another site is shown now
+			m.nextRequest = time.Time{} // another site is displayed by now
 			return m, m.requestIfDue()
 		}
 		if msg.Err != nil {
@@ -136,7 +140,7 @@
 			m.err, m.page, m.receivedAt = nil, msg.Page, m.now()
 			m.cursor = max(0, min(m.cursor, len(msg.Page.Rows)-1))
 		default:
-			m.nextRequest = time.Time{} // the question has changed meanwhile
+			m.nextRequest = time.Time{} // the query has changed in the meantime
 		}
 	case tea.KeyMsg:
 		return m, m.handleKey(msg.String(), msg.Runes)
@@ -144,7 +148,7 @@
 	return m, nil
 }
 
-// handleKey does what a key asks for.
+// handleKey handles a key.
 func (m *Model) handleKey(key string, runes []rune) tea.Cmd {
 	switch {
 	case key == "ctrl+c", key == "q" && !m.typing:
@@ -157,10 +161,10 @@
 	return m.requestIfDue()
 }
 
-// maxSearchLength is how long a text to search for may be.
+// maxSearchLength limits the length of a search text.
 const maxSearchLength = 60
 
-// handleSearchKey takes a key while a text to search for is typed.
+// handleSearchKey handles a key while a search text is typed.
 func (m *Model) handleSearchKey(key string, runes []rune) {
 	switch key {
 	case "enter":
@@ -174,15 +178,16 @@
 			m.query.Text = string(typed[:len(typed)-1])
 		}
 	default:
-		for _, typed := range runes {
-			if unicode.IsPrint(typed) && len(m.query.Text) < maxSearchLength {
-				m.query.Text += string(typed)
+		for _, r := range runes {
+			if unicode.IsPrint(r) && len(m.query.Text) < maxSearchLength {
+				m.query.Text += string(r)
 			}
 		}
 	}
 }
 
-// handleFilterKey takes a key that changes which jobs are listed; false if it is none.
+// handleFilterKey handles a key that changes which jobs are listed; false if the key is
+// another one.
 func (m *Model) handleFilterKey(key string) bool {
 	switch key {
 	case "/":
@@ -203,7 +208,8 @@
 	return true
 }
 
-// nextState is the state after another one: none, then each.
+// nextState returns the filter after the given one in the cycle of no filter and each
+// state.
 func nextState(state string) string {
 	i := slices.Index(ledger.States, state) + 1
 	if i == len(ledger.States) {
@@ -212,7 +218,7 @@
 	return ledger.States[i]
 }
 
-// navigate takes a key that moves between sites, views, pages and rows.
+// navigate handles a key that moves between sites, views, pages and rows.
 func (m *Model) navigate(key string) {
 	switch key {
 	case "1", "2", "3", "4", "5":
@@ -236,7 +242,8 @@
 	}
 }
 
-// nextSite shows the next site. What was known of it is shown with its age until it answers.
+// nextSite displays the next site. Until it answers, its last known state is displayed with
+// its age.
 func (m *Model) nextSite() {
 	m.siteStates[m.siteIndex] = m.siteState
 	m.siteIndex = (m.siteIndex + 1) % len(m.siteStates)
@@ -245,7 +252,7 @@
 	m.firstPage()
 }
 
-// closeJob goes back to the view that a job was opened from.
+// closeJob returns to the view from which a job was opened.
 func (m *Model) closeJob() {
 	if m.view == viewJob {
 		m.view = m.previousView
@@ -265,7 +272,7 @@
 	}
 }
 
-// firstPage goes to the first page of what is chosen, at once.
+// firstPage goes to the first page of the present filter and requests it without delay.
 func (m *Model) firstPage() {
 	m.query.After, m.previousPages, m.cursor, m.nextRequest = "", nil, 0, time.Time{}
 }
@@ -284,6 +291,7 @@
 	}
 }
 
+// openGroup lists the jobs of a team, class or zone.
 func (m *Model) openGroup(name string) {
 	m.query = ledger.Query{Limit: m.query.Limit}
 	switch m.view {
@@ -298,7 +306,7 @@
 	m.firstPage()
 }
 
-// listedJobs are the jobs that the view lists.
+// listedJobs returns the jobs that the view lists.
 func (m *Model) listedJobs() []ledger.Row {
 	switch {
 	case m.page == nil:
@@ -315,7 +323,7 @@
 	return m.page.Rows
 }
 
-// listedNames are what the view lists that is not jobs.
+// listedNames returns the teams, classes or zones that the view lists.
 func (m *Model) listedNames() []string {
 	if m.page == nil {
 		return nil
@@ -336,6 +344,7 @@
 	return nil
 }
 
+// rowCount returns the number of rows that the view lists.
 func (m *Model) rowCount() int {
 	if m.view == viewTeams || m.view == viewClasses || m.view == viewZones {
 		return len(m.listedNames())
@@ -343,10 +352,11 @@
 	return len(m.listedJobs())
 }
 
-// frameLines are the lines of the screen around the body: two above it and two below.
+// frameLines is the number of lines around the body: two above it and two below.
 const frameLines = 4
 
-// View draws the screen, no wider and no higher than it is. Nothing depends on colour.
+// View implements tea.Model. It draws the screen within its width and height. No
+// information depends on colour.
 func (m *Model) View() string {
 	lines := []string{m.headLine(), m.stateLine()}
 	lines = append(lines, m.bodyLines(m.height-frameLines)...)
@@ -357,11 +367,12 @@
 	return strings.Join(lines, "\n")
 }
 
-// headLine is the line with the views, and the site where there are several.
+// headLine returns the line with the views, and with the name of the site if there are
+// several.
 func (m *Model) headLine() string {
 	head := "dapplestage"
 	if len(m.sites) > 1 {
-		head = "" // the sites' name takes its place
+		head = "" // the name of the site takes its place
 	}
 	for i, name := range viewNames {
 		mark := fmt.Sprintf(" %d:%s", i+1, name)
@@ -376,7 +387,7 @@
 	return head
 }
 
-// bodyLines is the view's lines, as many as there is room for.
+// bodyLines returns the lines of the view, cut or filled to the given height.
 func (m *Model) bodyLines(height int) []string {
 	var rows []string
 	switch {
@@ -389,7 +400,7 @@
 	default:
 		rows = m.tableLines()
 	}
-	// The cursor stays on the screen, and the heading with it.
+	// The rows scroll so that the cursor stays visible; the headings stay in place.
 	if m.view != viewJob && len(rows) > 0 {
 		headings := m.headingLines()
 		if cursorLine := headings + m.cursor; cursorLine >= height {
@@ -402,7 +413,8 @@
 	return out
 }
 
-// fitLine makes a line safe and as wide as the screen: names are whatever users chose.
+// fitLine cuts a line to the width of the screen and replaces control characters: names are
+// chosen by users.
 func fitLine(line string, width int) string {
 	out := make([]rune, 0, width)
 	for _, r := range line {
@@ -418,6 +430,7 @@
 	return strings.TrimRight(string(out), " ")
 }
 
+// stateLine returns the line with the source and age of the data, and what is not known.
 func (m *Model) stateLine() string {
 	if m.receivedAt.IsZero() {
 		if m.err != nil {
@@ -441,6 +454,7 @@
 	return line
 }
 
+// filterLine returns the line with the present filter and page.
 func (m *Model) filterLine() string {
 	var parts []string
 	for _, filter := range [][2]string{{"state", m.query.State}, {"team", m.query.Team}, {"class", m.query.Class}, {"zone", m.query.Zone}, {"search", m.query.Text}} {
@@ -461,7 +475,7 @@
 	return line
 }
 
-// headingLines is how many lines stand above a view's list.
+// headingLines returns the number of lines above the list of a view.
 func (m *Model) headingLines() int {
 	if m.view == viewOverview {
 		return len(ledger.States) + 3
@@ -469,6 +483,7 @@
 	return 1
 }
 
+// cursorMark returns the prefix of a row, which marks the selected one.
 func (m *Model) cursorMark(i int) string {
 	if i == m.cursor {
 		return "> "
@@ -476,6 +491,7 @@
 	return "  "
 }
 
+// tableLines returns the headings and rows of the view.
 func (m *Model) tableLines() []string {
 	page := m.page
 	var out []string
@@ -504,14 +520,14 @@
 		}
 		out = append(out, fmt.Sprintf("  %-24s %6s %6s %6s %6s %6s %6s %6s", name, "STUCK", "UNKNWN", "WAIT", "START", "RUN", "FAILED", "DONE"))
 		for i, group := range m.listedNames() {
-			state := groups[group]
-			out = append(out, fmt.Sprintf("%s%-24.24s %6d %6d %6d %6d %6d %6d %6d", m.cursorMark(i), group, state[ledger.Stuck], state[ledger.Unknown], state[ledger.Waiting], state[ledger.Starting], state[ledger.Running], state[ledger.Failed], state[ledger.Done]))
+			sums := groups[group]
+			out = append(out, fmt.Sprintf("%s%-24.24s %6d %6d %6d %6d %6d %6d %6d", m.cursorMark(i), group, sums[ledger.Stuck], sums[ledger.Unknown], sums[ledger.Waiting], sums[ledger.Starting], sums[ledger.Running], sums[ledger.Failed], sums[ledger.Done]))
 		}
 	case viewZones:
 		out = append(out, fmt.Sprintf("  %-20s %6s %8s %8s %7s %8s %12s", "ZONE", "UP", "BOOTING", "DRAINED", "SILENT", "UNKNOWN", "GPUS USED"))
 		for i, zone := range m.listedNames() {
-			state := page.Zones[zone]
-			out = append(out, fmt.Sprintf("%s%-20.20s %6d %8d %8d %7d %8d %6g/%g", m.cursorMark(i), zone, state.Up, state.Booting, state.Drained, state.Silent, state.Unknown, state.Used, state.GPUs))
+			sums := page.Zones[zone]
+			out = append(out, fmt.Sprintf("%s%-20.20s %6d %8d %8d %7d %8d %6g/%g", m.cursorMark(i), zone, sums.Up, sums.Booting, sums.Drained, sums.Silent, sums.Unknown, sums.Used, sums.GPUs))
 		}
 	case viewJobs:
 		out = append(out, fmt.Sprintf("  %-20s %-12s %-10s %-9s %9s %5s  %s", "JOB", "TEAM", "CLASS", "STATE", "DONE", "RUN", "WHY"))
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -14,7 +14,7 @@
 	"dapplestage.example/dapplestage/internal/coordination/ledger"
 )
 
-// testConsole is a console with a clock and a node of its own.
+// testConsole is a console with a simulated clock and a simulated node.
 type testConsole struct {
 	*Model
 	now      time.Time
@@ -23,43 +23,44 @@
 	jobCount int
 }
 
-func newTestConsole(rows int) *testConsole {
-	r := &testConsole{now: time.Unix(1e9, 0), jobCount: rows}
-	r.Model = New(func(a Request) Answer {
-		r.requests = append(r.requests, a)
-		if r.fetchErr != nil {
-			return Answer{Request: a, Err: r.fetchErr}
+func newTestConsole(jobCount int) *testConsole {
+	console := &testConsole{now: time.Unix(1e9, 0), jobCount: jobCount}
+	console.Model = New(func(request Request) Answer {
+		console.requests = append(console.requests, request)
+		if console.fetchErr != nil {
+			return Answer{Request: request, Err: console.fetchErr}
 		}
-		if a.Job != "" {
-			return Answer{Request: a, JobLines: []string{a.Job + " waits", "because: team limit"}, Node: "n-0"}
+		if request.Job != "" {
+			return Answer{Request: request, JobLines: []string{request.Job + " waits", "because: team limit"}, Node: "n-0"}
 		}
-		p := ledger.NewPage("n-0", r.now)
-		for i := range r.jobCount {
-			p.Add(&a.Query, ledger.Row{Job: fmt.Sprintf("job-%06d", i), Team: fmt.Sprint("shop-", i%7), Class: "album", State: ledger.States[i%len(ledger.States)], Why: "\x1b[2Jbecause\nof", Tasks: 5, Zones: []string{"a"}})
+		page := ledger.NewPage("n-0", console.now)
+		for i := range console.jobCount {
+			page.Add(&request.Query, ledger.Row{Job: fmt.Sprintf("job-%06d", i), Team: fmt.Sprint("shop-", i%7), Class: "album", State: ledger.States[i%len(ledger.States)], Why: "\x1b[2Jbecause\nof", Tasks: 5, Zones: []string{"a"}})
 		}
-		p.Zones["a"] = ledger.ZoneSums{Up: 4}
-		p.Finish(&a.Query)
-		return Answer{Request: a, Page: p, Node: "n-0"}
-	}, func() time.Time { return r.now })
-	r.runCommand(r.requestIfDue())
-	return r
+		page.Zones["a"] = ledger.ZoneSums{Up: 4}
+		page.Finish(&request.Query)
+		return Answer{Request: request, Page: page, Node: "n-0"}
+	}, func() time.Time { return console.now })
+	console.runCommand(console.requestIfDue())
+	return console
 }
 
-// runCommand runs what an update asks for: questions only, time is the test's.
-func (r *testConsole) runCommand(c tea.Cmd) {
-	if c == nil {
+// runCommand runs the request of a command and passes the answer on; ticks are left out,
+// since the test controls the clock.
+func (console *testConsole) runCommand(cmd tea.Cmd) {
+	if cmd == nil {
 		return
 	}
-	if a, ok := c().(Answer); ok {
-		_, c := r.Update(a)
-		r.runCommand(c)
+	if answer, ok := cmd().(Answer); ok {
+		_, cmd := console.Update(answer)
+		console.runCommand(cmd)
 	}
 }
 
-func (r *testConsole) press(keys ...string) {
-	for _, k := range keys {
-		msg := tea.KeyMsg{Type: tea.KeyRunes, Runes: []rune(k)}
-		switch k {
+func (console *testConsole) press(keys ...string) {
+	for _, key := range keys {
+		msg := tea.KeyMsg{Type: tea.KeyRunes, Runes: []rune(key)}
+		switch key {
 		case "enter":
 			msg = tea.KeyMsg{Type: tea.KeyEnter}
 		case "esc":
@@ -73,21 +74,23 @@
 		case "backspace":
 			msg = tea.KeyMsg{Type: tea.KeyBackspace}
 		}
-		_, c := r.Update(msg)
-		r.runCommand(c)
+		_, cmd := console.Update(msg)
+		console.runCommand(cmd)
 	}
 }
 
-func (r *testConsole) advance(d time.Duration) {
-	for range int(d / (250 * time.Millisecond)) {
-		r.now = r.now.Add(250 * time.Millisecond)
-		r.runCommand(r.requestIfDue())
+// advance advances the clock in steps of 250 ms and makes the requests that are due.
+func (console *testConsole) advance(duration time.Duration) {
+	for range int(duration / (250 * time.Millisecond)) {
+		console.now = console.now.Add(250 * time.Millisecond)
+		console.runCommand(console.requestIfDue())
 	}
 }
 
+// Each key leads to the view, page or filter that it stands for.
 func TestViews(t *testing.T) {
-	r := newTestConsole(300)
-	for _, c := range []struct {
+	console := newTestConsole(300)
+	for _, tc := range []struct {
 		keys []string
 		want string
 	}{
@@ -97,103 +100,103 @@
 		{[]string{"enter"}, "because: team limit"}, {[]string{"esc"}, "search=017"}, {[]string{"c", "2", "enter"}, "team=shop-"},
 		{[]string{"c", "tab"}, "[1:overview]"},
 	} {
-		r.press(c.keys...)
-		r.advance(3 * time.Second)
-		if v := r.View(); !strings.Contains(v, c.want) {
-			t.Errorf("after %v: %q is not on\n%s", c.keys, c.want, v)
+		console.press(tc.keys...)
+		console.advance(3 * time.Second)
+		if view := console.View(); !strings.Contains(view, tc.want) {
+			t.Errorf("after %v: %q is not on\n%s", tc.keys, tc.want, view)
 		}
 	}
 }
 
-// Whatever is pressed: a node is asked at most every two seconds unless something else
-// is asked for, one question at a time; the screen is never too wide or too high and
-// holds no control characters; and old answers are not shown as the new question's.
+// For any sequence of keys, answers and errors, the screen is never wider or higher than
+// the terminal and contains no control characters.
 func TestAnyKeys(t *testing.T) {
 	keys := []string{"1", "2", "3", "4", "5", "tab", "/", "s", "u", "f", "c", "up", "down", "n", "p", "enter", "esc", "backspace", "x", "é", "0", "a"}
 	rapid.Check(t, func(t *rapid.T) {
-		r := newTestConsole(rapid.SampledFrom([]int{0, 1, 30, 250}).Draw(t, "rows"))
-		w, h := rapid.IntRange(1, 200).Draw(t, "width"), rapid.IntRange(1, 60).Draw(t, "height")
-		r.Update(tea.WindowSizeMsg{Width: w, Height: h})
+		console := newTestConsole(rapid.SampledFrom([]int{0, 1, 30, 250}).Draw(t, "rows"))
+		width, height := rapid.IntRange(1, 200).Draw(t, "width"), rapid.IntRange(1, 60).Draw(t, "height")
+		console.Update(tea.WindowSizeMsg{Width: width, Height: height})
 		for range rapid.IntRange(0, 40).Draw(t, "steps") {
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0:
-				r.advance(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
+				console.advance(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
 			case 1:
-				r.fetchErr = errors.New("n-0 does not answer")
+				console.fetchErr = errors.New("n-0 does not answer")
 			case 2:
-				r.fetchErr = nil
+				console.fetchErr = nil
 			default:
-				r.press(rapid.SampledFrom(keys).Draw(t, "key"))
+				console.press(rapid.SampledFrom(keys).Draw(t, "key"))
 			}
-			lines := strings.Split(r.View(), "\n")
-			if len(lines) > max(8, h) {
-				t.Fatalf("%d lines on %d", len(lines), h)
+			lines := strings.Split(console.View(), "\n")
+			if len(lines) > max(8, height) {
+				t.Fatalf("%d lines on %d", len(lines), height)
 			}
-			for _, l := range lines {
-				if utf8.RuneCountInString(l) > max(20, w) || strings.ContainsAny(l, "\x1b\r\t") {
-					t.Fatalf("%q on %d columns", l, w)
+			for _, line := range lines {
+				if utf8.RuneCountInString(line) > max(20, width) || strings.ContainsAny(line, "\x1b\r\t") {
+					t.Fatalf("%q on %d columns", line, width)
 				}
 			}
 		}
 	})
 }
 
-func TestAskingIsBounded(t *testing.T) {
-	r := newTestConsole(10)
+// Keys that do not change the query do not cause more requests than one every two seconds.
+func TestRequestRate(t *testing.T) {
+	console := newTestConsole(10)
 	for range 200 {
-		r.press("down", "up", "2", "5")
-		r.now = r.now.Add(50 * time.Millisecond)
+		console.press("down", "up", "2", "5")
+		console.now = console.now.Add(50 * time.Millisecond)
 	}
-	if n := len(r.requests); n > 7 {
+	if n := len(console.requests); n > 7 {
 		t.Errorf("%d questions in 10 s", n)
 	}
 }
 
-// Of a site that is lost what was known stays, with its age, and the other one is a key
-// away.
+// The last known state of a site that does not answer stays on the screen with its age, and
+// the other site is one key away.
 func TestTwoSites(t *testing.T) {
-	r := newTestConsole(5)
-	inner := r.fetch
-	lost := false
-	r.Model = New(func(a Request) Answer {
-		if a.SiteIndex == 1 && lost {
-			return Answer{Request: a, Err: errors.New("no controller of xela answers")}
+	console := newTestConsole(5)
+	fetch := console.fetch
+	unreachable := false
+	console.Model = New(func(request Request) Answer {
+		if request.SiteIndex == 1 && unreachable {
+			return Answer{Request: request, Err: errors.New("no controller of xela answers")}
 		}
-		return inner(a)
-	}, func() time.Time { return r.now }, "quito", "xela")
-	r.advance(3 * time.Second)
-	r.press("x")
-	r.advance(3 * time.Second)
-	if v := r.View(); !strings.Contains(v, "xela (x: next)") || !strings.Contains(v, "stuck ") {
-		t.Error(v)
+		return fetch(request)
+	}, func() time.Time { return console.now }, "quito", "xela")
+	console.advance(3 * time.Second)
+	console.press("x")
+	console.advance(3 * time.Second)
+	if view := console.View(); !strings.Contains(view, "xela (x: next)") || !strings.Contains(view, "stuck ") {
+		t.Error(view)
 	}
-	lost = true
-	r.press("x")
-	r.advance(20 * time.Second)
-	r.press("x")
-	r.advance(3 * time.Second)
-	if v := r.View(); !strings.Contains(v, "NOT KNOWN since 2") || !strings.Contains(v, "no controller of xela") || !strings.Contains(v, "running") {
-		t.Error(v)
+	unreachable = true
+	console.press("x")
+	console.advance(20 * time.Second)
+	console.press("x")
+	console.advance(3 * time.Second)
+	if view := console.View(); !strings.Contains(view, "NOT KNOWN since 2") || !strings.Contains(view, "no controller of xela") || !strings.Contains(view, "running") {
+		t.Error(view)
 	}
-	r.press("x")
-	r.advance(3 * time.Second)
-	if v := r.View(); strings.Contains(v, "NOT KNOWN since") || !strings.Contains(v, "quito") {
-		t.Error(v)
+	console.press("x")
+	console.advance(3 * time.Second)
+	if view := console.View(); strings.Contains(view, "NOT KNOWN since") || !strings.Contains(view, "quito") {
+		t.Error(view)
 	}
 }
 
-// A node that dies while the console runs: what was known stays, marked with its age,
-// and is not shown as fine.
+// When a node stops answering, the last known state stays on the screen, marked with its
+// age as not known.
 func TestDeadNode(t *testing.T) {
-	r := newTestConsole(10)
-	r.fetchErr = errors.New("n-0 does not answer")
-	r.advance(10 * time.Second)
-	if v := r.View(); !strings.Contains(v, "NOT KNOWN since 10 s: n-0 does not answer") || !strings.Contains(v, "running") {
-		t.Error(v)
+	console := newTestConsole(10)
+	console.fetchErr = errors.New("n-0 does not answer")
+	console.advance(10 * time.Second)
+	if view := console.View(); !strings.Contains(view, "NOT KNOWN since 10 s: n-0 does not answer") || !strings.Contains(view, "running") {
+		t.Error(view)
 	}
-	r.fetchErr = nil
-	r.advance(3 * time.Second)
-	if v := r.View(); strings.Contains(v, "NOT KNOWN since") {
-		t.Error(v)
+	console.fetchErr = nil
+	console.advance(3 * time.Second)
+	if view := console.View(); strings.Contains(view, "NOT KNOWN since") {
+		t.Error(view)
 	}
 }
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -1,6 +1,6 @@
-// Package report turns the account of a site's jobs into what a person reads: one
-// self-contained page, CSV, plain sums, and what has changed between two reports. It
-// gets its data from whoever asks the controllers and talks to nobody itself.
+// Package report renders the account of a site's jobs for people: as one self-contained
+// HTML page, as CSV, as a summary in words, and as the changes between two reports. Its
+// callers fetch the data from the controllers; the package itself makes no requests.
 package report
 
 import (
@@ -17,39 +17,39 @@
 	"dapplestage.example/dapplestage/internal/coordination/ledger"
 )
 
-// Data is all that a report tells.
+// Data is the content of a report on one site.
 type Data struct {
 	Site            string                     `json:"site,omitempty"`
-	Node            string                     `json:"node"`
+	Node            string                     `json:"node"` // node that answered
 	AsOf            int64                      `json:"as_of_ms"`
-	RememberedSince int64                      `json:"remembers_ms"` // what ended before is not known
-	StateAge        float64                    `json:"state_age_s"`
-	Since           int64                      `json:"since_ms,omitempty"` // rows since then only
+	RememberedSince int64                      `json:"remembers_ms"`       // jobs that ended before are not included
+	StateAge        float64                    `json:"state_age_s"`        // oldest last answer of the state service to the node, in seconds
+	Since           int64                      `json:"since_ms,omitempty"` // only rows that changed since then; 0: all
 	JobsByState     map[string]int             `json:"sums"`
-	Teams           map[string]map[string]int  `json:"teams"`
-	Classes         map[string]map[string]int  `json:"classes"`
+	Teams           map[string]map[string]int  `json:"teams"`   // by team and state
+	Classes         map[string]map[string]int  `json:"classes"` // by class and state
 	Zones           map[string]ledger.ZoneSums `json:"zones"`
 	Rows            []ledger.Row               `json:"rows"`
-	Left            int                        `json:"left_out,omitempty"` // rows beyond the limit
+	Left            int                        `json:"left_out,omitempty"` // number of rows beyond the limit
 	Samples         []ledger.Sample            `json:"samples"`
-	Unknown         []string                   `json:"unknown,omitempty"`
-	Lost            string                     `json:"not_known,omitempty"` // nothing is known of the site, and why
+	Unknown         []string                   `json:"unknown,omitempty"`   // what is not known, and for how long
+	Lost            string                     `json:"not_known,omitempty"` // why nothing is known of the site; empty: the rest is valid
 }
 
-// UnreachableSite is what there is to say of a site that does not answer.
+// UnreachableSite returns the report on a site that does not answer.
 func UnreachableSite(name string, now time.Time, err error) *Data {
 	return &Data{Site: name, AsOf: now.UnixMilli(), Lost: err.Error(), JobsByState: map[string]int{}}
 }
 
-// MaxRows bounds a report.
+// MaxRows limits the rows of a report.
 const MaxRows = 20000
 
-// FetchPage gets pages of the account, from the one after a job on.
+// FetchPage returns the page of the account that starts after a job.
 type FetchPage func(after string) (*ledger.Page, error)
 
-// Collect puts a report together from pages. Sums are made of the rows, so that each job
-// counts once however long the pages took; beyond most rows those of the first page are
-// all there is.
+// Collect builds a report from pages. It stops fetching once it has maxRows rows. The sums
+// are those of the first page; the caller can replace them by those of the rows with
+// Recount, so that each job counts once however long fetching took.
 func Collect(fetch FetchPage, samples []ledger.Sample, maxRows int) (*Data, error) {
 	var data *Data
 	for after := ""; ; {
@@ -85,7 +85,8 @@
 	return data, nil
 }
 
-// withoutNumbers is what is not known, without for how long: each page says it anew.
+// withoutNumbers removes the numbers from a text on what is not known: each page repeats it
+// with another duration.
 func withoutNumbers(unknown string) string {
 	return strings.Map(func(r rune) rune {
 		if r >= '0' && r <= '9' || r == '.' {
@@ -95,9 +96,11 @@
 	}, unknown)
 }
 
+// stateRank returns the position of a state in the report.
 func stateRank(state string) int { return slices.Index(ledger.States, state) }
 
-// Recount makes the sums those of the rows: each job is in exactly one column.
+// Recount recomputes the sums from the rows, so that each job is counted in exactly one
+// state.
 func (d *Data) Recount() {
 	d.JobsByState, d.Teams, d.Classes = map[string]int{}, map[string]map[string]int{}, map[string]map[string]int{}
 	for i := range d.Rows {
@@ -112,7 +115,8 @@
 	}
 }
 
-// KeepJobs leaves the jobs of a list, and returns those of which nothing is here.
+// KeepJobs removes all rows but those of the given jobs, and returns the jobs that have no
+// row.
 func (d *Data) KeepJobs(ids []string) (missing []string) {
 	index := map[string]int{}
 	for i := range d.Rows {
@@ -131,7 +135,7 @@
 	return missing
 }
 
-// CSV writes one line a job.
+// CSV writes one line per job.
 func (d *Data) CSV(out io.Writer) error {
 	writer := csv.NewWriter(out)
 	writer.Write([]string{"job", "ticket", "team", "class", "shape", "image", "state", "why", "tasks", "done", "running", "starting", "waiting", "failed", "silent", "lost", "saved_s", "zones", "submitted", "ended", "as_of", "node"})
@@ -150,7 +154,7 @@
 	return writer.Error()
 }
 
-// escapeFormula keeps a table program from taking a name for a formula.
+// escapeFormula prevents a spreadsheet from evaluating a name as a formula.
 func escapeFormula(s string) string {
 	if s != "" && strings.ContainsRune("=+-@\t\r", rune(s[0])) {
 		return "'" + s
@@ -158,13 +162,14 @@
 	return s
 }
 
-// Change is what differs of a job between two reports.
+// Change is a difference between two reports in the state of a job. Was is empty for a new
+// job, Is for one that the later report does not have.
 type Change struct {
 	Job, Team, Class, Was, Is, Why string
 }
 
-// Compare tells what has changed since an earlier report: jobs whose state is another,
-// those that are new, and those of which the later one knows nothing any more.
+// Compare returns the changes since an earlier report: jobs whose state has changed, new
+// jobs, and jobs that the later report does not have.
 func Compare(before, after *Data) []Change {
 	byJob := map[string]*ledger.Row{}
 	for i := range before.Rows {
@@ -191,7 +196,8 @@
 	return out
 }
 
-// Summary say in plain words how things stand.
+// Summary describes the state of the site in a few sentences. What is not known comes first
+// and is never reported as healthy.
 func (d *Data) Summary() []string {
 	if d.Lost != "" {
 		return []string{"Nothing is known of this site: " + d.Lost + ". It is not said to be fine."}
@@ -219,7 +225,8 @@
 	return out
 }
 
-// teamsWithJobsIn names the teams with jobs in a state.
+// teamsWithJobsIn lists up to five teams with jobs in a state, those with the most jobs
+// first.
 func teamsWithJobsIn(d *Data, state string) string {
 	var names []string
 	for team, sums := range d.Teams {
@@ -238,6 +245,7 @@
 	return out
 }
 
+// thousands formats a number with commas.
 func thousands(n int) string {
 	s := strconv.Itoa(n)
 	for i := len(s) - 3; i > 0 && s[i-1] != '-'; i -= 3 {
@@ -248,10 +256,11 @@
 
 func formatTime(ms int64) string { return time.UnixMilli(ms).UTC().Format("2006-01-02 15:04:05 UTC") }
 
-// HTML writes the page of one site: readable without scripts, on a phone and printed.
-func (data *Data) HTML(out io.Writer) error { return HTML(out, data) }
+// HTML writes the page of one site. It is readable without scripts, on a phone and in
+// print.
+func (d *Data) HTML(out io.Writer) error { return HTML(out, d) }
 
-// HTML writes a page of several sites.
+// HTML writes the page of several sites.
 func HTML(out io.Writer, sites ...*Data) error {
 	var bodies []map[string]any
 	for i, data := range sites {
@@ -260,7 +269,7 @@
 	return page.Execute(out, map[string]any{"Sites": bodies, "Many": len(sites) > 1, "AsOf": formatTime(sites[0].AsOf)})
 }
 
-// templateData is what the page's template shows of one site.
+// templateData returns the values that the page's template uses for one site.
 func (d *Data) templateData(site int) map[string]any {
 	type group struct {
 		State string
@@ -268,27 +277,27 @@
 	}
 	var groups []group
 	for _, state := range ledger.States {
-		group := group{State: state}
+		stateGroup := group{State: state}
 		for _, row := range d.Rows {
 			if row.State == state {
-				group.Rows = append(group.Rows, row)
+				stateGroup.Rows = append(stateGroup.Rows, row)
 			}
 		}
-		if group.Rows != nil {
-			groups = append(groups, group)
+		if stateGroup.Rows != nil {
+			groups = append(groups, stateGroup)
 		}
 	}
 	var plots []template.HTML
 	for _, chart := range []struct {
-		title string
-		lines []curve
+		title  string
+		curves []curve
 	}{
-		{"Tasks", []curve{{"running", "#2b6", func(state *ledger.Sample) int { return state.Running }}, {"waiting", "#c80", func(s *ledger.Sample) int { return s.Waiting }}}},
-		{"Machines", []curve{{"up", "#27c", func(state *ledger.Sample) int { return state.Machines }}, {"silent", "#c33", func(s *ledger.Sample) int { return s.Silent }}}},
-		{"Jobs stuck, runs lost", []curve{{"stuck", "#a3a", func(state *ledger.Sample) int { return state.Stuck }}, {"lost", "#c33", func(s *ledger.Sample) int { return s.Lost }}}},
+		{"Tasks", []curve{{"running", "#2b6", func(sample *ledger.Sample) int { return sample.Running }}, {"waiting", "#c80", func(sample *ledger.Sample) int { return sample.Waiting }}}},
+		{"Machines", []curve{{"up", "#27c", func(sample *ledger.Sample) int { return sample.Machines }}, {"silent", "#c33", func(sample *ledger.Sample) int { return sample.Silent }}}},
+		{"Jobs stuck, runs lost", []curve{{"stuck", "#a3a", func(sample *ledger.Sample) int { return sample.Stuck }}, {"lost", "#c33", func(sample *ledger.Sample) int { return sample.Lost }}}},
 	} {
 		if len(d.Samples) > 1 {
-			plots = append(plots, plot(chart.title, d.Samples, chart.lines))
+			plots = append(plots, plot(chart.title, d.Samples, chart.curves))
 		}
 	}
 	id := ""
@@ -299,12 +308,14 @@
 		"Teams": sumTable(d.Teams), "Classes": sumTable(d.Classes), "ID": id}
 }
 
-// tableRow is a line of sums.
+// tableRow is a row of a table of sums, one per state.
 type tableRow struct {
 	Name string
 	Sums []int
 }
 
+// sumTable returns the rows of a table of sums, those with the most jobs in the first two
+// states first.
 func sumTable(sumsByName map[string]map[string]int) (out []tableRow) {
 	for name, sums := range sumsByName {
 		row := tableRow{Name: name}
