--- a/internal/coordination/gateway/api.go
+++ b/internal/coordination/gateway/api.go
@@ -250,6 +250,7 @@
 // coreCollector collects metrics from the core's state when they are scraped.
 type coreCollector struct{ d *Daemon }
 
+// Metrics that are computed when they are scraped.
 var (
 	descOpenJobs      = prometheus.NewDesc("dapplestage_gateway_open_jobs", "Jobs without a final answer, by the site that holds them.", []string{"site"}, nil)
 	descMemberSilence = prometheus.NewDesc("dapplestage_gateway_member_heard_seconds", "Since when a member was not heard.", []string{"member"}, nil)
--- a/internal/coordination/gateway/core.go
+++ b/internal/coordination/gateway/core.go
@@ -105,11 +105,11 @@
 // is called when one is durable. Everything else may be done in any order, be lost or be
 // repeated.
 type Effects struct {
-	Send    map[int][]wire.Item
-	Hint    *wire.Hint // if not nil, sent to all other members
-	Store   []Batch
-	Answers []Answer
-	Calls   []Call
+	Send    map[int][]wire.Item // items to send, by member
+	Hint    *wire.Hint          // if not nil, sent to all other members
+	Store   []Batch             // batches to store, in order
+	Answers []Answer            // answers to users
+	Calls   []Call              // calls to the site's controllers
 }
 
 // Batch is a set of items that become durable together. A batch without items is a barrier:
@@ -162,7 +162,11 @@
 	counts         Counts
 }
 
-// Counts are the event counters that the metrics and the status report.
+// Counts are the event counters in the metrics and the status: jobs accepted, finished and
+// cancelled; jobs taken from a lost site without its proof (Forced) and handed over with
+// proof (Moved); refusals of ballots (Nacks); lease renewals denied; user requests answered
+// with 503 (Refused); claims of this site that were found revoked while it ran the job
+// (Stale). The fields are encoded under their own names.
 type Counts struct {
 	Accepted, Finished, Cancelled, Forced, Moved, Nacks, Denied, Refused, Stale uint64
 }
@@ -385,6 +389,7 @@
 	})
 }
 
+// handleItem handles one item from a member, which may be this one.
 func (c *Core) handleItem(from int, it *wire.Item) {
 	switch it.Kind {
 	case wire.Prepare:
--- a/internal/coordination/gateway/duty.go
+++ b/internal/coordination/gateway/duty.go
@@ -513,6 +513,8 @@
 	return c.step(now, func() { c.site.setDrained(on) })
 }
 
+// setDrained sets the drain state. When the site returns to service, jobs marked for
+// handover stay here if no call was made for them yet.
 func (s *siteAgent) setDrained(on bool) {
 	core := s.core
 	if s.drained == on {
--- a/internal/coordination/gateway/front.go
+++ b/internal/coordination/gateway/front.go
@@ -89,6 +89,7 @@
 	return status
 }
 
+// handleRequest answers a user request at once or starts the read or change that it needs.
 func (c *Core) handleRequest(req *Request) {
 	if r := c.registers[req.ID]; r != nil && r.hasRecord && r.committed && r.record.Outcome != wire.Open {
 		// A committed outcome never changes.
--- a/internal/coordination/gateway/record.go
+++ b/internal/coordination/gateway/record.go
@@ -7,6 +7,7 @@
 // opKind is the kind of a change to the record of a job.
 type opKind uint8
 
+// Kinds of changes.
 const (
 	opLearn   opKind = iota // no change: learn the present record and commit it
 	opCreate                // accept a job and make a site its owner
@@ -32,6 +33,7 @@
 // opResult is the result of an op.
 type opResult uint8
 
+// Results of a change.
 const (
 	resultChanged   opResult = iota // the record was changed
 	resultUnchanged                 // the record already is as requested, or the job has an outcome
--- a/internal/coordination/gateway/round.go
+++ b/internal/coordination/gateway/round.go
@@ -15,6 +15,7 @@
 // roundPhase is the phase of a round.
 type roundPhase uint8
 
+// Phases of a round.
 const (
 	phaseBackoff   roundPhase = iota // waits before the next attempt
 	phasePreparing                   // collects promises
--- a/internal/coordination/gateway/route.go
+++ b/internal/coordination/gateway/route.go
@@ -47,6 +47,7 @@
 // routeResult is the result of routing a job.
 type routeResult uint8
 
+// Results of routing.
 const (
 	routeFound     routeResult = iota // a site was chosen
 	routeNeverFits                    // no site can ever run the job, and all sites have reported their machine types and teams
--- a/internal/coordination/gateway/siteclient.go
+++ b/internal/coordination/gateway/siteclient.go
@@ -29,6 +29,7 @@
 	return c
 }
 
+// Timeouts of requests to a controller.
 const (
 	callTimeout = 2500 * time.Millisecond
 	hintTimeout = time.Second
--- a/internal/coordination/gateway/status.go
+++ b/internal/coordination/gateway/status.go
@@ -41,6 +41,8 @@
 // roundToTenth returns a duration in seconds, rounded down to tenths.
 func roundToTenth(d time.Duration) float64 { return float64(d/(100*time.Millisecond)) / 10 }
 
+// status returns the state of the gateway as this member knows it. The caller fills in the
+// state of the store.
 func (c *Core) status() Status {
 	status := Status{Member: c.cfg.Members[c.cfg.Self].Name, Majority: c.reachableCount() >= c.majority(), OpenJobs: len(c.openJobs), FinalJobs: c.finalCount,
 		ChangesInFlight: len(c.rounds), Counts: c.counts}
@@ -63,6 +65,7 @@
 	return status
 }
 
+// memberStatus returns the state of a member as this one knows it.
 func (c *Core) memberStatus(i int) MemberStatus {
 	member := c.cfg.Members[i]
 	status := MemberStatus{Name: member.Name, Site: member.Site, State: "heard", SilentS: roundToTenth(c.now - c.lastHeard[i]), OwnedJobs: c.ownedJobs[i], HintAgeS: -1}
@@ -123,6 +126,7 @@
 	return c.cfg.Members[number-1].Name
 }
 
+// jobView returns this member's record of a job; false if it has none.
 func (c *Core) jobView(id string) (JobView, bool) {
 	r := c.registers[id]
 	if r == nil || !r.hasRecord {
--- a/internal/coordination/ticket/progress.go
+++ b/internal/coordination/ticket/progress.go
@@ -158,6 +158,7 @@
 // RetriesExhausted reports whether a task with so many errors has used up its retries.
 func RetriesExhausted(errors, retries int) bool { return errors > retries }
 
+// Bounds of RetryPause.
 const (
 	minRetryPause = time.Second
 	maxRetryPause = 30 * time.Second
