--- a/internal/coordination/gateway/record.go
+++ b/internal/coordination/gateway/record.go
@@ -23,7 +23,7 @@
 	spec        []byte
 	site        int    // the site that claims, releases or has finished the job
 	epoch       uint32 // the claim to which the change applies
-	forcedFrom  uint8  // opClaim: the number + 1 of the site that loses the job without proof that it has stopped it; 0: none
+	forcedFrom  uint8  // opClaim: memberNumber of the site that loses the job without proof that it has stopped it; 0: none
 	excludeSite bool   // opRelease: the site can never run the job
 	tasks       uint32
 	createdMS   uint64
