--- a/internal/coordination/gateway/daemon.go
+++ b/internal/coordination/gateway/daemon.go
@@ -10,60 +10,63 @@
 	wire "dapplestage.example/dapplestage/internal/protocol/gateway"
 )
 
-// Store keeps a member's registers. Write returns when the items are durable, all or
-// none of them; without items, when it is shown that the store is still this
-// process's own. It is called by one routine at a time. An error of kind ErrFatal
-// ends the daemon; after any other it is called again with the same items.
+// Store persists a member's registers. Write returns nil when all of the items are durable;
+// if it fails, none or all of them may be. Without items it returns nil once it is proved
+// that the store still belongs to this process. Only one goroutine calls it at a time. An
+// error that wraps ErrFatal ends the daemon; after any other error the call is repeated
+// with the same items.
 type Store interface {
 	Write(ctx context.Context, items []wire.Item) error
 }
 
-// ErrFatal marks errors after which a member must not go on.
-var ErrFatal = errors.New("the member can't go on")
+// ErrFatal marks errors after which a member must not continue.
+var ErrFatal = errors.New("the member can't continue")
 
-// Site carries calls to the site's controllers.
+// Site sends calls to the site's controllers.
 type Site interface {
-	// Call makes some calls. What it returns no result for is not known to have happened.
+	// Call makes calls to the controllers. Of calls without a result it is not known whether
+	// they had any effect.
 	Call(ctx context.Context, calls []Call) []Result
-	// Hint asks the controllers how the site is; nil if none says.
+	// Hint returns the site's load as its controllers report it; nil if none answers.
 	Hint(ctx context.Context) *wire.Hint
 }
 
-// Daemon runs a member: one routine owns the core, everything else talks to it.
+// Daemon runs a member: one goroutine owns the core, and all others pass it functions to
+// run.
 type Daemon struct {
 	core              *Core
 	cfg               Config
 	log               *slog.Logger
 	ctx               context.Context
 	stop              context.CancelCauseFunc
-	mailbox           chan func()
-	startedAt         time.Time
+	mailbox           chan func() // functions for the goroutine that owns the core
+	startedAt         time.Time   // zero of the monotonic clock
 	store             Store
 	send              func(to int, e *wire.Envelope)
 	site              Site
 	batches           chan Batch
 	calls             chan Call
-	pendingAnswers    map[uint64]chan<- Answer
+	pendingAnswers    map[uint64]chan<- Answer // where the answers to user requests go, by token
 	lastToken         uint64
-	storeFailingSince time.Time // when the store first failed to write what waits
-	storeErr          error
+	storeFailingSince time.Time // when the store began to fail
+	storeErr          error     // last error of the store; nil: it can be written
 }
 
-// NewDaemon makes a member that lives until ctx ends. start is higher with each
-// start of the member; items are what it has stored; send must not block; site is
-// nil for a gateway.
-func NewDaemon(ctx context.Context, cfg Config, start uint32, items []wire.Item, store Store, send func(to int, e *wire.Envelope), site Site, seed uint64, log *slog.Logger) *Daemon {
+// NewDaemon creates a member that runs until ctx ends. incarnation increases with each
+// start of the member; items is the stored state; send must not block; site is nil for a
+// gateway.
+func NewDaemon(ctx context.Context, cfg Config, incarnation uint32, items []wire.Item, store Store, send func(to int, e *wire.Envelope), site Site, seed uint64, log *slog.Logger) *Daemon {
 	d := &Daemon{cfg: cfg, log: log, mailbox: make(chan func(), 4096), startedAt: time.Now(), store: store, send: send, site: site,
 		batches: make(chan Batch, 4096), calls: make(chan Call, 4*maxCallsInFlight), pendingAnswers: map[uint64]chan<- Answer{}}
 	d.ctx, d.stop = context.WithCancelCause(ctx)
-	d.core = New(cfg, start, items, seed, log, 0)
+	d.core = New(cfg, incarnation, items, seed, log, 0)
 	return d
 }
 
-// now is the steady clock of the member.
+// now returns the member's monotonic clock.
 func (d *Daemon) now() time.Duration { return time.Since(d.startedAt) }
 
-// enqueue hands f to the routine that owns the core.
+// enqueue passes f to the goroutine that owns the core.
 func (d *Daemon) enqueue(f func()) {
 	select {
 	case d.mailbox <- f:
@@ -71,10 +74,11 @@
 	}
 }
 
-// tickInterval is how often the core looks at what is due.
+// tickInterval is how often the core checks what is due by time.
 const tickInterval = 20 * time.Millisecond
 
-// Run serves until the daemon's context ends, and says why it ended.
+// Run serves until the context of the daemon ends, and returns the cause unless it was
+// cancelled.
 func (d *Daemon) Run() error {
 	done := make(chan struct{})
 	go func() {
@@ -103,9 +107,9 @@
 	return nil
 }
 
-// applyEffects carries out effects.
-func (d *Daemon) applyEffects(e Effects) {
-	for _, b := range e.Store {
+// applyEffects carries out the effects of a step.
+func (d *Daemon) applyEffects(effects Effects) {
+	for _, b := range effects.Store {
 		select {
 		case d.batches <- b:
 		case <-d.ctx.Done():
@@ -113,34 +117,34 @@
 		}
 	}
 	for to := range d.cfg.Members {
-		if items := e.Send[to]; to != d.cfg.Self && (len(items) > 0 || e.Hint != nil) {
-			// A message that is too long is sent in parts: the order does not matter.
+		if items := effects.Send[to]; to != d.cfg.Self && (len(items) > 0 || effects.Hint != nil) {
+			// A long message is sent in parts; their order does not matter.
 			for len(items) > maxItemsPerMessage {
 				d.send(to, &wire.Envelope{Items: items[:maxItemsPerMessage]})
 				items = items[maxItemsPerMessage:]
 			}
-			d.send(to, &wire.Envelope{Items: items, Hint: e.Hint})
+			d.send(to, &wire.Envelope{Items: items, Hint: effects.Hint})
 		}
 	}
-	for _, a := range e.Answers {
-		if ch := d.pendingAnswers[a.Token]; ch != nil {
-			delete(d.pendingAnswers, a.Token)
-			ch <- a
+	for _, answer := range effects.Answers {
+		if ch := d.pendingAnswers[answer.Token]; ch != nil {
+			delete(d.pendingAnswers, answer.Token)
+			ch <- answer
 		}
 	}
-	for _, c := range e.Calls {
+	for _, call := range effects.Calls {
 		select {
-		case d.calls <- c:
-		default: // never more than mostCalls are under way
-			d.stop(fmt.Errorf("%w: calls pile up", ErrFatal))
+		case d.calls <- call:
+		default: // the core has at most maxCallsInFlight calls in flight
+			d.stop(fmt.Errorf("%w: too many calls to the controllers are queued", ErrFatal))
 		}
 	}
 }
 
-// maxItemsPerMessage bounds a message.
+// maxItemsPerMessage limits the items of one message.
 const maxItemsPerMessage = 1000
 
-// storeBatches stores batches in order, all that wait at once (group commit).
+// storeBatches stores batches in order, all that are queued in one write (group commit).
 func (d *Daemon) storeBatches() {
 	for {
 		var batch Batch
@@ -154,11 +158,11 @@
 		for i := range items {
 			latest[items[i].ID] = i
 		}
-		for more := true; more; {
+		for draining := true; draining; {
 			select {
-			case b := <-d.batches:
-				batch.Seq = b.Seq
-				for _, it := range b.Items {
+			case next := <-d.batches:
+				batch.Seq = next.Seq
+				for _, it := range next.Items {
 					if i, ok := latest[it.ID]; ok {
 						items[i] = it
 					} else {
@@ -167,7 +171,7 @@
 					}
 				}
 			default:
-				more = false
+				draining = false
 			}
 		}
 		if !d.storeItems(items) {
@@ -177,15 +181,15 @@
 	}
 }
 
-// storeItems tries until the items are durable. Meanwhile this member promises and
-// accepts nothing more, since nothing is told before it is stored.
+// storeItems retries until the items are durable. Meanwhile this member promises and
+// accepts nothing new, since replies wait until their state is stored.
 func (d *Daemon) storeItems(items []wire.Item) bool {
-	for try := 0; ; try++ {
+	for attempt := 0; ; attempt++ {
 		err := d.store.Write(d.ctx, items)
 		switch {
 		case err == nil:
-			if try > 0 {
-				d.log.Info("store written again", "items", len(items), "tries", try+1)
+			if attempt > 0 {
+				d.log.Info("store written again", "items", len(items), "tries", attempt+1)
 			}
 			d.enqueue(func() { d.storeErr = nil })
 			return true
@@ -196,7 +200,7 @@
 			d.stop(err)
 			return false
 		}
-		if try%10 == 0 {
+		if attempt%10 == 0 {
 			d.log.Error("store can't be written: this member answers nothing new", "why", err, "items", len(items))
 		}
 		d.enqueue(func() {
@@ -213,11 +217,11 @@
 	}
 }
 
-// callBatchDelay is how long calls wait for others to go with.
+// callBatchDelay is how long a call waits for others to be sent in the same request.
 const callBatchDelay = 15 * time.Millisecond
 
-// sendCalls takes calls to the controllers, many in one request, several requests
-// under way.
+// sendCalls sends calls to the controllers, many per request and several requests
+// concurrently.
 func (d *Daemon) sendCalls() {
 	slots := make(chan struct{}, 4)
 	for {
@@ -229,12 +233,12 @@
 			calls = append(calls, c)
 		}
 		wait := time.After(callBatchDelay)
-		for more := true; more && len(calls) < 64; {
+		for gathering := true; gathering && len(calls) < 64; {
 			select {
 			case c := <-d.calls:
 				calls = append(calls, c)
 			case <-wait:
-				more = false
+				gathering = false
 			}
 		}
 		select {
@@ -244,22 +248,22 @@
 		}
 		go func() {
 			defer func() { <-slots }()
-			got := d.site.Call(d.ctx, calls)
-			known := map[callKey]bool{}
-			for i := range got {
-				known[callKeyOf(&got[i].Call)] = true
+			results := d.site.Call(d.ctx, calls)
+			answered := map[callKey]bool{}
+			for i := range results {
+				answered[callKeyOf(&results[i].Call)] = true
 			}
 			for _, c := range calls {
-				if !known[callKeyOf(&c)] {
-					got = append(got, Result{Call: c, Code: wire.Unavailable})
+				if !answered[callKeyOf(&c)] {
+					results = append(results, Result{Call: c, Code: wire.Unavailable})
 				}
 			}
-			d.enqueue(func() { d.applyEffects(d.core.SiteResults(d.now(), got)) })
+			d.enqueue(func() { d.applyEffects(d.core.SiteResults(d.now(), results)) })
 		}()
 	}
 }
 
-// callKey is what names a call among others.
+// callKey identifies a call.
 type callKey struct {
 	kind  wire.Kind
 	id    string
@@ -268,11 +272,11 @@
 
 func callKeyOf(c *Call) callKey { return callKey{c.Kind, c.ID, c.Epoch} }
 
-// pollHints asks the controllers how the site is, every other second.
+// pollHints asks the controllers for the load of the site every 2 s.
 func (d *Daemon) pollHints() {
 	for d.ctx.Err() == nil {
-		if h := d.site.Hint(d.ctx); h != nil {
-			d.enqueue(func() { d.core.SetHint(d.now(), h) })
+		if hint := d.site.Hint(d.ctx); hint != nil {
+			d.enqueue(func() { d.core.SetHint(d.now(), hint) })
 		}
 		select {
 		case <-d.ctx.Done():
@@ -281,41 +285,42 @@
 	}
 }
 
-// Receive takes in a message of another member.
+// Receive handles a message from another member.
 func (d *Daemon) Receive(from int, e *wire.Envelope) {
 	d.enqueue(func() { d.applyEffects(d.core.Receive(d.now(), from, e)) })
 }
 
-// runOnCore runs f on the routine that owns the core and returns what it returns.
-func runOnCore[T any](d *Daemon, ctx context.Context, f func() T) (v T, ok bool) {
+// runOnCore runs f on the goroutine that owns the core and returns its result; false if the
+// context ends first.
+func runOnCore[T any](d *Daemon, ctx context.Context, f func() T) (value T, ok bool) {
 	reply := make(chan T, 1)
 	d.enqueue(func() { reply <- f() })
 	select {
-	case v = <-reply:
-		return v, true
+	case value = <-reply:
+		return value, true
 	case <-ctx.Done():
 	case <-d.ctx.Done():
 	}
-	return v, false
+	return value, false
 }
 
-// SiteLease is what the site's controllers are told now.
-func (d *Daemon) SiteLease(ctx context.Context, most time.Duration) (wire.Lease, bool) {
-	return runOnCore(d, ctx, func() wire.Lease { return d.core.SiteLease(d.now(), most) })
+// SiteLease returns the lease that the site's controllers are given now.
+func (d *Daemon) SiteLease(ctx context.Context, maxLease time.Duration) (wire.Lease, bool) {
+	return runOnCore(d, ctx, func() wire.Lease { return d.core.SiteLease(d.now(), maxLease) })
 }
 
-// setDrained drains the site, or takes it back into service; it is stored first.
+// setDrained drains the site or returns it to service, and waits until that is stored.
 func (d *Daemon) setDrained(ctx context.Context, on bool) error {
 	ctx, cancel := context.WithTimeout(ctx, userTimeout)
 	defer cancel()
 	seq, ok := runOnCore(d, ctx, func() uint64 { d.applyEffects(d.core.SetDrained(d.now(), on)); return d.core.lastBatchSeq })
 	for ok {
-		stored, again := runOnCore(d, ctx, func() uint64 { return d.core.storedSeq })
-		if stored >= seq {
+		storedSeq, alive := runOnCore(d, ctx, func() uint64 { return d.core.storedSeq })
+		if storedSeq >= seq {
 			return nil
 		}
 		time.Sleep(20 * time.Millisecond)
-		ok = again
+		ok = alive
 	}
 	return errors.New("the state service does not answer; it takes effect here and may last")
 }
--- a/internal/coordination/gateway/front.go
+++ b/internal/coordination/gateway/front.go
@@ -10,338 +10,359 @@
 	wire "dapplestage.example/dapplestage/internal/protocol/gateway"
 )
 
-// The users' side: submissions, polls and cancellations. Whatever can't be
-// decided now is answered at once with 503 and a time to come back.
+// User requests: submissions, status polls and cancellations. A request that can't be
+// decided now is answered at once with 503 and a Retry-After time.
 
-// RequestKind is what a user wants.
+// RequestKind is the kind of a user request.
 type RequestKind uint8
 
-// Requests of users.
+// Kinds of user requests.
 const (
 	Submit RequestKind = iota
 	Poll
 	Cancel
 )
 
-// Request is one of a user's. Token is given back with the answer.
+// Request is a user request. Token identifies the answer to it.
 type Request struct {
 	Token uint64
 	Kind  RequestKind
 	ID    string
-	Spec  *protocol.JobSpec // of a submission, checked
-	Body  []byte            // the submission as it is stored
-	NowMS uint64
+	Spec  *protocol.JobSpec // validated job of a submission
+	Body  []byte            // encoded job of a submission, as it is stored
+	NowMS uint64            // time of a submission, in Unix milliseconds
 }
 
-// Answer is what a user is told.
+// Answer is the answer to a user request.
 type Answer struct {
 	Token  uint64
-	Code   int
-	RetryS int
+	Code   int // HTTP status
+	RetryS int // Retry-After in seconds; 0: none
 	State  protocol.JobStatus
-	Reason string // of an error
+	Reason string // error message; empty: State is the answer
 }
 
+// progress is the number of a job's tasks that are done and running.
 type progress struct{ done, running uint32 }
 
-// HandleRequest takes a user's request. The answer comes with the effects of this or a later
-// step, within userPatience.
-func (c *Core) HandleRequest(now time.Duration, q Request) Effects {
-	return c.step(now, func() { c.handleRequest(&q) })
+// HandleRequest handles a user request. The answer is among the effects of this step or of
+// a later one, within userTimeout.
+func (c *Core) HandleRequest(now time.Duration, req Request) Effects {
+	return c.step(now, func() { c.handleRequest(&req) })
 }
 
-func (c *Core) answerWithJob(q *Request, code int, rec *wire.Record) {
-	c.effects.Answers = append(c.effects.Answers, Answer{Token: q.Token, Code: code, State: c.jobStatus(q.ID, rec)})
+// answerWithJob answers with the status of a job.
+func (c *Core) answerWithJob(req *Request, code int, rec *wire.Record) {
+	c.effects.Answers = append(c.effects.Answers, Answer{Token: req.Token, Code: code, State: c.jobStatus(req.ID, rec)})
 }
 
-// answerWithError answers with an error that trying again would not change.
-func (c *Core) answerWithError(q *Request, code int, why string) {
-	c.effects.Answers = append(c.effects.Answers, Answer{Token: q.Token, Code: code, Reason: why})
+// answerWithError answers with an error that a retry would not change.
+func (c *Core) answerWithError(req *Request, code int, reason string) {
+	c.effects.Answers = append(c.effects.Answers, Answer{Token: req.Token, Code: code, Reason: reason})
 }
 
-// noMajority is what a user is told whose request too few members have answered.
+// noMajority is the error message for a request that too few members have answered.
 const noMajority = "no majority answered in time"
 
-func (c *Core) answerRetryLater(q *Request, retryS int, why string) {
+// answerRetryLater answers with 503 and a time after which the user may retry.
+func (c *Core) answerRetryLater(req *Request, retryS int, reason string) {
 	c.counts.Refused++
-	c.effects.Answers = append(c.effects.Answers, Answer{Token: q.Token, Code: http.StatusServiceUnavailable, RetryS: retryS, Reason: why})
+	c.effects.Answers = append(c.effects.Answers, Answer{Token: req.Token, Code: http.StatusServiceUnavailable, RetryS: retryS, Reason: reason})
 }
 
-// jobStatus is a record as users see it.
+// jobStatus returns the status of a job as users see it.
 func (c *Core) jobStatus(id string, rec *wire.Record) protocol.JobStatus {
-	s := protocol.JobStatus{ID: id, Status: protocol.JobQueued}
+	status := protocol.JobStatus{ID: id, Status: protocol.JobQueued}
 	switch rec.Outcome {
 	case wire.Done:
-		s.Status, s.Done = protocol.JobDone, int(rec.Tasks)
+		status.Status, status.Done = protocol.JobDone, int(rec.Tasks)
 	case wire.Cancelled:
-		s.Status = protocol.JobCancelled
+		status.Status = protocol.JobCancelled
 	default:
 		if p := c.progress[id]; p.running+p.done > 0 {
-			s.Done, s.Running = int(p.done), int(p.running)
+			status.Done, status.Running = int(p.done), int(p.running)
 			if p.running > 0 {
-				s.Status = protocol.JobRunning
+				status.Status = protocol.JobRunning
 			}
 		}
 	}
-	return s
+	return status
 }
 
-func (c *Core) handleRequest(q *Request) {
-	if r := c.registers[q.ID]; r != nil && r.hasRecord && r.committed && r.record.Outcome != wire.Open {
-		// What is final never changes.
-		c.answerWithJob(q, http.StatusOK, &r.record)
+// handleRequest answers a user request at once or starts the read or change that it needs.
+func (c *Core) handleRequest(req *Request) {
+	if r := c.registers[req.ID]; r != nil && r.hasRecord && r.committed && r.record.Outcome != wire.Open {
+		// A committed outcome never changes.
+		c.answerWithJob(req, http.StatusOK, &r.record)
 		return
 	}
 	if c.reachableCount() < c.majority() {
-		c.answerRetryLater(q, 5, "too few members of the gateway can be reached")
+		c.answerRetryLater(req, 5, "too few members of the gateway can be reached")
 		return
 	}
-	switch q.Kind {
+	switch req.Kind {
 	case Submit:
-		c.submitJob(q)
+		c.submitJob(req)
 	case Poll:
-		c.readExisting(q, func(rec *wire.Record) { c.answerWithJob(q, http.StatusOK, rec) })
+		c.readExisting(req, func(rec *wire.Record) { c.answerWithJob(req, http.StatusOK, rec) })
 	case Cancel:
-		if r := c.registers[q.ID]; r == nil || !r.hasRecord {
-			// A proposal would leave a promise at every member, for a job that perhaps
-			// nobody has submitted.
-			c.readExisting(q, func(*wire.Record) { c.cancelJob(q) })
+		if r := c.registers[req.ID]; r == nil || !r.hasRecord {
+			// A proposal would store a promise at every member for a job that may never have been
+			// submitted.
+			c.readExisting(req, func(*wire.Record) { c.cancelJob(req) })
 			return
 		}
-		c.cancelJob(q)
+		c.cancelJob(req)
 	}
 }
 
-// readExisting reads a job from a majority and hands its record over. Without a majority,
-// or if there is no such job, it answers the user itself.
-func (c *Core) readExisting(q *Request, then func(rec *wire.Record)) {
-	c.readFromMajority(q.ID, func(rec *wire.Record, exists, ok bool) {
+// readExisting reads the record of a job from a majority and passes it to onRecord. Without
+// a majority, or if there is no such job, it answers the request itself.
+func (c *Core) readExisting(req *Request, onRecord func(rec *wire.Record)) {
+	c.readFromMajority(req.ID, func(rec *wire.Record, exists, ok bool) {
 		switch {
 		case !ok:
-			c.answerRetryLater(q, 1, noMajority)
+			c.answerRetryLater(req, 1, noMajority)
 		case !exists:
-			c.answerWithError(q, http.StatusNotFound, "no such job")
+			c.answerWithError(req, http.StatusNotFound, "no such job")
 		default:
-			then(rec)
+			onRecord(rec)
 		}
 	})
 }
 
-func (c *Core) cancelJob(q *Request) {
-	c.propose(q.ID, op{kind: opCancel}, userTimeout, func(rec wire.Record, exists bool, o opResult) {
+// cancelJob proposes the cancellation of a job and answers with the result.
+func (c *Core) cancelJob(req *Request) {
+	c.propose(req.ID, op{kind: opCancel}, userTimeout, func(rec wire.Record, exists bool, result opResult) {
 		switch {
-		case o == resultUnknown:
-			c.answerRetryLater(q, 1, noMajority)
+		case result == resultUnknown:
+			c.answerRetryLater(req, 1, noMajority)
 		case !exists:
-			c.answerWithError(q, http.StatusNotFound, "no such job")
+			c.answerWithError(req, http.StatusNotFound, "no such job")
 		default:
-			if o == resultChanged {
+			if result == resultChanged {
 				c.counts.Cancelled++
 			}
-			c.answerWithJob(q, http.StatusOK, &rec)
+			c.answerWithJob(req, http.StatusOK, &rec)
 		}
 	})
 }
 
-func (c *Core) submitJob(q *Request) {
+// submitJob chooses a site for a new job, proposes its record and answers with the result.
+func (c *Core) submitJob(req *Request) {
 	if c.submissionsInFlight >= c.cfg.MaxInFlight {
-		c.answerRetryLater(q, 1+c.rng.IntN(3), "too many submissions under way")
+		c.answerRetryLater(req, 1+c.rng.IntN(3), "too many submissions under way")
 		return
 	}
-	to, why := c.chooseSite(q.Spec, 0, -1)
+	site, route := c.chooseSite(req.Spec, 0, -1)
 	c.submissionsInFlight++
-	if why != routeFound {
-		// A repeat is judged by what was accepted.
-		c.readFromMajority(q.ID, func(rec *wire.Record, exists, ok bool) {
+	if route != routeFound {
+		// A repeated submission of an accepted job is answered with the status of that job.
+		c.readFromMajority(req.ID, func(rec *wire.Record, exists, ok bool) {
 			c.submissionsInFlight--
 			switch {
 			case !ok:
-				c.answerRetryLater(q, 1, noMajority)
+				c.answerRetryLater(req, 1, noMajority)
 			case exists:
-				c.answerWithJob(q, http.StatusOK, rec)
-			case why == routeNeverFits:
-				c.answerWithError(q, http.StatusUnprocessableEntity, "it can run at no site: unknown team, above the team's limit, or a task fits no allowed machine type")
-			case why == routeSitesFull:
-				c.answerRetryLater(q, 2+c.rng.IntN(4), "all sites have as much under way as they may")
+				c.answerWithJob(req, http.StatusOK, rec)
+			case route == routeNeverFits:
+				c.answerWithError(req, http.StatusUnprocessableEntity, "it can run at no site: unknown team, above the team's limit, or a task fits no allowed machine type")
+			case route == routeSitesFull:
+				c.answerRetryLater(req, 2+c.rng.IntN(4), "all sites have as much under way as they may")
 			default:
-				c.answerRetryLater(q, 2+c.rng.IntN(4), "no site is known to be able to take it")
+				c.answerRetryLater(req, 2+c.rng.IntN(4), "no site is known to be able to take it")
 			}
 		})
 		return
 	}
-	o := op{kind: opCreate, spec: q.Body, site: to, tasks: uint32(q.Spec.Tasks), createdMS: q.NowMS}
-	c.countRouted(to)
-	c.propose(q.ID, o, userTimeout, func(rec wire.Record, exists bool, got opResult) {
+	create := op{kind: opCreate, spec: req.Body, site: site, tasks: uint32(req.Spec.Tasks), createdMS: req.NowMS}
+	c.countRouted(site)
+	c.propose(req.ID, create, userTimeout, func(rec wire.Record, exists bool, result opResult) {
 		c.submissionsInFlight--
-		switch got {
+		switch result {
 		case resultUnknown:
-			c.answerRetryLater(q, 1, noMajority)
+			c.answerRetryLater(req, 1, noMajority)
 		case resultChanged:
 			c.counts.Accepted++
-			c.answerWithJob(q, http.StatusCreated, &rec)
+			c.answerWithJob(req, http.StatusCreated, &rec)
 		default:
-			c.answerWithJob(q, http.StatusOK, &rec)
+			c.answerWithJob(req, http.StatusOK, &rec)
 		}
 	})
 }
 
-// onProgress takes in how far a job is, for display.
+// onProgress records the progress of a job, for display only.
 func (c *Core) onProgress(from int, it *wire.Item) {
-	if r := c.openJobs[it.ID]; r != nil && r.record.Owner == memberNumber(from) {
+	if reg := c.openJobs[it.ID]; reg != nil && reg.record.Owner == memberNumber(from) {
 		c.progress[it.ID] = progress{it.Record.Tasks, it.Running}
 	}
 }
 
-// Reads. An answer that is not final is compared with a majority first, many jobs
-// in one message. Each member answers from what it has accepted, once it is shown
-// that its store is still its own. What a majority has agreed on, at least one
-// of any majority knows; and every record is made from the one agreed on before.
+// Reads. A status that is not final is read from a majority before it is given to a user;
+// one message carries the reads of many jobs. Each member answers from the record that it
+// has accepted, once it is proved that its store still belongs to this process. Of every
+// majority, at least one member knows a record that a majority has accepted, and every
+// later record is made from that one.
 
+// readRequest is a read of one job for one user request.
 type readRequest struct {
 	id       string
 	deadline time.Duration
 	onResult func(rec *wire.Record, exists, ok bool)
 }
 
+// readBatch is a set of reads that were sent together.
 type readBatch struct {
 	byID     map[string]*readState
 	deadline time.Duration
 }
 
+// readState collects the replies for one job of a batch.
 type readState struct {
-	votes    uint32
-	highest  wire.Item
-	matching int
+	votes    uint32    // bit mask of the members that replied
+	highest  wire.Item // reply with the highest accepted ballot
+	matching int       // replies with the same ballot as highest
 	requests []*readRequest
 }
 
-// readBatchInterval bundles reads.
+// readBatchInterval is the shortest time between batches of reads.
 const readBatchInterval = 20 * time.Millisecond
 
-func (c *Core) readFromMajority(id string, then func(rec *wire.Record, exists, ok bool)) {
+// readFromMajority reads the record of a job from a majority. It calls onResult once; ok is
+// false if no majority answered in time or too many reads wait.
+func (c *Core) readFromMajority(id string, onResult func(rec *wire.Record, exists, ok bool)) {
 	if len(c.queuedReads) > 20000 {
-		then(nil, false, false)
+		onResult(nil, false, false)
 		return
 	}
-	c.queuedReads = append(c.queuedReads, &readRequest{id, c.now + userTimeout, then})
+	c.queuedReads = append(c.queuedReads, &readRequest{id, c.now + userTimeout, onResult})
 	c.sendReads(true)
 }
 
-func (c *Core) sendReads(first bool) {
-	if len(c.queuedReads) == 0 || first && len(c.queuedReads) > 1 || c.now-c.lastReadBatch < readBatchInterval {
+// sendReads sends the queued reads as one batch, unless the last batch was sent less than
+// readBatchInterval ago. With onlyFirst set, it sends nothing if more than one read is
+// queued: the next tick sends them together.
+func (c *Core) sendReads(onlyFirst bool) {
+	if len(c.queuedReads) == 0 || onlyFirst && len(c.queuedReads) > 1 || c.now-c.lastReadBatch < readBatchInterval {
 		return
 	}
 	c.lastReadBatch = c.now
 	c.readSeq++
-	b := &readBatch{byID: map[string]*readState{}, deadline: c.now + userTimeout}
-	c.readBatches[c.readSeq] = b
+	batch := &readBatch{byID: map[string]*readState{}, deadline: c.now + userTimeout}
+	c.readBatches[c.readSeq] = batch
 	n := min(len(c.queuedReads), 500)
-	for _, q := range c.queuedReads[:n] {
-		s := b.byID[q.id]
-		if s == nil {
-			s = &readState{}
-			b.byID[q.id] = s
+	for _, req := range c.queuedReads[:n] {
+		state := batch.byID[req.id]
+		if state == nil {
+			state = &readState{}
+			batch.byID[req.id] = state
 			for m := range c.cfg.Members {
-				c.send(m, wire.Item{Kind: wire.Read, ID: q.id, Ballot: wire.Ballot{Number: c.readSeq, Proposer: c.incarnation}})
+				c.send(m, wire.Item{Kind: wire.Read, ID: req.id, Ballot: wire.Ballot{Number: c.readSeq, Proposer: c.incarnation}})
 			}
 		}
-		s.requests = append(s.requests, q)
+		state.requests = append(state.requests, req)
 	}
 	c.queuedReads = c.queuedReads[n:]
 }
 
+// onRead answers with the record that this member has accepted, without its spec.
 func (c *Core) onRead(from int, it *wire.Item) {
-	found := wire.Item{Kind: wire.ReadReply, ID: it.ID, Ballot: it.Ballot}
-	if r := c.registers[it.ID]; r != nil && r.hasRecord {
-		found.Accepted, found.HasRecord, found.Committed, found.Record = r.accepted, true, r.committed, r.record
-		found.Record.Spec = nil
+	reply := wire.Item{Kind: wire.ReadReply, ID: it.ID, Ballot: it.Ballot}
+	if reg := c.registers[it.ID]; reg != nil && reg.hasRecord {
+		reply.Accepted, reply.HasRecord, reply.Committed, reply.Record = reg.accepted, true, reg.committed, reg.record
+		reply.Record.Spec = nil
 	}
 	c.barrierPending = true
-	c.sendWhenDurable(from, found)
+	c.sendWhenDurable(from, reply)
 }
 
+// onFound counts a reply to a read and completes the reads of the job once a majority has
+// replied.
 func (c *Core) onFound(from int, it *wire.Item) {
-	b := c.readBatches[it.Ballot.Number]
-	if b == nil || it.Ballot.Proposer != c.incarnation {
+	batch := c.readBatches[it.Ballot.Number]
+	if batch == nil || it.Ballot.Proposer != c.incarnation {
 		return
 	}
-	s := b.byID[it.ID]
-	if s == nil || s.votes&memberBit(from) != 0 {
+	state := batch.byID[it.ID]
+	if state == nil || state.votes&memberBit(from) != 0 {
 		return
 	}
-	s.votes |= memberBit(from)
-	keepHighest(&s.highest, &s.matching, it)
-	if bitCount(s.votes) < c.majority() {
+	state.votes |= memberBit(from)
+	keepHighest(&state.highest, &state.matching, it)
+	if bitCount(state.votes) < c.majority() {
 		return
 	}
-	delete(b.byID, it.ID)
-	if len(b.byID) == 0 {
+	delete(batch.byID, it.ID)
+	if len(batch.byID) == 0 {
 		delete(c.readBatches, it.Ballot.Number)
 	}
-	rec := s.highest.Record
-	if s.highest.HasRecord && rec.Outcome != wire.Open && !s.highest.Committed && s.matching < c.majority() {
-		// Perhaps not agreed on: see to it that it is, or what is.
-		reqs := s.requests
-		c.propose(it.ID, op{kind: opLearn}, userTimeout, func(rec wire.Record, exists bool, o opResult) {
-			for _, q := range reqs {
-				q.onResult(&rec, exists, o != resultUnknown)
+	rec := state.highest.Record
+	if state.highest.HasRecord && rec.Outcome != wire.Open && !state.highest.Committed && state.matching < c.majority() {
+		// The outcome may not be accepted by a majority: a round completes it or finds the record
+		// that is.
+		requests := state.requests
+		c.propose(it.ID, op{kind: opLearn}, userTimeout, func(rec wire.Record, exists bool, result opResult) {
+			for _, req := range requests {
+				req.onResult(&rec, exists, result != resultUnknown)
 			}
 		})
 		return
 	}
-	if s.highest.HasRecord && rec.Outcome != wire.Open {
-		// Agreed on, and it never changes: from now on it is told without asking.
-		if own := c.registerOf(it.ID); !own.hasRecord || own.accepted.Less(s.highest.Accepted) {
-			c.setRecord(it.ID, own, s.highest.Accepted, &rec, true)
+	if state.highest.HasRecord && rec.Outcome != wire.Open {
+		// The outcome is accepted by a majority and never changes: from now on it is answered
+		// without a read.
+		if reg := c.registerOf(it.ID); !reg.hasRecord || reg.accepted.Less(state.highest.Accepted) {
+			c.setRecord(it.ID, reg, state.highest.Accepted, &rec, true)
 		}
 	}
-	for _, q := range s.requests {
-		q.onResult(&rec, s.highest.HasRecord, true)
+	for _, req := range state.requests {
+		req.onResult(&rec, state.highest.HasRecord, true)
 	}
 }
 
-// expireReads gives up what no majority answers.
+// expireReads ends the reads that no majority has answered in time.
 func (c *Core) expireReads() {
-	for nonce, b := range c.readBatches {
-		if c.now < b.deadline {
+	for nonce, batch := range c.readBatches {
+		if c.now < batch.deadline {
 			continue
 		}
 		delete(c.readBatches, nonce)
-		for _, id := range sortedKeys(b.byID) {
-			for _, q := range b.byID[id].requests {
-				q.onResult(nil, false, false)
+		for _, id := range sortedKeys(batch.byID) {
+			for _, req := range batch.byID[id].requests {
+				req.onResult(nil, false, false)
 			}
 		}
 	}
 }
 
-// chooseNewSite chooses a site for a job that has to leave its own.
+// chooseNewSite chooses a site for a job that has to leave its current one.
 func (c *Core) chooseNewSite(rec *wire.Record) (int, bool) {
 	var spec protocol.JobSpec
 	if err := json.Unmarshal(rec.Spec, &spec); err != nil {
-		c.log.Error("stored submission not understood", "why", err)
+		c.log.Error("stored submission can't be decoded", "why", err)
 		return 0, false
 	}
-	to, why := c.chooseSite(&spec, rec.ExcludedSites, int(rec.Owner)-1)
-	return to, why == routeFound
+	site, route := c.chooseSite(&spec, rec.ExcludedSites, int(rec.Owner)-1)
+	return site, route == routeFound
 }
 
-// chooseSite asks the policy with what is known now.
-func (c *Core) chooseSite(spec *protocol.JobSpec, barred uint32, not int) (int, routeResult) {
+// chooseSite routes a job by the load and availability of the sites as this member knows
+// them.
+func (c *Core) chooseSite(spec *protocol.JobSpec, excluded uint32, except int) (int, routeResult) {
 	views := make([]SiteView, 0, len(c.cfg.Members))
 	for i, m := range c.cfg.Members {
-		if !m.Site || i == not {
+		if !m.Site || i == except {
 			continue
 		}
-		v := SiteView{Site: i, Excluded: barred&memberBit(i) != 0, HintAgeS: math.Inf(1), Unavailable: c.unreachable(i) || c.now >= c.grants[i].tasksUntil && c.now > c.startedAt+c.cfg.LeaseTime,
+		view := SiteView{Site: i, Excluded: excluded&memberBit(i) != 0, HintAgeS: math.Inf(1), Unavailable: c.unreachable(i) || c.now >= c.grants[i].tasksUntil && c.now > c.startedAt+c.cfg.LeaseTime,
 			OpenJobs: c.ownedJobs[i], UnseenJobs: c.routeLimits[i].unseenJobs(c.now), WithinRate: c.routeLimits[i].allowed(c.now, c.cfg.Route)}
-		if h := c.hints[i]; h.hint != nil {
-			v.Hint, v.HintAgeS = h.hint, (c.now - h.receivedAt).Seconds()
+		if hint := c.hints[i]; hint.hint != nil {
+			view.Hint, view.HintAgeS = hint.hint, (c.now - hint.receivedAt).Seconds()
 		}
-		views = append(views, v)
+		views = append(views, view)
 	}
 	return Route(spec, views, c.cfg.Route)
 }
 
-// countRouted notes that a site is being given a job.
+// countRouted counts a job that is given to a site against its rate.
 func (c *Core) countRouted(to int) { c.routeLimits[to].takeToken(c.now) }
--- a/internal/coordination/gateway/round.go
+++ b/internal/coordination/gateway/round.go
@@ -7,59 +7,63 @@
 	wire "dapplestage.example/dapplestage/internal/protocol/gateway"
 )
 
-// A round is one member's attempt to change one record: promises of a majority,
-// the highest record accepted so far with the changes applied, and its acceptance
-// by a majority. One round a job is under way at a member; what comes meanwhile
-// waits for the next.
+// A round is an attempt of one member to change one record: it collects promises of a
+// majority, applies the pending changes to the record with the highest accepted ballot, and
+// has the result accepted by a majority. A member runs one round per job at a time; changes
+// that are proposed meanwhile wait for the next one.
 
+// roundPhase is the phase of a round.
 type roundPhase uint8
 
+// Phases of a round.
 const (
-	phaseBackoff roundPhase = iota
-	phasePreparing
-	phaseAccepting
+	phaseBackoff   roundPhase = iota // waits before the next attempt
+	phasePreparing                   // collects promises
+	phaseAccepting                   // collects acceptances
 )
 
+// pendingChange is a change that was proposed and has no result yet.
 type pendingChange struct {
 	op       op
-	deadline time.Duration // the caller's patience
-	onResult func(rec wire.Record, exists bool, o opResult)
+	deadline time.Duration // when the caller is told that the result is unknown
+	onResult func(rec wire.Record, exists bool, result opResult)
 	result   opResult
 }
 
+// round is the state of the round for one job.
 type round struct {
 	id              string
 	phase           roundPhase
 	ballot          wire.Ballot
-	votes           uint32 // members that promised or accepted
-	highest         wire.Item
-	matching        int // promises that agree with best
-	record          wire.Record
-	applied         []*pendingChange // part of what is being accepted
-	queued          []*pendingChange
+	votes           uint32           // bit mask of the members that promised or accepted
+	highest         wire.Item        // promise with the highest accepted ballot
+	matching        int              // promises with the same accepted ballot as highest
+	record          wire.Record      // record that is proposed
+	applied         []*pendingChange // changes that record includes
+	queued          []*pendingChange // changes for the next proposal
 	lastSent        time.Duration
 	retryAt         time.Duration
 	attempts        int
-	refusedForLease uint32 // members that refused for a lease
-	nackedBy        uint32
+	refusedForLease uint32 // bit mask of the members that refused because the site's lease may still be valid
+	nackedBy        uint32 // bit mask of the members that refused for any reason
 }
 
-// propose asks for a change of a job's record. then, if not nil, is told how it
-// ended, once.
-func (c *Core) propose(id string, o op, patience time.Duration, then func(wire.Record, bool, opResult)) {
-	ch := &pendingChange{op: o, deadline: c.now + patience, onResult: then}
+// propose proposes a change to the record of a job. onResult, if not nil, is called once
+// with the result.
+func (c *Core) propose(id string, change op, timeout time.Duration, onResult func(wire.Record, bool, opResult)) {
+	pending := &pendingChange{op: change, deadline: c.now + timeout, onResult: onResult}
 	r := c.rounds[id]
 	if r == nil {
 		r = &round{id: id}
 		c.rounds[id] = r
-		r.queued = append(r.queued, ch)
+		r.queued = append(r.queued, pending)
 		c.startRound(r)
 		return
 	}
-	r.queued = append(r.queued, ch)
+	r.queued = append(r.queued, pending)
 }
 
-// startRound begins a round under a ballot above all that were seen.
+// startRound starts an attempt under a ballot above all ballots seen so far.
 func (c *Core) startRound(r *round) {
 	c.maxBallotNumber++
 	r.ballot = wire.Ballot{Number: c.maxBallotNumber, Proposer: c.incarnation<<8 | uint32(c.cfg.Self)}
@@ -68,12 +72,13 @@
 	c.sendRound(r)
 }
 
-// sendRound sends a round's question to all that have not answered it.
+// sendRound sends the request of the current phase to all members that have not answered
+// it.
 func (c *Core) sendRound(r *round) {
 	r.lastSent = c.now
 	it := wire.Item{Kind: wire.Prepare, ID: r.id, Ballot: r.ballot}
-	for _, ch := range r.queued {
-		it.Record.PrevOwner = max(it.Record.PrevOwner, ch.op.forcedFrom)
+	for _, pending := range r.queued {
+		it.Record.PrevOwner = max(it.Record.PrevOwner, pending.op.forcedFrom)
 	}
 	if r.phase == phaseAccepting {
 		it.Kind, it.HasRecord, it.Record = wire.Accept, true, r.record
@@ -85,6 +90,7 @@
 	}
 }
 
+// onVote handles the answer of a member to a request of a round.
 func (c *Core) onVote(r *round, from int, it *wire.Item) {
 	if it.Ballot != r.ballot || r.phase == phaseBackoff {
 		return
@@ -96,12 +102,12 @@
 		r.nackedBy |= memberBit(from)
 		if it.Code == wire.LeaseActive {
 			r.refusedForLease |= memberBit(from)
-			// Somebody else hears the site. To ask again and again would cost every
-			// member a stored promise a job.
-			for _, ch := range append(r.queued, r.applied...) {
-				if f := ch.op.forcedFrom; f != 0 && c.grants[f-1] != nil {
-					l := c.grants[f-1]
-					l.noClaimBefore, l.grantedByOthers = c.now+time.Second, true
+			// Another member still grants the lease of the site. Repeating the claim for each job
+			// would cost every member a stored promise per job.
+			for _, pending := range append(r.queued, r.applied...) {
+				if site := pending.op.forcedFrom; site != 0 && c.grants[site-1] != nil {
+					grant := c.grants[site-1]
+					grant.noClaimBefore, grant.grantedByOthers = c.now+time.Second, true
 				}
 			}
 		}
@@ -122,42 +128,42 @@
 	}
 }
 
-// keepHighest keeps, of what members say they accepted, what has the highest ballot, and
-// counts how many say the same.
-func keepHighest(best *wire.Item, same *int, it *wire.Item) {
+// keepHighest keeps the answer with the highest accepted ballot and counts the answers that
+// have that ballot.
+func keepHighest(highest *wire.Item, matching *int, it *wire.Item) {
 	switch {
-	case it.HasRecord && (!best.HasRecord || best.Accepted.Less(it.Accepted)):
-		*best, *same = *it, 1
-	case it.HasRecord && it.Accepted == best.Accepted:
-		*same++
-		best.Committed = best.Committed || it.Committed
+	case it.HasRecord && (!highest.HasRecord || highest.Accepted.Less(it.Accepted)):
+		*highest, *matching = *it, 1
+	case it.HasRecord && it.Accepted == highest.Accepted:
+		*matching++
+		highest.Committed = highest.Committed || it.Committed
 	}
 }
 
-// proposeRecord applies the changes that wait to the record that a majority's promises
+// proposeRecord applies the queued changes to the record that the promises of a majority
 // show, and proposes the result.
 func (c *Core) proposeRecord(r *round) {
 	rec, exists := r.highest.Record, r.highest.HasRecord
-	any := false
-	for _, ch := range r.queued {
-		next, o := applyOp(rec, exists, ch.op)
-		if c.cfg.Faults.OverwriteFinal && rec.Outcome != wire.Open && (ch.op.kind == opFinish || ch.op.kind == opCancel) {
+	anyChanged := false
+	for _, pending := range r.queued {
+		next, result := applyOp(rec, exists, pending.op)
+		if c.cfg.Faults.OverwriteFinal && rec.Outcome != wire.Open && (pending.op.kind == opFinish || pending.op.kind == opCancel) {
 			reopened := rec
 			reopened.Outcome = wire.Open
-			next, o = applyOp(reopened, exists, ch.op)
+			next, result = applyOp(reopened, exists, pending.op)
 		}
-		if c.cfg.Faults.IgnoreEpoch && ch.op.kind == opClaim && o == resultRefused && rec.Outcome == wire.Open {
-			next, o = rec, resultChanged
-			next.Epoch, next.Owner, next.Stopped = rec.Epoch+1, memberNumber(ch.op.site), false
+		if c.cfg.Faults.IgnoreEpoch && pending.op.kind == opClaim && result == resultRefused && rec.Outcome == wire.Open {
+			next, result = rec, resultChanged
+			next.Epoch, next.Owner, next.Stopped = rec.Epoch+1, memberNumber(pending.op.site), false
 		}
-		ch.result = o
-		if o == resultChanged {
-			rec, exists, any = next, true, true
+		pending.result = result
+		if result == resultChanged {
+			rec, exists, anyChanged = next, true, true
 		}
 	}
 	r.applied, r.queued = append(r.applied, r.queued...), nil
-	if !any && (!exists || r.highest.Committed || r.matching >= c.majority()) {
-		// Nothing to change, and what there is has been agreed on.
+	if !anyChanged && (!exists || r.highest.Committed || r.matching >= c.majority()) {
+		// No change is needed, and the present record is accepted by a majority.
 		if exists {
 			c.applyAgreed(r.id, &r.highest)
 		}
@@ -169,25 +175,25 @@
 	c.sendRound(r)
 }
 
-// applyAgreed takes in what a majority agreed on earlier.
-func (c *Core) applyAgreed(id string, best *wire.Item) {
+// applyAgreed applies a record that a majority accepted earlier.
+func (c *Core) applyAgreed(id string, agreed *wire.Item) {
 	r := c.registerOf(id)
-	if r.hasRecord && r.accepted == best.Accepted {
+	if r.hasRecord && r.accepted == agreed.Accepted {
 		if !r.committed {
 			c.setCommitted(id, r)
 		}
 		return
 	}
-	if r.hasRecord && best.Accepted.Less(r.accepted) {
+	if r.hasRecord && agreed.Accepted.Less(r.accepted) {
 		return
 	}
-	// Not accepted here. What a majority has agreed on may be taken in whatever was
-	// promised meanwhile: every higher proposal is made from it anyway.
-	c.setRecord(id, r, best.Accepted, &best.Record, true)
+	// This member did not accept the record. It may apply it whatever it has promised
+	// meanwhile, since every higher proposal is made from this record.
+	c.setRecord(id, r, agreed.Accepted, &agreed.Record, true)
 }
 
-// committed: a majority has accepted the round's record. From now on every round
-// starts from it.
+// onMajorityAccepted commits the record of a round that a majority has accepted. From now
+// on every round starts from it.
 func (c *Core) onMajorityAccepted(r *round) {
 	it := wire.Item{Kind: wire.Commit, ID: r.id, Ballot: r.ballot}
 	for m := range c.cfg.Members {
@@ -195,19 +201,20 @@
 			c.send(m, it)
 		}
 	}
-	if own := c.registers[r.id]; own != nil && own.hasRecord && own.accepted == r.ballot {
-		if !own.committed {
-			c.setCommitted(r.id, own)
+	if reg := c.registers[r.id]; reg != nil && reg.hasRecord && reg.accepted == r.ballot {
+		if !reg.committed {
+			c.setCommitted(r.id, reg)
 		}
-	} else if own == nil || !own.hasRecord || own.accepted.Less(r.ballot) {
+	} else if reg == nil || !reg.hasRecord || reg.accepted.Less(r.ballot) {
 		c.setRecord(r.id, c.registerOf(r.id), r.ballot, &r.record, true)
 	}
 	c.finishRound(r, r.record, true)
 }
 
-// finishRound tells the round's callers, and begins the next round if others wait.
+// finishRound reports the results to the callers of a round, and starts the next round if
+// changes are queued.
 func (c *Core) finishRound(r *round, rec wire.Record, exists bool) {
-	done := r.applied
+	finished := r.applied
 	r.applied = nil
 	if len(r.queued) == 0 {
 		delete(c.rounds, r.id)
@@ -215,55 +222,57 @@
 		r.attempts = 0
 		c.startRound(r)
 	}
-	for _, ch := range done {
-		if ch.onResult != nil {
-			ch.onResult(rec, exists, ch.result)
+	for _, pending := range finished {
+		if pending.onResult != nil {
+			pending.onResult(rec, exists, pending.result)
 		}
 	}
 }
 
-// backOff leaves the way to whoever came first, for a random while that grows.
+// backOff ends an attempt and schedules the next one after a random, growing delay, so that
+// the member that came first can finish.
 func (c *Core) backOff(r *round) {
 	r.queued, r.applied = append(r.applied, r.queued...), nil
 	r.phase = phaseBackoff
 	r.attempts++
 	if r.refusedForLease != 0 {
-		// A forced claim is for whoever cares to try anew, when the lease is over.
-		for _, ch := range r.queued {
-			if ch.op.kind == opClaim {
-				ch.deadline = c.now
+		// A forced claim is not retried here: reconciliation proposes it again once the lease has
+		// expired.
+		for _, pending := range r.queued {
+			if pending.op.kind == opClaim {
+				pending.deadline = c.now
 			}
 		}
 	}
-	for _, ch := range r.queued {
-		if ch.op.background && r.attempts >= 2 {
-			ch.deadline = c.now // somebody else is at it
+	for _, pending := range r.queued {
+		if pending.op.background && r.attempts >= 2 {
+			pending.deadline = c.now // another member is making the change
 		}
 	}
-	span := 60 * time.Millisecond << min(r.attempts, 5)
+	maxDelay := 60 * time.Millisecond << min(r.attempts, 5)
 	if r.refusedForLease != 0 {
-		span += 500 * time.Millisecond
+		maxDelay += 500 * time.Millisecond
 	}
-	r.retryAt = c.now + 10*time.Millisecond + time.Duration(c.rng.Int64N(int64(span)))
+	r.retryAt = c.now + 10*time.Millisecond + time.Duration(c.rng.Int64N(int64(maxDelay)))
 }
 
-// tickRounds sends again, begins anew, and gives up what its callers wait for no
-// more. What was given up may still come true.
+// tickRounds repeats unanswered requests, starts new attempts, and ends changes whose
+// deadline has passed. A change that was ended may still take effect.
 func (c *Core) tickRounds() {
 	for _, id := range sortedKeys(c.rounds) {
 		r := c.rounds[id]
-		keep := func(chs []*pendingChange) []*pendingChange {
-			var left []*pendingChange
-			for _, ch := range chs {
-				if c.now < ch.deadline {
-					left = append(left, ch)
-				} else if ch.onResult != nil {
-					ch.onResult(wire.Record{}, false, resultUnknown)
+		expire := func(changes []*pendingChange) []*pendingChange {
+			var live []*pendingChange
+			for _, pending := range changes {
+				if c.now < pending.deadline {
+					live = append(live, pending)
+				} else if pending.onResult != nil {
+					pending.onResult(wire.Record{}, false, resultUnknown)
 				}
 			}
-			return left
+			return live
 		}
-		r.queued, r.applied = keep(r.queued), keep(r.applied)
+		r.queued, r.applied = expire(r.queued), expire(r.applied)
 		switch {
 		case len(r.queued) == 0 && len(r.applied) == 0:
 			delete(c.rounds, id)
@@ -279,8 +288,8 @@
 	}
 }
 
-// sortedKeys is how maps are walked where something follows from the order: the
-// same seed gives the same history.
+// sortedKeys returns the keys of a map in order. It is used wherever the order of iteration
+// has an effect, so that the same seed gives the same run.
 func sortedKeys[V any](m map[string]V) []string {
 	ids := make([]string, 0, len(m))
 	for id := range m {
@@ -290,9 +299,10 @@
 	return ids
 }
 
-func bitCount(x uint32) int {
+// bitCount returns the number of bits that are set.
+func bitCount(mask uint32) int {
 	n := 0
-	for ; x != 0; x &= x - 1 {
+	for ; mask != 0; mask &= mask - 1 {
 		n++
 	}
 	return n
--- a/internal/coordination/gateway/status.go
+++ b/internal/coordination/gateway/status.go
@@ -8,87 +8,91 @@
 	wire "dapplestage.example/dapplestage/internal/protocol/gateway"
 )
 
-// Status is what an operator sees. What is not known is said to be unknown, and
-// since when; it is never shown as fine.
+// Status is the state of the gateway for operators, as one member knows it. What is not
+// known is shown as unknown, with its age, and never as healthy.
 type Status struct {
 	Member          string         `json:"member"`
-	Majority        bool           `json:"majority"` // enough members are heard to decide anything
-	Store           string         `json:"store"`
+	Majority        bool           `json:"majority"` // whether this member reaches a majority of the members
+	Store           string         `json:"store"`    // ok, or since when and why it can't be written
 	OpenJobs        int            `json:"open_jobs"`
 	FinalJobs       int            `json:"final_jobs"`
 	ChangesInFlight int            `json:"changes_under_way"`
 	Handoffs        int            `json:"handoffs_under_way"`
-	Undecided       int            `json:"undecided"` // records not known to be agreed on
+	Undecided       int            `json:"undecided"` // open jobs whose record is not known to be accepted by a majority
 	Members         []MemberStatus `json:"members"`
 	Counts          Counts         `json:"counts"`
 }
 
-// MemberStatus is one member as this one sees it.
+// MemberStatus is the state of one member as this one knows it.
 type MemberStatus struct {
 	Name           string  `json:"name"`
 	Site           bool    `json:"site"`
-	State          string  `json:"state"` // this member, heard, unknown
-	SilentS        float64 `json:"since_s"`
-	Lease          string  `json:"lease,omitempty"` // granted, over, unknown
-	Drained        string  `json:"drained,omitempty"`
-	OwnedJobs      int     `json:"holds"`
-	UnackedNotices int     `json:"to_be_told"` // jobs it has to hear of before its next lease
+	State          string  `json:"state"`             // "this member", "heard" or "unknown"
+	SilentS        float64 `json:"since_s"`           // seconds since the last message from the member
+	Lease          string  `json:"lease,omitempty"`   // granted, not granted or unknown, with details
+	Drained        string  `json:"drained,omitempty"` // true, false or unknown
+	OwnedJobs      int     `json:"holds"`             // open jobs
+	UnackedNotices int     `json:"to_be_told"`        // jobs whose loss it has to acknowledge before its lease is renewed
 	WaitingTasks   int     `json:"waiting_tasks"`
 	FreeGPUs       float64 `json:"free_gpus"`
-	HintAgeS       float64 `json:"hint_age_s"` // -1: nothing is known of its load
+	HintAgeS       float64 `json:"hint_age_s"` // -1: its load is not known
 }
 
+// roundToTenth returns a duration in seconds, rounded down to tenths.
 func roundToTenth(d time.Duration) float64 { return float64(d/(100*time.Millisecond)) / 10 }
 
+// status returns the state of the gateway as this member knows it. The caller fills in the
+// state of the store.
 func (c *Core) status() Status {
-	s := Status{Member: c.cfg.Members[c.cfg.Self].Name, Majority: c.reachableCount() >= c.majority(), OpenJobs: len(c.openJobs), FinalJobs: c.finalCount,
+	status := Status{Member: c.cfg.Members[c.cfg.Self].Name, Majority: c.reachableCount() >= c.majority(), OpenJobs: len(c.openJobs), FinalJobs: c.finalCount,
 		ChangesInFlight: len(c.rounds), Counts: c.counts}
 	for _, r := range c.openJobs {
 		if !r.committed {
-			s.Undecided++
+			status.Undecided++
 		}
 		if r.record.Stopped {
-			s.Handoffs++
+			status.Handoffs++
 		}
 	}
 	for _, r := range c.rounds {
-		if slices.ContainsFunc(append(r.queued, r.applied...), func(ch *pendingChange) bool { return ch.op.kind == opClaim }) {
-			s.Handoffs++
+		if slices.ContainsFunc(append(r.queued, r.applied...), func(pending *pendingChange) bool { return pending.op.kind == opClaim }) {
+			status.Handoffs++
 		}
 	}
 	for i := range c.cfg.Members {
-		s.Members = append(s.Members, c.memberStatus(i))
+		status.Members = append(status.Members, c.memberStatus(i))
 	}
-	return s
+	return status
 }
 
+// memberStatus returns the state of a member as this one knows it.
 func (c *Core) memberStatus(i int) MemberStatus {
-	m := c.cfg.Members[i]
-	v := MemberStatus{Name: m.Name, Site: m.Site, State: "heard", SilentS: roundToTenth(c.now - c.lastHeard[i]), OwnedJobs: c.ownedJobs[i], HintAgeS: -1}
+	member := c.cfg.Members[i]
+	status := MemberStatus{Name: member.Name, Site: member.Site, State: "heard", SilentS: roundToTenth(c.now - c.lastHeard[i]), OwnedJobs: c.ownedJobs[i], HintAgeS: -1}
 	switch {
 	case i == c.cfg.Self:
-		v.State, v.SilentS = "this member", 0
+		status.State, status.SilentS = "this member", 0
 	case c.unreachable(i):
-		v.State = "unknown"
+		status.State = "unknown"
 	}
-	l := c.grants[i]
-	if l == nil {
-		return v
+	grant := c.grants[i]
+	if grant == nil {
+		return status
 	}
-	v.UnackedNotices, v.Lease, v.Drained = l.unackedBlocking, c.leaseStatus(i), "unknown"
-	h := c.hints[i]
-	if h.hint == nil {
-		return v
+	status.UnackedNotices, status.Lease, status.Drained = grant.unackedBlocking, c.leaseStatus(i), "unknown"
+	hint := c.hints[i]
+	if hint.hint == nil {
+		return status
 	}
-	v.HintAgeS = roundToTenth(c.now - h.receivedAt)
+	status.HintAgeS = roundToTenth(c.now - hint.receivedAt)
 	if !c.unreachable(i) {
-		v.Drained = fmt.Sprint(h.hint.Drained)
-		v.WaitingTasks, v.FreeGPUs = h.hint.Waiting, h.hint.FreeGPUs
+		status.Drained = fmt.Sprint(hint.hint.Drained)
+		status.WaitingTasks, status.FreeGPUs = hint.hint.Waiting, hint.hint.FreeGPUs
 	}
-	return v
+	return status
 }
 
-// leaseStatus says what this member knows of a site's lease.
+// leaseStatus describes what this member knows of a site's lease.
 func (c *Core) leaseStatus(site int) string {
 	until := c.grants[site].tasksUntil
 	switch {
@@ -102,35 +106,38 @@
 	return "not granted"
 }
 
-// JobView is what the members' records say of one job, for operators.
+// JobView is one member's record of a job, for operators.
 type JobView struct {
 	ID      string `json:"id"`
 	Owner   string `json:"holder"`
 	Epoch   uint32 `json:"epoch"`
-	Agreed  bool   `json:"agreed"`
-	Stopped bool   `json:"stopped"`
-	Final   string `json:"final"`
-	By      string `json:"by,omitempty"`
+	Agreed  bool   `json:"agreed"`       // whether the record is known to be accepted by a majority
+	Stopped bool   `json:"stopped"`      // whether the owner has proved that no task runs any more
+	Final   string `json:"final"`        // open, done or withdrawn
+	By      string `json:"by,omitempty"` // site that completed the job
 }
 
-func (c *Core) memberName(n uint8) string {
-	if n == 0 || int(n) > len(c.cfg.Members) {
+// memberName returns the name of the member with a number as records have it; empty if
+// there is none.
+func (c *Core) memberName(number uint8) string {
+	if number == 0 || int(number) > len(c.cfg.Members) {
 		return ""
 	}
-	return c.cfg.Members[n-1].Name
+	return c.cfg.Members[number-1].Name
 }
 
+// jobView returns this member's record of a job; false if it has none.
 func (c *Core) jobView(id string) (JobView, bool) {
 	r := c.registers[id]
 	if r == nil || !r.hasRecord {
 		return JobView{ID: id}, false
 	}
-	v := JobView{ID: id, Owner: c.memberName(r.record.Owner), Epoch: r.record.Epoch, Agreed: r.committed, Stopped: r.record.Stopped, By: c.memberName(r.record.FinishedBy), Final: "open"}
+	view := JobView{ID: id, Owner: c.memberName(r.record.Owner), Epoch: r.record.Epoch, Agreed: r.committed, Stopped: r.record.Stopped, By: c.memberName(r.record.FinishedBy), Final: "open"}
 	switch r.record.Outcome {
 	case wire.Done:
-		v.Final = "done"
+		view.Final = "done"
 	case wire.Cancelled:
-		v.Final = "withdrawn"
+		view.Final = "withdrawn"
 	}
-	return v, true
+	return view, true
 }
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -1,6 +1,6 @@
-// Package report turns the account of a site's jobs into what a person reads: one
-// self-contained page, CSV, plain sums, and what has changed between two reports. It
-// gets its data from whoever asks the controllers and talks to nobody itself.
+// Package report renders the account of a site's jobs for people: as one self-contained
+// HTML page, as CSV, as a summary in words, and as the changes between two reports. Its
+// callers fetch the data from the controllers; the package itself makes no requests.
 package report
 
 import (
@@ -17,110 +17,114 @@
 	"dapplestage.example/dapplestage/internal/coordination/ledger"
 )
 
-// Data is all that a report tells.
+// Data is the content of a report on one site.
 type Data struct {
 	Site            string                     `json:"site,omitempty"`
-	Node            string                     `json:"node"`
+	Node            string                     `json:"node"` // node that answered
 	AsOf            int64                      `json:"as_of_ms"`
-	RememberedSince int64                      `json:"remembers_ms"` // what ended before is not known
-	StateAge        float64                    `json:"state_age_s"`
-	Since           int64                      `json:"since_ms,omitempty"` // rows since then only
+	RememberedSince int64                      `json:"remembers_ms"`       // jobs that ended before are not included
+	StateAge        float64                    `json:"state_age_s"`        // oldest last answer of the state service to the node, in seconds
+	Since           int64                      `json:"since_ms,omitempty"` // only rows that changed since then; 0: all
 	JobsByState     map[string]int             `json:"sums"`
-	Teams           map[string]map[string]int  `json:"teams"`
-	Classes         map[string]map[string]int  `json:"classes"`
+	Teams           map[string]map[string]int  `json:"teams"`   // by team and state
+	Classes         map[string]map[string]int  `json:"classes"` // by class and state
 	Zones           map[string]ledger.ZoneSums `json:"zones"`
 	Rows            []ledger.Row               `json:"rows"`
-	Left            int                        `json:"left_out,omitempty"` // rows beyond the limit
+	Left            int                        `json:"left_out,omitempty"` // number of rows beyond the limit
 	Samples         []ledger.Sample            `json:"samples"`
-	Unknown         []string                   `json:"unknown,omitempty"`
-	Lost            string                     `json:"not_known,omitempty"` // nothing is known of the site, and why
+	Unknown         []string                   `json:"unknown,omitempty"`   // what is not known, and for how long
+	Lost            string                     `json:"not_known,omitempty"` // why nothing is known of the site; empty: the rest is valid
 }
 
-// UnreachableSite is what there is to say of a site that does not answer.
+// UnreachableSite returns the report on a site that does not answer.
 func UnreachableSite(name string, now time.Time, err error) *Data {
 	return &Data{Site: name, AsOf: now.UnixMilli(), Lost: err.Error(), JobsByState: map[string]int{}}
 }
 
-// MaxRows bounds a report.
+// MaxRows limits the rows of a report.
 const MaxRows = 20000
 
-// FetchPage gets pages of the account, from the one after a job on.
+// FetchPage returns the page of the account that starts after a job.
 type FetchPage func(after string) (*ledger.Page, error)
 
-// Collect puts a report together from pages. Sums are made of the rows, so that each job
-// counts once however long the pages took; beyond most rows those of the first page are
-// all there is.
-func Collect(fetch FetchPage, samples []ledger.Sample, most int) (*Data, error) {
-	var d *Data
+// Collect builds a report from pages. It stops fetching once it has maxRows rows. The sums
+// are those of the first page; the caller can replace them by those of the rows with
+// Recount, so that each job counts once however long fetching took.
+func Collect(fetch FetchPage, samples []ledger.Sample, maxRows int) (*Data, error) {
+	var data *Data
 	for after := ""; ; {
-		p, err := fetch(after)
+		page, err := fetch(after)
 		if err != nil {
 			return nil, err
 		}
-		if d == nil {
-			d = &Data{Node: p.Node, AsOf: p.AsOf, RememberedSince: p.RememberedSince, JobsByState: p.JobsByState, Teams: p.Teams, Classes: p.Classes, Zones: p.Zones, Samples: samples}
+		if data == nil {
+			data = &Data{Node: page.Node, AsOf: page.AsOf, RememberedSince: page.RememberedSince, JobsByState: page.JobsByState, Teams: page.Teams, Classes: page.Classes, Zones: page.Zones, Samples: samples}
 		}
-		d.StateAge = max(d.StateAge, p.SinceStateAnswer)
-		for _, u := range p.Unknown {
-			if !slices.ContainsFunc(d.Unknown, func(o string) bool { return withoutNumbers(o) == withoutNumbers(u) }) {
-				d.Unknown = append(d.Unknown, u)
+		data.StateAge = max(data.StateAge, page.SinceStateAnswer)
+		for _, unknown := range page.Unknown {
+			if !slices.ContainsFunc(data.Unknown, func(known string) bool { return withoutNumbers(known) == withoutNumbers(unknown) }) {
+				data.Unknown = append(data.Unknown, unknown)
 			}
 		}
-		d.Rows = append(d.Rows, p.Rows...)
-		if p.After == "" || p.After == after {
+		data.Rows = append(data.Rows, page.Rows...)
+		if page.After == "" || page.After == after {
 			break
 		}
-		if after = p.After; len(d.Rows) >= most {
+		if after = page.After; len(data.Rows) >= maxRows {
 			total := 0
-			for _, n := range d.JobsByState {
+			for _, n := range data.JobsByState {
 				total += n
 			}
-			d.Left = max(1, total-len(d.Rows))
+			data.Left = max(1, total-len(data.Rows))
 			break
 		}
 	}
-	slices.SortStableFunc(d.Rows, func(a, b ledger.Row) int {
+	slices.SortStableFunc(data.Rows, func(a, b ledger.Row) int {
 		return cmp.Or(stateRank(a.State)-stateRank(b.State), cmp.Compare(a.Submitted, b.Submitted), cmp.Compare(a.Job, b.Job))
 	})
-	return d, nil
+	return data, nil
 }
 
-// withoutNumbers is what is not known, without for how long: each page says it anew.
-func withoutNumbers(u string) string {
+// withoutNumbers removes the numbers from a text on what is not known: each page repeats it
+// with another duration.
+func withoutNumbers(unknown string) string {
 	return strings.Map(func(r rune) rune {
 		if r >= '0' && r <= '9' || r == '.' {
 			return -1
 		}
 		return r
-	}, u)
+	}, unknown)
 }
 
+// stateRank returns the position of a state in the report.
 func stateRank(state string) int { return slices.Index(ledger.States, state) }
 
-// Recount makes the sums those of the rows: each job is in exactly one column.
+// Recount recomputes the sums from the rows, so that each job is counted in exactly one
+// state.
 func (d *Data) Recount() {
 	d.JobsByState, d.Teams, d.Classes = map[string]int{}, map[string]map[string]int{}, map[string]map[string]int{}
 	for i := range d.Rows {
-		r := &d.Rows[i]
-		d.JobsByState[r.State]++
-		for by, name := range map[*map[string]map[string]int]string{&d.Teams: r.Team, &d.Classes: r.Class} {
+		row := &d.Rows[i]
+		d.JobsByState[row.State]++
+		for by, name := range map[*map[string]map[string]int]string{&d.Teams: row.Team, &d.Classes: row.Class} {
 			if (*by)[name] == nil {
 				(*by)[name] = map[string]int{}
 			}
-			(*by)[name][r.State]++
+			(*by)[name][row.State]++
 		}
 	}
 }
 
-// KeepJobs leaves the jobs of a list, and returns those of which nothing is here.
+// KeepJobs removes all rows but those of the given jobs, and returns the jobs that have no
+// row.
 func (d *Data) KeepJobs(ids []string) (missing []string) {
-	at := map[string]int{}
+	index := map[string]int{}
 	for i := range d.Rows {
-		at[d.Rows[i].Job] = i + 1
+		index[d.Rows[i].Job] = i + 1
 	}
 	var rows []ledger.Row
 	for _, id := range ids {
-		if i := at[id]; i > 0 {
+		if i := index[id]; i > 0 {
 			rows = append(rows, d.Rows[i-1])
 		} else {
 			missing = append(missing, id)
@@ -131,26 +135,26 @@
 	return missing
 }
 
-// CSV writes one line a job.
+// CSV writes one line per job.
 func (d *Data) CSV(out io.Writer) error {
-	w := csv.NewWriter(out)
-	w.Write([]string{"job", "ticket", "team", "class", "shape", "image", "state", "why", "tasks", "done", "running", "starting", "waiting", "failed", "silent", "lost", "saved_s", "zones", "submitted", "ended", "as_of", "node"})
-	at := func(ms int64) string {
+	writer := csv.NewWriter(out)
+	writer.Write([]string{"job", "ticket", "team", "class", "shape", "image", "state", "why", "tasks", "done", "running", "starting", "waiting", "failed", "silent", "lost", "saved_s", "zones", "submitted", "ended", "as_of", "node"})
+	timestamp := func(ms int64) string {
 		if ms == 0 {
 			return ""
 		}
 		return time.UnixMilli(ms).UTC().Format(time.RFC3339)
 	}
-	for _, r := range d.Rows {
-		n := strconv.Itoa
-		w.Write([]string{escapeFormula(r.Job), escapeFormula(r.Ticket), escapeFormula(r.Team), escapeFormula(r.Class), r.Shape, escapeFormula(r.Image), r.State, escapeFormula(r.Why), n(r.Tasks), n(r.Done), n(r.Running), n(r.Starting), n(r.Waiting), n(r.Failed), n(r.Silent), n(r.Lost),
-			strconv.FormatFloat(r.SavedS, 'f', 0, 64), escapeFormula(strings.Join(r.Zones, " ")), at(r.Submitted), at(r.Ended), at(r.AsOf), escapeFormula(r.Node)})
+	for _, row := range d.Rows {
+		itoa := strconv.Itoa
+		writer.Write([]string{escapeFormula(row.Job), escapeFormula(row.Ticket), escapeFormula(row.Team), escapeFormula(row.Class), row.Shape, escapeFormula(row.Image), row.State, escapeFormula(row.Why), itoa(row.Tasks), itoa(row.Done), itoa(row.Running), itoa(row.Starting), itoa(row.Waiting), itoa(row.Failed), itoa(row.Silent), itoa(row.Lost),
+			strconv.FormatFloat(row.SavedS, 'f', 0, 64), escapeFormula(strings.Join(row.Zones, " ")), timestamp(row.Submitted), timestamp(row.Ended), timestamp(row.AsOf), escapeFormula(row.Node)})
 	}
-	w.Flush()
-	return w.Error()
+	writer.Flush()
+	return writer.Error()
 }
 
-// escapeFormula keeps a table program from taking a name for a formula.
+// escapeFormula prevents a spreadsheet from evaluating a name as a formula.
 func escapeFormula(s string) string {
 	if s != "" && strings.ContainsRune("=+-@\t\r", rune(s[0])) {
 		return "'" + s
@@ -158,32 +162,33 @@
 	return s
 }
 
-// Change is what differs of a job between two reports.
+// Change is a difference between two reports in the state of a job. Was is empty for a new
+// job, Is for one that the later report does not have.
 type Change struct {
 	Job, Team, Class, Was, Is, Why string
 }
 
-// Compare tells what has changed since an earlier report: jobs whose state is another,
-// those that are new, and those of which the later one knows nothing any more.
-func Compare(old, now *Data) []Change {
-	was := map[string]*ledger.Row{}
-	for i := range old.Rows {
-		was[old.Rows[i].Job] = &old.Rows[i]
+// Compare returns the changes since an earlier report: jobs whose state has changed, new
+// jobs, and jobs that the later report does not have.
+func Compare(before, after *Data) []Change {
+	byJob := map[string]*ledger.Row{}
+	for i := range before.Rows {
+		byJob[before.Rows[i].Job] = &before.Rows[i]
 	}
 	var out []Change
-	for i := range now.Rows {
-		r := &now.Rows[i]
-		o := was[r.Job]
-		delete(was, r.Job)
+	for i := range after.Rows {
+		row := &after.Rows[i]
+		earlier := byJob[row.Job]
+		delete(byJob, row.Job)
 		switch {
-		case o == nil:
-			out = append(out, Change{r.Job, r.Team, r.Class, "", r.State, r.Why})
-		case o.State != r.State:
-			out = append(out, Change{r.Job, r.Team, r.Class, o.State, r.State, r.Why})
+		case earlier == nil:
+			out = append(out, Change{row.Job, row.Team, row.Class, "", row.State, row.Why})
+		case earlier.State != row.State:
+			out = append(out, Change{row.Job, row.Team, row.Class, earlier.State, row.State, row.Why})
 		}
 	}
-	for _, o := range was {
-		out = append(out, Change{o.Job, o.Team, o.Class, o.State, "", "not in the later report"})
+	for _, earlier := range byJob {
+		out = append(out, Change{earlier.Job, earlier.Team, earlier.Class, earlier.State, "", "not in the later report"})
 	}
 	slices.SortFunc(out, func(a, b Change) int {
 		return cmp.Or(stateRank(a.Is)-stateRank(b.Is), cmp.Compare(a.Job, b.Job))
@@ -191,40 +196,42 @@
 	return out
 }
 
-// Summary say in plain words how things stand.
+// Summary describes the state of the site in a few sentences. What is not known comes first
+// and is never reported as healthy.
 func (d *Data) Summary() []string {
 	if d.Lost != "" {
 		return []string{"Nothing is known of this site: " + d.Lost + ". It is not said to be fine."}
 	}
-	n := func(state string) int { return d.JobsByState[state] }
-	jobs := func(c int, is, are string) string {
-		if c == 1 {
-			return "1 job " + is
+	count := func(state string) int { return d.JobsByState[state] }
+	describeJobs := func(count int, singular, plural string) string {
+		if count == 1 {
+			return "1 job " + singular
 		}
-		return fmt.Sprintf("%s jobs %s", thousands(c), are)
+		return fmt.Sprintf("%s jobs %s", thousands(count), plural)
 	}
 	var out []string
-	if len(d.Unknown) > 0 || n(ledger.Unknown) > 0 {
-		out = append(out, jobs(n(ledger.Unknown), "is not known", "are not known")+": who could tell does not answer. It is not said to be fine.")
+	if len(d.Unknown) > 0 || count(ledger.Unknown) > 0 {
+		out = append(out, describeJobs(count(ledger.Unknown), "is not known", "are not known")+": who could tell does not answer. It is not said to be fine.")
 	}
-	if n(ledger.Stuck) > 0 {
-		out = append(out, jobs(n(ledger.Stuck), "is stuck", "are stuck")+teamsWithJobsIn(d, ledger.Stuck)+".")
-	} else if n(ledger.Unknown) > 0 {
+	if count(ledger.Stuck) > 0 {
+		out = append(out, describeJobs(count(ledger.Stuck), "is stuck", "are stuck")+teamsWithJobsIn(d, ledger.Stuck)+".")
+	} else if count(ledger.Unknown) > 0 {
 		out = append(out, "Of what is known nothing is stuck.")
 	} else {
 		out = append(out, "Nothing is stuck.")
 	}
-	out = append(out, fmt.Sprintf("%s, %s for machines, %s being started, %s being stopped.", jobs(n(ledger.Running), "runs", "run"), thousands(n(ledger.Waiting))+" wait", thousands(n(ledger.Starting))+" are", thousands(n(ledger.Stopping))+" are"))
-	out = append(out, fmt.Sprintf("Since %s: %s done, %s withdrawn by their users, %s failed.", formatTime(d.RememberedSince), thousands(n(ledger.Done)), thousands(n(ledger.Withdrawn)), thousands(n(ledger.Failed))))
+	out = append(out, fmt.Sprintf("%s, %s for machines, %s being started, %s being stopped.", describeJobs(count(ledger.Running), "runs", "run"), thousands(count(ledger.Waiting))+" wait", thousands(count(ledger.Starting))+" are", thousands(count(ledger.Stopping))+" are"))
+	out = append(out, fmt.Sprintf("Since %s: %s done, %s withdrawn by their users, %s failed.", formatTime(d.RememberedSince), thousands(count(ledger.Done)), thousands(count(ledger.Withdrawn)), thousands(count(ledger.Failed))))
 	return out
 }
 
-// teamsWithJobsIn names the teams with jobs in a state.
+// teamsWithJobsIn lists up to five teams with jobs in a state, those with the most jobs
+// first.
 func teamsWithJobsIn(d *Data, state string) string {
 	var names []string
-	for t, s := range d.Teams {
-		if s[state] > 0 {
-			names = append(names, t)
+	for team, sums := range d.Teams {
+		if sums[state] > 0 {
+			names = append(names, team)
 		}
 	}
 	slices.SortFunc(names, func(a, b string) int { return cmp.Or(d.Teams[b][state]-d.Teams[a][state], cmp.Compare(a, b)) })
@@ -238,6 +245,7 @@
 	return out
 }
 
+// thousands formats a number with commas.
 func thousands(n int) string {
 	s := strconv.Itoa(n)
 	for i := len(s) - 3; i > 0 && s[i-1] != '-'; i -= 3 {
@@ -248,47 +256,48 @@
 
 func formatTime(ms int64) string { return time.UnixMilli(ms).UTC().Format("2006-01-02 15:04:05 UTC") }
 
-// HTML writes the page of one site: readable without scripts, on a phone and printed.
+// HTML writes the page of one site. It is readable without scripts, on a phone and in
+// print.
 func (d *Data) HTML(out io.Writer) error { return HTML(out, d) }
 
-// HTML writes a page of several sites.
+// HTML writes the page of several sites.
 func HTML(out io.Writer, sites ...*Data) error {
 	var bodies []map[string]any
-	for i, d := range sites {
-		bodies = append(bodies, d.templateData(i))
+	for i, data := range sites {
+		bodies = append(bodies, data.templateData(i))
 	}
 	return page.Execute(out, map[string]any{"Sites": bodies, "Many": len(sites) > 1, "AsOf": formatTime(sites[0].AsOf)})
 }
 
-// templateData is what the page's template shows of one site.
+// templateData returns the values that the page's template uses for one site.
 func (d *Data) templateData(site int) map[string]any {
 	type group struct {
 		State string
 		Rows  []ledger.Row
 	}
 	var groups []group
-	for _, s := range ledger.States {
-		g := group{State: s}
-		for _, r := range d.Rows {
-			if r.State == s {
-				g.Rows = append(g.Rows, r)
+	for _, state := range ledger.States {
+		stateGroup := group{State: state}
+		for _, row := range d.Rows {
+			if row.State == state {
+				stateGroup.Rows = append(stateGroup.Rows, row)
 			}
 		}
-		if g.Rows != nil {
-			groups = append(groups, g)
+		if stateGroup.Rows != nil {
+			groups = append(groups, stateGroup)
 		}
 	}
 	var plots []template.HTML
-	for _, p := range []struct {
-		title string
-		lines []curve
+	for _, chart := range []struct {
+		title  string
+		curves []curve
 	}{
-		{"Tasks", []curve{{"running", "#2b6", func(s *ledger.Sample) int { return s.Running }}, {"waiting", "#c80", func(s *ledger.Sample) int { return s.Waiting }}}},
-		{"Machines", []curve{{"up", "#27c", func(s *ledger.Sample) int { return s.Machines }}, {"silent", "#c33", func(s *ledger.Sample) int { return s.Silent }}}},
-		{"Jobs stuck, runs lost", []curve{{"stuck", "#a3a", func(s *ledger.Sample) int { return s.Stuck }}, {"lost", "#c33", func(s *ledger.Sample) int { return s.Lost }}}},
+		{"Tasks", []curve{{"running", "#2b6", func(sample *ledger.Sample) int { return sample.Running }}, {"waiting", "#c80", func(sample *ledger.Sample) int { return sample.Waiting }}}},
+		{"Machines", []curve{{"up", "#27c", func(sample *ledger.Sample) int { return sample.Machines }}, {"silent", "#c33", func(sample *ledger.Sample) int { return sample.Silent }}}},
+		{"Jobs stuck, runs lost", []curve{{"stuck", "#a3a", func(sample *ledger.Sample) int { return sample.Stuck }}, {"lost", "#c33", func(sample *ledger.Sample) int { return sample.Lost }}}},
 	} {
 		if len(d.Samples) > 1 {
-			plots = append(plots, plot(p.title, d.Samples, p.lines))
+			plots = append(plots, plot(chart.title, d.Samples, chart.curves))
 		}
 	}
 	id := ""
@@ -299,19 +308,21 @@
 		"Teams": sumTable(d.Teams), "Classes": sumTable(d.Classes), "ID": id}
 }
 
-// tableRow is a line of sums.
+// tableRow is a row of a table of sums, one per state.
 type tableRow struct {
 	Name string
 	Sums []int
 }
 
-func sumTable(m map[string]map[string]int) (out []tableRow) {
-	for name, sums := range m {
-		r := tableRow{Name: name}
-		for _, s := range ledger.States {
-			r.Sums = append(r.Sums, sums[s])
+// sumTable returns the rows of a table of sums, those with the most jobs in the first two
+// states first.
+func sumTable(sumsByName map[string]map[string]int) (out []tableRow) {
+	for name, sums := range sumsByName {
+		row := tableRow{Name: name}
+		for _, state := range ledger.States {
+			row.Sums = append(row.Sums, sums[state])
 		}
-		out = append(out, r)
+		out = append(out, row)
 	}
 	slices.SortFunc(out, func(a, b tableRow) int {
 		return cmp.Or(b.Sums[0]-a.Sums[0], b.Sums[1]-a.Sums[1], cmp.Compare(a.Name, b.Name))
