--- a/internal/coordination/gateway/front.go
+++ b/internal/coordination/gateway/front.go
@@ -276,9 +276,9 @@
 	c.sendWhenDurable(from, reply)
 }
 
-// onFound counts a reply to a read and completes the reads of the job once a majority has
+// onReadReply counts a reply to a read and completes the reads of the job once a majority has
 // replied.
-func (c *Core) onFound(from int, it *wire.Item) {
+func (c *Core) onReadReply(from int, it *wire.Item) {
 	batch := c.readBatches[it.Ballot.Number]
 	if batch == nil || it.Ballot.Proposer != c.incarnation {
 		return
--- a/internal/coordination/node/workers.go
+++ b/internal/coordination/node/workers.go
@@ -167,7 +167,7 @@
 // enough for the lease to end within cancel_s of the cancellation. The time counts from when this
 // node last knew everything stored, not from its last answered call: when the watch was silent
 // for seconds before an outage while other calls were answered, the node missed cancellations
-// that users had been told of meanwhile (TestGap).
+// that users had been told of meanwhile (TestLeaderLossThenOutage).
 func (n *Node) mayExtendLeases(now time.Time) bool {
 	if n.confirmsCancelAfterStop() {
 		return true
--- a/internal/coordination/ticket/admit.go
+++ b/internal/coordination/ticket/admit.go
@@ -58,8 +58,8 @@
 	if err != nil {
 		return nil, malformed("%v", err)
 	}
-	if plan.Tasks > c.MaxTasks {
-		return nil, neverRuns("a ticket of %s may have %d tasks, this one has %d", c.Name, c.MaxTasks, plan.Tasks)
+	if plan.Tasks > c.Tasks {
+		return nil, neverRuns("a ticket of %s may have %d tasks, this one has %d", c.Lot, c.Tasks, plan.Tasks)
 	}
 	if sub.Tasks != nil && *sub.Tasks != plan.Tasks {
 		return nil, malformed("pieces: %d, but the ticket has %d tasks", *sub.Tasks, plan.Tasks)
@@ -89,11 +89,11 @@
 func (c Class) baseSpec(sub *format.Submission, tasks int, priority string) (*protocol.JobSpec, error) {
 	shape := cmp.Or(sub.Shape, c.Shapes[0])
 	if !slices.Contains(c.Shapes, shape) {
-		return nil, neverRuns("shape: %s is not among those of %s: %s", shape, c.Name, strings.Join(c.Shapes, ", "))
+		return nil, neverRuns("shape: %s is not among those of %s: %s", shape, c.Lot, strings.Join(c.Shapes, ", "))
 	}
 	spec := &protocol.JobSpec{ID: sub.ID, Class: sub.Class, Team: sub.Team, Shape: shape, Priority: priority, Tasks: tasks,
-		Image: c.Image, ImageGB: c.ImageGB, Types: sub.Types, Zone: sub.Zone, OneZone: sub.OneZone, Spread: sub.Spread, Spot: c.Spot,
-		EstimateS: cmp.Or(sub.EstimateS, c.EstimateS), CheckpointS: sub.CheckpointS, SaveS: sub.SaveS, DeadlineS: sub.DeadlineS}
+		Image: c.Bundle, ImageGB: c.SizeGB, Types: sub.Types, Zone: sub.Zone, OneZone: sub.OneZone, Spread: sub.Spread, Spot: c.Loaners,
+		EstimateS: cmp.Or(sub.EstimateS, c.ExpectS), CheckpointS: sub.CheckpointS, SaveS: sub.SaveS, DeadlineS: sub.DeadlineS}
 	if sub.Image != "" {
 		spec.Image, spec.ImageGB = sub.Image, *sub.ImageGB
 	}
@@ -103,7 +103,7 @@
 	if sub.Spot != nil {
 		spec.Spot = *sub.Spot
 	}
-	spec.CPUs, spec.GPUs, spec.MemoryGB = valueOr(sub.CPUs, c.CPUs), valueOr(sub.GPUs, c.GPUs), valueOr(sub.MemoryGB, c.MemoryGB)
+	spec.CPUs, spec.GPUs, spec.MemoryGB = valueOr(sub.CPUs, c.VCPUs), valueOr(sub.GPUs, c.Cards), valueOr(sub.MemoryGB, c.MemGB)
 	return spec, nil
 }
 
@@ -123,10 +123,10 @@
 	switch {
 	case step.CPUs == 0 && step.GPUs == 0 && step.MemoryGB == 0:
 		return step, malformed("step %s: a task takes nothing; say so in its hostRequirements, the submission or the class", planStep.Name)
-	case c.MaxCPUs > 0 && step.CPUs > c.MaxCPUs:
-		return step, neverRuns("step %s: %g vcpus a task, %s allows %g", planStep.Name, step.CPUs, c.Name, c.MaxCPUs)
-	case c.MaxGPUs > 0 && step.GPUs > c.MaxGPUs:
-		return step, neverRuns("step %s: %g cards a task, %s allows %g", planStep.Name, step.GPUs, c.Name, c.MaxGPUs)
+	case c.MostVCPU > 0 && step.CPUs > c.MostVCPU:
+		return step, neverRuns("step %s: %g vcpus a task, %s allows %g", planStep.Name, step.CPUs, c.Lot, c.MostVCPU)
+	case c.MostGPU > 0 && step.GPUs > c.MostGPU:
+		return step, neverRuns("step %s: %g cards a task, %s allows %g", planStep.Name, step.GPUs, c.Lot, c.MostGPU)
 	}
 	return step, nil
 }
@@ -172,33 +172,33 @@
 	limit := func(name string, requested *int, fallback, maximum int) protocol.GrantedLimit {
 		granted := protocol.GrantedLimit{Requested: requested, Granted: fallback}
 		if requested != nil {
-			if granted.Granted = min(*requested, maximum); *requested > maximum && c.OnExcess == RefuseExcess && err == nil {
-				err = neverRuns("%s: %d asked for, %s allows %d", name, *requested, c.Name, maximum)
+			if granted.Granted = min(*requested, maximum); *requested > maximum && c.Over == RefuseExcess && err == nil {
+				err = neverRuns("%s: %d asked for, %s allows %d", name, *requested, c.Lot, maximum)
 			}
 		}
 		return granted
 	}
-	terms.MaxRetries = limit("maxRetriesPerTask", sub.MaxRetries, c.MaxRetries, c.MaxRetries)
-	terms.MaxFailedTasks = limit("maxFailedTasksCount", sub.MaxFailedTasks, 0, c.MaxFailedTasks)
+	terms.MaxRetries = limit("maxRetriesPerTask", sub.MaxRetries, c.Retries, c.Retries)
+	terms.MaxFailedTasks = limit("maxFailedTasksCount", sub.MaxFailedTasks, 0, c.Failed)
 	requested := sub.Priority
 	if requested == "" && sub.TicketPriority != nil {
-		requested = urgencyOfPriority(*sub.TicketPriority)
+		requested = priorityOfTicket(*sub.TicketPriority)
 	}
 	terms.Priority = requested
 	if requested == "" {
-		terms.Priority = urgencies[min(slices.Index(urgencies, "standard"), slices.Index(urgencies, c.MaxUrgency))]
+		terms.Priority = priorities[min(slices.Index(priorities, "standard"), slices.Index(priorities, c.Urgency))]
 	}
-	if slices.Index(urgencies, terms.Priority) > slices.Index(urgencies, c.MaxUrgency) {
-		if c.OnExcess == RefuseExcess && err == nil {
-			err = neverRuns("urgency: %s asked for, %s allows %s", requested, c.Name, c.MaxUrgency)
+	if slices.Index(priorities, terms.Priority) > slices.Index(priorities, c.Urgency) {
+		if c.Over == RefuseExcess && err == nil {
+			err = neverRuns("urgency: %s asked for, %s allows %s", requested, c.Lot, c.Urgency)
 		}
-		terms.Priority, terms.RequestedPriority = c.MaxUrgency, requested
+		terms.Priority, terms.RequestedPriority = c.Urgency, requested
 	}
 	return terms, err
 }
 
-// urgencyOfPriority maps a render farm's priority of 0 to 100 to a priority of a job.
-func urgencyOfPriority(priority int) string {
+// priorityOfTicket maps a render farm's priority of 0 to 100 to a priority of a job.
+func priorityOfTicket(priority int) string {
 	switch {
 	case priority >= 90:
 		return "critical"
--- a/internal/coordination/ticket/classes.go
+++ b/internal/coordination/ticket/classes.go
@@ -14,35 +14,35 @@
 	format "dapplestage.example/dapplestage/internal/protocol/ticket"
 )
 
-// Values of Class.OnExcess: what happens to a ticket that requests more than its class
+// Values of Class.Over: what happens to a ticket that requests more than its class
 // allows.
 const (
 	ReduceExcess = "grant"  // grant what is allowed, and report that in the status
 	RefuseExcess = "refuse" // refuse the ticket
 )
 
-// urgencies are the priorities of jobs, the lowest first.
-var urgencies = []string{"best_effort", "standard", "high", "critical"}
+// priorities are the priorities of jobs, the lowest first.
+var priorities = []string{"best_effort", "standard", "high", "critical"}
 
 // Class holds the limits and defaults for the tickets of a class. The fields have the names
-// of protocol.JobSpec, the encoded names are those of a submission.
+// of the file's keys, since the errors about a wrong file name them.
 type Class struct {
-	Name           string   `toml:"lot" json:"lot"`
-	MaxUrgency     string   `toml:"urgency" json:"urgency"`     // highest priority
-	Shapes         []string `toml:"shapes" json:"shapes"`       // allowed shapes; the first is the default
-	OnExcess       string   `toml:"over" json:"over"`           // ReduceExcess or RefuseExcess
-	MaxRetries     int      `toml:"retries" json:"retries"`     // per task, after its first run
-	MaxFailedTasks int      `toml:"failed" json:"failed"`       // failed tasks before the ticket fails
-	MaxTasks       int      `toml:"tasks" json:"tasks"`         // per ticket
-	CPUs           float64  `toml:"vcpus" json:"vcpus"`         // default for a task whose step has no value
-	GPUs           float64  `toml:"cards" json:"cards"`         // default for such a task
-	MemoryGB       float64  `toml:"memGb" json:"memGb"`         // default for such a task
-	Image          string   `toml:"bundle" json:"bundle"`       // default image
-	ImageGB        float64  `toml:"sizeGb" json:"sizeGb"`       // size of the default image
-	Spot           bool     `toml:"loaners" json:"loaners"`     // default: whether tasks may run on spot machines
-	EstimateS      float64  `toml:"expectS" json:"expectS"`     // default for the run time of a task
-	MaxCPUs        float64  `toml:"mostVcpus" json:"mostVcpus"` // per task; 0: no limit
-	MaxGPUs        float64  `toml:"mostCards" json:"mostCards"` // per task; 0: no limit
+	Lot      string   `toml:"lot" json:"lot"`
+	Urgency  string   `toml:"urgency" json:"urgency"`     // highest priority
+	Shapes   []string `toml:"shapes" json:"shapes"`       // allowed shapes; the first is the default
+	Over     string   `toml:"over" json:"over"`           // ReduceExcess or RefuseExcess
+	Retries  int      `toml:"retries" json:"retries"`     // per task, after its first run
+	Failed   int      `toml:"failed" json:"failed"`       // failed tasks before the ticket fails
+	Tasks    int      `toml:"tasks" json:"tasks"`         // per ticket
+	VCPUs    float64  `toml:"vcpus" json:"vcpus"`         // default for a task whose step has no value
+	Cards    float64  `toml:"cards" json:"cards"`         // default for such a task
+	MemGB    float64  `toml:"memGb" json:"memGb"`         // default for such a task
+	Bundle   string   `toml:"bundle" json:"bundle"`       // default image
+	SizeGB   float64  `toml:"sizeGb" json:"sizeGb"`       // size of the default image
+	Loaners  bool     `toml:"loaners" json:"loaners"`     // default: whether tasks may run on spot machines
+	ExpectS  float64  `toml:"expectS" json:"expectS"`     // default for the run time of a task
+	MostVCPU float64  `toml:"mostVcpus" json:"mostVcpus"` // per task; 0: no limit
+	MostGPU  float64  `toml:"mostCards" json:"mostCards"` // per task; 0: no limit
 }
 
 // ClassTable holds the classes by name.
@@ -69,10 +69,10 @@
 		if err := class.Validate(); err != nil {
 			return nil, fmt.Errorf("%s: classes[%d].%w", path, i, err)
 		}
-		if _, exists := table[class.Name]; exists {
-			return nil, fmt.Errorf("%s: classes[%d].lot: %q is there twice", path, i, class.Name)
+		if _, exists := table[class.Lot]; exists {
+			return nil, fmt.Errorf("%s: classes[%d].lot: %q is there twice", path, i, class.Lot)
 		}
-		table[class.Name] = class
+		table[class.Lot] = class
 	}
 	if len(table) == 0 || len(table) > MaxClasses {
 		return nil, fmt.Errorf("%s: classes: %d of them, must be 1 to %d", path, len(table), MaxClasses)
@@ -88,11 +88,11 @@
 	if err := decoder.Decode(&class); err != nil {
 		return class, fmt.Errorf("class: %v", err)
 	}
-	if class.Name == "" {
-		class.Name = name
+	if class.Lot == "" {
+		class.Lot = name
 	}
-	if class.Name != name {
-		return class, fmt.Errorf("lot: %q is not the one that is set, %q", class.Name, name)
+	if class.Lot != name {
+		return class, fmt.Errorf("lot: %q is not the one that is set, %q", class.Lot, name)
 	}
 	class = class.withDefaults()
 	return class, class.Validate()
@@ -100,17 +100,17 @@
 
 // withDefaults returns the class with defaults for missing values.
 func (c Class) withDefaults() Class {
-	if c.MaxUrgency == "" {
-		c.MaxUrgency = "standard"
+	if c.Urgency == "" {
+		c.Urgency = "standard"
 	}
 	if c.Shapes == nil {
 		c.Shapes = []string{protocol.Array}
 	}
-	if c.OnExcess == "" {
-		c.OnExcess = ReduceExcess
+	if c.Over == "" {
+		c.Over = ReduceExcess
 	}
-	if c.MaxTasks == 0 {
-		c.MaxTasks = format.MaxTasks
+	if c.Tasks == 0 {
+		c.Tasks = format.MaxTasks
 	}
 	return c
 }
@@ -123,28 +123,28 @@
 // if the class is valid.
 func (c Class) Validate() error {
 	switch {
-	case c.Name == "" || len(c.Name) > 200 || strings.ContainsAny(c.Name, "/ "):
+	case c.Lot == "" || len(c.Lot) > 200 || strings.ContainsAny(c.Lot, "/ "):
 		return errors.New("lot: must be 1 to 200 characters without / and space")
-	case !slices.Contains(urgencies, c.MaxUrgency):
-		return fmt.Errorf("urgency: must be one of %s", strings.Join(urgencies, ", "))
+	case !slices.Contains(priorities, c.Urgency):
+		return fmt.Errorf("urgency: must be one of %s", strings.Join(priorities, ", "))
 	case len(c.Shapes) == 0 || slices.ContainsFunc(c.Shapes, func(s string) bool { return s != protocol.Array && s != protocol.Gang }):
 		return fmt.Errorf("shapes: must be of %s, %s (a service is never done, so no step could follow it)", protocol.Array, protocol.Gang)
-	case c.OnExcess != ReduceExcess && c.OnExcess != RefuseExcess:
+	case c.Over != ReduceExcess && c.Over != RefuseExcess:
 		return fmt.Errorf("over: must be %s or %s", ReduceExcess, RefuseExcess)
-	case len(c.Image) > 200:
+	case len(c.Bundle) > 200:
 		return errors.New("bundle: must be at most 200 characters")
 	}
 	for _, field := range []struct {
 		name  string
 		value float64
 		limit float64
-	}{{"retries", float64(c.MaxRetries), maxRetries}, {"failed", float64(c.MaxFailedTasks), format.MaxTasks}, {"vcpus", c.CPUs, 1e6}, {"cards", c.GPUs, 1e6},
-		{"memGb", c.MemoryGB, 1e6}, {"sizeGb", c.ImageGB, 1e6}, {"expectS", c.EstimateS, 1e9}, {"mostVcpus", c.MaxCPUs, 1e6}, {"mostCards", c.MaxGPUs, 1e6}} {
+	}{{"retries", float64(c.Retries), maxRetries}, {"failed", float64(c.Failed), format.MaxTasks}, {"vcpus", c.VCPUs, 1e6}, {"cards", c.Cards, 1e6},
+		{"memGb", c.MemGB, 1e6}, {"sizeGb", c.SizeGB, 1e6}, {"expectS", c.ExpectS, 1e9}, {"mostVcpus", c.MostVCPU, 1e6}, {"mostCards", c.MostGPU, 1e6}} {
 		if !(field.value >= 0 && field.value <= field.limit) {
 			return fmt.Errorf("%s: must be 0 to %g", field.name, field.limit)
 		}
 	}
-	if c.MaxTasks < 1 || c.MaxTasks > format.MaxTasks {
+	if c.Tasks < 1 || c.Tasks > format.MaxTasks {
 		return fmt.Errorf("tasks: must be 1 to %d", format.MaxTasks)
 	}
 	return nil
--- a/internal/coordination/ticket/ticket_test.go
+++ b/internal/coordination/ticket/ticket_test.go
@@ -163,7 +163,7 @@
 // A ticket gets the defaults of its class, and its requests are reduced to the limits of
 // the class or refused, as the class says.
 func TestClassLimits(t *testing.T) {
-	class := Class{Name: "l", MaxUrgency: "standard", Shapes: []string{"sweep"}, OnExcess: ReduceExcess, MaxRetries: 2, MaxFailedTasks: 1, MaxTasks: 11, CPUs: 2, GPUs: 1, MemoryGB: 8, Image: "img", ImageGB: 3}
+	class := Class{Lot: "l", Urgency: "standard", Shapes: []string{"sweep"}, Over: ReduceExcess, Retries: 2, Failed: 1, Tasks: 11, VCPUs: 2, Cards: 1, MemGB: 8, Bundle: "img", SizeGB: 3}
 	limits := Limits{MaxValueBytes: 8000}
 	admitted, err := Admit(parseSubmission(t, `"priority":95,"maxRetriesPerTask":7,"maxFailedTasksCount":4,"builds":["g8"],"expectS":9,`), ClassTable{"l": class}, limits)
 	if err != nil {
@@ -177,11 +177,11 @@
 		t.Errorf("%+v", spec)
 	}
 	refuse := class
-	refuse.OnExcess = RefuseExcess
+	refuse.Over = RefuseExcess
 	small, gpu := class, class
-	small.MaxTasks, gpu.MaxGPUs = 10, 1
+	small.Tasks, gpu.MostGPU = 10, 1
 	nothing := class
-	nothing.CPUs, nothing.GPUs, nothing.MemoryGB = 0, 0, 0
+	nothing.VCPUs, nothing.Cards, nothing.MemGB = 0, 0, 0
 	for _, tc := range []struct {
 		extra  string
 		class  Class
@@ -201,7 +201,7 @@
 		{``, Class{}, limits, "takes no tickets"},
 	} {
 		table := ClassTable{}
-		if tc.class.Name != "" {
+		if tc.class.Lot != "" {
 			table["l"] = tc.class
 		}
 		if _, err := Admit(parseSubmission(t, tc.extra), table, tc.limits); err == nil || !strings.Contains(err.Error(), tc.want) {
@@ -231,8 +231,8 @@
 	if err != nil || len(table) != 2 {
 		t.Fatal(err)
 	}
-	stored := ClassTable{"proofs": {Name: "proofs", MaxUrgency: "high", Shapes: []string{"sweep"}, OnExcess: ReduceExcess, MaxTasks: 1}, "broken": {}}
-	if merged := table.WithStored(stored); merged["proofs"].MaxUrgency != "high" || len(merged) != 2 || table["proofs"].MaxUrgency != "standard" {
+	stored := ClassTable{"proofs": {Lot: "proofs", Urgency: "high", Shapes: []string{"sweep"}, Over: ReduceExcess, Tasks: 1}, "broken": {}}
+	if merged := table.WithStored(stored); merged["proofs"].Urgency != "high" || len(merged) != 2 || table["proofs"].Urgency != "standard" {
 		t.Errorf("%+v", merged)
 	}
 	if _, err := ParseClass("a", []byte(`{"urgency":"high","retires":3}`)); err == nil || !strings.Contains(err.Error(), "retires") {
@@ -244,7 +244,7 @@
 // and give the spec of the step.
 func TestDescriptionsAreSubmissions(t *testing.T) {
 	sub := parseSubmission(t, "")
-	admitted, err := Admit(sub, ClassTable{"l": {Name: "l", MaxUrgency: "standard", Shapes: []string{"sweep"}, OnExcess: ReduceExcess, MaxTasks: 50, CPUs: 1, Image: "i", ImageGB: 1}}, Limits{8000})
+	admitted, err := Admit(sub, ClassTable{"l": {Lot: "l", Urgency: "standard", Shapes: []string{"sweep"}, Over: ReduceExcess, Tasks: 50, VCPUs: 1, Bundle: "i", SizeGB: 1}}, Limits{8000})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/protocol/gateway/settings.go
+++ b/internal/protocol/gateway/settings.go
@@ -19,13 +19,13 @@
 	Listen string `toml:"listen"`   // for the other members
 	API    string `toml:"api_addr"` // for users and operators
 
-	LeaseS           float64 `toml:"lease_s"`
-	ControllerLeaseS float64 `toml:"controllers_s"`
-	MaxWorkerLeaseS  float64 `toml:"workers_lease_s"` // the longest lease_s of workers of any site
-	MinCancelS       float64 `toml:"cancel_s"`        // the shortest cancel_s of any site
-	MaxInFlight      int     `toml:"in_flight"`
+	LeaseS        float64 `toml:"lease_s"`
+	ControllersS  float64 `toml:"controllers_s"`
+	WorkersLeaseS float64 `toml:"workers_lease_s"` // the longest lease_s of workers of any site
+	CancelS       float64 `toml:"cancel_s"`        // the shortest cancel_s of any site
+	InFlight      int     `toml:"in_flight"`
 
-	Members []Member `toml:"members"`
+	Members []Peer `toml:"members"`
 	Keys    struct {
 		Dir       string `toml:"dir"`
 		Member    string `toml:"member"`
@@ -55,8 +55,8 @@
 	dir string
 }
 
-// Member is an entry of the list of members.
-type Member struct {
+// Peer is an entry of the list of members.
+type Peer struct {
 	Name string `toml:"name"`
 	Addr string `toml:"addr"`
 	Site bool   `toml:"site"`
@@ -70,7 +70,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	s := &Settings{LeaseS: 8, ControllerLeaseS: 3, MaxInFlight: 500, dir: filepath.Dir(path)}
+	s := &Settings{LeaseS: 8, ControllersS: 3, InFlight: 500, dir: filepath.Dir(path)}
 	s.Route.Open = 20000
 	s.Route.PerSecond, s.Route.RampS, s.Route.StaleS, s.Route.MoveAfterS = 50, 60, 10, 60
 	s.Site.Part = 0.25
@@ -83,14 +83,14 @@
 	if s.IsSite() && s.Site.Settings != "" {
 		if site, err = protocol.ReadSettings(s.ResolvePath(s.Site.Settings)); err != nil {
 			errs.Add("site.settings: %w", err)
-		} else if w := site.Params.Workers; w.LeaseS > s.MaxWorkerLeaseS || w.CancelS < s.MinCancelS {
-			errs.Add("workers_lease_s: the site's lease_s %g must be at most that (%g), and its cancel_s %g at least cancel_s (%g)", w.LeaseS, s.MaxWorkerLeaseS, w.CancelS, s.MinCancelS)
+		} else if w := site.Params.Workers; w.LeaseS > s.WorkersLeaseS || w.CancelS < s.CancelS {
+			errs.Add("workers_lease_s: the site's lease_s %g must be at most that (%g), and its cancel_s %g at least cancel_s (%g)", w.LeaseS, s.WorkersLeaseS, w.CancelS, s.CancelS)
 		}
 	}
 	if err := errs.Err(); err != nil {
 		return nil, nil, err
 	}
-	slices.SortFunc(s.Members, func(a, b Member) int {
+	slices.SortFunc(s.Members, func(a, b Peer) int {
 		if a.Name < b.Name {
 			return -1
 		}
@@ -101,7 +101,7 @@
 
 // IsSite reports whether this member is a site.
 func (s *Settings) IsSite() bool {
-	return slices.ContainsFunc(s.Members, func(p Member) bool { return p.Name == s.Member && p.Site })
+	return slices.ContainsFunc(s.Members, func(p Peer) bool { return p.Name == s.Member && p.Site })
 }
 
 // ResolvePath returns the path of a file that the settings name. Relative paths are relative
@@ -117,7 +117,7 @@
 // Addresses may differ, because members may reach one another on different routes.
 func (s *Settings) Checksum() uint64 {
 	h := fnv.New64a()
-	fmt.Fprint(h, Version, s.LeaseS, s.ControllerLeaseS, s.MaxWorkerLeaseS, s.MinCancelS)
+	fmt.Fprint(h, Version, s.LeaseS, s.ControllersS, s.WorkersLeaseS, s.CancelS)
 	for _, m := range s.Members {
 		fmt.Fprint(h, m.Name, m.Site)
 	}
@@ -141,9 +141,9 @@
 
 func (s *Settings) checkTimes(errs *protocol.SettingErrors) {
 	errs.CheckRange("lease_s", s.LeaseS, 2, 60)
-	errs.CheckRange("controllers_s", s.ControllerLeaseS, 1, 30)
-	errs.CheckRange("workers_lease_s", s.MaxWorkerLeaseS, 1, 3600)
-	errs.CheckRange("in_flight", float64(s.MaxInFlight), 1, 100000)
+	errs.CheckRange("controllers_s", s.ControllersS, 1, 30)
+	errs.CheckRange("workers_lease_s", s.WorkersLeaseS, 1, 3600)
+	errs.CheckRange("in_flight", float64(s.InFlight), 1, 100000)
 	errs.CheckRange("route.per_second", s.Route.PerSecond, 0.1, 10000)
 	errs.CheckRange("route.ramp_s", s.Route.RampS, 0, 3600)
 	errs.CheckRange("route.stale_s", s.Route.StaleS, 3, 600)
@@ -151,8 +151,8 @@
 	errs.CheckRange("route.move_after_s", s.Route.MoveAfterS, 0, 86400)
 	// A cancellation must stop the tasks on a site's workers within cancel_s even if the site
 	// can't be reached: by the expiry of its lease, then of its controllers' and its workers'.
-	if limit := s.MinCancelS - s.MaxWorkerLeaseS - s.ControllerLeaseS - 4; s.LeaseS*1.002 >= limit {
-		errs.Add("lease_s: %g must be below %g (cancel_s %g less workers_lease_s %g, controllers_s %g and 4)", s.LeaseS, limit, s.MinCancelS, s.MaxWorkerLeaseS, s.ControllerLeaseS)
+	if limit := s.CancelS - s.WorkersLeaseS - s.ControllersS - 4; s.LeaseS*1.002 >= limit {
+		errs.Add("lease_s: %g must be below %g (cancel_s %g less workers_lease_s %g, controllers_s %g and 4)", s.LeaseS, limit, s.CancelS, s.WorkersLeaseS, s.ControllersS)
 	}
 }
 
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -10,11 +10,11 @@
 // Settings is the settings file of a controller, written by the platform that starts it.
 // Unknown fields are ignored.
 type Settings struct {
-	Node     string `toml:"node"`
-	Zone     string `toml:"location"`
-	APIAddr  string `toml:"api_addr"`
-	PeerAddr string `toml:"cluster_listen"`
-	Peers    []Peer `toml:"siblings"`
+	Node     string    `toml:"node"`
+	Zone     string    `toml:"location"`
+	APIAddr  string    `toml:"api_addr"`
+	PeerAddr string    `toml:"cluster_listen"`
+	Siblings []Sibling `toml:"siblings"`
 	External struct {
 		Cloud string `toml:"cloud"`
 		State string `toml:"state"`
@@ -28,12 +28,12 @@
 		Workers WorkerSettings `toml:"workers"`
 		State   StateSettings  `toml:"state"`
 		Cloud   CloudSettings  `toml:"cloud"`
-		Quota   NodeQuota      `toml:"quota"`
+		Quota   MachineQuota   `toml:"quota"`
 	} `toml:"params"`
 }
 
-// Peer is another controller of the same cluster.
-type Peer struct {
+// Sibling is another controller of the same cluster.
+type Sibling struct {
 	Node string `toml:"node"`
 	Zone string `toml:"location"`
 	Addr string `toml:"peer_addr"`
@@ -51,10 +51,10 @@
 // Objective is a service level objective: the fraction of a class's jobs that are to
 // start or finish within a time.
 type Objective struct {
-	Kind     string  `toml:"kind"`
-	Class    string  `toml:"class"`
-	WithinS  float64 `toml:"within_s"`
-	Fraction float64 `toml:"share"`
+	Kind    string  `toml:"kind"`
+	Class   string  `toml:"class"`
+	WithinS float64 `toml:"within_s"`
+	Share   float64 `toml:"share"`
 }
 
 // WorkerSettings are the intervals and timeouts of workers.
@@ -80,8 +80,8 @@
 	ListLagS float64 `toml:"list_lag_s"`
 }
 
-// NodeQuota limits the resources that this controller's process may use.
-type NodeQuota struct {
+// MachineQuota limits the resources that this controller's process may use.
+type MachineQuota struct {
 	Cores    float64 `toml:"cores"`
 	MemoryMB float64 `toml:"memory_mb"`
 	FDLimit  int     `toml:"fd_limit"`
@@ -118,7 +118,7 @@
 	s.checkPeers(errs)
 	p := &s.Params
 	if p.Nodes == 0 {
-		p.Nodes = len(s.Peers) + 1
+		p.Nodes = len(s.Siblings) + 1
 	}
 	if p.Nodes < 1 || p.Nodes > 1000 {
 		errs.Add("params.initial_size: out of range: %d", p.Nodes)
@@ -130,7 +130,7 @@
 
 func (s *Settings) checkPeers(errs *SettingErrors) {
 	seen := map[string]bool{s.Node: true}
-	for i, peer := range s.Peers {
+	for i, peer := range s.Siblings {
 		if peer.Node == "" || seen[peer.Node] {
 			errs.Add("siblings[%d].node: missing or repeated: %q", i, peer.Node)
 		}
