--- a/internal/coordination/node/corrupt.go
+++ b/internal/coordination/node/corrupt.go
@@ -21,7 +21,7 @@
 	}
 	n.corruptKeys[it.Key] = it.Revision
 	n.metrics.guardRefusals.WithLabelValues("corrupt_record").Inc()
-	n.log.Error("stored value not understood: the known state is kept, and changes that depend on it are paused", "key", it.Key, "stamp", it.Revision, "known_stamp", n.revisions[it.Key], "why", err)
+	n.log.Error("stored value not understood: what was known of it stays, and nothing is stored for it", "key", it.Key, "stamp", it.Revision, "known_stamp", n.revisions[it.Key], "why", err)
 }
 
 // hasCorruptRecord reports whether a stored record of a job can't be decoded.
--- a/internal/coordination/node/workers.go
+++ b/internal/coordination/node/workers.go
@@ -102,7 +102,7 @@
 		// A rental's write was executed late: its answer was lost, the write was retried, and
 		// the machine was moved in between. The higher token identifies the newer record, in
 		// whatever order the two are read. The owner repairs the batch.
-		n.log.Warn("ignoring a machine record that is older than the last move of the machine", "machine", rec.Name, "batch", batch.key, "moved_in", m.batch.key)
+		n.log.Warn("a record of a machine is older than its move, and is dropped", "machine", rec.Name, "batch", batch.key, "moved_in", m.batch.key)
 		n.metrics.guardRefusals.WithLabelValues("old_record").Inc()
 		batch.markDirty(time.Now())
 		return
