--- a/cmd/dapplestage/admin.go
+++ b/cmd/dapplestage/admin.go
@@ -19,8 +19,8 @@
 // adminTimeout is how long an operator waits for a node.
 const adminTimeout = 5 * time.Second
 
-// call makes one request to a node's administration API.
-func call(ctx context.Context, addr, method, path string, body any, into any) error {
+// callNode makes one request to a node's administration API.
+func callNode(ctx context.Context, addr, method, path string, body any, into any) error {
 	var data []byte
 	if body != nil {
 		var err error
@@ -52,16 +52,16 @@
 		pre := c.RunE
 		c.RunE = func(cmd *cobra.Command, args []string) error {
 			if addr == "" {
-				return failed(fmt.Errorf("%w: --addr IP:PORT is needed", errUsage))
+				return printError(fmt.Errorf("%w: --addr IP:PORT is needed", errUsage))
 			}
-			return failed(pre(cmd, args))
+			return printError(pre(cmd, args))
 		}
 		return c
 	}
-	status := flags(&cobra.Command{Use: "status --addr IP:PORT", Short: "Show what runs, what does not, and why", Args: usage(cobra.NoArgs),
+	status := flags(&cobra.Command{Use: "status --addr IP:PORT", Short: "Show what runs, what does not, and why", Args: checkArgs(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var s node.Status
-			if err := call(cmd.Context(), addr, "GET", "/admin/status", nil, &s); err != nil {
+			if err := callNode(cmd.Context(), addr, "GET", "/admin/status", nil, &s); err != nil {
 				return err
 			}
 			if asJSON {
@@ -70,12 +70,12 @@
 			printStatus(cmd.OutOrStdout(), s)
 			return nil
 		}})
-	settings := flags(&cobra.Command{Use: "settings --addr IP:PORT", Short: "Show the operators' settings", Args: usage(cobra.NoArgs),
+	settings := flags(&cobra.Command{Use: "settings --addr IP:PORT", Short: "Show the operators' settings", Args: checkArgs(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error { return showSettings(cmd, addr, asJSON, "GET", "", nil) }})
-	set := flags(&cobra.Command{Use: "set NAME VALUE --addr IP:PORT", Short: "Change one of the operators' settings", Args: usage(cobra.ExactArgs(2)),
+	set := flags(&cobra.Command{Use: "set NAME VALUE --addr IP:PORT", Short: "Change one of the operators' settings", Args: checkArgs(cobra.ExactArgs(2)),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var v node.SettingsView
-			if err := call(cmd.Context(), addr, "GET", "/admin/settings", nil, &v); err != nil {
+			if err := callNode(cmd.Context(), addr, "GET", "/admin/settings", nil, &v); err != nil {
 				return err
 			}
 			value := json.RawMessage(args[1])
@@ -96,7 +96,7 @@
 		return errors.New("no such setting")
 	}
 	var v node.SettingsView
-	if err := call(cmd.Context(), addr, method, "/admin/settings"+path, body, &v); err != nil {
+	if err := callNode(cmd.Context(), addr, method, "/admin/settings"+path, body, &v); err != nil {
 		return err
 	}
 	if asJSON {
--- a/cmd/dapplestage/console_test.go
+++ b/cmd/dapplestage/console_test.go
@@ -29,8 +29,8 @@
 	os.Exit(m.Run())
 }
 
-// aNode answers as a controller's account does.
-func aNode(t *testing.T, rows int) (*httptest.Server, *sync.Map) {
+// newFakeController answers as a controller's account does.
+func newFakeController(t *testing.T, rows int) (*httptest.Server, *sync.Map) {
 	asked := &sync.Map{}
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		asked.Store(r.URL.Path, true)
@@ -63,7 +63,7 @@
 // The console in a terminal of 80 columns and 24 lines: it shows what is stuck, opens a
 // job, says so when its node dies, and gives the terminal back.
 func TestConsoleInATerminal(t *testing.T) {
-	s, _ := aNode(t, 40)
+	s, _ := newFakeController(t, 40)
 	cmd := exec.Command(os.Args[0], "console", "--addr", strings.TrimPrefix(s.URL, "http://"))
 	cmd.Env = append(os.Environ(), "RUN_AS_DAPPLESTAGE=1", "TERM=xterm", "NO_COLOR=1")
 	tty, err := pty.StartWithSize(cmd, &pty.Winsize{Rows: 24, Cols: 80})
@@ -128,7 +128,7 @@
 // The commands as people run them: exit codes, files, and an earlier file kept when the
 // new one can't be written whole.
 func TestReportCommands(t *testing.T) {
-	s, _ := aNode(t, 250)
+	s, _ := newFakeController(t, 250)
 	addr := strings.TrimPrefix(s.URL, "http://")
 	dir := t.TempDir()
 	run := func(args ...string) (string, int) {
--- a/cmd/dapplestage/gateway.go
+++ b/cmd/dapplestage/gateway.go
@@ -31,32 +31,32 @@
 func gatewayCommand() *cobra.Command {
 	var config string
 	run := &cobra.Command{
-		Use: "gateway --config FILE", Short: "Run a member of a gateway between sites: a gateway, or a site's daemon", Args: usage(cobra.NoArgs),
+		Use: "gateway --config FILE", Short: "Run a member of a gateway between sites: a gateway, or a site's daemon", Args: checkArgs(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if config == "" {
-				return failed(fmt.Errorf("%w: --config FILE is needed", errUsage))
+				return printError(fmt.Errorf("%w: --config FILE is needed", errUsage))
 			}
 			s, site, err := wire.ReadSettings(config)
 			if err != nil {
-				return failed(err)
+				return printError(err)
 			}
-			return failed(serveMember(s, site))
+			return printError(serveMember(s, site))
 		},
 	}
 	run.Flags().StringVar(&config, "config", "", "the member's file, see docs/gateway-operations.md")
-	check := &cobra.Command{Use: "check FILE", Short: "Check a member's file and its keys", Args: usage(cobra.ExactArgs(1)),
+	check := &cobra.Command{Use: "check FILE", Short: "Check a member's file and its keys", Args: checkArgs(cobra.ExactArgs(1)),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			s, _, err := wire.ReadSettings(args[0])
 			if err != nil {
-				return failed(err)
+				return printError(err)
 			}
 			ring, err := keys.Open(keyFiles(s), s.Member, time.Now)
 			if err != nil {
-				return failed(err)
+				return printError(err)
 			}
 			left, err := ring.RemainingValidity()
 			if err != nil {
-				return failed(err)
+				return printError(err)
 			}
 			c := memberConfig(s)
 			fmt.Fprintf(cmd.OutOrStdout(), "fine; a lost site's jobs are handed over within %.1f s; the certificate is valid for %d days\n",
@@ -275,11 +275,11 @@
 	var addr string
 	var asJSON bool
 	make := func(use, short string, args cobra.PositionalArgs, f func(cmd *cobra.Command, args []string) error) *cobra.Command {
-		c := &cobra.Command{Use: use, Short: short, Args: usage(args), RunE: func(cmd *cobra.Command, args []string) error {
+		c := &cobra.Command{Use: use, Short: short, Args: checkArgs(args), RunE: func(cmd *cobra.Command, args []string) error {
 			if addr == "" {
-				return failed(fmt.Errorf("%w: --addr IP:PORT is needed", errUsage))
+				return printError(fmt.Errorf("%w: --addr IP:PORT is needed", errUsage))
 			}
-			return failed(f(cmd, args))
+			return printError(f(cmd, args))
 		}}
 		c.Flags().StringVar(&addr, "addr", "", "a member's api_addr, as IP:PORT")
 		c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
@@ -295,7 +295,7 @@
 	drain := func(on bool) func(cmd *cobra.Command, _ []string) error {
 		return func(cmd *cobra.Command, _ []string) error {
 			var s gateway.Status
-			if err := call(cmd.Context(), addr, "PUT", "/admin/gateway/drained", gateway.DrainChange{On: &on}, &s); err != nil {
+			if err := callNode(cmd.Context(), addr, "PUT", "/admin/gateway/drained", gateway.DrainChange{On: &on}, &s); err != nil {
 				return err
 			}
 			return show(cmd, s)
@@ -304,7 +304,7 @@
 	return []*cobra.Command{
 		make("status --addr IP:PORT", "Show members, leases, jobs and what is not known", cobra.NoArgs, func(cmd *cobra.Command, _ []string) error {
 			var s gateway.Status
-			if err := call(cmd.Context(), addr, "GET", "/admin/gateway/status", nil, &s); err != nil {
+			if err := callNode(cmd.Context(), addr, "GET", "/admin/gateway/status", nil, &s); err != nil {
 				return err
 			}
 			return show(cmd, s)
@@ -314,7 +314,7 @@
 				return fmt.Errorf("%q is no job id: job- and digits", args[0])
 			}
 			var v gateway.JobView
-			if err := call(cmd.Context(), addr, "GET", "/admin/gateway/jobs/"+args[0], nil, &v); err != nil {
+			if err := callNode(cmd.Context(), addr, "GET", "/admin/gateway/jobs/"+args[0], nil, &v); err != nil {
 				return err
 			}
 			if asJSON {
@@ -361,11 +361,11 @@
 	var days int
 	root := &cobra.Command{Use: "keys", Short: "Make, show, renew and revoke the certificates of a gateway's members"}
 	add := func(use, short string, args cobra.PositionalArgs, f func(cmd *cobra.Command, args []string) error) {
-		c := &cobra.Command{Use: use, Short: short, Args: usage(args), RunE: func(cmd *cobra.Command, args []string) error {
+		c := &cobra.Command{Use: use, Short: short, Args: checkArgs(args), RunE: func(cmd *cobra.Command, args []string) error {
 			if days < 1 || days > 36500 {
-				return failed(fmt.Errorf("%w: --days %d is not within 1 to 36500", errUsage, days))
+				return printError(fmt.Errorf("%w: --days %d is not within 1 to 36500", errUsage, days))
 			}
-			return failed(f(cmd, args))
+			return printError(f(cmd, args))
 		}}
 		root.AddCommand(c)
 	}
--- a/cmd/dapplestage/main.go
+++ b/cmd/dapplestage/main.go
@@ -51,16 +51,16 @@
 		Short:         "A controller of the dapplestage cluster scheduler",
 		SilenceUsage:  true,
 		SilenceErrors: true,
-		Args:          usage(cobra.NoArgs),
+		Args:          checkArgs(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if config == "" {
-				return failed(fmt.Errorf("%w: --config FILE is needed", errUsage))
+				return printError(fmt.Errorf("%w: --config FILE is needed", errUsage))
 			}
 			cfg, err := protocol.ReadSettings(config)
 			if err != nil {
-				return failed(err)
+				return printError(err)
 			}
-			return failed(serve(cfg, o))
+			return printError(serve(cfg, o))
 		},
 	}
 	root.Flags().StringVar(&config, "config", "", "the settings file that the platform hands over")
@@ -68,19 +68,19 @@
 	root.Flags().StringVar(&o.tickets, "tickets", "", "take render-farm tickets of the classes in this file, such as deploy/tickets.toml")
 	root.Flags().StringVar(&o.account, "account", "", "store what ended as this file says, such as deploy/account.toml")
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error {
-		return failed(fmt.Errorf("%w: %v", errUsage, err))
+		return printError(fmt.Errorf("%w: %v", errUsage, err))
 	})
 	root.AddCommand(&cobra.Command{
-		Use: "check FILE", Short: "Check a settings file", Args: usage(cobra.ExactArgs(1)),
+		Use: "check FILE", Short: "Check a settings file", Args: checkArgs(cobra.ExactArgs(1)),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if _, err := protocol.ReadSettings(args[0]); err != nil {
-				return failed(err)
+				return printError(err)
 			}
 			fmt.Fprintln(cmd.OutOrStdout(), "settings are fine")
 			return nil
 		},
 	}, &cobra.Command{
-		Use: "version", Short: "Print the version", Args: usage(cobra.NoArgs),
+		Use: "version", Short: "Print the version", Args: checkArgs(cobra.NoArgs),
 		Run: func(cmd *cobra.Command, _ []string) { fmt.Fprintln(cmd.OutOrStdout(), "dapplestage", version) },
 	})
 	root.AddCommand(adminCommands()...)
@@ -88,17 +88,17 @@
 	return root
 }
 
-// usage turns a complaint about arguments into one clear line.
-func usage(check cobra.PositionalArgs) cobra.PositionalArgs {
+// checkArgs turns a complaint about arguments into one clear line.
+func checkArgs(check cobra.PositionalArgs) cobra.PositionalArgs {
 	return func(cmd *cobra.Command, args []string) error {
 		if err := check(cmd, args); err != nil {
-			return failed(fmt.Errorf("%w: %v", errUsage, err))
+			return printError(fmt.Errorf("%w: %v", errUsage, err))
 		}
 		return nil
 	}
 }
 
-func failed(err error) error {
+func printError(err error) error {
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 	}
--- a/cmd/dapplestage/report.go
+++ b/cmd/dapplestage/report.go
@@ -26,50 +26,50 @@
 	"dapplestage.example/dapplestage/internal/report"
 )
 
-// site is a site as a person asks it: any of its controllers, the next one if one does
+// siteClient is a site as a person asks it: any of its controllers, the next one if one does
 // not answer.
-type site struct {
+type siteClient struct {
 	name  string
 	addrs []string
 }
 
-// sites are those of the command line: one by --addr, or several by name.
-type sites struct {
-	addrs []string
-	named []string
-	all   []*site
+// siteFlags are those of the command line: one by --addr, or several by name.
+type siteFlags struct {
+	addrs      []string
+	namedSites []string
+	clients    []*siteClient
 }
 
-func (s *sites) flags(c *cobra.Command) {
+func (s *siteFlags) register(c *cobra.Command) {
 	c.Flags().StringSliceVar(&s.addrs, "addr", nil, "nodes' api_addr, as IP:PORT,...; the first that answers is asked")
-	c.Flags().StringArrayVar(&s.named, "site", nil, "instead of --addr, several sites: NAME=IP:PORT,...; may be repeated")
+	c.Flags().StringArrayVar(&s.namedSites, "site", nil, "instead of --addr, several sites: NAME=IP:PORT,...; may be repeated")
 }
 
-func (s *sites) check() error {
-	s.all = nil
-	if (len(s.addrs) == 0) == (len(s.named) == 0) {
+func (s *siteFlags) parse() error {
+	s.clients = nil
+	if (len(s.addrs) == 0) == (len(s.namedSites) == 0) {
 		return fmt.Errorf("%w: --addr IP:PORT or --site NAME=IP:PORT is needed, and not both", errUsage)
 	}
 	if len(s.addrs) > 0 {
-		s.all = []*site{{addrs: s.addrs}}
+		s.clients = []*siteClient{{addrs: s.addrs}}
 	}
-	for _, n := range s.named {
+	for _, n := range s.namedSites {
 		name, addrs, ok := strings.Cut(n, "=")
 		if !ok || name == "" || addrs == "" {
 			return fmt.Errorf("%w: --site %q is not NAME=IP:PORT[,IP:PORT...]", errUsage, n)
 		}
-		s.all = append(s.all, &site{name: name, addrs: strings.Split(addrs, ",")})
+		s.clients = append(s.clients, &siteClient{name: name, addrs: strings.Split(addrs, ",")})
 	}
 	return nil
 }
 
-// gather makes the reports of all sites. One that does not answer is told as not known;
+// collectReports makes the reports of all sites. One that does not answer is told as not known;
 // if none does there is nothing to report.
-func (s *sites) gather(ctx context.Context, q ledger.Query, since time.Duration) ([]*report.Data, error) {
+func (s *siteFlags) collectReports(ctx context.Context, q ledger.Query, since time.Duration) ([]*report.Data, error) {
 	var out []*report.Data
 	var errs []error
-	for _, one := range s.all {
-		d, err := one.gather(ctx, q, since)
+	for _, one := range s.clients {
+		d, err := one.collectReport(ctx, q, since)
 		if err != nil {
 			errs = append(errs, err)
 			d = report.UnreachableSite(one.name, time.Now(), err)
@@ -77,24 +77,24 @@
 		d.Site = one.name
 		out = append(out, d)
 	}
-	if len(errs) == len(s.all) {
+	if len(errs) == len(s.clients) {
 		return nil, errors.Join(errs...)
 	}
 	return out, nil
 }
 
-func (s *sites) names() (out []string) {
-	for _, one := range s.all {
+func (s *siteFlags) names() (out []string) {
+	for _, one := range s.clients {
 		out = append(out, one.name)
 	}
 	return out
 }
 
-// get asks the first node that answers, and remembers it.
-func (s *site) get(ctx context.Context, path string, into any) (err error) {
+// getFromAny asks the first node that answers, and remembers it.
+func (s *siteClient) getFromAny(ctx context.Context, path string, into any) (err error) {
 	var errs []error
 	for i, a := range s.addrs {
-		if err = call(ctx, a, "GET", path, nil, into); err == nil {
+		if err = callNode(ctx, a, "GET", path, nil, into); err == nil {
 			s.addrs[0], s.addrs[i] = s.addrs[i], s.addrs[0]
 			return nil
 		}
@@ -103,7 +103,7 @@
 	return errors.Join(errs...)
 }
 
-func (s *site) page(ctx context.Context, q ledger.Query, since float64) (*ledger.Page, error) {
+func (s *siteClient) accountPage(ctx context.Context, q ledger.Query, since float64) (*ledger.Page, error) {
 	v := url.Values{"limit": {strconv.Itoa(q.Limit)}}
 	for k, x := range map[string]string{"state": q.State, "team": q.Team, "class": q.Class, "zone": q.Zone, "image": q.Image, "q": q.Text, "after": q.After} {
 		if x != "" {
@@ -114,14 +114,14 @@
 		v.Set("since", strconv.FormatFloat(since, 'f', 3, 64))
 	}
 	p := &ledger.Page{}
-	return p, s.get(ctx, "/admin/account?"+v.Encode(), p)
+	return p, s.getFromAny(ctx, "/admin/account?"+v.Encode(), p)
 }
 
-// gather makes a report. since, if not 0, is how far back rows go.
-func (s *site) gather(ctx context.Context, q ledger.Query, since time.Duration) (*report.Data, error) {
+// collectReport makes a report. since, if not 0, is how far back rows go.
+func (s *siteClient) collectReport(ctx context.Context, q ledger.Query, since time.Duration) (*report.Data, error) {
 	began := time.Now()
 	var view node.SamplesView
-	if err := s.get(ctx, "/admin/samples", &view); err != nil {
+	if err := s.getFromAny(ctx, "/admin/samples", &view); err != nil {
 		return nil, err
 	}
 	q.Limit = ledger.MaxRows
@@ -132,7 +132,7 @@
 		if since > 0 {
 			at = since + time.Since(began)
 		}
-		return s.page(ctx, q, at.Seconds())
+		return s.accountPage(ctx, q, at.Seconds())
 	}, view.Samples, report.MaxRows)
 	if err != nil {
 		return nil, err
@@ -149,34 +149,34 @@
 
 // reportCommand is `dapplestage report`.
 func reportCommand() *cobra.Command {
-	s := &sites{}
+	s := &siteFlags{}
 	var q ledger.Query
 	var out, compare, list string
 	var since time.Duration
 	var asJSON, asCSV bool
-	c := &cobra.Command{Use: "report -o FILE --addr IP:PORT", Short: "Write what ran, what did not and whose work is stuck, as one HTML page", Args: usage(cobra.NoArgs),
+	c := &cobra.Command{Use: "report -o FILE --addr IP:PORT", Short: "Write what ran, what did not and whose work is stuck, as one HTML page", Args: checkArgs(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := s.check(); err != nil {
-				return failed(err)
+			if err := s.parse(); err != nil {
+				return printError(err)
 			}
 			if asJSON && asCSV {
-				return failed(fmt.Errorf("%w: --json and --csv can't both be given", errUsage))
+				return printError(fmt.Errorf("%w: --json and --csv can't both be given", errUsage))
 			}
-			return failed(func() error {
-				if (compare != "" || asJSON || asCSV) && len(s.all) > 1 {
+			return printError(func() error {
+				if (compare != "" || asJSON || asCSV) && len(s.clients) > 1 {
 					return fmt.Errorf("%w: --json, --csv and --compare take one site at a time", errUsage)
 				}
 				ids, err := readJobs(cmd.InOrStdin(), list)
 				if err != nil {
 					return err
 				}
-				ds, err := s.gather(cmd.Context(), q, since)
+				ds, err := s.collectReports(cmd.Context(), q, since)
 				if err != nil {
 					return err
 				}
 				for i, d := range ds {
 					if list != "" && d.Lost == "" {
-						s.all[i].only(cmd.Context(), d, ids)
+						s.clients[i].keepListedJobs(cmd.Context(), d, ids)
 					}
 				}
 				if compare != "" {
@@ -193,7 +193,7 @@
 				})
 			}())
 		}}
-	s.flags(c)
+	s.register(c)
 	f := c.Flags()
 	f.StringVarP(&out, "output", "o", "-", "the file; - for standard output")
 	f.DurationVar(&since, "since", 0, "only jobs that were submitted, lost something or ended since so long ago, and all that are open")
@@ -240,12 +240,12 @@
 	return ids, lines.Err()
 }
 
-// only leaves the jobs of a list in a report. What the account does not remember is asked
+// keepListedJobs leaves the jobs of a list in a report. What the account does not remember is asked
 // for by its id: how a job ended is kept for ever.
-func (s *site) only(ctx context.Context, d *report.Data, ids []string) {
+func (s *siteClient) keepListedJobs(ctx context.Context, d *report.Data, ids []string) {
 	for _, id := range d.KeepJobs(ids) {
 		var st protocol.JobStatus
-		switch err := s.get(ctx, "/api/jobs/"+id, &st); {
+		switch err := s.getFromAny(ctx, "/api/jobs/"+id, &st); {
 		case err != nil:
 			d.Unknown = append(d.Unknown, fmt.Sprintf("%s: %v", id, err))
 		case ledger.IsFinal(st.Status):
@@ -299,20 +299,20 @@
 		fmt.Fprintln(w, "JOB\tTEAM\tCLASS\tWAS\tIS\tWHY")
 	}
 	for _, c := range changes {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", plain(c.Job), plain(c.Team), plain(c.Class), orNone(c.Was), orNone(c.Is), plain(c.Why))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", sanitize(c.Job), sanitize(c.Team), sanitize(c.Class), orDash(c.Was), orDash(c.Is), sanitize(c.Why))
 	}
 	return w.Flush()
 }
 
-func orNone(s string) string {
+func orDash(s string) string {
 	if s == "" {
 		return "-"
 	}
 	return s
 }
 
-// plain keeps names from moving the cursor or breaking a table.
-func plain(s string) string {
+// sanitize keeps names from moving the cursor or breaking a table.
+func sanitize(s string) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' || r == 0x7f || r >= 0x80 && r < 0xa0 {
 			return '?'
@@ -323,19 +323,19 @@
 
 // accountCommand is `dapplestage account`.
 func accountCommand() *cobra.Command {
-	s := &sites{}
+	s := &siteFlags{}
 	var since time.Duration
 	var asJSON, all bool
-	c := &cobra.Command{Use: "account --since 1h --addr IP:PORT", Short: "After a loss: what each job it touched was doing, what is saved, where it is now, and sums that add up", Args: usage(cobra.NoArgs),
+	c := &cobra.Command{Use: "account --since 1h --addr IP:PORT", Short: "After a loss: what each job it touched was doing, what is saved, where it is now, and sums that add up", Args: checkArgs(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := s.check(); err != nil {
-				return failed(err)
+			if err := s.parse(); err != nil {
+				return printError(err)
 			}
 			if since <= 0 || since > 100*24*time.Hour {
-				return failed(fmt.Errorf("%w: --since %v is not within 1s and 2400h", errUsage, since))
+				return printError(fmt.Errorf("%w: --since %v is not within 1s and 2400h", errUsage, since))
 			}
-			return failed(func() error {
-				ds, err := s.gather(cmd.Context(), ledger.Query{}, since)
+			return printError(func() error {
+				ds, err := s.collectReports(cmd.Context(), ledger.Query{}, since)
 				if err != nil {
 					return err
 				}
@@ -344,7 +344,7 @@
 				}
 				for _, d := range ds {
 					if d.Site != "" {
-						fmt.Fprintf(cmd.OutOrStdout(), "site %s\n", plain(d.Site))
+						fmt.Fprintf(cmd.OutOrStdout(), "site %s\n", sanitize(d.Site))
 					}
 					if d.Lost != "" {
 						fmt.Fprintf(cmd.OutOrStdout(), "not known: %s\n\n", d.Lost)
@@ -357,7 +357,7 @@
 				return nil
 			}())
 		}}
-	s.flags(c)
+	s.register(c)
 	f := c.Flags()
 	f.DurationVar(&since, "since", time.Hour, "since the loss, or a little longer")
 	f.BoolVar(&all, "all", false, "list all jobs, not only those that lost something or are not known")
@@ -369,7 +369,7 @@
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(w, "as of %s, told by %s; what ended is remembered since %s\n", time.UnixMilli(d.AsOf).UTC().Format(time.RFC3339), d.Node, time.UnixMilli(d.RememberedSince).UTC().Format(time.RFC3339))
 	for _, u := range d.Unknown {
-		fmt.Fprintln(w, "not known:", plain(u))
+		fmt.Fprintln(w, "not known:", sanitize(u))
 	}
 	if d.RememberedSince > d.Since {
 		fmt.Fprintln(w, "not known: what ended before that")
@@ -404,39 +404,39 @@
 		if r.SavedS > 0 {
 			saved = fmt.Sprintf("%.0f s", r.SavedS)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d/%d\t%d\t%d\t%s\t%s\t%s\n", plain(r.Job), plain(r.Team), plain(r.Class), r.State, r.Done, r.Tasks, r.Running, r.Lost, saved, plain(strings.Join(r.Zones, ",")), plain(r.Why))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d/%d\t%d\t%d\t%s\t%s\t%s\n", sanitize(r.Job), sanitize(r.Team), sanitize(r.Class), r.State, r.Done, r.Tasks, r.Running, r.Lost, saved, sanitize(strings.Join(r.Zones, ",")), sanitize(r.Why))
 	}
 	return w.Flush()
 }
 
 // consoleCommand is `dapplestage console`.
 func consoleCommand() *cobra.Command {
-	s := &sites{}
-	c := &cobra.Command{Use: "console --addr IP:PORT,...", Short: "Watch what runs, what does not and whose work is stuck, in the terminal", Args: usage(cobra.NoArgs),
+	s := &siteFlags{}
+	c := &cobra.Command{Use: "console --addr IP:PORT,...", Short: "Watch what runs, what does not and whose work is stuck, in the terminal", Args: checkArgs(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := s.check(); err != nil {
-				return failed(err)
+			if err := s.parse(); err != nil {
+				return printError(err)
 			}
 			ctx, stop := context.WithCancel(cmd.Context())
 			defer stop()
-			m := console.New(func(a console.Request) console.Answer { return s.all[a.SiteIndex].consoleAsk(ctx, a) }, time.Now, s.names()...)
+			m := console.New(func(a console.Request) console.Answer { return s.clients[a.SiteIndex].answerConsole(ctx, a) }, time.Now, s.names()...)
 			_, err := tea.NewProgram(m, tea.WithAltScreen(), tea.WithContext(ctx), tea.WithFPS(10)).Run()
-			return failed(err)
+			return printError(err)
 		}}
-	s.flags(c)
+	s.register(c)
 	return c
 }
 
-func (s *site) consoleAsk(ctx context.Context, a console.Request) console.Answer {
+func (s *siteClient) answerConsole(ctx context.Context, a console.Request) console.Answer {
 	out := console.Answer{Request: a}
 	if a.Job == "" {
-		out.Page, out.Err = s.page(ctx, a.Query, 0)
+		out.Page, out.Err = s.accountPage(ctx, a.Query, 0)
 		if out.Err == nil {
 			out.Node = out.Page.Node
 		}
 		return out
 	}
-	p, err := s.page(ctx, ledger.Query{Text: a.Job, Limit: 5}, 0)
+	p, err := s.accountPage(ctx, ledger.Query{Text: a.Job, Limit: 5}, 0)
 	if err != nil {
 		out.Err = err
 		return out
@@ -449,13 +449,13 @@
 		}
 	}
 	var w node.Explanation
-	switch err := s.get(ctx, "/admin/why/"+a.Job, &w); {
+	switch err := s.getFromAny(ctx, "/admin/why/"+a.Job, &w); {
 	case err != nil && strings.Contains(err.Error(), "answers 404"):
 	case err != nil:
 		fmt.Fprintf(&b, "\nwhy it waits is not known: %v\n", err)
 	default:
 		b = append(b, '\n')
-		printWhy(&b, &w)
+		printExplanation(&b, &w)
 	}
 	out.JobLines = strings.Split(strings.TrimRight(string(b), "\n"), "\n")
 	return out
--- a/cmd/dapplestage/state.go
+++ b/cmd/dapplestage/state.go
@@ -49,17 +49,17 @@
 	var addr, config string
 	var perSecond float64
 	var asJSON bool
-	c := &cobra.Command{Use: "state", Short: "Read what is stored in the state service; never writes", Args: usage(cobra.NoArgs)}
+	c := &cobra.Command{Use: "state", Short: "Read what is stored in the state service; never writes", Args: checkArgs(cobra.NoArgs)}
 	c.PersistentFlags().StringVar(&addr, "state", "", "the state service, as IP:PORT")
 	c.PersistentFlags().StringVar(&config, "config", "", "instead of --state, a controller's settings file")
 	c.PersistentFlags().Float64Var(&perSecond, "per-second", 5, "requests a second at most: it shares the service's rate with the controllers")
 	sub := func(use, short string, run func(out io.Writer, s *packed.State, rev uint64) error) *cobra.Command {
-		return &cobra.Command{Use: use, Short: short, Args: usage(cobra.NoArgs), RunE: func(cmd *cobra.Command, _ []string) error {
+		return &cobra.Command{Use: use, Short: short, Args: checkArgs(cobra.NoArgs), RunE: func(cmd *cobra.Command, _ []string) error {
 			s, rev, err := readState(cmd.Context(), addr, config, perSecond)
 			if err == nil {
 				err = run(cmd.OutOrStdout(), s, rev)
 			}
-			return failed(err)
+			return printError(err)
 		}}
 	}
 	inspect := sub("inspect", "What there is: values, logs, inboxes, jobs", func(out io.Writer, s *packed.State, rev uint64) error {
@@ -72,7 +72,7 @@
 	inspect.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	c.AddCommand(inspect, sub("verify", "What is damaged, and where; exits with 1 if anything is", func(out io.Writer, s *packed.State, rev uint64) error {
 		for _, p := range s.Problems {
-			fmt.Fprintf(out, "%s: %s\n", plain(p.Key), plain(p.Reason))
+			fmt.Fprintf(out, "%s: %s\n", sanitize(p.Key), sanitize(p.Reason))
 		}
 		fmt.Fprintf(out, "%d jobs read as of revision %d, %d problems\n", len(s.Jobs), rev, len(s.Problems))
 		if len(s.Problems) > 0 {
@@ -133,14 +133,14 @@
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(w, "revision %d\n\nKIND\tVALUES\tBYTES\n", v.Revision)
 	for _, k := range slices.Sorted(maps.Keys(v.Kinds)) {
-		fmt.Fprintf(w, "%s\t%d\t%d\n", plain(k), v.Kinds[k].Values, v.Kinds[k].Bytes)
+		fmt.Fprintf(w, "%s\t%d\t%d\n", sanitize(k), v.Kinds[k].Values, v.Kinds[k].Bytes)
 	}
 	fmt.Fprintln(w, "\nRING\tLAST ENTRY\tJOBS MENTIONED")
 	for _, i := range slices.Sorted(maps.Keys(v.Logs)) {
 		fmt.Fprintf(w, "log of share %d\t%d\t%d\n", i, v.Logs[i].Last, v.Logs[i].Jobs)
 	}
 	for _, n := range slices.Sorted(maps.Keys(v.Inboxes)) {
-		fmt.Fprintf(w, "inbox of %s\t%d\t%d\n", plain(n), v.Inboxes[n].Last, v.Inboxes[n].Jobs)
+		fmt.Fprintf(w, "inbox of %s\t%d\t%d\n", sanitize(n), v.Inboxes[n].Last, v.Inboxes[n].Jobs)
 	}
 	fmt.Fprintf(w, "\n%d jobs open, %d of them in records of their own; tasks: %d placed, %d waiting, %d done\n", v.Jobs, v.Alone, v.Tasks["placed"], v.Tasks["waiting"], v.Tasks["done"])
 	if v.Empty {
--- a/cmd/dapplestage/ticket.go
+++ b/cmd/dapplestage/ticket.go
@@ -35,18 +35,18 @@
 // ticketCommand is `dapplestage ticket`.
 func ticketCommand() *cobra.Command {
 	f := &ticketFlags{}
-	root := &cobra.Command{Use: "ticket", Short: "Check, submit and watch render-farm tickets", Args: usage(cobra.NoArgs),
+	root := &cobra.Command{Use: "ticket", Short: "Check, submit and watch render-farm tickets", Args: checkArgs(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error { return cmd.Help() }}
 	root.AddCommand(f.check(), f.submit(), f.status(), f.tasks(), f.cancel(), f.classesCommand())
 	return root
 }
 
 func (f *ticketFlags) command(use, short string, args cobra.PositionalArgs, needAddr bool, run func(cmd *cobra.Command, args []string) error) *cobra.Command {
-	c := &cobra.Command{Use: use, Short: short, Args: usage(args), RunE: func(cmd *cobra.Command, args []string) error {
+	c := &cobra.Command{Use: use, Short: short, Args: checkArgs(args), RunE: func(cmd *cobra.Command, args []string) error {
 		if needAddr && f.addr == "" {
-			return failed(fmt.Errorf("%w: --addr IP:PORT is needed", errUsage))
+			return printError(fmt.Errorf("%w: --addr IP:PORT is needed", errUsage))
 		}
-		return failed(run(cmd, args))
+		return printError(run(cmd, args))
 	}}
 	if needAddr {
 		c.Flags().StringVar(&f.addr, "addr", "", "a node's api_addr, as IP:PORT")
@@ -344,7 +344,7 @@
 // job, before the ticket is submitted.
 func (f *ticketFlags) upload(ctx context.Context, to string, body []byte) error {
 	var view node.ClassesView
-	if err := call(ctx, f.addr, "GET", "/admin/classes", nil, &view); err != nil {
+	if err := callNode(ctx, f.addr, "GET", "/admin/classes", nil, &view); err != nil {
 		return err
 	}
 	s, err := format.ParseTicket(body)
@@ -380,7 +380,7 @@
 		return nil, fmt.Errorf("%w: %q is not the id of a ticket: job- and digits", errUsage, id)
 	}
 	var st node.TicketStatus
-	return &st, call(ctx, f.addr, "GET", "/tickets/"+id, nil, &st)
+	return &st, callNode(ctx, f.addr, "GET", "/tickets/"+id, nil, &st)
 }
 
 func (f *ticketFlags) status() *cobra.Command {
@@ -484,7 +484,7 @@
 		}
 		var page node.TicketTasks
 		path := fmt.Sprintf("/tickets/%s/tasks?step=%s&since=%d&limit=%d", args[0], url.QueryEscape(step), since, limit)
-		if err := call(cmd.Context(), f.addr, "GET", path, nil, &page); err != nil {
+		if err := callNode(cmd.Context(), f.addr, "GET", path, nil, &page); err != nil {
 			return err
 		}
 		if f.asJSON {
@@ -512,7 +512,7 @@
 			return fmt.Errorf("%w: %q is not the id of a ticket: job- and digits", errUsage, args[0])
 		}
 		var s protocol.JobStatus
-		if err := call(cmd.Context(), f.addr, "POST", "/tickets/"+args[0]+"/cancel", struct{}{}, &s); err != nil {
+		if err := callNode(cmd.Context(), f.addr, "POST", "/tickets/"+args[0]+"/cancel", struct{}{}, &s); err != nil {
 			return err
 		}
 		if f.asJSON {
@@ -526,7 +526,7 @@
 func (f *ticketFlags) classesCommand() *cobra.Command {
 	show := f.command("classes", "Show the classes of tickets", cobra.NoArgs, true, func(cmd *cobra.Command, _ []string) error {
 		var v node.ClassesView
-		if err := call(cmd.Context(), f.addr, "GET", "/admin/classes", nil, &v); err != nil {
+		if err := callNode(cmd.Context(), f.addr, "GET", "/admin/classes", nil, &v); err != nil {
 			return err
 		}
 		return f.printClasses(cmd, v)
@@ -534,17 +534,17 @@
 	var remove bool
 	set := f.command("set LOT [JSON]", "Set a class, or with --remove go back to the file's", cobra.RangeArgs(1, 2), true, func(cmd *cobra.Command, args []string) error {
 		var v node.ClassesView
-		if err := call(cmd.Context(), f.addr, "GET", "/admin/classes", nil, &v); err != nil {
+		if err := callNode(cmd.Context(), f.addr, "GET", "/admin/classes", nil, &v); err != nil {
 			return err
 		}
 		path := "/admin/classes/" + url.PathEscape(args[0])
 		switch {
 		case remove && len(args) == 1:
-			if err := call(cmd.Context(), f.addr, "DELETE", path+"?stamp="+strconv.FormatUint(v.Stamp, 10), nil, &v); err != nil {
+			if err := callNode(cmd.Context(), f.addr, "DELETE", path+"?stamp="+strconv.FormatUint(v.Stamp, 10), nil, &v); err != nil {
 				return err
 			}
 		case !remove && len(args) == 2 && json.Valid([]byte(args[1])):
-			if err := call(cmd.Context(), f.addr, "PUT", path, node.SettingChange{Value: json.RawMessage(args[1]), Stamp: &v.Stamp}, &v); err != nil {
+			if err := callNode(cmd.Context(), f.addr, "PUT", path, node.SettingChange{Value: json.RawMessage(args[1]), Stamp: &v.Stamp}, &v); err != nil {
 				return err
 			}
 		default:
--- a/cmd/dapplestage/why.go
+++ b/cmd/dapplestage/why.go
@@ -24,20 +24,20 @@
 	var limit int
 	var asJSON, watch bool
 	c := &cobra.Command{Use: "why [JOB] --addr IP:PORT", Short: "Tell why a job waits and what would release it, or what all waiting jobs wait for",
-		Args: usage(cobra.MaximumNArgs(1))}
+		Args: checkArgs(cobra.MaximumNArgs(1))}
 	c.RunE = func(cmd *cobra.Command, args []string) error {
 		if addr == "" {
-			return failed(fmt.Errorf("%w: --addr IP:PORT is needed", errUsage))
+			return printError(fmt.Errorf("%w: --addr IP:PORT is needed", errUsage))
 		}
 		if len(args) == 1 && !protocol.ValidJobID(args[0]) {
-			return failed(fmt.Errorf("%w: %q is not the id of a job: job- and digits", errUsage, args[0]))
+			return printError(fmt.Errorf("%w: %q is not the id of a job: job- and digits", errUsage, args[0]))
 		}
 		last := ""
 		for {
 			text, over, err := whyOnce(cmd.Context(), addr, args, url.Values{"team": {team}, "cause": {cause}, "after": {after},
 				"since": {strconv.FormatFloat(since.Seconds(), 'f', 1, 64)}, "limit": {strconv.Itoa(limit)}}, asJSON)
 			if err != nil && !(watch && last != "") {
-				return failed(err)
+				return printError(err)
 			}
 			if err == nil && text != last {
 				fmt.Fprint(cmd.OutOrStdout(), text)
@@ -70,24 +70,24 @@
 	var b textBuffer
 	if len(args) == 1 {
 		var w node.Explanation
-		if err := call(ctx, addr, "GET", "/admin/why/"+args[0], nil, &w); err != nil {
+		if err := callNode(ctx, addr, "GET", "/admin/why/"+args[0], nil, &w); err != nil {
 			return "", false, err
 		}
 		if asJSON {
 			err = printJSON(&b, w)
 		} else {
-			printWhy(&b, &w)
+			printExplanation(&b, &w)
 		}
 		return string(b), w.Waiting+w.Starting == 0 && w.Unknown == "", err
 	}
 	var p node.ExplanationPage
-	if err := call(ctx, addr, "GET", "/admin/why?"+q.Encode(), nil, &p); err != nil {
+	if err := callNode(ctx, addr, "GET", "/admin/why?"+q.Encode(), nil, &p); err != nil {
 		return "", false, err
 	}
 	if asJSON {
 		err = printJSON(&b, p)
 	} else {
-		printWhyPage(&b, &p)
+		printExplanationPage(&b, &p)
 	}
 	return string(b), false, err
 }
@@ -100,7 +100,7 @@
 	return len(p), nil
 }
 
-func printWhy(out io.Writer, w *node.Explanation) {
+func printExplanation(out io.Writer, w *node.Explanation) {
 	fmt.Fprintf(out, "%s (%s, %s): %d tasks wait, %d are about to start, %d run; held by %s", w.Job, w.Class, w.Team, w.Waiting, w.Starting, w.Running, w.Owner)
 	if w.StateAge > 3 {
 		fmt.Fprintf(out, "; the state service answered %.0f s ago", w.StateAge)
@@ -125,7 +125,7 @@
 	}
 }
 
-func printWhyPage(out io.Writer, p *node.ExplanationPage) {
+func printExplanationPage(out io.Writer, p *node.ExplanationPage) {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	defer w.Flush()
 	for _, u := range p.Unknown {
--- a/cmd/lab/tickets.go
+++ b/cmd/lab/tickets.go
@@ -247,9 +247,9 @@
 		t := &farmTicket{id: fmt.Sprintf("job-%06d", i), name: fmt.Sprintf("t%d", i), retries: 2 + rng.IntN(6)}
 		switch i {
 		case 0: // fails at once when its first task has used up its tries
-			t.name = standin.Hopeless + " at once"
+			t.name = standin.AlwaysFailsPrefix + " at once"
 		case 1: // survives that, and fails in the end
-			t.name, t.failed = standin.Hopeless+" survived", 2
+			t.name, t.failed = standin.AlwaysFailsPrefix+" survived", 2
 		case 2:
 			t.cancelled = true
 		}
@@ -292,16 +292,16 @@
 }
 
 // expected are the lines that a ticket must give: the seed alone decides.
-func (t *farmTicket) expected(f *standin.Farm) ([]string, error) {
+func (t *farmTicket) expected(f *standin.RenderFaults) ([]string, error) {
 	_, a, err := t.admitted()
 	if err != nil {
 		return nil, err
 	}
 	rec := a.Record
 	granted := rec.Terms.MaxRetries.Granted
-	atOnce := strings.HasPrefix(t.name, standin.Hopeless) && t.failed == 0
+	atOnce := strings.HasPrefix(t.name, standin.AlwaysFailsPrefix) && t.failed == 0
 	status := protocol.JobDone
-	if strings.HasPrefix(t.name, standin.Hopeless) {
+	if strings.HasPrefix(t.name, standin.AlwaysFailsPrefix) {
 		status = protocol.JobFailed
 	}
 	lines := []string{fmt.Sprintf("%s retries asked %d granted %d urgency %s", t.name, t.retries, min(t.retries, farmRetries), "high")}
@@ -324,7 +324,7 @@
 			continue
 		}
 		for k := range st.Tasks {
-			n := f.Errors(t.name, st.Name, k)
+			n := f.FailuresBeforeSuccess(t.name, st.Name, k)
 			end := "done"
 			if n < 0 || n > granted {
 				n, end, state[i] = granted+1, "failed", protocol.JobFailed
@@ -371,7 +371,7 @@
 	if err != nil {
 		return nil, err
 	}
-	atOnce := strings.HasPrefix(t.name, standin.Hopeless) && t.failed == 0
+	atOnce := strings.HasPrefix(t.name, standin.AlwaysFailsPrefix) && t.failed == 0
 	terms := told.Terms
 	asked := -1
 	if terms != nil && terms.MaxRetries.Requested != nil {
@@ -687,7 +687,7 @@
 
 // expectedLines are what the seed says of all tickets.
 func expectedLines(seed uint64, tickets []*farmTicket) (lines []string, err error) {
-	plan := standin.NewFarm(seed)
+	plan := standin.NewRenderFaults(seed)
 	for _, t := range tickets {
 		expected, err := t.expected(plan)
 		if err != nil {
--- a/cmd/lab/tickets_test.go
+++ b/cmd/lab/tickets_test.go
@@ -35,7 +35,7 @@
 
 // Two accounts that differ in one task's errors, order or end are told apart.
 func TestLinesTellWhatDiffers(t *testing.T) {
-	f := standin.NewFarm(5)
+	f := standin.NewRenderFaults(5)
 	tk := &farmTicket{id: "job-1", name: "t", retries: 3, steps: []string{"s0 3", "s1 1 s0"}}
 	_, a, err := tk.admitted()
 	if err != nil {
@@ -46,7 +46,7 @@
 	for i, st := range a.Record.Steps {
 		for k := range st.Tasks {
 			id := protocol.TaskID(ticket.StepSpec(a.Record, i).ID, k)
-			for range f.Errors("t", st.Name, k) {
+			for range f.FailuresBeforeSuccess("t", st.Name, k) {
 				events = append(events, farmEvent{at, "start", id, "m"}, farmEvent{at + 1, "error", id, "m"})
 				at += 2
 			}
--- a/internal/coordination/node/zone_cut_test.go
+++ b/internal/coordination/node/zone_cut_test.go
@@ -50,7 +50,7 @@
 	running := 0
 	listed, _ := w.fleet.List(w.ctx)
 	for _, m := range listed {
-		if m.Zone == zone && w.fleet.Runs(m.ID, job) {
+		if m.Zone == zone && w.fleet.RunsJob(m.ID, job) {
 			running++
 		}
 	}
