--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,6 +1,6 @@
-// Command standin serves the state service and the cloud with its workers, in
-// memory, for a first try of dapplestage on one machine. It is a toy for
-// loopback: nothing in it lasts or scales.
+// Command standin serves an in-memory state service and a simulated cloud with its
+// workers, for a trial of dapplestage on one machine. It is meant for loopback
+// only: it stores nothing on disk and is not built for load.
 package main
 
 import (
@@ -25,107 +25,107 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-// options are the command line's.
+// options are the command line's flags.
 type options struct {
-	state, cloud, nodes, zone, events string
-	boot, fetch                       time.Duration
-	lease, report                     float64
-	machines, workers                 int
-	place                             bool
-	farm                              uint64
+	stateAddr, cloudAddr, nodes, zone, eventsPath string
+	bootTime, fetchTime                           time.Duration
+	leaseSeconds, reportSeconds                   float64
+	maxMachines, workersPort                      int
+	mixedTypes                                    bool
+	renderSeed                                    uint64
 }
 
 func readOptions() *options {
-	o := &options{}
-	flag.StringVar(&o.state, "state", "127.0.0.1:2379", "address of the state service; empty: none")
-	flag.StringVar(&o.cloud, "cloud", "127.0.0.1:8443", "address of the cloud; empty: none")
-	flag.StringVar(&o.nodes, "nodes", "n-0=127.0.0.1:8080", "the controllers, as name=address,...")
-	flag.DurationVar(&o.boot, "boot", 3*time.Second, "boot time of a machine")
-	flag.DurationVar(&o.fetch, "fetch", 2*time.Second, "time to fetch an image")
-	flag.Float64Var(&o.lease, "lease", 10, "a worker's lease in seconds")
-	flag.Float64Var(&o.report, "report", 1, "seconds between a worker's reports")
-	flag.StringVar(&o.zone, "zone", "a", "the zone of all machines")
-	flag.IntVar(&o.machines, "machines", 8, "machines to give")
-	flag.StringVar(&o.events, "events", "", "file for what runs, a JSON line a start and an end")
-	flag.IntVar(&o.workers, "workers", 0, "port of the workers' own addresses, 127.77.x.y; 0: nobody can call them")
-	flag.BoolVar(&o.place, "place", false, "several types of machine in three zones, some of which run already")
-	flag.Uint64Var(&o.farm, "farm", 0, "be render servers that fail, drain and vanish from this seed; 0: no")
+	opts := &options{}
+	flag.StringVar(&opts.stateAddr, "state", "127.0.0.1:2379", "address of the state service; empty: none")
+	flag.StringVar(&opts.cloudAddr, "cloud", "127.0.0.1:8443", "address of the cloud; empty: none")
+	flag.StringVar(&opts.nodes, "nodes", "n-0=127.0.0.1:8080", "the controllers, as name=address,...")
+	flag.DurationVar(&opts.bootTime, "boot", 3*time.Second, "boot time of a machine")
+	flag.DurationVar(&opts.fetchTime, "fetch", 2*time.Second, "time to fetch an image")
+	flag.Float64Var(&opts.leaseSeconds, "lease", 10, "a worker's lease in seconds")
+	flag.Float64Var(&opts.reportSeconds, "report", 1, "seconds between a worker's reports")
+	flag.StringVar(&opts.zone, "zone", "a", "the zone of all machines")
+	flag.IntVar(&opts.maxMachines, "machines", 8, "most machines at a time")
+	flag.StringVar(&opts.eventsPath, "events", "", "file for task events, one JSON line for each start and each end")
+	flag.IntVar(&opts.workersPort, "workers", 0, "port of the workers' addresses, 127.77.x.y; 0: workers can't be called directly")
+	flag.BoolVar(&opts.mixedTypes, "place", false, "several types of machine in three zones, some of which run already")
+	flag.Uint64Var(&opts.renderSeed, "farm", 0, "seed of injected render-farm faults: task errors, interruption notices and lost machines; 0: none")
 	flag.Parse()
-	return o
+	return opts
 }
 
 func main() {
-	o := readOptions()
+	opts := readOptions()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	f, err := newFleet(ctx, o)
+	fleet, err := newFleet(ctx, opts)
 	if err != nil {
 		log.Fatal(err)
 	}
-	uploaded := func([]byte) {}
-	if o.farm != 0 {
-		uploaded = standin.NewRenderFaults(o.farm).InjectInto(f)
+	onUpload := func([]byte) {}
+	if opts.renderSeed != 0 {
+		onUpload = standin.NewRenderFaults(opts.renderSeed).InjectInto(fleet)
 	}
-	if o.place {
-		f.AddInitialMachines()
+	if opts.mixedTypes {
+		fleet.AddInitialMachines()
 	}
 	serve := func(addr string, h http.Handler) {
 		go func() { log.Fatal(http.ListenAndServe(addr, h)) }()
 	}
-	if o.state != "" {
-		serve(o.state, stateAPI(standin.NewState()))
+	if opts.stateAddr != "" {
+		serve(opts.stateAddr, stateAPI(standin.NewState()))
 	}
-	if o.cloud != "" {
-		serve(o.cloud, cloudAPI(f, uploaded))
+	if opts.cloudAddr != "" {
+		serve(opts.cloudAddr, cloudAPI(fleet, onUpload))
 	}
-	log.Printf("state service on %s, cloud on %s, workers report to %s", o.state, o.cloud, o.nodes)
+	log.Printf("state service on %s, cloud on %s, workers report to %s", opts.stateAddr, opts.cloudAddr, opts.nodes)
 	<-ctx.Done()
-	for _, b := range f.Violations {
-		fmt.Println("rule broken:", b)
+	for _, violation := range fleet.Violations {
+		fmt.Println("rule broken:", violation)
 	}
 }
 
-// newFleet makes the machines and their workers.
-func newFleet(ctx context.Context, o *options) (*standin.Fleet, error) {
-	f := standin.NewFleet(ctx)
+// newFleet returns the simulated cloud and its workers as the flags describe them.
+func newFleet(ctx context.Context, opts *options) (*standin.Fleet, error) {
+	fleet := standin.NewFleet(ctx)
 	addrs := map[string]string{}
-	for _, pair := range strings.Split(o.nodes, ",") {
+	for _, pair := range strings.Split(opts.nodes, ",") {
 		name, addr, ok := strings.Cut(pair, "=")
 		if !ok {
 			return nil, fmt.Errorf("-nodes: %q is not name=address", pair)
 		}
 		addrs[name] = addr
-		f.Nodes = append(f.Nodes, name)
+		fleet.Nodes = append(fleet.Nodes, name)
 	}
-	f.Types = []protocol.MachineType{{Name: "g4", CPUs: 24, GPUs: 4, MemoryGB: 192, CacheGB: 100, FetchGBPerS: 0.5,
-		Price: 10, SpotPrice: 4, BootS: o.boot.Seconds(), Zones: []string{o.zone}}}
-	f.Workers = protocol.WorkerSettings{ReportS: o.report, LeaseS: o.lease, GangWaitS: 30, GangPeerS: 5, CancelS: 40}
-	f.MaxMachines, f.BootTime, f.FetchTime = o.machines, o.boot, o.fetch
-	if o.place {
-		f.ConfigureMixedTypes(o.boot)
+	fleet.Types = []protocol.MachineType{{Name: "g4", CPUs: 24, GPUs: 4, MemoryGB: 192, CacheGB: 100, FetchGBPerS: 0.5,
+		Price: 10, SpotPrice: 4, BootS: opts.bootTime.Seconds(), Zones: []string{opts.zone}}}
+	fleet.Workers = protocol.WorkerSettings{ReportS: opts.reportSeconds, LeaseS: opts.leaseSeconds, GangWaitS: 30, GangPeerS: 5, CancelS: 40}
+	fleet.MaxMachines, fleet.BootTime, fleet.FetchTime = opts.maxMachines, opts.bootTime, opts.fetchTime
+	if opts.mixedTypes {
+		fleet.ConfigureMixedTypes(opts.bootTime)
 	}
-	if o.events != "" {
-		file, err := os.OpenFile(o.events, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	if opts.eventsPath != "" {
+		file, err := os.OpenFile(opts.eventsPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 		if err != nil {
 			return nil, err
 		}
-		f.OnTaskEvent = func(event, task, machine string, at time.Time) {
+		fleet.OnTaskEvent = func(event, task, machine string, at time.Time) {
 			line, _ := json.Marshal(map[string]any{"at": at.UnixNano(), "event": event, "task": task, "machine": machine})
-			file.Write(append(line, '\n')) // one write: whole lines
+			file.Write(append(line, '\n')) // a single write, so that lines are never torn
 		}
 	}
-	f.SendReport = reporter(addrs)
-	if o.workers > 0 {
-		f.WorkerAddress = func(n int) string { return fmt.Sprintf("127.77.%d.%d:%d", n>>8&255, n&255, o.workers) }
-		f.StartListener = func(addr string) { go serveWorker(ctx, f, addr) }
+	fleet.SendReport = newHTTPReporter(addrs)
+	if opts.workersPort > 0 {
+		fleet.WorkerAddress = func(n int) string { return fmt.Sprintf("127.77.%d.%d:%d", n>>8&255, n&255, opts.workersPort) }
+		fleet.StartListener = func(addr string) { go serveWorker(ctx, fleet, addr) }
 	}
-	return f, nil
+	return fleet, nil
 }
 
-// reporter is the workers' link over HTTP. Like real workers it fetches the
-// description of a job that it does not know; here the controllers' own
-// addresses do not serve one, so submissions pass through the stand-in cloud.
-func reporter(addrs map[string]string) standin.ReportFunc {
+// newHTTPReporter returns a function that sends workers' reports to the controllers over
+// HTTP. A real worker fetches the description of a job that it does not know. Controllers
+// do not serve descriptions, so here users upload them to the stand-in cloud.
+func newHTTPReporter(addrs map[string]string) standin.ReportFunc {
 	return func(ctx context.Context, node string, r protocol.Report) (int, protocol.Orders, string, error) {
 		data, err := json.Marshal(r)
 		if err != nil {
@@ -140,41 +140,41 @@
 			return 0, protocol.Orders{}, "", err
 		}
 		defer resp.Body.Close()
-		var both struct {
+		var response struct {
 			protocol.Orders
 			protocol.Redirect
 		}
-		err = json.NewDecoder(resp.Body).Decode(&both)
-		return resp.StatusCode, both.Orders, both.ReportTo, err
+		err = json.NewDecoder(resp.Body).Decode(&response)
+		return resp.StatusCode, response.Orders, response.ReportTo, err
 	}
 }
 
-// serveWorker answers direct calls to one worker.
+// serveWorker serves direct calls to one worker until ctx ends.
 func serveWorker(ctx context.Context, f *standin.Fleet, addr string) {
 	r := httprouter.New()
 	r.POST("/commands", func(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-		var o protocol.Orders
-		if json.NewDecoder(io.LimitReader(r.Body, protocol.MaxBodyBytes)).Decode(&o) != nil {
-			send(w, 400, struct{}{})
+		var orders protocol.Orders
+		if json.NewDecoder(io.LimitReader(r.Body, protocol.MaxBodyBytes)).Decode(&orders) != nil {
+			writeJSON(w, 400, struct{}{})
 			return
 		}
-		rep, ok, err := f.Command(r.Context(), addr, o)
+		report, ok, err := f.Command(r.Context(), addr, orders)
 		switch {
 		case err != nil:
-			send(w, 503, struct{}{})
+			writeJSON(w, 503, struct{}{})
 		case ok:
-			send(w, 200, rep)
+			writeJSON(w, 200, report)
 		default:
-			send(w, 409, rep)
+			writeJSON(w, 409, report)
 		}
 	})
 	r.GET("/inspect", func(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-		rep, err := f.Inspect(r.Context(), addr)
+		report, err := f.Inspect(r.Context(), addr)
 		if err != nil {
-			send(w, 503, struct{}{})
+			writeJSON(w, 503, struct{}{})
 			return
 		}
-		send(w, 200, rep)
+		writeJSON(w, 200, report)
 	})
 	srv := &http.Server{Addr: addr, Handler: r}
 	defer context.AfterFunc(ctx, func() { srv.Close() })()
@@ -183,19 +183,19 @@
 	}
 }
 
-func send(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	json.NewEncoder(w).Encode(v)
 }
 
-// object is a JSON object.
-type object = map[string]any
+// jsonObject is a JSON object.
+type jsonObject = map[string]any
 
 // stateHandlers serve the state service.
 type stateHandlers struct{ state *standin.State }
 
-// stateAPI serves the store as PROTOCOL has it.
+// stateAPI serves the store as PROTOCOL specifies.
 func stateAPI(s *standin.State) http.Handler {
 	h := stateHandlers{s}
 	r := httprouter.New()
@@ -215,171 +215,172 @@
 	if items == nil {
 		items = []storage.Item{}
 	}
-	send(w, 200, object{"items": items, "hasNext": false, "epoch": rev})
+	writeJSON(w, 200, jsonObject{"items": items, "hasNext": false, "epoch": rev})
 }
 
 func (h stateHandlers) get(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
-	it, _ := h.state.Get(r.Context(), strings.TrimPrefix(p.ByName("key"), "/"))
-	if it.Value == nil {
-		send(w, 404, object{"epoch": it.Revision})
+	item, _ := h.state.Get(r.Context(), strings.TrimPrefix(p.ByName("key"), "/"))
+	if item.Value == nil {
+		writeJSON(w, 404, jsonObject{"epoch": item.Revision})
 		return
 	}
-	send(w, 200, it)
+	writeJSON(w, 200, item)
 }
 
 func (h stateHandlers) changes(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
-	send(w, 200, object{"changes": h.state.ChangeCount()})
+	writeJSON(w, 200, jsonObject{"changes": h.state.ChangeCount()})
 }
 
 func (h stateHandlers) transaction(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	var t struct {
+	var txn struct {
 		If     []storage.Cond
 		Writes []storage.Write
 	}
-	if err := json.NewDecoder(io.LimitReader(r.Body, protocol.MaxBodyBytes)).Decode(&t); err != nil {
-		send(w, 400, object{"error": err.Error()})
+	if err := json.NewDecoder(io.LimitReader(r.Body, protocol.MaxBodyBytes)).Decode(&txn); err != nil {
+		writeJSON(w, 400, jsonObject{"error": err.Error()})
 		return
 	}
-	ok, rev, failed, err := h.state.Txn(r.Context(), t.If, t.Writes)
+	ok, rev, failed, err := h.state.Txn(r.Context(), txn.If, txn.Writes)
 	switch {
 	case err != nil:
-		send(w, 400, object{"error": err.Error()})
+		writeJSON(w, 400, jsonObject{"error": err.Error()})
 	case ok:
-		send(w, 200, object{"epoch": rev})
+		writeJSON(w, 200, jsonObject{"epoch": rev})
 	default:
-		send(w, 409, object{"failed": failed, "epoch": rev})
+		writeJSON(w, 409, jsonObject{"failed": failed, "epoch": rev})
 	}
 }
 
 func (h stateHandlers) grant(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	var l struct{ LifeMs int64 }
-	json.NewDecoder(r.Body).Decode(&l)
-	id, _ := h.state.Grant(r.Context(), time.Duration(l.LifeMs)*time.Millisecond)
-	send(w, 200, object{"permit": id})
+	var request struct{ LifeMs int64 }
+	json.NewDecoder(r.Body).Decode(&request)
+	id, _ := h.state.Grant(r.Context(), time.Duration(request.LifeMs)*time.Millisecond)
+	writeJSON(w, 200, jsonObject{"permit": id})
 }
 
 func (h stateHandlers) renew(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 	id, _ := strconv.ParseUint(p.ByName("id"), 10, 64)
 	if h.state.Renew(r.Context(), id) != nil {
-		send(w, 404, object{})
+		writeJSON(w, 404, jsonObject{})
 		return
 	}
-	send(w, 200, object{})
+	writeJSON(w, 200, jsonObject{})
 }
 
 func (h stateHandlers) release(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 	id, _ := strconv.ParseUint(p.ByName("id"), 10, 64)
 	h.state.Release(r.Context(), id)
-	send(w, 200, object{})
+	writeJSON(w, 200, jsonObject{})
 }
 
 func (h stateHandlers) watch(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	q := r.URL.Query()
 	since, _ := strconv.ParseUint(q.Get("since"), 10, 64)
-	hold, _ := strconv.Atoi(q.Get("holdMs"))
-	items, rev, err := h.state.Watch(r.Context(), q.Get("under"), since, time.Duration(hold)*time.Millisecond)
+	holdMS, _ := strconv.Atoi(q.Get("holdMs"))
+	items, rev, err := h.state.Watch(r.Context(), q.Get("under"), since, time.Duration(holdMS)*time.Millisecond)
 	if err != nil {
 		return
 	}
-	events := []object{}
-	for _, it := range items {
-		if it.Value == nil {
-			events = append(events, object{"drop": it.Key, "stamp": it.Revision})
+	events := []jsonObject{}
+	for _, item := range items {
+		if item.Value == nil {
+			events = append(events, jsonObject{"drop": item.Key, "stamp": item.Revision})
 		} else {
-			events = append(events, object{"put": it.Key, "v": it.Value, "stamp": it.Revision})
+			events = append(events, jsonObject{"put": item.Key, "v": item.Value, "stamp": item.Revision})
 		}
 	}
-	send(w, 200, object{"epoch": rev, "events": events})
+	writeJSON(w, 200, jsonObject{"epoch": rev, "events": events})
 }
 
 // cloudHandlers serve the cloud.
 type cloudHandlers struct {
 	fleet    *standin.Fleet
-	uploaded func(submission []byte)
+	onUpload func(submission []byte)
 }
 
-// cloudAPI serves the cloud, and takes copies of submissions for the workers.
-func cloudAPI(f *standin.Fleet, uploaded func([]byte)) http.Handler {
-	h := cloudHandlers{f, uploaded}
+// cloudAPI serves the cloud, and accepts copies of submissions for the workers.
+func cloudAPI(f *standin.Fleet, onUpload func([]byte)) http.Handler {
+	h := cloudHandlers{f, onUpload}
 	r := httprouter.New()
 	r.GET("/catalog", h.catalog)
 	r.GET("/hosts", h.list)
 	r.POST("/hosts", h.rent)
-	r.POST("/hosts/return", h.giveBack)
+	r.POST("/hosts/return", h.returnMachines)
 	r.POST("/upload", h.upload)
-	// For experiments: how many machines there are to give, and jobs with a mistake.
-	r.POST("/limit/:machines", h.limit)
-	r.POST("/mistaken/:id/:is", h.mistaken)
-	r.POST("/stall/:id/:is", h.stall)
-	r.POST("/kill/:machine", h.kill)
+	// Fault injection: the number of machines, jobs that fail on every machine, stalled jobs
+	// and lost machines.
+	r.POST("/limit/:machines", h.setMachineLimit)
+	r.POST("/mistaken/:id/:is", h.setFailing)
+	r.POST("/stall/:id/:is", h.setStalled)
+	r.POST("/kill/:machine", h.killMachine)
 	return r
 }
 
 func (h cloudHandlers) catalog(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	types, _ := h.fleet.Catalog(r.Context())
-	send(w, 200, protocol.Catalog{Types: types})
+	writeJSON(w, 200, protocol.Catalog{Types: types})
 }
 
 func (h cloudHandlers) list(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	ms, _ := h.fleet.List(r.Context())
-	send(w, 200, protocol.MachineList{Machines: ms})
+	writeJSON(w, 200, protocol.MachineList{Machines: ms})
 }
 
 func (h cloudHandlers) rent(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	var q protocol.RentRequest
 	if err := json.NewDecoder(r.Body).Decode(&q); err != nil {
-		send(w, 400, nil)
+		writeJSON(w, 400, nil)
 		return
 	}
 	names, err := h.fleet.Rent(r.Context(), q)
 	if err != nil {
-		send(w, 503, map[string]string{"error": err.Error()})
+		writeJSON(w, 503, map[string]string{"error": err.Error()})
 		return
 	}
-	send(w, 200, protocol.MachineNames{Machines: names})
+	writeJSON(w, 200, protocol.MachineNames{Machines: names})
 }
 
-func (h cloudHandlers) giveBack(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+func (h cloudHandlers) returnMachines(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	var q protocol.MachineNames
 	json.NewDecoder(r.Body).Decode(&q)
 	h.fleet.Return(r.Context(), q.Machines)
-	send(w, 200, struct{}{})
+	writeJSON(w, 200, struct{}{})
 }
 
 func (h cloudHandlers) upload(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	data, _ := io.ReadAll(io.LimitReader(r.Body, protocol.MaxBodyBytes))
 	s, err := protocol.ParseJob(data)
 	if err != nil {
-		send(w, 400, map[string]string{"error": err.Error()})
+		writeJSON(w, 400, map[string]string{"error": err.Error()})
 		return
 	}
-	h.uploaded(data)
+	h.onUpload(data)
 	h.fleet.AddJob(s)
-	send(w, 200, struct{}{})
+	writeJSON(w, 200, struct{}{})
 }
 
-func (h cloudHandlers) limit(w http.ResponseWriter, _ *http.Request, p httprouter.Params) {
+func (h cloudHandlers) setMachineLimit(w http.ResponseWriter, _ *http.Request, p httprouter.Params) {
 	if n, err := strconv.Atoi(p.ByName("machines")); err == nil {
 		h.fleet.SetMaxMachines(n)
 	}
-	send(w, 200, struct{}{})
+	writeJSON(w, 200, struct{}{})
 }
 
-func (h cloudHandlers) mistaken(w http.ResponseWriter, _ *http.Request, p httprouter.Params) {
+func (h cloudHandlers) setFailing(w http.ResponseWriter, _ *http.Request, p httprouter.Params) {
 	if p.ByName("is") == "true" {
 		h.fleet.FailEverywhere(p.ByName("id"))
 	} else {
 		h.fleet.StopFailing(p.ByName("id"))
 	}
-	send(w, 200, struct{}{})
+	writeJSON(w, 200, struct{}{})
 }
 
-func (h cloudHandlers) stall(w http.ResponseWriter, _ *http.Request, p httprouter.Params) {
+func (h cloudHandlers) setStalled(w http.ResponseWriter, _ *http.Request, p httprouter.Params) {
 	h.fleet.SetStalled(p.ByName("id"), p.ByName("is") == "true")
-	send(w, 200, struct{}{})
+	writeJSON(w, 200, struct{}{})
 }
 
-func (h cloudHandlers) kill(w http.ResponseWriter, _ *http.Request, p httprouter.Params) {
+func (h cloudHandlers) killMachine(w http.ResponseWriter, _ *http.Request, p httprouter.Params) {
 	h.fleet.Kill(p.ByName("machine"))
-	send(w, 200, struct{}{})
+	writeJSON(w, 200, struct{}{})
 }
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -11,75 +11,82 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-// ReportFunc carries a worker's report to a node. It returns the node's answer, or an
-// error if none came.
-type ReportFunc func(ctx context.Context, node string, r protocol.Report) (status int, o protocol.Orders, to string, err error)
+// ReportFunc sends a worker's report to a controller. It returns the status and the orders
+// of the answer, and in redirectTo the controller that the worker is redirected to, if any.
+// It returns an error if no answer arrived.
+type ReportFunc func(ctx context.Context, node string, r protocol.Report) (status int, orders protocol.Orders, redirectTo string, err error)
 
-// Fleet is the cloud and the workers on its machines. It watches over the
-// rules that can be seen from the machines: Broken lists what was broken.
+// Fleet simulates the cloud and the workers on its machines. It checks the scheduling
+// rules that can be observed on the machines, and lists what breaks them in Violations.
 type Fleet struct {
 	Types       []protocol.MachineType
 	Workers     protocol.WorkerSettings
 	Teams       map[string]protocol.Team
-	MaxMachines int                 // machines to give
-	Capacity    map[MachineKind]int // of each kind, if set; of one that is not in it there is none
-	BootTime    time.Duration       // boot time
-	Nodes       []string
+	MaxMachines int                 // most machines at a time
+	Capacity    map[MachineKind]int // most machines of each kind; nil: no limit by kind. A kind that is missing has no capacity
+	BootTime    time.Duration       // of a rented machine
+	Nodes       []string            // names of the controllers
 	SendReport  ReportFunc
-	// Slow, if set, delays what a request to the cloud does.
+	// CallDelay, if set, returns by how long a rent or return request is delayed before it
+	// takes effect.
 	CallDelay func() time.Duration
-	// FetchTime is what an image takes; 0: fetchTime.
+	// FetchTime is how long fetching an image takes; 0: defaultFetchTime.
 	FetchTime time.Duration
-	// Takes, if set, is how long a task runs; else it is what its job estimates.
+	// RunTime, if set, returns how long a task runs; otherwise a task runs for its job's
+	// estimate.
 	RunTime func(job *protocol.JobSpec, task int) time.Duration
-	// CancelConfirmedAfterStop says that users are told that a job is cancelled when nothing of it is left:
-	// then nothing of it may be started after, however soon.
+	// CancelConfirmedAfterStop states that a cancellation is confirmed to the user only when
+	// no task of the job remains on any machine. Any start after the confirmation is then a
+	// violation; otherwise tasks may run for CancelS more.
 	CancelConfirmedAfterStop bool
-	// IgnoreTokens leaves out that workers refuse lower tokens, for tests of tests.
+	// IgnoreTokens makes workers accept fencing tokens lower than the highest they have seen.
+	// It injects a defect that a test must detect.
 	IgnoreTokens bool
-	// Fails, if set, says whether a task that failed so often fails once more.
+	// TaskFails, if set, reports whether a task that has failed errors times fails again.
 	TaskFails func(job *protocol.JobSpec, task, errors int) bool
-	// Taken, if set, says whether the machine on which a task starts for the first time
-	// is lost, and after which notice (0: without a word).
+	// LosesFirstMachine, if set, reports whether the machine on which a task starts for the
+	// first time is lost, and after which notice (0: without notice).
 	LosesFirstMachine func(job *protocol.JobSpec, task int) (lost bool, notice time.Duration)
-	// Address, if set, is where a new machine's worker will be, by its number; else it is
-	// its name with port 9000. Listen, if set, is told of each such address.
+	// WorkerAddress, if set, returns the address of the worker of a new machine, given the
+	// machine's number; otherwise the address is the machine's name with port 9000.
+	// StartListener, if set, is called with each worker's address.
 	WorkerAddress func(number int) string
 	StartListener func(addr string)
-	// Log, if set, is told what runs: "start" when a task has its image, then "done"
-	// or "end". It must not block.
+	// OnTaskEvent, if set, is called when a task's state on its machine changes: with "start"
+	// when the image is fetched, then with "done", "error" or "end" (stopped, or lost with
+	// its machine or its worker's lease). It must not block.
 	OnTaskEvent func(event, task, machine string, at time.Time)
 
 	mu              sync.Mutex
 	ctx             context.Context
-	lastNumber      int
+	lastNumber      int // of the machine added last
 	machines        map[string]*Machine
-	byAddress       map[string]*Machine // by address
-	rentedByRequest map[string][]string
+	byAddress       map[string]*Machine
+	rentedByRequest map[string][]string // machine names by request ID: a repeated request rents nothing more
 	jobs            map[string]*protocol.JobSpec
-	cancelledAt     map[string]time.Time
-	failsEverywhere map[string]bool
-	errorCounts     map[string]int // by task
-	everStarted     map[string]bool
-	stalledJobs     map[string]bool      // jobs
-	finishedTasks   map[string]int       // tasks that completed, by job
-	completedTasks  map[string]bool      // those tasks
-	completedAt     map[string]time.Time // when the last task of a job completed
-	latestAttempt   map[string]uint64    // the latest attempt that was started, by task
-	StartedTasks    int
-	StoppedTasks    int // running tasks that were told to stop
-	ExpiredTasks    int // tasks that ended with their worker's lease
+	cancelledAt     map[string]time.Time // when the user got the confirmation, by job
+	failsEverywhere map[string]bool      // jobs
+	errorCounts     map[string]int       // by task
+	everStarted     map[string]bool      // by task; kept only if LosesFirstMachine is set
+	stalledJobs     map[string]bool
+	finishedTasks   map[string]int // number of completed tasks, by job
+	completedTasks  map[string]bool
+	completedAt     map[string]time.Time // when the last task completed, by job
+	latestAttempt   map[string]uint64    // the highest attempt that was started, by task
+	StartedTasks    int                  // starts after a fetched image
+	StoppedTasks    int                  // running tasks that a controller stopped
+	ExpiredTasks    int                  // tasks that ended because their worker's lease expired
 	Violations      []string
-	refusedStarts   int // direct commands with starts that were refused for their token
+	refusedStarts   int // direct commands with starts that were refused because of their token
 }
 
-// MachineKind is a kind of machine that the cloud gives.
+// MachineKind is a kind of machine that the cloud offers.
 type MachineKind struct {
 	Type, Zone string
 	Spot       bool
 }
 
-// Machine is one rented machine with its worker.
+// Machine is one machine with its worker.
 type Machine struct {
 	fleet          *Fleet
 	info           protocol.ListedMachine
@@ -87,16 +94,17 @@
 	createdAt      time.Time
 	booted         bool
 	removed        bool
-	interruptionAt time.Time // when it is taken; zero: no notice
-	session        uint64
-	seq            uint64
-	token          uint64
-	lastAnswered   time.Time // when the last answered report was sent
+	interruptionAt time.Time // when the cloud takes the machine back; zero: no notice
+	session        uint64    // of the worker; a new one begins when the lease expires
+	seq            uint64    // number of the last report in the session
+	token          uint64    // highest fencing token seen
+	lastAnswered   time.Time // when the last answered report was sent; the worker's lease counts from then
 	tasks          map[string]*workerTask
-	reportSoon     chan struct{}
+	reportSoon     chan struct{} // asks for a report before the interval is over
 	cancel         context.CancelFunc
 }
 
+// workerTask is a task in a worker's list.
 type workerTask struct {
 	job        *protocol.JobSpec
 	number     int
@@ -104,19 +112,20 @@
 	state      string
 	cause      string
 	stateSince time.Time
-	runTime    time.Duration
+	runTime    time.Duration // progress made while running; a stalled task makes none
 }
 
-// NewFleet makes a fleet that lives until ctx ends.
+// NewFleet returns a fleet whose machines run until ctx ends.
 func NewFleet(ctx context.Context) *Fleet {
 	return &Fleet{ctx: ctx, machines: map[string]*Machine{}, byAddress: map[string]*Machine{}, rentedByRequest: map[string][]string{}, jobs: map[string]*protocol.JobSpec{}, cancelledAt: map[string]time.Time{}, failsEverywhere: map[string]bool{}, errorCounts: map[string]int{}, everStarted: map[string]bool{}, stalledJobs: map[string]bool{}, finishedTasks: map[string]int{}, completedTasks: map[string]bool{}, completedAt: map[string]time.Time{}, latestAttempt: map[string]uint64{}}
 }
 
-// AddJob tells the workers of a job, as users do.
-func (f *Fleet) AddJob(s *protocol.JobSpec) {
+// AddJob gives the workers the description of a job, as users do for real workers. A start
+// of an unknown job is ignored.
+func (f *Fleet) AddJob(job *protocol.JobSpec) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.jobs[s.ID] = s
+	f.jobs[job.ID] = job
 }
 
 // FailEverywhere makes a job fail on every machine.
@@ -126,21 +135,21 @@
 	f.failsEverywhere[id] = true
 }
 
-// SetStalled makes a job's tasks run on without getting anywhere, while their machines
-// report.
-func (f *Fleet) SetStalled(job string, is bool) {
+// SetStalled sets whether a job's tasks run on without making progress. Their machines
+// still report.
+func (f *Fleet) SetStalled(job string, stalled bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.stalledJobs[job] = is
+	f.stalledJobs[job] = stalled
 }
 
-// RunsJob says whether a task of a job runs on a machine.
+// RunsJob reports whether a task of a job runs on a machine.
 func (f *Fleet) RunsJob(machine, job string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m := f.machines[machine]; m != nil {
-		for _, p := range m.tasks {
-			if p.job.ID == job && p.state == protocol.TaskRunning {
+		for _, task := range m.tasks {
+			if task.job.ID == job && task.state == protocol.TaskRunning {
 				return true
 			}
 		}
@@ -148,7 +157,7 @@
 	return false
 }
 
-// Busy says whether anything runs on a machine.
+// Busy reports whether any task runs on a machine.
 func (f *Fleet) Busy(machine string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -156,59 +165,60 @@
 	if m == nil {
 		return false
 	}
-	for _, p := range m.tasks {
-		if p.state == protocol.TaskRunning {
+	for _, task := range m.tasks {
+		if task.state == protocol.TaskRunning {
 			return true
 		}
 	}
 	return false
 }
 
-// RunningTasks is how many tasks run.
+// RunningTasks returns how many tasks run.
 func (f *Fleet) RunningTasks() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	c := 0
+	count := 0
 	for _, m := range f.machines {
-		for _, p := range m.tasks {
-			if p.state == protocol.TaskRunning {
-				c++
+		for _, task := range m.tasks {
+			if task.state == protocol.TaskRunning {
+				count++
 			}
 		}
 	}
-	return c
+	return count
 }
 
-// InterruptedTasks are how many running tasks were told to stop, and how many ended with their
-// worker's lease, so far.
+// InterruptedTasks returns how many running tasks were stopped by a controller so far, and
+// how many tasks ended because their worker's lease expired.
 func (f *Fleet) InterruptedTasks() (stopped, expired int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.StoppedTasks, f.ExpiredTasks
 }
 
-// SetMaxMachines changes how many machines there are to give.
+// SetMaxMachines changes how many machines there may be at a time.
 func (f *Fleet) SetMaxMachines(machines int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.MaxMachines = machines
 }
 
-// StopFailing makes a job fail no more.
+// StopFailing ends the effect of FailEverywhere on a job.
 func (f *Fleet) StopFailing(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.failsEverywhere, id)
 }
 
-// ErrorCount is how often a task ended with an error.
+// ErrorCount returns how often a task ended with an error.
 func (f *Fleet) ErrorCount(task string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.errorCounts[task]
 }
 
-// NoteCancelConfirmed tells the checker that a user was told that a job is cancelled.
+// NoteCancelConfirmed records, for the rule checks, that the cancellation of a job was
+// confirmed to its user. Only the first confirmation counts.
 func (f *Fleet) NoteCancelConfirmed(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -217,23 +227,23 @@
 	}
 }
 
-// RemainingTasks is how many tasks of a job are on machines, in any state but exited.
+// RemainingTasks returns how many tasks of a job are on machines in any state but exited.
 func (f *Fleet) RemainingTasks(job string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	c := 0
+	count := 0
 	for _, m := range f.machines {
 		m.checkLease()
-		for _, p := range m.tasks {
-			if p.job.ID == job && p.state != protocol.TaskExited {
-				c++
+		for _, task := range m.tasks {
+			if task.job.ID == job && task.state != protocol.TaskExited {
+				count++
 			}
 		}
 	}
-	return c
+	return count
 }
 
-// Catalog lists the machine types.
+// Catalog returns the machine types.
 func (f *Fleet) Catalog(context.Context) ([]protocol.MachineType, error) { return f.Types, nil }
 
 func (f *Fleet) delayCall() {
@@ -242,7 +252,8 @@
 	}
 }
 
-// Rent gives machines.
+// Rent starts up to the requested number of machines and returns their names. A repeated
+// request ID gets the names of the first request.
 func (f *Fleet) Rent(_ context.Context, r protocol.RentRequest) ([]string, error) {
 	f.delayCall()
 	f.mu.Lock()
@@ -252,11 +263,11 @@
 	}
 	var names []string
 	for range r.Count {
-		k := MachineKind{r.Type, r.Zone, r.Spot}
-		if len(f.machines) >= f.MaxMachines || f.Capacity != nil && f.countKind(k) >= f.Capacity[k] {
+		kind := MachineKind{r.Type, r.Zone, r.Spot}
+		if len(f.machines) >= f.MaxMachines || f.Capacity != nil && f.countKind(kind) >= f.Capacity[kind] {
 			break
 		}
-		names = append(names, f.addMachine(k, f.BootTime))
+		names = append(names, f.addMachine(kind, f.BootTime))
 	}
 	if len(names) == 0 {
 		return nil, storage.ErrNoCapacity
@@ -265,13 +276,13 @@
 	return names, nil
 }
 
-// addMachine begins a machine that boots for a while.
-func (f *Fleet) addMachine(k MachineKind, boot time.Duration) string {
+// addMachine starts a machine that takes bootTime to boot. Callers hold mu.
+func (f *Fleet) addMachine(kind MachineKind, bootTime time.Duration) string {
 	f.lastNumber++
 	name := fmt.Sprintf("host-%06d", f.lastNumber)
 	ctx, stop := context.WithCancel(f.ctx)
 	m := &Machine{fleet: f, number: f.lastNumber, createdAt: time.Now(), session: 1, tasks: map[string]*workerTask{}, reportSoon: make(chan struct{}, 1), cancel: stop,
-		info: protocol.ListedMachine{ID: name, Addr: name + ":9000", Type: k.Type, Zone: k.Zone, Spot: k.Spot}}
+		info: protocol.ListedMachine{ID: name, Addr: name + ":9000", Type: kind.Type, Zone: kind.Zone, Spot: kind.Spot}}
 	if f.WorkerAddress != nil {
 		m.info.Addr = f.WorkerAddress(f.lastNumber)
 	}
@@ -280,31 +291,31 @@
 	if f.StartListener != nil {
 		f.StartListener(m.info.Addr)
 	}
-	go m.runWorker(ctx, boot)
+	go m.runWorker(ctx, bootTime)
 	return name
 }
 
-// countKind is how many machines of a kind there are.
-func (f *Fleet) countKind(k MachineKind) int {
-	c := 0
+// countKind returns how many machines of a kind there are.
+func (f *Fleet) countKind(kind MachineKind) int {
+	count := 0
 	for _, m := range f.machines {
-		if m.info.Type == k.Type && m.info.Zone == k.Zone && m.info.Spot == k.Spot {
-			c++
+		if m.info.Type == kind.Type && m.info.Zone == kind.Zone && m.info.Spot == kind.Spot {
+			count++
 		}
 	}
-	return c
+	return count
 }
 
-// AddRunningMachines adds machines that run already, which nobody here has rented.
-func (f *Fleet) AddRunningMachines(k MachineKind, machines int) {
+// AddRunningMachines adds machines that no controller has rented.
+func (f *Fleet) AddRunningMachines(kind MachineKind, machines int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for range machines {
-		f.addMachine(k, time.Duration(f.lastNumber%40)*100*time.Millisecond) // their reports are not in step
+		f.addMachine(kind, time.Duration(f.lastNumber%40)*100*time.Millisecond) // boot times differ, so that the machines do not all report at once
 	}
 }
 
-// Return takes machines back, with everything on them.
+// Return removes machines with all tasks on them.
 func (f *Fleet) Return(_ context.Context, names []string) error {
 	f.delayCall()
 	f.mu.Lock()
@@ -315,20 +326,20 @@
 	return nil
 }
 
-// Kill takes a machine without a word.
+// Kill removes a machine without notice.
 func (f *Fleet) Kill(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.removeMachine(name)
 }
 
-// loseMachine takes a machine, though not while it has an error to tell: what the controllers
-// know of errors must not depend on the moment.
+// loseMachine removes a machine, but not before a controller has taken note of each task
+// error on it: how many errors the controllers count must not depend on timing.
 func (f *Fleet) loseMachine(m *Machine) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, p := range m.tasks {
-		if p.state == protocol.TaskExited && p.cause == protocol.CauseError && !m.removed {
+	for _, task := range m.tasks {
+		if task.state == protocol.TaskExited && task.cause == protocol.CauseError && !m.removed {
 			time.AfterFunc(50*time.Millisecond, func() { f.loseMachine(m) })
 			return
 		}
@@ -346,7 +357,7 @@
 	}
 }
 
-// MachineNames are the machines that there are.
+// MachineNames returns the names of all machines in order.
 func (f *Fleet) MachineNames() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -358,25 +369,26 @@
 	return out
 }
 
-// List lists the machines.
+// List returns the machines as the cloud's API lists them.
 func (f *Fleet) List(context.Context) ([]protocol.ListedMachine, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []protocol.ListedMachine
 	for _, m := range f.machines {
-		l := m.info
-		l.State, l.AgeS = "booting", time.Since(m.createdAt).Seconds()
+		listed := m.info
+		listed.State, listed.AgeS = "booting", time.Since(m.createdAt).Seconds()
 		if m.booted {
-			l.State = "running"
+			listed.State = "running"
 		}
-		out = append(out, l)
+		out = append(out, listed)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].ID < out[j].ID })
 	return out, nil
 }
 
-// Command is a direct call to a worker.
-func (f *Fleet) Command(_ context.Context, addr string, o protocol.Orders) (*protocol.Report, bool, error) {
+// Command sends orders directly to a worker. It returns the worker's report and whether the
+// worker accepted the orders' token and session.
+func (f *Fleet) Command(_ context.Context, addr string, orders protocol.Orders) (*protocol.Report, bool, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.byAddress[addr]
@@ -384,15 +396,15 @@
 		return nil, false, storage.ErrUnknown
 	}
 	m.checkLease()
-	ok := (o.Token >= m.token || f.IgnoreTokens) && o.Session == m.session
+	ok := (orders.Token >= m.token || f.IgnoreTokens) && orders.Session == m.session
 	if ok {
-		if o.Token > m.token {
-			m.token = o.Token
+		if orders.Token > m.token {
+			m.token = orders.Token
 			m.requestReport()
 		}
-		m.executeCommands(o.Commands)
+		m.executeCommands(orders.Commands)
 	} else {
-		m.countRefusedStarts(o)
+		m.countRefusedStarts(orders)
 	}
 	r := m.buildReport()
 	return &r, ok, nil
@@ -411,10 +423,12 @@
 	return &r, nil
 }
 
-func (f *Fleet) violation(format string, a ...any) {
-	f.Violations = append(f.Violations, fmt.Sprintf(format, a...))
+// violation records a broken scheduling rule. Callers hold mu.
+func (f *Fleet) violation(format string, args ...any) {
+	f.Violations = append(f.Violations, fmt.Sprintf(format, args...))
 }
 
+// requestReport makes the worker report before its interval is over.
 func (m *Machine) requestReport() {
 	select {
 	case m.reportSoon <- struct{}{}:
@@ -422,33 +436,34 @@
 	}
 }
 
-// checkLease ends the session if the lease has run out.
+// checkLease ends all tasks and begins a new session if the worker's lease has expired.
 func (m *Machine) checkLease() {
 	if time.Since(m.lastAnswered).Seconds() > m.fleet.Workers.LeaseS {
 		m.session++
 		m.seq = 0
-		for _, p := range m.tasks {
-			if p.state != protocol.TaskExited {
+		for _, task := range m.tasks {
+			if task.state != protocol.TaskExited {
 				m.fleet.ExpiredTasks++
 			}
 		}
-		// They ended with the lease, also if this machine stood still then.
+		// The tasks ended when the lease expired, even if this is noticed later because the
+		// machine was suspended.
 		m.endAllTasks(m.lastAnswered.Add(time.Duration(m.fleet.Workers.LeaseS * float64(time.Second))))
 		m.lastAnswered = time.Now()
 	}
 }
 
-// endAllTasks ends all tasks.
-func (m *Machine) endAllTasks(at time.Time) {
-	for id, p := range m.tasks {
-		m.logTaskEnd("end", id, p, at)
+// endAllTasks removes all tasks from the worker's list.
+func (m *Machine) endAllTasks(endedAt time.Time) {
+	for id, task := range m.tasks {
+		m.logTaskEnd("end", id, task, endedAt)
 	}
 	m.tasks = map[string]*workerTask{}
 }
 
-// logTaskEnd logs the end of a task that was on its machine.
-func (m *Machine) logTaskEnd(event, id string, p *workerTask, at time.Time) {
-	if m.fleet.OnTaskEvent != nil && (p.state == protocol.TaskRunning || p.state == protocol.TaskWaiting) {
+// logTaskEnd passes the end of a task that has started to OnTaskEvent.
+func (m *Machine) logTaskEnd(event, id string, task *workerTask, at time.Time) {
+	if m.fleet.OnTaskEvent != nil && (task.state == protocol.TaskRunning || task.state == protocol.TaskWaiting) {
 		m.fleet.OnTaskEvent(event, id, m.info.ID, at)
 	}
 }
@@ -467,13 +482,13 @@
 	}
 	sort.Strings(ids)
 	for _, id := range ids {
-		p := m.tasks[id]
-		r.Tasks = append(r.Tasks, protocol.TaskReport{Task: id, Attempt: p.attempt, State: p.state, Cause: p.cause, Saved: p.cause == protocol.CauseStopped})
+		task := m.tasks[id]
+		r.Tasks = append(r.Tasks, protocol.TaskReport{Task: id, Attempt: task.attempt, State: task.state, Cause: task.cause, Saved: task.cause == protocol.CauseStopped})
 	}
 	return r
 }
 
-// defaultFetchTime is what an image takes here.
+// defaultFetchTime is how long fetching an image takes unless Fleet.FetchTime is set.
 const defaultFetchTime = 2 * time.Second
 
 func (f *Fleet) imageFetchTime() time.Duration {
@@ -483,8 +498,8 @@
 	return defaultFetchTime
 }
 
-// runWorker boots the machine and reports until it is gone.
-func (m *Machine) runWorker(ctx context.Context, boot time.Duration) {
+// runWorker boots the machine, then sends reports until the machine is removed.
+func (m *Machine) runWorker(ctx context.Context, bootTime time.Duration) {
 	sleep := func(d time.Duration) bool {
 		select {
 		case <-ctx.Done():
@@ -493,7 +508,7 @@
 			return true
 		}
 	}
-	if !sleep(boot) {
+	if !sleep(bootTime) {
 		return
 	}
 	m.fleet.mu.Lock()
@@ -507,20 +522,20 @@
 		r := m.buildReport()
 		m.fleet.mu.Unlock()
 		sent := time.Now()
-		call, cancel := context.WithTimeout(ctx, 4*time.Second)
-		status, o, to, err := m.fleet.SendReport(call, m.fleet.Nodes[node], r)
-		late := call.Err() != nil
+		callCtx, cancel := context.WithTimeout(ctx, 4*time.Second)
+		status, orders, redirectTo, err := m.fleet.SendReport(callCtx, m.fleet.Nodes[node], r)
+		timedOut := callCtx.Err() != nil
 		cancel()
 		switch {
-		case err == nil && !late && status == 200:
+		case err == nil && !timedOut && status == 200:
 			m.fleet.mu.Lock()
-			if r.Session == m.session && (o.Token >= m.token || m.fleet.IgnoreTokens) && !m.removed {
-				if o.Token > m.token {
-					m.token = o.Token
+			if r.Session == m.session && (orders.Token >= m.token || m.fleet.IgnoreTokens) && !m.removed {
+				if orders.Token > m.token {
+					m.token = orders.Token
 					m.requestReport()
 				}
 				m.lastAnswered = sent
-				m.executeCommands(o.Commands)
+				m.executeCommands(orders.Commands)
 			}
 			m.fleet.mu.Unlock()
 			select {
@@ -529,9 +544,9 @@
 			case <-m.reportSoon:
 				sleep(500 * time.Millisecond)
 			}
-		case err == nil && !late && status == 421 && to != "":
+		case err == nil && !timedOut && status == 421 && redirectTo != "":
 			for i, name := range m.fleet.Nodes {
-				if name == to {
+				if name == redirectTo {
 					node = i
 				}
 			}
@@ -543,7 +558,7 @@
 	}
 }
 
-// runTasks moves the tasks along.
+// runTasks advances the tasks through their states in fixed steps.
 func (m *Machine) runTasks(ctx context.Context) {
 	const step = 200 * time.Millisecond
 	for ctx.Err() == nil {
@@ -558,34 +573,34 @@
 			return
 		}
 		m.checkLease()
-		for id, p := range m.tasks {
-			switch p.state {
+		for id, task := range m.tasks {
+			switch task.state {
 			case protocol.TaskFetching:
-				if time.Since(p.stateSince) >= m.fleet.imageFetchTime() {
-					m.startTask(id, p)
+				if time.Since(task.stateSince) >= m.fleet.imageFetchTime() {
+					m.startTask(id, task)
 				}
 			case protocol.TaskWaiting:
-				if m.fleet.gangComplete(p) {
-					p.state, p.stateSince = protocol.TaskRunning, time.Now()
+				if m.fleet.gangComplete(task) {
+					task.state, task.stateSince = protocol.TaskRunning, time.Now()
 					m.requestReport()
 				}
 			case protocol.TaskRunning:
-				if !m.fleet.stalledJobs[p.job.ID] {
-					p.runTime += step
+				if !m.fleet.stalledJobs[task.job.ID] {
+					task.runTime += step
 				}
-				if at, ok := m.fleet.cancelledAt[p.job.ID]; ok && time.Since(at).Seconds() > m.fleet.Workers.CancelS {
+				if at, ok := m.fleet.cancelledAt[task.job.ID]; ok && time.Since(at).Seconds() > m.fleet.Workers.CancelS {
 					m.fleet.violation("ran_cancelled %s", id)
 				}
-				if p.job.Shape != protocol.Service && p.runTime >= m.fleet.taskRunTime(p) {
-					m.logTaskEnd("done", id, p, time.Now())
+				if task.job.Shape != protocol.Service && task.runTime >= m.fleet.taskRunTime(task) {
+					m.logTaskEnd("done", id, task, time.Now())
 					if !m.fleet.completedTasks[id] {
 						m.fleet.completedTasks[id] = true
-						m.fleet.finishedTasks[p.job.ID]++
-						if m.fleet.finishedTasks[p.job.ID] == p.job.Tasks {
-							m.fleet.completedAt[p.job.ID] = time.Now()
+						m.fleet.finishedTasks[task.job.ID]++
+						if m.fleet.finishedTasks[task.job.ID] == task.job.Tasks {
+							m.fleet.completedAt[task.job.ID] = time.Now()
 						}
 					}
-					p.state, p.cause = protocol.TaskExited, protocol.CauseDone
+					task.state, task.cause = protocol.TaskExited, protocol.CauseDone
 					m.requestReport()
 				}
 			}
@@ -594,43 +609,44 @@
 	}
 }
 
-// taskRunTime is how long a task runs. One that completed before exits as soon as it has its image.
-func (f *Fleet) taskRunTime(p *workerTask) time.Duration {
-	switch id := protocol.TaskID(p.job.ID, p.number); {
+// taskRunTime returns how long a task runs. A task that completed in an earlier attempt exits
+// as soon as its image is fetched.
+func (f *Fleet) taskRunTime(task *workerTask) time.Duration {
+	switch id := protocol.TaskID(task.job.ID, task.number); {
 	case f.completedTasks[id]:
 		return 0
 	case f.RunTime != nil:
-		return f.RunTime(p.job, p.number)
+		return f.RunTime(task.job, task.number)
 	}
-	return time.Duration(p.job.EstimateS * float64(time.Second))
+	return time.Duration(task.job.EstimateS * float64(time.Second))
 }
 
-// FinishedTasks is how many tasks of a job have completed.
+// FinishedTasks returns how many tasks of a job have completed.
 func (f *Fleet) FinishedTasks(job string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.finishedTasks[job]
 }
 
-// CompletedAt is when the last task of a job completed; zero: not all have.
+// CompletedAt returns when the last task of a job completed, or zero if not all have.
 func (f *Fleet) CompletedAt(job string) time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.completedAt[job]
 }
 
-// AllRunningSince is when the last task of a job began to run; zero: not all of them run.
+// AllRunningSince returns when the last task of a job began to run, or zero if not all run.
 func (f *Fleet) AllRunningSince(job string) (since time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	count := 0
 	for _, m := range f.machines {
-		for _, p := range m.tasks {
-			if p.job.ID != job || p.state != protocol.TaskRunning {
+		for _, task := range m.tasks {
+			if task.job.ID != job || task.state != protocol.TaskRunning {
 				continue
 			}
-			if count++; p.stateSince.After(since) {
-				since = p.stateSince
+			if count++; task.stateSince.After(since) {
+				since = task.stateSince
 			}
 		}
 	}
@@ -640,13 +656,15 @@
 	return since
 }
 
-// startTask is when a task counts as on its machine: the rules are checked.
-func (m *Machine) startTask(id string, p *workerTask) {
+// startTask handles the moment at which a task's image is fetched and the task starts, or,
+// of a gang, waits for the others. It checks the scheduling rules, and injects the loss of
+// the machine and the task's error. Callers hold mu.
+func (m *Machine) startTask(id string, task *workerTask) {
 	f := m.fleet
 	f.StartedTasks++
-	p.state, p.stateSince = protocol.TaskRunning, time.Now()
-	if p.job.Shape == protocol.Gang {
-		p.state = protocol.TaskWaiting
+	task.state, task.stateSince = protocol.TaskRunning, time.Now()
+	if task.job.Shape == protocol.Gang {
+		task.state = protocol.TaskWaiting
 	}
 	m.requestReport()
 	if f.OnTaskEvent != nil {
@@ -654,7 +672,7 @@
 	}
 	if first := !f.everStarted[id]; f.LosesFirstMachine != nil && first {
 		f.everStarted[id] = true
-		if lost, notice := f.LosesFirstMachine(p.job, p.number); lost {
+		if lost, notice := f.LosesFirstMachine(task.job, task.number); lost {
 			if m.interruptionAt.IsZero() {
 				m.interruptionAt = time.Now().Add(notice)
 			}
@@ -662,67 +680,67 @@
 		}
 	}
 	zones := map[string]int{m.info.Zone: 1}
-	used, cpus := p.job.GPUs, p.job.CPUs
-	for _, o := range f.machines {
-		for oid, q := range o.tasks {
-			if q == p || q.state == protocol.TaskExited || q.state == protocol.TaskFetching {
+	used, cpus := task.job.GPUs, task.job.CPUs
+	for _, host := range f.machines {
+		for otherID, other := range host.tasks {
+			if other == task || other.state == protocol.TaskExited || other.state == protocol.TaskFetching {
 				continue
 			}
-			if oid == id {
-				f.violation("ran_twice %s on %s and %s", id, o.info.ID, m.info.ID)
+			if otherID == id {
+				f.violation("ran_twice %s on %s and %s", id, host.info.ID, m.info.ID)
 			}
-			if q.job.ID == p.job.ID {
-				zones[o.info.Zone]++
+			if other.job.ID == task.job.ID {
+				zones[host.info.Zone]++
 			}
-			if q.job.Team == p.job.Team {
-				used += q.job.GPUs
-				cpus += q.job.CPUs
+			if other.job.Team == task.job.Team {
+				used += other.job.GPUs
+				cpus += other.job.CPUs
 			}
 		}
 	}
-	if t := f.Teams[p.job.Team]; t.GPUsMax > 0 && used > t.GPUsMax+1e-6 {
-		f.violation("quota %s uses %v", p.job.Team, used)
+	if t := f.Teams[task.job.Team]; t.GPUsMax > 0 && used > t.GPUsMax+1e-6 {
+		f.violation("quota %s uses %v", task.job.Team, used)
 	}
-	if t := f.Teams[p.job.Team]; t.CPUsMax > 0 && cpus > t.CPUsMax+1e-6 {
-		f.violation("quota %s uses %v CPUs", p.job.Team, cpus)
+	if t := f.Teams[task.job.Team]; t.CPUsMax > 0 && cpus > t.CPUsMax+1e-6 {
+		f.violation("quota %s uses %v CPUs", task.job.Team, cpus)
 	}
-	if p.job.OneZone && len(zones) > 1 || p.job.Spread && zones[m.info.Zone] > (p.job.Tasks+1)/2 ||
-		m.info.Spot && !p.job.Spot || p.job.Zone != "" && p.job.Zone != m.info.Zone {
+	if task.job.OneZone && len(zones) > 1 || task.job.Spread && zones[m.info.Zone] > (task.job.Tasks+1)/2 ||
+		m.info.Spot && !task.job.Spot || task.job.Zone != "" && task.job.Zone != m.info.Zone {
 		f.violation("wrong_place %s on %s", id, m.info.ID)
 	}
-	if at, ok := f.cancelledAt[p.job.ID]; ok && time.Since(at).Seconds() > f.Workers.CancelS {
+	if at, ok := f.cancelledAt[task.job.ID]; ok && time.Since(at).Seconds() > f.Workers.CancelS {
 		f.violation("ran_cancelled %s", id)
 	}
-	if f.failsEverywhere[p.job.ID] || f.TaskFails != nil && f.TaskFails(p.job, p.number, f.errorCounts[id]) {
+	if f.failsEverywhere[task.job.ID] || f.TaskFails != nil && f.TaskFails(task.job, task.number, f.errorCounts[id]) {
 		f.errorCounts[id]++
-		m.logTaskEnd("error", id, p, time.Now())
-		p.state, p.cause = protocol.TaskExited, protocol.CauseError
+		m.logTaskEnd("error", id, task, time.Now())
+		task.state, task.cause = protocol.TaskExited, protocol.CauseError
 	}
 }
 
-// gangComplete says whether all tasks of p's attempt wait or run.
-func (f *Fleet) gangComplete(p *workerTask) bool {
+// gangComplete reports whether all tasks of a gang's attempt wait or run.
+func (f *Fleet) gangComplete(task *workerTask) bool {
 	n := 0
 	for _, m := range f.machines {
-		for _, q := range m.tasks {
-			if q.job.ID == p.job.ID && q.attempt == p.attempt && (q.state == protocol.TaskWaiting || q.state == protocol.TaskRunning) {
+		for _, other := range m.tasks {
+			if other.job.ID == task.job.ID && other.attempt == task.attempt && (other.state == protocol.TaskWaiting || other.state == protocol.TaskRunning) {
 				n++
 			}
 		}
 	}
-	return n == p.job.Tasks
+	return n == task.job.Tasks
 }
 
-// hasCapacity says whether a machine has room for one more task of a job.
+// hasCapacity reports whether the machine can take one more task of a job.
 func (m *Machine) hasCapacity(job *protocol.JobSpec) bool {
 	for _, t := range m.fleet.Types {
 		if t.Name != m.info.Type {
 			continue
 		}
 		cpus, gpus, memory := t.CPUs-job.CPUs, t.GPUs-job.GPUs, t.MemoryGB-job.MemoryGB
-		for _, p := range m.tasks {
-			if p.state != protocol.TaskExited {
-				cpus, gpus, memory = cpus-p.job.CPUs, gpus-p.job.GPUs, memory-p.job.MemoryGB
+		for _, task := range m.tasks {
+			if task.state != protocol.TaskExited {
+				cpus, gpus, memory = cpus-task.job.CPUs, gpus-task.job.GPUs, memory-task.job.MemoryGB
 			}
 		}
 		return min(cpus, gpus, memory) > -1e-6
@@ -730,43 +748,43 @@
 	return true
 }
 
-// executeCommands executes commands in order.
-func (m *Machine) executeCommands(cmds []protocol.Command) {
-	for _, c := range cmds {
-		p := m.tasks[c.Task]
-		switch c.Op {
+// executeCommands executes commands in order. Callers hold mu.
+func (m *Machine) executeCommands(commands []protocol.Command) {
+	for _, command := range commands {
+		task := m.tasks[command.Task]
+		switch command.Op {
 		case protocol.OpStart:
-			id, num, _ := protocol.ParseTaskID(c.Task)
+			id, number, _ := protocol.ParseTaskID(command.Task)
 			job := m.fleet.jobs[id]
 			switch {
-			case p != nil && p.attempt == c.Attempt || job == nil:
+			case task != nil && task.attempt == command.Attempt || job == nil:
 			case m.fleet.CancelConfirmedAfterStop && !m.fleet.cancelledAt[id].IsZero():
-				m.fleet.violation("started_cancelled %s on %s", c.Task, m.info.ID)
-			case c.Attempt < m.fleet.latestAttempt[c.Task]:
-				// It was proven gone before the later attempt was decided.
-				m.fleet.violation("started_older %s attempt %d on %s after attempt %d", c.Task, c.Attempt, m.info.ID, m.fleet.latestAttempt[c.Task])
-			case p != nil && p.state != protocol.TaskExited:
-				m.fleet.violation("in_use %s on %s", c.Task, m.info.ID)
+				m.fleet.violation("started_cancelled %s on %s", command.Task, m.info.ID)
+			case command.Attempt < m.fleet.latestAttempt[command.Task]:
+				// A later attempt is placed only once the earlier one is known to be gone.
+				m.fleet.violation("started_older %s attempt %d on %s after attempt %d", command.Task, command.Attempt, m.info.ID, m.fleet.latestAttempt[command.Task])
+			case task != nil && task.state != protocol.TaskExited:
+				m.fleet.violation("in_use %s on %s", command.Task, m.info.ID)
 			case !m.hasCapacity(job):
-				m.tasks[c.Task] = &workerTask{job: job, number: num, attempt: c.Attempt, state: protocol.TaskExited, cause: protocol.CauseNoCapacity, stateSince: time.Now()}
+				m.tasks[command.Task] = &workerTask{job: job, number: number, attempt: command.Attempt, state: protocol.TaskExited, cause: protocol.CauseNoCapacity, stateSince: time.Now()}
 				m.requestReport()
 			default:
-				m.fleet.latestAttempt[c.Task] = c.Attempt
-				m.tasks[c.Task] = &workerTask{job: job, number: num, attempt: c.Attempt, state: protocol.TaskFetching, stateSince: time.Now()}
+				m.fleet.latestAttempt[command.Task] = command.Attempt
+				m.tasks[command.Task] = &workerTask{job: job, number: number, attempt: command.Attempt, state: protocol.TaskFetching, stateSince: time.Now()}
 				m.requestReport()
 			}
 		case protocol.OpStop:
-			if p != nil && p.attempt == c.Attempt && p.state != protocol.TaskExited {
-				m.logTaskEnd("end", c.Task, p, time.Now())
-				if p.state == protocol.TaskRunning {
+			if task != nil && task.attempt == command.Attempt && task.state != protocol.TaskExited {
+				m.logTaskEnd("end", command.Task, task, time.Now())
+				if task.state == protocol.TaskRunning {
 					m.fleet.StoppedTasks++
 				}
-				p.state, p.cause = protocol.TaskExited, protocol.CauseStopped
+				task.state, task.cause = protocol.TaskExited, protocol.CauseStopped
 				m.requestReport()
 			}
 		case protocol.OpForget:
-			if p != nil && p.attempt == c.Attempt && p.state == protocol.TaskExited {
-				delete(m.tasks, c.Task)
+			if task != nil && task.attempt == command.Attempt && task.state == protocol.TaskExited {
+				delete(m.tasks, command.Task)
 			}
 		}
 	}
--- a/internal/standin/place.go
+++ b/internal/standin/place.go
@@ -6,11 +6,11 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// MixedZones are the zones of a place with several types of machine.
+// MixedZones are the zones of a fleet set up by ConfigureMixedTypes.
 var MixedZones = []string{"a", "b", "c"}
 
-// ConfigureMixedTypes makes the fleet that of a place with several types of machine in three zones, of
-// which one has no large machines. Only so many of each kind are to be had.
+// ConfigureMixedTypes sets up several machine types in three zones, of which zone b has only
+// small machines, and a limited capacity of each kind.
 func (f *Fleet) ConfigureMixedTypes(boot time.Duration) {
 	f.Types = []protocol.MachineType{
 		{Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 60, FetchGBPerS: 0.5, Price: 0.18, SpotPrice: 0.06, BootS: boot.Seconds(), Zones: MixedZones},
@@ -28,7 +28,8 @@
 	}
 }
 
-// AddInitialMachines adds the machines that run there before the first controller does.
+// AddInitialMachines adds the machines that run before the first controller starts, and
+// returns how many there are.
 func (f *Fleet) AddInitialMachines() (machines int) {
 	for _, t := range f.Types {
 		for _, z := range t.Zones {
--- a/internal/standin/processor.go
+++ b/internal/standin/processor.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// SimulatedCPU is a controller's share of a core in simulated time: what is spent waits
-// for what was spent before, as threads on a busy machine do. Without it a simulated
-// controller has all the time it likes, and a start that costs too much looks free.
+// SimulatedCPU limits a controller to Cores, which may be below one, in simulated time: work
+// waits for the work before it, as threads on a busy machine do. Without it a simulated controller
+// has unlimited processor time, and a start that costs too much looks free.
 type SimulatedCPU struct {
 	Cores float64
 
 	mu        sync.Mutex
-	busyUntil time.Time // when what was spent so far is done
-	spent     time.Duration
+	busyUntil time.Time // when all work so far is done
+	total     time.Duration
 }
 
-// Spend waits until so much processor time has been had.
+// Spend waits until cost of processor time has been used after all earlier work. A nil
+// SimulatedCPU does not wait.
 func (p *SimulatedCPU) Spend(cost time.Duration) {
 	if p == nil || p.Cores <= 0 {
 		return
@@ -27,26 +28,27 @@
 		p.busyUntil = now
 	}
 	p.busyUntil = p.busyUntil.Add(time.Duration(float64(cost) / p.Cores))
-	p.spent += cost
+	p.total += cost
 	wait := p.busyUntil.Sub(now)
 	p.mu.Unlock()
 	time.Sleep(wait)
 }
 
-// Spent is the processor time had so far.
+// Spent returns the processor time used so far.
 func (p *SimulatedCPU) Spent() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.spent
+	return p.total
 }
 
-// LoadLimiter counts what goes on at a time, and per second, up to limits.
+// LoadLimiter counts operations, and limits how many are in progress and how many begin per
+// second.
 type LoadLimiter struct {
-	MaxOpen   int // at a time; 0: no limit
-	PerSecond int // with one second's worth at once; 0: no limit
+	MaxOpen   int // operations in progress at a time; 0: no limit
+	PerSecond int // operations that begin per second, with a burst of one second's worth; 0: no limit
 
 	mu         sync.Mutex
-	open       int
+	current    int
 	peak       int
 	total      int
 	refused    int
@@ -54,7 +56,7 @@
 	lastRefill time.Time
 }
 
-// TryBegin counts one more, or refuses it.
+// TryBegin begins an operation, or refuses it and returns false.
 func (g *LoadLimiter) TryBegin() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -66,25 +68,26 @@
 		g.tokens = min(float64(g.PerSecond), g.tokens+now.Sub(g.lastRefill).Seconds()*float64(g.PerSecond))
 		g.lastRefill = now
 	}
-	if g.MaxOpen > 0 && g.open >= g.MaxOpen || g.PerSecond > 0 && g.tokens < 1 {
+	if g.MaxOpen > 0 && g.current >= g.MaxOpen || g.PerSecond > 0 && g.tokens < 1 {
 		g.refused++
 		return false
 	}
 	g.tokens--
-	g.open++
+	g.current++
 	g.total++
-	g.peak = max(g.peak, g.open)
+	g.peak = max(g.peak, g.current)
 	return true
 }
 
-// End ends one.
+// End ends an operation.
 func (g *LoadLimiter) End() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.open--
+	g.current--
 }
 
-// Counts are how many there were, the most at a time, and how many were refused.
+// Counts returns how many operations began, the most that were in progress at a time, and
+// how many were refused.
 func (g *LoadLimiter) Counts() (total, peak, refused int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -11,18 +11,18 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-// State is a small consistent store with leases and watches. It implements
-// storage.Service.
+// State is a small consistent key-value store with leases and watches, in memory. It
+// implements storage.Service.
 type State struct {
 	mu           sync.Mutex
 	revision     uint64
 	items        map[string]storage.Item
-	leaseByKey   map[string]uint64
+	leaseByKey   map[string]uint64 // lease ID of each key that is bound to a lease
 	leases       map[uint64]*lease
 	lastLeaseID  uint64
-	history      []storage.Item
-	changeCount  int // puts and deletions so far
-	changeSignal chan struct{}
+	history      []storage.Item // all changes, oldest first; a deletion has no Value
+	changeCount  int            // puts and deletions so far
+	changeSignal chan struct{}  // closed at the next change
 }
 
 type lease struct {
@@ -30,42 +30,43 @@
 	expiresAt time.Time
 }
 
-// NewState makes an empty store.
+// NewState returns an empty store.
 func NewState() *State {
 	return &State{items: map[string]storage.Item{}, leaseByKey: map[string]uint64{}, leases: map[uint64]*lease{}, changeSignal: make(chan struct{})}
 }
 
-// expireLeases ends leases whose time has come. Callers hold mu.
+// expireLeases removes expired leases and deletes the keys bound to them. Callers hold mu.
 func (s *State) expireLeases() {
 	now := time.Now()
 	for id, l := range s.leases {
 		if now.After(l.expiresAt) {
 			delete(s.leases, id)
-			var gone []storage.Write
-			for k, of := range s.leaseByKey {
-				if of == id {
-					gone = append(gone, storage.Write{Delete: k})
+			var deletions []storage.Write
+			for k, leaseID := range s.leaseByKey {
+				if leaseID == id {
+					deletions = append(deletions, storage.Write{Delete: k})
 				}
 			}
-			if len(gone) > 0 {
-				s.applyWrites(gone)
+			if len(deletions) > 0 {
+				s.applyWrites(deletions)
 			}
 		}
 	}
 }
 
+// applyWrites applies writes in one revision and wakes watches. Callers hold mu.
 func (s *State) applyWrites(writes []storage.Write) {
 	s.revision++
 	s.changeCount += len(writes)
 	for _, w := range writes {
 		if w.Put != "" {
-			it := storage.Item{Key: w.Put, Value: w.Value, Revision: s.revision}
-			s.items[w.Put] = it
+			item := storage.Item{Key: w.Put, Value: w.Value, Revision: s.revision}
+			s.items[w.Put] = item
 			delete(s.leaseByKey, w.Put)
 			if w.Lease != 0 {
 				s.leaseByKey[w.Put] = w.Lease
 			}
-			s.history = append(s.history, it)
+			s.history = append(s.history, item)
 		} else if _, ok := s.items[w.Delete]; ok {
 			delete(s.items, w.Delete)
 			delete(s.leaseByKey, w.Delete)
@@ -76,33 +77,35 @@
 	s.changeSignal = make(chan struct{})
 }
 
-// Get reads a key; a missing one has no Value and the store's revision.
+// Get reads a key. A missing key is returned without a Value and with the store's revision.
 func (s *State) Get(_ context.Context, key string) (storage.Item, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expireLeases()
-	if it, ok := s.items[key]; ok {
-		return it, nil
+	if item, ok := s.items[key]; ok {
+		return item, nil
 	}
 	return storage.Item{Key: key, Revision: s.revision}, nil
 }
 
-// List reads all keys with a prefix.
+// List reads all keys with a prefix, and returns the store's revision.
 func (s *State) List(_ context.Context, prefix string) ([]storage.Item, uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expireLeases()
 	var out []storage.Item
-	for k, it := range s.items {
+	for k, item := range s.items {
 		if strings.HasPrefix(k, prefix) {
-			out = append(out, it)
+			out = append(out, item)
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Key < out[j].Key })
 	return out, s.revision, nil
 }
 
-// Txn compares and writes.
+// Txn applies all writes if each condition's key has the expected revision, and no writes
+// otherwise. It returns whether it applied them, the store's revision and the keys whose
+// conditions failed.
 func (s *State) Txn(_ context.Context, conds []storage.Cond, writes []storage.Write) (bool, uint64, []string, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,16 +130,16 @@
 	return true, s.revision, nil, nil
 }
 
-// Grant opens a lease.
-func (s *State) Grant(_ context.Context, life time.Duration) (uint64, error) {
+// Grant creates a lease and returns its ID.
+func (s *State) Grant(_ context.Context, ttl time.Duration) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastLeaseID++
-	s.leases[s.lastLeaseID] = &lease{life, time.Now().Add(life)}
+	s.leases[s.lastLeaseID] = &lease{ttl, time.Now().Add(ttl)}
 	return s.lastLeaseID, nil
 }
 
-// Renew extends a lease.
+// Renew extends a lease by its full duration from now.
 func (s *State) Renew(_ context.Context, id uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -149,7 +152,7 @@
 	return nil
 }
 
-// Release ends a lease at once.
+// Release ends a lease at once and deletes the keys bound to it.
 func (s *State) Release(_ context.Context, id uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -160,7 +163,8 @@
 	return nil
 }
 
-// RenewAllLeases gives all leases their full time back, as after an outage.
+// RenewAllLeases extends all leases by their full duration, as the state service does after
+// an outage.
 func (s *State) RenewAllLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -169,41 +173,42 @@
 	}
 }
 
-// Watch waits for changes under a prefix after a revision.
+// Watch waits up to hold for changes under a prefix after the revision since, and returns
+// them with the store's revision.
 func (s *State) Watch(ctx context.Context, prefix string, since uint64, hold time.Duration) ([]storage.Item, uint64, error) {
-	end := time.Now().Add(hold)
+	deadline := time.Now().Add(hold)
 	for {
 		s.mu.Lock()
 		s.expireLeases()
 		var out []storage.Item
-		for _, it := range s.history {
-			if it.Revision > since && strings.HasPrefix(it.Key, prefix) {
-				out = append(out, it)
+		for _, item := range s.history {
+			if item.Revision > since && strings.HasPrefix(item.Key, prefix) {
+				out = append(out, item)
 			}
 		}
 		rev, changed := s.revision, s.changeSignal
 		s.mu.Unlock()
-		left := time.Until(end)
-		if len(out) > 0 || left <= 0 {
+		remaining := time.Until(deadline)
+		if len(out) > 0 || remaining <= 0 {
 			return out, rev, nil
 		}
 		select {
 		case <-changed:
-		case <-time.After(min(left, time.Second)): // leases end without a call
+		case <-time.After(min(remaining, time.Second)): // leases expire without a call, so check again
 		case <-ctx.Done():
 			return nil, since, ctx.Err()
 		}
 	}
 }
 
-// ChangeCount is how many puts and deletions there were.
+// ChangeCount returns how many puts and deletions were made so far.
 func (s *State) ChangeCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changeCount
 }
 
-// Put writes one value, for tests and tools.
+// Put writes one value as JSON without conditions, for tests and tools.
 func (s *State) Put(key string, v any) {
 	b, err := json.Marshal(v)
 	if err != nil {
--- a/internal/standin/view.go
+++ b/internal/standin/view.go
@@ -8,7 +8,7 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// TaskView is one task in a worker's list at a moment.
+// TaskView is a copy of one task in a worker's list.
 type TaskView struct {
 	Job     *protocol.JobSpec
 	Number  int
@@ -17,32 +17,32 @@
 	Cause   string
 }
 
-// Occupies says whether the task takes room on its machine.
+// Occupies reports whether the task takes resources on its machine.
 func (t *TaskView) Occupies() bool { return t.State != protocol.TaskExited }
 
-// MachineView is one machine and what its worker holds at a moment.
+// MachineView is a copy of one machine and its worker's state.
 type MachineView struct {
 	Name               string
 	Type               *protocol.MachineType
 	Zone               string
 	Spot               bool
-	Booted             bool // it has booted
-	InterruptionNotice bool // the cloud takes it back
+	Booted             bool // has finished booting
+	InterruptionNotice bool // the cloud has announced that it takes the machine back
 	Token              uint64
 	Tasks              []TaskView
 }
 
-// View is the fleet as it really is at a moment, whatever the controllers know of it.
+// View is a snapshot of the fleet's actual state, independent of what controllers know.
 type View struct {
 	Machines []MachineView // by name
-	// UnfinishedTasks are the tasks of each job that have never completed, for all jobs that
-	// were submitted.
+	// UnfinishedTasks is the number of tasks that have never completed, by job, for all
+	// jobs that were submitted.
 	UnfinishedTasks map[string]int
-	// FailsEverywhere are the jobs that fail on every machine.
+	// FailsEverywhere contains the jobs that fail on every machine.
 	FailsEverywhere map[string]bool
 }
 
-// View is how the fleet is now.
+// View returns a snapshot of the fleet.
 func (f *Fleet) View() *View {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -66,8 +66,8 @@
 			out.Type = &m.fleet.Types[i]
 		}
 	}
-	for _, p := range m.tasks {
-		out.Tasks = append(out.Tasks, TaskView{Job: p.job, Number: p.number, Attempt: p.attempt, State: p.state, Cause: p.cause})
+	for _, task := range m.tasks {
+		out.Tasks = append(out.Tasks, TaskView{Job: task.job, Number: task.number, Attempt: task.attempt, State: task.state, Cause: task.cause})
 	}
 	slices.SortFunc(out.Tasks, func(a, b TaskView) int {
 		return cmp.Or(strings.Compare(a.Job.ID, b.Job.ID), a.Number-b.Number)
@@ -75,7 +75,8 @@
 	return out
 }
 
-// GPUsUsed is how many GPUs the tasks of a team take, those that still fetch included.
+// GPUsUsed returns how many GPUs the tasks of a team take, including tasks that still fetch
+// their image.
 func (v *View) GPUsUsed(team string) float64 {
 	used := 0.0
 	for _, m := range v.Machines {
@@ -88,7 +89,7 @@
 	return used
 }
 
-// Submissions are all jobs that users have submitted, by name.
+// Submissions returns all jobs that users have submitted, ordered by id.
 func (f *Fleet) Submissions() []*protocol.JobSpec {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -100,7 +101,7 @@
 	return out
 }
 
-// OccupyingTasks is how many tasks of a job take room on machines.
+// OccupyingTasks returns how many tasks of a job take resources on machines.
 func (v *View) OccupyingTasks(job string) int {
 	tasks := 0
 	for _, m := range v.Machines {
@@ -113,15 +114,15 @@
 	return tasks
 }
 
-// RefusedStarts is how many direct commands with starts were refused so far, since their token was
-// lower than one that the worker had seen.
+// RefusedStarts returns how many direct commands with starts were refused so far because
+// their fencing token was lower than one that the worker had seen.
 func (f *Fleet) RefusedStarts() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.refusedStarts
 }
 
-// countRefusedStarts counts a direct command that is refused.
+// countRefusedStarts counts a refused direct command if it has starts and its token is too low.
 func (m *Machine) countRefusedStarts(o protocol.Orders) {
 	starts := slices.ContainsFunc(o.Commands, func(c protocol.Command) bool { return c.Op == protocol.OpStart })
 	if o.Token < m.token && starts {
