--- a/cmd/dapplestage/admin.go
+++ b/cmd/dapplestage/admin.go
@@ -16,10 +16,11 @@
 	"dapplestage.example/dapplestage/internal/transport"
 )
 
-// adminTimeout is how long an operator waits for a node.
+// adminTimeout bounds one request of a command to a node.
 const adminTimeout = 5 * time.Second
 
-// callNode makes one request to a node's administration API.
+// callNode makes one request to a node's HTTP API and decodes the answer into into. Any status
+// but 200 is an error.
 func callNode(ctx context.Context, addr, method, path string, body any, into any) error {
 	var data []byte
 	if body != nil {
@@ -28,37 +29,37 @@
 			return err
 		}
 	}
-	a, err := transport.NewClient(addr, 0).Call(ctx, adminTimeout, method, path, data)
+	answer, err := transport.NewClient(addr, 0).Call(ctx, adminTimeout, method, path, data)
 	if err != nil {
 		return fmt.Errorf("%s does not answer: %v", addr, err)
 	}
-	if a.Status != 200 {
-		var e struct {
+	if answer.Status != 200 {
+		var failure struct {
 			Error string `json:"error"`
 		}
-		json.Unmarshal(a.Body, &e)
-		return fmt.Errorf("%s answers %d %s", addr, a.Status, e.Error)
+		json.Unmarshal(answer.Body, &failure)
+		return fmt.Errorf("%s answers %d %s", addr, answer.Status, failure.Error)
 	}
-	return json.Unmarshal(a.Body, into)
+	return json.Unmarshal(answer.Body, into)
 }
 
-// adminCommands are the operators' subcommands.
+// adminCommands returns the operators' subcommands status, settings and set.
 func adminCommands() []*cobra.Command {
 	var addr string
 	var asJSON bool
-	flags := func(c *cobra.Command) *cobra.Command {
+	withFlags := func(c *cobra.Command) *cobra.Command {
 		c.Flags().StringVar(&addr, "addr", "", "a node's api_addr, as IP:PORT")
 		c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
-		pre := c.RunE
+		run := c.RunE
 		c.RunE = func(cmd *cobra.Command, args []string) error {
 			if addr == "" {
 				return printError(fmt.Errorf("%w: --addr IP:PORT is needed", errUsage))
 			}
-			return printError(pre(cmd, args))
+			return printError(run(cmd, args))
 		}
 		return c
 	}
-	status := flags(&cobra.Command{Use: "status --addr IP:PORT", Short: "Show what runs, what does not, and why", Args: checkArgs(cobra.NoArgs),
+	status := withFlags(&cobra.Command{Use: "status --addr IP:PORT", Short: "Show what runs, what does not, and why", Args: checkArgs(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var s node.Status
 			if err := callNode(cmd.Context(), addr, "GET", "/admin/status", nil, &s); err != nil {
@@ -70,9 +71,9 @@
 			printStatus(cmd.OutOrStdout(), s)
 			return nil
 		}})
-	settings := flags(&cobra.Command{Use: "settings --addr IP:PORT", Short: "Show the operators' settings", Args: checkArgs(cobra.NoArgs),
+	settings := withFlags(&cobra.Command{Use: "settings --addr IP:PORT", Short: "Show the operators' settings", Args: checkArgs(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error { return showSettings(cmd, addr, asJSON, "GET", "", nil) }})
-	set := flags(&cobra.Command{Use: "set NAME VALUE --addr IP:PORT", Short: "Change one of the operators' settings", Args: checkArgs(cobra.ExactArgs(2)),
+	set := withFlags(&cobra.Command{Use: "set NAME VALUE --addr IP:PORT", Short: "Change one of the operators' settings", Args: checkArgs(cobra.ExactArgs(2)),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var v node.SettingsView
 			if err := callNode(cmd.Context(), addr, "GET", "/admin/settings", nil, &v); err != nil {
@@ -80,7 +81,7 @@
 			}
 			value := json.RawMessage(args[1])
 			if !json.Valid(value) {
-				value, _ = json.Marshal(args[1]) // a bare word
+				value, _ = json.Marshal(args[1]) // a bare word is a JSON string without quotes
 			}
 			if args[0] == "held_back" && !strings.HasPrefix(args[1], "[") {
 				names := strings.FieldsFunc(args[1], func(r rune) bool { return r == ',' })
@@ -91,6 +92,8 @@
 	return []*cobra.Command{status, settings, set}
 }
 
+// showSettings makes a request on the settings, to read or to change them, and prints the
+// settings that the node answers with.
 func showSettings(cmd *cobra.Command, addr string, asJSON bool, method, path string, body any) error {
 	if strings.ContainsAny(path[min(1, len(path)):], "/?# ") {
 		return errors.New("no such setting")
@@ -115,33 +118,35 @@
 	return err
 }
 
-func printJSON(w io.Writer, v any) error {
+// printJSON prints a value as indented JSON.
+func printJSON(w io.Writer, value any) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
-	return e.Encode(v)
+	return e.Encode(value)
 }
 
-func printStatus(out io.Writer, s node.Status) {
-	fmt.Fprintf(out, "%s, version %s: %d unfinished jobs; the state service answered %.1f s ago\n", s.Node, s.Version, s.Jobs, s.StateAgeS)
+// printStatus prints a node's partitions, teams and stuck jobs as tables.
+func printStatus(out io.Writer, status node.Status) {
+	fmt.Fprintf(out, "%s, version %s: %d unfinished jobs; the state service answered %.1f s ago\n", status.Node, status.Version, status.Jobs, status.StateAgeS)
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	defer w.Flush()
 	fmt.Fprintln(w, "\nSHARE\tHOLDER\tMACHINES\tEMPTY\tFREE GPUS\tSILENT\tPHASE\tUNHEARD")
-	for _, x := range s.Shares {
-		fmt.Fprintf(w, "%d\t%s\t%d\t%d\t%g\t%d\t%s\t%d\n", x.Share, x.Holder, x.Machines, x.Empty, x.FreeGPUs, x.Silent, x.Phase, x.Unheard)
+	for _, partition := range status.Shares {
+		fmt.Fprintf(w, "%d\t%s\t%d\t%d\t%g\t%d\t%s\t%d\n", partition.Share, partition.Holder, partition.Machines, partition.Empty, partition.FreeGPUs, partition.Silent, partition.Phase, partition.Unheard)
 	}
 	fmt.Fprintln(w, "\nTEAM\tSHARE\tJOBS\tWAITING\tPLACED\tGPUS\tMOST")
-	for _, x := range s.Teams {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%g\t%g\n", x.Team, x.Share, x.Jobs, x.Waiting, x.Running, x.GPUs, x.MaxGPUs)
+	for _, team := range status.Teams {
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%g\t%g\n", team.Team, team.Share, team.Jobs, team.Waiting, team.Running, team.GPUs, team.MaxGPUs)
 	}
-	if len(s.Stuck) == 0 {
+	if len(status.Stuck) == 0 {
 		fmt.Fprintln(w, "\nnothing is stuck")
 		return
 	}
 	fmt.Fprintln(w, "\nSTUCK JOB\tTEAM\tCLASS\tWAITING\tSTARTING\tSINCE\tWHY")
-	for _, x := range s.Stuck {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%.0f s\t%s\n", x.Job, x.Team, x.Class, x.Waiting, x.Starting, x.SinceS, x.Why)
+	for _, job := range status.Stuck {
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%.0f s\t%s\n", job.Job, job.Team, job.Class, job.Waiting, job.Starting, job.SinceS, job.Why)
 	}
-	if s.StuckMore > 0 {
-		fmt.Fprintf(w, "and %d more\n", s.StuckMore)
+	if status.StuckMore > 0 {
+		fmt.Fprintf(w, "and %d more\n", status.StuckMore)
 	}
 }
--- a/cmd/dapplestage/console_test.go
+++ b/cmd/dapplestage/console_test.go
@@ -20,7 +20,8 @@
 	"dapplestage.example/dapplestage/internal/coordination/ledger"
 )
 
-// The test's own program is the command line when it is told so.
+// The tests run the test binary itself as the dapplestage command, which RUN_AS_DAPPLESTAGE
+// selects.
 func TestMain(m *testing.M) {
 	if os.Getenv("RUN_AS_DAPPLESTAGE") != "" {
 		main()
@@ -29,11 +30,12 @@
 	os.Exit(m.Run())
 }
 
-// newFakeController answers as a controller's account does.
+// newFakeController serves a controller's account API with the given number of rows. It also
+// returns the set of paths that were requested.
 func newFakeController(t *testing.T, rows int) (*httptest.Server, *sync.Map) {
-	asked := &sync.Map{}
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked.Store(r.URL.Path, true)
+	requestedPaths := &sync.Map{}
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		requestedPaths.Store(r.URL.Path, true)
 		switch {
 		case r.URL.Path == "/admin/samples":
 			io.WriteString(w, `{"samples":[{"t":0,"r":3},{"t":60000,"r":5}]}`)
@@ -56,15 +58,15 @@
 			json.NewEncoder(w).Encode(p)
 		}
 	}))
-	t.Cleanup(s.Close)
-	return s, asked
+	t.Cleanup(server.Close)
+	return server, requestedPaths
 }
 
-// The console in a terminal of 80 columns and 24 lines: it shows what is stuck, opens a
-// job, says so when its node dies, and gives the terminal back.
+// Runs the console in a terminal of 80 columns and 24 lines: it must list stuck jobs, open a
+// job, show that data is unknown after its controller dies, and exit on q.
 func TestConsoleInATerminal(t *testing.T) {
-	s, _ := newFakeController(t, 40)
-	cmd := exec.Command(os.Args[0], "console", "--addr", strings.TrimPrefix(s.URL, "http://"))
+	server, _ := newFakeController(t, 40)
+	cmd := exec.Command(os.Args[0], "console", "--addr", strings.TrimPrefix(server.URL, "http://"))
 	cmd.Env = append(os.Environ(), "RUN_AS_DAPPLESTAGE=1", "TERM=xterm", "NO_COLOR=1")
 	tty, err := pty.StartWithSize(cmd, &pty.Winsize{Rows: 24, Cols: 80})
 	if err != nil {
@@ -72,13 +74,13 @@
 	}
 	defer func() { cmd.Process.Kill(); cmd.Wait(); tty.Close() }()
 	var mu sync.Mutex
-	var all strings.Builder
+	var screen strings.Builder
 	go func() {
 		buf := make([]byte, 4096)
 		for {
 			n, err := tty.Read(buf)
 			mu.Lock()
-			all.Write(buf[:n])
+			screen.Write(buf[:n])
 			mu.Unlock()
 			if err != nil {
 				return
@@ -86,11 +88,11 @@
 		}
 	}()
 	escapes := regexp.MustCompile("\x1b\\[[0-9;?]*[a-zA-Z]")
-	shows := func(want string) {
+	waitFor := func(want string) {
 		t.Helper()
 		for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 			mu.Lock()
-			text := escapes.ReplaceAllString(all.String(), "")
+			text := escapes.ReplaceAllString(screen.String(), "")
 			mu.Unlock()
 			if strings.Contains(text, want) {
 				return
@@ -98,21 +100,21 @@
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		t.Fatalf("%q is not shown in\n%s", want, escapes.ReplaceAllString(all.String(), ""))
+		t.Fatalf("%q is not on the screen:\n%s", want, escapes.ReplaceAllString(screen.String(), ""))
 	}
-	shows("<- look")
+	waitFor("<- look")
 	tty.Write([]byte("s"))
-	shows("state=stuck")
-	shows("a task runs for 90 s")
+	waitFor("state=stuck")
+	waitFor("a task runs for 90 s")
 	tty.Write([]byte("\r"))
-	shows("because: team limit")
-	shows("until:   1 more cards")
-	s.CloseClientConnections()
-	s.Close()
-	shows("NOT KNOWN since")
+	waitFor("because: team limit")
+	waitFor("until:   1 more cards")
+	server.CloseClientConnections()
+	server.Close()
+	waitFor("NOT KNOWN since")
 	mu.Lock()
-	if colours := regexp.MustCompile("\x1b\\[[0-9;]*m").FindString(all.String()); colours != "" && colours != "\x1b[0m" && colours != "\x1b[m" {
-		t.Errorf("colour %q though none is wanted", colours)
+	if colours := regexp.MustCompile("\x1b\\[[0-9;]*m").FindString(screen.String()); colours != "" && colours != "\x1b[0m" && colours != "\x1b[m" {
+		t.Errorf("colour %q in the output although NO_COLOR is set", colours)
 	}
 	mu.Unlock()
 	tty.Write([]byte("q"))
@@ -121,15 +123,16 @@
 	select {
 	case <-done:
 	case <-time.After(30 * time.Second):
-		t.Error("q does not end it")
+		t.Error("the console does not exit on q")
 	}
 }
 
-// The commands as people run them: exit codes, files, and an earlier file kept when the
-// new one can't be written whole.
+// Runs report, account, console and why as processes and checks exit codes, output and files:
+// wrong arguments exit with 2, unreachable sites are reported as not known, and no temporary
+// file is left behind.
 func TestReportCommands(t *testing.T) {
-	s, _ := newFakeController(t, 250)
-	addr := strings.TrimPrefix(s.URL, "http://")
+	server, _ := newFakeController(t, 250)
+	addr := strings.TrimPrefix(server.URL, "http://")
 	dir := t.TempDir()
 	run := func(args ...string) (string, int) {
 		cmd := exec.Command(os.Args[0], args...)
@@ -140,22 +143,22 @@
 		}
 		return string(out), cmd.ProcessState.ExitCode()
 	}
-	html, old := filepath.Join(dir, "r.html"), filepath.Join(dir, "a.json")
-	event, typo := filepath.Join(dir, "event"), filepath.Join(dir, "typo")
-	os.WriteFile(event, []byte("job-000003\n\njob-000249\njob-777777\njob-000003\njob-999999\n"), 0o644)
-	os.WriteFile(typo, []byte("job-000003\nwaltz\n"), 0o644)
+	html, earlier := filepath.Join(dir, "r.html"), filepath.Join(dir, "a.json")
+	jobList, invalidList := filepath.Join(dir, "event"), filepath.Join(dir, "typo")
+	os.WriteFile(jobList, []byte("job-000003\n\njob-000249\njob-777777\njob-000003\njob-999999\n"), 0o644)
+	os.WriteFile(invalidList, []byte("job-000003\nwaltz\n"), 0o644)
 	for _, c := range []struct {
 		args []string
 		code int
 		want string
 	}{
-		{[]string{"report", "--csv", "--jobs", event, "--addr", addr}, 0, "job-000003,"},
-		{[]string{"report", "--csv", "--jobs", event, "--addr", addr}, 0, "job-777777,,,,,,done,ended before"},
-		{[]string{"report", "--jobs", event, "--addr", addr}, 0, "job-999999: " + addr + " answers 404"},
-		{[]string{"report", "--jobs", typo, "--addr", addr}, 2, "line 2: \"waltz\" is not the id of a job"},
+		{[]string{"report", "--csv", "--jobs", jobList, "--addr", addr}, 0, "job-000003,"},
+		{[]string{"report", "--csv", "--jobs", jobList, "--addr", addr}, 0, "job-777777,,,,,,done,ended before"},
+		{[]string{"report", "--jobs", jobList, "--addr", addr}, 0, "job-999999: " + addr + " answers 404"},
+		{[]string{"report", "--jobs", invalidList, "--addr", addr}, 2, "line 2: \"waltz\" is not the id of a job"},
 		{[]string{"report", "-o", html, "--addr", "127.0.0.1:1," + addr}, 0, ""},
-		{[]string{"report", "--json", "-o", old, "--addr", addr}, 0, ""},
-		{[]string{"report", "--compare", old, "--addr", addr}, 0, "0 jobs differ"},
+		{[]string{"report", "--json", "-o", earlier, "--addr", addr}, 0, ""},
+		{[]string{"report", "--compare", earlier, "--addr", addr}, 0, "0 jobs differ"},
 		{[]string{"report", "--csv", "--addr", addr}, 0, "job-000249,"},
 		{[]string{"account", "--since", "10m", "--addr", addr}, 0, "250   125"},
 		{[]string{"report", "--addr", "127.0.0.1:1"}, 1, "does not answer"},
@@ -179,6 +182,6 @@
 		t.Errorf("%v, %d bytes", err, len(page))
 	}
 	if left, _ := filepath.Glob(filepath.Join(dir, ".report-*")); len(left) > 0 {
-		t.Errorf("left behind: %v", left)
+		t.Errorf("temporary files left behind: %v", left)
 	}
 }
--- a/cmd/dapplestage/gateway.go
+++ b/cmd/dapplestage/gateway.go
@@ -27,7 +27,8 @@
 	"dapplestage.example/dapplestage/internal/transport/rpc"
 )
 
-// gatewayCommand runs and operates the members of a gateway.
+// gatewayCommand returns `dapplestage gateway`, which runs a member of a gateway, with the
+// subcommands for operators.
 func gatewayCommand() *cobra.Command {
 	var config string
 	run := &cobra.Command{
@@ -36,204 +37,211 @@
 			if config == "" {
 				return printError(fmt.Errorf("%w: --config FILE is needed", errUsage))
 			}
-			s, site, err := wire.ReadSettings(config)
+			settings, siteSettings, err := wire.ReadSettings(config)
 			if err != nil {
 				return printError(err)
 			}
-			return printError(serveMember(s, site))
+			return printError(serveMember(settings, siteSettings))
 		},
 	}
 	run.Flags().StringVar(&config, "config", "", "the member's file, see docs/gateway-operations.md")
 	check := &cobra.Command{Use: "check FILE", Short: "Check a member's file and its keys", Args: checkArgs(cobra.ExactArgs(1)),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			s, _, err := wire.ReadSettings(args[0])
+			settings, _, err := wire.ReadSettings(args[0])
 			if err != nil {
 				return printError(err)
 			}
-			ring, err := keys.Open(keyFiles(s), s.Member, time.Now)
+			keyring, err := keys.Open(keyFiles(settings), settings.Member, time.Now)
 			if err != nil {
 				return printError(err)
 			}
-			left, err := ring.RemainingValidity()
+			remaining, err := keyring.RemainingValidity()
 			if err != nil {
 				return printError(err)
 			}
-			c := memberConfig(s)
+			cfg := memberConfig(settings)
 			fmt.Fprintf(cmd.OutOrStdout(), "fine; a lost site's jobs are handed over within %.1f s; the certificate is valid for %d days\n",
-				gateway.HandoffBound(c).Seconds(), int(left.Hours()/24))
+				gateway.HandoffBound(cfg).Seconds(), int(remaining.Hours()/24))
 			return nil
 		}}
-	run.AddCommand(append(gatewayAdmin(), check)...)
+	run.AddCommand(append(gatewayAdminCommands(), check)...)
 	return run
 }
 
-func keyFiles(s *wire.Settings) keys.Files {
-	f := keys.Files{Member: s.ResolvePath(s.Keys.Member), Authority: s.ResolvePath(s.Keys.Authority), Revoked: s.ResolvePath(s.Keys.Revoked)}
-	if s.Keys.Dir != "" {
-		in := keys.FilesIn(s.ResolvePath(s.Keys.Dir), s.Member)
-		for _, p := range []struct{ to, from *string }{{&f.Member, &in.Member}, {&f.Authority, &in.Authority}, {&f.Revoked, &in.Revoked}} {
-			if *p.to == "" {
-				*p.to = *p.from
+// keyFiles returns the paths of a member's key files. A path that the settings leave out is
+// the default one in the directory of keys.
+func keyFiles(settings *wire.Settings) keys.Files {
+	files := keys.Files{Member: settings.ResolvePath(settings.Keys.Member), Authority: settings.ResolvePath(settings.Keys.Authority), Revoked: settings.ResolvePath(settings.Keys.Revoked)}
+	if settings.Keys.Dir != "" {
+		defaults := keys.FilesIn(settings.ResolvePath(settings.Keys.Dir), settings.Member)
+		for _, path := range []struct{ to, from *string }{{&files.Member, &defaults.Member}, {&files.Authority, &defaults.Authority}, {&files.Revoked, &defaults.Revoked}} {
+			if *path.to == "" {
+				*path.to = *path.from
 			}
 		}
 	}
-	return f
+	return files
 }
 
-func memberConfig(s *wire.Settings) gateway.Config {
-	second := func(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
-	c := gateway.Config{LeaseTime: second(s.LeaseS), StopTime: gateway.StopBound(second(s.ControllerLeaseS), second(s.MaxWorkerLeaseS)), MaxInFlight: s.MaxInFlight,
-		Route: gateway.RouteConfig{JobsPerSecond: s.Route.PerSecond, RampS: s.Route.RampS, HintMaxAgeS: s.Route.StaleS, MaxOpenPerSite: s.Route.Open, MoveAfterS: s.Route.MoveAfterS}}
-	for i, m := range s.Members {
-		c.Members = append(c.Members, gateway.Member{Name: m.Name, Site: m.Site})
-		if m.Name == s.Member {
-			c.Self = i
+// memberConfig converts a member's settings to the gateway's configuration.
+func memberConfig(settings *wire.Settings) gateway.Config {
+	seconds := func(value float64) time.Duration { return time.Duration(value * float64(time.Second)) }
+	cfg := gateway.Config{LeaseTime: seconds(settings.LeaseS), StopTime: gateway.StopBound(seconds(settings.ControllerLeaseS), seconds(settings.MaxWorkerLeaseS)), MaxInFlight: settings.MaxInFlight,
+		Route: gateway.RouteConfig{JobsPerSecond: settings.Route.PerSecond, RampS: settings.Route.RampS, HintMaxAgeS: settings.Route.StaleS, MaxOpenPerSite: settings.Route.Open, MoveAfterS: settings.Route.MoveAfterS}}
+	for i, m := range settings.Members {
+		cfg.Members = append(cfg.Members, gateway.Member{Name: m.Name, Site: m.Site})
+		if m.Name == settings.Member {
+			cfg.Self = i
 		}
 	}
-	return c
+	return cfg
 }
 
-// member is a member of a gateway as it runs.
+// member is the connection of a running gateway member to the other members.
 type member struct {
-	ring     *keys.Keyring
-	peers    []*rpc.Peer    // by number
-	numbers  map[string]int // of the members, by name
-	checksum uint64         // of what all members must agree on
-	log      *slog.Logger
+	keyring     *keys.Keyring
+	peers       []*rpc.Peer    // by member index
+	indexByName map[string]int // member index by name
+	checksum    uint64         // of the settings that must be equal on all members
+	log         *slog.Logger
 }
 
-// stored is what a member has in its store, and what it is to be run with.
-type stored struct {
-	store  gateway.Store
-	items  []wire.Item
-	start  uint32       // higher with each start of the member
-	caller gateway.Site // calls the site's controllers; nil at a gateway
-	local  net.Listener // where the site's controllers ask for the lease; nil at a gateway
-	close  func()
+// memberState is a member's open store with the contents read at the start, and, on a site,
+// its connections to the site's controllers.
+type memberState struct {
+	store         gateway.Store
+	items         []wire.Item
+	startNumber   uint32       // increases with each start of the member
+	siteCaller    gateway.Site // calls the site's controllers; nil at a gateway
+	leaseListener net.Listener // serves the lease to the site's controllers; nil at a gateway
+	close         func()
 }
 
-// serveMember runs a member until it is told to stop.
-func serveMember(s *wire.Settings, site *protocol.Settings) error {
-	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: logLevel()})).With("member", s.Member)
+// serveMember runs a member until a signal stops it or one of its servers fails.
+func serveMember(settings *wire.Settings, siteSettings *protocol.Settings) error {
+	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: logLevel()})).With("member", settings.Member)
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	ctx, fail := context.WithCancelCause(ctx)
-	defer fail(nil)
-	ring, err := keys.Open(keyFiles(s), s.Member, time.Now)
+	ctx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	keyring, err := keys.Open(keyFiles(settings), settings.Member, time.Now)
 	if err != nil {
 		return err
 	}
-	// What others connect to is opened first: a mistake shows before anything is read.
-	ln, err := net.Listen("tcp", s.Listen)
+	// Open the addresses first, so that an error in them is reported before the store is read.
+	listener, err := net.Listen("tcp", settings.Listen)
 	if err != nil {
 		return err
 	}
-	api, err := net.Listen("tcp", s.API)
+	api, err := net.Listen("tcp", settings.API)
 	if err != nil {
 		return err
 	}
-	st, err := openStored(ctx, s, site, log)
+	state, err := openMemberState(ctx, settings, siteSettings, log)
 	if err != nil {
 		return err
 	}
-	defer st.close()
-	m := newMember(s, ring, log)
-	cfg := memberConfig(s)
-	h := fnv.New64a()
-	h.Write([]byte(s.Member))
-	d := gateway.NewDaemon(ctx, cfg, st.start, st.items, st.store, m.send, st.caller, h.Sum64()^uint64(time.Now().UnixNano()), log)
-	serve := func(f func() error) {
+	defer state.close()
+	m := newMember(settings, keyring, log)
+	cfg := memberConfig(settings)
+	hash := fnv.New64a()
+	hash.Write([]byte(settings.Member))
+	daemon := gateway.NewDaemon(ctx, cfg, state.startNumber, state.items, state.store, m.send, state.siteCaller, hash.Sum64()^uint64(time.Now().UnixNano()), log)
+	serveInBackground := func(f func() error) {
 		go func() {
 			if err := f(); err != nil {
-				fail(err)
+				cancel(err)
 			}
 		}()
 	}
-	for i, other := range s.Members {
+	for i, other := range settings.Members {
 		if i != cfg.Self {
-			serve(func() error { return m.peers[i].Run(ctx, other.Addr, ring, log) })
+			serveInBackground(func() error { return m.peers[i].Run(ctx, other.Addr, keyring, log) })
 		}
 	}
-	serve(func() error { return m.receive(ctx, ln, cfg.Self, d) })
-	if st.local != nil {
-		serve(func() error {
-			return transport.Serve(ctx, st.local, d.LeaseHandler(time.Duration(s.ControllerLeaseS*float64(time.Second))))
+	serveInBackground(func() error { return m.receive(ctx, listener, cfg.Self, daemon) })
+	if state.leaseListener != nil {
+		serveInBackground(func() error {
+			return transport.Serve(ctx, state.leaseListener, daemon.LeaseHandler(time.Duration(settings.ControllerLeaseS*float64(time.Second))))
 		})
 	}
-	serve(func() error { return transport.Serve(ctx, api, d.API(keyMetrics(ring, m.peers)...)) })
-	log.Info("serving", "api", s.API, "members", len(s.Members), "site", s.IsSite(), "registers", len(st.items), "start", st.start, "version", version)
-	return d.Run()
+	serveInBackground(func() error { return transport.Serve(ctx, api, daemon.API(keyMetrics(keyring, m.peers)...)) })
+	log.Info("serving", "api", settings.API, "members", len(settings.Members), "site", settings.IsSite(), "registers", len(state.items), "start", state.startNumber, "version", version)
+	return daemon.Run()
 }
 
-func newMember(s *wire.Settings, ring *keys.Keyring, log *slog.Logger) *member {
-	m := &member{ring: ring, checksum: s.Checksum(), numbers: map[string]int{}, log: log}
-	for i, other := range s.Members {
-		m.numbers[other.Name] = i
+// newMember returns a member with a peer for each member of the settings.
+func newMember(settings *wire.Settings, keyring *keys.Keyring, log *slog.Logger) *member {
+	m := &member{keyring: keyring, checksum: settings.Checksum(), indexByName: map[string]int{}, log: log}
+	for i, other := range settings.Members {
+		m.indexByName[other.Name] = i
 		m.peers = append(m.peers, rpc.NewPeer(other.Name))
 	}
 	return m
 }
 
-// send sends a message to a member.
-func (m *member) send(to int, e *wire.Envelope) {
-	e.ConfigChecksum = m.checksum
-	m.peers[to].Send(wire.Encode(e))
+// send sends a message to the member with index to.
+func (m *member) send(to int, envelope *wire.Envelope) {
+	envelope.ConfigChecksum = m.checksum
+	m.peers[to].Send(wire.Encode(envelope))
 }
 
-// receive takes messages of the other members until ctx ends.
-func (m *member) receive(ctx context.Context, ln net.Listener, self int, d *gateway.Daemon) error {
+// receive passes messages of the other members to the daemon until ctx ends. It refuses
+// messages of members whose settings differ in what all must agree on.
+func (m *member) receive(ctx context.Context, listener net.Listener, self int, daemon *gateway.Daemon) error {
 	isOther := func(name string) bool {
-		i, ok := m.numbers[name]
+		i, ok := m.indexByName[name]
 		return ok && i != self
 	}
-	return rpc.Serve(ctx, ln, m.ring, isOther, m.log, func(from string, data []byte) error {
+	return rpc.Serve(ctx, listener, m.keyring, isOther, m.log, func(from string, data []byte) error {
 		if len(data) == 0 {
 			return nil
 		}
-		e, err := wire.Decode(data)
+		envelope, err := wire.Decode(data)
 		if err != nil {
 			return err
 		}
-		if e.ConfigChecksum != m.checksum {
+		if envelope.ConfigChecksum != m.checksum {
 			return fmt.Errorf("%s has other members or times in its file", from)
 		}
-		d.Receive(m.numbers[from], e)
+		daemon.Receive(m.indexByName[from], envelope)
 		return nil
 	})
 }
 
-// openStored opens a member's store: a site's log in its state service, or a gateway's
-// journal.
-func openStored(ctx context.Context, s *wire.Settings, site *protocol.Settings, log *slog.Logger) (*stored, error) {
-	if !s.IsSite() {
-		j, items, start, err := gateway.OpenJournal(s.ResolvePath(s.Journal.Path), s.Member)
+// openMemberState opens a member's store: for a site a log in its state service, for a gateway
+// a journal on disk.
+func openMemberState(ctx context.Context, settings *wire.Settings, siteSettings *protocol.Settings, log *slog.Logger) (*memberState, error) {
+	if !settings.IsSite() {
+		journal, items, startNumber, err := gateway.OpenJournal(settings.ResolvePath(settings.Journal.Path), settings.Member)
 		if err != nil {
 			return nil, err
 		}
-		return &stored{store: gateway.JournalStore{Journal: j}, items: items, start: start, close: func() { j.Close() }}, nil
+		return &memberState{store: gateway.JournalStore{Journal: journal}, items: items, startNumber: startNumber, close: func() { journal.Close() }}, nil
 	}
-	local, err := net.Listen("tcp", s.Site.Local)
+	leaseListener, err := net.Listen("tcp", settings.Site.Local)
 	if err != nil {
 		return nil, err
 	}
-	st := &stored{local: local, caller: gateway.NewControllers(s.Site.Controllers, log), close: func() {}}
-	st.store, st.items, st.start, err = openSite(ctx, s, site, log)
-	return st, err
+	state := &memberState{leaseListener: leaseListener, siteCaller: gateway.NewControllers(settings.Site.Controllers, log), close: func() {}}
+	state.store, state.items, state.startNumber, err = openSiteLog(ctx, settings, siteSettings, log)
+	return state, err
 }
 
-// openSite takes the site's log in its state service over; it waits for the service.
-func openSite(ctx context.Context, s *wire.Settings, site *protocol.Settings, log *slog.Logger) (gateway.Store, []wire.Item, uint32, error) {
-	p := site.Params
-	svc := storage.NewStore(site.External.State, p.State, 2*p.Nodes)
-	lim := segments.Limits{ValueKB: p.State.ValueKB, TxnOps: p.State.TxnOps, ChangesPerS: s.Site.Part * p.State.WriteRPS}
+// openSiteLog takes over the site's log in its state service. While the service is not
+// reachable or refuses requests, it retries each second.
+func openSiteLog(ctx context.Context, settings *wire.Settings, siteSettings *protocol.Settings, log *slog.Logger) (gateway.Store, []wire.Item, uint32, error) {
+	params := siteSettings.Params
+	store := storage.NewStore(siteSettings.External.State, params.State, 2*params.Nodes)
+	limits := segments.Limits{ValueKB: params.State.ValueKB, TxnOps: params.State.TxnOps, ChangesPerS: settings.Site.Part * params.State.WriteRPS}
 	for {
-		l, entries, start, err := segments.Open(ctx, svc, s.Member, lim, log)
+		segmentLog, entries, startNumber, err := segments.Open(ctx, store, settings.Member, limits, log)
 		if err == nil {
 			items, err := gateway.DecodeEntries(entries)
 			if err != nil {
 				return nil, nil, 0, err
 			}
-			return gateway.SegmentStore{Log: l}, items, start, nil
+			return gateway.SegmentStore{Log: segmentLog}, items, startNumber, nil
 		}
 		if !errors.Is(err, storage.ErrUnknown) && !errors.Is(err, storage.ErrRefused) {
 			return nil, nil, 0, err
@@ -247,69 +255,70 @@
 	}
 }
 
-func keyMetrics(ring *keys.Keyring, peers []*rpc.Peer) []prometheus.Collector {
+// keyMetrics returns the metrics of the member's certificate and connections.
+func keyMetrics(keyring *keys.Keyring, peers []*rpc.Peer) []prometheus.Collector {
 	return []prometheus.Collector{
 		prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "dapplestage_gateway_certificates_refused_total", Help: "Certificates of others that were refused."},
-			func() float64 { return float64(ring.Refused()) }),
+			func() float64 { return float64(keyring.Refused()) }),
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "dapplestage_gateway_certificate_left_seconds", Help: "How long this member's certificate is valid."},
 			func() float64 {
-				left, err := ring.RemainingValidity()
+				remaining, err := keyring.RemainingValidity()
 				if err != nil {
 					return -1
 				}
-				return left.Seconds()
+				return remaining.Seconds()
 			}),
 		prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "dapplestage_gateway_messages_dropped_total", Help: "Messages to other members that were not sent."},
 			func() float64 {
-				n := int64(0)
-				for _, p := range peers {
-					n += p.Dropped()
+				dropped := int64(0)
+				for _, peer := range peers {
+					dropped += peer.Dropped()
 				}
-				return float64(n)
+				return float64(dropped)
 			}),
 	}
 }
 
-// gatewayAdmin are the operators' commands on members.
-func gatewayAdmin() []*cobra.Command {
+// gatewayAdminCommands returns the operators' subcommands on running members.
+func gatewayAdminCommands() []*cobra.Command {
 	var addr string
 	var asJSON bool
-	make := func(use, short string, args cobra.PositionalArgs, f func(cmd *cobra.Command, args []string) error) *cobra.Command {
+	newCommand := func(use, short string, args cobra.PositionalArgs, run func(cmd *cobra.Command, args []string) error) *cobra.Command {
 		c := &cobra.Command{Use: use, Short: short, Args: checkArgs(args), RunE: func(cmd *cobra.Command, args []string) error {
 			if addr == "" {
 				return printError(fmt.Errorf("%w: --addr IP:PORT is needed", errUsage))
 			}
-			return printError(f(cmd, args))
+			return printError(run(cmd, args))
 		}}
 		c.Flags().StringVar(&addr, "addr", "", "a member's api_addr, as IP:PORT")
 		c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 		return c
 	}
-	show := func(cmd *cobra.Command, s gateway.Status) error {
+	show := func(cmd *cobra.Command, status gateway.Status) error {
 		if asJSON {
-			return printJSON(cmd.OutOrStdout(), s)
+			return printJSON(cmd.OutOrStdout(), status)
 		}
-		printMembers(cmd.OutOrStdout(), s)
+		printMembers(cmd.OutOrStdout(), status)
 		return nil
 	}
 	drain := func(on bool) func(cmd *cobra.Command, _ []string) error {
 		return func(cmd *cobra.Command, _ []string) error {
-			var s gateway.Status
-			if err := callNode(cmd.Context(), addr, "PUT", "/admin/gateway/drained", gateway.DrainChange{On: &on}, &s); err != nil {
+			var status gateway.Status
+			if err := callNode(cmd.Context(), addr, "PUT", "/admin/gateway/drained", gateway.DrainChange{On: &on}, &status); err != nil {
 				return err
 			}
-			return show(cmd, s)
+			return show(cmd, status)
 		}
 	}
 	return []*cobra.Command{
-		make("status --addr IP:PORT", "Show members, leases, jobs and what is not known", cobra.NoArgs, func(cmd *cobra.Command, _ []string) error {
-			var s gateway.Status
-			if err := callNode(cmd.Context(), addr, "GET", "/admin/gateway/status", nil, &s); err != nil {
+		newCommand("status --addr IP:PORT", "Show members, leases, jobs and what is not known", cobra.NoArgs, func(cmd *cobra.Command, _ []string) error {
+			var status gateway.Status
+			if err := callNode(cmd.Context(), addr, "GET", "/admin/gateway/status", nil, &status); err != nil {
 				return err
 			}
-			return show(cmd, s)
+			return show(cmd, status)
 		}),
-		make("job ID --addr IP:PORT", "Show which site holds a job", cobra.ExactArgs(1), func(cmd *cobra.Command, args []string) error {
+		newCommand("job ID --addr IP:PORT", "Show which site holds a job", cobra.ExactArgs(1), func(cmd *cobra.Command, args []string) error {
 			if !protocol.ValidJobID(args[0]) {
 				return fmt.Errorf("%q is no job id: job- and digits", args[0])
 			}
@@ -323,23 +332,24 @@
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: %s, held by %s under claim %d, agreed %v, stopped there %v\n", v.ID, v.Final, v.Owner, v.Epoch, v.Agreed, v.Stopped)
 			return nil
 		}),
-		make("drain --addr IP:PORT", "Hand the jobs of a site over and give it none (its own daemon's address)", cobra.NoArgs, drain(true)),
-		make("undrain --addr IP:PORT", "Take a site back into service", cobra.NoArgs, drain(false)),
+		newCommand("drain --addr IP:PORT", "Hand the jobs of a site over and give it none (its own daemon's address)", cobra.NoArgs, drain(true)),
+		newCommand("undrain --addr IP:PORT", "Take a site back into service", cobra.NoArgs, drain(false)),
 	}
 }
 
-func printMembers(out io.Writer, s gateway.Status) {
-	fmt.Fprintf(out, "%s: %d open jobs, %d ended; %d changes and %d handoffs under way, %d undecided\n", s.Member, s.OpenJobs, s.FinalJobs, s.ChangesInFlight, s.Handoffs, s.Undecided)
-	if !s.Majority {
+// printMembers prints a gateway member's status and its view of all members.
+func printMembers(out io.Writer, status gateway.Status) {
+	fmt.Fprintf(out, "%s: %d open jobs, %d ended; %d changes and %d handoffs under way, %d undecided\n", status.Member, status.OpenJobs, status.FinalJobs, status.ChangesInFlight, status.Handoffs, status.Undecided)
+	if !status.Majority {
 		fmt.Fprintln(out, "TOO FEW MEMBERS ARE HEARD: nothing can be decided, users get 503")
 	}
-	if s.Store != "ok" {
-		fmt.Fprintln(out, "STORE:", s.Store)
+	if status.Store != "ok" {
+		fmt.Fprintln(out, "STORE:", status.Store)
 	}
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	defer w.Flush()
 	fmt.Fprintln(w, "\nMEMBER\tSTATE\tSINCE\tHOLDS\tTO BE TOLD\tDRAINED\tWAITING\tFREE GPUS\tAS OF\tLEASE")
-	for _, m := range s.Members {
+	for _, m := range status.Members {
 		if !m.Site {
 			fmt.Fprintf(w, "%s\t%s\t%g s\t\t\t\t\t\t\t\n", m.Name, m.State, m.SilentS)
 			continue
@@ -355,17 +365,17 @@
 	}
 }
 
-// keysCommand makes and shows the members' certificates.
+// keysCommand returns `dapplestage keys`, which manages the members' certificates.
 func keysCommand() *cobra.Command {
 	var dir string
 	var days int
 	root := &cobra.Command{Use: "keys", Short: "Make, show, renew and revoke the certificates of a gateway's members"}
-	add := func(use, short string, args cobra.PositionalArgs, f func(cmd *cobra.Command, args []string) error) {
+	addCommand := func(use, short string, args cobra.PositionalArgs, run func(cmd *cobra.Command, args []string) error) {
 		c := &cobra.Command{Use: use, Short: short, Args: checkArgs(args), RunE: func(cmd *cobra.Command, args []string) error {
 			if days < 1 || days > 36500 {
 				return printError(fmt.Errorf("%w: --days %d is not within 1 to 36500", errUsage, days))
 			}
-			return printError(f(cmd, args))
+			return printError(run(cmd, args))
 		}}
 		root.AddCommand(c)
 	}
@@ -380,18 +390,18 @@
 		}
 		return nil
 	}
-	add("init MEMBER...", "Make an authority, and certificates for members", cobra.ArbitraryArgs, func(cmd *cobra.Command, args []string) error {
+	addCommand("init MEMBER...", "Make an authority, and certificates for members", cobra.ArbitraryArgs, func(cmd *cobra.Command, args []string) error {
 		if err := keys.MakeAuthority(dir, time.Now(), keys.AuthorityDays); err != nil {
 			return err
 		}
 		return issue(cmd, args)
 	})
-	add("issue MEMBER...", "Make certificates for members, or new ones in their place", cobra.MinimumNArgs(1), issue)
-	add("renew MEMBER...", "The same as issue: members take renewed files up by themselves", cobra.MinimumNArgs(1), issue)
-	add("revoke MEMBER", "Refuse a member's present certificate from now on", cobra.ExactArgs(1), func(cmd *cobra.Command, args []string) error {
+	addCommand("issue MEMBER...", "Make certificates for members, or new ones in their place", cobra.MinimumNArgs(1), issue)
+	addCommand("renew MEMBER...", "The same as issue: members take renewed files up by themselves", cobra.MinimumNArgs(1), issue)
+	addCommand("revoke MEMBER", "Refuse a member's present certificate from now on", cobra.ExactArgs(1), func(cmd *cobra.Command, args []string) error {
 		return keys.Revoke(dir, args[0], time.Now())
 	})
-	add("show", "Show the certificates", cobra.NoArgs, func(cmd *cobra.Command, _ []string) error {
+	addCommand("show", "Show the certificates", cobra.NoArgs, func(cmd *cobra.Command, _ []string) error {
 		lines, err := keys.Describe(dir, time.Now())
 		for _, l := range lines {
 			fmt.Fprintln(cmd.OutOrStdout(), l)
--- a/cmd/dapplestage/main.go
+++ b/cmd/dapplestage/main.go
@@ -1,4 +1,5 @@
-// Command dapplestage is one controller of the cluster scheduler.
+// Command dapplestage runs one controller of the cluster scheduler, or a member of a gateway
+// between sites. It also has the subcommands of operators and users.
 package main
 
 import (
@@ -26,10 +27,10 @@
 	"dapplestage.example/dapplestage/internal/transport"
 )
 
-// version is the release this tree leads to.
+// version is the next release of this source tree.
 const version = "0.1.0"
 
-// errUsage marks mistakes on the command line.
+// errUsage marks errors of the command line. They exit with status 2.
 var errUsage = errors.New("usage")
 
 func main() {
@@ -43,9 +44,10 @@
 	}
 }
 
+// command returns the root command with all subcommands.
 func command() *cobra.Command {
 	var config string
-	var o options
+	var opts options
 	root := &cobra.Command{
 		Use:           "dapplestage --config FILE",
 		Short:         "A controller of the dapplestage cluster scheduler",
@@ -60,13 +62,13 @@
 			if err != nil {
 				return printError(err)
 			}
-			return printError(serve(cfg, o))
+			return printError(serve(cfg, opts))
 		},
 	}
-	root.Flags().StringVar(&config, "config", "", "the settings file that the platform hands over")
-	root.Flags().StringVar(&o.siteDaemon, "site-daemon", "", "where the site's daemon tells how long jobs of a gateway may run, as IP:PORT")
-	root.Flags().StringVar(&o.tickets, "tickets", "", "take render-farm tickets of the classes in this file, such as deploy/tickets.toml")
-	root.Flags().StringVar(&o.account, "account", "", "store what ended as this file says, such as deploy/account.toml")
+	root.Flags().StringVar(&config, "config", "", "the settings file that the platform provides")
+	root.Flags().StringVar(&opts.siteDaemon, "site-daemon", "", "address of the site's gateway daemon, which grants the lease that jobs of a gateway run under, as IP:PORT")
+	root.Flags().StringVar(&opts.tickets, "tickets", "", "accept render-farm tickets of the classes in this file, such as deploy/tickets.toml")
+	root.Flags().StringVar(&opts.account, "account", "", "store the history of ended jobs by the settings in this file, such as deploy/account.toml")
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error {
 		return printError(fmt.Errorf("%w: %v", errUsage, err))
 	})
@@ -88,7 +90,8 @@
 	return root
 }
 
-// checkArgs turns a complaint about arguments into one clear line.
+// checkArgs wraps a check of arguments so that its error is printed in one line and marked as
+// an error of the command line.
 func checkArgs(check cobra.PositionalArgs) cobra.PositionalArgs {
 	return func(cmd *cobra.Command, args []string) error {
 		if err := check(cmd, args); err != nil {
@@ -98,6 +101,7 @@
 	}
 }
 
+// printError prints an error, if there is one, and returns it.
 func printError(err error) error {
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -105,6 +109,7 @@
 	return err
 }
 
+// logLevel returns the log level that the environment variable LOG_LEVEL sets.
 func logLevel() slog.Level {
 	switch os.Getenv("LOG_LEVEL") {
 	case "error":
@@ -115,73 +120,73 @@
 	return slog.LevelInfo
 }
 
-// options are the flags of the daemon beside its settings file.
+// options are the controller's flags other than its settings file.
 type options struct {
-	siteDaemon string // address of the site's daemon; empty: no gateway
-	tickets    string // file of classes of tickets; empty: none are taken
-	account    string // file of what to keep of jobs that ended; empty: nothing is stored
+	siteDaemon string // address of the site's gateway daemon; empty: no gateway
+	tickets    string // file of ticket classes; empty: tickets are not accepted
+	account    string // file with the settings of the job history; empty: it is not stored
 }
 
-// extras are what the daemon's flags name, read and checked.
-type extras struct {
+// optionFiles are the parsed contents of the files that the flags name.
+type optionFiles struct {
 	classes ticket.ClassTable
-	account *node.AccountSettings // nil: nothing is stored
+	account *node.AccountSettings // nil: the job history is not stored
 }
 
-// read checks the flags and reads the files that they name.
-func (o options) read() (e extras, err error) {
+// load checks the flags and reads the files that they name.
+func (o options) load() (files optionFiles, err error) {
 	if o.siteDaemon != "" {
 		if _, err := netip.ParseAddrPort(o.siteDaemon); err != nil {
-			return e, fmt.Errorf("%w: --site-daemon: not an address and port: %q", errUsage, o.siteDaemon)
+			return files, fmt.Errorf("%w: --site-daemon: not an address and port: %q", errUsage, o.siteDaemon)
 		}
 	}
 	if o.tickets != "" {
-		if e.classes, err = ticket.ReadClasses(o.tickets); err != nil {
-			return e, fmt.Errorf("%w: --tickets: %v", errUsage, err)
+		if files.classes, err = ticket.ReadClasses(o.tickets); err != nil {
+			return files, fmt.Errorf("%w: --tickets: %v", errUsage, err)
 		}
 	}
 	if o.account != "" {
 		account, err := node.ReadAccountSettings(o.account)
 		if err != nil {
-			return e, fmt.Errorf("%w: --account: %v", errUsage, err)
+			return files, fmt.Errorf("%w: --account: %v", errUsage, err)
 		}
-		e.account = &account
+		files.account = &account
 	}
-	return e, nil
+	return files, nil
 }
 
-// serve runs the node until it is told to stop.
-func serve(cfg *protocol.Settings, o options) error {
-	e, err := o.read()
+// serve runs the controller until a signal stops it or one of its servers fails.
+func serve(cfg *protocol.Settings, opts options) error {
+	files, err := opts.load()
 	if err != nil {
 		return err
 	}
-	planMachine(cfg.Params.Quota)
+	tuneRuntime(cfg.Params.Quota)
 	level := &slog.LevelVar{}
 	level.Set(logLevel())
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})).With("node", cfg.Node)
 	node.Version = version
-	told, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+	signalCtx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	ctx, cancel := context.WithCancelCause(context.Background())
 	defer cancel(nil)
 
-	n := newNode(ctx, cfg, log, e)
+	n := newNode(ctx, cfg, log, files)
 	n.SetLogLevel = func(l slog.Level, chosen bool) {
 		if !chosen {
 			l = logLevel()
 		}
 		level.Set(l)
 	}
-	if o.siteDaemon != "" {
-		followSiteDaemon(n, o.siteDaemon)
+	if opts.siteDaemon != "" {
+		connectSiteDaemon(n, opts.siteDaemon)
 	}
 	if err := listen(ctx, cancel, cfg, n); err != nil {
 		return err
 	}
 	go func() {
-		// An orderly end hands over what this node holds, and then ends it.
-		<-told.Done()
+		// On a signal, hand the owned partitions over before the node ends.
+		<-signalCtx.Done()
 		n.Leave()
 		cancel(nil)
 	}()
@@ -193,47 +198,47 @@
 	return nil
 }
 
-// newNode makes the node with its clients of the state service, the cloud and the workers.
-func newNode(ctx context.Context, cfg *protocol.Settings, log *slog.Logger, e extras) *node.Node {
+// newNode returns the node with its clients of the state service, the cloud and the workers.
+func newNode(ctx context.Context, cfg *protocol.Settings, log *slog.Logger, files optionFiles) *node.Node {
 	store := storage.NewStore(cfg.External.State, cfg.Params.State, cfg.Params.Nodes)
 	cloud := storage.NewCloud(cfg.External.Cloud, cfg.Params.Cloud, cfg.Params.Nodes)
-	h := fnv.New64a()
-	h.Write([]byte(cfg.Node))
-	seed := h.Sum64() ^ uint64(time.Now().UnixNano())
+	hash := fnv.New64a()
+	hash.Write([]byte(cfg.Node))
+	seed := hash.Sum64() ^ uint64(time.Now().UnixNano())
 	n := node.New(ctx, cfg, log, store, cloud, storage.NewWorkers(), seed)
 	store.OnContact = n.RecordContact
-	n.AcceptTickets(e.classes)
-	if e.account != nil {
-		n.SetAccountSettings(*e.account)
+	n.AcceptTickets(files.classes)
+	if files.account != nil {
+		n.SetAccountSettings(*files.account)
 	}
 	return n
 }
 
-// siteDaemonTimeout is how long a question to the site's daemon may take.
+// siteDaemonTimeout bounds one request to the site's daemon.
 const siteDaemonTimeout = time.Second
 
-// followSiteDaemon lets a node ask its site's daemon for the site's lease and for jobs of
-// the gateway that it does not know.
-func followSiteDaemon(n *node.Node, addr string) {
-	asks := transport.NewClient(addr, 0)
+// connectSiteDaemon makes a node fetch the site's lease from the site's daemon, and look up
+// jobs of the gateway there that it does not know.
+func connectSiteDaemon(n *node.Node, addr string) {
+	client := transport.NewClient(addr, 0)
 	n.SiteDaemonHost, _, _ = net.SplitHostPort(addr)
-	n.LookUpGatewayJob = func(ctx context.Context, id string) (s protocol.JobStatus, known bool, err error) {
-		a, err := asks.Call(ctx, siteDaemonTimeout, "GET", "/site/jobs/"+id, nil)
+	n.LookUpGatewayJob = func(ctx context.Context, id string) (status protocol.JobStatus, known bool, err error) {
+		answer, err := client.Call(ctx, siteDaemonTimeout, "GET", "/site/jobs/"+id, nil)
 		switch {
 		case err != nil:
-		case a.Status == 200:
-			err = json.Unmarshal(a.Body, &s)
-		case a.Status != 404:
-			err = siteDaemonError(a.Status)
+		case answer.Status == 200:
+			err = json.Unmarshal(answer.Body, &status)
+		case answer.Status != 404:
+			err = siteDaemonError(answer.Status)
 		}
-		return s, a.Status == 200 || a.Status == 409, err
+		return status, answer.Status == 200 || answer.Status == 409, err
 	}
 	go n.KeepSiteLease(func(ctx context.Context) ([]byte, error) {
-		a, err := asks.Call(ctx, siteDaemonTimeout, "GET", "/site/lease", nil)
-		if err == nil && a.Status != 200 {
-			err = siteDaemonError(a.Status)
+		answer, err := client.Call(ctx, siteDaemonTimeout, "GET", "/site/lease", nil)
+		if err == nil && answer.Status != 200 {
+			err = siteDaemonError(answer.Status)
 		}
-		return a.Body, err
+		return answer.Body, err
 	})
 }
 
@@ -242,10 +247,10 @@
 }
 
 // listen opens the node's addresses and serves users, workers and the other controllers.
-// Whatever ends one of the servers ends the node, by cancel.
+// If one of the servers fails, it ends the node by calling cancel with the error.
 func listen(ctx context.Context, cancel context.CancelCauseFunc, cfg *protocol.Settings, n *node.Node) error {
-	// Whoever is gone shows by its silence, so no keep-alive probes of the system's: they
-	// cost four calls to it for each connection.
+	// TCP keep-alive probes are off: setting them up costs four system calls for each
+	// connection, and a dead client is detected by its missing requests anyway.
 	api, err := (&net.ListenConfig{KeepAlive: -1}).Listen(ctx, "tcp4", cfg.APIAddr)
 	if err != nil {
 		return err
@@ -254,53 +259,55 @@
 	if err != nil {
 		return err
 	}
-	serve := func(f func() error) {
+	serveInBackground := func(f func() error) {
 		go func() {
 			if err := f(); err != nil {
 				cancel(err)
 			}
 		}()
 	}
-	connectSiblings(ctx, cfg, n)
-	serve(func() error { return transport.AcceptFrames(ctx, peers, node.HintTimeout, n.ReceiveHint, n.AnswerPeer) })
-	front := transport.NewAdmissionListener(ctx, api, frontLimits(cfg.Params.Quota), n.FromWorker)
-	n.OnLoaded, n.ClosedConnections = front.Ready, front.Rejected
-	serve(func() error { return transport.Serve(ctx, front, n.API()) })
+	connectPeers(ctx, cfg, n)
+	serveInBackground(func() error { return transport.AcceptFrames(ctx, peers, node.HintTimeout, n.ReceiveHint, n.AnswerPeer) })
+	listener := transport.NewAdmissionListener(ctx, api, admissionLimits(cfg.Params.Quota), n.FromWorker)
+	n.OnLoaded, n.ClosedConnections = listener.Ready, listener.Rejected
+	serveInBackground(func() error { return transport.Serve(ctx, listener, n.API()) })
 	return nil
 }
 
-// connectSiblings sends the node's hints and questions to the other controllers.
-func connectSiblings(ctx context.Context, cfg *protocol.Settings, n *node.Node) {
-	addrs := map[string]string{}
-	for _, s := range cfg.Peers {
-		addrs[s.Node] = s.Addr
+// connectPeers connects the node to the other controllers, for its hints and its queries.
+func connectPeers(ctx context.Context, cfg *protocol.Settings, n *node.Node) {
+	addrByNode := map[string]string{}
+	for _, peer := range cfg.Peers {
+		addrByNode[peer.Node] = peer.Addr
 	}
 	n.AskPeer = func(ctx context.Context, name string, question []byte) ([]byte, error) {
-		return transport.SendRequest(ctx, addrs[name], node.AskTimeout, question)
+		return transport.SendRequest(ctx, addrByNode[name], node.AskTimeout, question)
 	}
-	for _, s := range cfg.Peers {
-		go transport.SendFrames(ctx, s.Addr, node.HintInterval, node.HintTimeout, n.Hint, func(e transport.ConnEvent) { n.OnConnEvent(s.Node, e) })
+	for _, peer := range cfg.Peers {
+		go transport.SendFrames(ctx, peer.Addr, node.HintInterval, node.HintTimeout, n.Hint, func(e transport.ConnEvent) { n.OnConnEvent(peer.Node, e) })
 	}
 }
 
-// frontLimits fits what is let through at once to the machine: workers' first requests
-// that one turn's processor time covers, as many waiting as two and a half seconds cover (at
-// 0.4 ms each, as measured on the bench's simulated machines; a worker waits for four), and sockets enough for calls to
-// the state service, the cloud, workers and siblings.
-func frontLimits(q protocol.NodeQuota) transport.AdmissionLimits {
-	l := transport.AdmissionLimits{LowPriorityActive: 16, LowPriorityQueued: int(min(1500, max(160, 2.5*q.Cores/0.0004))), RateBeforeReady: 20, AcceptRate: int(max(100, q.Cores/0.00025))}
-	if q.FDLimit > 0 {
-		l.MaxOpen = max(q.FDLimit/2, q.FDLimit-130-q.FDLimit/32)
+// admissionLimits derives the limits on incoming connections from the machine's size. The
+// number of workers' first requests in progress is what fits into the processor time of one
+// turn of the node's event loop. As many may be queued as are served in two and a half seconds, at 0.4 ms
+// of processor time each; a worker gives up after four seconds. Enough sockets stay free for
+// calls to the state service, the cloud, workers and peers.
+func admissionLimits(quota protocol.NodeQuota) transport.AdmissionLimits {
+	limits := transport.AdmissionLimits{LowPriorityActive: 16, LowPriorityQueued: int(min(1500, max(160, 2.5*quota.Cores/0.0004))), RateBeforeReady: 20, AcceptRate: int(max(100, quota.Cores/0.00025))}
+	if quota.FDLimit > 0 {
+		limits.MaxOpen = max(quota.FDLimit/2, quota.FDLimit-130-quota.FDLimit/32)
 	}
-	return l
+	return limits
 }
 
-// planMachine fits the runtime to the machine: one thread at a time, and memory
-// returned well before the limit at which the process would be killed.
-func planMachine(q protocol.NodeQuota) {
-	if q.Cores < 2 {
+// tuneRuntime adapts the Go runtime to the machine: one running thread at a time on less than
+// two cores, and memory returned to the system well before the limit at which the process
+// would be killed.
+func tuneRuntime(quota protocol.NodeQuota) {
+	if quota.Cores < 2 {
 		runtime.GOMAXPROCS(1)
 	}
-	debug.SetMemoryLimit(int64(q.MemoryMB * 0.6 * (1 << 20)))
+	debug.SetMemoryLimit(int64(quota.MemoryMB * 0.6 * (1 << 20)))
 	debug.SetGCPercent(400)
 }
--- a/cmd/dapplestage/report.go
+++ b/cmd/dapplestage/report.go
@@ -26,25 +26,28 @@
 	"dapplestage.example/dapplestage/internal/report"
 )
 
-// siteClient is a site as a person asks it: any of its controllers, the next one if one does
-// not answer.
+// siteClient queries a site through any of its controllers. If one does not answer it tries
+// the next.
 type siteClient struct {
 	name  string
-	addrs []string
+	addrs []string // the controller that answered last is first
 }
 
-// siteFlags are those of the command line: one by --addr, or several by name.
+// siteFlags are the flags that select sites: one without a name by --addr, or several with
+// names by --site.
 type siteFlags struct {
 	addrs      []string
 	namedSites []string
 	clients    []*siteClient
 }
 
+// register adds the flags to a command.
 func (s *siteFlags) register(c *cobra.Command) {
 	c.Flags().StringSliceVar(&s.addrs, "addr", nil, "nodes' api_addr, as IP:PORT,...; the first that answers is asked")
 	c.Flags().StringArrayVar(&s.namedSites, "site", nil, "instead of --addr, several sites: NAME=IP:PORT,...; may be repeated")
 }
 
+// parse checks the flags and sets clients.
 func (s *siteFlags) parse() error {
 	s.clients = nil
 	if (len(s.addrs) == 0) == (len(s.namedSites) == 0) {
@@ -63,38 +66,40 @@
 	return nil
 }
 
-// collectReports makes the reports of all sites. One that does not answer is told as not known;
-// if none does there is nothing to report.
-func (s *siteFlags) collectReports(ctx context.Context, q ledger.Query, since time.Duration) ([]*report.Data, error) {
-	var out []*report.Data
+// collectReports returns the reports of all sites. A site that does not answer is reported as
+// not known. If no site answers, collectReports returns their errors.
+func (s *siteFlags) collectReports(ctx context.Context, query ledger.Query, since time.Duration) ([]*report.Data, error) {
+	var reports []*report.Data
 	var errs []error
-	for _, one := range s.clients {
-		d, err := one.collectReport(ctx, q, since)
+	for _, client := range s.clients {
+		data, err := client.collectReport(ctx, query, since)
 		if err != nil {
 			errs = append(errs, err)
-			d = report.UnreachableSite(one.name, time.Now(), err)
+			data = report.UnreachableSite(client.name, time.Now(), err)
 		}
-		d.Site = one.name
-		out = append(out, d)
+		data.Site = client.name
+		reports = append(reports, data)
 	}
 	if len(errs) == len(s.clients) {
 		return nil, errors.Join(errs...)
 	}
-	return out, nil
+	return reports, nil
 }
 
+// names returns the sites' names.
 func (s *siteFlags) names() (out []string) {
-	for _, one := range s.clients {
-		out = append(out, one.name)
+	for _, client := range s.clients {
+		out = append(out, client.name)
 	}
 	return out
 }
 
-// getFromAny asks the first node that answers, and remembers it.
+// getFromAny makes a request to the controllers in turn until one answers. It puts that one
+// first for the next request.
 func (s *siteClient) getFromAny(ctx context.Context, path string, into any) (err error) {
 	var errs []error
-	for i, a := range s.addrs {
-		if err = callNode(ctx, a, "GET", path, nil, into); err == nil {
+	for i, addr := range s.addrs {
+		if err = callNode(ctx, addr, "GET", path, nil, into); err == nil {
 			s.addrs[0], s.addrs[i] = s.addrs[i], s.addrs[0]
 			return nil
 		}
@@ -103,128 +108,132 @@
 	return errors.Join(errs...)
 }
 
-func (s *siteClient) accountPage(ctx context.Context, q ledger.Query, since float64) (*ledger.Page, error) {
-	v := url.Values{"limit": {strconv.Itoa(q.Limit)}}
-	for k, x := range map[string]string{"state": q.State, "team": q.Team, "class": q.Class, "zone": q.Zone, "image": q.Image, "q": q.Text, "after": q.After} {
-		if x != "" {
-			v.Set(k, x)
+// accountPage fetches one page of the account. since, if not 0, is how many seconds back its
+// rows reach.
+func (s *siteClient) accountPage(ctx context.Context, query ledger.Query, since float64) (*ledger.Page, error) {
+	values := url.Values{"limit": {strconv.Itoa(query.Limit)}}
+	for name, value := range map[string]string{"state": query.State, "team": query.Team, "class": query.Class, "zone": query.Zone, "image": query.Image, "q": query.Text, "after": query.After} {
+		if value != "" {
+			values.Set(name, value)
 		}
 	}
 	if since > 0 {
-		v.Set("since", strconv.FormatFloat(since, 'f', 3, 64))
+		values.Set("since", strconv.FormatFloat(since, 'f', 3, 64))
 	}
-	p := &ledger.Page{}
-	return p, s.getFromAny(ctx, "/admin/account?"+v.Encode(), p)
+	page := &ledger.Page{}
+	return page, s.getFromAny(ctx, "/admin/account?"+values.Encode(), page)
 }
 
-// collectReport makes a report. since, if not 0, is how far back rows go.
-func (s *siteClient) collectReport(ctx context.Context, q ledger.Query, since time.Duration) (*report.Data, error) {
-	began := time.Now()
+// collectReport returns a site's report. since, if not 0, is how far back its rows reach.
+func (s *siteClient) collectReport(ctx context.Context, query ledger.Query, since time.Duration) (*report.Data, error) {
+	startedAt := time.Now()
 	var view node.SamplesView
 	if err := s.getFromAny(ctx, "/admin/samples", &view); err != nil {
 		return nil, err
 	}
-	q.Limit = ledger.MaxRows
-	d, err := report.Collect(func(after string) (*ledger.Page, error) {
-		q.After = after
-		// The time that pages take must not let rows fall out between two of them.
-		at := time.Duration(0)
+	query.Limit = ledger.MaxRows
+	data, err := report.Collect(func(after string) (*ledger.Page, error) {
+		query.After = after
+		// Extend the window by the time that the earlier pages took, so that no row drops out
+		// of it between two pages.
+		window := time.Duration(0)
 		if since > 0 {
-			at = since + time.Since(began)
+			window = since + time.Since(startedAt)
 		}
-		return s.accountPage(ctx, q, at.Seconds())
+		return s.accountPage(ctx, query, window.Seconds())
 	}, view.Samples, report.MaxRows)
 	if err != nil {
 		return nil, err
 	}
 	if since > 0 {
-		d.Since = d.AsOf - since.Milliseconds()
+		data.Since = data.AsOf - since.Milliseconds()
 	}
-	d.Unknown = append(d.Unknown, view.Unknown...)
-	if q.Team != "" || q.Class != "" || q.State != "" || since > 0 {
-		d.Recount()
+	data.Unknown = append(data.Unknown, view.Unknown...)
+	if query.Team != "" || query.Class != "" || query.State != "" || since > 0 {
+		data.Recount()
 	}
-	return d, nil
+	return data, nil
 }
 
-// reportCommand is `dapplestage report`.
+// reportCommand returns `dapplestage report`.
 func reportCommand() *cobra.Command {
-	s := &siteFlags{}
-	var q ledger.Query
-	var out, compare, list string
+	sites := &siteFlags{}
+	var query ledger.Query
+	var output, compareWith, jobsPath string
 	var since time.Duration
 	var asJSON, asCSV bool
 	c := &cobra.Command{Use: "report -o FILE --addr IP:PORT", Short: "Write what ran, what did not and whose work is stuck, as one HTML page", Args: checkArgs(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := s.parse(); err != nil {
+			if err := sites.parse(); err != nil {
 				return printError(err)
 			}
 			if asJSON && asCSV {
 				return printError(fmt.Errorf("%w: --json and --csv can't both be given", errUsage))
 			}
 			return printError(func() error {
-				if (compare != "" || asJSON || asCSV) && len(s.clients) > 1 {
+				if (compareWith != "" || asJSON || asCSV) && len(sites.clients) > 1 {
 					return fmt.Errorf("%w: --json, --csv and --compare take one site at a time", errUsage)
 				}
-				ids, err := readJobs(cmd.InOrStdin(), list)
+				ids, err := readJobIDs(cmd.InOrStdin(), jobsPath)
 				if err != nil {
 					return err
 				}
-				ds, err := s.collectReports(cmd.Context(), q, since)
+				reports, err := sites.collectReports(cmd.Context(), query, since)
 				if err != nil {
 					return err
 				}
-				for i, d := range ds {
-					if list != "" && d.Lost == "" {
-						s.clients[i].keepListedJobs(cmd.Context(), d, ids)
+				for i, data := range reports {
+					if jobsPath != "" && data.Lost == "" {
+						sites.clients[i].keepListedJobs(cmd.Context(), data, ids)
 					}
 				}
-				if compare != "" {
-					return printChanges(cmd.OutOrStdout(), compare, ds[0], asJSON)
+				if compareWith != "" {
+					return printChanges(cmd.OutOrStdout(), compareWith, reports[0], asJSON)
 				}
-				return writeWhole(cmd.OutOrStdout(), out, func(w io.Writer) error {
+				return writeAtomically(cmd.OutOrStdout(), output, func(w io.Writer) error {
 					switch {
 					case asJSON:
-						return json.NewEncoder(w).Encode(ds[0])
+						return json.NewEncoder(w).Encode(reports[0])
 					case asCSV:
-						return ds[0].CSV(w)
+						return reports[0].CSV(w)
 					}
-					return report.HTML(w, ds...)
+					return report.HTML(w, reports...)
 				})
 			}())
 		}}
-	s.register(c)
-	f := c.Flags()
-	f.StringVarP(&out, "output", "o", "-", "the file; - for standard output")
-	f.DurationVar(&since, "since", 0, "only jobs that were submitted, lost something or ended since so long ago, and all that are open")
-	f.StringVar(&list, "jobs", "", "a file with job ids, one a line: only these, such as an event's; - for standard input")
-	f.StringVar(&q.Team, "team", "", "only this team's jobs")
-	f.StringVar(&q.Class, "class", "", "only this class's jobs")
-	f.StringVar(&q.State, "state", "", "only jobs in this state")
-	f.BoolVar(&asJSON, "json", false, "write JSON, which --compare reads")
-	f.BoolVar(&asCSV, "csv", false, "write CSV")
-	f.StringVar(&compare, "compare", "", "print what has changed since an earlier report written with --json")
+	sites.register(c)
+	flags := c.Flags()
+	flags.StringVarP(&output, "output", "o", "-", "the file; - for standard output")
+	flags.DurationVar(&since, "since", 0, "only open jobs, and jobs that were submitted, lost a run or ended within this time")
+	flags.StringVar(&jobsPath, "jobs", "", "a file with job ids, one per line: only these jobs, such as those of one event; - for standard input")
+	flags.StringVar(&query.Team, "team", "", "only this team's jobs")
+	flags.StringVar(&query.Class, "class", "", "only this class's jobs")
+	flags.StringVar(&query.State, "state", "", "only jobs in this state")
+	flags.BoolVar(&asJSON, "json", false, "write JSON, which --compare reads")
+	flags.BoolVar(&asCSV, "csv", false, "write CSV")
+	flags.StringVar(&compareWith, "compare", "", "print what has changed since an earlier report written with --json")
 	return c
 }
 
-// mostListed bounds a list of jobs.
-const mostListed = 10000
+// maxListedJobs is the most job ids that a list for --jobs may have.
+const maxListedJobs = 10000
 
-// readJobs reads job ids, one a line.
-func readJobs(stdin io.Reader, path string) (ids []string, err error) {
+// readJobIDs reads job ids, one per line, from a file, or from standard input for -. It leaves
+// out repeated ids and empty lines.
+func readJobIDs(stdin io.Reader, path string) (ids []string, err error) {
 	if path == "" {
 		return nil, nil
 	}
-	in := stdin
+	input := stdin
 	if path != "-" {
-		f, err := os.Open(path)
+		file, err := os.Open(path)
 		if err != nil {
 			return nil, err
 		}
-		defer f.Close()
-		in = f
+		defer file.Close()
+		input = file
 	}
-	lines := bufio.NewScanner(in)
+	lines := bufio.NewScanner(input)
 	for n := 1; lines.Scan(); n++ {
 		id := strings.TrimSpace(lines.Text())
 		if id == "" || slices.Contains(ids, id) {
@@ -233,32 +242,33 @@
 		if !protocol.ValidJobID(id) {
 			return nil, fmt.Errorf("%w: %s, line %d: %q is not the id of a job", errUsage, path, n, id)
 		}
-		if ids = append(ids, id); len(ids) > mostListed {
-			return nil, fmt.Errorf("%s: more than %d jobs", path, mostListed)
+		if ids = append(ids, id); len(ids) > maxListedJobs {
+			return nil, fmt.Errorf("%s: more than %d jobs", path, maxListedJobs)
 		}
 	}
 	return ids, lines.Err()
 }
 
-// keepListedJobs leaves the jobs of a list in a report. What the account does not remember is asked
-// for by its id: how a job ended is kept for ever.
-func (s *siteClient) keepListedJobs(ctx context.Context, d *report.Data, ids []string) {
-	for _, id := range d.KeepJobs(ids) {
-		var st protocol.JobStatus
-		switch err := s.getFromAny(ctx, "/api/jobs/"+id, &st); {
+// keepListedJobs removes all jobs but those of a list from a report. Jobs that the account no
+// longer has are looked up by id, since the final status of a job is kept for ever.
+func (s *siteClient) keepListedJobs(ctx context.Context, data *report.Data, ids []string) {
+	for _, id := range data.KeepJobs(ids) {
+		var status protocol.JobStatus
+		switch err := s.getFromAny(ctx, "/api/jobs/"+id, &status); {
 		case err != nil:
-			d.Unknown = append(d.Unknown, fmt.Sprintf("%s: %v", id, err))
-		case ledger.IsFinal(st.Status):
-			d.Rows = append(d.Rows, ledger.Row{Job: id, State: st.Status, Done: st.Done, AsOf: time.Now().UnixMilli(), Why: "ended before what is remembered"})
+			data.Unknown = append(data.Unknown, fmt.Sprintf("%s: %v", id, err))
+		case ledger.IsFinal(status.Status):
+			data.Rows = append(data.Rows, ledger.Row{Job: id, State: status.Status, Done: status.Done, AsOf: time.Now().UnixMilli(), Why: "ended before what is remembered"})
 		default:
-			d.Rows = append(d.Rows, ledger.Row{Job: id, State: ledger.Unknown, Done: st.Done, Running: st.Running, AsOf: time.Now().UnixMilli(), Why: "its user is told " + st.Status})
+			data.Rows = append(data.Rows, ledger.Row{Job: id, State: ledger.Unknown, Done: status.Done, Running: status.Running, AsOf: time.Now().UnixMilli(), Why: "its user is told " + status.Status})
 		}
 	}
-	d.Recount()
+	data.Recount()
 }
 
-// writeWhole writes a file whole or not at all: a full disk leaves the earlier one.
-func writeWhole(stdout io.Writer, path string, write func(io.Writer) error) error {
+// writeAtomically writes a file completely or not at all: if the disk is full, an earlier file
+// is left as it was.
+func writeAtomically(stdout io.Writer, path string, write func(io.Writer) error) error {
 	if path == "-" {
 		return write(stdout)
 	}
@@ -271,8 +281,8 @@
 	if err == nil {
 		err = tmp.Chmod(0o644)
 	}
-	if e := tmp.Close(); err == nil {
-		err = e
+	if closeErr := tmp.Close(); err == nil {
+		err = closeErr
 	}
 	if err != nil {
 		return fmt.Errorf("%s: not written: %w", path, err)
@@ -280,21 +290,22 @@
 	return os.Rename(tmp.Name(), path)
 }
 
-func printChanges(out io.Writer, path string, now *report.Data, asJSON bool) error {
+// printChanges prints the jobs that differ between an earlier report in a file and the current one.
+func printChanges(out io.Writer, path string, current *report.Data, asJSON bool) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
-	var old report.Data
-	if err := json.Unmarshal(data, &old); err != nil {
+	var earlier report.Data
+	if err := json.Unmarshal(data, &earlier); err != nil {
 		return fmt.Errorf("%s: not a report written with --json: %v", path, err)
 	}
-	changes := report.Compare(&old, now)
+	changes := report.Compare(&earlier, current)
 	if asJSON {
 		return printJSON(out, changes)
 	}
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintf(w, "%d jobs differ since %s\n", len(changes), time.UnixMilli(old.AsOf).UTC().Format(time.RFC3339))
+	fmt.Fprintf(w, "%d jobs differ since %s\n", len(changes), time.UnixMilli(earlier.AsOf).UTC().Format(time.RFC3339))
 	if len(changes) > 0 {
 		fmt.Fprintln(w, "JOB\tTEAM\tCLASS\tWAS\tIS\tWHY")
 	}
@@ -311,7 +322,7 @@
 	return s
 }
 
-// sanitize keeps names from moving the cursor or breaking a table.
+// sanitize replaces control characters, which could move the cursor or break a table.
 func sanitize(s string) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' || r == 0x7f || r >= 0x80 && r < 0xa0 {
@@ -321,82 +332,83 @@
 	}, s)
 }
 
-// accountCommand is `dapplestage account`.
+// accountCommand returns `dapplestage account`.
 func accountCommand() *cobra.Command {
-	s := &siteFlags{}
+	sites := &siteFlags{}
 	var since time.Duration
 	var asJSON, all bool
-	c := &cobra.Command{Use: "account --since 1h --addr IP:PORT", Short: "After a loss: what each job it touched was doing, what is saved, where it is now, and sums that add up", Args: checkArgs(cobra.NoArgs),
+	c := &cobra.Command{Use: "account --since 1h --addr IP:PORT", Short: "After a loss of machines: for each affected job what it was doing, what is saved and where it is now, with totals", Args: checkArgs(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := s.parse(); err != nil {
+			if err := sites.parse(); err != nil {
 				return printError(err)
 			}
 			if since <= 0 || since > 100*24*time.Hour {
 				return printError(fmt.Errorf("%w: --since %v is not within 1s and 2400h", errUsage, since))
 			}
 			return printError(func() error {
-				ds, err := s.collectReports(cmd.Context(), ledger.Query{}, since)
+				reports, err := sites.collectReports(cmd.Context(), ledger.Query{}, since)
 				if err != nil {
 					return err
 				}
 				if asJSON {
-					return printJSON(cmd.OutOrStdout(), ds)
+					return printJSON(cmd.OutOrStdout(), reports)
 				}
-				for _, d := range ds {
-					if d.Site != "" {
-						fmt.Fprintf(cmd.OutOrStdout(), "site %s\n", sanitize(d.Site))
+				for _, data := range reports {
+					if data.Site != "" {
+						fmt.Fprintf(cmd.OutOrStdout(), "site %s\n", sanitize(data.Site))
 					}
-					if d.Lost != "" {
-						fmt.Fprintf(cmd.OutOrStdout(), "not known: %s\n\n", d.Lost)
+					if data.Lost != "" {
+						fmt.Fprintf(cmd.OutOrStdout(), "not known: %s\n\n", data.Lost)
 						continue
 					}
-					if err := printAccount(cmd.OutOrStdout(), d, all); err != nil {
+					if err := printAccount(cmd.OutOrStdout(), data, all); err != nil {
 						return err
 					}
 				}
 				return nil
 			}())
 		}}
-	s.register(c)
-	f := c.Flags()
-	f.DurationVar(&since, "since", time.Hour, "since the loss, or a little longer")
-	f.BoolVar(&all, "all", false, "list all jobs, not only those that lost something or are not known")
-	f.BoolVar(&asJSON, "json", false, "print JSON")
+	sites.register(c)
+	flags := c.Flags()
+	flags.DurationVar(&since, "since", time.Hour, "how long ago the loss began, or a little more")
+	flags.BoolVar(&all, "all", false, "list all jobs, not only those that lost something or are not known")
+	flags.BoolVar(&asJSON, "json", false, "print JSON")
 	return c
 }
 
-func printAccount(out io.Writer, d *report.Data, all bool) error {
+// printAccount prints the number of jobs and of lost runs by state, and the affected jobs.
+func printAccount(out io.Writer, data *report.Data, all bool) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintf(w, "as of %s, told by %s; what ended is remembered since %s\n", time.UnixMilli(d.AsOf).UTC().Format(time.RFC3339), d.Node, time.UnixMilli(d.RememberedSince).UTC().Format(time.RFC3339))
-	for _, u := range d.Unknown {
+	fmt.Fprintf(w, "as of %s, told by %s; what ended is remembered since %s\n", time.UnixMilli(data.AsOf).UTC().Format(time.RFC3339), data.Node, time.UnixMilli(data.RememberedSince).UTC().Format(time.RFC3339))
+	for _, u := range data.Unknown {
 		fmt.Fprintln(w, "not known:", sanitize(u))
 	}
-	if d.RememberedSince > d.Since {
+	if data.RememberedSince > data.Since {
 		fmt.Fprintln(w, "not known: what ended before that")
 	}
 	fmt.Fprintln(w, "\nSTATE\tJOBS\tOF THESE LOST RUNS\tRUNS LOST")
-	total, totalLost, runs := 0, 0, 0
-	for _, st := range ledger.States {
-		n, lost, r := 0, 0, 0
-		for i := range d.Rows {
-			if d.Rows[i].State == st {
-				n++
-				r += d.Rows[i].Lost
-				if d.Rows[i].Lost > 0 {
-					lost++
+	total, totalLost, lostRuns := 0, 0, 0
+	for _, state := range ledger.States {
+		jobs, withLostRuns, runs := 0, 0, 0
+		for i := range data.Rows {
+			if data.Rows[i].State == state {
+				jobs++
+				runs += data.Rows[i].Lost
+				if data.Rows[i].Lost > 0 {
+					withLostRuns++
 				}
 			}
 		}
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\n", st, n, lost, r)
-		total, totalLost, runs = total+n, totalLost+lost, runs+r
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\n", state, jobs, withLostRuns, runs)
+		total, totalLost, lostRuns = total+jobs, totalLost+withLostRuns, lostRuns+runs
 	}
-	fmt.Fprintf(w, "all\t%d\t%d\t%d\n", total, totalLost, runs)
-	if d.Left > 0 {
-		fmt.Fprintf(w, "and %d more, beyond what one account holds\n", d.Left)
+	fmt.Fprintf(w, "all\t%d\t%d\t%d\n", total, totalLost, lostRuns)
+	if data.Left > 0 {
+		fmt.Fprintf(w, "and %d more, beyond what one account holds\n", data.Left)
 	}
 	fmt.Fprintln(w, "\nJOB\tTEAM\tCLASS\tSTATE\tDONE\tRUNNING\tLOST\tSAVED\tNOW IN\tWHY")
-	for i := range d.Rows {
-		r := &d.Rows[i]
+	for i := range data.Rows {
+		r := &data.Rows[i]
 		if !all && r.Lost == 0 && r.State != ledger.Unknown {
 			continue
 		}
@@ -409,78 +421,82 @@
 	return w.Flush()
 }
 
-// consoleCommand is `dapplestage console`.
+// consoleCommand returns `dapplestage console`.
 func consoleCommand() *cobra.Command {
-	s := &siteFlags{}
+	sites := &siteFlags{}
 	c := &cobra.Command{Use: "console --addr IP:PORT,...", Short: "Watch what runs, what does not and whose work is stuck, in the terminal", Args: checkArgs(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := s.parse(); err != nil {
+			if err := sites.parse(); err != nil {
 				return printError(err)
 			}
 			ctx, stop := context.WithCancel(cmd.Context())
 			defer stop()
-			m := console.New(func(a console.Request) console.Answer { return s.clients[a.SiteIndex].answerConsole(ctx, a) }, time.Now, s.names()...)
-			_, err := tea.NewProgram(m, tea.WithAltScreen(), tea.WithContext(ctx), tea.WithFPS(10)).Run()
+			model := console.New(func(request console.Request) console.Answer {
+				return sites.clients[request.SiteIndex].answerConsole(ctx, request)
+			}, time.Now, sites.names()...)
+			_, err := tea.NewProgram(model, tea.WithAltScreen(), tea.WithContext(ctx), tea.WithFPS(10)).Run()
 			return printError(err)
 		}}
-	s.register(c)
+	sites.register(c)
 	return c
 }
 
-func (s *siteClient) answerConsole(ctx context.Context, a console.Request) console.Answer {
-	out := console.Answer{Request: a}
-	if a.Job == "" {
-		out.Page, out.Err = s.accountPage(ctx, a.Query, 0)
-		if out.Err == nil {
-			out.Node = out.Page.Node
+// answerConsole answers a request of the console: for a page of the account, or for one job's
+// details and why it waits.
+func (s *siteClient) answerConsole(ctx context.Context, request console.Request) console.Answer {
+	answer := console.Answer{Request: request}
+	if request.Job == "" {
+		answer.Page, answer.Err = s.accountPage(ctx, request.Query, 0)
+		if answer.Err == nil {
+			answer.Node = answer.Page.Node
 		}
-		return out
+		return answer
 	}
-	p, err := s.accountPage(ctx, ledger.Query{Text: a.Job, Limit: 5}, 0)
+	page, err := s.accountPage(ctx, ledger.Query{Text: request.Job, Limit: 5}, 0)
 	if err != nil {
-		out.Err = err
-		return out
-	}
-	out.Node = p.Node
-	var b textBuffer
-	for i := range p.Rows {
-		if p.Rows[i].Job == a.Job {
-			printRow(&b, &p.Rows[i])
+		answer.Err = err
+		return answer
+	}
+	answer.Node = page.Node
+	var text textBuffer
+	for i := range page.Rows {
+		if page.Rows[i].Job == request.Job {
+			printRow(&text, &page.Rows[i])
 		}
 	}
-	var w node.Explanation
-	switch err := s.getFromAny(ctx, "/admin/why/"+a.Job, &w); {
+	var explanation node.Explanation
+	switch err := s.getFromAny(ctx, "/admin/why/"+request.Job, &explanation); {
 	case err != nil && strings.Contains(err.Error(), "answers 404"):
 	case err != nil:
-		fmt.Fprintf(&b, "\nwhy it waits is not known: %v\n", err)
+		fmt.Fprintf(&text, "\nwhy it waits is not known: %v\n", err)
 	default:
-		b = append(b, '\n')
-		printExplanation(&b, &w)
+		text = append(text, '\n')
+		printExplanation(&text, &explanation)
 	}
-	out.JobLines = strings.Split(strings.TrimRight(string(b), "\n"), "\n")
-	return out
+	answer.JobLines = strings.Split(strings.TrimRight(string(text), "\n"), "\n")
+	return answer
 }
 
-// printRow writes all that a row tells of a job.
-func printRow(b io.Writer, r *ledger.Row) {
-	fmt.Fprintf(b, "%s  %s\n\nteam %s, class %s, %s, image %s\n", r.Job, r.State, r.Team, r.Class, r.Shape, r.Image)
-	if r.Ticket != "" {
-		fmt.Fprintf(b, "a step of ticket %s\n", r.Ticket)
-	}
-	fmt.Fprintf(b, "%d tasks: %d done, %d running, %d starting, %d waiting, %d failed\n", r.Tasks, r.Done, r.Running, r.Starting, r.Waiting, r.Failed)
-	fmt.Fprintf(b, "submitted %s ago", time.Since(time.UnixMilli(r.Submitted)).Round(time.Second))
-	if r.Since > 0 {
-		fmt.Fprintf(b, ", %s for %s", r.State, time.Since(time.UnixMilli(r.Since)).Round(time.Second))
-	}
-	fmt.Fprintf(b, "\nlost %d runs; saved up to %.0f s; in %s on %s\n", r.Lost, r.SavedS, strings.Join(r.Zones, ", "), strings.Join(r.Machines, ", "))
-	if r.Why != "" {
-		fmt.Fprintf(b, "%s\n", r.Why)
-	}
-	for i, e := range r.Events {
+// printRow prints all fields of a job's row.
+func printRow(out io.Writer, row *ledger.Row) {
+	fmt.Fprintf(out, "%s  %s\n\nteam %s, class %s, %s, image %s\n", row.Job, row.State, row.Team, row.Class, row.Shape, row.Image)
+	if row.Ticket != "" {
+		fmt.Fprintf(out, "a step of ticket %s\n", row.Ticket)
+	}
+	fmt.Fprintf(out, "%d tasks: %d done, %d running, %d starting, %d waiting, %d failed\n", row.Tasks, row.Done, row.Running, row.Starting, row.Waiting, row.Failed)
+	fmt.Fprintf(out, "submitted %s ago", time.Since(time.UnixMilli(row.Submitted)).Round(time.Second))
+	if row.Since > 0 {
+		fmt.Fprintf(out, ", %s for %s", row.State, time.Since(time.UnixMilli(row.Since)).Round(time.Second))
+	}
+	fmt.Fprintf(out, "\nlost %d runs; saved up to %.0f s; in %s on %s\n", row.Lost, row.SavedS, strings.Join(row.Zones, ", "), strings.Join(row.Machines, ", "))
+	if row.Why != "" {
+		fmt.Fprintf(out, "%s\n", row.Why)
+	}
+	for i, e := range row.Events {
 		if i == 0 {
-			fmt.Fprintf(b, "\nas %s saw it:\n", r.Node)
+			fmt.Fprintf(out, "\nas %s saw it:\n", row.Node)
 		}
-		fmt.Fprintf(b, "  %s  %s\n", time.UnixMilli(e.AtMS).UTC().Format("15:04:05"), e.Text)
+		fmt.Fprintf(out, "  %s  %s\n", time.UnixMilli(e.AtMS).UTC().Format("15:04:05"), e.Text)
 	}
 
 }
--- a/cmd/dapplestage/state.go
+++ b/cmd/dapplestage/state.go
@@ -18,7 +18,8 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-// readState reads what is stored, and nothing else; it asks at most so often a second.
+// readState reads all stored values of the cluster, at most perSecond requests a second, and
+// returns them with their revision. It never writes.
 func readState(ctx context.Context, addr, config string, perSecond float64) (*packed.State, uint64, error) {
 	switch {
 	case (addr == "") == (config == ""):
@@ -36,15 +37,15 @@
 		return nil, 0, fmt.Errorf("%w: --state %q is not IP:PORT", errUsage, addr)
 	}
 	store := storage.NewStore(addr, protocol.StateSettings{RPS: perSecond / 0.9}, 1)
-	items, rev, err := store.List(ctx, protocol.WatchedRoot)
+	items, revision, err := store.List(ctx, protocol.WatchedRoot)
 	if err != nil {
 		return nil, 0, fmt.Errorf("%s: %w", addr, err)
 	}
-	return packed.ReadState(items, packed.Slots), rev, nil
+	return packed.ReadState(items, packed.Slots), revision, nil
 }
 
-// stateCommand is `dapplestage state`: it reads the state service by its protocol, also
-// while no controller runs, and never writes.
+// stateCommand returns `dapplestage state`. It reads the state service directly, so it works
+// while no controller runs. It never writes.
 func stateCommand() *cobra.Command {
 	var addr, config string
 	var perSecond float64
@@ -53,36 +54,36 @@
 	c.PersistentFlags().StringVar(&addr, "state", "", "the state service, as IP:PORT")
 	c.PersistentFlags().StringVar(&config, "config", "", "instead of --state, a controller's settings file")
 	c.PersistentFlags().Float64Var(&perSecond, "per-second", 5, "requests a second at most: it shares the service's rate with the controllers")
-	sub := func(use, short string, run func(out io.Writer, s *packed.State, rev uint64) error) *cobra.Command {
+	newSubcommand := func(use, short string, run func(out io.Writer, s *packed.State, revision uint64) error) *cobra.Command {
 		return &cobra.Command{Use: use, Short: short, Args: checkArgs(cobra.NoArgs), RunE: func(cmd *cobra.Command, _ []string) error {
-			s, rev, err := readState(cmd.Context(), addr, config, perSecond)
+			s, revision, err := readState(cmd.Context(), addr, config, perSecond)
 			if err == nil {
-				err = run(cmd.OutOrStdout(), s, rev)
+				err = run(cmd.OutOrStdout(), s, revision)
 			}
 			return printError(err)
 		}}
 	}
-	inspect := sub("inspect", "What there is: values, logs, inboxes, jobs", func(out io.Writer, s *packed.State, rev uint64) error {
-		v := viewState(s, rev)
+	inspect := newSubcommand("inspect", "What there is: values, logs, inboxes, jobs", func(out io.Writer, s *packed.State, revision uint64) error {
+		v := viewState(s, revision)
 		if asJSON {
 			return printJSON(out, v)
 		}
 		return v.print(out)
 	})
 	inspect.Flags().BoolVar(&asJSON, "json", false, "print JSON")
-	c.AddCommand(inspect, sub("verify", "What is damaged, and where; exits with 1 if anything is", func(out io.Writer, s *packed.State, rev uint64) error {
+	c.AddCommand(inspect, newSubcommand("verify", "What is damaged, and where; exits with 1 if anything is", func(out io.Writer, s *packed.State, revision uint64) error {
 		for _, p := range s.Problems {
 			fmt.Fprintf(out, "%s: %s\n", sanitize(p.Key), sanitize(p.Reason))
 		}
-		fmt.Fprintf(out, "%d jobs read as of revision %d, %d problems\n", len(s.Jobs), rev, len(s.Problems))
+		fmt.Fprintf(out, "%d jobs read as of revision %d, %d problems\n", len(s.Jobs), revision, len(s.Problems))
 		if len(s.Problems) > 0 {
 			return fmt.Errorf("%d problems", len(s.Problems))
 		}
 		return nil
-	}), sub("export", "Open jobs, one JSON line each, with the tasks that have a machine", func(out io.Writer, s *packed.State, _ uint64) error {
-		e := json.NewEncoder(out)
+	}), newSubcommand("export", "Open jobs, one JSON line each, with the tasks that have a machine", func(out io.Writer, s *packed.State, _ uint64) error {
+		encoder := json.NewEncoder(out)
 		for _, id := range slices.Sorted(maps.Keys(s.Jobs)) {
-			if err := e.Encode(s.Jobs[id]); err != nil {
+			if err := encoder.Encode(s.Jobs[id]); err != nil {
 				return err
 			}
 		}
@@ -91,59 +92,62 @@
 	return c
 }
 
-// stateView is what there is in the state service.
+// stateView summarizes what is stored in the state service.
 type stateView struct {
-	Revision uint64                        `json:"revision"`
-	At       int64                         `json:"as_of_ms"`
-	Kinds    map[string]packed.ValueTotals `json:"kinds"`
-	Logs     map[int]ringView              `json:"logs"`
-	Inboxes  map[string]ringView           `json:"inboxes"`
-	Jobs     int                           `json:"jobs"`
-	Alone    int                           `json:"in_records"` // jobs with a record of their own
-	Tasks    map[string]int                `json:"tasks"`
-	Empty    bool                          `json:"entries_empty"` // an earlier version may be started
-	Problems int                           `json:"problems"`
+	Revision     uint64                        `json:"revision"`
+	AsOf         int64                         `json:"as_of_ms"`
+	Kinds        map[string]packed.ValueTotals `json:"kinds"`
+	Logs         map[int]ringView              `json:"logs"`
+	Inboxes      map[string]ringView           `json:"inboxes"`
+	Jobs         int                           `json:"jobs"`
+	WithRecord   int                           `json:"in_records"` // jobs that have a record of their own
+	Tasks        map[string]int                `json:"tasks"`
+	EntriesEmpty bool                          `json:"entries_empty"` // no entry mentions a job, so an earlier version may be started
+	Problems     int                           `json:"problems"`
 }
 
+// ringView summarizes a log or an inbox.
 type ringView struct {
 	Last uint64 `json:"last"`
 	Jobs int    `json:"jobs"`
 }
 
-func viewState(s *packed.State, rev uint64) *stateView {
-	v := &stateView{Revision: rev, At: time.Now().UnixMilli(), Kinds: s.ValuesByKind, Logs: map[int]ringView{}, Inboxes: map[string]ringView{}, Jobs: len(s.Jobs), Tasks: map[string]int{}, Empty: true, Problems: len(s.Problems)}
-	for i, r := range s.Logs {
-		v.Logs[i], v.Empty = ringView{r.LastSeq(), r.JobCount()}, v.Empty && r.Empty()
+// viewState counts what is stored.
+func viewState(state *packed.State, revision uint64) *stateView {
+	view := &stateView{Revision: revision, AsOf: time.Now().UnixMilli(), Kinds: state.ValuesByKind, Logs: map[int]ringView{}, Inboxes: map[string]ringView{}, Jobs: len(state.Jobs), Tasks: map[string]int{}, EntriesEmpty: true, Problems: len(state.Problems)}
+	for partition, ring := range state.Logs {
+		view.Logs[partition], view.EntriesEmpty = ringView{ring.LastSeq(), ring.JobCount()}, view.EntriesEmpty && ring.Empty()
 	}
-	for n, r := range s.Inboxes {
-		v.Inboxes[n], v.Empty = ringView{r.LastSeq(), r.JobCount()}, v.Empty && r.Empty()
+	for node, ring := range state.Inboxes {
+		view.Inboxes[node], view.EntriesEmpty = ringView{ring.LastSeq(), ring.JobCount()}, view.EntriesEmpty && ring.Empty()
 	}
-	for _, j := range s.Jobs {
+	for _, j := range state.Jobs {
 		if j.HasRecord {
-			v.Alone++
+			view.WithRecord++
 		}
-		v.Tasks["done"] += j.Done
-		v.Tasks["placed"] += j.Placed
-		v.Tasks["waiting"] += j.Waiting
+		view.Tasks["done"] += j.Done
+		view.Tasks["placed"] += j.Placed
+		view.Tasks["waiting"] += j.Waiting
 	}
-	return v
+	return view
 }
 
+// print prints the view as tables.
 func (v *stateView) print(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(w, "revision %d\n\nKIND\tVALUES\tBYTES\n", v.Revision)
-	for _, k := range slices.Sorted(maps.Keys(v.Kinds)) {
-		fmt.Fprintf(w, "%s\t%d\t%d\n", sanitize(k), v.Kinds[k].Values, v.Kinds[k].Bytes)
+	for _, kind := range slices.Sorted(maps.Keys(v.Kinds)) {
+		fmt.Fprintf(w, "%s\t%d\t%d\n", sanitize(kind), v.Kinds[kind].Values, v.Kinds[kind].Bytes)
 	}
 	fmt.Fprintln(w, "\nRING\tLAST ENTRY\tJOBS MENTIONED")
-	for _, i := range slices.Sorted(maps.Keys(v.Logs)) {
-		fmt.Fprintf(w, "log of share %d\t%d\t%d\n", i, v.Logs[i].Last, v.Logs[i].Jobs)
+	for _, partition := range slices.Sorted(maps.Keys(v.Logs)) {
+		fmt.Fprintf(w, "log of share %d\t%d\t%d\n", partition, v.Logs[partition].Last, v.Logs[partition].Jobs)
 	}
-	for _, n := range slices.Sorted(maps.Keys(v.Inboxes)) {
-		fmt.Fprintf(w, "inbox of %s\t%d\t%d\n", sanitize(n), v.Inboxes[n].Last, v.Inboxes[n].Jobs)
+	for _, node := range slices.Sorted(maps.Keys(v.Inboxes)) {
+		fmt.Fprintf(w, "inbox of %s\t%d\t%d\n", sanitize(node), v.Inboxes[node].Last, v.Inboxes[node].Jobs)
 	}
-	fmt.Fprintf(w, "\n%d jobs open, %d of them in records of their own; tasks: %d placed, %d waiting, %d done\n", v.Jobs, v.Alone, v.Tasks["placed"], v.Tasks["waiting"], v.Tasks["done"])
-	if v.Empty {
+	fmt.Fprintf(w, "\n%d jobs open, %d of them in records of their own; tasks: %d placed, %d waiting, %d done\n", v.Jobs, v.WithRecord, v.Tasks["placed"], v.Tasks["waiting"], v.Tasks["done"])
+	if v.EntriesEmpty {
 		fmt.Fprintln(w, "entries tell of no job: an earlier version may be started")
 	}
 	if v.Problems > 0 {
--- a/cmd/dapplestage/state_test.go
+++ b/cmd/dapplestage/state_test.go
@@ -14,13 +14,13 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-// What is stored is told from records and entries together, damage by its key, and nothing
-// is ever written.
+// The state commands must combine job records and entries, report each damaged value by its
+// key, and never write to the state service.
 func TestStateCommands(t *testing.T) {
 	spec := func(id string, tasks int) *protocol.JobSpec {
 		return &protocol.JobSpec{ID: id, Team: "red", Class: "c", Shape: "sweep", Tasks: tasks}
 	}
-	sound := map[string]any{
+	intact := map[string]any{
 		protocol.JobKey("job-1"):      protocol.JobRecord{Spec: spec("job-1", 3), NextAttempt: 2, Chunk: protocol.Chunk{Placed: []protocol.Placement{{Task: 0, Attempt: 1, Machine: "host-1"}}}},
 		protocol.BatchKey("b"):        protocol.BatchRecord{Machines: []protocol.MachineRecord{{Name: "host-1"}}},
 		protocol.InboxKey("n-0", 1):   protocol.Entry{Version: 1, Seq: 1, Jobs: []protocol.AcceptedJob{{Spec: spec("job-2", 4)}, {Spec: spec("job-3", 1)}}},
@@ -50,22 +50,22 @@
 		t.Cleanup(s.Close)
 		return strings.TrimPrefix(s.URL, "http://"), written
 	}
-	good, written := serve(sound)
-	broken, _ := serve(damaged)
+	intactAddr, written := serve(intact)
+	damagedAddr, _ := serve(damaged)
 	for _, c := range []struct {
 		args []string
 		code int
 		want []string
 	}{
-		{[]string{"inspect", "--state", good}, 0, []string{"2 jobs open, 1 of them in records of their own; tasks: 2 placed, 4 waiting, 1 done", "log of share 0"}},
-		{[]string{"inspect", "--state", good, "--json"}, 0, []string{`"entries_empty": false`}},
-		{[]string{"verify", "--state", good}, 0, []string{"2 jobs read as of revision 7, 0 problems"}},
-		{[]string{"export", "--state", good}, 0, []string{`"id":"job-2"`, `{"task":2,"try":4,"machine":"host-1"}`}},
-		{[]string{"verify", "--state", broken}, 1, []string{"d/jobs/job-4: not understood", "d/jobs/job-1: task 7 is not in 0 to 1", "d/log/1/1: not understood: entry of version 9", "d/in/n-0/1: not understood: entry 2 in slot 1",
+		{[]string{"inspect", "--state", intactAddr}, 0, []string{"2 jobs open, 1 of them in records of their own; tasks: 2 placed, 4 waiting, 1 done", "log of share 0"}},
+		{[]string{"inspect", "--state", intactAddr, "--json"}, 0, []string{`"entries_empty": false`}},
+		{[]string{"verify", "--state", intactAddr}, 0, []string{"2 jobs read as of revision 7, 0 problems"}},
+		{[]string{"export", "--state", intactAddr}, 0, []string{`"id":"job-2"`, `{"task":2,"try":4,"machine":"host-1"}`}},
+		{[]string{"verify", "--state", damagedAddr}, 1, []string{"d/jobs/job-4: not understood", "d/jobs/job-1: task 7 is not in 0 to 1", "d/log/1/1: not understood: entry of version 9", "d/in/n-0/1: not understood: entry 2 in slot 1",
 			"d/log/1: entry 1 is missing, and entry 3 is there", "on host-8, which has no record", "try 4, and the next one is"}},
 		{[]string{"verify"}, 2, []string{"--state IP:PORT or --config FILE"}},
 		{[]string{"verify", "--state", "nowhere"}, 2, []string{"not IP:PORT"}},
-		{[]string{"verify", "--state", good, "--per-second", "0"}, 2, []string{"--per-second 0 is not within"}},
+		{[]string{"verify", "--state", intactAddr, "--per-second", "0"}, 2, []string{"--per-second 0 is not within"}},
 		{[]string{"verify", "--config", filepath.Join(t.TempDir(), "none")}, 1, []string{"no such file"}},
 		{[]string{"verify", "--state", "127.0.0.1:1"}, 1, []string{"did not answer"}},
 	} {
@@ -82,6 +82,6 @@
 		}
 	}
 	if *written {
-		t.Error("something was written")
+		t.Error("the state commands wrote to the state service")
 	}
 }
--- a/cmd/dapplestage/ticket.go
+++ b/cmd/dapplestage/ticket.go
@@ -25,23 +25,24 @@
 	"dapplestage.example/dapplestage/internal/transport"
 )
 
-// ticketFlags are what the ticket subcommands share.
+// ticketFlags are the flags that the ticket subcommands share.
 type ticketFlags struct {
 	addr   string
 	asJSON bool
-	params []string
+	params []string // NAME=VALUE each
 }
 
-// ticketCommand is `dapplestage ticket`.
+// ticketCommand returns `dapplestage ticket`.
 func ticketCommand() *cobra.Command {
 	f := &ticketFlags{}
 	root := &cobra.Command{Use: "ticket", Short: "Check, submit and watch render-farm tickets", Args: checkArgs(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error { return cmd.Help() }}
-	root.AddCommand(f.check(), f.submit(), f.status(), f.tasks(), f.cancel(), f.classesCommand())
+	root.AddCommand(f.checkCommand(), f.submitCommand(), f.statusCommand(), f.tasksCommand(), f.cancelCommand(), f.classesCommand())
 	return root
 }
 
-func (f *ticketFlags) command(use, short string, args cobra.PositionalArgs, needAddr bool, run func(cmd *cobra.Command, args []string) error) *cobra.Command {
+// newCommand returns a subcommand with the flag --json and, if it calls a node, --addr.
+func (f *ticketFlags) newCommand(use, short string, args cobra.PositionalArgs, needAddr bool, run func(cmd *cobra.Command, args []string) error) *cobra.Command {
 	c := &cobra.Command{Use: use, Short: short, Args: checkArgs(args), RunE: func(cmd *cobra.Command, args []string) error {
 		if needAddr && f.addr == "" {
 			return printError(fmt.Errorf("%w: --addr IP:PORT is needed", errUsage))
@@ -55,15 +56,15 @@
 	return c
 }
 
-// args reads --param NAME=VALUE.
-func (f *ticketFlags) args() (format.Args, error) {
+// parseParams parses the --param flags.
+func (f *ticketFlags) parseParams() (format.Args, error) {
 	out := format.Args{}
 	for _, p := range f.params {
 		name, v, ok := strings.Cut(p, "=")
 		if !ok || name == "" {
 			return nil, fmt.Errorf("%w: --param %q is not NAME=VALUE", errUsage, p)
 		}
-		if _, twice := out[name]; twice {
+		if _, duplicate := out[name]; duplicate {
 			return nil, fmt.Errorf("%w: --param %s is given twice", errUsage, name)
 		}
 		out[name] = v
@@ -71,8 +72,9 @@
 	return out, nil
 }
 
-// template reads a file, or standard input for -.
-func (f *ticketFlags) template(path string) (*format.Template, []byte, error) {
+// readTemplate reads and parses a template from a file, or from standard input for -. It also
+// returns the template's text.
+func (f *ticketFlags) readTemplate(path string) (*format.Template, []byte, error) {
 	var data []byte
 	var err error
 	if path == "-" {
@@ -90,41 +92,42 @@
 	return t, data, nil
 }
 
-// checkedStep is what `ticket check` tells of a step.
+// checkedStep is what `ticket check` prints of a step.
 type checkedStep struct {
-	Step     string             `json:"step"`
-	Tasks    int                `json:"tasks"`
-	After    []string           `json:"after,omitempty"`
-	CPUs     *float64           `json:"vcpus,omitempty"`
-	GPUs     *float64           `json:"cards,omitempty"`
-	MemoryGB *float64           `json:"memGb,omitempty"`
-	Builds   []string           `json:"builds,omitempty"`
-	Region   string             `json:"region,omitempty"`
-	First    [][]format.Binding `json:"first_tasks,omitempty"`
-}
-
-// checkFlags are those of `ticket check`.
+	Step       string             `json:"step"`
+	Tasks      int                `json:"tasks"`
+	After      []string           `json:"after,omitempty"`
+	CPUs       *float64           `json:"vcpus,omitempty"`
+	GPUs       *float64           `json:"cards,omitempty"`
+	MemoryGB   *float64           `json:"memGb,omitempty"`
+	Types      []string           `json:"builds,omitempty"`
+	Zone       string             `json:"region,omitempty"`
+	FirstTasks [][]format.Binding `json:"first_tasks,omitempty"`
+}
+
+// checkFlags are the flags of `ticket check`.
 type checkFlags struct {
-	show       int // tasks of each step to be written out
+	tasksShown int // number of tasks of each step to print
 	asTemplate bool
 }
 
-func (f *ticketFlags) check() *cobra.Command {
+func (f *ticketFlags) checkCommand() *cobra.Command {
 	var flags checkFlags
-	c := f.command("check FILE", "Expand a template and show its steps, tasks and requirements", cobra.ExactArgs(1), false, func(cmd *cobra.Command, args []string) error {
+	c := f.newCommand("check FILE", "Expand a template and show its steps, tasks and requirements", cobra.ExactArgs(1), false, func(cmd *cobra.Command, args []string) error {
 		if flags.asTemplate {
 			return f.printTemplate(cmd.OutOrStdout(), args[0])
 		}
-		return f.printPlan(cmd.OutOrStdout(), args[0], flags.show)
+		return f.printPlan(cmd.OutOrStdout(), args[0], flags.tasksShown)
 	})
 	c.Flags().StringArrayVar(&f.params, "param", nil, "a job parameter, as NAME=VALUE; may be repeated")
-	c.Flags().IntVar(&flags.show, "show", 0, "write out so many tasks of each step")
+	c.Flags().IntVar(&flags.tasksShown, "show", 0, "print this many tasks of each step")
 	c.Flags().BoolVar(&flags.asTemplate, "template", false, "print the checked template as JSON instead")
 	return c
 }
 
+// printTemplate prints a template as JSON.
 func (f *ticketFlags) printTemplate(out io.Writer, path string) error {
-	t, _, err := f.template(path)
+	t, _, err := f.readTemplate(path)
 	if err != nil {
 		return err
 	}
@@ -135,20 +138,20 @@
 	return err
 }
 
-// printPlan shows what a template expands to.
+// printPlan prints the steps and tasks that a template expands to.
 func (f *ticketFlags) printPlan(out io.Writer, path string, show int) error {
 	if show < 0 || show > format.MaxTasks {
 		return fmt.Errorf("%w: --show %d is not within 0 to %d", errUsage, show, format.MaxTasks)
 	}
-	given, err := f.args()
+	params, err := f.parseParams()
 	if err != nil {
 		return err
 	}
-	t, _, err := f.template(path)
+	t, _, err := f.readTemplate(path)
 	if err != nil {
 		return err
 	}
-	plan, err := t.Expand(given)
+	plan, err := t.Expand(params)
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
@@ -161,17 +164,17 @@
 	return nil
 }
 
-// checkedSteps are a plan's steps, with the first tasks of each.
+// checkedSteps returns a plan's steps with the first show tasks of each.
 func checkedSteps(plan *format.Plan, show int) (steps []checkedStep) {
-	for _, s := range plan.Steps {
-		v := checkedStep{Step: s.Name, Tasks: s.Space.Len(), CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Builds: s.Types, Region: s.Zone}
-		for _, d := range s.Deps {
-			v.After = append(v.After, plan.Steps[d].Name)
+	for _, planned := range plan.Steps {
+		step := checkedStep{Step: planned.Name, Tasks: planned.Space.Len(), CPUs: planned.CPUs, GPUs: planned.GPUs, MemoryGB: planned.MemoryGB, Types: planned.Types, Zone: planned.Zone}
+		for _, dependency := range planned.Deps {
+			step.After = append(step.After, plan.Steps[dependency].Name)
 		}
-		for i := range min(show, v.Tasks) {
-			v.First = append(v.First, s.Space.At(i))
+		for i := range min(show, step.Tasks) {
+			step.FirstTasks = append(step.FirstTasks, planned.Space.At(i))
 		}
-		steps = append(steps, v)
+		steps = append(steps, step)
 	}
 	return steps
 }
@@ -180,19 +183,19 @@
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "STEP\tTASKS\tVCPUS\tCARDS\tMEM GB\tMACHINES\tREGION\tAFTER")
 	for _, s := range steps {
-		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\n", s.Step, s.Tasks, orClass(s.CPUs), orClass(s.GPUs), orClass(s.MemoryGB),
-			orAny(strings.Join(s.Builds, ",")), orAny(s.Region), strings.Join(s.After, ", "))
+		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\n", s.Step, s.Tasks, amountOrClass(s.CPUs), amountOrClass(s.GPUs), amountOrClass(s.MemoryGB),
+			orAny(strings.Join(s.Types, ",")), orAny(s.Zone), strings.Join(s.After, ", "))
 	}
 	w.Flush()
 	for _, s := range steps {
-		for i, t := range s.First {
-			fmt.Fprintf(out, "%s/%d:%s\n", s.Step, i, bindings(t))
+		for i, t := range s.FirstTasks {
+			fmt.Fprintf(out, "%s/%d:%s\n", s.Step, i, formatBindings(t))
 		}
 	}
 }
 
-// orClass is an amount, or that the class says it.
-func orClass(amount *float64) string {
+// amountOrClass formats an amount. Without one, the ticket's class sets it.
+func amountOrClass(amount *float64) string {
 	if amount == nil {
 		return "class"
 	}
@@ -206,124 +209,127 @@
 	return s
 }
 
-func bindings(bs []format.Binding) string {
+func formatBindings(bindings []format.Binding) string {
 	var b strings.Builder
-	for _, x := range bs {
-		fmt.Fprintf(&b, " %s=%s", x.Name, x.Value)
+	for _, binding := range bindings {
+		fmt.Fprintf(&b, " %s=%s", binding.Name, binding.Value)
 	}
 	return b.String()
 }
 
 // submission is the body of POST /tickets.
 type submission struct {
-	ID         string      `json:"id,omitempty"`
-	Token      string      `json:"clientToken,omitempty"`
-	Lot        string      `json:"lot"`
-	Crew       string      `json:"crew"`
-	Urgency    string      `json:"urgency,omitempty"`
-	Bundle     string      `json:"bundle,omitempty"`
-	SizeGB     *float64    `json:"sizeGb,omitempty"`
-	ExpectS    float64     `json:"expectS,omitempty"`
-	Template   string      `json:"template"`
-	Args       format.Args `json:"parameters"`
-	Priority   *int        `json:"priority,omitempty"`
-	Retries    *int        `json:"maxRetriesPerTask,omitempty"`
-	MostFailed *int        `json:"maxFailedTasksCount,omitempty"`
-}
-
-// submitFlags are those of `ticket submit`; what is not given is not sent.
+	ID             string      `json:"id,omitempty"`
+	Token          string      `json:"clientToken,omitempty"`
+	Class          string      `json:"lot"`
+	Team           string      `json:"crew"`
+	Priority       string      `json:"urgency,omitempty"`
+	Image          string      `json:"bundle,omitempty"`
+	ImageGB        *float64    `json:"sizeGb,omitempty"`
+	EstimateS      float64     `json:"expectS,omitempty"`
+	Template       string      `json:"template"`
+	Args           format.Args `json:"parameters"`
+	TicketPriority *int        `json:"priority,omitempty"`
+	MaxRetries     *int        `json:"maxRetriesPerTask,omitempty"`
+	MaxFailedTasks *int        `json:"maxFailedTasksCount,omitempty"`
+}
+
+// submitFlags are the flags of `ticket submit`. Optional fields are sent only if their flag is
+// set.
 type submitFlags struct {
-	ticket                    submission
-	sizeGB                    float64
-	priority, retries, failed int
-	upload                    string
-	watch                     bool
+	ticket                                     submission
+	imageGB                                    float64
+	ticketPriority, maxRetries, maxFailedTasks int
+	uploadAddr                                 string
+	watch                                      bool
 }
 
-func (f *ticketFlags) submit() *cobra.Command {
-	s := &submitFlags{}
-	c := f.command("submit FILE", "Submit a template as a ticket; repeating it submits nothing again", cobra.ExactArgs(1), true, func(cmd *cobra.Command, args []string) error {
-		body, err := f.body(s, args[0], cmd.Flags().Changed)
+func (f *ticketFlags) submitCommand() *cobra.Command {
+	submit := &submitFlags{}
+	c := f.newCommand("submit FILE", "Submit a template as a ticket; repeating it submits nothing again", cobra.ExactArgs(1), true, func(cmd *cobra.Command, args []string) error {
+		body, err := f.submissionBody(submit, args[0], cmd.Flags().Changed)
 		if err != nil {
 			return err
 		}
-		if s.upload != "" {
-			if err := f.upload(cmd.Context(), s.upload, body); err != nil {
+		if submit.uploadAddr != "" {
+			if err := f.uploadDescriptions(cmd.Context(), submit.uploadAddr, body); err != nil {
 				return err
 			}
 		}
-		st, err := f.send(cmd.Context(), body)
+		status, err := f.submitTicket(cmd.Context(), body)
 		if err != nil {
 			return err
 		}
-		return f.show(cmd, st, s.watch)
+		return f.showTicket(cmd, status, submit.watch)
 	})
-	fl, t := c.Flags(), &s.ticket
-	fl.StringVar(&t.ID, "id", "", "the ticket's id: job- and digits")
-	fl.StringVar(&t.Token, "token", "", "any text of at most 64 characters that names the ticket; its id is derived from it and the crew")
-	fl.StringVar(&t.Lot, "lot", "", "the class of the ticket")
-	fl.StringVar(&t.Crew, "crew", "", "the team")
-	fl.StringVar(&t.Urgency, "urgency", "", "critical, high, standard or best_effort")
-	fl.StringVar(&t.Bundle, "bundle", "", "the image, if not the class's")
-	fl.Float64Var(&s.sizeGB, "size-gb", 0, "its size in GB")
-	fl.Float64Var(&t.ExpectS, "expect-s", 0, "expected run time of a task in seconds")
-	fl.StringArrayVar(&f.params, "param", nil, "a job parameter, as NAME=VALUE; may be repeated")
-	fl.IntVar(&s.priority, "priority", 50, "0 to 100, if no urgency is given")
-	fl.IntVar(&s.retries, "retries", 0, "how often a failed task may be tried again")
-	fl.IntVar(&s.failed, "most-failed", 0, "how many failed tasks the ticket survives")
-	fl.StringVar(&s.upload, "upload", "", "where descriptions are uploaded for the workers, as IP:PORT")
-	fl.BoolVar(&s.watch, "watch", false, "wait for the end")
+	flags, t := c.Flags(), &submit.ticket
+	flags.StringVar(&t.ID, "id", "", "the ticket's id: job- and digits")
+	flags.StringVar(&t.Token, "token", "", "any text of at most 64 characters that identifies the ticket; the ticket's id is derived from it and the crew")
+	flags.StringVar(&t.Class, "lot", "", "the class of the ticket")
+	flags.StringVar(&t.Team, "crew", "", "the team")
+	flags.StringVar(&t.Priority, "urgency", "", "critical, high, standard or best_effort")
+	flags.StringVar(&t.Image, "bundle", "", "the image, if not the class's")
+	flags.Float64Var(&submit.imageGB, "size-gb", 0, "the size of the image in GB")
+	flags.Float64Var(&t.EstimateS, "expect-s", 0, "expected run time of a task in seconds")
+	flags.StringArrayVar(&f.params, "param", nil, "a job parameter, as NAME=VALUE; may be repeated")
+	flags.IntVar(&submit.ticketPriority, "priority", 50, "0 to 100, if no urgency is given")
+	flags.IntVar(&submit.maxRetries, "retries", 0, "how often a failed task may be tried again")
+	flags.IntVar(&submit.maxFailedTasks, "most-failed", 0, "the most failed tasks with which the ticket goes on")
+	flags.StringVar(&submit.uploadAddr, "upload", "", "address to which task descriptions are uploaded for the workers, as IP:PORT")
+	flags.BoolVar(&submit.watch, "watch", false, "wait for the end")
 	return c
 }
 
-// body is the body of POST /tickets for a template. given says whether a flag was given.
-func (f *ticketFlags) body(s *submitFlags, path string, given func(flag string) bool) ([]byte, error) {
-	t := &s.ticket
-	for flag, v := range map[string]string{"--lot": t.Lot, "--crew": t.Crew, "--id or --token": t.ID + t.Token} {
+// submissionBody returns the body of POST /tickets for a template. isSet reports whether a flag
+// was given on the command line.
+func (f *ticketFlags) submissionBody(submit *submitFlags, path string, isSet func(flag string) bool) ([]byte, error) {
+	t := &submit.ticket
+	for flag, v := range map[string]string{"--lot": t.Class, "--crew": t.Team, "--id or --token": t.ID + t.Token} {
 		if v == "" {
 			return nil, fmt.Errorf("%w: %s is needed", errUsage, flag)
 		}
 	}
 	var err error
-	if t.Args, err = f.args(); err != nil {
+	if t.Args, err = f.parseParams(); err != nil {
 		return nil, err
 	}
-	_, data, err := f.template(path)
+	_, data, err := f.readTemplate(path)
 	if err != nil {
 		return nil, err
 	}
 	t.Template = string(data)
-	if given("size-gb") {
-		t.SizeGB = &s.sizeGB
+	if isSet("size-gb") {
+		t.ImageGB = &submit.imageGB
 	}
-	if given("priority") {
-		t.Priority = &s.priority
+	if isSet("priority") {
+		t.TicketPriority = &submit.ticketPriority
 	}
-	if given("retries") {
-		t.Retries = &s.retries
+	if isSet("retries") {
+		t.MaxRetries = &submit.maxRetries
 	}
-	if given("most-failed") {
-		t.MostFailed = &s.failed
+	if isSet("most-failed") {
+		t.MaxFailedTasks = &submit.maxFailedTasks
 	}
 	return json.Marshal(t)
 }
 
-// send submits until the ticket is taken or refused: a repeat is the same ticket.
-func (f *ticketFlags) send(ctx context.Context, body []byte) (*node.TicketStatus, error) {
+// submitTicket retries for a minute until the ticket is accepted or refused. Repeating is safe:
+// the id or token makes it the same ticket.
+func (f *ticketFlags) submitTicket(ctx context.Context, body []byte) (*node.TicketStatus, error) {
 	client := transport.NewClient(f.addr, 0)
 	for deadline := time.Now().Add(time.Minute); ; {
-		a, err := client.Call(ctx, adminTimeout, "POST", "/tickets", body)
-		var st node.TicketStatus
+		answer, err := client.Call(ctx, adminTimeout, "POST", "/tickets", body)
+		var status node.TicketStatus
 		switch {
-		case err == nil && (a.Status == 200 || a.Status == 201):
-			return &st, json.Unmarshal(a.Body, &st)
-		case err == nil && a.Status >= 400 && a.Status < 500 && a.Status != 429:
-			return nil, fmt.Errorf("refused (%d): %s", a.Status, errorIn(a.Body))
+		case err == nil && (answer.Status == 200 || answer.Status == 201):
+			return &status, json.Unmarshal(answer.Body, &status)
+		case err == nil && answer.Status >= 400 && answer.Status < 500 && answer.Status != 429:
+			return nil, fmt.Errorf("refused (%d): %s", answer.Status, errorText(answer.Body))
 		case time.Now().After(deadline) || ctx.Err() != nil:
 			if err != nil {
 				return nil, fmt.Errorf("%s does not answer: %v; whether the ticket was taken is not known, submitting it again is safe", f.addr, err)
 			}
-			return nil, fmt.Errorf("%s answers %d %s; the ticket was not taken, or that is not known: submitting it again is safe", f.addr, a.Status, errorIn(a.Body))
+			return nil, fmt.Errorf("%s answers %d %s; the ticket was not taken, or that is not known: submitting it again is safe", f.addr, answer.Status, errorText(answer.Body))
 		}
 		select {
 		case <-ctx.Done():
@@ -332,153 +338,157 @@
 	}
 }
 
-func errorIn(body []byte) string {
-	var e struct {
+// errorText returns the error message in the body of an answer.
+func errorText(body []byte) string {
+	var failure struct {
 		Error string `json:"error"`
 	}
-	json.Unmarshal(body, &e)
-	return e.Error
+	json.Unmarshal(body, &failure)
+	return failure.Error
 }
 
-// upload gives the workers the descriptions of a ticket's steps, as users do for any
-// job, before the ticket is submitted.
-func (f *ticketFlags) upload(ctx context.Context, to string, body []byte) error {
+// uploadDescriptions uploads the descriptions of a ticket's steps for the workers before the
+// ticket is submitted, as users do for any job.
+func (f *ticketFlags) uploadDescriptions(ctx context.Context, uploadAddr string, body []byte) error {
 	var view node.ClassesView
 	if err := callNode(ctx, f.addr, "GET", "/admin/classes", nil, &view); err != nil {
 		return err
 	}
-	s, err := format.ParseTicket(body)
+	submitted, err := format.ParseTicket(body)
 	if err != nil {
 		return err
 	}
-	a, err := ticket.Admit(s, view.Classes, ticket.Limits{MaxValueBytes: 64 << 10})
+	admitted, err := ticket.Admit(submitted, view.Classes, ticket.Limits{MaxValueBytes: 64 << 10})
 	if err != nil {
 		return err
 	}
-	ds, err := ticket.Describe(s, a)
+	descriptions, err := ticket.Describe(submitted, admitted)
 	if err != nil {
 		return err
 	}
-	client := transport.NewClient(to, 0)
-	for _, d := range ds {
-		data, err := json.Marshal(d)
+	client := transport.NewClient(uploadAddr, 0)
+	for _, description := range descriptions {
+		data, err := json.Marshal(description)
 		if err != nil {
 			return err
 		}
-		switch ans, err := client.Call(ctx, adminTimeout, "POST", "/upload", data); {
+		switch answer, err := client.Call(ctx, adminTimeout, "POST", "/upload", data); {
 		case err != nil:
-			return fmt.Errorf("upload: %s does not answer: %v", to, err)
-		case ans.Status != 200:
-			return fmt.Errorf("upload: %s answers %d %s", to, ans.Status, bytes.TrimSpace(ans.Body))
+			return fmt.Errorf("upload: %s does not answer: %v", uploadAddr, err)
+		case answer.Status != 200:
+			return fmt.Errorf("upload: %s answers %d %s", uploadAddr, answer.Status, bytes.TrimSpace(answer.Body))
 		}
 	}
 	return nil
 }
 
-func (f *ticketFlags) get(ctx context.Context, id string) (*node.TicketStatus, error) {
+func (f *ticketFlags) getTicket(ctx context.Context, id string) (*node.TicketStatus, error) {
 	if !protocol.ValidJobID(id) {
 		return nil, fmt.Errorf("%w: %q is not the id of a ticket: job- and digits", errUsage, id)
 	}
-	var st node.TicketStatus
-	return &st, callNode(ctx, f.addr, "GET", "/tickets/"+id, nil, &st)
+	var status node.TicketStatus
+	return &status, callNode(ctx, f.addr, "GET", "/tickets/"+id, nil, &status)
 }
 
-func (f *ticketFlags) status() *cobra.Command {
+func (f *ticketFlags) statusCommand() *cobra.Command {
 	var watch bool
-	c := f.command("status ID", "Show a ticket and its steps", cobra.ExactArgs(1), true, func(cmd *cobra.Command, args []string) error {
-		st, err := f.get(cmd.Context(), args[0])
+	c := f.newCommand("status ID", "Show a ticket and its steps", cobra.ExactArgs(1), true, func(cmd *cobra.Command, args []string) error {
+		status, err := f.getTicket(cmd.Context(), args[0])
 		if err != nil {
 			return err
 		}
-		return f.show(cmd, st, watch)
+		return f.showTicket(cmd, status, watch)
 	})
 	c.Flags().BoolVar(&watch, "watch", false, "wait for the end")
 	return c
 }
 
-// errFailed marks a ticket that was watched to an end that is not done.
-var errFailed = errors.New("the ticket is not done")
+// errNotDone marks a watched ticket that ended as failed or cancelled.
+var errNotDone = errors.New("the ticket is not done")
 
-// show prints a ticket, and with watch each change until it is over.
-func (f *ticketFlags) show(cmd *cobra.Command, st *node.TicketStatus, watch bool) error {
+// showTicket prints a ticket and, with watch, each change until the ticket ends.
+func (f *ticketFlags) showTicket(cmd *cobra.Command, status *node.TicketStatus, watch bool) error {
 	out := cmd.OutOrStdout()
-	last := ""
+	printed := ""
 	for {
-		var b bytes.Buffer
+		var buffer bytes.Buffer
 		if f.asJSON {
-			data, err := json.Marshal(st)
+			data, err := json.Marshal(status)
 			if err != nil {
 				return err
 			}
-			b.Write(append(data, '\n'))
+			buffer.Write(append(data, '\n'))
 		} else {
-			printTicket(&b, st)
+			printTicket(&buffer, status)
 		}
-		if s := b.String(); s != last {
-			fmt.Fprint(out, s)
-			last = s
+		if text := buffer.String(); text != printed {
+			fmt.Fprint(out, text)
+			printed = text
 		}
 		switch {
-		case !watch || st.Status == protocol.JobDone:
+		case !watch || status.Status == protocol.JobDone:
 			return nil
-		case st.Status == protocol.JobFailed || st.Status == protocol.JobCancelled:
-			return fmt.Errorf("%w: %s %s", errFailed, st.Status, st.Why)
+		case status.Status == protocol.JobFailed || status.Status == protocol.JobCancelled:
+			return fmt.Errorf("%w: %s %s", errNotDone, status.Status, status.Why)
 		}
 		select {
 		case <-cmd.Context().Done():
 			return cmd.Context().Err()
 		case <-time.After(2 * time.Second):
 		}
-		next, err := f.get(cmd.Context(), st.ID)
+		next, err := f.getTicket(cmd.Context(), status.ID)
 		for tries := 0; err != nil && tries < 15 && cmd.Context().Err() == nil; tries++ {
 			time.Sleep(2 * time.Second)
-			next, err = f.get(cmd.Context(), st.ID)
+			next, err = f.getTicket(cmd.Context(), status.ID)
 		}
 		if err != nil {
 			return err
 		}
-		st = next
+		status = next
 	}
 }
 
-func printTicket(out io.Writer, st *node.TicketStatus) {
-	fmt.Fprintf(out, "%s %q (%s, %s): %s, %d of %d tasks done, %d running, %d failed\n", st.ID, st.Name, st.Class, st.Team, st.Status, st.Done, st.Tasks, st.Running, st.Failed)
-	if st.Why != "" {
-		fmt.Fprintln(out, "why:", st.Why)
+// printTicket prints a ticket and its steps.
+func printTicket(out io.Writer, status *node.TicketStatus) {
+	fmt.Fprintf(out, "%s %q (%s, %s): %s, %d of %d tasks done, %d running, %d failed\n", status.ID, status.Name, status.Class, status.Team, status.Status, status.Done, status.Tasks, status.Running, status.Failed)
+	if status.Why != "" {
+		fmt.Fprintln(out, "why:", status.Why)
 	}
-	if t := st.Terms; t != nil {
-		fmt.Fprintf(out, "urgency %s%s, retries a task %s, failed tasks survived %s\n", t.Priority, askedText(t.RequestedPriority != "", t.RequestedPriority), granted(t.MaxRetries), granted(t.MaxFailedTasks))
+	if terms := status.Terms; terms != nil {
+		fmt.Fprintf(out, "urgency %s%s, retries a task %s, failed tasks survived %s\n", terms.Priority, requestedText(terms.RequestedPriority != "", terms.RequestedPriority), grantedText(terms.MaxRetries), grantedText(terms.MaxFailedTasks))
 	}
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	defer w.Flush()
 	fmt.Fprintln(w, "STEP\tSTATUS\tTASKS\tDONE\tRUNNING\tFAILED\tAFTER\tWHY")
-	for _, s := range st.Steps {
+	for _, s := range status.Steps {
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%s\t%s\n", s.Step, s.Status, s.Tasks, s.Done, s.Running, s.Failed, strings.Join(s.After, ", "), s.Why)
 	}
 }
 
-func granted(g protocol.GrantedLimit) string {
-	return strconv.Itoa(g.Granted) + askedText(g.Requested != nil && *g.Requested != g.Granted, g.Requested)
+// grantedText formats a granted limit, with the requested one if they differ.
+func grantedText(g protocol.GrantedLimit) string {
+	return strconv.Itoa(g.Granted) + requestedText(g.Requested != nil && *g.Requested != g.Granted, g.Requested)
 }
 
-func askedText(other bool, asked any) string {
-	switch a := asked.(type) {
+// requestedText formats what a user requested if it differs from what was granted.
+func requestedText(differs bool, requested any) string {
+	switch a := requested.(type) {
 	case *int:
-		if other {
+		if differs {
 			return fmt.Sprintf(" (asked %d)", *a)
 		}
 	case string:
-		if other {
+		if differs {
 			return fmt.Sprintf(" (asked %s)", a)
 		}
 	}
 	return ""
 }
 
-func (f *ticketFlags) tasks() *cobra.Command {
+func (f *ticketFlags) tasksCommand() *cobra.Command {
 	var step string
 	var since, limit int
-	c := f.command("tasks ID", "Show a step's tasks with their parameters", cobra.ExactArgs(1), true, func(cmd *cobra.Command, args []string) error {
+	c := f.newCommand("tasks ID", "Show a step's tasks with their parameters", cobra.ExactArgs(1), true, func(cmd *cobra.Command, args []string) error {
 		if !protocol.ValidJobID(args[0]) {
 			return fmt.Errorf("%w: %q is not the id of a ticket: job- and digits", errUsage, args[0])
 		}
@@ -493,7 +503,7 @@
 		w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', 0)
 		fmt.Fprintln(w, "TASK\tSTATUS\tERRORS\tMACHINE\tPARAMETERS")
 		for _, t := range page.Tasks {
-			fmt.Fprintf(w, "%s/%d\t%s\t%d\t%s\t%s\n", page.Step, t.Task, t.Status, t.Errors, t.Machine, strings.TrimSpace(bindings(t.Parameters)))
+			fmt.Fprintf(w, "%s/%d\t%s\t%d\t%s\t%s\n", page.Step, t.Task, t.Status, t.Errors, t.Machine, strings.TrimSpace(formatBindings(t.Parameters)))
 		}
 		if page.More {
 			fmt.Fprintf(w, "and more: --since %d\n", since+limit)
@@ -506,8 +516,8 @@
 	return c
 }
 
-func (f *ticketFlags) cancel() *cobra.Command {
-	return f.command("cancel ID", "Cancel a ticket: no step starts any more, and what runs is stopped", cobra.ExactArgs(1), true, func(cmd *cobra.Command, args []string) error {
+func (f *ticketFlags) cancelCommand() *cobra.Command {
+	return f.newCommand("cancel ID", "Cancel a ticket: no step starts any more, and what runs is stopped", cobra.ExactArgs(1), true, func(cmd *cobra.Command, args []string) error {
 		if !protocol.ValidJobID(args[0]) {
 			return fmt.Errorf("%w: %q is not the id of a ticket: job- and digits", errUsage, args[0])
 		}
@@ -524,7 +534,7 @@
 }
 
 func (f *ticketFlags) classesCommand() *cobra.Command {
-	show := f.command("classes", "Show the classes of tickets", cobra.NoArgs, true, func(cmd *cobra.Command, _ []string) error {
+	show := f.newCommand("classes", "Show the classes of tickets", cobra.NoArgs, true, func(cmd *cobra.Command, _ []string) error {
 		var v node.ClassesView
 		if err := callNode(cmd.Context(), f.addr, "GET", "/admin/classes", nil, &v); err != nil {
 			return err
@@ -532,7 +542,7 @@
 		return f.printClasses(cmd, v)
 	})
 	var remove bool
-	set := f.command("set LOT [JSON]", "Set a class, or with --remove go back to the file's", cobra.RangeArgs(1, 2), true, func(cmd *cobra.Command, args []string) error {
+	set := f.newCommand("set LOT [JSON]", "Set a class, or with --remove go back to the file's", cobra.RangeArgs(1, 2), true, func(cmd *cobra.Command, args []string) error {
 		var v node.ClassesView
 		if err := callNode(cmd.Context(), f.addr, "GET", "/admin/classes", nil, &v); err != nil {
 			return err
@@ -567,12 +577,12 @@
 	}
 	fmt.Fprintln(w, "LOT\tURGENCY\tSHAPES\tRETRIES\tOVER\tFAILED\tTASKS\tVCPUS\tCARDS\tMEM GB\tIMAGE\tFROM")
 	for _, lot := range slices.Sorted(maps.Keys(v.Classes)) {
-		c := v.Classes[lot]
+		class := v.Classes[lot]
 		from := "file"
 		if slices.Contains(v.Stored, lot) {
 			from = "operators"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%d\t%d\t%g\t%g\t%g\t%s\t%s\n", lot, c.MaxUrgency, strings.Join(c.Shapes, ","), c.MaxRetries, c.OnExcess, c.MaxFailedTasks, c.MaxTasks, c.CPUs, c.GPUs, c.MemoryGB, c.Image, from)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%d\t%d\t%g\t%g\t%g\t%s\t%s\n", lot, class.MaxUrgency, strings.Join(class.Shapes, ","), class.MaxRetries, class.OnExcess, class.MaxFailedTasks, class.MaxTasks, class.CPUs, class.GPUs, class.MemoryGB, class.Image, from)
 	}
 	return w.Flush()
 }
--- a/cmd/dapplestage/why.go
+++ b/cmd/dapplestage/why.go
@@ -17,7 +17,7 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// whyCommand is `dapplestage why`.
+// whyCommand returns `dapplestage why`.
 func whyCommand() *cobra.Command {
 	var addr, team, cause, after string
 	var since time.Duration
@@ -32,18 +32,18 @@
 		if len(args) == 1 && !protocol.ValidJobID(args[0]) {
 			return printError(fmt.Errorf("%w: %q is not the id of a job: job- and digits", errUsage, args[0]))
 		}
-		last := ""
+		printed := ""
 		for {
-			text, over, err := whyOnce(cmd.Context(), addr, args, url.Values{"team": {team}, "cause": {cause}, "after": {after},
+			text, done, err := fetchExplanation(cmd.Context(), addr, args, url.Values{"team": {team}, "cause": {cause}, "after": {after},
 				"since": {strconv.FormatFloat(since.Seconds(), 'f', 1, 64)}, "limit": {strconv.Itoa(limit)}}, asJSON)
-			if err != nil && !(watch && last != "") {
+			if err != nil && !(watch && printed != "") {
 				return printError(err)
 			}
-			if err == nil && text != last {
+			if err == nil && text != printed {
 				fmt.Fprint(cmd.OutOrStdout(), text)
-				last = text
+				printed = text
 			}
-			if !watch || over {
+			if !watch || done {
 				return nil
 			}
 			select {
@@ -53,46 +53,47 @@
 			}
 		}
 	}
-	f := c.Flags()
-	f.StringVar(&addr, "addr", "", "a node's api_addr, as IP:PORT")
-	f.BoolVar(&asJSON, "json", false, "print JSON")
-	f.BoolVar(&watch, "watch", false, "print each change, until the job waits no more")
-	f.StringVar(&team, "team", "", "only this team's jobs")
-	f.StringVar(&cause, "cause", "", "only jobs that this binds, by the name that the list shows")
-	f.StringVar(&after, "after", "", "jobs after this one")
-	f.DurationVar(&since, "since", 0, "only jobs submitted at least so long ago")
-	f.IntVar(&limit, "limit", 50, "so many jobs, 1 to 200")
+	flags := c.Flags()
+	flags.StringVar(&addr, "addr", "", "a node's api_addr, as IP:PORT")
+	flags.BoolVar(&asJSON, "json", false, "print JSON")
+	flags.BoolVar(&watch, "watch", false, "print each change, until the job waits no more")
+	flags.StringVar(&team, "team", "", "only this team's jobs")
+	flags.StringVar(&cause, "cause", "", "only jobs with this binding cause, by its name in the list")
+	flags.StringVar(&after, "after", "", "only jobs after this one in the list")
+	flags.DurationVar(&since, "since", 0, "only jobs submitted at least this long ago")
+	flags.IntVar(&limit, "limit", 50, "the number of jobs to show, 1 to 200")
 	return c
 }
 
-// whyOnce asks once. over says that the job waits no more.
-func whyOnce(ctx context.Context, addr string, args []string, q url.Values, asJSON bool) (text string, over bool, err error) {
-	var b textBuffer
+// fetchExplanation makes one request and returns the text to print. done reports that the job
+// no longer waits.
+func fetchExplanation(ctx context.Context, addr string, args []string, query url.Values, asJSON bool) (text string, done bool, err error) {
+	var buffer textBuffer
 	if len(args) == 1 {
-		var w node.Explanation
-		if err := callNode(ctx, addr, "GET", "/admin/why/"+args[0], nil, &w); err != nil {
+		var explanation node.Explanation
+		if err := callNode(ctx, addr, "GET", "/admin/why/"+args[0], nil, &explanation); err != nil {
 			return "", false, err
 		}
 		if asJSON {
-			err = printJSON(&b, w)
+			err = printJSON(&buffer, explanation)
 		} else {
-			printExplanation(&b, &w)
+			printExplanation(&buffer, &explanation)
 		}
-		return string(b), w.Waiting+w.Starting == 0 && w.Unknown == "", err
+		return string(buffer), explanation.Waiting+explanation.Starting == 0 && explanation.Unknown == "", err
 	}
-	var p node.ExplanationPage
-	if err := callNode(ctx, addr, "GET", "/admin/why?"+q.Encode(), nil, &p); err != nil {
+	var page node.ExplanationPage
+	if err := callNode(ctx, addr, "GET", "/admin/why?"+query.Encode(), nil, &page); err != nil {
 		return "", false, err
 	}
 	if asJSON {
-		err = printJSON(&b, p)
+		err = printJSON(&buffer, page)
 	} else {
-		printExplanationPage(&b, &p)
+		printExplanationPage(&buffer, &page)
 	}
-	return string(b), false, err
+	return string(buffer), false, err
 }
 
-// textBuffer gathers text.
+// textBuffer is an io.Writer that collects text.
 type textBuffer []byte
 
 func (b *textBuffer) Write(p []byte) (int, error) {
@@ -100,50 +101,52 @@
 	return len(p), nil
 }
 
-func printExplanation(out io.Writer, w *node.Explanation) {
-	fmt.Fprintf(out, "%s (%s, %s): %d tasks wait, %d are about to start, %d run; held by %s", w.Job, w.Class, w.Team, w.Waiting, w.Starting, w.Running, w.Owner)
-	if w.StateAge > 3 {
-		fmt.Fprintf(out, "; the state service answered %.0f s ago", w.StateAge)
+// printExplanation prints why a job waits, the binding cause first, and what would let it start.
+func printExplanation(out io.Writer, explanation *node.Explanation) {
+	fmt.Fprintf(out, "%s (%s, %s): %d tasks wait, %d are about to start, %d run; held by %s", explanation.Job, explanation.Class, explanation.Team, explanation.Waiting, explanation.Starting, explanation.Running, explanation.Owner)
+	if explanation.StateAge > 3 {
+		fmt.Fprintf(out, "; the state service answered %.0f s ago", explanation.StateAge)
 	}
 	fmt.Fprintln(out)
-	if w.Unknown != "" {
-		fmt.Fprintln(out, w.Unknown)
+	if explanation.Unknown != "" {
+		fmt.Fprintln(out, explanation.Unknown)
 		return
 	}
-	for i, c := range w.Causes {
-		mark := "also:   "
+	for i, c := range explanation.Causes {
+		label := "also:   "
 		if i == 0 {
-			mark = "because:"
+			label = "because:"
 		}
-		fmt.Fprintln(out, mark, c.Text)
+		fmt.Fprintln(out, label, c.Text)
 	}
-	for _, r := range w.Release {
+	for _, r := range explanation.Release {
 		fmt.Fprintln(out, "until:  ", r)
 	}
-	if w.Waiting > 0 && !w.Sufficient {
+	if explanation.Waiting > 0 && !explanation.Sufficient {
 		fmt.Fprintln(out, "         (no change is known that would be enough)")
 	}
 }
 
-func printExplanationPage(out io.Writer, p *node.ExplanationPage) {
+// printExplanationPage prints the waiting tasks by cause and a list of waiting jobs.
+func printExplanationPage(out io.Writer, page *node.ExplanationPage) {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	defer w.Flush()
-	for _, u := range p.Unknown {
+	for _, u := range page.Unknown {
 		fmt.Fprintln(w, u)
 	}
-	if len(p.TasksByCause) == 0 {
+	if len(page.TasksByCause) == 0 {
 		fmt.Fprintln(w, "nothing waits, as far as is known")
 		return
 	}
 	fmt.Fprintln(w, "CAUSE\tWAITING TASKS")
-	for _, k := range slices.SortedFunc(maps.Keys(p.TasksByCause), func(a, b string) int { return p.TasksByCause[b] - p.TasksByCause[a] }) {
-		fmt.Fprintf(w, "%s\t%d\n", k, p.TasksByCause[k])
+	for _, cause := range slices.SortedFunc(maps.Keys(page.TasksByCause), func(a, b string) int { return page.TasksByCause[b] - page.TasksByCause[a] }) {
+		fmt.Fprintf(w, "%s\t%d\n", cause, page.TasksByCause[cause])
 	}
 	fmt.Fprintln(w, "\nJOB\tTEAM\tCLASS\tWAITING\tSINCE\tCAUSE")
-	for _, j := range p.Jobs {
+	for _, j := range page.Jobs {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%.0f s\t%s\n", j.Job, j.Team, j.Class, j.Waiting, j.SinceS, j.Cause)
 	}
-	if p.After != "" {
-		fmt.Fprintf(w, "and more: --after %s\n", p.After)
+	if page.After != "" {
+		fmt.Fprintf(w, "and more: --after %s\n", page.After)
 	}
 }
