--- a/cmd/dapplestage/console_test.go
+++ b/cmd/dapplestage/console_test.go
@@ -90,7 +90,7 @@
 	escapes := regexp.MustCompile("\x1b\\[[0-9;?]*[a-zA-Z]")
 	waitFor := func(want string) {
 		t.Helper()
-		for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+		for deadline := time.Now().Add(30 * time.Second); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 			mu.Lock()
 			text := escapes.ReplaceAllString(screen.String(), "")
 			mu.Unlock()
@@ -181,7 +181,7 @@
 	if err != nil || !strings.Contains(string(page), "are stuck") || strings.Contains(string(page), "<i>album") {
 		t.Errorf("%v, %d bytes", err, len(page))
 	}
-	if left, _ := filepath.Glob(filepath.Join(dir, ".report-*")); len(left) > 0 {
-		t.Errorf("temporary files left behind: %v", left)
+	if leftovers, _ := filepath.Glob(filepath.Join(dir, ".report-*")); len(leftovers) > 0 {
+		t.Errorf("temporary files left behind: %v", leftovers)
 	}
 }
--- a/cmd/dapplestage/main.go
+++ b/cmd/dapplestage/main.go
@@ -290,9 +290,9 @@
 
 // admissionLimits derives the limits on incoming connections from the machine's size. The
 // number of workers' first requests in progress is what fits into the processor time of one
-// turn of the node's event loop. As many may be queued as are served in two and a half seconds, at 0.4 ms
-// of processor time each; a worker gives up after four seconds. Enough sockets stay free for
-// calls to the state service, the cloud, workers and peers.
+// turn of the node's actor. As many may be queued as are served in two and a half seconds, at
+// 0.4 ms of processor time each; a worker gives up after four seconds. Enough sockets stay
+// free for calls to the state service, the cloud, workers and peers.
 func admissionLimits(quota protocol.NodeQuota) transport.AdmissionLimits {
 	limits := transport.AdmissionLimits{LowPriorityActive: 16, LowPriorityQueued: int(min(1500, max(160, 2.5*quota.Cores/0.0004))), RateBeforeReady: 20, AcceptRate: int(max(100, quota.Cores/0.00025))}
 	if quota.FDLimit > 0 {
--- a/cmd/dapplestage/ticket.go
+++ b/cmd/dapplestage/ticket.go
@@ -139,9 +139,9 @@
 }
 
 // printPlan prints the steps and tasks that a template expands to.
-func (f *ticketFlags) printPlan(out io.Writer, path string, show int) error {
-	if show < 0 || show > format.MaxTasks {
-		return fmt.Errorf("%w: --show %d is not within 0 to %d", errUsage, show, format.MaxTasks)
+func (f *ticketFlags) printPlan(out io.Writer, path string, tasksShown int) error {
+	if tasksShown < 0 || tasksShown > format.MaxTasks {
+		return fmt.Errorf("%w: --show %d is not within 0 to %d", errUsage, tasksShown, format.MaxTasks)
 	}
 	params, err := f.parseParams()
 	if err != nil {
@@ -155,7 +155,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	steps := checkedSteps(plan, show)
+	steps := checkedSteps(plan, tasksShown)
 	if f.asJSON {
 		return printJSON(out, map[string]any{"name": plan.Name, "tasks": plan.Tasks, "steps": steps})
 	}
@@ -164,14 +164,14 @@
 	return nil
 }
 
-// checkedSteps returns a plan's steps with the first show tasks of each.
-func checkedSteps(plan *format.Plan, show int) (steps []checkedStep) {
+// checkedSteps returns a plan's steps with the first tasks of each.
+func checkedSteps(plan *format.Plan, tasksShown int) (steps []checkedStep) {
 	for _, planned := range plan.Steps {
 		step := checkedStep{Step: planned.Name, Tasks: planned.Space.Len(), CPUs: planned.CPUs, GPUs: planned.GPUs, MemoryGB: planned.MemoryGB, Types: planned.Types, Zone: planned.Zone}
 		for _, dependency := range planned.Deps {
 			step.After = append(step.After, plan.Steps[dependency].Name)
 		}
-		for i := range min(show, step.Tasks) {
+		for i := range min(tasksShown, step.Tasks) {
 			step.FirstTasks = append(step.FirstTasks, planned.Space.At(i))
 		}
 		steps = append(steps, step)
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -88,13 +88,13 @@
 // newFleet returns the simulated cloud and its workers as the flags describe them.
 func newFleet(ctx context.Context, opts *options) (*standin.Fleet, error) {
 	fleet := standin.NewFleet(ctx)
-	addrs := map[string]string{}
+	addrByNode := map[string]string{}
 	for _, pair := range strings.Split(opts.nodes, ",") {
 		name, addr, ok := strings.Cut(pair, "=")
 		if !ok {
 			return nil, fmt.Errorf("-nodes: %q is not name=address", pair)
 		}
-		addrs[name] = addr
+		addrByNode[name] = addr
 		fleet.Nodes = append(fleet.Nodes, name)
 	}
 	fleet.Types = []protocol.MachineType{{Name: "g4", CPUs: 24, GPUs: 4, MemoryGB: 192, CacheGB: 100, FetchGBPerS: 0.5,
@@ -114,7 +114,7 @@
 			file.Write(append(line, '\n')) // a single write, so that lines are never torn
 		}
 	}
-	fleet.SendReport = newHTTPReporter(addrs)
+	fleet.SendReport = newHTTPReporter(addrByNode)
 	if opts.workersPort > 0 {
 		fleet.WorkerAddress = func(n int) string { return fmt.Sprintf("127.77.%d.%d:%d", n>>8&255, n&255, opts.workersPort) }
 		fleet.StartListener = func(addr string) { go serveWorker(ctx, fleet, addr) }
@@ -125,13 +125,13 @@
 // newHTTPReporter returns a function that sends workers' reports to the controllers over
 // HTTP. A real worker fetches the description of a job that it does not know. Controllers
 // do not serve descriptions, so here users upload them to the stand-in cloud.
-func newHTTPReporter(addrs map[string]string) standin.ReportFunc {
+func newHTTPReporter(addrByNode map[string]string) standin.ReportFunc {
 	return func(ctx context.Context, node string, r protocol.Report) (int, protocol.Orders, string, error) {
 		data, err := json.Marshal(r)
 		if err != nil {
 			return 0, protocol.Orders{}, "", err
 		}
-		req, err := http.NewRequestWithContext(ctx, "POST", "http://"+addrs[node]+"/v1/report", bytes.NewReader(data))
+		req, err := http.NewRequestWithContext(ctx, "POST", "http://"+addrByNode[node]+"/v1/report", bytes.NewReader(data))
 		if err != nil {
 			return 0, protocol.Orders{}, "", err
 		}
@@ -183,6 +183,7 @@
 	}
 }
 
+// writeJSON answers a request with a JSON value.
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
@@ -211,11 +212,11 @@
 }
 
 func (h stateHandlers) list(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	items, rev, _ := h.state.List(r.Context(), r.URL.Query().Get("under"))
+	items, revision, _ := h.state.List(r.Context(), r.URL.Query().Get("under"))
 	if items == nil {
 		items = []storage.Item{}
 	}
-	writeJSON(w, 200, jsonObject{"items": items, "hasNext": false, "epoch": rev})
+	writeJSON(w, 200, jsonObject{"items": items, "hasNext": false, "epoch": revision})
 }
 
 func (h stateHandlers) get(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
@@ -240,14 +241,14 @@
 		writeJSON(w, 400, jsonObject{"error": err.Error()})
 		return
 	}
-	ok, rev, failed, err := h.state.Txn(r.Context(), txn.If, txn.Writes)
+	ok, revision, failed, err := h.state.Txn(r.Context(), txn.If, txn.Writes)
 	switch {
 	case err != nil:
 		writeJSON(w, 400, jsonObject{"error": err.Error()})
 	case ok:
-		writeJSON(w, 200, jsonObject{"epoch": rev})
+		writeJSON(w, 200, jsonObject{"epoch": revision})
 	default:
-		writeJSON(w, 409, jsonObject{"failed": failed, "epoch": rev})
+		writeJSON(w, 409, jsonObject{"failed": failed, "epoch": revision})
 	}
 }
 
@@ -277,7 +278,7 @@
 	q := r.URL.Query()
 	since, _ := strconv.ParseUint(q.Get("since"), 10, 64)
 	holdMS, _ := strconv.Atoi(q.Get("holdMs"))
-	items, rev, err := h.state.Watch(r.Context(), q.Get("under"), since, time.Duration(holdMS)*time.Millisecond)
+	items, revision, err := h.state.Watch(r.Context(), q.Get("under"), since, time.Duration(holdMS)*time.Millisecond)
 	if err != nil {
 		return
 	}
@@ -289,7 +290,7 @@
 			events = append(events, jsonObject{"put": item.Key, "v": item.Value, "stamp": item.Revision})
 		}
 	}
-	writeJSON(w, 200, jsonObject{"epoch": rev, "events": events})
+	writeJSON(w, 200, jsonObject{"epoch": revision, "events": events})
 }
 
 // cloudHandlers serve the cloud.
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -280,8 +280,8 @@
 func (f *Fleet) addMachine(kind MachineKind, bootTime time.Duration) string {
 	f.lastNumber++
 	name := fmt.Sprintf("host-%06d", f.lastNumber)
-	ctx, stop := context.WithCancel(f.ctx)
-	m := &Machine{fleet: f, number: f.lastNumber, createdAt: time.Now(), session: 1, tasks: map[string]*workerTask{}, reportSoon: make(chan struct{}, 1), cancel: stop,
+	ctx, cancel := context.WithCancel(f.ctx)
+	m := &Machine{fleet: f, number: f.lastNumber, createdAt: time.Now(), session: 1, tasks: map[string]*workerTask{}, reportSoon: make(chan struct{}, 1), cancel: cancel,
 		info: protocol.ListedMachine{ID: name, Addr: name + ":9000", Type: kind.Type, Zone: kind.Zone, Spot: kind.Spot}}
 	if f.WorkerAddress != nil {
 		m.info.Addr = f.WorkerAddress(f.lastNumber)
@@ -473,8 +473,8 @@
 	r := protocol.Report{Machine: m.info.ID, Addr: m.info.Addr, Type: m.info.Type, Zone: m.info.Zone, Spot: m.info.Spot,
 		Session: m.session, Seq: m.seq, Token: m.token, Tasks: []protocol.TaskReport{}}
 	if !m.interruptionAt.IsZero() {
-		left := time.Until(m.interruptionAt).Seconds()
-		r.NoticeS = &left
+		remaining := time.Until(m.interruptionAt).Seconds()
+		r.NoticeS = &remaining
 	}
 	var ids []string
 	for id := range m.tasks {
@@ -680,7 +680,7 @@
 		}
 	}
 	zones := map[string]int{m.info.Zone: 1}
-	used, cpus := task.job.GPUs, task.job.CPUs
+	gpus, cpus := task.job.GPUs, task.job.CPUs
 	for _, host := range f.machines {
 		for otherID, other := range host.tasks {
 			if other == task || other.state == protocol.TaskExited || other.state == protocol.TaskFetching {
@@ -693,13 +693,13 @@
 				zones[host.info.Zone]++
 			}
 			if other.job.Team == task.job.Team {
-				used += other.job.GPUs
+				gpus += other.job.GPUs
 				cpus += other.job.CPUs
 			}
 		}
 	}
-	if t := f.Teams[task.job.Team]; t.GPUsMax > 0 && used > t.GPUsMax+1e-6 {
-		f.violation("quota %s uses %v", task.job.Team, used)
+	if t := f.Teams[task.job.Team]; t.GPUsMax > 0 && gpus > t.GPUsMax+1e-6 {
+		f.violation("quota %s uses %v", task.job.Team, gpus)
 	}
 	if t := f.Teams[task.job.Team]; t.CPUsMax > 0 && cpus > t.CPUsMax+1e-6 {
 		f.violation("quota %s uses %v CPUs", task.job.Team, cpus)
--- a/internal/standin/place.go
+++ b/internal/standin/place.go
@@ -11,19 +11,19 @@
 
 // ConfigureMixedTypes sets up several machine types in three zones, of which zone b has only
 // small machines, and a limited capacity of each kind.
-func (f *Fleet) ConfigureMixedTypes(boot time.Duration) {
+func (f *Fleet) ConfigureMixedTypes(bootTime time.Duration) {
 	f.Types = []protocol.MachineType{
-		{Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 60, FetchGBPerS: 0.5, Price: 0.18, SpotPrice: 0.06, BootS: boot.Seconds(), Zones: MixedZones},
-		{Name: "middle", CPUs: 16, MemoryGB: 64, CacheGB: 30, FetchGBPerS: 0.2, Price: 0.62, SpotPrice: 0.23, BootS: 2 * boot.Seconds(), Zones: []string{"a", "c"}},
-		{Name: "heavy", CPUs: 48, GPUs: 4, MemoryGB: 384, CacheGB: 120, FetchGBPerS: 0.3, Price: 14.86, SpotPrice: 5.24, BootS: 1.5 * boot.Seconds(), Zones: []string{"a", "c"}},
+		{Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 60, FetchGBPerS: 0.5, Price: 0.18, SpotPrice: 0.06, BootS: bootTime.Seconds(), Zones: MixedZones},
+		{Name: "middle", CPUs: 16, MemoryGB: 64, CacheGB: 30, FetchGBPerS: 0.2, Price: 0.62, SpotPrice: 0.23, BootS: 2 * bootTime.Seconds(), Zones: []string{"a", "c"}},
+		{Name: "heavy", CPUs: 48, GPUs: 4, MemoryGB: 384, CacheGB: 120, FetchGBPerS: 0.3, Price: 14.86, SpotPrice: 5.24, BootS: 1.5 * bootTime.Seconds(), Zones: []string{"a", "c"}},
 	}
-	f.BootTime, f.MaxMachines = boot, 200
+	f.BootTime, f.MaxMachines = bootTime, 200
 	f.Capacity = map[MachineKind]int{}
 	for _, t := range f.Types {
 		for _, z := range t.Zones {
-			most := map[string]int{"small": 20, "middle": 8, "heavy": 5}[t.Name]
-			f.Capacity[MachineKind{Type: t.Name, Zone: z}] = most
-			f.Capacity[MachineKind{Type: t.Name, Zone: z, Spot: true}] = most
+			capacity := map[string]int{"small": 20, "middle": 8, "heavy": 5}[t.Name]
+			f.Capacity[MachineKind{Type: t.Name, Zone: z}] = capacity
+			f.Capacity[MachineKind{Type: t.Name, Zone: z, Spot: true}] = capacity
 		}
 	}
 }
--- a/internal/standin/processor.go
+++ b/internal/standin/processor.go
@@ -6,39 +6,39 @@
 )
 
 // SimulatedCPU limits a controller to Cores, which may be below one, in simulated time: work
-// waits for the work before it, as threads on a busy machine do. Without it a simulated controller
-// has unlimited processor time, and a start that costs too much looks free.
+// waits for the work before it, as threads on a busy machine do. Without it a simulated
+// controller has unlimited processor time, and a start that costs too much looks free.
 type SimulatedCPU struct {
 	Cores float64
 
 	mu        sync.Mutex
 	busyUntil time.Time // when all work so far is done
-	total     time.Duration
+	total     time.Duration // processor time used so far
 }
 
 // Spend waits until cost of processor time has been used after all earlier work. A nil
 // SimulatedCPU does not wait.
-func (p *SimulatedCPU) Spend(cost time.Duration) {
-	if p == nil || p.Cores <= 0 {
+func (c *SimulatedCPU) Spend(cost time.Duration) {
+	if c == nil || c.Cores <= 0 {
 		return
 	}
-	p.mu.Lock()
+	c.mu.Lock()
 	now := time.Now()
-	if p.busyUntil.Before(now) {
-		p.busyUntil = now
+	if c.busyUntil.Before(now) {
+		c.busyUntil = now
 	}
-	p.busyUntil = p.busyUntil.Add(time.Duration(float64(cost) / p.Cores))
-	p.total += cost
-	wait := p.busyUntil.Sub(now)
-	p.mu.Unlock()
+	c.busyUntil = c.busyUntil.Add(time.Duration(float64(cost) / c.Cores))
+	c.total += cost
+	wait := c.busyUntil.Sub(now)
+	c.mu.Unlock()
 	time.Sleep(wait)
 }
 
 // Spent returns the processor time used so far.
-func (p *SimulatedCPU) Spent() time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.total
+func (c *SimulatedCPU) Spent() time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.total
 }
 
 // LoadLimiter counts operations, and limits how many are in progress and how many begin per
@@ -57,39 +57,39 @@
 }
 
 // TryBegin begins an operation, or refuses it and returns false.
-func (g *LoadLimiter) TryBegin() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (l *LoadLimiter) TryBegin() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	now := time.Now()
-	if g.PerSecond > 0 {
-		if g.lastRefill.IsZero() {
-			g.tokens = float64(g.PerSecond)
+	if l.PerSecond > 0 {
+		if l.lastRefill.IsZero() {
+			l.tokens = float64(l.PerSecond)
 		}
-		g.tokens = min(float64(g.PerSecond), g.tokens+now.Sub(g.lastRefill).Seconds()*float64(g.PerSecond))
-		g.lastRefill = now
+		l.tokens = min(float64(l.PerSecond), l.tokens+now.Sub(l.lastRefill).Seconds()*float64(l.PerSecond))
+		l.lastRefill = now
 	}
-	if g.MaxOpen > 0 && g.current >= g.MaxOpen || g.PerSecond > 0 && g.tokens < 1 {
-		g.refused++
+	if l.MaxOpen > 0 && l.current >= l.MaxOpen || l.PerSecond > 0 && l.tokens < 1 {
+		l.refused++
 		return false
 	}
-	g.tokens--
-	g.current++
-	g.total++
-	g.peak = max(g.peak, g.current)
+	l.tokens--
+	l.current++
+	l.total++
+	l.peak = max(l.peak, l.current)
 	return true
 }
 
 // End ends an operation.
-func (g *LoadLimiter) End() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.current--
+func (l *LoadLimiter) End() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.current--
 }
 
 // Counts returns how many operations began, the most that were in progress at a time, and
 // how many were refused.
-func (g *LoadLimiter) Counts() (total, peak, refused int) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.total, g.peak, g.refused
+func (l *LoadLimiter) Counts() (total, peak, refused int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.total, l.peak, l.refused
 }
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -25,6 +25,7 @@
 	changeSignal chan struct{}  // closed at the next change
 }
 
+// lease is a lease of the store. Keys bound to it are deleted when it expires.
 type lease struct {
 	ttl       time.Duration
 	expiresAt time.Time
@@ -105,7 +106,7 @@
 
 // Txn applies all writes if each condition's key has the expected revision, and no writes
 // otherwise. It returns whether it applied them, the store's revision and the keys whose
-// conditions failed.
+// conditions failed, or storage.ErrNoLease if a write names a lease that does not exist.
 func (s *State) Txn(_ context.Context, conds []storage.Cond, writes []storage.Write) (bool, uint64, []string, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
