--- a/internal/standin/processor.go
+++ b/internal/standin/processor.go
@@ -12,7 +12,7 @@
 	Cores float64
 
 	mu        sync.Mutex
-	busyUntil time.Time // when all work so far is done
+	busyUntil time.Time     // when all work so far is done
 	total     time.Duration // processor time used so far
 }
 
