--- a/cmd/dapplestage/gateway.go
+++ b/cmd/dapplestage/gateway.go
@@ -86,7 +86,7 @@
 // memberConfig converts a member's settings to the gateway's configuration.
 func memberConfig(settings *wire.Settings) gateway.Config {
 	seconds := func(value float64) time.Duration { return time.Duration(value * float64(time.Second)) }
-	cfg := gateway.Config{LeaseTime: seconds(settings.LeaseS), StopTime: gateway.StopBound(seconds(settings.ControllerLeaseS), seconds(settings.MaxWorkerLeaseS)), MaxInFlight: settings.MaxInFlight,
+	cfg := gateway.Config{LeaseTime: seconds(settings.LeaseS), StopTime: gateway.StopBound(seconds(settings.ControllersS), seconds(settings.WorkersLeaseS)), MaxInFlight: settings.InFlight,
 		Route: gateway.RouteConfig{JobsPerSecond: settings.Route.PerSecond, RampS: settings.Route.RampS, HintMaxAgeS: settings.Route.StaleS, MaxOpenPerSite: settings.Route.Open, MoveAfterS: settings.Route.MoveAfterS}}
 	for i, m := range settings.Members {
 		cfg.Members = append(cfg.Members, gateway.Member{Name: m.Name, Site: m.Site})
@@ -162,7 +162,7 @@
 	serveInBackground(func() error { return m.receive(ctx, listener, cfg.Self, daemon) })
 	if state.leaseListener != nil {
 		serveInBackground(func() error {
-			return transport.Serve(ctx, state.leaseListener, daemon.LeaseHandler(time.Duration(settings.ControllerLeaseS*float64(time.Second))))
+			return transport.Serve(ctx, state.leaseListener, daemon.LeaseHandler(time.Duration(settings.ControllersS*float64(time.Second))))
 		})
 	}
 	serveInBackground(func() error { return transport.Serve(ctx, api, daemon.API(keyMetrics(keyring, m.peers)...)) })
--- a/cmd/dapplestage/main.go
+++ b/cmd/dapplestage/main.go
@@ -277,13 +277,13 @@
 // connectPeers connects the node to the other controllers, for its hints and its queries.
 func connectPeers(ctx context.Context, cfg *protocol.Settings, n *node.Node) {
 	addrByNode := map[string]string{}
-	for _, peer := range cfg.Peers {
+	for _, peer := range cfg.Siblings {
 		addrByNode[peer.Node] = peer.Addr
 	}
 	n.AskPeer = func(ctx context.Context, name string, question []byte) ([]byte, error) {
 		return transport.SendRequest(ctx, addrByNode[name], node.AskTimeout, question)
 	}
-	for _, peer := range cfg.Peers {
+	for _, peer := range cfg.Siblings {
 		go transport.SendFrames(ctx, peer.Addr, node.HintInterval, node.HintTimeout, n.Hint, func(e transport.ConnEvent) { n.OnConnEvent(peer.Node, e) })
 	}
 }
@@ -293,7 +293,7 @@
 // turn of the node's actor. As many may be queued as are served in two and a half seconds, at
 // 0.4 ms of processor time each; a worker gives up after four seconds. Enough sockets stay
 // free for calls to the state service, the cloud, workers and peers.
-func admissionLimits(quota protocol.NodeQuota) transport.AdmissionLimits {
+func admissionLimits(quota protocol.MachineQuota) transport.AdmissionLimits {
 	limits := transport.AdmissionLimits{LowPriorityActive: 16, LowPriorityQueued: int(min(1500, max(160, 2.5*quota.Cores/0.0004))), RateBeforeReady: 20, AcceptRate: int(max(100, quota.Cores/0.00025))}
 	if quota.FDLimit > 0 {
 		limits.MaxOpen = max(quota.FDLimit/2, quota.FDLimit-130-quota.FDLimit/32)
@@ -304,7 +304,7 @@
 // tuneRuntime adapts the Go runtime to the machine: one running thread at a time on less than
 // two cores, and memory returned to the system well before the limit at which the process
 // would be killed.
-func tuneRuntime(quota protocol.NodeQuota) {
+func tuneRuntime(quota protocol.MachineQuota) {
 	if quota.Cores < 2 {
 		runtime.GOMAXPROCS(1)
 	}
--- a/cmd/dapplestage/ticket.go
+++ b/cmd/dapplestage/ticket.go
@@ -582,7 +582,7 @@
 		if slices.Contains(v.Stored, lot) {
 			from = "operators"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%d\t%d\t%g\t%g\t%g\t%s\t%s\n", lot, class.MaxUrgency, strings.Join(class.Shapes, ","), class.MaxRetries, class.OnExcess, class.MaxFailedTasks, class.MaxTasks, class.CPUs, class.GPUs, class.MemoryGB, class.Image, from)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%d\t%d\t%g\t%g\t%g\t%s\t%s\n", lot, class.Urgency, strings.Join(class.Shapes, ","), class.Retries, class.Over, class.Failed, class.Tasks, class.VCPUs, class.Cards, class.MemGB, class.Bundle, from)
 	}
 	return w.Flush()
 }
--- a/cmd/lab/tickets.go
+++ b/cmd/lab/tickets.go
@@ -286,7 +286,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	classes := ticket.ClassTable{"preview": {Name: "preview", MaxUrgency: "high", Shapes: []string{"sweep"}, OnExcess: ticket.ReduceExcess, MaxRetries: farmRetries, MaxFailedTasks: 3, MaxTasks: 100000, CPUs: 2, GPUs: 1, MemoryGB: 8, Image: "img-1", ImageGB: 1, Spot: true, EstimateS: 0.8}}
+	classes := ticket.ClassTable{"preview": {Lot: "preview", Urgency: "high", Shapes: []string{"sweep"}, Over: ticket.ReduceExcess, Retries: farmRetries, Failed: 3, Tasks: 100000, VCPUs: 2, Cards: 1, MemGB: 8, Bundle: "img-1", SizeGB: 1, Loaners: true, ExpectS: 0.8}}
 	a, err := ticket.Admit(s, classes, ticket.Limits{MaxValueBytes: 8000})
 	return s, a, err
 }
--- a/internal/coordination/gateway/core.go
+++ b/internal/coordination/gateway/core.go
@@ -388,7 +388,7 @@
 	case wire.Read:
 		c.onRead(from, it)
 	case wire.ReadReply:
-		c.onFound(from, it)
+		c.onReadReply(from, it)
 	case wire.RenewLease:
 		c.onRenew(from, it)
 	case wire.Ack:
--- a/internal/coordination/gateway/front.go
+++ b/internal/coordination/gateway/front.go
@@ -260,7 +260,7 @@
 	c.sendWhenDurable(from, found)
 }
 
-func (c *Core) onFound(from int, it *wire.Item) {
+func (c *Core) onReadReply(from int, it *wire.Item) {
 	b := c.readBatches[it.Ballot.Number]
 	if b == nil || it.Ballot.Proposer != c.incarnation {
 		return
--- a/internal/coordination/node/place_test.go
+++ b/internal/coordination/node/place_test.go
@@ -22,8 +22,8 @@
 			cfg.Zone = zones[i]
 		}
 	}
-	for i := range cfg.Peers {
-		cfg.Peers[i].Zone = zones[int(cfg.Peers[i].Node[2]-'0')]
+	for i := range cfg.Siblings {
+		cfg.Siblings[i].Zone = zones[int(cfg.Siblings[i].Node[2]-'0')]
 	}
 	p.Teams = []protocol.Team{{Name: "red", CPUs: 60, CPUsMax: 200, GPUs: 8, GPUsMax: 16}, {Name: "blue", CPUs: 60, CPUsMax: 200, GPUs: 8, GPUsMax: 16},
 		{Name: "green", CPUs: 60, CPUsMax: 200, GPUs: 8, GPUsMax: 16}}
--- a/internal/coordination/node/scaled_test.go
+++ b/internal/coordination/node/scaled_test.go
@@ -85,7 +85,7 @@
 	if z.cores == 0 { // two nodes can just serve all machines: the third is a reserve
 		z.cores = reservedCores + float64(z.machines)/p.Workers.ReportS*reportCost.Seconds()/1.5
 	}
-	p.Quota = protocol.NodeQuota{Cores: z.cores, MemoryMB: 400, FDLimit: z.sockets}
+	p.Quota = protocol.MachineQuota{Cores: z.cores, MemoryMB: 400, FDLimit: z.sockets}
 	p.State = protocol.StateSettings{RPS: 90, WriteRPS: 60, ValueKB: 32, TxnOps: 32}
 	for i := range p.Teams {
 		if p.Teams[i].GPUs > 0 {
--- a/internal/coordination/node/sim_test.go
+++ b/internal/coordination/node/sim_test.go
@@ -96,7 +96,7 @@
 	s := &protocol.Settings{Node: names[i], Zone: "a"}
 	for k, name := range names {
 		if k != i {
-			s.Peers = append(s.Peers, protocol.Peer{Node: name, Zone: "a"})
+			s.Siblings = append(s.Siblings, protocol.Sibling{Node: name, Zone: "a"})
 		}
 	}
 	p := &s.Params
@@ -106,7 +106,7 @@
 	p.Workers = protocol.WorkerSettings{ReportS: 2, LeaseS: 10, GangWaitS: 40, GangPeerS: 6, CancelS: 40}
 	p.State = protocol.StateSettings{RPS: 100, WriteRPS: 40, ValueKB: 8, TxnOps: 12}
 	p.Cloud = protocol.CloudSettings{RPS: 4, ListLagS: 4}
-	p.Quota = protocol.NodeQuota{Cores: 1, MemoryMB: 100, FDLimit: 1000}
+	p.Quota = protocol.MachineQuota{Cores: 1, MemoryMB: 100, FDLimit: 1000}
 	return s
 }
 
--- a/internal/coordination/node/tickets_test.go
+++ b/internal/coordination/node/tickets_test.go
@@ -20,8 +20,8 @@
 
 // ticketClasses are the ticket classes of these tests.
 var ticketClasses = ticket.ClassTable{
-	"render": {Name: "render", MaxUrgency: "standard", Shapes: []string{"sweep"}, OnExcess: ticket.ReduceExcess, MaxRetries: 2, MaxFailedTasks: 3, MaxTasks: 1000, CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img-r", ImageGB: 1, Spot: true, EstimateS: 4},
-	"strict": {Name: "strict", MaxUrgency: "standard", Shapes: []string{"sweep", "gang"}, OnExcess: ticket.RefuseExcess, MaxRetries: 1, MaxTasks: 50, CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img-s", ImageGB: 1, EstimateS: 3},
+	"render": {Lot: "render", Urgency: "standard", Shapes: []string{"sweep"}, Over: ticket.ReduceExcess, Retries: 2, Failed: 3, Tasks: 1000, VCPUs: 4, Cards: 1, MemGB: 20, Bundle: "img-r", SizeGB: 1, Loaners: true, ExpectS: 4},
+	"strict": {Lot: "strict", Urgency: "standard", Shapes: []string{"sweep", "gang"}, Over: ticket.RefuseExcess, Retries: 1, Tasks: 50, VCPUs: 4, Cards: 1, MemGB: 20, Bundle: "img-s", SizeGB: 1, ExpectS: 3},
 }
 
 // ticketBody returns the body of a ticket. Each of steps is "NAME TASKS [DEPENDENCY...]".
