--- a/internal/standin/farm.go
+++ b/internal/standin/farm.go
@@ -12,70 +12,75 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// Farm is what befalls the tasks of render servers. Everything is drawn from the seed
-// and the task's name in its ticket, never from the time, a machine or an id: the same
-// tickets meet the same errors and losses in any run.
-type Farm struct {
+// RenderFaults decides which tasks of render-farm tickets fail and which lose their machine.
+// Each decision is derived from the seed and the task's name in its ticket, never from the
+// time, a machine or an id: the same tickets meet the same errors and losses in each run.
+type RenderFaults struct {
 	Seed uint64
 
-	mu    sync.Mutex
-	names map[string]string // by job: its ticket's name and its step's
+	mu        sync.Mutex
+	stepNames map[string]string // TICKET/STEP, by job id
 }
 
-// NewFarm makes a farm.
-func NewFarm(seed uint64) *Farm { return &Farm{Seed: seed, names: map[string]string{}} }
+// NewRenderFaults returns the faults derived from a seed.
+func NewRenderFaults(seed uint64) *RenderFaults {
+	return &RenderFaults{Seed: seed, stepNames: map[string]string{}}
+}
 
-// Hopeless begins the name of a ticket whose first task of its first step fails always.
-const Hopeless = "hopeless"
+// AlwaysFailsPrefix is the prefix of a ticket name that makes the first task of the step s0
+// fail in each attempt.
+const AlwaysFailsPrefix = "hopeless"
 
-func (f *Farm) draw(what, name string, task int) uint64 {
-	return xxhash.Sum64String(fmt.Sprintf("%d|%s|%s|%d", f.Seed, what, name, task)) % 1000
+// drawPermille returns a number from 0 to 999 that depends on its arguments and the seed alone.
+func (f *RenderFaults) drawPermille(purpose, name string, task int) uint64 {
+	return xxhash.Sum64String(fmt.Sprintf("%d|%s|%s|%d", f.Seed, purpose, name, task)) % 1000
 }
 
-// Errors is how often a task of a step fails before it does well; -1: always.
-func (f *Farm) Errors(ticket, step string, task int) int {
-	if strings.HasPrefix(ticket, Hopeless) && step == "s0" && task == 0 {
+// FailuresBeforeSuccess returns how often a task of a step fails before it succeeds, or -1 if
+// it always fails.
+func (f *RenderFaults) FailuresBeforeSuccess(ticket, step string, task int) int {
+	if strings.HasPrefix(ticket, AlwaysFailsPrefix) && step == "s0" && task == 0 {
 		return -1
 	}
-	switch d := f.draw("errors", ticket+"/"+step, task); {
-	case d < 700:
+	switch draw := f.drawPermille("errors", ticket+"/"+step, task); {
+	case draw < 700:
 		return 0
-	case d < 900:
+	case draw < 900:
 		return 1
 	default:
 		return 2
 	}
 }
 
-// Taken says whether the machine of a task's first start is lost, and after which
-// notice.
-func (f *Farm) Taken(ticket, step string, task int) (lost bool, notice time.Duration) {
-	switch d := f.draw("taken", ticket+"/"+step, task); {
-	case d < 40:
+// LosesFirstMachine reports whether the machine of a task's first start is lost, and after
+// which notice (0: without notice).
+func (f *RenderFaults) LosesFirstMachine(ticket, step string, task int) (lost bool, notice time.Duration) {
+	switch draw := f.drawPermille("taken", ticket+"/"+step, task); {
+	case draw < 40:
 		return true, 0
-	case d < 80:
+	case draw < 80:
 		return true, 4 * time.Second
 	}
 	return false, 0
 }
 
-// Join lets the farm's fates befall a fleet's tasks. It returns what is to be told the
-// uploaded descriptions.
-func (f *Farm) Join(to *Fleet) func(description []byte) {
-	split := func(job *protocol.JobSpec) (ticket, step string) {
+// InjectInto applies the faults to the tasks of a fleet. The returned function must be called
+// with each uploaded job description, from which it learns the job's ticket and step.
+func (f *RenderFaults) InjectInto(fleet *Fleet) func(description []byte) {
+	ticketStepOf := func(job *protocol.JobSpec) (ticket, step string) {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		ticket, step, _ = strings.Cut(f.names[job.ID], "/")
+		ticket, step, _ = strings.Cut(f.stepNames[job.ID], "/")
 		return ticket, step
 	}
-	to.Fails = func(job *protocol.JobSpec, task, errors int) bool {
-		ticket, step := split(job)
-		n := f.Errors(ticket, step, task)
+	fleet.TaskFails = func(job *protocol.JobSpec, task, errors int) bool {
+		ticket, step := ticketStepOf(job)
+		n := f.FailuresBeforeSuccess(ticket, step, task)
 		return n < 0 || errors < n
 	}
-	to.Taken = func(job *protocol.JobSpec, task int) (bool, time.Duration) {
-		ticket, step := split(job)
-		return f.Taken(ticket, step, task)
+	fleet.LosesFirstMachine = func(job *protocol.JobSpec, task int) (bool, time.Duration) {
+		ticket, step := ticketStepOf(job)
+		return f.LosesFirstMachine(ticket, step, task)
 	}
 	return func(description []byte) {
 		var d struct {
@@ -84,7 +89,7 @@
 		}
 		if json.Unmarshal(description, &d) == nil {
 			f.mu.Lock()
-			f.names[d.ID] = d.Step.Name + "/" + d.Step.Step
+			f.stepNames[d.ID] = d.Step.Name + "/" + d.Step.Step
 			f.mu.Unlock()
 		}
 	}
--- a/internal/standin/processor.go
+++ b/internal/standin/processor.go
@@ -5,88 +5,91 @@
 	"time"
 )
 
-// Processor is a controller's share of a core in simulated time: what is spent waits
-// for what was spent before, as threads on a busy machine do. Without it a simulated
-// controller has all the time it likes, and a start that costs too much looks free.
-type Processor struct {
+// SimulatedCPU limits a controller to Cores, which may be below one, in simulated time: work
+// waits for the work before it, as threads on a busy machine do. Without it a simulated
+// controller has unlimited processor time, and a start that costs too much looks free.
+type SimulatedCPU struct {
 	Cores float64
 
-	mu    sync.Mutex
-	free  time.Time // when what was spent so far is done
-	spent time.Duration
+	mu        sync.Mutex
+	busyUntil time.Time     // when all work so far is done
+	total     time.Duration // processor time used so far
 }
 
-// Spend waits until so much processor time has been had.
-func (p *Processor) Spend(cost time.Duration) {
-	if p == nil || p.Cores <= 0 {
+// Spend waits until cost of processor time has been used after all earlier work. A nil
+// SimulatedCPU does not wait.
+func (c *SimulatedCPU) Spend(cost time.Duration) {
+	if c == nil || c.Cores <= 0 {
 		return
 	}
-	p.mu.Lock()
+	c.mu.Lock()
 	now := time.Now()
-	if p.free.Before(now) {
-		p.free = now
+	if c.busyUntil.Before(now) {
+		c.busyUntil = now
 	}
-	p.free = p.free.Add(time.Duration(float64(cost) / p.Cores))
-	p.spent += cost
-	wait := p.free.Sub(now)
-	p.mu.Unlock()
+	c.busyUntil = c.busyUntil.Add(time.Duration(float64(cost) / c.Cores))
+	c.total += cost
+	wait := c.busyUntil.Sub(now)
+	c.mu.Unlock()
 	time.Sleep(wait)
 }
 
-// Spent is the processor time had so far.
-func (p *Processor) Spent() time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.spent
+// Spent returns the processor time used so far.
+func (c *SimulatedCPU) Spent() time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.total
 }
 
-// Gauge counts what goes on at a time, and per second, up to limits.
-type Gauge struct {
-	Most      int // at a time; 0: no limit
-	PerSecond int // with one second's worth at once; 0: no limit
+// LoadLimiter counts operations, and limits how many are in progress and how many begin per
+// second.
+type LoadLimiter struct {
+	MaxOpen   int // operations in progress at a time; 0: no limit
+	PerSecond int // operations that begin per second, with a burst of one second's worth; 0: no limit
 
-	mu      sync.Mutex
-	open    int
-	peak    int
-	total   int
-	refused int
-	tokens  float64
-	last    time.Time
+	mu         sync.Mutex
+	current    int
+	peak       int
+	total      int
+	refused    int
+	tokens     float64
+	lastRefill time.Time
 }
 
-// Begin counts one more, or refuses it.
-func (g *Gauge) Begin() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+// TryBegin begins an operation, or refuses it and returns false.
+func (l *LoadLimiter) TryBegin() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	now := time.Now()
-	if g.PerSecond > 0 {
-		if g.last.IsZero() {
-			g.tokens = float64(g.PerSecond)
+	if l.PerSecond > 0 {
+		if l.lastRefill.IsZero() {
+			l.tokens = float64(l.PerSecond)
 		}
-		g.tokens = min(float64(g.PerSecond), g.tokens+now.Sub(g.last).Seconds()*float64(g.PerSecond))
-		g.last = now
+		l.tokens = min(float64(l.PerSecond), l.tokens+now.Sub(l.lastRefill).Seconds()*float64(l.PerSecond))
+		l.lastRefill = now
 	}
-	if g.Most > 0 && g.open >= g.Most || g.PerSecond > 0 && g.tokens < 1 {
-		g.refused++
+	if l.MaxOpen > 0 && l.current >= l.MaxOpen || l.PerSecond > 0 && l.tokens < 1 {
+		l.refused++
 		return false
 	}
-	g.tokens--
-	g.open++
-	g.total++
-	g.peak = max(g.peak, g.open)
+	l.tokens--
+	l.current++
+	l.total++
+	l.peak = max(l.peak, l.current)
 	return true
 }
 
-// End ends one.
-func (g *Gauge) End() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.open--
+// End ends an operation.
+func (l *LoadLimiter) End() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.current--
 }
 
-// Counts are how many there were, the most at a time, and how many were refused.
-func (g *Gauge) Counts() (total, peak, refused int) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.total, g.peak, g.refused
+// Counts returns how many operations began, the most that were in progress at a time, and
+// how many were refused.
+func (l *LoadLimiter) Counts() (total, peak, refused int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.total, l.peak, l.refused
 }
--- a/internal/standin/view.go
+++ b/internal/standin/view.go
@@ -8,7 +8,7 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// TaskView is one task in a worker's list at a moment.
+// TaskView is a copy of one task in a worker's list.
 type TaskView struct {
 	Job     *protocol.JobSpec
 	Number  int
@@ -17,42 +17,42 @@
 	Cause   string
 }
 
-// Occupies says whether the task takes room on its machine.
+// Occupies reports whether the task takes resources on its machine.
 func (t *TaskView) Occupies() bool { return t.State != protocol.TaskExited }
 
-// MachineView is one machine and what its worker holds at a moment.
+// MachineView is a copy of one machine and its worker's state.
 type MachineView struct {
-	Name    string
-	Type    *protocol.MachineType
-	Zone    string
-	Spot    bool
-	Up      bool // it has booted
-	Noticed bool // the cloud takes it back
-	Token   uint64
-	Tasks   []TaskView
+	Name               string
+	Type               *protocol.MachineType
+	Zone               string
+	Spot               bool
+	Booted             bool // has finished booting
+	InterruptionNotice bool // the cloud has announced that it takes the machine back
+	Token              uint64
+	Tasks              []TaskView
 }
 
-// View is the fleet as it really is at a moment, whatever the controllers know of it.
+// View is a snapshot of the fleet's actual state, independent of what controllers know.
 type View struct {
 	Machines []MachineView // by name
-	// Unfinished are the tasks of each job that have never completed, for all jobs that
-	// were submitted.
-	Unfinished map[string]int
-	// Mistaken are the jobs that fail on every machine.
-	Mistaken map[string]bool
+	// UnfinishedTasks is the number of tasks that have never completed, by job, for all
+	// jobs that were submitted.
+	UnfinishedTasks map[string]int
+	// FailsEverywhere contains the jobs that fail on every machine.
+	FailsEverywhere map[string]bool
 }
 
-// View is how the fleet is now.
+// View returns a snapshot of the fleet.
 func (f *Fleet) View() *View {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	v := &View{Unfinished: map[string]int{}, Mistaken: map[string]bool{}}
+	v := &View{UnfinishedTasks: map[string]int{}, FailsEverywhere: map[string]bool{}}
 	for id, job := range f.jobs {
-		v.Unfinished[id] = job.Tasks - f.finished[id]
-		v.Mistaken[id] = f.mistaken[id]
+		v.UnfinishedTasks[id] = job.Tasks - f.finishedTasks[id]
+		v.FailsEverywhere[id] = f.failsEverywhere[id]
 	}
 	for _, m := range f.machines {
-		m.expire()
+		m.checkLease()
 		v.Machines = append(v.Machines, m.view())
 	}
 	slices.SortFunc(v.Machines, func(a, b MachineView) int { return strings.Compare(a.Name, b.Name) })
@@ -60,14 +60,14 @@
 }
 
 func (m *Machine) view() MachineView {
-	out := MachineView{Name: m.info.ID, Zone: m.info.Zone, Spot: m.info.Spot, Up: m.up, Noticed: !m.notice.IsZero(), Token: m.token}
-	for i := range m.f.Types {
-		if m.f.Types[i].Name == m.info.Type {
-			out.Type = &m.f.Types[i]
+	out := MachineView{Name: m.info.ID, Zone: m.info.Zone, Spot: m.info.Spot, Booted: m.booted, InterruptionNotice: !m.interruptionAt.IsZero(), Token: m.token}
+	for i := range m.fleet.Types {
+		if m.fleet.Types[i].Name == m.info.Type {
+			out.Type = &m.fleet.Types[i]
 		}
 	}
-	for _, p := range m.tasks {
-		out.Tasks = append(out.Tasks, TaskView{Job: p.job, Number: p.num, Attempt: p.attempt, State: p.state, Cause: p.cause})
+	for _, task := range m.tasks {
+		out.Tasks = append(out.Tasks, TaskView{Job: task.job, Number: task.number, Attempt: task.attempt, State: task.state, Cause: task.cause})
 	}
 	slices.SortFunc(out.Tasks, func(a, b TaskView) int {
 		return cmp.Or(strings.Compare(a.Job.ID, b.Job.ID), a.Number-b.Number)
@@ -75,7 +75,8 @@
 	return out
 }
 
-// GPUsUsed is how many GPUs the tasks of a team take, those that still fetch included.
+// GPUsUsed returns how many GPUs the tasks of a team take, including tasks that still fetch
+// their image.
 func (v *View) GPUsUsed(team string) float64 {
 	used := 0.0
 	for _, m := range v.Machines {
@@ -88,7 +89,7 @@
 	return used
 }
 
-// Submissions are all jobs that users have submitted, by name.
+// Submissions returns all jobs that users have submitted, ordered by id.
 func (f *Fleet) Submissions() []*protocol.JobSpec {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -100,8 +101,8 @@
 	return out
 }
 
-// Occupying is how many tasks of a job take room on machines.
-func (v *View) Occupying(job string) int {
+// OccupyingTasks returns how many tasks of a job take resources on machines.
+func (v *View) OccupyingTasks(job string) int {
 	tasks := 0
 	for _, m := range v.Machines {
 		for i := range m.Tasks {
@@ -113,18 +114,18 @@
 	return tasks
 }
 
-// Refused is how many direct commands with starts were refused so far, since their token was
-// lower than one that the worker had seen.
-func (f *Fleet) Refused() int {
+// RefusedStarts returns how many direct commands with starts were refused so far because
+// their fencing token was lower than one that the worker had seen.
+func (f *Fleet) RefusedStarts() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.outdated
+	return f.refusedStarts
 }
 
-// refuse counts a direct command that is refused.
-func (m *Machine) refuse(o protocol.Orders) {
+// countRefusedStarts counts a refused direct command if it has starts and its token is too low.
+func (m *Machine) countRefusedStarts(o protocol.Orders) {
 	starts := slices.ContainsFunc(o.Commands, func(c protocol.Command) bool { return c.Op == protocol.OpStart })
 	if o.Token < m.token && starts {
-		m.f.outdated++
+		m.fleet.refusedStarts++
 	}
 }
