--- a/cmd/lab/latencies.go
+++ b/cmd/lab/latencies.go
@@ -6,18 +6,18 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// longestLatency is the longest duration that a histogram of latencies records.
-const longestLatency = 2 * time.Minute
+// maxLatency is the longest duration that a histogram of latencies records.
+const maxLatency = 2 * time.Minute
 
 // latencies is a histogram of durations in milliseconds.
 type latencies struct{ histogram *hdrhistogram.Histogram }
 
 func newLatencies() latencies {
-	return latencies{hdrhistogram.New(1, longestLatency.Milliseconds(), 3)}
+	return latencies{hdrhistogram.New(1, maxLatency.Milliseconds(), 3)}
 }
 
-// add records durations; less than a millisecond counts as one.
-func (l latencies) add(durations ...time.Duration) {
+// record records durations; less than a millisecond counts as one.
+func (l latencies) record(durations ...time.Duration) {
 	for _, d := range durations {
 		l.histogram.RecordValue(max(1, d.Milliseconds()))
 	}
@@ -25,13 +25,13 @@
 
 func (l latencies) count() int64 { return l.histogram.TotalCount() }
 
-// milliseconds is a quantile, in percent, in milliseconds.
-func (l latencies) milliseconds(percent float64) float64 {
+// quantileMS is a quantile, in percent, in milliseconds.
+func (l latencies) quantileMS(percent float64) float64 {
 	return float64(l.histogram.ValueAtQuantile(percent))
 }
 
-// seconds is a quantile, in percent, in seconds.
-func (l latencies) seconds(percent float64) float64 { return l.milliseconds(percent) / 1000 }
+// quantileSeconds is a quantile, in percent, in seconds.
+func (l latencies) quantileSeconds(percent float64) float64 { return l.quantileMS(percent) / 1000 }
 
 // maxSeconds is the longest duration recorded, in seconds.
 func (l latencies) maxSeconds() float64 { return float64(l.histogram.Max()) / 1000 }
--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -24,7 +24,7 @@
 func main() {
 	root := &cobra.Command{Use: "lab", Short: "Proofs and measurements with real processes on loopback", SilenceErrors: true, SilenceUsage: true}
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return fmt.Errorf("%w: %v", errUsage, err) })
-	root.AddCommand(gatewayProof(), gatewayLoad(), gatewayGrowth(), ticketsProof(), ticketsLoad(), whyProof(), reportProof(), startProof(), standbyProof())
+	root.AddCommand(gatewayProofCommand(), gatewayLoadCommand(), gatewayGrowthCommand(), ticketsProofCommand(), ticketsLoadCommand(), whyProofCommand(), reportProofCommand(), startProofCommand(), standbyProofCommand())
 	err := root.Execute()
 	if err != nil && !errors.Is(err, errBroken) {
 		fmt.Fprintln(os.Stderr, err)
@@ -38,8 +38,8 @@
 	}
 }
 
-// figures prints the last line.
-func figures(out io.Writer, v any) error {
+// printFigures prints the last line.
+func printFigures(out io.Writer, v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
 		return err
@@ -48,8 +48,8 @@
 	return err
 }
 
-// between refuses an argument out of its bounds.
-func between(name string, v, least, most int) error {
+// checkRange refuses an argument out of its bounds.
+func checkRange(name string, v, least, most int) error {
 	if v < least || v > most {
 		return fmt.Errorf("%w: --%s %d is not within %d to %d", errUsage, name, v, least, most)
 	}
--- a/cmd/lab/report_test.go
+++ b/cmd/lab/report_test.go
@@ -10,24 +10,24 @@
 
 // Accounts that say what was not are found: done too early, running long after it was
 // done, stuck though it moves. A true one is not called wrong.
-func TestFalseAccountsAreFound(t *testing.T) {
+func TestCheckRowsFindsFalseRows(t *testing.T) {
 	at := func(s float64) time.Time { return time.Unix(1000, int64(s*1e9)) }
-	j := &reported{id: "job-1", tasks: 2}
-	events := []farmEvent{{at(1).UnixNano(), "start", "job-1/0", "m"}, {at(3).UnixNano(), "done", "job-1/0", "m"}, {at(5).UnixNano(), "done", "job-1/1", "m"}}
-	row := func(s float64, state string) seenRow {
-		return seenRow{ledger.Row{Job: "job-1", State: state}, at(s), "n-0"}
+	j := &reportedJob{id: "job-1", tasks: 2}
+	events := []machineEvent{{at(1).UnixNano(), "start", "job-1/0", "m"}, {at(3).UnixNano(), "done", "job-1/0", "m"}, {at(5).UnixNano(), "done", "job-1/1", "m"}}
+	row := func(s float64, state string) observedRow {
+		return observedRow{ledger.Row{Job: "job-1", State: state}, at(s), "n-0"}
 	}
 	for _, c := range []struct {
-		rows []seenRow
+		rows []observedRow
 		want string
 	}{
-		{[]seenRow{row(2, ledger.Running), row(6, ledger.Running), row(7, ledger.Unknown), row(9, ledger.Done)}, ""},
-		{[]seenRow{row(4, ledger.Done)}, "says done"},
-		{[]seenRow{row(30, ledger.Running)}, "25.0 s after it was done"},
-		{[]seenRow{row(30, ledger.Waiting)}, "says waiting"},
-		{[]seenRow{row(2, ledger.Stuck)}, "calls it stuck"},
+		{[]observedRow{row(2, ledger.Running), row(6, ledger.Running), row(7, ledger.Unknown), row(9, ledger.Done)}, ""},
+		{[]observedRow{row(4, ledger.Done)}, "says done"},
+		{[]observedRow{row(30, ledger.Running)}, "25.0 s after it was done"},
+		{[]observedRow{row(30, ledger.Waiting)}, "says waiting"},
+		{[]observedRow{row(2, ledger.Stuck)}, "calls it stuck"},
 	} {
-		got := strings.Join(judgeRows(j, c.rows, events, 12*time.Second), "; ")
+		got := strings.Join(checkRows(j, c.rows, events, 12*time.Second), "; ")
 		if c.want == "" && got != "" || !strings.Contains(got, c.want) {
 			t.Errorf("%q, want %q", got, c.want)
 		}
--- a/cmd/lab/runs.go
+++ b/cmd/lab/runs.go
@@ -18,18 +18,18 @@
 	runs, parallel int
 	seed           uint64
 	asJSON         bool
-	keep           bool // the files of all runs
+	keepFiles      bool // the files of all runs
 }
 
-// runsProof makes a subcommand that proves something by runs with real processes.
-func runsProof(use, short string, runs, parallel int, prove func(ctx context.Context, out io.Writer, o runOptions) error) *cobra.Command {
+// newProofCommand makes a subcommand that proves something by runs with real processes.
+func newProofCommand(use, short string, runs, parallel int, prove func(ctx context.Context, out io.Writer, o runOptions) error) *cobra.Command {
 	o := runOptions{}
 	c := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := between("runs", o.runs, 1, 10000); err != nil {
+			if err := checkRange("runs", o.runs, 1, 10000); err != nil {
 				return err
 			}
-			if err := between("parallel", o.parallel, 1, 16); err != nil {
+			if err := checkRange("parallel", o.parallel, 1, 16); err != nil {
 				return err
 			}
 			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
@@ -45,9 +45,9 @@
 
 // runOutcome is what a run showed.
 type runOutcome struct {
-	text  string // if all was well
-	wrong []string
-	err   error
+	summary    string // if all was well
+	violations []string
+	err        error
 }
 
 // runTotals are the figures that every proof tells.
@@ -65,11 +65,11 @@
 	return nil
 }
 
-// each plays the runs, some at a time, and tells of each. The files of a run that broke
+// executeRuns plays the runs, some at a time, and tells of each. The files of a run that broke
 // something stay. take is called with each run's number, one call at a time.
-func (o runOptions) each(ctx context.Context, out io.Writer, name string, play func(bin, dir string, seed uint64) (take func(), r runOutcome)) (runTotals, error) {
+func (o runOptions) executeRuns(ctx context.Context, out io.Writer, name string, play func(bin, dir string, seed uint64) (take func(), r runOutcome)) (runTotals, error) {
 	t := runTotals{Runs: o.runs, Seed: o.seed}
-	bin, err := build(ctx)
+	bin, err := buildPrograms(ctx)
 	if err != nil {
 		return t, err
 	}
@@ -99,15 +99,15 @@
 			switch {
 			case r.err != nil:
 				t.Failed++
-				r.text = fmt.Sprintf("%v (files in %s)", r.err, dir)
-			case len(r.wrong) > 0:
+				r.summary = fmt.Sprintf("%v (files in %s)", r.err, dir)
+			case len(r.violations) > 0:
 				t.Broken++
-				r.text = fmt.Sprintf("BROKEN %s (files in %s)", strings.Join(r.wrong[:min(8, len(r.wrong))], "; "), dir)
-			case !o.keep:
+				r.summary = fmt.Sprintf("BROKEN %s (files in %s)", strings.Join(r.violations[:min(8, len(r.violations))], "; "), dir)
+			case !o.keepFiles:
 				os.RemoveAll(dir)
 			}
 			if !o.asJSON {
-				fmt.Fprintf(out, "run %d, seed %d: %s\n", i+1, o.seed+uint64(i), r.text)
+				fmt.Fprintf(out, "run %d, seed %d: %s\n", i+1, o.seed+uint64(i), r.summary)
 			}
 			take()
 		}()
--- a/cmd/lab/standby.go
+++ b/cmd/lab/standby.go
@@ -21,13 +21,13 @@
 
 // standbyResult is what a run showed: by cause, for how long a share had nobody.
 type standbyResult struct {
-	gaps  map[string][]time.Duration
-	wrong []string
-	err   error
+	ownerlessTimes map[string][]time.Duration
+	violations     []string
+	err            error
 }
 
-// holder asks a controller who holds each share.
-func (f *farm) holder(ctx context.Context, api string) (map[int]string, error) {
+// partitionOwners asks a controller who holds each share.
+func (f *testSite) partitionOwners(ctx context.Context, api string) (map[int]string, error) {
 	var s node.Status
 	status, data, err := f.call(ctx, "GET", api, "/admin/status", nil)
 	if err == nil && status != 200 {
@@ -46,28 +46,28 @@
 // standbyRun is a run under way.
 type standbyRun struct {
 	*standbyResult
-	farm  *farm
+	site  *testSite
 	rng   *rand.Rand
 	tasks map[string]int // by job
 }
 
-func oneStandbyRun(ctx context.Context, bin, dir string, seed uint64, turns int, causes []string, t times) *standbyResult {
-	r := &standbyResult{gaps: map[string][]time.Duration{}}
-	f, err := startFarm(ctx, bin, dir, 24, t)
+func executeStandbyRun(ctx context.Context, bin, dir string, seed uint64, turns int, causes []string, t times) *standbyResult {
+	r := &standbyResult{ownerlessTimes: map[string][]time.Duration{}}
+	f, err := startTestSite(ctx, bin, dir, 24, t)
 	defer f.end()
 	if err != nil {
 		r.err = err
 		return r
 	}
-	run := &standbyRun{standbyResult: r, farm: f, rng: rand.New(rand.NewPCG(seed, 53)), tasks: map[string]int{}}
+	run := &standbyRun{standbyResult: r, site: f, rng: rand.New(rand.NewPCG(seed, 53)), tasks: map[string]int{}}
 	order := run.rng.Perm(len(causes))
 	for turn := range turns {
-		if !run.turn(ctx, causes[order[turn%len(order)]]) {
+		if !run.failController(ctx, causes[order[turn%len(order)]]) {
 			return r
 		}
 	}
-	wrong, _, err := f.settled(ctx, run.tasks)
-	r.wrong = append(r.wrong, wrong...)
+	wrong, _, err := f.awaitJobsDone(ctx, run.tasks)
+	r.violations = append(r.violations, wrong...)
 	if err != nil {
 		r.err = err
 	}
@@ -78,42 +78,42 @@
 	id := fmt.Sprintf("job-1%05d", len(r.tasks))
 	r.tasks[id] = 2 + r.rng.IntN(8)
 	team := []string{"red", "blue"}[len(r.tasks)%2]
-	if err := r.farm.submit(ctx, id, r.farm.job(id, team, "sweep", r.tasks[id], 1+3*r.rng.Float64())); err != nil && r.err == nil {
+	if err := r.site.submit(ctx, id, r.site.jobSubmission(id, team, "sweep", r.tasks[id], 1+3*r.rng.Float64())); err != nil && r.err == nil {
 		r.err = err
 	}
 }
 
-// turn lets one controller go and measures until the other has its share; then the first is
+// failController lets one controller go and measures until the other has its share; then the first is
 // back. It returns false if the run can't go on.
-func (r *standbyRun) turn(ctx context.Context, cause string) bool {
+func (r *standbyRun) failController(ctx context.Context, cause string) bool {
 	for range 2 {
 		r.submit(ctx)
 	}
-	if !until(ctx, 30*time.Second, func() bool { return r.eachHoldsOne(ctx) }) {
-		r.wrong = append(r.wrong, "the shares did not spread over both controllers again")
+	if !waitUntil(ctx, 30*time.Second, func() bool { return r.eachOwnsOnePartition(ctx) }) {
+		r.violations = append(r.violations, "the shares did not spread over both controllers again")
 		return false
 	}
 	// Its standby must have been told of it for a while, and its share served.
-	time.Sleep(span(r.rng, 5500*time.Millisecond, 6500*time.Millisecond))
+	time.Sleep(randomDuration(r.rng, 5500*time.Millisecond, 6500*time.Millisecond))
 	i := r.rng.IntN(2)
-	name, other := fmt.Sprint("n-", i), r.farm.apis[1-i]
-	p := r.farm.process(name)
-	before, err := r.farm.holder(ctx, other)
+	name, other := fmt.Sprint("n-", i), r.site.apis[1-i]
+	p := r.site.process(name)
+	before, err := r.site.partitionOwners(ctx, other)
 	if err != nil || before[0] == before[1] {
 		return true
 	}
 	began := time.Now()
-	if err := goBy(p, cause); err != nil {
+	if err := failProcess(p, cause); err != nil {
 		r.err = err
 		return false
 	}
-	if !until(ctx, 12*time.Second, func() bool { return r.takenOver(ctx, name, other, cause, before) }) {
-		r.wrong = append(r.wrong, fmt.Sprintf("%s %s: its share has nobody after 12 s", name, cause))
+	if !waitUntil(ctx, 12*time.Second, func() bool { return r.takenOver(ctx, name, other, cause, before) }) {
+		r.violations = append(r.violations, fmt.Sprintf("%s %s: its share has nobody after 12 s", name, cause))
 		return false
 	}
-	r.gaps[cause] = append(r.gaps[cause], time.Since(began))
+	r.ownerlessTimes[cause] = append(r.ownerlessTimes[cause], time.Since(began))
 	r.submit(ctx)
-	time.Sleep(span(r.rng, 500*time.Millisecond, 2*time.Second))
+	time.Sleep(randomDuration(r.rng, 500*time.Millisecond, 2*time.Second))
 	p.signal(syscall.SIGCONT)
 	if cause == "left" {
 		p.kill() // it has ended; this takes note
@@ -125,14 +125,14 @@
 	return true
 }
 
-// eachHoldsOne says whether each controller holds one of the two shares.
-func (r *standbyRun) eachHoldsOne(ctx context.Context) bool {
-	h, err := r.farm.holder(ctx, r.farm.apis[0])
+// eachOwnsOnePartition says whether each controller holds one of the two shares.
+func (r *standbyRun) eachOwnsOnePartition(ctx context.Context) bool {
+	h, err := r.site.partitionOwners(ctx, r.site.apis[0])
 	return err == nil && h[0] != "" && h[1] != "" && h[0] != h[1]
 }
 
-// goBy makes a controller go.
-func goBy(p *process, cause string) error {
+// failProcess makes a controller go.
+func failProcess(p *process, cause string) error {
 	switch cause {
 	case "killed":
 		p.kill()
@@ -150,7 +150,7 @@
 // takenOver says whether, as the other controller tells, what a controller held before is
 // held again.
 func (r *standbyRun) takenOver(ctx context.Context, name, other, cause string, before map[int]string) bool {
-	holders, err := r.farm.holder(ctx, other)
+	holders, err := r.site.partitionOwners(ctx, other)
 	if err != nil {
 		return false
 	}
@@ -160,7 +160,7 @@
 		}
 		if cause == "restarted_at_once" {
 			// It may have its share back in its new life, or the other one has it.
-			if s, ok := r.farm.shares(ctx); !ok || s[share].Phase == "" {
+			if s, ok := r.site.partitionStatuses(ctx); !ok || s[share].Phase == "" {
 				return false
 			}
 		} else if holders[share] == name || holders[share] == "" {
@@ -170,23 +170,23 @@
 	return true
 }
 
-func standbyProof() *cobra.Command {
+func standbyProofCommand() *cobra.Command {
 	turns, before, place := 4, "", false
-	c := runsProof("standby", "Kill, stop and restart a holder, and measure until its standby has the share", 4, 4, func(ctx context.Context, out io.Writer, o runOptions) error {
-		if err := between("turns", turns, 1, 100); err != nil {
+	c := newProofCommand("standby", "Kill, stop and restart a holder, and measure until its standby has the share", 4, 4, func(ctx context.Context, out io.Writer, o runOptions) error {
+		if err := checkRange("turns", turns, 1, 100); err != nil {
 			return err
 		}
 		return proveStandby(ctx, out, o, turns, before, place)
 	})
 	c.Flags().IntVar(&turns, "turns", turns, "times that a controller goes in a run")
-	placeFlag(c, &place)
+	addPlaceFlag(c, &place)
 	c.Flags().StringVar(&before, "before", before, "a folder with an earlier version of dapplestage and today's standin, to be measured in turn")
 	return c
 }
 
 func proveStandby(ctx context.Context, out io.Writer, o runOptions, turns int, before string, place bool) error {
-	times := startTimes
-	times.place = place
+	times := restartTimes
+	times.mixedMachines = place
 	type quantiles struct {
 		Count  int64   `json:"count"`
 		Median float64 `json:"median_s"`
@@ -195,32 +195,32 @@
 	}
 	measure := func(old string) (runTotals, map[string]quantiles, error) {
 		byCause := map[string]latencies{}
-		t, err := o.each(ctx, out, "standby", func(bin, dir string, seed uint64) (func(), runOutcome) {
+		t, err := o.executeRuns(ctx, out, "standby", func(bin, dir string, seed uint64) (func(), runOutcome) {
 			causes := standbyCauses
 			if old != "" {
 				// With a stand-in that knows today's flags. Whether a node serves its share
 				// in a new life is not told by earlier versions.
 				bin, causes = old, causes[:3]
 			}
-			r := oneStandbyRun(ctx, bin, dir, seed, turns, causes, times)
+			r := executeStandbyRun(ctx, bin, dir, seed, turns, causes, times)
 			var text []string
 			for _, c := range standbyCauses {
-				if r.gaps[c] != nil {
-					text = append(text, fmt.Sprint(c, " ", r.gaps[c]))
+				if r.ownerlessTimes[c] != nil {
+					text = append(text, fmt.Sprint(c, " ", r.ownerlessTimes[c]))
 				}
 			}
 			return func() {
-				for c, gaps := range r.gaps {
+				for c, gaps := range r.ownerlessTimes {
 					if _, known := byCause[c]; !known {
 						byCause[c] = newLatencies()
 					}
-					byCause[c].add(gaps...)
+					byCause[c].record(gaps...)
 				}
-			}, runOutcome{strings.Join(text, ", "), r.wrong, r.err}
+			}, runOutcome{strings.Join(text, ", "), r.violations, r.err}
 		})
 		told := map[string]quantiles{}
 		for c, l := range byCause {
-			told[c] = quantiles{l.count(), l.seconds(50), l.seconds(95), l.maxSeconds()}
+			told[c] = quantiles{l.count(), l.quantileSeconds(50), l.quantileSeconds(95), l.maxSeconds()}
 		}
 		return t, told, err
 	}
@@ -245,7 +245,7 @@
 		}
 		s.Old = &t
 	}
-	if err := figures(out, s); err != nil {
+	if err := printFigures(out, s); err != nil {
 		return err
 	}
 	return s.err()
--- a/cmd/lab/tickets.go
+++ b/cmd/lab/tickets.go
@@ -33,24 +33,24 @@
 // what their users were told must be equal, line by line, and equal to what the seed
 // says it must be.
 
-type farm struct {
-	dir       string
-	procs     []*process
-	apis      []string
-	cloud     string
-	state     string
-	events    string
-	http      *http.Client
-	place     bool     // several types of machine in three zones
-	heldStart []string // starts on machines that were held back
-}
-
-// job is the submission of a job of a shape. At a place with several types of machine
+type testSite struct {
+	dir              string
+	procs            []*process
+	apis             []string
+	cloudAddr        string
+	stateAddr        string
+	eventsPath       string
+	http             *http.Client
+	mixedMachines    bool     // several types of machine in three zones
+	startsOnCordoned []string // starts on machines that were held back
+}
+
+// jobSubmission is the submission of a job of a shape. At a place with several types of machine
 // services and arrays need no GPU, and gangs a whole large machine for each task.
-func (f *farm) job(id, team, shape string, tasks int, seconds float64) []byte {
-	body := strings.Replace(string(submission(id, team, tasks, seconds)), `"sweep"`, fmt.Sprintf("%q", shape), 1)
+func (f *testSite) jobSubmission(id, team, shape string, tasks int, seconds float64) []byte {
+	body := strings.Replace(string(jobSubmission(id, team, tasks, seconds)), `"sweep"`, fmt.Sprintf("%q", shape), 1)
 	const needs, zones = `"vcpus":2.0,"cards":1.0,"memGb":8.0`, `"together":false,"scatter":false,"loaners":true`
-	if f.place {
+	if f.mixedMachines {
 		switch shape {
 		case "standing":
 			body = strings.NewReplacer(needs, `"vcpus":1.0,"cards":0.0,"memGb":2.5`, zones, `"together":false,"scatter":true,"loaners":false`, `"standard"`, `"critical"`).Replace(body)
@@ -63,10 +63,10 @@
 	return []byte(body)
 }
 
-// farmTimes are the times of a farm's site.
-var farmTimes = times{workersLease: 2.5, report: 0.5, cancel: 14, writeRPS: 150}
+// testSiteTimes are the times of a farm's site.
+var testSiteTimes = times{workersLease: 2.5, reportInterval: 0.5, cancelBound: 14, writeRPS: 150}
 
-const farmClasses = `
+const ticketClassesFormat = `
 [[classes]]
 lot = "preview"
 urgency = "high"
@@ -82,35 +82,35 @@
 expectS = 0.8
 `
 
-// farmRetries is what the class of a farm allows.
-const farmRetries = 3
+// classMaxRetries is what the class of a farm allows.
+const classMaxRetries = 3
 
-func newFarm(ctx context.Context, bin, dir string, seed uint64, retries, machines int, t times) (*farm, error) {
-	f := &farm{dir: dir, events: filepath.Join(dir, "events"), http: &http.Client{Timeout: 5 * time.Second}}
+func newTestSite(ctx context.Context, bin, dir string, seed uint64, retries, machines int, t times) (*testSite, error) {
+	f := &testSite{dir: dir, eventsPath: filepath.Join(dir, "events"), http: &http.Client{Timeout: 5 * time.Second}}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return f, err
 	}
-	a, err := ports(7)
+	a, err := freeAddresses(7)
 	if err != nil {
 		return f, err
 	}
 	state, cloud, peers := a[0], a[1], a[4:6]
 	_, workers, _ := net.SplitHostPort(a[6])
-	f.cloud, f.state, f.apis = cloud, state, a[2:4]
+	f.cloudAddr, f.stateAddr, f.apis = cloud, state, a[2:4]
 	classes := filepath.Join(dir, "tickets.toml")
-	if err := os.WriteFile(classes, fmt.Appendf(nil, farmClasses, retries), 0o644); err != nil {
+	if err := os.WriteFile(classes, fmt.Appendf(nil, ticketClassesFormat, retries), 0o644); err != nil {
 		return f, err
 	}
 	proc := func(name, program string, args ...string) {
-		f.procs = append(f.procs, &process{name: name, bin: filepath.Join(bin, program), args: args, log: filepath.Join(dir, name+".log")})
+		f.procs = append(f.procs, &process{name: name, bin: filepath.Join(bin, program), args: args, logPath: filepath.Join(dir, name+".log")})
 	}
 	nodes := []string{"n-0", "n-1"}
 	proc("state", "standin", "-state", state, "-cloud", "", "-nodes", "n-0="+f.apis[0])
 	proc("cloud", "standin", "-state", "", "-cloud", cloud, "-nodes", "n-0="+f.apis[0]+",n-1="+f.apis[1], "-boot", "400ms", "-fetch", "150ms",
-		"-lease", fmt.Sprint(t.workersLease), "-report", fmt.Sprint(t.report), "-zone", "a", "-machines", fmt.Sprint(machines), "-events", f.events, "-farm", fmt.Sprint(seed), "-workers", workers, fmt.Sprintf("-place=%v", t.place))
-	f.place = t.place
+		"-lease", fmt.Sprint(t.workersLease), "-report", fmt.Sprint(t.reportInterval), "-zone", "a", "-machines", fmt.Sprint(machines), "-events", f.eventsPath, "-farm", fmt.Sprint(seed), "-workers", workers, fmt.Sprintf("-place=%v", t.mixedMachines))
+	f.mixedMachines = t.mixedMachines
 	zones := []string{"a", "a"}
-	if t.place {
+	if t.mixedMachines {
 		zones[1] = "c"
 	}
 	for i, n := range nodes {
@@ -133,7 +133,7 @@
 			ok = ok && err == nil && status == 200
 		}
 		// Controllers are ready without the cloud, and the run begins with an upload there.
-		status, _, err := f.call(ctx, "GET", f.cloud, "/hosts", nil)
+		status, _, err := f.call(ctx, "GET", f.cloudAddr, "/hosts", nil)
 		ok = ok && err == nil && status == 200
 		if ok {
 			return f, nil
@@ -144,16 +144,16 @@
 	}
 }
 
-// startFarm makes a farm without troubles of its own.
-func startFarm(ctx context.Context, bin, dir string, machines int, t times) (*farm, error) {
-	return startFarmOf(ctx, bin, dir, 0, farmRetries, machines, t)
+// startTestSite makes a farm without troubles of its own.
+func startTestSite(ctx context.Context, bin, dir string, machines int, t times) (*testSite, error) {
+	return startSeededTestSite(ctx, bin, dir, 0, classMaxRetries, machines, t)
 }
 
-// startFarmOf makes a farm whose machines do what a seed says (0: nothing bad), anew if
+// startSeededTestSite makes a farm whose machines do what a seed says (0: nothing bad), anew if
 // another program took one of its ports meanwhile.
-func startFarmOf(ctx context.Context, bin, dir string, seed uint64, retries, machines int, t times) (f *farm, err error) {
+func startSeededTestSite(ctx context.Context, bin, dir string, seed uint64, retries, machines int, t times) (f *testSite, err error) {
 	for try := range 3 {
-		if f, err = newFarm(ctx, bin, fmt.Sprintf("%s/%d", dir, try), seed, retries, machines, t); err == nil {
+		if f, err = newTestSite(ctx, bin, fmt.Sprintf("%s/%d", dir, try), seed, retries, machines, t); err == nil {
 			break
 		}
 		f.end()
@@ -161,14 +161,14 @@
 	return f, err
 }
 
-func (f *farm) end() {
+func (f *testSite) end() {
 	for _, p := range f.procs {
 		p.kill()
 	}
 }
 
 // process is the process of a name; nil if there is none.
-func (f *farm) process(name string) *process {
+func (f *testSite) process(name string) *process {
 	for _, p := range f.procs {
 		if p.name == name {
 			return p
@@ -178,7 +178,7 @@
 }
 
 // signal sends a signal to some of the farm's processes.
-func (f *farm) signal(s syscall.Signal, names ...string) {
+func (f *testSite) signal(s syscall.Signal, names ...string) {
 	for _, name := range names {
 		if p := f.process(name); p != nil {
 			p.signal(s)
@@ -186,7 +186,7 @@
 	}
 }
 
-func (f *farm) call(ctx context.Context, method, addr, path string, body []byte) (int, []byte, error) {
+func (f *testSite) call(ctx context.Context, method, addr, path string, body []byte) (int, []byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, strings.NewReader(string(body)))
 	if err != nil {
 		return 0, nil, err
@@ -200,17 +200,17 @@
 	return resp.StatusCode, data, err
 }
 
-// farmTicket is a ticket of a run.
-type farmTicket struct {
-	id, name  string
-	steps     []string // "name tasks after..."
-	retries   int
-	failed    int
-	cancelled bool // as soon as it is accepted
+// testTicket is a ticket of a run.
+type testTicket struct {
+	id, name       string
+	steps          []string // "name tasks after..."
+	maxRetries     int
+	maxFailedTasks int
+	cancelled      bool // as soon as it is accepted
 }
 
 // body is the ticket's submission; carried: inside an ordinary one.
-func (t *farmTicket) body(carried bool) []byte {
+func (t *testTicket) body(carried bool) []byte {
 	var steps []map[string]any
 	for _, s := range t.steps {
 		f := strings.Fields(s)
@@ -225,7 +225,7 @@
 		}
 		steps = append(steps, step)
 	}
-	tk := map[string]any{"maxRetriesPerTask": t.retries, "maxFailedTasksCount": t.failed, "priority": 100,
+	tk := map[string]any{"maxRetriesPerTask": t.maxRetries, "maxFailedTasksCount": t.maxFailedTasks, "priority": 100,
 		"template": map[string]any{"specificationVersion": format.Version, "name": t.name, "steps": steps}}
 	out := map[string]any{"id": t.id, "lot": "preview", "crew": "red"}
 	if carried {
@@ -239,17 +239,17 @@
 	return data
 }
 
-// drawTickets draws the tickets of a run.
-func drawTickets(seed uint64) []*farmTicket {
+// generateTickets draws the tickets of a run.
+func generateTickets(seed uint64) []*testTicket {
 	rng := rand.New(rand.NewPCG(seed, 11))
-	var out []*farmTicket
+	var out []*testTicket
 	for i := range 6 {
-		t := &farmTicket{id: fmt.Sprintf("job-%06d", i), name: fmt.Sprintf("t%d", i), retries: 2 + rng.IntN(6)}
+		t := &testTicket{id: fmt.Sprintf("job-%06d", i), name: fmt.Sprintf("t%d", i), maxRetries: 2 + rng.IntN(6)}
 		switch i {
 		case 0: // fails at once when its first task has used up its tries
 			t.name = standin.Hopeless + " at once"
 		case 1: // survives that, and fails in the end
-			t.name, t.failed = standin.Hopeless+" survived", 2
+			t.name, t.maxFailedTasks = standin.Hopeless+" survived", 2
 		case 2:
 			t.cancelled = true
 		}
@@ -267,44 +267,44 @@
 	return out
 }
 
-// describe are the descriptions that a ticket's user uploads.
-func describe(body []byte) ([]ticket.Description, error) {
-	s, a, err := admitted(body)
+// jobDescriptions are the descriptions that a ticket's user uploads.
+func jobDescriptions(body []byte) ([]ticket.Description, error) {
+	s, a, err := admitTicket(body)
 	if err != nil {
 		return nil, err
 	}
 	return ticket.Describe(s, a)
 }
 
-// admitted is the ticket as any node admits it.
-func (t *farmTicket) admitted() (*format.Submission, *ticket.Admitted, error) {
-	return admitted(t.body(false))
+// admit is the ticket as any node admits it.
+func (t *testTicket) admit() (*format.Submission, *ticket.Admitted, error) {
+	return admitTicket(t.body(false))
 }
 
-func admitted(body []byte) (*format.Submission, *ticket.Admitted, error) {
+func admitTicket(body []byte) (*format.Submission, *ticket.Admitted, error) {
 	s, err := format.ParseTicket(body)
 	if err != nil {
 		return nil, nil, err
 	}
-	classes := ticket.ClassTable{"preview": {Name: "preview", MaxUrgency: "high", Shapes: []string{"sweep"}, OnExcess: ticket.ReduceExcess, MaxRetries: farmRetries, MaxFailedTasks: 3, MaxTasks: 100000, CPUs: 2, GPUs: 1, MemoryGB: 8, Image: "img-1", ImageGB: 1, Spot: true, EstimateS: 0.8}}
+	classes := ticket.ClassTable{"preview": {Name: "preview", MaxUrgency: "high", Shapes: []string{"sweep"}, OnExcess: ticket.ReduceExcess, MaxRetries: classMaxRetries, MaxFailedTasks: 3, MaxTasks: 100000, CPUs: 2, GPUs: 1, MemoryGB: 8, Image: "img-1", ImageGB: 1, Spot: true, EstimateS: 0.8}}
 	a, err := ticket.Admit(s, classes, ticket.Limits{MaxValueBytes: 8000})
 	return s, a, err
 }
 
-// expected are the lines that a ticket must give: the seed alone decides.
-func (t *farmTicket) expected(f *standin.Farm) ([]string, error) {
-	_, a, err := t.admitted()
+// expectedLines are the lines that a ticket must give: the seed alone decides.
+func (t *testTicket) expectedLines(f *standin.Farm) ([]string, error) {
+	_, a, err := t.admit()
 	if err != nil {
 		return nil, err
 	}
 	rec := a.Record
 	granted := rec.Terms.MaxRetries.Granted
-	atOnce := strings.HasPrefix(t.name, standin.Hopeless) && t.failed == 0
+	atOnce := strings.HasPrefix(t.name, standin.Hopeless) && t.maxFailedTasks == 0
 	status := protocol.JobDone
 	if strings.HasPrefix(t.name, standin.Hopeless) {
 		status = protocol.JobFailed
 	}
-	lines := []string{fmt.Sprintf("%s retries asked %d granted %d urgency %s", t.name, t.retries, min(t.retries, farmRetries), "high")}
+	lines := []string{fmt.Sprintf("%s retries asked %d granted %d urgency %s", t.name, t.maxRetries, min(t.maxRetries, classMaxRetries), "high")}
 	if t.cancelled {
 		return append(lines, t.name+" withdrawn"), nil
 	}
@@ -340,23 +340,23 @@
 	return lines, nil
 }
 
-// farmEvent is what a render server ran.
-type farmEvent struct {
+// machineEvent is what a render server ran.
+type machineEvent struct {
 	At      int64
 	Event   string
 	Task    string
 	Machine string
 }
 
-func readEvents(path string) ([]farmEvent, error) {
+func readMachineEvents(path string) ([]machineEvent, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer file.Close()
-	var out []farmEvent
+	var out []machineEvent
 	for sc := bufio.NewScanner(file); sc.Scan(); {
-		var e farmEvent
+		var e machineEvent
 		if json.Unmarshal(sc.Bytes(), &e) == nil {
 			out = append(out, e)
 		}
@@ -364,14 +364,14 @@
 	return out, nil
 }
 
-// lines are what a ticket gave: from the machines' own log and from what its user was
+// observedLines are what a ticket gave: from the machines' own log and from what its user was
 // told, each for its own part.
-func (t *farmTicket) lines(told *node.TicketStatus, events []farmEvent) ([]string, error) {
-	_, a, err := t.admitted()
+func (t *testTicket) observedLines(told *node.TicketStatus, events []machineEvent) ([]string, error) {
+	_, a, err := t.admit()
 	if err != nil {
 		return nil, err
 	}
-	atOnce := strings.HasPrefix(t.name, standin.Hopeless) && t.failed == 0
+	atOnce := strings.HasPrefix(t.name, standin.Hopeless) && t.maxFailedTasks == 0
 	terms := told.Terms
 	asked := -1
 	if terms != nil && terms.MaxRetries.Requested != nil {
@@ -438,8 +438,8 @@
 	return lines, nil
 }
 
-// compare tells the lines in which two accounts differ.
-func compare(nameA, nameB string, a, b []string) (out []string) {
+// diffLines tells the lines in which two accounts differ.
+func diffLines(nameA, nameB string, a, b []string) (out []string) {
 	for i := range max(len(a), len(b)) {
 		x, y := "(nothing)", "(nothing)"
 		if i < len(a) {
@@ -455,12 +455,12 @@
 	return out
 }
 
-// play gives a farm the tickets and waits for their ends.
-func (f *farm) play(ctx context.Context, seed uint64, tickets []*farmTicket, carried bool) (map[string]*node.TicketStatus, []time.Duration, error) {
+// runTickets gives a farm the tickets and waits for their ends.
+func (f *testSite) runTickets(ctx context.Context, seed uint64, tickets []*testTicket, carried bool) (map[string]*node.TicketStatus, []time.Duration, error) {
 	rng := rand.New(rand.NewPCG(seed, 12))
 	var accepts []time.Duration
 	for _, t := range tickets {
-		took, err := f.give(ctx, rng, t, carried)
+		took, err := f.submitTicket(ctx, rng, t, carried)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -468,7 +468,7 @@
 	}
 	stop := make(chan struct{})
 	var drains sync.WaitGroup
-	drains.Go(func() { f.drainSome(ctx, rand.New(rand.NewPCG(seed, 13)), stop) })
+	drains.Go(func() { f.drainMachines(ctx, rand.New(rand.NewPCG(seed, 13)), stop) })
 	defer func() {
 		close(stop)
 		drains.Wait()
@@ -477,10 +477,10 @@
 	return told, accepts, err
 }
 
-// give submits a ticket, by itself or carried by an ordinary submission, until it is
+// submitTicket submits a ticket, by itself or carried by an ordinary submission, until it is
 // accepted; took is how long that was. One that is to be cancelled is cancelled.
-func (f *farm) give(ctx context.Context, rng *rand.Rand, t *farmTicket, carried bool) (took time.Duration, err error) {
-	if err := uploadAll(ctx, f, t.body(false), len(t.steps)); err != nil {
+func (f *testSite) submitTicket(ctx context.Context, rng *rand.Rand, t *testTicket, carried bool) (took time.Duration, err error) {
+	if err := uploadDescriptions(ctx, f, t.body(false), len(t.steps)); err != nil {
 		return 0, err
 	}
 	path := "/tickets"
@@ -508,7 +508,7 @@
 }
 
 // awaitTickets asks until all tickets have ended and nothing of them runs.
-func (f *farm) awaitTickets(ctx context.Context, rng *rand.Rand, tickets []*farmTicket) (map[string]*node.TicketStatus, error) {
+func (f *testSite) awaitTickets(ctx context.Context, rng *rand.Rand, tickets []*testTicket) (map[string]*node.TicketStatus, error) {
 	told := map[string]*node.TicketStatus{}
 	for deadline := time.Now().Add(120 * time.Second); ; time.Sleep(300 * time.Millisecond) {
 		open := 0
@@ -520,7 +520,7 @@
 				continue
 			}
 			told[t.name] = &st
-			if !ticketOver(&st) {
+			if !ticketEnded(&st) {
 				open++
 			}
 		}
@@ -533,18 +533,18 @@
 	}
 }
 
-// ticketOver says whether a ticket has ended and nothing of it runs.
-func ticketOver(st *node.TicketStatus) bool {
+// ticketEnded says whether a ticket has ended and nothing of it runs.
+func ticketEnded(st *node.TicketStatus) bool {
 	ended := st.Status == protocol.JobDone || st.Status == protocol.JobFailed || st.Status == protocol.JobCancelled
 	return ended && st.Running == 0 && !slices.ContainsFunc(st.Steps, func(s node.StepStatus) bool { return s.Running > 0 })
 }
 
-// drainSome holds back one machine after another, as an operator does, and notes
+// drainMachines holds back one machine after another, as an operator does, and notes
 // starts on them.
-func (f *farm) drainSome(ctx context.Context, rng *rand.Rand, stop chan struct{}) {
+func (f *testSite) drainMachines(ctx context.Context, rng *rand.Rand, stop chan struct{}) {
 	for {
 		var list protocol.MachineList
-		_, out, err := f.call(ctx, "GET", f.cloud, "/hosts", nil)
+		_, out, err := f.call(ctx, "GET", f.cloudAddr, "/hosts", nil)
 		if err == nil && json.Unmarshal(out, &list) == nil && len(list.Machines) > 0 {
 			f.drain(ctx, list.Machines[rng.IntN(len(list.Machines))].ID)
 		}
@@ -559,26 +559,26 @@
 }
 
 // drain holds a machine back for a while and notes starts on it.
-func (f *farm) drain(ctx context.Context, machine string) {
-	if !f.holdBack(ctx, machine) {
+func (f *testSite) drain(ctx context.Context, machine string) {
+	if !f.setCordoned(ctx, machine) {
 		return
 	}
 	// What was stored before the drain may still start; an image takes 0.15 s.
 	from := time.Now().Add(1500 * time.Millisecond)
 	time.Sleep(3 * time.Second)
 	until := time.Now()
-	if events, err := readEvents(f.events); err == nil {
+	if events, err := readMachineEvents(f.eventsPath); err == nil {
 		for _, e := range events {
 			if at := time.Unix(0, e.At); e.Event == "start" && e.Machine == machine && at.After(from) && at.Before(until) {
-				f.heldStart = append(f.heldStart, fmt.Sprintf("%s started on %s, which was held back", e.Task, machine))
+				f.startsOnCordoned = append(f.startsOnCordoned, fmt.Sprintf("%s started on %s, which was held back", e.Task, machine))
 			}
 		}
 	}
-	f.holdBack(ctx)
+	f.setCordoned(ctx)
 }
 
-// holdBack holds back these machines and no others; false if that was not stored.
-func (f *farm) holdBack(ctx context.Context, machines ...string) bool {
+// setCordoned holds back these machines and no others; false if that was not stored.
+func (f *testSite) setCordoned(ctx context.Context, machines ...string) bool {
 	_, out, err := f.call(ctx, "GET", f.apis[0], "/admin/settings", nil)
 	var v struct{ Stamp uint64 }
 	if err != nil || json.Unmarshal(out, &v) != nil {
@@ -589,43 +589,43 @@
 	return err == nil && status == 200
 }
 
-// farmResult is what a run showed.
-type farmResult struct {
-	lines   int
-	starts  int
-	errors  int
-	lost    int
-	broken  []string
-	accepts []time.Duration
-	err     error
+// ticketComparison is what a run showed.
+type ticketComparison struct {
+	lines           int
+	starts          int
+	errors          int
+	endedOtherwise  int
+	violations      []string
+	acceptLatencies []time.Duration
+	err             error
 }
 
-// wayResult is what one of the two ways showed.
-type wayResult struct {
-	lines   []string
-	events  []farmEvent
-	accepts []time.Duration
-	broken  []string
-	err     error
+// pathResult is what one of the two ways showed.
+type pathResult struct {
+	lines           []string
+	events          []machineEvent
+	acceptLatencies []time.Duration
+	violations      []string
+	err             error
 }
 
-// playWay plays tickets one way, on a farm of its own.
-func playWay(ctx context.Context, bin, dir string, seed uint64, tickets []*farmTicket, retries int, carried bool) (r wayResult) {
-	f, err := startFarmOf(ctx, bin, dir, seed, retries, 24, farmTimes)
+// runPath plays tickets one way, on a farm of its own.
+func runPath(ctx context.Context, bin, dir string, seed uint64, tickets []*testTicket, retries int, carried bool) (r pathResult) {
+	f, err := startSeededTestSite(ctx, bin, dir, seed, retries, 24, testSiteTimes)
 	defer f.end()
 	if err != nil {
-		return wayResult{err: err}
+		return pathResult{err: err}
 	}
-	told, accepts, err := f.play(ctx, seed, tickets, carried)
+	told, accepts, err := f.runTickets(ctx, seed, tickets, carried)
 	if err != nil {
-		return wayResult{err: err}
+		return pathResult{err: err}
 	}
-	r = wayResult{accepts: accepts, broken: f.heldStart}
-	if r.events, r.err = readEvents(f.events); r.err != nil {
+	r = pathResult{acceptLatencies: accepts, violations: f.startsOnCordoned}
+	if r.events, r.err = readMachineEvents(f.eventsPath); r.err != nil {
 		return r
 	}
 	for _, t := range tickets {
-		lines, err := t.lines(told[t.name], r.events)
+		lines, err := t.observedLines(told[t.name], r.events)
 		if err != nil {
 			r.err = err
 			return r
@@ -635,44 +635,44 @@
 	return r
 }
 
-// compareWays plays the same tickets both ways. doorRetries is what the class of the
+// comparePaths plays the same tickets both ways. doorRetries is what the class of the
 // second farm allows: other than the first's it is a side door, which must be found.
-func compareWays(ctx context.Context, bin, dir string, seed uint64, doorRetries int) *farmResult {
-	tickets := drawTickets(seed)
-	var ways [2]wayResult
+func comparePaths(ctx context.Context, bin, dir string, seed uint64, doorRetries int) *ticketComparison {
+	tickets := generateTickets(seed)
+	var ways [2]pathResult
 	var both sync.WaitGroup
-	for i, retries := range []int{farmRetries, doorRetries} {
+	for i, retries := range []int{classMaxRetries, doorRetries} {
 		both.Go(func() {
-			ways[i] = playWay(ctx, bin, filepath.Join(dir, fmt.Sprint("way-", i)), seed, tickets, retries, i == 1)
+			ways[i] = runPath(ctx, bin, filepath.Join(dir, fmt.Sprint("way-", i)), seed, tickets, retries, i == 1)
 		})
 	}
 	both.Wait()
-	r := &farmResult{}
+	r := &ticketComparison{}
 	for _, w := range ways {
-		r.take(w)
+		r.add(w)
 	}
 	if r.err != nil {
 		return r
 	}
-	want, err := expectedLines(seed, tickets)
+	want, err := expectedLinesOfAll(seed, tickets)
 	if err != nil {
 		r.err = err
 		return r
 	}
 	r.lines = len(want)
-	r.broken = append(r.broken, compare("tickets", "ordinary", ways[0].lines, ways[1].lines)...)
-	r.broken = append(r.broken, compare("tickets", "the seed", ways[0].lines, want)...)
+	r.violations = append(r.violations, diffLines("tickets", "ordinary", ways[0].lines, ways[1].lines)...)
+	r.violations = append(r.violations, diffLines("tickets", "the seed", ways[0].lines, want)...)
 	return r
 }
 
-// take adds up what a way showed.
-func (r *farmResult) take(w wayResult) {
+// add adds up what a way showed.
+func (r *ticketComparison) add(w pathResult) {
 	if w.err != nil {
 		r.err = cmp.Or(r.err, w.err)
 		return
 	}
-	r.accepts = append(r.accepts, w.accepts...)
-	r.broken = append(r.broken, w.broken...)
+	r.acceptLatencies = append(r.acceptLatencies, w.acceptLatencies...)
+	r.violations = append(r.violations, w.violations...)
 	for _, e := range w.events {
 		switch e.Event {
 		case "start":
@@ -680,16 +680,16 @@
 		case "error":
 			r.errors++
 		case "end":
-			r.lost++
+			r.endedOtherwise++
 		}
 	}
 }
 
-// expectedLines are what the seed says of all tickets.
-func expectedLines(seed uint64, tickets []*farmTicket) (lines []string, err error) {
+// expectedLinesOfAll are what the seed says of all tickets.
+func expectedLinesOfAll(seed uint64, tickets []*testTicket) (lines []string, err error) {
 	plan := standin.NewFarm(seed)
 	for _, t := range tickets {
-		expected, err := t.expected(plan)
+		expected, err := t.expectedLines(plan)
 		if err != nil {
 			return nil, err
 		}
@@ -698,8 +698,8 @@
 	return lines, nil
 }
 
-func ticketsProof() *cobra.Command {
-	return runsProof("tickets", "Submit the same tickets both ways to render servers that fail, drain and vanish, and compare", 8, 8, proveTickets)
+func ticketsProofCommand() *cobra.Command {
+	return newProofCommand("tickets", "Submit the same tickets both ways to render servers that fail, drain and vanish, and compare", 8, 8, proveTickets)
 }
 
 func proveTickets(ctx context.Context, out io.Writer, o runOptions) error {
@@ -715,19 +715,19 @@
 		P99     float64 `json:"accept_p99_ms"`
 	}{}
 	var err error
-	sum.runTotals, err = o.each(ctx, out, "tickets", func(bin, dir string, seed uint64) (func(), runOutcome) {
-		r := compareWays(ctx, bin, dir, seed, farmRetries)
+	sum.runTotals, err = o.executeRuns(ctx, out, "tickets", func(bin, dir string, seed uint64) (func(), runOutcome) {
+		r := comparePaths(ctx, bin, dir, seed, classMaxRetries)
 		return func() {
 			sum.Tickets += 6
-			sum.Lines, sum.Starts, sum.Errors, sum.Lost = sum.Lines+r.lines, sum.Starts+r.starts, sum.Errors+r.errors, sum.Lost+r.lost
-			accepts.add(r.accepts...)
-		}, runOutcome{fmt.Sprintf("%d lines equal, %d starts, %d errors, %d ended otherwise", r.lines, r.starts, r.errors, r.lost), r.broken, r.err}
+			sum.Lines, sum.Starts, sum.Errors, sum.Lost = sum.Lines+r.lines, sum.Starts+r.starts, sum.Errors+r.errors, sum.Lost+r.endedOtherwise
+			accepts.record(r.acceptLatencies...)
+		}, runOutcome{fmt.Sprintf("%d lines equal, %d starts, %d errors, %d ended otherwise", r.lines, r.starts, r.errors, r.endedOtherwise), r.violations, r.err}
 	})
 	if err != nil {
 		return err
 	}
-	sum.Median, sum.P99 = accepts.milliseconds(50), accepts.milliseconds(99)
-	if err := figures(out, sum); err != nil {
+	sum.Median, sum.P99 = accepts.quantileMS(50), accepts.quantileMS(99)
+	if err := printFigures(out, sum); err != nil {
 		return err
 	}
 	return sum.err()
--- a/cmd/lab/why.go
+++ b/cmd/lab/why.go
@@ -15,22 +15,22 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// condition is a reason to wait, as real controllers and stand-in machines make it.
-type condition struct {
-	name   string // of the cause
-	binds  bool   // it must be the first that is told
-	rivals int    // tasks of another job that run meanwhile
-	own    string // shape of the job that waits
-	tasks  int
-	cards  float64
-	build  func(ctx context.Context, f *farm, id string) error
-	lift   func(ctx context.Context, f *farm, id string) error
+// waitCondition is a reason to wait, as real controllers and stand-in machines make it.
+type waitCondition struct {
+	name           string // of the cause
+	mustBeFirst    bool   // it must be the first that is told
+	competingTasks int    // tasks of another job that run meanwhile
+	shape          string // shape of the job that waits
+	tasks          int
+	gpus           float64
+	establish      func(ctx context.Context, f *testSite, id string) error
+	release        func(ctx context.Context, f *testSite, id string) error
 }
 
 // whyFarm is what conditions are made of.
-var whyTimes = times{workersLease: 2.5, report: 0.5, cancel: 14, writeRPS: 150, gpusMax: 8}
+var whyTimes = times{workersLease: 2.5, reportInterval: 0.5, cancelBound: 14, writeRPS: 150, maxTeamGPUs: 8}
 
-func setPolicy(ctx context.Context, f *farm, name string, value any) error {
+func changeSetting(ctx context.Context, f *testSite, name string, value any) error {
 	for try := 0; ; try++ {
 		_, out, err := f.call(ctx, "GET", f.apis[try%2], "/admin/settings", nil)
 		var v struct{ Stamp uint64 }
@@ -52,17 +52,17 @@
 	}
 }
 
-func post(ctx context.Context, f *farm, path string) error {
-	status, out, err := f.call(ctx, "POST", f.cloud, path, nil)
+func postToCloud(ctx context.Context, f *testSite, path string) error {
+	status, out, err := f.call(ctx, "POST", f.cloudAddr, path, nil)
 	if err == nil && status != 200 {
 		err = fmt.Errorf("%s: %d %s", path, status, out)
 	}
 	return err
 }
 
-func holdAll(ctx context.Context, f *farm) error {
+func cordonAll(ctx context.Context, f *testSite) error {
 	var list protocol.MachineList
-	_, out, err := f.call(ctx, "GET", f.cloud, "/hosts", nil)
+	_, out, err := f.call(ctx, "GET", f.cloudAddr, "/hosts", nil)
 	if err == nil {
 		err = json.Unmarshal(out, &list)
 	}
@@ -74,27 +74,27 @@
 		err = fmt.Errorf("no machines to hold back")
 	}
 	if err == nil {
-		err = setPolicy(ctx, f, "stop_rentals", true)
+		err = changeSetting(ctx, f, "stop_rentals", true)
 	}
 	if err == nil {
-		err = setPolicy(ctx, f, "held_back", names)
+		err = changeSetting(ctx, f, "held_back", names)
 	}
 	return err
 }
 
-func release(ctx context.Context, f *farm, _ string) error {
-	if err := setPolicy(ctx, f, "held_back", []string{}); err != nil {
+func uncordonAll(ctx context.Context, f *testSite, _ string) error {
+	if err := changeSetting(ctx, f, "held_back", []string{}); err != nil {
 		return err
 	}
-	return setPolicy(ctx, f, "stop_rentals", false)
+	return changeSetting(ctx, f, "stop_rentals", false)
 }
 
-// rivalOf is the id of the job that runs beside a condition's.
-func rivalOf(id string) string { return id + "9" }
+// competingJobID is the id of the job that runs beside a condition's.
+func competingJobID(id string) string { return id + "9" }
 
-func cancelRival(ctx context.Context, f *farm, id string) error {
+func cancelCompetingJob(ctx context.Context, f *testSite, id string) error {
 	for try := 0; ; try++ {
-		status, out, err := f.call(ctx, "POST", f.apis[try%2], "/api/jobs/"+rivalOf(id)+"/cancel", []byte("{}"))
+		status, out, err := f.call(ctx, "POST", f.apis[try%2], "/api/jobs/"+competingJobID(id)+"/cancel", []byte("{}"))
 		if err == nil && status == 200 {
 			return nil
 		}
@@ -105,38 +105,46 @@
 	}
 }
 
-func nothingToDo(context.Context, *farm, string) error { return nil }
+func noAction(context.Context, *testSite, string) error { return nil }
 
-func conditions() []condition {
-	limit := func(n int) func(ctx context.Context, f *farm, _ string) error {
-		return func(ctx context.Context, f *farm, _ string) error { return post(ctx, f, fmt.Sprint("/limit/", n)) }
+func waitConditions() []waitCondition {
+	limit := func(n int) func(ctx context.Context, f *testSite, _ string) error {
+		return func(ctx context.Context, f *testSite, _ string) error {
+			return postToCloud(ctx, f, fmt.Sprint("/limit/", n))
+		}
 	}
-	stop := func(s syscall.Signal, names ...string) func(ctx context.Context, f *farm, id string) error {
-		return func(ctx context.Context, f *farm, id string) error {
+	stop := func(s syscall.Signal, names ...string) func(ctx context.Context, f *testSite, id string) error {
+		return func(ctx context.Context, f *testSite, id string) error {
 			f.signal(s, names...)
 			return nil
 		}
 	}
-	return []condition{
-		{name: "team_limit", binds: true, rivals: 8, tasks: 2, build: nothingToDo, lift: cancelRival},
-		{name: "no_free_machine", rivals: 4, tasks: 1, build: limit(1), lift: cancelRival},
-		{name: "gang_incomplete", binds: true, rivals: 2, own: protocol.Gang, tasks: 4, build: limit(1), lift: cancelRival},
-		{name: "drained", binds: true, rivals: 1, tasks: 2, build: func(ctx context.Context, f *farm, _ string) error { return holdAll(ctx, f) }, lift: release},
-		{name: "rentals_stopped", tasks: 1, cards: 4, rivals: 1, build: func(ctx context.Context, f *farm, _ string) error { return setPolicy(ctx, f, "stop_rentals", true) }, lift: release},
-		{name: "cloud_refused", tasks: 1, cards: 4, rivals: 1, build: limit(0), lift: limit(24)},
-		{name: "fails_everywhere", tasks: 2, build: func(ctx context.Context, f *farm, id string) error { return post(ctx, f, "/mistaken/"+id+"/true") },
-			lift: func(ctx context.Context, f *farm, id string) error { return post(ctx, f, "/mistaken/"+id+"/false") }},
-		{name: "state_service_down", binds: true, rivals: 1, tasks: 2, build: func(ctx context.Context, f *farm, _ string) error { return holdAll(ctx, f) }, lift: release},
-		{name: "holder_silent", binds: true, rivals: 1, tasks: 2, build: func(ctx context.Context, f *farm, _ string) error { return holdAll(ctx, f) },
-			lift: func(ctx context.Context, f *farm, id string) error {
+	return []waitCondition{
+		{name: "team_limit", mustBeFirst: true, competingTasks: 8, tasks: 2, establish: noAction, release: cancelCompetingJob},
+		{name: "no_free_machine", competingTasks: 4, tasks: 1, establish: limit(1), release: cancelCompetingJob},
+		{name: "gang_incomplete", mustBeFirst: true, competingTasks: 2, shape: protocol.Gang, tasks: 4, establish: limit(1), release: cancelCompetingJob},
+		{name: "drained", mustBeFirst: true, competingTasks: 1, tasks: 2, establish: func(ctx context.Context, f *testSite, _ string) error { return cordonAll(ctx, f) }, release: uncordonAll},
+		{name: "rentals_stopped", tasks: 1, gpus: 4, competingTasks: 1, establish: func(ctx context.Context, f *testSite, _ string) error {
+			return changeSetting(ctx, f, "stop_rentals", true)
+		}, release: uncordonAll},
+		{name: "cloud_refused", tasks: 1, gpus: 4, competingTasks: 1, establish: limit(0), release: limit(24)},
+		{name: "fails_everywhere", tasks: 2, establish: func(ctx context.Context, f *testSite, id string) error {
+			return postToCloud(ctx, f, "/mistaken/"+id+"/true")
+		},
+			release: func(ctx context.Context, f *testSite, id string) error {
+				return postToCloud(ctx, f, "/mistaken/"+id+"/false")
+			}},
+		{name: "state_service_down", mustBeFirst: true, competingTasks: 1, tasks: 2, establish: func(ctx context.Context, f *testSite, _ string) error { return cordonAll(ctx, f) }, release: uncordonAll},
+		{name: "holder_silent", mustBeFirst: true, competingTasks: 1, tasks: 2, establish: func(ctx context.Context, f *testSite, _ string) error { return cordonAll(ctx, f) },
+			release: func(ctx context.Context, f *testSite, id string) error {
 				stop(syscall.SIGCONT, "n-0", "n-1")(ctx, f, id)
-				return release(ctx, f, id)
+				return uncordonAll(ctx, f, id)
 			}},
 	}
 }
 
-func (c *condition) submission(id string, tasks int, seconds float64) []byte {
-	shape, cards := c.own, c.cards
+func (c *waitCondition) submission(id string, tasks int, seconds float64) []byte {
+	shape, cards := c.shape, c.gpus
 	if shape == "" {
 		shape = protocol.Array
 	}
@@ -146,8 +154,8 @@
 	return fmt.Appendf(nil, `{"id":%q,"lot":"proof","crew":"red","shape":%q,"urgency":"standard","pieces":%d,"vcpus":2.0,"cards":%g,"memGb":8.0,"bundle":"img-1","sizeGb":1.0,"together":false,"scatter":false,"loaners":true,"expectS":%g,"snapshotS":0.0,"storeS":0.0}`, id, shape, tasks, cards, seconds)
 }
 
-func (f *farm) submit(ctx context.Context, id string, body []byte) error {
-	if _, _, err := f.call(ctx, "POST", f.cloud, "/upload", body); err != nil {
+func (f *testSite) submit(ctx context.Context, id string, body []byte) error {
+	if _, _, err := f.call(ctx, "POST", f.cloudAddr, "/upload", body); err != nil {
 		return err
 	}
 	for try := 0; ; try++ {
@@ -162,9 +170,9 @@
 	}
 }
 
-func (f *farm) running(ctx context.Context, id string) int {
+func (f *testSite) runningTasks(ctx context.Context, id string) int {
 	n := 0
-	events, err := readEvents(f.events)
+	events, err := readMachineEvents(f.eventsPath)
 	if err != nil {
 		return 0
 	}
@@ -181,7 +189,7 @@
 	return n
 }
 
-func until(ctx context.Context, most time.Duration, done func() bool) bool {
+func waitUntil(ctx context.Context, most time.Duration, done func() bool) bool {
 	for end := time.Now().Add(most); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(50 * time.Millisecond) {
 		if done() {
 			return true
@@ -192,20 +200,20 @@
 
 // whyResult is what a run showed.
 type whyResult struct {
-	checked int
-	wrong   []string
-	starts  []time.Duration // from release to start
-	told    []time.Duration // time to answer
-	err     error
+	checked     int
+	violations  []string
+	startDelays []time.Duration // from release to start
+	answerTimes []time.Duration // time to answer
+	err         error
 }
 
-// one builds a condition, holds what both nodes say to it, lifts it and waits for the
+// verify builds a condition, holds what both nodes say to it, lifts it and waits for the
 // start.
-func (c *condition) one(ctx context.Context, f *farm, id string, r *whyResult) error {
+func (c *waitCondition) verify(ctx context.Context, f *testSite, id string, r *whyResult) error {
 	if err := c.prepare(ctx, f, id); err != nil {
 		return err
 	}
-	nodes, undo, err := c.disturb(ctx, f, id, r)
+	nodes, undo, err := c.suspendCause(ctx, f, id, r)
 	if err != nil {
 		return err
 	}
@@ -214,53 +222,53 @@
 		c.check(ctx, f, api, id, r)
 	}
 	f.procs[0].signal(syscall.SIGCONT)
-	if f.running(ctx, id) > 0 {
-		r.wrong = append(r.wrong, c.name+": started though it was said to wait")
+	if f.runningTasks(ctx, id) > 0 {
+		r.violations = append(r.violations, c.name+": started though it was said to wait")
 	}
-	if err := c.lift(ctx, f, id); err != nil {
+	if err := c.release(ctx, f, id); err != nil {
 		return err
 	}
 	from := time.Now()
-	if !until(ctx, 60*time.Second, func() bool { return f.running(ctx, id) > 0 }) {
-		r.wrong = append(r.wrong, c.name+": not started after its release")
+	if !waitUntil(ctx, 60*time.Second, func() bool { return f.runningTasks(ctx, id) > 0 }) {
+		r.violations = append(r.violations, c.name+": not started after its release")
 	} else if c.name != "fails_everywhere" { // that waits for its next try, up to a minute
-		r.starts = append(r.starts, time.Since(from))
+		r.startDelays = append(r.startDelays, time.Since(from))
 	}
 	return c.restore(ctx, f, id)
 }
 
 // prepare submits the job that is to wait, amid what makes it wait.
-func (c *condition) prepare(ctx context.Context, f *farm, id string) error {
-	if c.rivals > 0 {
-		rival := condition{}
-		if err := f.submit(ctx, rivalOf(id), rival.submission(rivalOf(id), c.rivals, 600)); err != nil {
+func (c *waitCondition) prepare(ctx context.Context, f *testSite, id string) error {
+	if c.competingTasks > 0 {
+		rival := waitCondition{}
+		if err := f.submit(ctx, competingJobID(id), rival.submission(competingJobID(id), c.competingTasks, 600)); err != nil {
 			return err
 		}
-		if !until(ctx, 30*time.Second, func() bool { return f.running(ctx, rivalOf(id)) >= c.rivals }) {
+		if !waitUntil(ctx, 30*time.Second, func() bool { return f.runningTasks(ctx, competingJobID(id)) >= c.competingTasks }) {
 			return fmt.Errorf("%s: its rival did not start", c.name)
 		}
 	}
-	if err := c.build(ctx, f, id); err != nil {
+	if err := c.establish(ctx, f, id); err != nil {
 		return err
 	}
 	time.Sleep(400 * time.Millisecond) // settings reach the nodes
 	return f.submit(ctx, id, c.submission(id, c.tasks, 600))
 }
 
-// disturb stops the process that a condition is about, if it is about one. It returns the
+// suspendCause stops the process that a condition is about, if it is about one. It returns the
 // nodes to be asked then, and what lets the process go on.
-func (c *condition) disturb(ctx context.Context, f *farm, id string, r *whyResult) (nodes []string, undo func(), err error) {
+func (c *waitCondition) suspendCause(ctx context.Context, f *testSite, id string, r *whyResult) (nodes []string, undo func(), err error) {
 	switch c.name {
 	case "state_service_down":
 		for _, api := range f.apis { // who does not know a job can't explain it in an outage
-			until(ctx, 5*time.Second, func() bool { w, err := f.why(ctx, api, id, r); return err == nil && w.Waiting > 0 })
+			waitUntil(ctx, 5*time.Second, func() bool { w, err := f.explain(ctx, api, id, r); return err == nil && w.Waiting > 0 })
 		}
 		f.procs[0].signal(syscall.SIGSTOP)
 		time.Sleep(3 * time.Second)
 		return f.apis, func() { f.procs[0].signal(syscall.SIGCONT) }, nil
 	case "holder_silent":
 		time.Sleep(500 * time.Millisecond)
-		w, err := f.why(ctx, f.apis[0], id, r)
+		w, err := f.explain(ctx, f.apis[0], id, r)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -274,13 +282,13 @@
 	return f.apis, func() {}, nil
 }
 
-// why asks a node why a job waits.
-func (f *farm) why(ctx context.Context, api, id string, r *whyResult) (*node.Explanation, error) {
+// explain asks a node why a job waits.
+func (f *testSite) explain(ctx context.Context, api, id string, r *whyResult) (*node.Explanation, error) {
 	var w node.Explanation
 	from := time.Now()
 	status, out, err := f.call(ctx, "GET", api, "/admin/why/"+id, nil)
 	if err == nil {
-		r.told = append(r.told, time.Since(from))
+		r.answerTimes = append(r.answerTimes, time.Since(from))
 		if status != 200 {
 			return nil, fmt.Errorf("%d %s", status, out)
 		}
@@ -290,45 +298,45 @@
 }
 
 // check holds what a node says to what was built.
-func (c *condition) check(ctx context.Context, f *farm, api, id string, r *whyResult) {
+func (c *waitCondition) check(ctx context.Context, f *testSite, api, id string, r *whyResult) {
 	var w *node.Explanation
 	var err error
 	r.checked++
-	if !until(ctx, c.patience(), func() bool {
-		w, err = f.why(ctx, api, id, r)
-		return err == nil && c.toldBy(w)
+	if !waitUntil(ctx, c.answerTimeout(), func() bool {
+		w, err = f.explain(ctx, api, id, r)
+		return err == nil && c.namedBy(w)
 	}) {
 		said := fmt.Sprint(err)
 		if w != nil {
 			data, _ := json.Marshal(w)
 			said = string(data)
 		}
-		r.wrong = append(r.wrong, fmt.Sprintf("%s: %s", c.name, said))
+		r.violations = append(r.violations, fmt.Sprintf("%s: %s", c.name, said))
 		return
 	}
 	switch {
 	case c.name == "holder_silent" && w.Unknown == "":
-		r.wrong = append(r.wrong, c.name+": not told as unknown")
+		r.violations = append(r.violations, c.name+": not told as unknown")
 	case c.name != "holder_silent" && len(w.Release) == 0:
-		r.wrong = append(r.wrong, c.name+": nothing is told to release it")
+		r.violations = append(r.violations, c.name+": nothing is told to release it")
 	case c.name == "state_service_down" && w.StateAge < 2:
-		r.wrong = append(r.wrong, fmt.Sprintf("%s: told as if it were %.1f s old", c.name, w.StateAge))
+		r.violations = append(r.violations, fmt.Sprintf("%s: told as if it were %.1f s old", c.name, w.StateAge))
 	}
 }
 
-// toldBy says whether an answer names the condition, first if it must be.
-func (c *condition) toldBy(w *node.Explanation) bool {
+// namedBy says whether an answer names the condition, first if it must be.
+func (c *waitCondition) namedBy(w *node.Explanation) bool {
 	for i, cause := range w.Causes {
 		if cause.Reason.String() == c.name {
-			return i == 0 || !c.binds
+			return i == 0 || !c.mustBeFirst
 		}
 	}
 	return false
 }
 
-// patience is how long a node may take to name the condition. Looks are some hundred
+// answerTimeout is how long a node may take to name the condition. Looks are some hundred
 // milliseconds apart; a mistake takes a few tries to show.
-func (c *condition) patience() time.Duration {
+func (c *waitCondition) answerTimeout() time.Duration {
 	switch c.name {
 	case "fails_everywhere":
 		return 20 * time.Second
@@ -341,27 +349,27 @@
 }
 
 // restore leaves a farm as it was found.
-func (c *condition) restore(ctx context.Context, f *farm, id string) error {
-	for _, job := range []string{id, rivalOf(id)} {
+func (c *waitCondition) restore(ctx context.Context, f *testSite, id string) error {
+	for _, job := range []string{id, competingJobID(id)} {
 		f.call(ctx, "POST", f.apis[0], "/api/jobs/"+job+"/cancel", []byte("{}"))
 	}
-	if err := post(ctx, f, "/limit/24"); err != nil {
+	if err := postToCloud(ctx, f, "/limit/24"); err != nil {
 		return err
 	}
-	return release(ctx, f, id)
+	return uncordonAll(ctx, f, id)
 }
 
-func oneWhyRun(ctx context.Context, bin, dir string, seed uint64) *whyResult {
+func executeWhyRun(ctx context.Context, bin, dir string, seed uint64) *whyResult {
 	r := &whyResult{}
 	rng := rand.New(rand.NewPCG(seed, 21))
-	cs := conditions()
+	cs := waitConditions()
 	rng.Shuffle(len(cs), func(i, k int) { cs[i], cs[k] = cs[k], cs[i] })
 	for i := range cs {
 		// A farm for each: machines of the one before must not serve the next.
-		f, err := startFarm(ctx, bin, fmt.Sprintf("%s/%d", dir, i), 24, whyTimes)
+		f, err := startTestSite(ctx, bin, fmt.Sprintf("%s/%d", dir, i), 24, whyTimes)
 		if err == nil {
 			time.Sleep(time.Duration(rng.IntN(400)) * time.Millisecond)
-			err = cs[i].one(ctx, f, fmt.Sprintf("job-%d", 100+i), r)
+			err = cs[i].verify(ctx, f, fmt.Sprintf("job-%d", 100+i), r)
 		}
 		f.end()
 		if err != nil {
@@ -372,8 +380,8 @@
 	return r
 }
 
-func whyProof() *cobra.Command {
-	return runsProof("why", "Build each reason to wait with real controllers, check what is told, release it and time the start", 4, 4, proveWhy)
+func whyProofCommand() *cobra.Command {
+	return newProofCommand("why", "Build each reason to wait with real controllers, check what is told, release it and time the start", 4, 4, proveWhy)
 }
 
 func proveWhy(ctx context.Context, out io.Writer, o runOptions) error {
@@ -387,19 +395,19 @@
 	}{}
 	starts, told := newLatencies(), newLatencies()
 	var err error
-	sum.runTotals, err = o.each(ctx, out, "why", func(bin, dir string, seed uint64) (func(), runOutcome) {
-		r := oneWhyRun(ctx, bin, dir, seed)
+	sum.runTotals, err = o.executeRuns(ctx, out, "why", func(bin, dir string, seed uint64) (func(), runOutcome) {
+		r := executeWhyRun(ctx, bin, dir, seed)
 		return func() {
-			sum.Checked, sum.Wrong = sum.Checked+r.checked, sum.Wrong+len(r.wrong)
-			starts.add(r.starts...)
-			told.add(r.told...)
-		}, runOutcome{fmt.Sprintf("%d answers checked, %d starts after a release", r.checked, len(r.starts)), r.wrong, r.err}
+			sum.Checked, sum.Wrong = sum.Checked+r.checked, sum.Wrong+len(r.violations)
+			starts.record(r.startDelays...)
+			told.record(r.answerTimes...)
+		}, runOutcome{fmt.Sprintf("%d answers checked, %d starts after a release", r.checked, len(r.startDelays)), r.violations, r.err}
 	})
 	if err != nil {
 		return err
 	}
-	sum.StartP50, sum.StartMax, sum.ToldP99 = starts.seconds(50), starts.maxSeconds(), told.milliseconds(99)
-	if err := figures(out, sum); err != nil {
+	sum.StartP50, sum.StartMax, sum.ToldP99 = starts.quantileSeconds(50), starts.maxSeconds(), told.quantileMS(99)
+	if err := printFigures(out, sum); err != nil {
 		return err
 	}
 	return sum.err()
--- a/cmd/lab/world.go
+++ b/cmd/lab/world.go
@@ -25,8 +25,8 @@
 // service, a cloud with its workers (stand-ins), two controllers and the site's
 // daemon. Members reach one another through proxies that can be cut one way.
 
-// build makes the programs once, in a folder of their own that the caller removes.
-func build(ctx context.Context) (dir string, err error) {
+// buildPrograms makes the programs once, in a folder of their own that the caller removes.
+func buildPrograms(ctx context.Context) (dir string, err error) {
 	if dir, err = os.MkdirTemp("", "lab-bin-"); err != nil {
 		return "", err
 	}
@@ -42,13 +42,13 @@
 
 // process is one program that can be killed, stopped and started again.
 type process struct {
-	name string
-	bin  string
-	args []string
-	log  string
-	mu   sync.Mutex
-	cmd  *exec.Cmd
-	gone chan struct{}
+	name    string
+	bin     string
+	args    []string
+	logPath string
+	mu      sync.Mutex
+	cmd     *exec.Cmd
+	exited  chan struct{}
 }
 
 func (p *process) start() error {
@@ -57,7 +57,7 @@
 	if p.cmd != nil {
 		return nil
 	}
-	out, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	out, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
@@ -70,7 +70,7 @@
 		return err
 	}
 	gone := make(chan struct{})
-	p.cmd, p.gone = cmd, gone
+	p.cmd, p.exited = cmd, gone
 	go func() {
 		cmd.Wait()
 		out.Close()
@@ -90,7 +90,7 @@
 
 func (p *process) kill() {
 	p.mu.Lock()
-	cmd, gone := p.cmd, p.gone
+	cmd, gone := p.cmd, p.exited
 	p.cmd = nil
 	p.mu.Unlock()
 	if cmd != nil {
@@ -101,12 +101,12 @@
 
 // link is a proxy for one direction of two members: who connects through it sends.
 type link struct {
-	ln    net.Listener
-	to    string
-	mu    sync.Mutex
-	cut   bool
-	wake  chan struct{}
-	conns map[net.Conn]struct{}
+	listener net.Listener
+	target   string
+	mu       sync.Mutex
+	cut      bool
+	changed  chan struct{}
+	conns    map[net.Conn]struct{}
 }
 
 func newLink(to string) (*link, error) {
@@ -114,24 +114,24 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &link{ln: ln, to: to, wake: make(chan struct{}), conns: map[net.Conn]struct{}{}}
+	l := &link{listener: ln, target: to, changed: make(chan struct{}), conns: map[net.Conn]struct{}{}}
 	go func() {
 		for {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			go l.carry(c)
+			go l.forward(c)
 		}
 	}()
 	return l, nil
 }
 
-// passable waits while the link is cut.
-func (l *link) passable() {
+// awaitHealed waits while the link is cut.
+func (l *link) awaitHealed() {
 	for {
 		l.mu.Lock()
-		cut, wake := l.cut, l.wake
+		cut, wake := l.cut, l.changed
 		l.mu.Unlock()
 		if !cut {
 			return
@@ -140,14 +140,14 @@
 	}
 }
 
-// set cuts the link, so that what is sent is held, or heals it. With reset the held
+// setCut cuts the link, so that what is sent is held, or heals it. With reset the held
 // bytes are dropped with their connections.
-func (l *link) set(cut, reset bool) {
+func (l *link) setCut(cut, reset bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cut = cut
-	close(l.wake)
-	l.wake = make(chan struct{})
+	close(l.changed)
+	l.changed = make(chan struct{})
 	if reset {
 		for c := range l.conns {
 			c.Close()
@@ -155,10 +155,10 @@
 	}
 }
 
-func (l *link) carry(c net.Conn) {
+func (l *link) forward(c net.Conn) {
 	defer c.Close()
-	l.passable()
-	d, err := net.DialTimeout("tcp", l.to, 2*time.Second)
+	l.awaitHealed()
+	d, err := net.DialTimeout("tcp", l.target, 2*time.Second)
 	if err != nil {
 		return
 	}
@@ -180,7 +180,7 @@
 	for {
 		n, err := c.Read(buf)
 		if n > 0 {
-			l.passable()
+			l.awaitHealed()
 			if _, err := d.Write(buf[:n]); err != nil {
 				return
 			}
@@ -193,44 +193,44 @@
 
 // site is one site's processes and addresses.
 type site struct {
-	name         string
-	state, cloud *process
-	controllers  []*process
-	daemon       *process
-	stateAddr    string
-	cloudAddr    string
-	apis         []string // of the controllers
-	local, api   string
-	events       string
+	name                 string
+	state, cloud         *process
+	controllers          []*process
+	daemon               *process
+	stateAddr            string
+	cloudAddr            string
+	controllerAPIs       []string // of the controllers
+	localAddr, daemonAPI string
+	eventsPath           string
 }
 
-type world struct {
-	dir     string
-	bin     string
-	sites   []*site
-	gateway *process
-	gateAPI string
-	links   map[[2]string]*link
-	members []string          // gate, quito, xela
-	apiOf   map[string]string // by member
-	all     []*process
-	http    *http.Client
+type deployment struct {
+	dir        string
+	bin        string
+	sites      []*site
+	gateway    *process
+	gatewayAPI string
+	links      map[[2]string]*link
+	members    []string          // gate, quito, xela
+	apiAddrs   map[string]string // by member
+	processes  []*process
+	http       *http.Client
 }
 
 // times of a world: shorter than a real deployment's, so that a handoff takes seconds.
 type times struct {
-	lease, controllers, workersLease, report, cancel float64
-	writeRPS                                         float64
-	gpusMax                                          float64 // of each team; 0: 400
-	inFlight                                         int
-	place                                            bool // of a farm: several types of machine in three zones, some of which run already
+	siteLease, controllers, workersLease, reportInterval, cancelBound float64
+	writeRPS                                                          float64
+	maxTeamGPUs                                                       float64 // of each team; 0: 400
+	maxInFlight                                                       int
+	mixedMachines                                                     bool // of a farm: several types of machine in three zones, some of which run already
 }
 
-var quick = times{lease: 2, controllers: 1, workersLease: 2.5, report: 0.5, cancel: 14, writeRPS: 40, inFlight: 500}
+var gatewayTimes = times{siteLease: 2, controllers: 1, workersLease: 2.5, reportInterval: 0.5, cancelBound: 14, writeRPS: 40, maxInFlight: 500}
 
-// ports finds free ports; another program may take one before it is used, which
+// freeAddresses finds free ports; another program may take one before it is used, which
 // shows as a world that does not start.
-func ports(n int) ([]string, error) {
+func freeAddresses(n int) ([]string, error) {
 	var lns []net.Listener
 	var out []string
 	for range n {
@@ -247,15 +247,15 @@
 	return out, nil
 }
 
-// launch makes and starts a world; if it does not start, since another program took
+// startDeployment makes and starts a world; if it does not start, since another program took
 // one of its ports, it tries others.
-func launch(ctx context.Context, bin, dir string, t times, machines int) (*world, error) {
+func startDeployment(ctx context.Context, bin, dir string, t times, machines int) (*deployment, error) {
 	for try := 1; ; try++ {
 		sub := filepath.Join(dir, fmt.Sprint("world-", try))
 		if err := os.Mkdir(sub, 0o755); err != nil {
 			return nil, err
 		}
-		w, err := newWorld(bin, sub, t, machines)
+		w, err := newDeployment(bin, sub, t, machines)
 		if err != nil {
 			return nil, err
 		}
@@ -269,8 +269,8 @@
 	}
 }
 
-func newWorld(bin, dir string, t times, machines int) (*world, error) {
-	w := &world{dir: dir, bin: bin, links: map[[2]string]*link{}, members: []string{"gate", "quito", "xela"}, apiOf: map[string]string{},
+func newDeployment(bin, dir string, t times, machines int) (*deployment, error) {
+	w := &deployment{dir: dir, bin: bin, links: map[[2]string]*link{}, members: []string{"gate", "quito", "xela"}, apiAddrs: map[string]string{},
 		http: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
 	keyDir := filepath.Join(dir, "keys")
 	if err := keys.MakeAuthority(keyDir, time.Now(), 10); err != nil {
@@ -281,7 +281,7 @@
 			return nil, err
 		}
 	}
-	addrs, err := ports(4 + 2*10)
+	addrs, err := freeAddresses(4 + 2*10)
 	if err != nil {
 		return nil, err
 	}
@@ -289,9 +289,9 @@
 	listen := map[string]string{}
 	for _, m := range w.members {
 		listen[m] = next()
-		w.apiOf[m] = next()
+		w.apiAddrs[m] = next()
 	}
-	w.gateAPI = w.apiOf["gate"]
+	w.gatewayAPI = w.apiAddrs["gate"]
 	for _, a := range w.members {
 		for _, b := range w.members {
 			if a != b {
@@ -304,12 +304,12 @@
 	member := func(name, extra string) (string, error) {
 		var b strings.Builder
 		fmt.Fprintf(&b, "member = %q\nlisten = %q\napi_addr = %q\nlease_s = %g\ncontrollers_s = %g\nworkers_lease_s = %g\ncancel_s = %g\nin_flight = %d\n",
-			name, listen[name], w.apiOf[name], t.lease, t.controllers, t.workersLease, t.cancel, t.inFlight)
+			name, listen[name], w.apiAddrs[name], t.siteLease, t.controllers, t.workersLease, t.cancelBound, t.maxInFlight)
 		fmt.Fprintf(&b, "[keys]\ndir = %q\n[route]\nramp_s = 5.0\nmove_after_s = 20.0\nper_second = 2000.0\n%s", keyDir, extra)
 		for _, m := range w.members {
 			addr := listen[m]
 			if m != name {
-				addr = w.links[[2]string{name, m}].ln.Addr().String()
+				addr = w.links[[2]string{name, m}].listener.Addr().String()
 			}
 			fmt.Fprintf(&b, "[[members]]\nname = %q\naddr = %q\nsite = %v\n", m, addr, m != "gate")
 		}
@@ -317,8 +317,8 @@
 		return path, os.WriteFile(path, []byte(b.String()), 0o644)
 	}
 	proc := func(name, bin string, args ...string) *process {
-		p := &process{name: name, bin: filepath.Join(w.bin, bin), args: args, log: filepath.Join(dir, name+".log")}
-		w.all = append(w.all, p)
+		p := &process{name: name, bin: filepath.Join(w.bin, bin), args: args, logPath: filepath.Join(dir, name+".log")}
+		w.processes = append(w.processes, p)
 		return p
 	}
 	path, err := member("gate", "[journal]\npath = \"gate.journal\"\n")
@@ -327,24 +327,24 @@
 	}
 	w.gateway = proc("gate", "dapplestage", "gateway", "--config", path)
 	for _, name := range w.members[1:] {
-		s := &site{name: name, stateAddr: next(), cloudAddr: next(), local: next(), api: w.apiOf[name], events: filepath.Join(dir, name+".events")}
+		s := &site{name: name, stateAddr: next(), cloudAddr: next(), localAddr: next(), daemonAPI: w.apiAddrs[name], eventsPath: filepath.Join(dir, name+".events")}
 		nodes := []string{"n-0", "n-1"}
-		s.apis = []string{next(), next()}
+		s.controllerAPIs = []string{next(), next()}
 		peers := []string{next(), next()}
-		s.state = proc(name+"-state", "standin", "-state", s.stateAddr, "-cloud", "", "-nodes", "n-0="+s.apis[0])
-		s.cloud = proc(name+"-cloud", "standin", "-state", "", "-cloud", s.cloudAddr, "-nodes", "n-0="+s.apis[0]+",n-1="+s.apis[1],
-			"-boot", "500ms", "-fetch", "200ms", "-lease", fmt.Sprint(t.workersLease), "-report", fmt.Sprint(t.report), "-zone", name, "-machines", fmt.Sprint(machines), "-events", s.events)
+		s.state = proc(name+"-state", "standin", "-state", s.stateAddr, "-cloud", "", "-nodes", "n-0="+s.controllerAPIs[0])
+		s.cloud = proc(name+"-cloud", "standin", "-state", "", "-cloud", s.cloudAddr, "-nodes", "n-0="+s.controllerAPIs[0]+",n-1="+s.controllerAPIs[1],
+			"-boot", "500ms", "-fetch", "200ms", "-lease", fmt.Sprint(t.workersLease), "-report", fmt.Sprint(t.reportInterval), "-zone", name, "-machines", fmt.Sprint(machines), "-events", s.eventsPath)
 		var settings string
 		for i, n := range nodes {
 			o := 1 - i
-			text := controllerSettings(n, nodes[o], name, name, s.apis[i], peers[i], peers[o], s.cloudAddr, s.stateAddr, t)
+			text := controllerSettings(n, nodes[o], name, name, s.controllerAPIs[i], peers[i], peers[o], s.cloudAddr, s.stateAddr, t)
 			settings = filepath.Join(dir, name+"-"+n+".toml")
 			if err := os.WriteFile(settings, []byte(text), 0o644); err != nil {
 				return nil, err
 			}
-			s.controllers = append(s.controllers, proc(name+"-"+n, "dapplestage", "--site-daemon", s.local, "--config", settings))
+			s.controllers = append(s.controllers, proc(name+"-"+n, "dapplestage", "--site-daemon", s.localAddr, "--config", settings))
 		}
-		path, err := member(name, fmt.Sprintf("[site]\nsettings = %q\nlocal = %q\ncontrollers = [%q, %q]\n", settings, s.local, s.apis[0], s.apis[1]))
+		path, err := member(name, fmt.Sprintf("[site]\nsettings = %q\nlocal = %q\ncontrollers = [%q, %q]\n", settings, s.localAddr, s.controllerAPIs[0], s.controllerAPIs[1]))
 		if err != nil {
 			return nil, err
 		}
@@ -354,7 +354,7 @@
 	return w, nil
 }
 
-func (w *world) site(name string) *site {
+func (w *deployment) site(name string) *site {
 	for _, s := range w.sites {
 		if s.name == name {
 			return s
@@ -363,7 +363,7 @@
 	return nil
 }
 
-func (w *world) member(name string) *process {
+func (w *deployment) member(name string) *process {
 	if s := w.site(name); s != nil {
 		return s.daemon
 	}
@@ -371,8 +371,8 @@
 }
 
 // start starts everything, and waits until the gateway knows both sites.
-func (w *world) start(ctx context.Context) error {
-	for _, p := range w.all {
+func (w *deployment) start(ctx context.Context) error {
+	for _, p := range w.processes {
 		if err := p.start(); err != nil {
 			return err
 		}
@@ -386,7 +386,7 @@
 		}
 	}
 	for deadline := time.Now().Add(10 * time.Second); ; {
-		ready := w.get(ctx, w.gateAPI, "/admin/gateway/status", &status) == nil && status.Majority
+		ready := w.get(ctx, w.gatewayAPI, "/admin/gateway/status", &status) == nil && status.Majority
 		for _, m := range status.Members {
 			ready = ready && (!m.Site || m.HintAge >= 0 && m.HintAge < 5 && strings.HasPrefix(m.Lease, "granted"))
 		}
@@ -401,18 +401,18 @@
 }
 
 // end ends everything that was started.
-func (w *world) end() {
-	for _, p := range w.all {
+func (w *deployment) end() {
+	for _, p := range w.processes {
 		p.signal(syscall.SIGCONT)
 		p.kill()
 	}
 	for _, l := range w.links {
-		l.set(false, true)
-		l.ln.Close()
+		l.setCut(false, true)
+		l.listener.Close()
 	}
 }
 
-func (w *world) get(ctx context.Context, addr, path string, into any) error {
+func (w *deployment) get(ctx context.Context, addr, path string, into any) error {
 	status, data, _, err := w.call(ctx, "GET", addr, path, nil)
 	if err != nil {
 		return err
@@ -424,7 +424,7 @@
 }
 
 // call makes one request.
-func (w *world) call(ctx context.Context, method, addr, path string, body []byte) (int, []byte, http.Header, error) {
+func (w *deployment) call(ctx context.Context, method, addr, path string, body []byte) (int, []byte, http.Header, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, nil, err
@@ -438,20 +438,20 @@
 	return resp.StatusCode, data, resp.Header, err
 }
 
-// submission is a job that runs for some seconds.
-func submission(id, team string, tasks int, seconds float64) []byte {
+// jobSubmission is a job that runs for some seconds.
+func jobSubmission(id, team string, tasks int, seconds float64) []byte {
 	return fmt.Appendf(nil, `{"id":%q,"lot":"proof","crew":%q,"shape":"sweep","urgency":"standard","pieces":%d,"vcpus":2.0,"cards":1.0,"memGb":8.0,"bundle":"img-1","sizeGb":1.0,"builds":null,"region":null,"together":false,"scatter":false,"loaners":true,"expectS":%g,"snapshotS":0.0,"storeS":0.0,"dueS":null}`, id, team, tasks, seconds)
 }
 
 // between draws a time.
-func span(rng *rand.Rand, a, b time.Duration) time.Duration {
+func randomDuration(rng *rand.Rand, a, b time.Duration) time.Duration {
 	return a + time.Duration(rng.Int64N(int64(b-a)))
 }
 
 // controllerSettings is the settings file of one of two controllers of a site.
 func controllerSettings(node, other, zone, otherZone, api, peer, otherPeer, cloud, state string, t times) string {
 	zones, guarantee := fmt.Sprintf("%q", zone), ""
-	if t.place {
+	if t.mixedMachines {
 		zones, guarantee = `"a", "b", "c"`, "cpus = 120.0\ncpus_max = 400.0\n"
 	}
 	return fmt.Sprintf(`node = %[1]q
@@ -495,5 +495,5 @@
 cores = 2.0
 memory_mb = 400.0
 fd_limit = 1000
-`, node, zone, api, peer, other, otherZone, otherPeer, cloud, state, zones, t.report, t.workersLease, t.cancel, t.writeRPS, cmp.Or(t.gpusMax, 400), guarantee)
+`, node, zone, api, peer, other, otherZone, otherPeer, cloud, state, zones, t.reportInterval, t.workersLease, t.cancelBound, t.writeRPS, cmp.Or(t.maxTeamGPUs, 400), guarantee)
 }
