--- a/cmd/lab/latencies.go
+++ b/cmd/lab/latencies.go
@@ -18,8 +18,8 @@
 
 // record records durations; less than a millisecond counts as one.
 func (l latencies) record(durations ...time.Duration) {
-	for _, d := range durations {
-		l.histogram.RecordValue(max(1, d.Milliseconds()))
+	for _, duration := range durations {
+		l.histogram.RecordValue(max(1, duration.Milliseconds()))
 	}
 }
 
--- a/cmd/lab/load.go
+++ b/cmd/lab/load.go
@@ -24,22 +24,22 @@
 // a site, in one run on the same processes.
 func gatewayLoadCommand() *cobra.Command {
 	var seconds, clients, rate int
-	c := &cobra.Command{Use: "gateway-load", Short: "Jobs a second through the gateway against straight to a site", Args: cobra.NoArgs,
+	command := &cobra.Command{Use: "gateway-load", Short: "Jobs a second through the gateway against straight to a site", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			for _, b := range []struct {
+			for _, argument := range []struct {
 				name           string
-				v, least, most int
+				value, minimum, maximum int
 			}{{"seconds", seconds, 1, 600}, {"clients", clients, 1, 500}, {"rate", rate, 1, 100000}} {
-				if err := checkRange(b.name, b.v, b.least, b.most); err != nil {
+				if err := checkRange(argument.name, argument.value, argument.minimum, argument.maximum); err != nil {
 					return err
 				}
 			}
 			return measureGatewayLoad(cmd.Context(), cmd.OutOrStdout(), seconds, clients, rate)
 		}}
-	c.Flags().IntVar(&seconds, "seconds", 10, "how long each way")
-	c.Flags().IntVar(&clients, "clients", 32, "clients that submit one job after the other")
-	c.Flags().IntVar(&rate, "rate", 40, "changes a second of each site's state service")
-	return c
+	command.Flags().IntVar(&seconds, "seconds", 10, "how long each way")
+	command.Flags().IntVar(&clients, "clients", 32, "clients that submit one job after the other")
+	command.Flags().IntVar(&rate, "rate", 40, "changes a second of each site's state service")
+	return command
 }
 
 type submissionFigures struct {
@@ -75,31 +75,31 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	t := gatewayTimes
-	t.siteLease, t.cancelBound, t.writeRPS, t.maxInFlight = 6, 40, float64(rate), 2000
-	w, err := startDeployment(ctx, bin, dir, t, 0) // no machines: what is measured is taking jobs
+	timing := gatewayTimes
+	timing.siteLease, timing.cancelBound, timing.writeRPS, timing.maxInFlight = 6, 40, float64(rate), 2000
+	d, err := startDeployment(ctx, bin, dir, timing, 0) // no machines: what is measured is taking jobs
 	if err != nil {
 		return err
 	}
-	defer w.end()
-	load := &loadGenerator{deployment: w, duration: time.Duration(seconds) * time.Second, clients: clients}
-	straight := load.measure(ctx, w.sites[0].controllerAPIs)
+	defer d.end()
+	generator := &loadGenerator{deployment: d, duration: time.Duration(seconds) * time.Second, clients: clients}
+	straight := generator.measure(ctx, d.sites[0].controllerAPIs)
 	time.Sleep(2 * time.Second)
-	through := load.measure(ctx, []string{w.gatewayAPI})
+	through := generator.measure(ctx, []string{d.gatewayAPI})
 	time.Sleep(2 * time.Second)
-	changes, err := w.registerChanges(ctx)
+	changes, err := d.registerChanges(ctx)
 	if err != nil {
 		return err
 	}
-	st, _ := os.Stat(filepath.Join(w.dir, "gate.journal"))
-	res := gatewayLoadFigures{Runs: 1, Clients: clients, Rate: rate, Direct: straight, ThroughGateway: through, JournalBytes: st.Size()}
+	journalFile, _ := os.Stat(filepath.Join(d.dir, "gate.journal"))
+	result := gatewayLoadFigures{Runs: 1, Clients: clients, Rate: rate, Direct: straight, ThroughGateway: through, JournalBytes: journalFile.Size()}
 	if through.Accepted > 0 {
-		res.ChangesPerJob = changes / 2 / float64(through.Accepted)
+		result.ChangesPerJob = changes / 2 / float64(through.Accepted)
 	}
 	if straight.PerSecond > 0 {
-		res.Ratio = through.PerSecond / straight.PerSecond
+		result.Ratio = through.PerSecond / straight.PerSecond
 	}
-	return printFigures(out, res)
+	return printFigures(out, result)
 }
 
 // loadGenerator is clients that submit one job after the other.
@@ -111,71 +111,71 @@
 }
 
 // measure submits at some addresses for a while.
-func (l *loadGenerator) measure(ctx context.Context, addrs []string) submissionFigures {
-	hist := hdrhistogram.New(1, 60_000_000, 3) // in microseconds
+func (l *loadGenerator) measure(ctx context.Context, addresses []string) submissionFigures {
+	latencyHistogram := hdrhistogram.New(1, 60_000_000, 3) // in microseconds
 	var mu sync.Mutex
-	var r submissionFigures
+	var figures submissionFigures
 	ctx, cancel := context.WithTimeout(ctx, l.duration)
 	defer cancel()
-	note := func(code int, err error, took time.Duration) {
+	recordAnswer := func(status int, err error, latency time.Duration) {
 		mu.Lock()
 		defer mu.Unlock()
-		if err == nil && code == 201 {
-			r.Accepted++
-			hist.RecordValue(took.Microseconds())
+		if err == nil && status == 201 {
+			figures.Accepted++
+			latencyHistogram.RecordValue(latency.Microseconds())
 		} else if err == nil {
-			r.Refused++
+			figures.Refused++
 		}
 	}
-	var all sync.WaitGroup
+	var clients sync.WaitGroup
 	for i := range l.clients {
-		all.Go(func() {
+		clients.Go(func() {
 			for ctx.Err() == nil {
 				body := jobSubmission(fmt.Sprintf("job-%09d", l.lastJob.Add(1)), "red", 1, 1)
-				begun := time.Now()
-				code, _, _, err := l.deployment.call(ctx, "POST", addrs[i%len(addrs)], "/api/jobs", body)
-				note(code, err, time.Since(begun))
-				if code != 201 {
+				sentAt := time.Now()
+				status, _, _, err := l.deployment.call(ctx, "POST", addresses[i%len(addresses)], "/api/jobs", body)
+				recordAnswer(status, err, time.Since(sentAt))
+				if status != 201 {
 					time.Sleep(100 * time.Millisecond)
 				}
 			}
 		})
 	}
-	all.Wait()
-	r.PerSecond = float64(r.Accepted) / l.duration.Seconds()
-	r.Median, r.P99 = float64(hist.ValueAtQuantile(50))/1000, float64(hist.ValueAtQuantile(99))/1000
-	return r
+	clients.Wait()
+	figures.PerSecond = float64(figures.Accepted) / l.duration.Seconds()
+	figures.Median, figures.P99 = float64(latencyHistogram.ValueAtQuantile(50))/1000, float64(latencyHistogram.ValueAtQuantile(99))/1000
+	return figures
 }
 
 // registerChanges is how many changes the registers have cost both sites. The daemons' logs
 // number their segments.
-func (w *deployment) registerChanges(ctx context.Context) (changes float64, err error) {
-	for _, s := range w.sites {
+func (d *deployment) registerChanges(ctx context.Context) (changes float64, err error) {
+	for _, site := range d.sites {
 		var page struct {
 			Items []struct{ Path string }
 		}
-		if err := w.get(ctx, s.stateAddr, "/store?under=g/s/", &page); err != nil || len(page.Items) == 0 {
-			return 0, fmt.Errorf("the log of %s can't be read: %v", s.name, err)
+		if err := d.get(ctx, site.stateAddr, "/store?under=g/s/", &page); err != nil || len(page.Items) == 0 {
+			return 0, fmt.Errorf("the log of %s can't be read: %v", site.name, err)
 		}
-		var last uint64
-		fmt.Sscanf(page.Items[len(page.Items)-1].Path, "g/s/%x", &last)
-		changes += float64(last)
+		var lastSegment uint64
+		fmt.Sscanf(page.Items[len(page.Items)-1].Path, "g/s/%x", &lastSegment)
+		changes += float64(lastSegment)
 	}
 	return changes, nil
 }
 
 // gatewayGrowthCommand measures a gateway's journal and memory by the number of jobs.
 func gatewayGrowthCommand() *cobra.Command {
-	var most int
-	c := &cobra.Command{Use: "gateway-growth", Short: "Journal, memory and time to start of a gateway by number of ended jobs", Args: cobra.NoArgs,
+	var maxJobs int
+	command := &cobra.Command{Use: "gateway-growth", Short: "Journal, memory and time to start of a gateway by number of ended jobs", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := checkRange("jobs", most, 1000, 10_000_000); err != nil {
+			if err := checkRange("jobs", maxJobs, 1000, 10_000_000); err != nil {
 				return err
 			}
-			return measureGatewayGrowth(cmd.OutOrStdout(), most)
+			return measureGatewayGrowth(cmd.OutOrStdout(), maxJobs)
 		}}
-	c.Flags().IntVar(&most, "jobs", 100_000, "up to how many jobs, by tens from 10,000")
-	return c
+	command.Flags().IntVar(&maxJobs, "jobs", 100_000, "up to how many jobs, by tens from 10,000")
+	return command
 }
 
 type growthFigures struct {
@@ -186,21 +186,21 @@
 	HeapBytes    uint64  `json:"heap_bytes"`
 }
 
-func measureGatewayGrowth(out io.Writer, most int) error {
+func measureGatewayGrowth(out io.Writer, maxJobs int) error {
 	var sizes []growthFigures
-	for n := min(10_000, most); n <= most; n *= 10 {
+	for jobs := min(10_000, maxJobs); jobs <= maxJobs; jobs *= 10 {
 		dir, err := os.MkdirTemp("", "lab-growth-")
 		if err != nil {
 			return err
 		}
-		g, err := measureJournalGrowth(filepath.Join(dir, "j"), n)
+		figures, err := measureJournalGrowth(filepath.Join(dir, "j"), jobs)
 		os.RemoveAll(dir)
 		if err != nil {
 			return err
 		}
-		line, _ := json.Marshal(g)
-		fmt.Fprintln(out, string(line))
-		sizes = append(sizes, g)
+		encoded, _ := json.Marshal(figures)
+		fmt.Fprintln(out, string(encoded))
+		sizes = append(sizes, figures)
 	}
 	return printFigures(out, struct {
 		Runs   int             `json:"runs"`
@@ -211,49 +211,49 @@
 }
 
 // measureJournalGrowth writes n jobs as they are accepted and then as they end, 100 a write.
-func measureJournalGrowth(path string, n int) (growthFigures, error) {
-	g := growthFigures{Jobs: n}
-	j, _, _, err := gateway.OpenJournal(path, "gate")
+func measureJournalGrowth(path string, jobs int) (growthFigures, error) {
+	figures := growthFigures{Jobs: jobs}
+	journal, _, _, err := gateway.OpenJournal(path, "gate")
 	if err != nil {
-		return g, err
+		return figures, err
 	}
-	store := gateway.JournalStore{Journal: j}
-	begun := time.Now()
-	for _, final := range []uint8{wire.Open, wire.Done} {
-		for i := 0; i < n; i += 100 {
+	store := gateway.JournalStore{Journal: journal}
+	startedAt := time.Now()
+	for _, outcome := range []uint8{wire.Open, wire.Done} {
+		for batchStart := 0; batchStart < jobs; batchStart += 100 {
 			var items []wire.Item
-			for k := i; k < min(n, i+100); k++ {
-				id := fmt.Sprintf("job-%09d", k)
-				it := wire.Item{Kind: wire.RegisterState, ID: id, HasRecord: true, Ballot: wire.Ballot{Number: uint64(k), Proposer: 256}, Accepted: wire.Ballot{Number: uint64(k), Proposer: 256},
-					Record: wire.Record{Epoch: 1, Owner: 2, CreatedMS: 1, Tasks: 1, Outcome: final}}
-				if final == wire.Open {
-					it.Record.Spec = jobSubmission(id, "red", 1, 1)
+			for job := batchStart; job < min(jobs, batchStart+100); job++ {
+				id := fmt.Sprintf("job-%09d", job)
+				item := wire.Item{Kind: wire.RegisterState, ID: id, HasRecord: true, Ballot: wire.Ballot{Number: uint64(job), Proposer: 256}, Accepted: wire.Ballot{Number: uint64(job), Proposer: 256},
+					Record: wire.Record{Epoch: 1, Owner: 2, CreatedMS: 1, Tasks: 1, Outcome: outcome}}
+				if outcome == wire.Open {
+					item.Record.Spec = jobSubmission(id, "red", 1, 1)
 				} else {
-					it.Committed, it.Record.FinishedBy = true, 2
+					item.Committed, item.Record.FinishedBy = true, 2
 				}
-				items = append(items, it)
+				items = append(items, item)
 			}
 			if err := store.Write(context.Background(), items); err != nil {
-				return g, err
+				return figures, err
 			}
 		}
 	}
-	g.WriteSeconds, g.JournalBytes = time.Since(begun).Seconds(), j.Size()
-	j.Close()
-	begun = time.Now()
-	j, items, start, err := gateway.OpenJournal(path, "gate")
+	figures.WriteSeconds, figures.JournalBytes = time.Since(startedAt).Seconds(), journal.Size()
+	journal.Close()
+	startedAt = time.Now()
+	journal, items, incarnation, err := gateway.OpenJournal(path, "gate")
 	if err != nil {
-		return g, err
+		return figures, err
 	}
-	defer j.Close()
+	defer journal.Close()
 	core := gateway.New(gateway.Config{Members: []gateway.Member{{Name: "gate"}, {Name: "quito", Site: true}, {Name: "xela", Site: true}}, LeaseTime: 8 * time.Second, StopTime: 17 * time.Second, MaxInFlight: 500},
-		start, items, 1, slog.New(slog.DiscardHandler), 0)
-	g.StartSeconds = time.Since(begun).Seconds()
+		incarnation, items, 1, slog.New(slog.DiscardHandler), 0)
+	figures.StartSeconds = time.Since(startedAt).Seconds()
 	items = nil
 	runtime.GC()
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	g.HeapBytes = m.HeapAlloc
+	var memory runtime.MemStats
+	runtime.ReadMemStats(&memory)
+	figures.HeapBytes = memory.HeapAlloc
 	runtime.KeepAlive(core)
-	return g, nil
+	return figures, nil
 }
--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -39,8 +39,8 @@
 }
 
 // printFigures prints the last line.
-func printFigures(out io.Writer, v any) error {
-	data, err := json.Marshal(v)
+func printFigures(out io.Writer, value any) error {
+	data, err := json.Marshal(value)
 	if err != nil {
 		return err
 	}
@@ -49,9 +49,9 @@
 }
 
 // checkRange refuses an argument out of its bounds.
-func checkRange(name string, v, least, most int) error {
-	if v < least || v > most {
-		return fmt.Errorf("%w: --%s %d is not within %d to %d", errUsage, name, v, least, most)
+func checkRange(name string, value, minimum, maximum int) error {
+	if value < minimum || value > maximum {
+		return fmt.Errorf("%w: --%s %d is not within %d to %d", errUsage, name, value, minimum, maximum)
 	}
 	return nil
 }
--- a/cmd/lab/proof.go
+++ b/cmd/lab/proof.go
@@ -41,22 +41,22 @@
 	err                                  error
 }
 
-func (r *gatewayRunResult) violations() []string {
-	return slices.Concat(r.lost, r.contradictions, r.concurrentRuns, r.unanswered, r.falseEnds, r.lateCancels, r.storeMismatches)
+func (result *gatewayRunResult) violations() []string {
+	return slices.Concat(result.lost, result.contradictions, result.concurrentRuns, result.unanswered, result.falseEnds, result.lateCancels, result.storeMismatches)
 }
 
 func gatewayProofCommand() *cobra.Command {
 	jobs, keep := 24, false
-	c := newProofCommand("gateway", "Kill, stop and cut sides of two sites and a gateway at random, and check every job", 10, 10, func(ctx context.Context, out io.Writer, o runOptions) error {
+	command := newProofCommand("gateway", "Kill, stop and cut sides of two sites and a gateway at random, and check every job", 10, 10, func(ctx context.Context, out io.Writer, options runOptions) error {
 		if err := checkRange("jobs", jobs, 1, 500); err != nil {
 			return err
 		}
-		o.keepFiles = keep
-		return proveGateway(ctx, out, o, jobs)
+		options.keepFiles = keep
+		return proveGateway(ctx, out, options, jobs)
 	})
-	c.Flags().IntVar(&jobs, "jobs", jobs, "jobs of a run")
-	c.Flags().BoolVar(&keep, "keep", keep, "keep the files of all runs, not only of broken ones")
-	return c
+	command.Flags().IntVar(&jobs, "jobs", jobs, "jobs of a run")
+	command.Flags().BoolVar(&keep, "keep", keep, "keep the files of all runs, not only of broken ones")
+	return command
 }
 
 // gatewayFigures are the figures of all runs.
@@ -84,50 +84,50 @@
 }
 
 // add counts what a run that came to its end showed.
-func (s *gatewayFigures) add(r *gatewayRunResult) {
-	s.Accepted += r.accepted
-	s.Lost += len(r.lost)
-	s.Contradictions += len(r.contradictions)
-	s.ConcurrentRuns += len(r.concurrentRuns)
-	s.Unanswered += len(r.unanswered)
-	s.FalseEnds += len(r.falseEnds)
-	s.LateCancels += len(r.lateCancels)
-	s.StoreMismatches += len(r.storeMismatches)
-	s.MovedJobs += r.movedJobs
-}
-
-func proveGateway(ctx context.Context, out io.Writer, o runOptions, jobs int) error {
+func (f *gatewayFigures) add(run *gatewayRunResult) {
+	f.Accepted += run.accepted
+	f.Lost += len(run.lost)
+	f.Contradictions += len(run.contradictions)
+	f.ConcurrentRuns += len(run.concurrentRuns)
+	f.Unanswered += len(run.unanswered)
+	f.FalseEnds += len(run.falseEnds)
+	f.LateCancels += len(run.lateCancels)
+	f.StoreMismatches += len(run.storeMismatches)
+	f.MovedJobs += run.movedJobs
+}
+
+func proveGateway(ctx context.Context, out io.Writer, options runOptions, jobs int) error {
 	handoffs, drains, crossed := newLatencies(), newLatencies(), newLatencies()
-	sum := gatewayFigures{HandoffBound: gateway.HandoffBound(gatewayConfig(gatewayTimes)).Seconds()}
-	totals, err := o.executeRuns(ctx, out, "gateway", func(bin, dir string, seed uint64) (func(), runOutcome) {
-		r := executeGatewayRun(ctx, bin, dir, seed, jobs)
-		text := fmt.Sprintf("%d jobs accepted, %d moved to the other site, %d handoffs of a lost site, %d of a drained one", r.accepted, r.movedJobs, len(r.handoffs)+len(r.overlappingHandoffs), len(r.drains))
+	total := gatewayFigures{HandoffBound: gateway.HandoffBound(gatewayConfig(gatewayTimes)).Seconds()}
+	totals, err := options.executeRuns(ctx, out, "gateway", func(bin, dir string, seed uint64) (func(), runOutcome) {
+		result := executeGatewayRun(ctx, bin, dir, seed, jobs)
+		summary := fmt.Sprintf("%d jobs accepted, %d moved to the other site, %d handoffs of a lost site, %d of a drained one", result.accepted, result.movedJobs, len(result.handoffs)+len(result.overlappingHandoffs), len(result.drains))
 		return func() {
-			if r.err != nil {
+			if result.err != nil {
 				return
 			}
-			sum.add(r)
-			handoffs.record(r.handoffs...)
-			crossed.record(r.overlappingHandoffs...)
-			drains.record(r.drains...)
-		}, runOutcome{text, r.violations(), r.err}
+			total.add(result)
+			handoffs.record(result.handoffs...)
+			crossed.record(result.overlappingHandoffs...)
+			drains.record(result.drains...)
+		}, runOutcome{summary, result.violations(), result.err}
 	})
 	if err != nil {
 		return err
 	}
-	sum.runTotals = totals
-	sum.Handoffs, sum.HandoffMedian, sum.HandoffP99, sum.HandoffMax = handoffs.count(), handoffs.quantileSeconds(50), handoffs.quantileSeconds(99), handoffs.maxSeconds()
-	sum.OverlappingHandoffs, sum.OverlappingMax = crossed.count(), crossed.maxSeconds()
-	sum.Drains, sum.DrainMedian, sum.DrainP99 = drains.count(), drains.quantileSeconds(50), drains.quantileSeconds(99)
-	if err := printFigures(out, sum); err != nil {
+	total.runTotals = totals
+	total.Handoffs, total.HandoffMedian, total.HandoffP99, total.HandoffMax = handoffs.count(), handoffs.quantileSeconds(50), handoffs.quantileSeconds(99), handoffs.maxSeconds()
+	total.OverlappingHandoffs, total.OverlappingMax = crossed.count(), crossed.maxSeconds()
+	total.Drains, total.DrainMedian, total.DrainP99 = drains.count(), drains.quantileSeconds(50), drains.quantileSeconds(99)
+	if err := printFigures(out, total); err != nil {
 		return err
 	}
-	return sum.err()
+	return total.err()
 }
 
-func gatewayConfig(t times) gateway.Config {
-	second := func(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
-	return gateway.Config{Members: make([]gateway.Member, 3), LeaseTime: second(t.siteLease), StopTime: gateway.StopBound(second(t.controllers), second(t.workersLease))}
+func gatewayConfig(timing times) gateway.Config {
+	seconds := func(value float64) time.Duration { return time.Duration(value * float64(time.Second)) }
+	return gateway.Config{Members: make([]gateway.Member, 3), LeaseTime: seconds(timing.siteLease), StopTime: gateway.StopBound(seconds(timing.controllerLease), seconds(timing.workerLease))}
 }
 
 // answer is one answer that a user got.
@@ -152,44 +152,44 @@
 
 // executeGatewayRun plays one seed.
 func executeGatewayRun(ctx context.Context, bin, dir string, seed uint64, jobs int) *gatewayRunResult {
-	r := &gatewayRunResult{}
-	w, err := startDeployment(ctx, bin, dir, gatewayTimes, 12)
+	result := &gatewayRunResult{}
+	d, err := startDeployment(ctx, bin, dir, gatewayTimes, 12)
 	if err != nil {
-		r.err = err
-		return r
+		result.err = err
+		return result
 	}
-	defer w.end()
+	defer d.end()
 	rng := rand.New(rand.NewPCG(seed, 5))
 	usersCtx, stopUsers := context.WithCancel(ctx)
 	defer stopUsers()
-	users, gone := w.startUsers(usersCtx, rng, seed, jobs)
-	faults := w.injectFaults(ctx, rng)
+	users, usersDone := d.startUsers(usersCtx, rng, seed, jobs)
+	faults := d.injectFaults(ctx, rng)
 	awaitFinalAnswers(ctx, users)
 	// Every user asks every member once more.
 	for _, u := range users {
-		for _, m := range w.members {
-			u.send(usersCtx, w, "poll", m)
+		for _, member := range d.members {
+			u.send(usersCtx, d, "poll", member)
 		}
 	}
 	stopUsers()
-	gone.Wait()
+	usersDone.Wait()
 	if ctx.Err() != nil {
-		r.err = ctx.Err()
-		return r
-	}
-	runs := w.readTaskRuns()
-	w.checkUsers(r, users, runs)
-	w.checkConcurrentRuns(r, users, runs)
-	w.measureHandoffs(r, faults)
-	w.checkStores(ctx, r, users)
+		result.err = ctx.Err()
+		return result
+	}
+	taskRuns := d.readTaskRuns()
+	d.checkUsers(result, users, taskRuns)
+	d.checkConcurrentRuns(result, users, taskRuns)
+	d.measureHandoffs(result, faults)
+	d.checkStores(ctx, result, users)
 	writeUsersLog(filepath.Join(dir, "users.log"), users, faults)
-	return r
+	return result
 }
 
 // startUsers lets users come over some seconds, each with a job of its own. gone is done when
 // all have left.
-func (w *deployment) startUsers(ctx context.Context, rng *rand.Rand, seed uint64, jobs int) (users []*user, gone *sync.WaitGroup) {
-	gone = &sync.WaitGroup{}
+func (d *deployment) startUsers(ctx context.Context, rng *rand.Rand, seed uint64, jobs int) (users []*user, usersDone *sync.WaitGroup) {
+	usersDone = &sync.WaitGroup{}
 	for i := range jobs {
 		u := &user{id: fmt.Sprintf("job-%d%04d", seed, i), tasks: 1 + rng.IntN(3)}
 		u.body = jobSubmission(u.id, []string{"red", "blue"}[rng.IntN(2)], u.tasks, 0.5+rng.Float64()*5)
@@ -197,10 +197,10 @@
 			u.cancelAfter = randomDuration(rng, 500*time.Millisecond, 10*time.Second)
 		}
 		users = append(users, u)
-		wait, useed := randomDuration(rng, 0, 16*time.Second), rng.Uint64()
-		gone.Go(func() { w.runUser(ctx, u, wait, rand.New(rand.NewPCG(useed, 3))) })
+		startDelay, userSeed := randomDuration(rng, 0, 16*time.Second), rng.Uint64()
+		usersDone.Go(func() { d.runUser(ctx, u, startDelay, rand.New(rand.NewPCG(userSeed, 3))) })
 	}
-	return users, gone
+	return users, usersDone
 }
 
 // awaitFinalAnswers waits until all users have a final answer, or a minute.
@@ -214,86 +214,86 @@
 
 // writeUsersLog writes down what users were told and what was done to the world.
 func writeUsersLog(path string, users []*user, faults []fault) {
-	f, err := os.Create(path)
+	file, err := os.Create(path)
 	if err != nil {
 		return
 	}
-	defer f.Close()
+	defer file.Close()
 	for _, u := range users {
-		for _, t := range u.answers {
-			fmt.Fprintf(f, "%s %s %s at %s: %d %s\n", t.receivedAt.Format("15:04:05.000"), u.id, t.request, t.member, t.status, t.jobState)
+		for _, answer := range u.answers {
+			fmt.Fprintf(file, "%s %s %s at %s: %d %s\n", answer.receivedAt.Format("15:04:05.000"), u.id, answer.request, answer.member, answer.status, answer.jobState)
 		}
 	}
-	for _, x := range faults {
-		fmt.Fprintf(f, "%s fault %s of %s for %v\n", x.at.Format("15:04:05.000"), x.kind, x.target, x.duration)
+	for _, fault := range faults {
+		fmt.Fprintf(file, "%s fault %s of %s for %v\n", fault.at.Format("15:04:05.000"), fault.kind, fault.target, fault.duration)
 	}
 }
 
 // send makes one request and logs what the user was told.
-func (u *user) send(ctx context.Context, w *deployment, kind, member string) answer {
-	t := answer{sentAt: time.Now(), request: kind, member: member}
+func (u *user) send(ctx context.Context, d *deployment, request, member string) answer {
+	result := answer{sentAt: time.Now(), request: request, member: member}
 	method, path, body := "GET", "/api/jobs/"+u.id, []byte(nil)
-	switch kind {
+	switch request {
 	case "submit":
 		method, path, body = "POST", "/api/jobs", u.body
 	case "cancel":
 		method, path = "POST", path+"/cancel"
 	}
-	code, data, _, err := w.call(ctx, method, w.apiAddrs[member], path, body)
-	t.receivedAt = time.Now()
+	status, data, _, err := d.call(ctx, method, d.apiAddrs[member], path, body)
+	result.receivedAt = time.Now()
 	if err != nil {
-		return t
+		return result
 	}
-	var s protocol.JobStatus
-	json.Unmarshal(data, &s)
-	t.status, t.jobState = code, s.Status
+	var job protocol.JobStatus
+	json.Unmarshal(data, &job)
+	result.status, result.jobState = status, job.Status
 	u.mu.Lock()
-	u.answers = append(u.answers, t)
+	u.answers = append(u.answers, result)
 	u.mu.Unlock()
-	return t
+	return result
 }
 
 // sleepContext waits; false if ctx has ended meanwhile.
-func sleepContext(ctx context.Context, d time.Duration) bool {
+func sleepContext(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(d):
+	case <-time.After(duration):
 		return true
 	}
 }
 
 // runUser is a user: it uploads the job's files, submits until the job is accepted,
 // and asks until it is over, each time at any member.
-func (w *deployment) runUser(ctx context.Context, u *user, wait time.Duration, rng *rand.Rand) {
-	if !sleepContext(ctx, wait) || !w.upload(ctx, u) || !w.submit(ctx, u, rng) {
+func (d *deployment) runUser(ctx context.Context, u *user, startDelay time.Duration, rng *rand.Rand) {
+	if !sleepContext(ctx, startDelay) || !d.upload(ctx, u) || !d.submit(ctx, u, rng) {
 		return
 	}
 	accepted := time.Now()
 	for {
-		kind := "poll"
+		request := "poll"
 		if u.cancelAfter > 0 && time.Since(accepted) > u.cancelAfter {
-			kind = "cancel"
+			request = "cancel"
 		}
-		least, most := 300*time.Millisecond, 900*time.Millisecond
-		if t := u.send(ctx, w, kind, w.randomMember(rng)); t.status == 200 && (t.jobState == protocol.JobDone || t.jobState == protocol.JobCancelled) {
+		minPause, maxPause := 300*time.Millisecond, 900*time.Millisecond
+		if answer := u.send(ctx, d, request, d.randomMember(rng)); answer.status == 200 && (answer.jobState == protocol.JobDone || answer.jobState == protocol.JobCancelled) {
 			u.ended.Store(true)
-			least, most = 2*time.Second, 4*time.Second
+			minPause, maxPause = 2*time.Second, 4*time.Second
 		}
-		if !sleepContext(ctx, randomDuration(rng, least, most)) {
+		if !sleepContext(ctx, randomDuration(rng, minPause, maxPause)) {
 			return
 		}
 	}
 }
 
-func (w *deployment) randomMember(rng *rand.Rand) string { return w.members[rng.IntN(len(w.members))] }
+func (d *deployment) randomMember(rng *rand.Rand) string { return d.members[rng.IntN(len(d.members))] }
 
 // upload gives both sites' workers the description of a user's job.
-func (w *deployment) upload(ctx context.Context, u *user) bool {
-	for _, s := range w.sites {
-		for code := 0; code != 200; {
+func (d *deployment) upload(ctx context.Context, u *user) bool {
+	for _, site := range d.sites {
+		for status := 0; status != 200; {
 			var err error
-			if code, _, _, err = w.call(ctx, "POST", s.cloudAddr, "/upload", u.body); err != nil && !sleepContext(ctx, 500*time.Millisecond) {
+			if status, _, _, err = d.call(ctx, "POST", site.cloudAddr, "/upload", u.body); err != nil && !sleepContext(ctx, 500*time.Millisecond) {
 				return false
 			}
 		}
@@ -303,15 +303,15 @@
 
 // submit submits until the job is accepted. After a minute the user takes it for turned
 // away for good: nothing was promised.
-func (w *deployment) submit(ctx context.Context, u *user, rng *rand.Rand) bool {
-	for begun := time.Now(); ; {
-		if t := u.send(ctx, w, "submit", w.randomMember(rng)); t.status == 200 || t.status == 201 {
+func (d *deployment) submit(ctx context.Context, u *user, rng *rand.Rand) bool {
+	for startedAt := time.Now(); ; {
+		if answer := u.send(ctx, d, "submit", d.randomMember(rng)); answer.status == 200 || answer.status == 201 {
 			return true
 		}
 		if !sleepContext(ctx, randomDuration(rng, 500*time.Millisecond, 1500*time.Millisecond)) {
 			return false
 		}
-		if time.Since(begun) > 60*time.Second {
+		if time.Since(startedAt) > 60*time.Second {
 			u.ended.Store(true)
 			return false
 		}
@@ -329,8 +329,8 @@
 
 // injectFaults does bad things for some 20 s, the second often in the middle of the
 // handoff that the first caused, and heals everything.
-func (w *deployment) injectFaults(ctx context.Context, rng *rand.Rand) []fault {
-	var out []fault
+func (d *deployment) injectFaults(ctx context.Context, rng *rand.Rand) []fault {
+	var faults []fault
 	var healed sync.WaitGroup
 	sleep := func(d time.Duration) {
 		select {
@@ -340,32 +340,32 @@
 	}
 	sleep(randomDuration(rng, 2*time.Second, 6*time.Second))
 	for range 2 + rng.IntN(2) {
-		s := w.sites[rng.IntN(2)]
-		f := fault{at: time.Now(), target: s.name, duration: randomDuration(rng, 2*time.Second, 18*time.Second)}
-		cause := faultInjectors[rng.IntN(len(faultInjectors))]
-		heal := cause(ctx, w, s, rng, &f)
-		long := f.duration
+		site := d.sites[rng.IntN(2)]
+		f := fault{at: time.Now(), target: site.name, duration: randomDuration(rng, 2*time.Second, 18*time.Second)}
+		inject := faultInjectors[rng.IntN(len(faultInjectors))]
+		heal := inject(ctx, d, site, rng, &f)
+		duration := f.duration
 		healed.Go(func() {
-			sleep(long)
+			sleep(duration)
 			heal()
 		})
-		out = append(out, f)
+		faults = append(faults, f)
 		sleep(randomDuration(rng, 1*time.Second, 11*time.Second))
 	}
 	healed.Wait()
-	return out
+	return faults
 }
 
 // faultInjector does something to a site, or to the world, and says what in f; heal undoes it.
-type faultInjector func(ctx context.Context, w *deployment, s *site, rng *rand.Rand, f *fault) (heal func())
+type faultInjector func(ctx context.Context, d *deployment, s *site, rng *rand.Rand, f *fault) (heal func())
 
 // faultInjectors are all there are; a seed's meaning depends on their order.
 var faultInjectors = []faultInjector{killGateway, killDaemon, killControllers, suspendStateService, suspendDaemon, cutLink, isolateSite, suspendSite, drainSite}
 
-func killGateway(_ context.Context, w *deployment, _ *site, _ *rand.Rand, f *fault) func() {
+func killGateway(_ context.Context, d *deployment, _ *site, _ *rand.Rand, f *fault) func() {
 	f.kind, f.target = "gateway killed", "gate"
-	w.gateway.kill()
-	return func() { w.gateway.start() }
+	d.gateway.kill()
+	return func() { d.gateway.start() }
 }
 
 func killDaemon(_ context.Context, _ *deployment, s *site, _ *rand.Rand, f *fault) func() {
@@ -402,35 +402,35 @@
 }
 
 // suspendAll makes processes stand still.
-func suspendAll(all ...*process) (goOn func()) {
-	for _, p := range all {
-		p.signal(syscall.SIGSTOP)
+func suspendAll(processes ...*process) (resume func()) {
+	for _, process := range processes {
+		process.signal(syscall.SIGSTOP)
 	}
 	return func() {
-		for _, p := range all {
+		for _, p := range processes {
 			p.signal(syscall.SIGCONT)
 		}
 	}
 }
 
-func cutLink(_ context.Context, w *deployment, _ *site, rng *rand.Rand, f *fault) func() {
-	a, b := w.members[rng.IntN(3)], w.members[rng.IntN(3)]
+func cutLink(_ context.Context, d *deployment, _ *site, rng *rand.Rand, f *fault) func() {
+	a, b := d.members[rng.IntN(3)], d.members[rng.IntN(3)]
 	if a == b {
-		b = w.members[(slices.Index(w.members, a)+1)%3]
+		b = d.members[(slices.Index(d.members, a)+1)%3]
 	}
-	both, reset := rng.IntN(2) == 0, rng.IntN(2) == 0
-	f.kind, f.target = fmt.Sprintf("link cut (both ways %v)", both), a+" to "+b
-	links := []*link{w.links[[2]string{a, b}]}
-	if both {
-		links = append(links, w.links[[2]string{b, a}])
+	bothWays, dropHeld := rng.IntN(2) == 0, rng.IntN(2) == 0
+	f.kind, f.target = fmt.Sprintf("link cut (both ways %v)", bothWays), a+" to "+b
+	links := []*link{d.links[[2]string{a, b}]}
+	if bothWays {
+		links = append(links, d.links[[2]string{b, a}])
 	}
-	return cutLinks(links, reset)
+	return cutLinks(links, dropHeld)
 }
 
-func isolateSite(_ context.Context, w *deployment, s *site, _ *rand.Rand, f *fault) func() {
+func isolateSite(_ context.Context, d *deployment, s *site, _ *rand.Rand, f *fault) func() {
 	f.kind, f.lostSite = "site cut off", s.name
 	var links []*link
-	for ends, l := range w.links {
+	for ends, l := range d.links {
 		if ends[0] == s.name || ends[1] == s.name {
 			links = append(links, l)
 		}
@@ -439,23 +439,23 @@
 }
 
 // cutLinks cuts links. When they are healed, with reset what was held on them is dropped.
-func cutLinks(links []*link, reset bool) (heal func()) {
+func cutLinks(links []*link, dropHeld bool) (heal func()) {
 	for _, l := range links {
 		l.setCut(true, false)
 	}
 	return func() {
 		for _, l := range links {
-			l.setCut(false, reset)
+			l.setCut(false, dropHeld)
 		}
 	}
 }
 
-func drainSite(ctx context.Context, w *deployment, s *site, _ *rand.Rand, f *fault) func() {
+func drainSite(ctx context.Context, d *deployment, s *site, _ *rand.Rand, f *fault) func() {
 	f.kind, f.drainedSite = "site drained", s.name
-	w.call(ctx, "PUT", s.daemonAPI, "/admin/gateway/drained", []byte(`{"on":true}`))
+	d.call(ctx, "PUT", s.daemonAPI, "/admin/gateway/drained", []byte(`{"on":true}`))
 	return func() {
 		for range 40 {
-			if code, _, _, _ := w.call(ctx, "PUT", s.daemonAPI, "/admin/gateway/drained", []byte(`{"on":false}`)); code == 200 || ctx.Err() != nil {
+			if status, _, _, _ := d.call(ctx, "PUT", s.daemonAPI, "/admin/gateway/drained", []byte(`{"on":false}`)); status == 200 || ctx.Err() != nil {
 				return
 			}
 			time.Sleep(300 * time.Millisecond)
@@ -471,86 +471,86 @@
 }
 
 // readTaskRuns reads what the machines of both sites logged.
-func (w *deployment) readTaskRuns() []taskRun {
-	var out []taskRun
-	for _, s := range w.sites {
-		f, err := os.Open(s.eventsPath)
+func (d *deployment) readTaskRuns() []taskRun {
+	var runs []taskRun
+	for _, site := range d.sites {
+		file, err := os.Open(site.eventsPath)
 		if err != nil {
 			continue
 		}
-		on := map[string]int{}
-		for sc := bufio.NewScanner(f); sc.Scan(); {
-			var e struct {
+		running := map[string]int{}
+		for scanner := bufio.NewScanner(file); scanner.Scan(); {
+			var event struct {
 				At                   int64
 				Event, Task, Machine string
 			}
-			if json.Unmarshal(sc.Bytes(), &e) != nil {
+			if json.Unmarshal(scanner.Bytes(), &event) != nil {
 				continue
 			}
-			at, key := time.Unix(0, e.At), e.Task+" "+e.Machine
-			if e.Event == "start" {
-				on[key] = len(out)
-				out = append(out, taskRun{site: s.name, task: e.Task, machine: e.Machine, startedAt: at})
-			} else if i, ok := on[key]; ok {
-				delete(on, key)
-				out[i].endedAt, out[i].completed = at, e.Event == "done"
+			eventTime, key := time.Unix(0, event.At), event.Task+" "+event.Machine
+			if event.Event == "start" {
+				running[key] = len(runs)
+				runs = append(runs, taskRun{site: site.name, task: event.Task, machine: event.Machine, startedAt: eventTime})
+			} else if runIndex, ok := running[key]; ok {
+				delete(running, key)
+				runs[runIndex].endedAt, runs[runIndex].completed = eventTime, event.Event == "done"
 			}
 		}
-		f.Close()
+		file.Close()
 	}
-	return out
+	return runs
 }
 
 func jobOfTask(task string) string { id, _, _ := strings.Cut(task, "/"); return id }
 
 // checkUsers holds what each user was told against all it had been told before it
 // asked, and against what machines completed.
-func (w *deployment) checkUsers(r *gatewayRunResult, users []*user, runs []taskRun) {
-	done := completedTasks(runs)
+func (d *deployment) checkUsers(result *gatewayRunResult, users []*user, runs []taskRun) {
+	completedByJob := completedTasks(runs)
 	for _, u := range users {
 		accepted, cancelled := u.acceptedAt(), u.cancelRequestedAt()
 		if accepted.IsZero() {
-			r.neverAccepted++
+			result.neverAccepted++
 			continue
 		}
-		r.accepted++
-		final, at := u.checkAnswers(r, accepted)
+		result.accepted++
+		final, finalAt := u.checkAnswers(result, accepted)
 		switch {
 		case final == "":
-			r.unanswered = append(r.unanswered, u.id+" has no final answer")
-		case final == protocol.JobCancelled && (cancelled.IsZero() || cancelled.After(at)):
-			r.falseEnds = append(r.falseEnds, u.id+" is cancelled and nobody asked")
+			result.unanswered = append(result.unanswered, u.id+" has no final answer")
+		case final == protocol.JobCancelled && (cancelled.IsZero() || cancelled.After(finalAt)):
+			result.falseEnds = append(result.falseEnds, u.id+" is cancelled and nobody asked")
 		case final == protocol.JobDone:
-			u.checkDone(r, done[u.id], at)
+			u.checkDone(result, completedByJob[u.id], finalAt)
 		case final == protocol.JobCancelled:
-			u.checkCancelled(r, runs, at)
+			u.checkCancelled(result, runs, finalAt)
 		}
 	}
 }
 
 // completedTasks are the tasks that machines completed, by job, and when each first was.
 func completedTasks(runs []taskRun) map[string]map[string]time.Time {
-	done := map[string]map[string]time.Time{}
-	for _, x := range runs {
-		if !x.completed {
+	completedByJob := map[string]map[string]time.Time{}
+	for _, run := range runs {
+		if !run.completed {
 			continue
 		}
-		job := jobOfTask(x.task)
-		if done[job] == nil {
-			done[job] = map[string]time.Time{}
+		jobID := jobOfTask(run.task)
+		if completedByJob[jobID] == nil {
+			completedByJob[jobID] = map[string]time.Time{}
 		}
-		if at, ok := done[job][x.task]; !ok || x.endedAt.Before(at) {
-			done[job][x.task] = x.endedAt
+		if at, ok := completedByJob[jobID][run.task]; !ok || run.endedAt.Before(at) {
+			completedByJob[jobID][run.task] = run.endedAt
 		}
 	}
-	return done
+	return completedByJob
 }
 
 // acceptedAt is when a user was first told that the job is accepted; zero: never.
 func (u *user) acceptedAt() (at time.Time) {
-	for _, t := range u.answers {
-		if (t.status == 200 || t.status == 201) && (at.IsZero() || t.receivedAt.Before(at)) {
-			at = t.receivedAt
+	for _, answer := range u.answers {
+		if (answer.status == 200 || answer.status == 201) && (at.IsZero() || answer.receivedAt.Before(at)) {
+			at = answer.receivedAt
 		}
 	}
 	return at
@@ -558,9 +558,9 @@
 
 // cancelRequestedAt is when a user first asked for the cancellation; zero: never.
 func (u *user) cancelRequestedAt() (at time.Time) {
-	for _, t := range u.answers {
-		if t.request == "cancel" && (at.IsZero() || t.sentAt.Before(at)) {
-			at = t.sentAt
+	for _, answer := range u.answers {
+		if answer.request == "cancel" && (at.IsZero() || answer.sentAt.Before(at)) {
+			at = answer.sentAt
 		}
 	}
 	return at
@@ -568,114 +568,114 @@
 
 // checkAnswers finds answers that deny an accepted job or a final answer. It returns the
 // first final answer and when it came.
-func (u *user) checkAnswers(r *gatewayRunResult, accepted time.Time) (final string, at time.Time) {
-	for _, t := range u.answers {
+func (u *user) checkAnswers(result *gatewayRunResult, acceptedAt time.Time) (final string, finalAt time.Time) {
+	for _, answer := range u.answers {
 		switch {
-		case t.status == 404 && t.sentAt.After(accepted):
-			r.lost = append(r.lost, u.id+" was accepted and is unknown at "+t.member)
-		case (t.status == 400 || t.status == 422) && t.sentAt.After(accepted):
-			r.lost = append(r.lost, fmt.Sprintf("%s was accepted and gets %d at %s", u.id, t.status, t.member))
-		case t.status != 200:
+		case answer.status == 404 && answer.sentAt.After(acceptedAt):
+			result.lost = append(result.lost, u.id+" was accepted and is unknown at "+answer.member)
+		case (answer.status == 400 || answer.status == 422) && answer.sentAt.After(acceptedAt):
+			result.lost = append(result.lost, fmt.Sprintf("%s was accepted and gets %d at %s", u.id, answer.status, answer.member))
+		case answer.status != 200:
 			continue
 		}
-		isFinal := t.jobState == protocol.JobDone || t.jobState == protocol.JobCancelled
+		isFinal := answer.jobState == protocol.JobDone || answer.jobState == protocol.JobCancelled
 		switch {
-		case final != "" && isFinal && t.jobState != final, final != "" && !isFinal && t.sentAt.After(at):
-			r.contradictions = append(r.contradictions, fmt.Sprintf("%s was called %s and is called %s at %s", u.id, final, t.jobState, t.member))
+		case final != "" && isFinal && answer.jobState != final, final != "" && !isFinal && answer.sentAt.After(finalAt):
+			result.contradictions = append(result.contradictions, fmt.Sprintf("%s was called %s and is called %s at %s", u.id, final, answer.jobState, answer.member))
 		case final == "" && isFinal:
-			final, at = t.jobState, t.receivedAt
+			final, finalAt = answer.jobState, answer.receivedAt
 		}
 	}
-	return final, at
+	return final, finalAt
 }
 
 // checkDone holds a job that was called done to the tasks that machines completed.
-func (u *user) checkDone(r *gatewayRunResult, done map[string]time.Time, finalAt time.Time) {
-	if len(done) < u.tasks {
-		r.falseEnds = append(r.falseEnds, fmt.Sprintf("%s is called done and %d of %d tasks were", u.id, len(done), u.tasks))
+func (u *user) checkDone(result *gatewayRunResult, completedAt map[string]time.Time, finalAt time.Time) {
+	if len(completedAt) < u.tasks {
+		result.falseEnds = append(result.falseEnds, fmt.Sprintf("%s is called done and %d of %d tasks were", u.id, len(completedAt), u.tasks))
 	}
-	for task, at := range done {
+	for task, at := range completedAt {
 		if at.After(finalAt) {
-			r.falseEnds = append(r.falseEnds, fmt.Sprintf("%s was called done before %s was", u.id, task))
+			result.falseEnds = append(result.falseEnds, fmt.Sprintf("%s was called done before %s was", u.id, task))
 		}
 	}
 }
 
 // checkCancelled finds tasks that ran too long after their job was called cancelled.
-func (u *user) checkCancelled(r *gatewayRunResult, runs []taskRun, finalAt time.Time) {
-	most := finalAt.Add(time.Duration(gatewayTimes.cancelBound * float64(time.Second)))
-	for _, x := range runs {
-		if jobOfTask(x.task) == u.id && (x.startedAt.After(most) || !x.endedAt.IsZero() && x.endedAt.After(most)) {
-			r.lateCancels = append(r.lateCancels, fmt.Sprintf("%s ran at %s after it was called cancelled", x.task, x.site))
+func (u *user) checkCancelled(result *gatewayRunResult, runs []taskRun, finalAt time.Time) {
+	deadline := finalAt.Add(time.Duration(gatewayTimes.cancelBound * float64(time.Second)))
+	for _, run := range runs {
+		if jobOfTask(run.task) == u.id && (run.startedAt.After(deadline) || !run.endedAt.IsZero() && run.endedAt.After(deadline)) {
+			result.lateCancels = append(result.lateCancels, fmt.Sprintf("%s ran at %s after it was called cancelled", run.task, run.site))
 		}
 	}
 }
 
 // checkConcurrentRuns finds tasks that were on two machines at once.
-func (w *deployment) checkConcurrentRuns(r *gatewayRunResult, users []*user, runs []taskRun) {
+func (d *deployment) checkConcurrentRuns(result *gatewayRunResult, users []*user, runs []taskRun) {
 	byTask := map[string][]taskRun{}
-	for _, x := range runs {
-		byTask[x.task] = append(byTask[x.task], x)
-	}
-	moved := map[string]bool{}
-	for task, xs := range byTask {
-		slices.SortFunc(xs, func(a, b taskRun) int { return a.startedAt.Compare(b.startedAt) })
-		for i := 1; i < len(xs); i++ {
-			a, b := xs[i-1], xs[i]
-			if a.endedAt.IsZero() || a.endedAt.After(b.startedAt) {
-				r.concurrentRuns = append(r.concurrentRuns, fmt.Sprintf("%s is on %s of %s and starts on %s of %s", task, a.machine, a.site, b.machine, b.site))
+	for _, run := range runs {
+		byTask[run.task] = append(byTask[run.task], run)
+	}
+	movedJobs := map[string]bool{}
+	for task, taskRuns := range byTask {
+		slices.SortFunc(taskRuns, func(a, b taskRun) int { return a.startedAt.Compare(b.startedAt) })
+		for i := 1; i < len(taskRuns); i++ {
+			previous, next := taskRuns[i-1], taskRuns[i]
+			if previous.endedAt.IsZero() || previous.endedAt.After(next.startedAt) {
+				result.concurrentRuns = append(result.concurrentRuns, fmt.Sprintf("%s is on %s of %s and starts on %s of %s", task, previous.machine, previous.site, next.machine, next.site))
 			}
-			if a.site != b.site {
-				moved[jobOfTask(task)] = true
+			if previous.site != next.site {
+				movedJobs[jobOfTask(task)] = true
 			}
 		}
 	}
-	r.movedJobs = len(moved)
+	result.movedJobs = len(movedJobs)
 }
 
 var handoffLogLine = regexp.MustCompile(`time=(\S+) .*msg="job handed over".* from=(\S+) to=\S+ epoch=\d+ proved=(\S+)`)
 
 // measureHandoffs measures how long after a site was lost, or asked to be drained, its
 // jobs had another one.
-func (w *deployment) measureHandoffs(r *gatewayRunResult, faults []fault) {
-	for _, m := range w.members {
-		data, err := os.ReadFile(w.member(m).logPath)
+func (d *deployment) measureHandoffs(result *gatewayRunResult, faults []fault) {
+	for _, member := range d.members {
+		logText, err := os.ReadFile(d.member(member).logPath)
 		if err != nil {
 			continue
 		}
-		for _, line := range strings.Split(string(data), "\n") {
-			g := handoffLogLine.FindStringSubmatch(line)
-			if g == nil {
+		for _, line := range strings.Split(string(logText), "\n") {
+			match := handoffLogLine.FindStringSubmatch(line)
+			if match == nil {
 				continue
 			}
-			at, err := time.Parse(time.RFC3339Nano, g[1])
+			handoffAt, err := time.Parse(time.RFC3339Nano, match[1])
 			if err != nil {
 				continue
 			}
-			proved, _ := strconv.ParseBool(g[3])
+			leaseReleased, _ := strconv.ParseBool(match[3])
 			// The first of the faults that together kept the site away until then.
-			var since time.Time
+			var lostAt time.Time
 			for i := len(faults) - 1; i >= 0; i-- {
-				f := faults[i]
-				if f.at.Before(at) && (proved && f.drainedSite == g[2] || !proved && f.lostSite == g[2]) && (since.IsZero() || f.at.Add(f.duration).After(since)) {
-					since = f.at
+				fault := faults[i]
+				if fault.at.Before(handoffAt) && (leaseReleased && fault.drainedSite == match[2] || !leaseReleased && fault.lostSite == match[2]) && (lostAt.IsZero() || fault.at.Add(fault.duration).After(lostAt)) {
+					lostAt = fault.at
 				}
 			}
-			others := 0
-			for _, f := range faults {
-				if !since.IsZero() && !f.at.Equal(since) && f.at.Before(at) && f.at.Add(f.duration+2*time.Second).After(since) {
-					others++
+			overlapping := 0
+			for _, fault := range faults {
+				if !lostAt.IsZero() && !fault.at.Equal(lostAt) && fault.at.Before(handoffAt) && fault.at.Add(fault.duration+2*time.Second).After(lostAt) {
+					overlapping++
 				}
 			}
 			switch {
-			case since.IsZero():
-			case proved && others == 0:
-				r.drains = append(r.drains, at.Sub(since))
-			case proved:
-			case others == 0:
-				r.handoffs = append(r.handoffs, at.Sub(since))
+			case lostAt.IsZero():
+			case leaseReleased && overlapping == 0:
+				result.drains = append(result.drains, handoffAt.Sub(lostAt))
+			case leaseReleased:
+			case overlapping == 0:
+				result.handoffs = append(result.handoffs, handoffAt.Sub(lostAt))
 			default:
-				r.overlappingHandoffs = append(r.overlappingHandoffs, at.Sub(since))
+				result.overlappingHandoffs = append(result.overlappingHandoffs, handoffAt.Sub(lostAt))
 			}
 		}
 	}
@@ -683,25 +683,25 @@
 
 // checkStores ends the members and compares what their stores hold with what users
 // were told: of each final answer a majority must hold the same.
-func (w *deployment) checkStores(ctx context.Context, r *gatewayRunResult, users []*user) {
-	stores, err := w.readStores(ctx)
+func (d *deployment) checkStores(ctx context.Context, result *gatewayRunResult, users []*user) {
+	stores, err := d.readStores(ctx)
 	if err != nil {
-		r.storeMismatches = append(r.storeMismatches, err.Error())
+		result.storeMismatches = append(result.storeMismatches, err.Error())
 		return
 	}
 	for _, u := range users {
-		want := u.finalOutcome()
-		if want == wire.Open {
+		expected := u.finalOutcome()
+		if expected == wire.Open {
 			continue
 		}
-		has := 0
-		for _, s := range stores {
-			if it, ok := s[u.id]; ok && it.Record.Outcome == want {
-				has++
+		copies := 0
+		for _, store := range stores {
+			if item, ok := store[u.id]; ok && item.Record.Outcome == expected {
+				copies++
 			}
 		}
-		if has < 2 {
-			r.storeMismatches = append(r.storeMismatches, fmt.Sprintf("the end of %s is stored by %d of 3 members", u.id, has))
+		if copies < 2 {
+			result.storeMismatches = append(result.storeMismatches, fmt.Sprintf("the end of %s is stored by %d of 3 members", u.id, copies))
 		}
 	}
 }
@@ -709,11 +709,11 @@
 // finalOutcome is the last final answer that a user was told, as records have it; Open if none.
 func (u *user) finalOutcome() uint8 {
 	final := uint8(wire.Open)
-	for _, t := range u.answers {
+	for _, answer := range u.answers {
 		switch {
-		case t.status == 200 && t.jobState == protocol.JobDone:
+		case answer.status == 200 && answer.jobState == protocol.JobDone:
 			final = wire.Done
-		case t.status == 200 && t.jobState == protocol.JobCancelled:
+		case answer.status == 200 && answer.jobState == protocol.JobCancelled:
 			final = wire.Cancelled
 		}
 	}
@@ -721,25 +721,25 @@
 }
 
 // readStores ends the members and reads the registers that each has stored, by job.
-func (w *deployment) readStores(ctx context.Context) (stores []map[string]wire.Item, err error) {
+func (d *deployment) readStores(ctx context.Context) (stores []map[string]wire.Item, err error) {
 	byJob := func(items []wire.Item) map[string]wire.Item {
-		m := map[string]wire.Item{}
-		for _, it := range items {
-			m[it.ID] = it
+		registers := map[string]wire.Item{}
+		for _, item := range items {
+			registers[item.ID] = item
 		}
-		return m
+		return registers
 	}
-	w.gateway.kill()
-	j, items, _, err := gateway.OpenJournal(filepath.Join(w.dir, "gate.journal"), "gate")
+	d.gateway.kill()
+	journal, items, _, err := gateway.OpenJournal(filepath.Join(d.dir, "gate.journal"), "gate")
 	if err != nil {
 		return nil, err
 	}
-	j.Close()
+	journal.Close()
 	stores = append(stores, byJob(items))
-	for _, s := range w.sites {
-		s.daemon.kill()
-		svc := storage.NewStore(s.stateAddr, protocol.StateSettings{RPS: 1000, WriteRPS: 1000, ValueKB: 8, TxnOps: 12}, 1)
-		_, entries, _, err := segments.Open(ctx, svc, s.name, segments.Limits{ValueKB: 8, TxnOps: 12, ChangesPerS: 100}, slog.New(slog.DiscardHandler))
+	for _, site := range d.sites {
+		site.daemon.kill()
+		stateService := storage.NewStore(site.stateAddr, protocol.StateSettings{RPS: 1000, WriteRPS: 1000, ValueKB: 8, TxnOps: 12}, 1)
+		_, entries, _, err := segments.Open(ctx, stateService, site.name, segments.Limits{ValueKB: 8, TxnOps: 12, ChangesPerS: 100}, slog.New(slog.DiscardHandler))
 		if err == nil {
 			items, err = gateway.DecodeEntries(entries)
 		}
--- a/cmd/lab/proof_test.go
+++ b/cmd/lab/proof_test.go
@@ -9,41 +9,41 @@
 // The checkers must find what they are there for: each case is one fault in what
 // users were told or machines logged.
 func TestGatewayChecksFindFaults(t *testing.T) {
-	at := func(s float64) time.Time { return time.Unix(1000, 0).Add(time.Duration(s * float64(time.Second))) }
-	say := func(s float64, kind string, code int, state string) answer {
-		return answer{sentAt: at(s - 0.1), receivedAt: at(s), request: kind, status: code, jobState: state, member: "gate"}
+	at := func(seconds float64) time.Time { return time.Unix(1000, 0).Add(time.Duration(seconds * float64(time.Second))) }
+	answered := func(seconds float64, kind string, code int, state string) answer {
+		return answer{sentAt: at(seconds - 0.1), receivedAt: at(seconds), request: kind, status: code, jobState: state, member: "gate"}
 	}
-	accepted := say(1, "submit", 201, "queued")
-	fine := taskRun{site: "quito", task: "job-1/0", machine: "host-1", startedAt: at(2), endedAt: at(5), completed: true}
+	accepted := answered(1, "submit", 201, "queued")
+	completedRun := taskRun{site: "quito", task: "job-1/0", machine: "host-1", startedAt: at(2), endedAt: at(5), completed: true}
 	for _, c := range []struct {
 		name string
 		log  []answer
 		runs []taskRun
 		want string // "" for nothing
 	}{
-		{"done", []answer{accepted, say(6, "poll", 200, "done")}, []taskRun{fine}, ""},
-		{"turned away for good", []answer{say(1, "submit", 503, "")}, nil, ""},
-		{"unknown before it was accepted", []answer{say(0.5, "poll", 404, ""), accepted, say(6, "poll", 200, "done")}, []taskRun{fine}, ""},
-		{"unknown after", []answer{accepted, say(3, "poll", 404, ""), say(6, "poll", 200, "done")}, []taskRun{fine}, "is unknown"},
-		{"refused after", []answer{accepted, say(3, "submit", 422, ""), say(6, "poll", 200, "done")}, []taskRun{fine}, "gets 422"},
-		{"no answer", []answer{accepted, say(6, "poll", 200, "running")}, []taskRun{fine}, "no final answer"},
-		{"two answers", []answer{accepted, say(2, "cancel", 200, "withdrawn"), say(6, "poll", 200, "done")}, []taskRun{fine}, "is called done"},
-		{"went back", []answer{accepted, say(6, "poll", 200, "done"), say(7, "poll", 200, "running")}, []taskRun{fine}, "is called running"},
-		{"nobody cancelled", []answer{accepted, say(6, "poll", 200, "withdrawn")}, nil, "nobody asked"},
-		{"done and nothing ran", []answer{accepted, say(6, "poll", 200, "done")}, nil, "0 of 1 tasks"},
-		{"done too early", []answer{accepted, say(4, "poll", 200, "done")}, []taskRun{fine}, "before"},
-		{"cancelled and it runs on", []answer{accepted, say(2, "cancel", 200, "withdrawn")}, []taskRun{{site: "quito", task: "job-1/0", startedAt: at(1), endedAt: at(60)}}, "after it was called cancelled"},
-		{"on two machines", []answer{accepted, say(9, "poll", 200, "done")},
-			[]taskRun{{site: "xela", task: "job-1/0", machine: "host-9", startedAt: at(1), endedAt: at(3)}, fine}, "starts on host-1 of quito"},
-		{"still on one and on another", []answer{accepted, say(9, "poll", 200, "done")},
-			[]taskRun{{site: "xela", task: "job-1/0", machine: "host-9", startedAt: at(1)}, fine}, "starts on host-1 of quito"},
+		{"done", []answer{accepted, answered(6, "poll", 200, "done")}, []taskRun{completedRun}, ""},
+		{"turned away for good", []answer{answered(1, "submit", 503, "")}, nil, ""},
+		{"unknown before it was accepted", []answer{answered(0.5, "poll", 404, ""), accepted, answered(6, "poll", 200, "done")}, []taskRun{completedRun}, ""},
+		{"unknown after", []answer{accepted, answered(3, "poll", 404, ""), answered(6, "poll", 200, "done")}, []taskRun{completedRun}, "is unknown"},
+		{"refused after", []answer{accepted, answered(3, "submit", 422, ""), answered(6, "poll", 200, "done")}, []taskRun{completedRun}, "gets 422"},
+		{"no answer", []answer{accepted, answered(6, "poll", 200, "running")}, []taskRun{completedRun}, "no final answer"},
+		{"two answers", []answer{accepted, answered(2, "cancel", 200, "withdrawn"), answered(6, "poll", 200, "done")}, []taskRun{completedRun}, "is called done"},
+		{"went back", []answer{accepted, answered(6, "poll", 200, "done"), answered(7, "poll", 200, "running")}, []taskRun{completedRun}, "is called running"},
+		{"nobody cancelled", []answer{accepted, answered(6, "poll", 200, "withdrawn")}, nil, "nobody asked"},
+		{"done and nothing ran", []answer{accepted, answered(6, "poll", 200, "done")}, nil, "0 of 1 tasks"},
+		{"done too early", []answer{accepted, answered(4, "poll", 200, "done")}, []taskRun{completedRun}, "before"},
+		{"cancelled and it runs on", []answer{accepted, answered(2, "cancel", 200, "withdrawn")}, []taskRun{{site: "quito", task: "job-1/0", startedAt: at(1), endedAt: at(60)}}, "after it was called cancelled"},
+		{"on two machines", []answer{accepted, answered(9, "poll", 200, "done")},
+			[]taskRun{{site: "xela", task: "job-1/0", machine: "host-9", startedAt: at(1), endedAt: at(3)}, completedRun}, "starts on host-1 of quito"},
+		{"still on one and on another", []answer{accepted, answered(9, "poll", 200, "done")},
+			[]taskRun{{site: "xela", task: "job-1/0", machine: "host-9", startedAt: at(1)}, completedRun}, "starts on host-1 of quito"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w, r := &deployment{}, &gatewayRunResult{}
+			d, result := &deployment{}, &gatewayRunResult{}
 			users := []*user{{id: "job-1", tasks: 1, answers: c.log}}
-			w.checkUsers(r, users, c.runs)
-			w.checkConcurrentRuns(r, users, c.runs)
-			got := strings.Join(r.violations(), "; ")
+			d.checkUsers(result, users, c.runs)
+			d.checkConcurrentRuns(result, users, c.runs)
+			got := strings.Join(result.violations(), "; ")
 			if c.want == "" && got != "" || !strings.Contains(got, c.want) {
 				t.Errorf("found %q, want %q", got, c.want)
 			}
--- a/cmd/lab/report.go
+++ b/cmd/lab/report.go
@@ -36,12 +36,12 @@
 }
 
 // completionTime is when the last task of a job was done, by the machines; zero: not yet.
-func completionTime(events []machineEvent, id string, tasks int) (at time.Time) {
-	done := map[string]bool{}
+func completionTime(events []machineEvent, id string, tasks int) (completedAt time.Time) {
+	completedTasks := map[string]bool{}
 	for _, e := range events {
-		if job, _, ok := protocol.ParseTaskID(e.Task); ok && job == id && e.Event == "done" && !done[e.Task] {
-			done[e.Task] = true
-			if len(done) == tasks {
+		if job, _, ok := protocol.ParseTaskID(e.Task); ok && job == id && e.Event == "done" && !completedTasks[e.Task] {
+			completedTasks[e.Task] = true
+			if len(completedTasks) == tasks {
 				return time.Unix(0, e.At)
 			}
 		}
@@ -51,40 +51,40 @@
 
 // checkRows says what is wrong with what was told of a job, given what its machines ran.
 // grace is how late an account may be.
-func checkRows(j *reportedJob, rows []observedRow, events []machineEvent, grace time.Duration) (wrong []string) {
-	done := completionTime(events, j.id, j.tasks)
-	for _, r := range rows {
-		when := r.requestedAt.Format("05.000")
+func checkRows(job *reportedJob, rows []observedRow, events []machineEvent, grace time.Duration) (wrong []string) {
+	completedAt := completionTime(events, job.id, job.tasks)
+	for _, row := range rows {
+		requestedAt := row.requestedAt.Format("05.000")
 		switch {
-		case r.State == ledger.Done && (done.IsZero() || done.After(r.requestedAt.Add(100*time.Millisecond))):
-			wrong = append(wrong, fmt.Sprintf("%s: %s says done at %s, and it is not", j.id, r.node, when))
-		case !done.IsZero() && r.requestedAt.After(done.Add(grace)) && r.State != ledger.Done && r.State != ledger.Unknown:
-			wrong = append(wrong, fmt.Sprintf("%s: %s says %s at %s, %.1f s after it was done", j.id, r.node, r.State, when, r.requestedAt.Sub(done).Seconds()))
-		case r.State == ledger.Stuck && j.stalledAt.IsZero():
-			wrong = append(wrong, fmt.Sprintf("%s: %s calls it stuck (%s), and it was not", j.id, r.node, r.Why))
+		case row.State == ledger.Done && (completedAt.IsZero() || completedAt.After(row.requestedAt.Add(100*time.Millisecond))):
+			wrong = append(wrong, fmt.Sprintf("%s: %s says done at %s, and it is not", job.id, row.node, requestedAt))
+		case !completedAt.IsZero() && row.requestedAt.After(completedAt.Add(grace)) && row.State != ledger.Done && row.State != ledger.Unknown:
+			wrong = append(wrong, fmt.Sprintf("%s: %s says %s at %s, %.1f s after it was done", job.id, row.node, row.State, requestedAt, row.requestedAt.Sub(completedAt).Seconds()))
+		case row.State == ledger.Stuck && job.stalledAt.IsZero():
+			wrong = append(wrong, fmt.Sprintf("%s: %s calls it stuck (%s), and it was not", job.id, row.node, row.Why))
 		}
 	}
 	return wrong
 }
 
 // readAccount asks a node for all rows.
-func (f *testSite) readAccount(ctx context.Context, api string) (map[string]ledger.Row, *ledger.Page, error) {
+func (site *testSite) readAccount(ctx context.Context, api string) (map[string]ledger.Row, *ledger.Page, error) {
 	rows := map[string]ledger.Row{}
 	after := ""
 	for {
-		status, out, err := f.call(ctx, "GET", api, "/admin/account?limit=50&after="+url.QueryEscape(after), nil)
+		status, body, err := site.call(ctx, "GET", api, "/admin/account?limit=50&after="+url.QueryEscape(after), nil)
 		if err != nil || status != 200 {
 			return nil, nil, fmt.Errorf("account: %d %v", status, err)
 		}
-		var p ledger.Page
-		if err := json.Unmarshal(out, &p); err != nil {
+		var page ledger.Page
+		if err := json.Unmarshal(body, &page); err != nil {
 			return nil, nil, err
 		}
-		for _, r := range p.Rows {
-			rows[r.Job] = r
+		for _, row := range page.Rows {
+			rows[row.Job] = row
 		}
-		if after = p.After; after == "" {
-			return rows, &p, nil
+		if after = page.After; after == "" {
+			return rows, &page, nil
 		}
 	}
 }
@@ -109,32 +109,32 @@
 }
 
 func executeReportRun(ctx context.Context, bin, dir string, seed uint64) *reportResult {
-	r := &reportResult{}
-	f, err := startTestSite(ctx, bin, dir, 24, testSiteTimes)
-	defer f.end()
+	result := &reportResult{}
+	site, err := startTestSite(ctx, bin, dir, 24, testSiteTimes)
+	defer site.end()
 	if err != nil {
-		r.err = err
-		return r
+		result.err = err
+		return result
 	}
-	run := &reportRun{reportResult: r, site: f, rng: rand.New(rand.NewPCG(seed, 31)), rowsByJob: map[string][]observedRow{}}
+	run := &reportRun{reportResult: result, site: site, rng: rand.New(rand.NewPCG(seed, 31)), rowsByJob: map[string][]observedRow{}}
 	run.stallTwoJobs(ctx)
 	run.injectFaults(ctx)
 	run.awaitStallsReported(ctx)
 	run.endStalls(ctx)
 	run.awaitCompletion(ctx)
 	run.checkAllRows()
-	return r
+	return result
 }
 
 // submit submits a job whose tasks run for some seconds.
 func (r *reportRun) submit(ctx context.Context, seconds float64) *reportedJob {
-	j := &reportedJob{id: fmt.Sprintf("job-%03d", len(r.jobs)+1), tasks: 1 + r.rng.IntN(4), seconds: seconds}
-	plain := waitCondition{}
-	if err := r.site.submit(ctx, j.id, plain.submission(j.id, j.tasks, seconds)); err != nil && r.err == nil {
+	job := &reportedJob{id: fmt.Sprintf("job-%03d", len(r.jobs)+1), tasks: 1 + r.rng.IntN(4), seconds: seconds}
+	competing := waitCondition{}
+	if err := r.site.submit(ctx, job.id, competing.submission(job.id, job.tasks, seconds)); err != nil && r.err == nil {
 		r.err = err
 	}
-	r.jobs = append(r.jobs, j)
-	return j
+	r.jobs = append(r.jobs, job)
+	return job
 }
 
 func (r *reportRun) submitShortJob(ctx context.Context) *reportedJob {
@@ -144,33 +144,33 @@
 // pollNodes asks all nodes but the one that stands still for their rows.
 func (r *reportRun) pollNodes(ctx context.Context) {
 	for i, api := range r.site.apis {
-		name := fmt.Sprint("n-", i)
-		if name == r.suspendedNode {
+		node := fmt.Sprint("n-", i)
+		if node == r.suspendedNode {
 			continue
 		}
-		asked := time.Now()
+		requestedAt := time.Now()
 		rows, page, err := r.site.readAccount(ctx, api)
 		if err != nil {
 			continue // not known: nothing is said
 		}
-		r.checkTotals(ctx, api, name, rows, page)
+		r.checkTotals(ctx, api, node, rows, page)
 		for id, row := range rows {
-			r.recordRow(id, observedRow{row, asked, name})
+			r.recordRow(id, observedRow{row, requestedAt, node})
 		}
 	}
 }
 
 // checkTotals holds a node's sums and rows to the number of jobs accepted.
-func (r *reportRun) checkTotals(ctx context.Context, api, name string, rows map[string]ledger.Row, page *ledger.Page) {
+func (r *reportRun) checkTotals(ctx context.Context, api, node string, rows map[string]ledger.Row, page *ledger.Page) {
 	if r.suspendedNode != "" || len(rows) == len(r.jobs) && sumCounts(page.JobsByState) == len(rows) {
 		return
 	}
 	// A job may have been accepted a moment ago by the other node, or a share be on its way
 	// from one to the other while pages are asked for.
 	time.Sleep(600 * time.Millisecond)
-	again, page, err := r.site.readAccount(ctx, api)
-	if err == nil && (len(again) != len(r.jobs) || len(page.Unknown) == 0 && sumCounts(page.JobsByState) != len(again)) {
-		r.violations = append(r.violations, fmt.Sprintf("%s tells of %d jobs in %d rows, %d were accepted", name, sumCounts(page.JobsByState), len(again), len(r.jobs)))
+	secondRows, page, err := r.site.readAccount(ctx, api)
+	if err == nil && (len(secondRows) != len(r.jobs) || len(page.Unknown) == 0 && sumCounts(page.JobsByState) != len(secondRows)) {
+		r.violations = append(r.violations, fmt.Sprintf("%s tells of %d jobs in %d rows, %d were accepted", node, sumCounts(page.JobsByState), len(secondRows), len(r.jobs)))
 	}
 }
 
@@ -181,9 +181,9 @@
 		r.rowsUnknown++
 	}
 	r.rowsByJob[id] = append(r.rowsByJob[id], row)
-	for _, j := range r.jobs {
-		if j.id == id && row.State == ledger.Stuck && j.reportedStuckAt.IsZero() && !j.stalledAt.IsZero() {
-			j.reportedStuckAt = time.Now()
+	for _, job := range r.jobs {
+		if job.id == id && row.State == ledger.Stuck && job.reportedStuckAt.IsZero() && !job.stalledAt.IsZero() {
+			job.reportedStuckAt = time.Now()
 		}
 	}
 }
@@ -197,26 +197,26 @@
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end) && r.site.runningTasks(ctx, r.stalledJobs[1].id) == 0; r.pollNodes(ctx) {
 		time.Sleep(200 * time.Millisecond)
 	}
-	for _, j := range r.stalledJobs {
-		postToCloud(ctx, r.site, "/stall/"+j.id+"/true")
-		j.stalledAt = time.Now()
+	for _, job := range r.stalledJobs {
+		postToCloud(ctx, r.site, "/stall/"+job.id+"/true")
+		job.stalledAt = time.Now()
 	}
 }
 
 // injectFaults lets a machine vanish and controllers stand still while work goes on.
 func (r *reportRun) injectFaults(ctx context.Context) {
-	troubles := r.rng.Perm(3)
-	began := time.Now()
-	for step := 0; time.Since(began) < 50*time.Second && ctx.Err() == nil; step++ {
+	faults := r.rng.Perm(3)
+	startedAt := time.Now()
+	for step := 0; time.Since(startedAt) < 50*time.Second && ctx.Err() == nil; step++ {
 		time.Sleep(500 * time.Millisecond)
 		r.pollNodes(ctx)
 		if step%12 == 6 {
 			r.submitShortJob(ctx)
 		}
-		if step%16 != 8 || step/16 >= len(troubles) {
+		if step%16 != 8 || step/16 >= len(faults) {
 			continue
 		}
-		if troubles[step/16] == 0 {
+		if faults[step/16] == 0 {
 			r.killMachine(ctx)
 		} else {
 			r.suspendController(ctx)
@@ -226,7 +226,7 @@
 
 func (r *reportRun) killMachine(ctx context.Context) {
 	var list protocol.MachineList
-	if _, out, err := r.site.call(ctx, "GET", r.site.cloudAddr, "/hosts", nil); err == nil && json.Unmarshal(out, &list) == nil && len(list.Machines) > 0 {
+	if _, body, err := r.site.call(ctx, "GET", r.site.cloudAddr, "/hosts", nil); err == nil && json.Unmarshal(body, &list) == nil && len(list.Machines) > 0 {
 		postToCloud(ctx, r.site, "/kill/"+list.Machines[r.rng.IntN(len(list.Machines))].ID)
 	}
 }
@@ -250,12 +250,12 @@
 	waitUntil(ctx, 70*time.Second, func() bool {
 		r.pollNodes(ctx)
 		events, _ := readMachineEvents(r.site.eventsPath)
-		open := false
-		for _, j := range r.stalledJobs {
-			j.restartStallClock(events)
-			open = open || j.reportedStuckAt.IsZero() && time.Since(j.stalledAt) < time.Minute
+		pending := false
+		for _, job := range r.stalledJobs {
+			job.restartStallClock(events)
+			pending = pending || job.reportedStuckAt.IsZero() && time.Since(job.stalledAt) < time.Minute
 		}
-		return !open
+		return !pending
 	})
 }
 
@@ -272,15 +272,15 @@
 
 // endStalls lets the stalled jobs go on, and says which were told late or not at all.
 func (r *reportRun) endStalls(ctx context.Context) {
-	for _, j := range r.stalledJobs {
-		postToCloud(ctx, r.site, "/stall/"+j.id+"/false")
-		switch took := j.reportedStuckAt.Sub(j.stalledAt); {
-		case j.reportedStuckAt.IsZero():
-			r.violations = append(r.violations, j.id+": stalled, and not told as stuck")
-		case took > time.Minute:
-			r.violations = append(r.violations, fmt.Sprintf("%s: told as stuck after %v", j.id, took))
+	for _, job := range r.stalledJobs {
+		postToCloud(ctx, r.site, "/stall/"+job.id+"/false")
+		switch delay := job.reportedStuckAt.Sub(job.stalledAt); {
+		case job.reportedStuckAt.IsZero():
+			r.violations = append(r.violations, job.id+": stalled, and not told as stuck")
+		case delay > time.Minute:
+			r.violations = append(r.violations, fmt.Sprintf("%s: told as stuck after %v", job.id, delay))
 		default:
-			r.stuckDelays = append(r.stuckDelays, took)
+			r.stuckDelays = append(r.stuckDelays, delay)
 		}
 	}
 }
@@ -291,8 +291,8 @@
 		r.pollNodes(ctx)
 		time.Sleep(500 * time.Millisecond)
 		events, err := readMachineEvents(r.site.eventsPath)
-		for _, j := range r.jobs {
-			if err != nil || completionTime(events, j.id, j.tasks).IsZero() {
+		for _, job := range r.jobs {
+			if err != nil || completionTime(events, job.id, job.tasks).IsZero() {
 				return false
 			}
 		}
@@ -313,29 +313,29 @@
 		r.err = err
 		return
 	}
-	for _, j := range r.jobs {
-		rows := r.rowsByJob[j.id]
-		r.violations = append(r.violations, checkRows(j, rows, events, maxAccountDelay)...)
+	for _, job := range r.jobs {
+		rows := r.rowsByJob[job.id]
+		r.violations = append(r.violations, checkRows(job, rows, events, maxAccountDelay)...)
 		if len(rows) == 0 || rows[len(rows)-1].State != ledger.Done {
-			r.violations = append(r.violations, j.id+": not told as done in the end")
+			r.violations = append(r.violations, job.id+": not told as done in the end")
 		}
 	}
 }
 
-func sumCounts(m map[string]int) (n int) {
-	for _, c := range m {
-		n += c
+func sumCounts(counts map[string]int) (total int) {
+	for _, count := range counts {
+		total += count
 	}
-	return n
+	return total
 }
 
 func reportProofCommand() *cobra.Command {
 	return newProofCommand("report", "Stall workers, lose machines, stop controllers, and hold the account to what machines ran", 6, 6, proveReport)
 }
 
-func proveReport(ctx context.Context, out io.Writer, o runOptions) error {
-	shown := newLatencies()
-	s := struct {
+func proveReport(ctx context.Context, out io.Writer, options runOptions) error {
+	stuckDelays := newLatencies()
+	figures := struct {
 		runTotals
 		Rows    int     `json:"rows_checked"`
 		Unknown int     `json:"rows_not_known"`
@@ -345,19 +345,19 @@
 		Max     float64 `json:"shown_after_max_s"`
 	}{}
 	var err error
-	s.runTotals, err = o.executeRuns(ctx, out, "report", func(bin, dir string, seed uint64) (func(), runOutcome) {
-		r := executeReportRun(ctx, bin, dir, seed)
+	figures.runTotals, err = options.executeRuns(ctx, out, "report", func(bin, dir string, seed uint64) (func(), runOutcome) {
+		result := executeReportRun(ctx, bin, dir, seed)
 		return func() {
-			s.Rows, s.Unknown, s.Wrong = s.Rows+r.rowsChecked, s.Unknown+r.rowsUnknown, s.Wrong+len(r.violations)
-			shown.record(r.stuckDelays...)
-		}, runOutcome{fmt.Sprintf("%d rows checked, %d of them not known", r.rowsChecked, r.rowsUnknown), r.violations, r.err}
+			figures.Rows, figures.Unknown, figures.Wrong = figures.Rows+result.rowsChecked, figures.Unknown+result.rowsUnknown, figures.Wrong+len(result.violations)
+			stuckDelays.record(result.stuckDelays...)
+		}, runOutcome{fmt.Sprintf("%d rows checked, %d of them not known", result.rowsChecked, result.rowsUnknown), result.violations, result.err}
 	})
 	if err != nil {
 		return err
 	}
-	s.Shown, s.Median, s.Max = shown.count(), shown.quantileSeconds(50), shown.maxSeconds()
-	if err := printFigures(out, s); err != nil {
+	figures.Shown, figures.Median, figures.Max = stuckDelays.count(), stuckDelays.quantileSeconds(50), stuckDelays.maxSeconds()
+	if err := printFigures(out, figures); err != nil {
 		return err
 	}
-	return s.err()
+	return figures.err()
 }
--- a/cmd/lab/report_test.go
+++ b/cmd/lab/report_test.go
@@ -11,11 +11,11 @@
 // Accounts that say what was not are found: done too early, running long after it was
 // done, stuck though it moves. A true one is not called wrong.
 func TestCheckRowsFindsFalseRows(t *testing.T) {
-	at := func(s float64) time.Time { return time.Unix(1000, int64(s*1e9)) }
-	j := &reportedJob{id: "job-1", tasks: 2}
+	at := func(seconds float64) time.Time { return time.Unix(1000, int64(seconds*1e9)) }
+	job := &reportedJob{id: "job-1", tasks: 2}
 	events := []machineEvent{{at(1).UnixNano(), "start", "job-1/0", "m"}, {at(3).UnixNano(), "done", "job-1/0", "m"}, {at(5).UnixNano(), "done", "job-1/1", "m"}}
-	row := func(s float64, state string) observedRow {
-		return observedRow{ledger.Row{Job: "job-1", State: state}, at(s), "n-0"}
+	row := func(seconds float64, state string) observedRow {
+		return observedRow{ledger.Row{Job: "job-1", State: state}, at(seconds), "n-0"}
 	}
 	for _, c := range []struct {
 		rows []observedRow
@@ -27,7 +27,7 @@
 		{[]observedRow{row(30, ledger.Waiting)}, "says waiting"},
 		{[]observedRow{row(2, ledger.Stuck)}, "calls it stuck"},
 	} {
-		got := strings.Join(checkRows(j, c.rows, events, 12*time.Second), "; ")
+		got := strings.Join(checkRows(job, c.rows, events, 12*time.Second), "; ")
 		if c.want == "" && got != "" || !strings.Contains(got, c.want) {
 			t.Errorf("%q, want %q", got, c.want)
 		}
--- a/cmd/lab/runs.go
+++ b/cmd/lab/runs.go
@@ -22,25 +22,25 @@
 }
 
 // newProofCommand makes a subcommand that proves something by runs with real processes.
-func newProofCommand(use, short string, runs, parallel int, prove func(ctx context.Context, out io.Writer, o runOptions) error) *cobra.Command {
-	o := runOptions{}
-	c := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs,
+func newProofCommand(use, short string, runs, parallel int, proof func(ctx context.Context, out io.Writer, options runOptions) error) *cobra.Command {
+	options := runOptions{}
+	command := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := checkRange("runs", o.runs, 1, 10000); err != nil {
+			if err := checkRange("runs", options.runs, 1, 10000); err != nil {
 				return err
 			}
-			if err := checkRange("parallel", o.parallel, 1, 16); err != nil {
+			if err := checkRange("parallel", options.parallel, 1, 16); err != nil {
 				return err
 			}
 			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
-			return prove(ctx, cmd.OutOrStdout(), o)
+			return proof(ctx, cmd.OutOrStdout(), options)
 		}}
-	c.Flags().IntVar(&o.runs, "runs", runs, "how many runs")
-	c.Flags().IntVar(&o.parallel, "parallel", parallel, "runs at a time")
-	c.Flags().Uint64Var(&o.seed, "seed", 1, "the first run's seed; the next ones follow")
-	c.Flags().BoolVar(&o.asJSON, "json", false, "print the last line only")
-	return c
+	command.Flags().IntVar(&options.runs, "runs", runs, "how many runs")
+	command.Flags().IntVar(&options.parallel, "parallel", parallel, "runs at a time")
+	command.Flags().Uint64Var(&options.seed, "seed", 1, "the first run's seed; the next ones follow")
+	command.Flags().BoolVar(&options.asJSON, "json", false, "print the last line only")
+	return command
 }
 
 // runOutcome is what a run showed.
@@ -67,21 +67,21 @@
 
 // executeRuns plays the runs, some at a time, and tells of each. The files of a run that broke
 // something stay. take is called with each run's number, one call at a time.
-func (o runOptions) executeRuns(ctx context.Context, out io.Writer, name string, play func(bin, dir string, seed uint64) (take func(), r runOutcome)) (runTotals, error) {
-	t := runTotals{Runs: o.runs, Seed: o.seed}
+func (options runOptions) executeRuns(ctx context.Context, out io.Writer, name string, execute func(bin, dir string, seed uint64) (collect func(), r runOutcome)) (runTotals, error) {
+	totals := runTotals{Runs: options.runs, Seed: options.seed}
 	bin, err := buildPrograms(ctx)
 	if err != nil {
-		return t, err
+		return totals, err
 	}
 	defer os.RemoveAll(bin)
-	slots := make(chan struct{}, o.parallel)
+	slots := make(chan struct{}, options.parallel)
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	for i := range o.runs {
+	for i := range options.runs {
 		slots <- struct{}{}
 		if ctx.Err() != nil {
 			mu.Lock()
-			t.Failed += o.runs - i // they were not begun
+			totals.Failed += options.runs - i // they were not begun
 			mu.Unlock()
 			break
 		}
@@ -90,28 +90,28 @@
 			defer wg.Done()
 			defer func() { <-slots }()
 			dir, err := os.MkdirTemp("", "lab-"+name+"-")
-			take, r := func() {}, runOutcome{err: err}
+			collect, outcome := func() {}, runOutcome{err: err}
 			if err == nil {
-				take, r = play(bin, dir, o.seed+uint64(i))
+				collect, outcome = execute(bin, dir, options.seed+uint64(i))
 			}
 			mu.Lock()
 			defer mu.Unlock()
 			switch {
-			case r.err != nil:
-				t.Failed++
-				r.summary = fmt.Sprintf("%v (files in %s)", r.err, dir)
-			case len(r.violations) > 0:
-				t.Broken++
-				r.summary = fmt.Sprintf("BROKEN %s (files in %s)", strings.Join(r.violations[:min(8, len(r.violations))], "; "), dir)
-			case !o.keepFiles:
+			case outcome.err != nil:
+				totals.Failed++
+				outcome.summary = fmt.Sprintf("%v (files in %s)", outcome.err, dir)
+			case len(outcome.violations) > 0:
+				totals.Broken++
+				outcome.summary = fmt.Sprintf("BROKEN %s (files in %s)", strings.Join(outcome.violations[:min(8, len(outcome.violations))], "; "), dir)
+			case !options.keepFiles:
 				os.RemoveAll(dir)
 			}
-			if !o.asJSON {
-				fmt.Fprintf(out, "run %d, seed %d: %s\n", i+1, o.seed+uint64(i), r.summary)
+			if !options.asJSON {
+				fmt.Fprintf(out, "run %d, seed %d: %s\n", i+1, options.seed+uint64(i), outcome.summary)
 			}
-			take()
+			collect()
 		}()
 	}
 	wg.Wait()
-	return t, nil
+	return totals, nil
 }
--- a/cmd/lab/standby.go
+++ b/cmd/lab/standby.go
@@ -27,20 +27,20 @@
 }
 
 // partitionOwners asks a controller who holds each share.
-func (f *testSite) partitionOwners(ctx context.Context, api string) (map[int]string, error) {
-	var s node.Status
-	status, data, err := f.call(ctx, "GET", api, "/admin/status", nil)
+func (site *testSite) partitionOwners(ctx context.Context, api string) (map[int]string, error) {
+	var nodeStatus node.Status
+	status, body, err := site.call(ctx, "GET", api, "/admin/status", nil)
 	if err == nil && status != 200 {
 		err = fmt.Errorf("status %d", status)
 	}
 	if err == nil {
-		err = json.Unmarshal(data, &s)
+		err = json.Unmarshal(body, &nodeStatus)
 	}
-	out := map[int]string{}
-	for _, sh := range s.Shares {
-		out[sh.Share] = sh.Holder
+	owners := map[int]string{}
+	for _, partition := range nodeStatus.Shares {
+		owners[partition.Share] = partition.Holder
 	}
-	return out, err
+	return owners, err
 }
 
 // standbyRun is a run under way.
@@ -51,27 +51,27 @@
 	tasks map[string]int // by job
 }
 
-func executeStandbyRun(ctx context.Context, bin, dir string, seed uint64, turns int, causes []string, t times) *standbyResult {
-	r := &standbyResult{ownerlessTimes: map[string][]time.Duration{}}
-	f, err := startTestSite(ctx, bin, dir, 24, t)
-	defer f.end()
+func executeStandbyRun(ctx context.Context, bin, dir string, seed uint64, failures int, causes []string, timing times) *standbyResult {
+	result := &standbyResult{ownerlessTimes: map[string][]time.Duration{}}
+	site, err := startTestSite(ctx, bin, dir, 24, timing)
+	defer site.end()
 	if err != nil {
-		r.err = err
-		return r
+		result.err = err
+		return result
 	}
-	run := &standbyRun{standbyResult: r, site: f, rng: rand.New(rand.NewPCG(seed, 53)), tasks: map[string]int{}}
+	run := &standbyRun{standbyResult: result, site: site, rng: rand.New(rand.NewPCG(seed, 53)), tasks: map[string]int{}}
 	order := run.rng.Perm(len(causes))
-	for turn := range turns {
-		if !run.failController(ctx, causes[order[turn%len(order)]]) {
-			return r
+	for failure := range failures {
+		if !run.failController(ctx, causes[order[failure%len(order)]]) {
+			return result
 		}
 	}
-	wrong, _, err := f.awaitJobsDone(ctx, run.tasks)
-	r.violations = append(r.violations, wrong...)
+	wrong, _, err := site.awaitJobsDone(ctx, run.tasks)
+	result.violations = append(result.violations, wrong...)
 	if err != nil {
-		r.err = err
+		result.err = err
 	}
-	return r
+	return result
 }
 
 func (r *standbyRun) submit(ctx context.Context) {
@@ -95,30 +95,30 @@
 	}
 	// Its standby must have been told of it for a while, and its share served.
 	time.Sleep(randomDuration(r.rng, 5500*time.Millisecond, 6500*time.Millisecond))
-	i := r.rng.IntN(2)
-	name, other := fmt.Sprint("n-", i), r.site.apis[1-i]
-	p := r.site.process(name)
-	before, err := r.site.partitionOwners(ctx, other)
-	if err != nil || before[0] == before[1] {
+	failedNode := r.rng.IntN(2)
+	name, otherAPI := fmt.Sprint("n-", failedNode), r.site.apis[1-failedNode]
+	process := r.site.process(name)
+	ownersBefore, err := r.site.partitionOwners(ctx, otherAPI)
+	if err != nil || ownersBefore[0] == ownersBefore[1] {
 		return true
 	}
-	began := time.Now()
-	if err := failProcess(p, cause); err != nil {
+	failedAt := time.Now()
+	if err := failProcess(process, cause); err != nil {
 		r.err = err
 		return false
 	}
-	if !waitUntil(ctx, 12*time.Second, func() bool { return r.takenOver(ctx, name, other, cause, before) }) {
+	if !waitUntil(ctx, 12*time.Second, func() bool { return r.takenOver(ctx, name, otherAPI, cause, ownersBefore) }) {
 		r.violations = append(r.violations, fmt.Sprintf("%s %s: its share has nobody after 12 s", name, cause))
 		return false
 	}
-	r.ownerlessTimes[cause] = append(r.ownerlessTimes[cause], time.Since(began))
+	r.ownerlessTimes[cause] = append(r.ownerlessTimes[cause], time.Since(failedAt))
 	r.submit(ctx)
 	time.Sleep(randomDuration(r.rng, 500*time.Millisecond, 2*time.Second))
-	p.signal(syscall.SIGCONT)
+	process.signal(syscall.SIGCONT)
 	if cause == "left" {
-		p.kill() // it has ended; this takes note
+		process.kill() // it has ended; this takes note
 	}
-	if err := p.start(); err != nil {
+	if err := process.start(); err != nil {
 		r.err = err
 		return false
 	}
@@ -127,43 +127,43 @@
 
 // eachOwnsOnePartition says whether each controller holds one of the two shares.
 func (r *standbyRun) eachOwnsOnePartition(ctx context.Context) bool {
-	h, err := r.site.partitionOwners(ctx, r.site.apis[0])
-	return err == nil && h[0] != "" && h[1] != "" && h[0] != h[1]
+	owners, err := r.site.partitionOwners(ctx, r.site.apis[0])
+	return err == nil && owners[0] != "" && owners[1] != "" && owners[0] != owners[1]
 }
 
 // failProcess makes a controller go.
-func failProcess(p *process, cause string) error {
+func failProcess(process *process, cause string) error {
 	switch cause {
 	case "killed":
-		p.kill()
+		process.kill()
 	case "left":
-		p.signal(syscall.SIGTERM)
+		process.signal(syscall.SIGTERM)
 	case "stood_still":
-		p.signal(syscall.SIGSTOP)
+		process.signal(syscall.SIGSTOP)
 	case "restarted_at_once":
-		p.kill()
-		return p.start()
+		process.kill()
+		return process.start()
 	}
 	return nil
 }
 
 // takenOver says whether, as the other controller tells, what a controller held before is
 // held again.
-func (r *standbyRun) takenOver(ctx context.Context, name, other, cause string, before map[int]string) bool {
-	holders, err := r.site.partitionOwners(ctx, other)
+func (r *standbyRun) takenOver(ctx context.Context, name, otherAPI, cause string, ownersBefore map[int]string) bool {
+	owners, err := r.site.partitionOwners(ctx, otherAPI)
 	if err != nil {
 		return false
 	}
-	for share, was := range before {
-		if was != name {
+	for partition, previousOwner := range ownersBefore {
+		if previousOwner != name {
 			continue
 		}
 		if cause == "restarted_at_once" {
 			// It may have its share back in its new life, or the other one has it.
-			if s, ok := r.site.partitionStatuses(ctx); !ok || s[share].Phase == "" {
+			if statuses, ok := r.site.partitionStatuses(ctx); !ok || statuses[partition].Phase == "" {
 				return false
 			}
-		} else if holders[share] == name || holders[share] == "" {
+		} else if owners[partition] == name || owners[partition] == "" {
 			return false
 		}
 	}
@@ -171,82 +171,82 @@
 }
 
 func standbyProofCommand() *cobra.Command {
-	turns, before, place := 4, "", false
-	c := newProofCommand("standby", "Kill, stop and restart a holder, and measure until its standby has the share", 4, 4, func(ctx context.Context, out io.Writer, o runOptions) error {
-		if err := checkRange("turns", turns, 1, 100); err != nil {
+	failures, oldBinaries, mixedMachines := 4, "", false
+	command := newProofCommand("standby", "Kill, stop and restart a holder, and measure until its standby has the share", 4, 4, func(ctx context.Context, out io.Writer, options runOptions) error {
+		if err := checkRange("turns", failures, 1, 100); err != nil {
 			return err
 		}
-		return proveStandby(ctx, out, o, turns, before, place)
+		return proveStandby(ctx, out, options, failures, oldBinaries, mixedMachines)
 	})
-	c.Flags().IntVar(&turns, "turns", turns, "times that a controller goes in a run")
-	addPlaceFlag(c, &place)
-	c.Flags().StringVar(&before, "before", before, "a folder with an earlier version of dapplestage and today's standin, to be measured in turn")
-	return c
+	command.Flags().IntVar(&failures, "turns", failures, "times that a controller goes in a run")
+	addPlaceFlag(command, &mixedMachines)
+	command.Flags().StringVar(&oldBinaries, "before", oldBinaries, "a folder with an earlier version of dapplestage and today's standin, to be measured in turn")
+	return command
 }
 
-func proveStandby(ctx context.Context, out io.Writer, o runOptions, turns int, before string, place bool) error {
-	times := restartTimes
-	times.mixedMachines = place
+func proveStandby(ctx context.Context, out io.Writer, options runOptions, failures int, oldBinaries string, mixedMachines bool) error {
+	timing := restartTimes
+	timing.mixedMachines = mixedMachines
 	type quantiles struct {
 		Count  int64   `json:"count"`
 		Median float64 `json:"median_s"`
 		P95    float64 `json:"p95_s"`
 		Max    float64 `json:"max_s"`
 	}
-	measure := func(old string) (runTotals, map[string]quantiles, error) {
+	measure := func(oldBin string) (runTotals, map[string]quantiles, error) {
 		byCause := map[string]latencies{}
-		t, err := o.executeRuns(ctx, out, "standby", func(bin, dir string, seed uint64) (func(), runOutcome) {
+		totals, err := options.executeRuns(ctx, out, "standby", func(bin, dir string, seed uint64) (func(), runOutcome) {
 			causes := standbyCauses
-			if old != "" {
+			if oldBin != "" {
 				// With a stand-in that knows today's flags. Whether a node serves its share
 				// in a new life is not told by earlier versions.
-				bin, causes = old, causes[:3]
+				bin, causes = oldBin, causes[:3]
 			}
-			r := executeStandbyRun(ctx, bin, dir, seed, turns, causes, times)
-			var text []string
-			for _, c := range standbyCauses {
-				if r.ownerlessTimes[c] != nil {
-					text = append(text, fmt.Sprint(c, " ", r.ownerlessTimes[c]))
+			result := executeStandbyRun(ctx, bin, dir, seed, failures, causes, timing)
+			var summary []string
+			for _, cause := range standbyCauses {
+				if result.ownerlessTimes[cause] != nil {
+					summary = append(summary, fmt.Sprint(cause, " ", result.ownerlessTimes[cause]))
 				}
 			}
 			return func() {
-				for c, gaps := range r.ownerlessTimes {
-					if _, known := byCause[c]; !known {
-						byCause[c] = newLatencies()
+				for cause, durations := range result.ownerlessTimes {
+					if _, known := byCause[cause]; !known {
+						byCause[cause] = newLatencies()
 					}
-					byCause[c].record(gaps...)
+					byCause[cause].record(durations...)
 				}
-			}, runOutcome{strings.Join(text, ", "), r.violations, r.err}
+			}, runOutcome{strings.Join(summary, ", "), result.violations, result.err}
 		})
-		told := map[string]quantiles{}
-		for c, l := range byCause {
-			told[c] = quantiles{l.count(), l.quantileSeconds(50), l.quantileSeconds(95), l.maxSeconds()}
+		byCauseQuantiles := map[string]quantiles{}
+		for cause, durations := range byCause {
+			byCauseQuantiles[cause] = quantiles{durations.count(), durations.quantileSeconds(50), durations.quantileSeconds(95), durations.maxSeconds()}
 		}
-		return t, told, err
+		return totals, byCauseQuantiles, err
 	}
-	s := struct {
+	figures := struct {
 		runTotals
 		Gaps   map[string]quantiles `json:"share_without_holder"`
 		Before map[string]quantiles `json:"before,omitempty"`
 		Old    *runTotals           `json:"before_runs,omitempty"`
 	}{}
 	var err error
-	if s.runTotals, s.Gaps, err = measure(""); err != nil {
+	if figures.runTotals, figures.Gaps, err = measure(""); err != nil {
 		return err
 	}
-	if before != "" {
-		old, err := filepath.Abs(before)
+	if oldBinaries != "" {
+		absolute, err := filepath.Abs(oldBinaries)
 		if err != nil {
 			return err
 		}
-		var t runTotals
-		if t, s.Before, err = measure(old); err != nil {
+		var oldTotals runTotals
+		if oldTotals, figures.Before, err = measure(absolute); err != nil {
 			return err
 		}
-		s.Old = &t
+		figures.Old = &oldTotals
 	}
-	if err := printFigures(out, s); err != nil {
+	if err := printFigures(out, figures); err != nil {
 		return err
 	}
-	return s.err()
+	return figures.err()
 }
--- a/cmd/lab/start.go
+++ b/cmd/lab/start.go
@@ -19,7 +19,7 @@
 
 // restartTimes are those of a site whose controllers all go down: a worker's lease
 // outlives the time without any of them.
-var restartTimes = times{workersLease: 9, reportInterval: 1.5, cancelBound: 22, writeRPS: 150, maxTeamGPUs: 4000}
+var restartTimes = times{workerLease: 9, reportInterval: 1.5, cancelBound: 22, writeRPS: 150, maxTeamGPUs: 4000}
 
 // startResult is what a run showed.
 type startResult struct {
@@ -31,74 +31,74 @@
 }
 
 // partitionStatuses asks all controllers how far the shares are; false if one does not answer.
-func (f *testSite) partitionStatuses(ctx context.Context) (map[int]node.PartitionStatus, bool) {
-	out := map[int]node.PartitionStatus{}
-	for i, api := range f.apis {
-		var s node.Status
-		status, data, err := f.call(ctx, "GET", api, "/admin/status", nil)
-		if err != nil || status != 200 || json.Unmarshal(data, &s) != nil {
+func (site *testSite) partitionStatuses(ctx context.Context) (map[int]node.PartitionStatus, bool) {
+	statuses := map[int]node.PartitionStatus{}
+	for i, api := range site.apis {
+		var nodeStatus node.Status
+		status, body, err := site.call(ctx, "GET", api, "/admin/status", nil)
+		if err != nil || status != 200 || json.Unmarshal(body, &nodeStatus) != nil {
 			return nil, false
 		}
-		for _, sh := range s.Shares {
-			if sh.Holder == fmt.Sprint("n-", i) && sh.Phase != "" {
-				out[sh.Share] = sh
+		for _, partition := range nodeStatus.Shares {
+			if partition.Holder == fmt.Sprint("n-", i) && partition.Phase != "" {
+				statuses[partition.Share] = partition
 			}
 		}
 	}
-	return out, true
+	return statuses, true
 }
 
 // countOrders reads what each controller has ordered since its start.
-func (f *testSite) countOrders(ctx context.Context, r *startResult) {
-	for _, api := range f.apis {
-		_, data, err := f.call(ctx, "GET", api, "/metrics", nil)
+func (site *testSite) countOrders(ctx context.Context, result *startResult) {
+	for _, api := range site.apis {
+		_, body, err := site.call(ctx, "GET", api, "/metrics", nil)
 		if err != nil {
 			continue
 		}
-		p := expfmt.NewTextParser(model.UTF8Validation)
-		families, err := p.TextToMetricFamilies(strings.NewReader(string(data)))
+		parser := expfmt.NewTextParser(model.UTF8Validation)
+		families, err := parser.TextToMetricFamilies(strings.NewReader(string(body)))
 		if err != nil {
-			r.violations = append(r.violations, "metrics: "+err.Error())
+			result.violations = append(result.violations, "metrics: "+err.Error())
 			continue
 		}
-		for _, m := range families["dapplestage_orders_total"].GetMetric() {
-			l := map[string]string{}
-			for _, p := range m.GetLabel() {
-				l[p.GetName()] = p.GetValue()
+		for _, metric := range families["dapplestage_orders_total"].GetMetric() {
+			labels := map[string]string{}
+			for _, label := range metric.GetLabel() {
+				labels[label.GetName()] = label.GetValue()
 			}
-			into := r.ordersGiven
-			if l["outcome"] == "held_back" {
-				into = r.ordersHeldBack
+			counts := result.ordersGiven
+			if labels["outcome"] == "held_back" {
+				counts = result.ordersHeldBack
 			}
-			into[l["order"]] += int(m.GetCounter().GetValue())
+			counts[labels["order"]] += int(metric.GetCounter().GetValue())
 		}
 	}
 }
 
 // checkTaskEvents says what machines ran twice at once, and what is called done and is not.
 func checkTaskEvents(events []machineEvent, tasks map[string]int, done map[string]bool) (wrong []string, ended int) {
-	on := map[string]string{}
-	finished := map[string]map[string]bool{}
-	for _, e := range events {
-		job, _, ok := protocol.ParseTaskID(e.Task)
+	runningOn := map[string]string{}
+	completedByJob := map[string]map[string]bool{}
+	for _, event := range events {
+		job, _, ok := protocol.ParseTaskID(event.Task)
 		if !ok {
 			continue
 		}
-		switch e.Event {
+		switch event.Event {
 		case "start":
-			if m := on[e.Task]; m != "" && m != e.Machine {
-				wrong = append(wrong, fmt.Sprintf("%s started on %s while on %s", e.Task, e.Machine, m))
+			if current := runningOn[event.Task]; current != "" && current != event.Machine {
+				wrong = append(wrong, fmt.Sprintf("%s started on %s while on %s", event.Task, event.Machine, current))
 			}
-			on[e.Task] = e.Machine
+			runningOn[event.Task] = event.Machine
 		case "done":
-			if finished[job] == nil {
-				finished[job] = map[string]bool{}
+			if completedByJob[job] == nil {
+				completedByJob[job] = map[string]bool{}
 			}
-			finished[job][e.Task] = true
-			delete(on, e.Task)
+			completedByJob[job][event.Task] = true
+			delete(runningOn, event.Task)
 		default:
-			if on[e.Task] == e.Machine {
-				delete(on, e.Task)
+			if runningOn[event.Task] == event.Machine {
+				delete(runningOn, event.Task)
 			}
 			if isService(job) {
 				ended++
@@ -106,8 +106,8 @@
 		}
 	}
 	for id := range done {
-		if len(finished[id]) < tasks[id] {
-			wrong = append(wrong, fmt.Sprintf("%s is called done with %d of %d tasks", id, len(finished[id]), tasks[id]))
+		if len(completedByJob[id]) < tasks[id] {
+			wrong = append(wrong, fmt.Sprintf("%s is called done with %d of %d tasks", id, len(completedByJob[id]), tasks[id]))
 		}
 	}
 	return wrong, ended
@@ -122,39 +122,39 @@
 	shortJobs int
 }
 
-func executeStartRun(ctx context.Context, bin, dir string, seed uint64, machines, starts int, t times) *startResult {
-	r := &startResult{ordersGiven: map[string]int{}, ordersHeldBack: map[string]int{}}
-	f, err := startTestSite(ctx, bin, dir, machines, t)
-	defer f.end()
+func executeStartRun(ctx context.Context, bin, dir string, seed uint64, machines, starts int, timing times) *startResult {
+	result := &startResult{ordersGiven: map[string]int{}, ordersHeldBack: map[string]int{}}
+	site, err := startTestSite(ctx, bin, dir, machines, timing)
+	defer site.end()
 	if err != nil {
-		r.err = err
-		return r
+		result.err = err
+		return result
 	}
-	run := &startRun{startResult: r, site: f, rng: rand.New(rand.NewPCG(seed, 41)), tasks: map[string]int{}}
+	run := &startRun{startResult: result, site: site, rng: rand.New(rand.NewPCG(seed, 41)), tasks: map[string]int{}}
 	if !run.startServices(ctx, machines) {
-		r.err = fmt.Errorf("the services did not start")
-		return r
+		result.err = fmt.Errorf("the services did not start")
+		return result
 	}
 	for range starts {
 		if !run.restartControllers(ctx) || !run.awaitReconciled(ctx, time.Now()) {
-			return r
+			return result
 		}
 		time.Sleep(randomDuration(run.rng, time.Millisecond, 3*time.Second))
 	}
 	var wrong []string
-	wrong, r.serviceTasksEnded, err = f.awaitJobsDone(ctx, run.tasks)
-	r.violations = append(r.violations, wrong...)
+	wrong, result.serviceTasksEnded, err = site.awaitJobsDone(ctx, run.tasks)
+	result.violations = append(result.violations, wrong...)
 	if err != nil {
-		r.err = err
+		result.err = err
 	}
-	f.countOrders(ctx, r)
-	return r
+	site.countOrders(ctx, result)
+	return result
 }
 
-func (r *startRun) submit(ctx context.Context, id, shape string, n int, seconds float64) {
+func (r *startRun) submit(ctx context.Context, id, shape string, tasks int, seconds float64) {
 	team := []string{"red", "blue"}[len(r.tasks)%2]
-	r.tasks[id] = n
-	if err := r.site.submit(ctx, id, r.site.jobSubmission(id, team, shape, n, seconds)); err != nil && r.err == nil {
+	r.tasks[id] = tasks
+	if err := r.site.submit(ctx, id, r.site.jobSubmission(id, team, shape, tasks, seconds)); err != nil && r.err == nil {
 		r.err = err
 	}
 }
@@ -192,13 +192,13 @@
 	time.Sleep(randomDuration(r.rng, 200*time.Millisecond, 1500*time.Millisecond))
 	r.site.countOrders(ctx, r.startResult)
 	var nodes []*process
-	for _, p := range r.site.procs {
-		if strings.HasPrefix(p.name, "n-") {
-			nodes = append(nodes, p)
+	for _, process := range r.site.procs {
+		if strings.HasPrefix(process.name, "n-") {
+			nodes = append(nodes, process)
 		}
 	}
-	for _, p := range nodes {
-		p.kill()
+	for _, process := range nodes {
+		process.kill()
 		time.Sleep(randomDuration(r.rng, time.Millisecond, 300*time.Millisecond))
 	}
 	time.Sleep(randomDuration(r.rng, 200*time.Millisecond, 2*time.Second))
@@ -214,49 +214,49 @@
 
 // awaitReconciled measures from when the last process was back until both shares are served,
 // and half and all of their machines have spoken. It returns false if that takes too long.
-func (r *startRun) awaitReconciled(ctx context.Context, back time.Time) bool {
-	var serve, half, all time.Duration
+func (r *startRun) awaitReconciled(ctx context.Context, restartedAt time.Time) bool {
+	var serving, halfReconciled, reconciled time.Duration
 	if !waitUntil(ctx, 30*time.Second, func() bool {
-		shares, ok := r.site.partitionStatuses(ctx)
-		took := time.Since(back)
-		if !ok || len(shares) != 2 {
+		partitions, ok := r.site.partitionStatuses(ctx)
+		elapsed := time.Since(restartedAt)
+		if !ok || len(partitions) != 2 {
 			return false
 		}
-		unheard, total, serving := 0, 0, 0
-		for _, s := range shares {
-			unheard, total = unheard+s.Unheard, total+s.Machines
-			if s.Phase == "serving" {
-				serving++
+		awaitingReport, machines, servingPartitions := 0, 0, 0
+		for _, partition := range partitions {
+			awaitingReport, machines = awaitingReport+partition.Unheard, machines+partition.Machines
+			if partition.Phase == "serving" {
+				servingPartitions++
 			}
 		}
-		setOnce(&serve, took, serving == 2)
-		setOnce(&half, took, 2*unheard <= total)
-		setOnce(&all, took, unheard == 0)
-		return serve > 0 && half > 0 && all > 0
+		setOnce(&serving, elapsed, servingPartitions == 2)
+		setOnce(&halfReconciled, elapsed, 2*awaitingReport <= machines)
+		setOnce(&reconciled, elapsed, awaitingReport == 0)
+		return serving > 0 && halfReconciled > 0 && reconciled > 0
 	}) {
-		r.violations = append(r.violations, fmt.Sprintf("not squared 30 s after the processes were back (serving after %v, half after %v)", serve, half))
+		r.violations = append(r.violations, fmt.Sprintf("not squared 30 s after the processes were back (serving after %v, half after %v)", serving, halfReconciled))
 		return false
 	}
-	r.servingDelays, r.halfReconciledDelays, r.reconciledDelays = append(r.servingDelays, serve), append(r.halfReconciledDelays, half), append(r.reconciledDelays, all)
+	r.servingDelays, r.halfReconciledDelays, r.reconciledDelays = append(r.servingDelays, serving), append(r.halfReconciledDelays, halfReconciled), append(r.reconciledDelays, reconciled)
 	return true
 }
 
 // setOnce notes when something was so for the first time.
-func setOnce(at *time.Duration, now time.Duration, is bool) {
-	if is && *at == 0 {
-		*at = now
+func setOnce(target *time.Duration, elapsed time.Duration, reached bool) {
+	if reached && *target == 0 {
+		*target = elapsed
 	}
 }
 
 // awaitJobsDone waits until users are told that all jobs but services are done, and says what
 // was wrong of what they were told and what machines ran; ended is how many tasks of
 // services ended.
-func (f *testSite) awaitJobsDone(ctx context.Context, tasks map[string]int) (wrong []string, ended int, err error) {
-	done := map[string]bool{}
-	open := 0
+func (site *testSite) awaitJobsDone(ctx context.Context, tasks map[string]int) (wrong []string, ended int, err error) {
+	completed := map[string]bool{}
+	expected := 0
 	for id := range tasks {
 		if !isService(id) {
-			open++
+			expected++
 		}
 	}
 	waitUntil(ctx, 60*time.Second, func() bool {
@@ -264,62 +264,62 @@
 			if isService(id) {
 				continue
 			}
-			var s protocol.JobStatus
-			status, out, err := f.call(ctx, "GET", f.apis[len(done)%2], "/api/jobs/"+id, nil)
+			var job protocol.JobStatus
+			status, body, err := site.call(ctx, "GET", site.apis[len(completed)%2], "/api/jobs/"+id, nil)
 			switch {
 			case err != nil:
 			case status == 404:
 				wrong = append(wrong, id+" is forgotten")
-			case status == 200 && json.Unmarshal(out, &s) == nil && s.Status == protocol.JobDone:
-				done[id] = true
-			case done[id] && status == 200:
-				wrong = append(wrong, fmt.Sprintf("%s went back to %s", id, s.Status))
+			case status == 200 && json.Unmarshal(body, &job) == nil && job.Status == protocol.JobDone:
+				completed[id] = true
+			case completed[id] && status == 200:
+				wrong = append(wrong, fmt.Sprintf("%s went back to %s", id, job.Status))
 			}
 		}
-		return len(done) == open || len(wrong) > 0
+		return len(completed) == expected || len(wrong) > 0
 	})
-	if len(done) < open {
-		wrong = append(wrong, fmt.Sprintf("%d of %d jobs never ended", open-len(done), open))
+	if len(completed) < expected {
+		wrong = append(wrong, fmt.Sprintf("%d of %d jobs never ended", expected-len(completed), expected))
 	}
-	events, err := readMachineEvents(f.eventsPath)
+	events, err := readMachineEvents(site.eventsPath)
 	if err != nil {
 		return wrong, 0, err
 	}
-	more, ended := checkTaskEvents(events, tasks, done)
-	return append(wrong, more...), ended, nil
+	eventViolations, ended := checkTaskEvents(events, tasks, completed)
+	return append(wrong, eventViolations...), ended, nil
 }
 
 // isService says whether a job of a run is a service, by its name.
 func isService(id string) bool { return strings.HasPrefix(id, "job-8") }
 
 func startProofCommand() *cobra.Command {
-	machines, starts, place := 60, 3, false
-	c := newProofCommand("start", "End all controllers again and again, and hold what they say and order to what machines ran", 4, 4, func(ctx context.Context, out io.Writer, o runOptions) error {
+	machines, starts, mixedMachines := 60, 3, false
+	command := newProofCommand("start", "End all controllers again and again, and hold what they say and order to what machines ran", 4, 4, func(ctx context.Context, out io.Writer, options runOptions) error {
 		if err := checkRange("machines", machines, 10, 1000); err != nil {
 			return err
 		}
 		if err := checkRange("starts", starts, 1, 50); err != nil {
 			return err
 		}
-		return proveStart(ctx, out, o, machines, starts, place)
+		return proveStart(ctx, out, options, machines, starts, mixedMachines)
 	})
-	c.Flags().IntVar(&machines, "machines", machines, "machines of a site")
-	addPlaceFlag(c, &place)
-	c.Flags().IntVar(&starts, "starts", starts, "times that all controllers end in a run")
-	return c
+	command.Flags().IntVar(&machines, "machines", machines, "machines of a site")
+	addPlaceFlag(command, &mixedMachines)
+	command.Flags().IntVar(&starts, "starts", starts, "times that all controllers end in a run")
+	return command
 }
 
 // addPlaceFlag lets a proof run at a place with several types of machine.
-func addPlaceFlag(c *cobra.Command, place *bool) {
-	c.Flags().BoolVar(place, "place", false, "several types of machine in three zones, 68 of which run before the controllers; gangs, and work without GPUs")
+func addPlaceFlag(command *cobra.Command, mixedMachines *bool) {
+	command.Flags().BoolVar(mixedMachines, "place", false, "several types of machine in three zones, 68 of which run before the controllers; gangs, and work without GPUs")
 }
 
-func proveStart(ctx context.Context, out io.Writer, o runOptions, machines, starts int, place bool) error {
+func proveStart(ctx context.Context, out io.Writer, options runOptions, machines, starts int, mixedMachines bool) error {
 	type quantiles struct {
 		Median float64 `json:"median_s"`
 		Max    float64 `json:"max_s"`
 	}
-	s := struct {
+	figures := struct {
 		runTotals
 		Machines int            `json:"machines"`
 		Place    bool           `json:"place"`
@@ -330,34 +330,34 @@
 		Given    map[string]int `json:"orders_given"`
 		Held     map[string]int `json:"orders_held_back"`
 		Ended    int            `json:"service_tasks_ended"`
-	}{Machines: machines, Place: place, Given: map[string]int{}, Held: map[string]int{}}
-	serve, half, all := newLatencies(), newLatencies(), newLatencies()
+	}{Machines: machines, Place: mixedMachines, Given: map[string]int{}, Held: map[string]int{}}
+	servingDelays, halfReconciledDelays, reconciledDelays := newLatencies(), newLatencies(), newLatencies()
 	var err error
-	t := restartTimes
-	t.mixedMachines = place
-	s.runTotals, err = o.executeRuns(ctx, out, "start", func(bin, dir string, seed uint64) (func(), runOutcome) {
-		r := executeStartRun(ctx, bin, dir, seed, machines, starts, t)
+	timing := restartTimes
+	timing.mixedMachines = mixedMachines
+	figures.runTotals, err = options.executeRuns(ctx, out, "start", func(bin, dir string, seed uint64) (func(), runOutcome) {
+		result := executeStartRun(ctx, bin, dir, seed, machines, starts, timing)
 		return func() {
-			s.Starts += len(r.reconciledDelays)
-			s.Ended += r.serviceTasksEnded
-			for k, n := range r.ordersGiven {
-				s.Given[k] += n
+			figures.Starts += len(result.reconciledDelays)
+			figures.Ended += result.serviceTasksEnded
+			for order, count := range result.ordersGiven {
+				figures.Given[order] += count
 			}
-			for k, n := range r.ordersHeldBack {
-				s.Held[k] += n
+			for order, count := range result.ordersHeldBack {
+				figures.Held[order] += count
 			}
-			serve.record(r.servingDelays...)
-			half.record(r.halfReconciledDelays...)
-			all.record(r.reconciledDelays...)
-		}, runOutcome{fmt.Sprintf("%d starts, all squared after %v, %d service tasks ended", len(r.reconciledDelays), r.reconciledDelays, r.serviceTasksEnded), r.violations, r.err}
+			servingDelays.record(result.servingDelays...)
+			halfReconciledDelays.record(result.halfReconciledDelays...)
+			reconciledDelays.record(result.reconciledDelays...)
+		}, runOutcome{fmt.Sprintf("%d starts, all squared after %v, %d service tasks ended", len(result.reconciledDelays), result.reconciledDelays, result.serviceTasksEnded), result.violations, result.err}
 	})
 	if err != nil {
 		return err
 	}
-	told := func(l latencies) quantiles { return quantiles{l.quantileSeconds(50), l.maxSeconds()} }
-	s.Serve, s.Half, s.All = told(serve), told(half), told(all)
-	if err := printFigures(out, s); err != nil {
+	toQuantiles := func(delays latencies) quantiles { return quantiles{delays.quantileSeconds(50), delays.maxSeconds()} }
+	figures.Serve, figures.Half, figures.All = toQuantiles(servingDelays), toQuantiles(halfReconciledDelays), toQuantiles(reconciledDelays)
+	if err := printFigures(out, figures); err != nil {
 		return err
 	}
-	return s.err()
+	return figures.err()
 }
--- a/cmd/lab/tickets_test.go
+++ b/cmd/lab/tickets_test.go
@@ -24,29 +24,29 @@
 		t.Fatal(err)
 	}
 	defer os.RemoveAll(bin)
-	r := comparePaths(ctx, bin, t.TempDir(), 3, classMaxRetries+1)
-	if r.err != nil {
-		t.Fatal(r.err)
+	comparison := comparePaths(ctx, bin, t.TempDir(), 3, classMaxRetries+1)
+	if comparison.err != nil {
+		t.Fatal(comparison.err)
 	}
-	if !slices.ContainsFunc(r.violations, func(s string) bool { return strings.Contains(s, "granted 3") && strings.Contains(s, "granted 4") }) {
-		t.Errorf("not found: %v", r.violations)
+	if !slices.ContainsFunc(comparison.violations, func(s string) bool { return strings.Contains(s, "granted 3") && strings.Contains(s, "granted 4") }) {
+		t.Errorf("not found: %v", comparison.violations)
 	}
 }
 
 // Two accounts that differ in one task's errors, order or end are told apart.
 func TestObservedLinesShowDifferences(t *testing.T) {
-	f := standin.NewFarm(5)
-	tk := &testTicket{id: "job-1", name: "t", maxRetries: 3, steps: []string{"s0 3", "s1 1 s0"}}
-	_, a, err := tk.admit()
+	plan := standin.NewFarm(5)
+	submitted := &testTicket{id: "job-1", name: "t", maxRetries: 3, steps: []string{"s0 3", "s1 1 s0"}}
+	_, admitted, err := submitted.admit()
 	if err != nil {
 		t.Fatal(err)
 	}
 	var events []machineEvent
 	at := int64(10)
-	for i, st := range a.Record.Steps {
-		for k := range st.Tasks {
-			id := protocol.TaskID(ticket.StepSpec(a.Record, i).ID, k)
-			for range f.Errors("t", st.Name, k) {
+	for i, step := range admitted.Record.Steps {
+		for k := range step.Tasks {
+			id := protocol.TaskID(ticket.StepSpec(admitted.Record, i).ID, k)
+			for range plan.Errors("t", step.Name, k) {
 				events = append(events, machineEvent{at, "start", id, "m"}, machineEvent{at + 1, "error", id, "m"})
 				at += 2
 			}
@@ -54,29 +54,29 @@
 			at += 2
 		}
 	}
-	told := &node.TicketStatus{JobStatus: protocol.JobStatus{ID: "job-1", Status: protocol.JobDone, Terms: &a.Record.Terms}}
-	for _, st := range a.Record.Steps {
-		told.Steps = append(told.Steps, node.StepStatus{Step: st.Name, Status: protocol.JobDone})
+	status := &node.TicketStatus{JobStatus: protocol.JobStatus{ID: "job-1", Status: protocol.JobDone, Terms: &admitted.Record.Terms}}
+	for _, step := range admitted.Record.Steps {
+		status.Steps = append(status.Steps, node.StepStatus{Step: step.Name, Status: protocol.JobDone})
 	}
-	want, err := tk.expectedLines(f)
+	expected, err := submitted.expectedLines(plan)
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := tk.observedLines(told, events)
-	if err != nil || len(diffLines("a", "b", got, want)) > 0 {
-		t.Fatalf("%v\n%v\n%v", err, got, want)
+	observed, err := submitted.observedLines(status, events)
+	if err != nil || len(diffLines("a", "b", observed, expected)) > 0 {
+		t.Fatalf("%v\n%v\n%v", err, observed, expected)
 	}
-	for name, other := range map[string][]machineEvent{
+	for name, otherEvents := range map[string][]machineEvent{
 		"one error more":   append(slices.Clone(events), machineEvent{at, "start", events[0].Task, "m"}, machineEvent{at + 1, "error", events[0].Task, "m"}),
 		"a task that ends": slices.DeleteFunc(slices.Clone(events), func(e machineEvent) bool { return e.Event == "done" && e.Task == events[0].Task }),
-		"out of order":     append([]machineEvent{{5, "start", protocol.TaskID(ticket.StepSpec(a.Record, 1).ID, 0), "m"}}, events...),
+		"out of order":     append([]machineEvent{{5, "start", protocol.TaskID(ticket.StepSpec(admitted.Record, 1).ID, 0), "m"}}, events...),
 	} {
-		if got, _ := tk.observedLines(told, other); len(diffLines("a", "b", got, want)) == 0 {
+		if got, _ := submitted.observedLines(status, otherEvents); len(diffLines("a", "b", got, expected)) == 0 {
 			t.Errorf("%s: not told apart", name)
 		}
 	}
-	told.Status = protocol.JobFailed
-	if got, _ := tk.observedLines(told, events); len(diffLines("a", "b", got, want)) == 0 {
+	status.Status = protocol.JobFailed
+	if got, _ := submitted.observedLines(status, events); len(diffLines("a", "b", got, expected)) == 0 {
 		t.Error("another answer: not told apart")
 	}
 }
--- a/cmd/lab/why.go
+++ b/cmd/lab/why.go
@@ -23,24 +23,24 @@
 	shape          string // shape of the job that waits
 	tasks          int
 	gpus           float64
-	establish      func(ctx context.Context, f *testSite, id string) error
-	release        func(ctx context.Context, f *testSite, id string) error
+	establish      func(ctx context.Context, site *testSite, id string) error
+	release        func(ctx context.Context, site *testSite, id string) error
 }
 
 // whyFarm is what conditions are made of.
-var whyTimes = times{workersLease: 2.5, reportInterval: 0.5, cancelBound: 14, writeRPS: 150, maxTeamGPUs: 8}
+var whyTimes = times{workerLease: 2.5, reportInterval: 0.5, cancelBound: 14, writeRPS: 150, maxTeamGPUs: 8}
 
-func changeSetting(ctx context.Context, f *testSite, name string, value any) error {
+func changeSetting(ctx context.Context, site *testSite, name string, value any) error {
 	for try := 0; ; try++ {
-		_, out, err := f.call(ctx, "GET", f.apis[try%2], "/admin/settings", nil)
-		var v struct{ Stamp uint64 }
+		_, response, err := site.call(ctx, "GET", site.apis[try%2], "/admin/settings", nil)
+		var settings struct{ Stamp uint64 }
 		if err == nil {
-			err = json.Unmarshal(out, &v)
+			err = json.Unmarshal(response, &settings)
 		}
 		status := 0
 		if err == nil {
-			body, _ := json.Marshal(map[string]any{"value": value, "stamp": v.Stamp})
-			status, _, err = f.call(ctx, "PUT", f.apis[try%2], "/admin/settings/"+name, body)
+			body, _ := json.Marshal(map[string]any{"value": value, "stamp": settings.Stamp})
+			status, _, err = site.call(ctx, "PUT", site.apis[try%2], "/admin/settings/"+name, body)
 		}
 		if err == nil && status == 200 {
 			return nil
@@ -52,54 +52,54 @@
 	}
 }
 
-func postToCloud(ctx context.Context, f *testSite, path string) error {
-	status, out, err := f.call(ctx, "POST", f.cloudAddr, path, nil)
+func postToCloud(ctx context.Context, site *testSite, path string) error {
+	status, response, err := site.call(ctx, "POST", site.cloudAddr, path, nil)
 	if err == nil && status != 200 {
-		err = fmt.Errorf("%s: %d %s", path, status, out)
+		err = fmt.Errorf("%s: %d %s", path, status, response)
 	}
 	return err
 }
 
-func cordonAll(ctx context.Context, f *testSite) error {
-	var list protocol.MachineList
-	_, out, err := f.call(ctx, "GET", f.cloudAddr, "/hosts", nil)
+func cordonAll(ctx context.Context, site *testSite) error {
+	var machines protocol.MachineList
+	_, response, err := site.call(ctx, "GET", site.cloudAddr, "/hosts", nil)
 	if err == nil {
-		err = json.Unmarshal(out, &list)
+		err = json.Unmarshal(response, &machines)
 	}
 	names := []string{}
-	for _, m := range list.Machines {
+	for _, m := range machines.Machines {
 		names = append(names, m.ID)
 	}
 	if err == nil && len(names) == 0 {
 		err = fmt.Errorf("no machines to hold back")
 	}
 	if err == nil {
-		err = changeSetting(ctx, f, "stop_rentals", true)
+		err = changeSetting(ctx, site, "stop_rentals", true)
 	}
 	if err == nil {
-		err = changeSetting(ctx, f, "held_back", names)
+		err = changeSetting(ctx, site, "held_back", names)
 	}
 	return err
 }
 
-func uncordonAll(ctx context.Context, f *testSite, _ string) error {
-	if err := changeSetting(ctx, f, "held_back", []string{}); err != nil {
+func uncordonAll(ctx context.Context, site *testSite, _ string) error {
+	if err := changeSetting(ctx, site, "held_back", []string{}); err != nil {
 		return err
 	}
-	return changeSetting(ctx, f, "stop_rentals", false)
+	return changeSetting(ctx, site, "stop_rentals", false)
 }
 
 // competingJobID is the id of the job that runs beside a condition's.
 func competingJobID(id string) string { return id + "9" }
 
-func cancelCompetingJob(ctx context.Context, f *testSite, id string) error {
+func cancelCompetingJob(ctx context.Context, site *testSite, id string) error {
 	for try := 0; ; try++ {
-		status, out, err := f.call(ctx, "POST", f.apis[try%2], "/api/jobs/"+competingJobID(id)+"/cancel", []byte("{}"))
+		status, response, err := site.call(ctx, "POST", site.apis[try%2], "/api/jobs/"+competingJobID(id)+"/cancel", []byte("{}"))
 		if err == nil && status == 200 {
 			return nil
 		}
 		if try > 50 || ctx.Err() != nil {
-			return fmt.Errorf("cancel: %d %s %v", status, out, err)
+			return fmt.Errorf("cancel: %d %s %v", status, response, err)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
@@ -108,14 +108,14 @@
 func noAction(context.Context, *testSite, string) error { return nil }
 
 func waitConditions() []waitCondition {
-	limit := func(n int) func(ctx context.Context, f *testSite, _ string) error {
-		return func(ctx context.Context, f *testSite, _ string) error {
-			return postToCloud(ctx, f, fmt.Sprint("/limit/", n))
+	limit := func(machines int) func(ctx context.Context, site *testSite, _ string) error {
+		return func(ctx context.Context, site *testSite, _ string) error {
+			return postToCloud(ctx, site, fmt.Sprint("/limit/", machines))
 		}
 	}
-	stop := func(s syscall.Signal, names ...string) func(ctx context.Context, f *testSite, id string) error {
-		return func(ctx context.Context, f *testSite, id string) error {
-			f.signal(s, names...)
+	signalNodes := func(signal syscall.Signal, names ...string) func(ctx context.Context, site *testSite, id string) error {
+		return func(ctx context.Context, site *testSite, id string) error {
+			site.signal(signal, names...)
 			return nil
 		}
 	}
@@ -123,75 +123,75 @@
 		{name: "team_limit", mustBeFirst: true, competingTasks: 8, tasks: 2, establish: noAction, release: cancelCompetingJob},
 		{name: "no_free_machine", competingTasks: 4, tasks: 1, establish: limit(1), release: cancelCompetingJob},
 		{name: "gang_incomplete", mustBeFirst: true, competingTasks: 2, shape: protocol.Gang, tasks: 4, establish: limit(1), release: cancelCompetingJob},
-		{name: "drained", mustBeFirst: true, competingTasks: 1, tasks: 2, establish: func(ctx context.Context, f *testSite, _ string) error { return cordonAll(ctx, f) }, release: uncordonAll},
-		{name: "rentals_stopped", tasks: 1, gpus: 4, competingTasks: 1, establish: func(ctx context.Context, f *testSite, _ string) error {
-			return changeSetting(ctx, f, "stop_rentals", true)
+		{name: "drained", mustBeFirst: true, competingTasks: 1, tasks: 2, establish: func(ctx context.Context, site *testSite, _ string) error { return cordonAll(ctx, site) }, release: uncordonAll},
+		{name: "rentals_stopped", tasks: 1, gpus: 4, competingTasks: 1, establish: func(ctx context.Context, site *testSite, _ string) error {
+			return changeSetting(ctx, site, "stop_rentals", true)
 		}, release: uncordonAll},
 		{name: "cloud_refused", tasks: 1, gpus: 4, competingTasks: 1, establish: limit(0), release: limit(24)},
-		{name: "fails_everywhere", tasks: 2, establish: func(ctx context.Context, f *testSite, id string) error {
-			return postToCloud(ctx, f, "/mistaken/"+id+"/true")
+		{name: "fails_everywhere", tasks: 2, establish: func(ctx context.Context, site *testSite, id string) error {
+			return postToCloud(ctx, site, "/mistaken/"+id+"/true")
 		},
-			release: func(ctx context.Context, f *testSite, id string) error {
-				return postToCloud(ctx, f, "/mistaken/"+id+"/false")
+			release: func(ctx context.Context, site *testSite, id string) error {
+				return postToCloud(ctx, site, "/mistaken/"+id+"/false")
 			}},
-		{name: "state_service_down", mustBeFirst: true, competingTasks: 1, tasks: 2, establish: func(ctx context.Context, f *testSite, _ string) error { return cordonAll(ctx, f) }, release: uncordonAll},
-		{name: "holder_silent", mustBeFirst: true, competingTasks: 1, tasks: 2, establish: func(ctx context.Context, f *testSite, _ string) error { return cordonAll(ctx, f) },
-			release: func(ctx context.Context, f *testSite, id string) error {
-				stop(syscall.SIGCONT, "n-0", "n-1")(ctx, f, id)
-				return uncordonAll(ctx, f, id)
+		{name: "state_service_down", mustBeFirst: true, competingTasks: 1, tasks: 2, establish: func(ctx context.Context, site *testSite, _ string) error { return cordonAll(ctx, site) }, release: uncordonAll},
+		{name: "holder_silent", mustBeFirst: true, competingTasks: 1, tasks: 2, establish: func(ctx context.Context, site *testSite, _ string) error { return cordonAll(ctx, site) },
+			release: func(ctx context.Context, site *testSite, id string) error {
+				signalNodes(syscall.SIGCONT, "n-0", "n-1")(ctx, site, id)
+				return uncordonAll(ctx, site, id)
 			}},
 	}
 }
 
 func (c *waitCondition) submission(id string, tasks int, seconds float64) []byte {
-	shape, cards := c.shape, c.gpus
+	shape, gpus := c.shape, c.gpus
 	if shape == "" {
 		shape = protocol.Array
 	}
-	if cards == 0 {
-		cards = 1
+	if gpus == 0 {
+		gpus = 1
 	}
-	return fmt.Appendf(nil, `{"id":%q,"lot":"proof","crew":"red","shape":%q,"urgency":"standard","pieces":%d,"vcpus":2.0,"cards":%g,"memGb":8.0,"bundle":"img-1","sizeGb":1.0,"together":false,"scatter":false,"loaners":true,"expectS":%g,"snapshotS":0.0,"storeS":0.0}`, id, shape, tasks, cards, seconds)
+	return fmt.Appendf(nil, `{"id":%q,"lot":"proof","crew":"red","shape":%q,"urgency":"standard","pieces":%d,"vcpus":2.0,"cards":%g,"memGb":8.0,"bundle":"img-1","sizeGb":1.0,"together":false,"scatter":false,"loaners":true,"expectS":%g,"snapshotS":0.0,"storeS":0.0}`, id, shape, tasks, gpus, seconds)
 }
 
-func (f *testSite) submit(ctx context.Context, id string, body []byte) error {
-	if _, _, err := f.call(ctx, "POST", f.cloudAddr, "/upload", body); err != nil {
+func (site *testSite) submit(ctx context.Context, id string, body []byte) error {
+	if _, _, err := site.call(ctx, "POST", site.cloudAddr, "/upload", body); err != nil {
 		return err
 	}
 	for try := 0; ; try++ {
-		status, out, err := f.call(ctx, "POST", f.apis[try%2], "/api/jobs", body)
+		status, response, err := site.call(ctx, "POST", site.apis[try%2], "/api/jobs", body)
 		if err == nil && status < 300 {
 			return nil
 		}
 		if try > 60 || ctx.Err() != nil {
-			return fmt.Errorf("%s: %d %s %v", id, status, out, err)
+			return fmt.Errorf("%s: %d %s %v", id, status, response, err)
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
 }
 
-func (f *testSite) runningTasks(ctx context.Context, id string) int {
-	n := 0
-	events, err := readMachineEvents(f.eventsPath)
+func (site *testSite) runningTasks(ctx context.Context, id string) int {
+	running := 0
+	events, err := readMachineEvents(site.eventsPath)
 	if err != nil {
 		return 0
 	}
-	for _, e := range events {
-		if job, _, ok := protocol.ParseTaskID(e.Task); ok && job == id {
-			switch e.Event {
+	for _, event := range events {
+		if job, _, ok := protocol.ParseTaskID(event.Task); ok && job == id {
+			switch event.Event {
 			case "start":
-				n++
+				running++
 			case "error":
-				n--
+				running--
 			}
 		}
 	}
-	return n
+	return running
 }
 
-func waitUntil(ctx context.Context, most time.Duration, done func() bool) bool {
-	for end := time.Now().Add(most); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(50 * time.Millisecond) {
-		if done() {
+func waitUntil(ctx context.Context, timeout time.Duration, condition func() bool) bool {
+	for end := time.Now().Add(timeout); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(50 * time.Millisecond) {
+		if condition() {
 			return true
 		}
 	}
@@ -209,124 +209,124 @@
 
 // verify builds a condition, holds what both nodes say to it, lifts it and waits for the
 // start.
-func (c *waitCondition) verify(ctx context.Context, f *testSite, id string, r *whyResult) error {
-	if err := c.prepare(ctx, f, id); err != nil {
+func (c *waitCondition) verify(ctx context.Context, site *testSite, id string, result *whyResult) error {
+	if err := c.prepare(ctx, site, id); err != nil {
 		return err
 	}
-	nodes, undo, err := c.suspendCause(ctx, f, id, r)
+	nodes, resume, err := c.suspendCause(ctx, site, id, result)
 	if err != nil {
 		return err
 	}
-	defer undo()
+	defer resume()
 	for _, api := range nodes {
-		c.check(ctx, f, api, id, r)
+		c.check(ctx, site, api, id, result)
 	}
-	f.procs[0].signal(syscall.SIGCONT)
-	if f.runningTasks(ctx, id) > 0 {
-		r.violations = append(r.violations, c.name+": started though it was said to wait")
+	site.procs[0].signal(syscall.SIGCONT)
+	if site.runningTasks(ctx, id) > 0 {
+		result.violations = append(result.violations, c.name+": started though it was said to wait")
 	}
-	if err := c.release(ctx, f, id); err != nil {
+	if err := c.release(ctx, site, id); err != nil {
 		return err
 	}
-	from := time.Now()
-	if !waitUntil(ctx, 60*time.Second, func() bool { return f.runningTasks(ctx, id) > 0 }) {
-		r.violations = append(r.violations, c.name+": not started after its release")
+	releasedAt := time.Now()
+	if !waitUntil(ctx, 60*time.Second, func() bool { return site.runningTasks(ctx, id) > 0 }) {
+		result.violations = append(result.violations, c.name+": not started after its release")
 	} else if c.name != "fails_everywhere" { // that waits for its next try, up to a minute
-		r.startDelays = append(r.startDelays, time.Since(from))
+		result.startDelays = append(result.startDelays, time.Since(releasedAt))
 	}
-	return c.restore(ctx, f, id)
+	return c.restore(ctx, site, id)
 }
 
 // prepare submits the job that is to wait, amid what makes it wait.
-func (c *waitCondition) prepare(ctx context.Context, f *testSite, id string) error {
+func (c *waitCondition) prepare(ctx context.Context, site *testSite, id string) error {
 	if c.competingTasks > 0 {
-		rival := waitCondition{}
-		if err := f.submit(ctx, competingJobID(id), rival.submission(competingJobID(id), c.competingTasks, 600)); err != nil {
+		competing := waitCondition{}
+		if err := site.submit(ctx, competingJobID(id), competing.submission(competingJobID(id), c.competingTasks, 600)); err != nil {
 			return err
 		}
-		if !waitUntil(ctx, 30*time.Second, func() bool { return f.runningTasks(ctx, competingJobID(id)) >= c.competingTasks }) {
+		if !waitUntil(ctx, 30*time.Second, func() bool { return site.runningTasks(ctx, competingJobID(id)) >= c.competingTasks }) {
 			return fmt.Errorf("%s: its rival did not start", c.name)
 		}
 	}
-	if err := c.establish(ctx, f, id); err != nil {
+	if err := c.establish(ctx, site, id); err != nil {
 		return err
 	}
 	time.Sleep(400 * time.Millisecond) // settings reach the nodes
-	return f.submit(ctx, id, c.submission(id, c.tasks, 600))
+	return site.submit(ctx, id, c.submission(id, c.tasks, 600))
 }
 
 // suspendCause stops the process that a condition is about, if it is about one. It returns the
 // nodes to be asked then, and what lets the process go on.
-func (c *waitCondition) suspendCause(ctx context.Context, f *testSite, id string, r *whyResult) (nodes []string, undo func(), err error) {
+func (c *waitCondition) suspendCause(ctx context.Context, site *testSite, id string, result *whyResult) (nodes []string, resume func(), err error) {
 	switch c.name {
 	case "state_service_down":
-		for _, api := range f.apis { // who does not know a job can't explain it in an outage
-			waitUntil(ctx, 5*time.Second, func() bool { w, err := f.explain(ctx, api, id, r); return err == nil && w.Waiting > 0 })
+		for _, api := range site.apis { // who does not know a job can't explain it in an outage
+			waitUntil(ctx, 5*time.Second, func() bool { explanation, err := site.explain(ctx, api, id, result); return err == nil && explanation.Waiting > 0 })
 		}
-		f.procs[0].signal(syscall.SIGSTOP)
+		site.procs[0].signal(syscall.SIGSTOP)
 		time.Sleep(3 * time.Second)
-		return f.apis, func() { f.procs[0].signal(syscall.SIGCONT) }, nil
+		return site.apis, func() { site.procs[0].signal(syscall.SIGCONT) }, nil
 	case "holder_silent":
 		time.Sleep(500 * time.Millisecond)
-		w, err := f.explain(ctx, f.apis[0], id, r)
+		explanation, err := site.explain(ctx, site.apis[0], id, result)
 		if err != nil {
 			return nil, nil, err
 		}
-		f.signal(syscall.SIGSTOP, w.Owner)
-		nodes = f.apis[:1]
-		if w.Owner == "n-0" {
-			nodes = f.apis[1:]
+		site.signal(syscall.SIGSTOP, explanation.Owner)
+		nodes = site.apis[:1]
+		if explanation.Owner == "n-0" {
+			nodes = site.apis[1:]
 		}
-		return nodes, func() { f.signal(syscall.SIGCONT, w.Owner) }, nil
+		return nodes, func() { site.signal(syscall.SIGCONT, explanation.Owner) }, nil
 	}
-	return f.apis, func() {}, nil
+	return site.apis, func() {}, nil
 }
 
 // explain asks a node why a job waits.
-func (f *testSite) explain(ctx context.Context, api, id string, r *whyResult) (*node.Explanation, error) {
-	var w node.Explanation
-	from := time.Now()
-	status, out, err := f.call(ctx, "GET", api, "/admin/why/"+id, nil)
+func (site *testSite) explain(ctx context.Context, api, id string, result *whyResult) (*node.Explanation, error) {
+	var explanation node.Explanation
+	sentAt := time.Now()
+	status, response, err := site.call(ctx, "GET", api, "/admin/why/"+id, nil)
 	if err == nil {
-		r.answerTimes = append(r.answerTimes, time.Since(from))
+		result.answerTimes = append(result.answerTimes, time.Since(sentAt))
 		if status != 200 {
-			return nil, fmt.Errorf("%d %s", status, out)
+			return nil, fmt.Errorf("%d %s", status, response)
 		}
-		err = json.Unmarshal(out, &w)
+		err = json.Unmarshal(response, &explanation)
 	}
-	return &w, err
+	return &explanation, err
 }
 
 // check holds what a node says to what was built.
-func (c *waitCondition) check(ctx context.Context, f *testSite, api, id string, r *whyResult) {
-	var w *node.Explanation
+func (c *waitCondition) check(ctx context.Context, site *testSite, api, id string, result *whyResult) {
+	var explanation *node.Explanation
 	var err error
-	r.checked++
+	result.checked++
 	if !waitUntil(ctx, c.answerTimeout(), func() bool {
-		w, err = f.explain(ctx, api, id, r)
-		return err == nil && c.namedBy(w)
+		explanation, err = site.explain(ctx, api, id, result)
+		return err == nil && c.namedBy(explanation)
 	}) {
-		said := fmt.Sprint(err)
-		if w != nil {
-			data, _ := json.Marshal(w)
-			said = string(data)
+		answer := fmt.Sprint(err)
+		if explanation != nil {
+			data, _ := json.Marshal(explanation)
+			answer = string(data)
 		}
-		r.violations = append(r.violations, fmt.Sprintf("%s: %s", c.name, said))
+		result.violations = append(result.violations, fmt.Sprintf("%s: %s", c.name, answer))
 		return
 	}
 	switch {
-	case c.name == "holder_silent" && w.Unknown == "":
-		r.violations = append(r.violations, c.name+": not told as unknown")
-	case c.name != "holder_silent" && len(w.Release) == 0:
-		r.violations = append(r.violations, c.name+": nothing is told to release it")
-	case c.name == "state_service_down" && w.StateAge < 2:
-		r.violations = append(r.violations, fmt.Sprintf("%s: told as if it were %.1f s old", c.name, w.StateAge))
+	case c.name == "holder_silent" && explanation.Unknown == "":
+		result.violations = append(result.violations, c.name+": not told as unknown")
+	case c.name != "holder_silent" && len(explanation.Release) == 0:
+		result.violations = append(result.violations, c.name+": nothing is told to release it")
+	case c.name == "state_service_down" && explanation.StateAge < 2:
+		result.violations = append(result.violations, fmt.Sprintf("%s: told as if it were %.1f s old", c.name, explanation.StateAge))
 	}
 }
 
 // namedBy says whether an answer names the condition, first if it must be.
-func (c *waitCondition) namedBy(w *node.Explanation) bool {
-	for i, cause := range w.Causes {
+func (c *waitCondition) namedBy(explanation *node.Explanation) bool {
+	for i, cause := range explanation.Causes {
 		if cause.Reason.String() == c.name {
 			return i == 0 || !c.mustBeFirst
 		}
@@ -349,14 +349,14 @@
 }
 
 // restore leaves a farm as it was found.
-func (c *waitCondition) restore(ctx context.Context, f *testSite, id string) error {
+func (c *waitCondition) restore(ctx context.Context, site *testSite, id string) error {
 	for _, job := range []string{id, competingJobID(id)} {
-		f.call(ctx, "POST", f.apis[0], "/api/jobs/"+job+"/cancel", []byte("{}"))
+		site.call(ctx, "POST", site.apis[0], "/api/jobs/"+job+"/cancel", []byte("{}"))
 	}
-	if err := postToCloud(ctx, f, "/limit/24"); err != nil {
+	if err := postToCloud(ctx, site, "/limit/24"); err != nil {
 		return err
 	}
-	return uncordonAll(ctx, f, id)
+	return uncordonAll(ctx, site, id)
 }
 
 func executeWhyRun(ctx context.Context, bin, dir string, seed uint64) *whyResult {
@@ -384,7 +384,7 @@
 	return newProofCommand("why", "Build each reason to wait with real controllers, check what is told, release it and time the start", 4, 4, proveWhy)
 }
 
-func proveWhy(ctx context.Context, out io.Writer, o runOptions) error {
+func proveWhy(ctx context.Context, out io.Writer, options runOptions) error {
 	sum := struct {
 		runTotals
 		Checked  int     `json:"answers_checked"`
@@ -395,7 +395,7 @@
 	}{}
 	starts, told := newLatencies(), newLatencies()
 	var err error
-	sum.runTotals, err = o.executeRuns(ctx, out, "why", func(bin, dir string, seed uint64) (func(), runOutcome) {
+	sum.runTotals, err = options.executeRuns(ctx, out, "why", func(bin, dir string, seed uint64) (func(), runOutcome) {
 		r := executeWhyRun(ctx, bin, dir, seed)
 		return func() {
 			sum.Checked, sum.Wrong = sum.Checked+r.checked, sum.Wrong+len(r.violations)
--- a/cmd/lab/world.go
+++ b/cmd/lab/world.go
@@ -30,11 +30,11 @@
 	if dir, err = os.MkdirTemp("", "lab-bin-"); err != nil {
 		return "", err
 	}
-	for _, p := range []string{"dapplestage", "standin"} {
-		cmd := exec.CommandContext(ctx, "go", "build", "-o", filepath.Join(dir, p), "dapplestage.example/dapplestage/cmd/"+p)
-		if out, err := cmd.CombinedOutput(); err != nil {
+	for _, program := range []string{"dapplestage", "standin"} {
+		command := exec.CommandContext(ctx, "go", "build", "-o", filepath.Join(dir, program), "dapplestage.example/dapplestage/cmd/"+program)
+		if output, err := command.CombinedOutput(); err != nil {
 			os.RemoveAll(dir)
-			return "", fmt.Errorf("building %s: %v\n%s", p, err, out)
+			return "", fmt.Errorf("building %s: %v\n%s", program, err, output)
 		}
 	}
 	return dir, nil
@@ -57,45 +57,45 @@
 	if p.cmd != nil {
 		return nil
 	}
-	out, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	logFile, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
-	cmd := exec.Command(p.bin, p.args...)
-	cmd.Stdout, cmd.Stderr = out, out
+	command := exec.Command(p.bin, p.args...)
+	command.Stdout, command.Stderr = logFile, logFile
 	// It ends with the lab, whatever happens to the lab.
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	cmd.Env = append(os.Environ(), "GOMAXPROCS=2")
-	if err := cmd.Start(); err != nil {
+	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	command.Env = append(os.Environ(), "GOMAXPROCS=2")
+	if err := command.Start(); err != nil {
 		return err
 	}
-	gone := make(chan struct{})
-	p.cmd, p.exited = cmd, gone
+	exited := make(chan struct{})
+	p.cmd, p.exited = command, exited
 	go func() {
-		cmd.Wait()
-		out.Close()
-		close(gone)
+		command.Wait()
+		logFile.Close()
+		close(exited)
 	}()
 	return nil
 }
 
 // signal sends a signal to the process that this lab started, if it runs.
-func (p *process) signal(s syscall.Signal) {
+func (p *process) signal(signal syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
-		p.cmd.Process.Signal(s)
+		p.cmd.Process.Signal(signal)
 	}
 }
 
 func (p *process) kill() {
 	p.mu.Lock()
-	cmd, gone := p.cmd, p.exited
+	command, exited := p.cmd, p.exited
 	p.cmd = nil
 	p.mu.Unlock()
-	if cmd != nil {
-		cmd.Process.Kill()
-		<-gone
+	if command != nil {
+		command.Process.Kill()
+		<-exited
 	}
 }
 
@@ -117,11 +117,11 @@
 	l := &link{listener: ln, target: to, changed: make(chan struct{}), conns: map[net.Conn]struct{}{}}
 	go func() {
 		for {
-			c, err := ln.Accept()
+			conn, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			go l.forward(c)
+			go l.forward(conn)
 		}
 	}()
 	return l, nil
@@ -131,57 +131,57 @@
 func (l *link) awaitHealed() {
 	for {
 		l.mu.Lock()
-		cut, wake := l.cut, l.changed
+		cut, changed := l.cut, l.changed
 		l.mu.Unlock()
 		if !cut {
 			return
 		}
-		<-wake
+		<-changed
 	}
 }
 
 // setCut cuts the link, so that what is sent is held, or heals it. With reset the held
 // bytes are dropped with their connections.
-func (l *link) setCut(cut, reset bool) {
+func (l *link) setCut(cut, dropHeld bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cut = cut
 	close(l.changed)
 	l.changed = make(chan struct{})
-	if reset {
+	if dropHeld {
 		for c := range l.conns {
 			c.Close()
 		}
 	}
 }
 
-func (l *link) forward(c net.Conn) {
-	defer c.Close()
+func (l *link) forward(client net.Conn) {
+	defer client.Close()
 	l.awaitHealed()
-	d, err := net.DialTimeout("tcp", l.target, 2*time.Second)
+	target, err := net.DialTimeout("tcp", l.target, 2*time.Second)
 	if err != nil {
 		return
 	}
-	defer d.Close()
+	defer target.Close()
 	l.mu.Lock()
-	l.conns[c], l.conns[d] = struct{}{}, struct{}{}
+	l.conns[client], l.conns[target] = struct{}{}, struct{}{}
 	l.mu.Unlock()
 	defer func() {
 		l.mu.Lock()
-		delete(l.conns, c)
-		delete(l.conns, d)
+		delete(l.conns, client)
+		delete(l.conns, target)
 		l.mu.Unlock()
 	}()
 	go func() {
-		io.Copy(c, d)
-		c.Close()
+		io.Copy(client, target)
+		client.Close()
 	}()
-	buf := make([]byte, 32<<10)
+	buffer := make([]byte, 32<<10)
 	for {
-		n, err := c.Read(buf)
+		n, err := client.Read(buffer)
 		if n > 0 {
 			l.awaitHealed()
-			if _, err := d.Write(buf[:n]); err != nil {
+			if _, err := target.Write(buffer[:n]); err != nil {
 				return
 			}
 		}
@@ -219,143 +219,143 @@
 
 // times of a world: shorter than a real deployment's, so that a handoff takes seconds.
 type times struct {
-	siteLease, controllers, workersLease, reportInterval, cancelBound float64
+	siteLease, controllerLease, workerLease, reportInterval, cancelBound float64
 	writeRPS                                                          float64
 	maxTeamGPUs                                                       float64 // of each team; 0: 400
 	maxInFlight                                                       int
 	mixedMachines                                                     bool // of a farm: several types of machine in three zones, some of which run already
 }
 
-var gatewayTimes = times{siteLease: 2, controllers: 1, workersLease: 2.5, reportInterval: 0.5, cancelBound: 14, writeRPS: 40, maxInFlight: 500}
+var gatewayTimes = times{siteLease: 2, controllerLease: 1, workerLease: 2.5, reportInterval: 0.5, cancelBound: 14, writeRPS: 40, maxInFlight: 500}
 
 // freeAddresses finds free ports; another program may take one before it is used, which
 // shows as a world that does not start.
 func freeAddresses(n int) ([]string, error) {
-	var lns []net.Listener
-	var out []string
+	var listeners []net.Listener
+	var addresses []string
 	for range n {
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return nil, err
 		}
-		lns = append(lns, ln)
-		out = append(out, ln.Addr().String())
+		listeners = append(listeners, listener)
+		addresses = append(addresses, listener.Addr().String())
 	}
-	for _, ln := range lns {
-		ln.Close()
+	for _, listener := range listeners {
+		listener.Close()
 	}
-	return out, nil
+	return addresses, nil
 }
 
 // startDeployment makes and starts a world; if it does not start, since another program took
 // one of its ports, it tries others.
-func startDeployment(ctx context.Context, bin, dir string, t times, machines int) (*deployment, error) {
+func startDeployment(ctx context.Context, bin, dir string, timing times, machines int) (*deployment, error) {
 	for try := 1; ; try++ {
-		sub := filepath.Join(dir, fmt.Sprint("world-", try))
-		if err := os.Mkdir(sub, 0o755); err != nil {
+		attemptDir := filepath.Join(dir, fmt.Sprint("world-", try))
+		if err := os.Mkdir(attemptDir, 0o755); err != nil {
 			return nil, err
 		}
-		w, err := newDeployment(bin, sub, t, machines)
+		d, err := newDeployment(bin, attemptDir, timing, machines)
 		if err != nil {
 			return nil, err
 		}
-		if err = w.start(ctx); err == nil {
-			return w, nil
+		if err = d.start(ctx); err == nil {
+			return d, nil
 		}
-		w.end()
+		d.end()
 		if try == 3 || ctx.Err() != nil {
 			return nil, err
 		}
 	}
 }
 
-func newDeployment(bin, dir string, t times, machines int) (*deployment, error) {
-	w := &deployment{dir: dir, bin: bin, links: map[[2]string]*link{}, members: []string{"gate", "quito", "xela"}, apiAddrs: map[string]string{},
+func newDeployment(bin, dir string, timing times, machines int) (*deployment, error) {
+	d := &deployment{dir: dir, bin: bin, links: map[[2]string]*link{}, members: []string{"gate", "quito", "xela"}, apiAddrs: map[string]string{},
 		http: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
 	keyDir := filepath.Join(dir, "keys")
 	if err := keys.MakeAuthority(keyDir, time.Now(), 10); err != nil {
 		return nil, err
 	}
-	for _, m := range w.members {
-		if err := keys.Issue(keyDir, m, time.Now(), 2); err != nil {
+	for _, member := range d.members {
+		if err := keys.Issue(keyDir, member, time.Now(), 2); err != nil {
 			return nil, err
 		}
 	}
-	addrs, err := freeAddresses(4 + 2*10)
+	addresses, err := freeAddresses(4 + 2*10)
 	if err != nil {
 		return nil, err
 	}
-	next := func() string { a := addrs[0]; addrs = addrs[1:]; return a }
-	listen := map[string]string{}
-	for _, m := range w.members {
-		listen[m] = next()
-		w.apiAddrs[m] = next()
-	}
-	w.gatewayAPI = w.apiAddrs["gate"]
-	for _, a := range w.members {
-		for _, b := range w.members {
-			if a != b {
-				if w.links[[2]string{a, b}], err = newLink(listen[b]); err != nil {
+	nextAddress := func() string { address := addresses[0]; addresses = addresses[1:]; return address }
+	listenAddrs := map[string]string{}
+	for _, member := range d.members {
+		listenAddrs[member] = nextAddress()
+		d.apiAddrs[member] = nextAddress()
+	}
+	d.gatewayAPI = d.apiAddrs["gate"]
+	for _, from := range d.members {
+		for _, to := range d.members {
+			if from != to {
+				if d.links[[2]string{from, to}], err = newLink(listenAddrs[to]); err != nil {
 					return nil, err
 				}
 			}
 		}
 	}
-	member := func(name, extra string) (string, error) {
-		var b strings.Builder
-		fmt.Fprintf(&b, "member = %q\nlisten = %q\napi_addr = %q\nlease_s = %g\ncontrollers_s = %g\nworkers_lease_s = %g\ncancel_s = %g\nin_flight = %d\n",
-			name, listen[name], w.apiAddrs[name], t.siteLease, t.controllers, t.workersLease, t.cancelBound, t.maxInFlight)
-		fmt.Fprintf(&b, "[keys]\ndir = %q\n[route]\nramp_s = 5.0\nmove_after_s = 20.0\nper_second = 2000.0\n%s", keyDir, extra)
-		for _, m := range w.members {
-			addr := listen[m]
-			if m != name {
-				addr = w.links[[2]string{name, m}].listener.Addr().String()
+	writeMemberSettings := func(name, extra string) (string, error) {
+		var settings strings.Builder
+		fmt.Fprintf(&settings, "member = %q\nlisten = %q\napi_addr = %q\nlease_s = %g\ncontrollers_s = %g\nworkers_lease_s = %g\ncancel_s = %g\nin_flight = %d\n",
+			name, listenAddrs[name], d.apiAddrs[name], timing.siteLease, timing.controllerLease, timing.workerLease, timing.cancelBound, timing.maxInFlight)
+		fmt.Fprintf(&settings, "[keys]\ndir = %q\n[route]\nramp_s = 5.0\nmove_after_s = 20.0\nper_second = 2000.0\n%s", keyDir, extra)
+		for _, member := range d.members {
+			addr := listenAddrs[member]
+			if member != name {
+				addr = d.links[[2]string{name, member}].listener.Addr().String()
 			}
-			fmt.Fprintf(&b, "[[members]]\nname = %q\naddr = %q\nsite = %v\n", m, addr, m != "gate")
+			fmt.Fprintf(&settings, "[[members]]\nname = %q\naddr = %q\nsite = %v\n", member, addr, member != "gate")
 		}
 		path := filepath.Join(dir, name+".toml")
-		return path, os.WriteFile(path, []byte(b.String()), 0o644)
+		return path, os.WriteFile(path, []byte(settings.String()), 0o644)
 	}
-	proc := func(name, bin string, args ...string) *process {
-		p := &process{name: name, bin: filepath.Join(w.bin, bin), args: args, logPath: filepath.Join(dir, name+".log")}
-		w.processes = append(w.processes, p)
-		return p
+	addProcess := func(name, program string, args ...string) *process {
+		process := &process{name: name, bin: filepath.Join(d.bin, program), args: args, logPath: filepath.Join(dir, name+".log")}
+		d.processes = append(d.processes, process)
+		return process
 	}
-	path, err := member("gate", "[journal]\npath = \"gate.journal\"\n")
+	path, err := writeMemberSettings("gate", "[journal]\npath = \"gate.journal\"\n")
 	if err != nil {
 		return nil, err
 	}
-	w.gateway = proc("gate", "dapplestage", "gateway", "--config", path)
-	for _, name := range w.members[1:] {
-		s := &site{name: name, stateAddr: next(), cloudAddr: next(), localAddr: next(), daemonAPI: w.apiAddrs[name], eventsPath: filepath.Join(dir, name+".events")}
-		nodes := []string{"n-0", "n-1"}
-		s.controllerAPIs = []string{next(), next()}
-		peers := []string{next(), next()}
-		s.state = proc(name+"-state", "standin", "-state", s.stateAddr, "-cloud", "", "-nodes", "n-0="+s.controllerAPIs[0])
-		s.cloud = proc(name+"-cloud", "standin", "-state", "", "-cloud", s.cloudAddr, "-nodes", "n-0="+s.controllerAPIs[0]+",n-1="+s.controllerAPIs[1],
-			"-boot", "500ms", "-fetch", "200ms", "-lease", fmt.Sprint(t.workersLease), "-report", fmt.Sprint(t.reportInterval), "-zone", name, "-machines", fmt.Sprint(machines), "-events", s.eventsPath)
-		var settings string
-		for i, n := range nodes {
-			o := 1 - i
-			text := controllerSettings(n, nodes[o], name, name, s.controllerAPIs[i], peers[i], peers[o], s.cloudAddr, s.stateAddr, t)
-			settings = filepath.Join(dir, name+"-"+n+".toml")
-			if err := os.WriteFile(settings, []byte(text), 0o644); err != nil {
+	d.gateway = addProcess("gate", "dapplestage", "gateway", "--config", path)
+	for _, name := range d.members[1:] {
+		site := &site{name: name, stateAddr: nextAddress(), cloudAddr: nextAddress(), localAddr: nextAddress(), daemonAPI: d.apiAddrs[name], eventsPath: filepath.Join(dir, name+".events")}
+		nodeNames := []string{"n-0", "n-1"}
+		site.controllerAPIs = []string{nextAddress(), nextAddress()}
+		peerAddrs := []string{nextAddress(), nextAddress()}
+		site.state = addProcess(name+"-state", "standin", "-state", site.stateAddr, "-cloud", "", "-nodes", "n-0="+site.controllerAPIs[0])
+		site.cloud = addProcess(name+"-cloud", "standin", "-state", "", "-cloud", site.cloudAddr, "-nodes", "n-0="+site.controllerAPIs[0]+",n-1="+site.controllerAPIs[1],
+			"-boot", "500ms", "-fetch", "200ms", "-lease", fmt.Sprint(timing.workerLease), "-report", fmt.Sprint(timing.reportInterval), "-zone", name, "-machines", fmt.Sprint(machines), "-events", site.eventsPath)
+		var settingsPath string
+		for i, nodeName := range nodeNames {
+			other := 1 - i
+			controllerText := controllerSettings(nodeName, nodeNames[other], name, name, site.controllerAPIs[i], peerAddrs[i], peerAddrs[other], site.cloudAddr, site.stateAddr, timing)
+			settingsPath = filepath.Join(dir, name+"-"+nodeName+".toml")
+			if err := os.WriteFile(settingsPath, []byte(controllerText), 0o644); err != nil {
 				return nil, err
 			}
-			s.controllers = append(s.controllers, proc(name+"-"+n, "dapplestage", "--site-daemon", s.localAddr, "--config", settings))
+			site.controllers = append(site.controllers, addProcess(name+"-"+nodeName, "dapplestage", "--site-daemon", site.localAddr, "--config", settingsPath))
 		}
-		path, err := member(name, fmt.Sprintf("[site]\nsettings = %q\nlocal = %q\ncontrollers = [%q, %q]\n", settings, s.localAddr, s.controllerAPIs[0], s.controllerAPIs[1]))
+		path, err := writeMemberSettings(name, fmt.Sprintf("[site]\nsettings = %q\nlocal = %q\ncontrollers = [%q, %q]\n", settingsPath, site.localAddr, site.controllerAPIs[0], site.controllerAPIs[1]))
 		if err != nil {
 			return nil, err
 		}
-		s.daemon = proc(name, "dapplestage", "gateway", "--config", path)
-		w.sites = append(w.sites, s)
+		site.daemon = addProcess(name, "dapplestage", "gateway", "--config", path)
+		d.sites = append(d.sites, site)
 	}
-	return w, nil
+	return d, nil
 }
 
-func (w *deployment) site(name string) *site {
-	for _, s := range w.sites {
+func (d *deployment) site(name string) *site {
+	for _, s := range d.sites {
 		if s.name == name {
 			return s
 		}
@@ -363,17 +363,17 @@
 	return nil
 }
 
-func (w *deployment) member(name string) *process {
-	if s := w.site(name); s != nil {
+func (d *deployment) member(name string) *process {
+	if s := d.site(name); s != nil {
 		return s.daemon
 	}
-	return w.gateway
+	return d.gateway
 }
 
 // start starts everything, and waits until the gateway knows both sites.
-func (w *deployment) start(ctx context.Context) error {
-	for _, p := range w.processes {
-		if err := p.start(); err != nil {
+func (d *deployment) start(ctx context.Context) error {
+	for _, process := range d.processes {
+		if err := process.start(); err != nil {
 			return err
 		}
 	}
@@ -386,34 +386,34 @@
 		}
 	}
 	for deadline := time.Now().Add(10 * time.Second); ; {
-		ready := w.get(ctx, w.gatewayAPI, "/admin/gateway/status", &status) == nil && status.Majority
-		for _, m := range status.Members {
-			ready = ready && (!m.Site || m.HintAge >= 0 && m.HintAge < 5 && strings.HasPrefix(m.Lease, "granted"))
+		ready := d.get(ctx, d.gatewayAPI, "/admin/gateway/status", &status) == nil && status.Majority
+		for _, member := range status.Members {
+			ready = ready && (!member.Site || member.HintAge >= 0 && member.HintAge < 5 && strings.HasPrefix(member.Lease, "granted"))
 		}
 		if ready {
 			return nil
 		}
 		if time.Now().After(deadline) || ctx.Err() != nil {
-			return fmt.Errorf("the world in %s did not start", w.dir)
+			return fmt.Errorf("the world in %s did not start", d.dir)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
 // end ends everything that was started.
-func (w *deployment) end() {
-	for _, p := range w.processes {
-		p.signal(syscall.SIGCONT)
-		p.kill()
+func (d *deployment) end() {
+	for _, process := range d.processes {
+		process.signal(syscall.SIGCONT)
+		process.kill()
 	}
-	for _, l := range w.links {
-		l.setCut(false, true)
-		l.listener.Close()
+	for _, link := range d.links {
+		link.setCut(false, true)
+		link.listener.Close()
 	}
 }
 
-func (w *deployment) get(ctx context.Context, addr, path string, into any) error {
-	status, data, _, err := w.call(ctx, "GET", addr, path, nil)
+func (d *deployment) get(ctx context.Context, addr, path string, into any) error {
+	status, data, _, err := d.call(ctx, "GET", addr, path, nil)
 	if err != nil {
 		return err
 	}
@@ -424,12 +424,12 @@
 }
 
 // call makes one request.
-func (w *deployment) call(ctx context.Context, method, addr, path string, body []byte) (int, []byte, http.Header, error) {
+func (d *deployment) call(ctx context.Context, method, addr, path string, body []byte) (int, []byte, http.Header, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, nil, err
 	}
-	resp, err := w.http.Do(req)
+	resp, err := d.http.Do(req)
 	if err != nil {
 		return 0, nil, nil, err
 	}
@@ -444,14 +444,14 @@
 }
 
 // between draws a time.
-func randomDuration(rng *rand.Rand, a, b time.Duration) time.Duration {
-	return a + time.Duration(rng.Int64N(int64(b-a)))
+func randomDuration(rng *rand.Rand, minimum, maximum time.Duration) time.Duration {
+	return minimum + time.Duration(rng.Int64N(int64(maximum-minimum)))
 }
 
 // controllerSettings is the settings file of one of two controllers of a site.
-func controllerSettings(node, other, zone, otherZone, api, peer, otherPeer, cloud, state string, t times) string {
+func controllerSettings(node, other, zone, otherZone, api, peer, otherPeer, cloud, state string, timing times) string {
 	zones, guarantee := fmt.Sprintf("%q", zone), ""
-	if t.mixedMachines {
+	if timing.mixedMachines {
 		zones, guarantee = `"a", "b", "c"`, "cpus = 120.0\ncpus_max = 400.0\n"
 	}
 	return fmt.Sprintf(`node = %[1]q
@@ -495,5 +495,5 @@
 cores = 2.0
 memory_mb = 400.0
 fd_limit = 1000
-`, node, zone, api, peer, other, otherZone, otherPeer, cloud, state, zones, t.reportInterval, t.workersLease, t.cancelBound, t.writeRPS, cmp.Or(t.maxTeamGPUs, 400), guarantee)
+`, node, zone, api, peer, other, otherZone, otherPeer, cloud, state, zones, timing.reportInterval, timing.workerLease, timing.cancelBound, timing.writeRPS, cmp.Or(timing.maxTeamGPUs, 400), guarantee)
 }
