--- a/cmd/lab/load.go
+++ b/cmd/lab/load.go
@@ -27,7 +27,7 @@
 	command := &cobra.Command{Use: "gateway-load", Short: "Jobs a second through the gateway against straight to a site", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			for _, argument := range []struct {
-				name           string
+				name                    string
 				value, minimum, maximum int
 			}{{"seconds", seconds, 1, 600}, {"clients", clients, 1, 500}, {"rate", rate, 1, 100000}} {
 				if err := checkRange(argument.name, argument.value, argument.minimum, argument.maximum); err != nil {
--- a/cmd/lab/proof.go
+++ b/cmd/lab/proof.go
@@ -28,38 +28,41 @@
 	"dapplestage.example/dapplestage/internal/storage/segments"
 )
 
-// gatewayRunResult is what one run showed.
+// gatewayRunResult holds the counts, violations and measured times of one run.
 type gatewayRunResult struct {
-	accepted, neverAccepted              int
-	lost, contradictions, concurrentRuns []string
+	accepted, neverAccepted              int      // jobs
+	lost, contradictions, concurrentRuns []string // violations, one line each
 	unanswered, falseEnds                []string
 	lateCancels                          []string
 	storeMismatches                      []string
-	handoffs, drains                     []time.Duration
-	overlappingHandoffs                  []time.Duration // handoffs of lost sites amid other trouble
+	handoffs, drains                     []time.Duration // from the fault to the handoff of a job
+	overlappingHandoffs                  []time.Duration // handoffs of lost sites while another fault was active
 	movedJobs                            int
 	err                                  error
 }
 
+// violations returns all violations of the run.
 func (result *gatewayRunResult) violations() []string {
 	return slices.Concat(result.lost, result.contradictions, result.concurrentRuns, result.unanswered, result.falseEnds, result.lateCancels, result.storeMismatches)
 }
 
+// gatewayProofCommand returns the subcommand that checks jobs submitted to two sites and a gateway
+// while faults are injected.
 func gatewayProofCommand() *cobra.Command {
 	jobs, keep := 24, false
-	command := newProofCommand("gateway", "Kill, stop and cut sides of two sites and a gateway at random, and check every job", 10, 10, func(ctx context.Context, out io.Writer, options runOptions) error {
+	command := newProofCommand("gateway", "Kill, suspend and partition two sites and a gateway at random, and check every job", 10, 10, func(ctx context.Context, out io.Writer, options runOptions) error {
 		if err := checkRange("jobs", jobs, 1, 500); err != nil {
 			return err
 		}
 		options.keepFiles = keep
 		return proveGateway(ctx, out, options, jobs)
 	})
-	command.Flags().IntVar(&jobs, "jobs", jobs, "jobs of a run")
-	command.Flags().BoolVar(&keep, "keep", keep, "keep the files of all runs, not only of broken ones")
+	command.Flags().IntVar(&jobs, "jobs", jobs, "jobs in a run")
+	command.Flags().BoolVar(&keep, "keep", keep, "keep the files of all runs, not only of those with violations")
 	return command
 }
 
-// gatewayFigures are the figures of all runs.
+// gatewayFigures is the last output line of the gateway proof: the figures of all runs.
 type gatewayFigures struct {
 	runTotals
 	Accepted            int     `json:"accepted"`
@@ -83,7 +86,7 @@
 	DrainP99            float64 `json:"drain_p99_s"`
 }
 
-// add counts what a run that came to its end showed.
+// add adds the counts of a completed run.
 func (f *gatewayFigures) add(run *gatewayRunResult) {
 	f.Accepted += run.accepted
 	f.Lost += len(run.lost)
@@ -96,6 +99,7 @@
 	f.MovedJobs += run.movedJobs
 }
 
+// proveGateway executes the runs and prints their figures.
 func proveGateway(ctx context.Context, out io.Writer, options runOptions, jobs int) error {
 	handoffs, drains, crossed := newLatencies(), newLatencies(), newLatencies()
 	total := gatewayFigures{HandoffBound: gateway.HandoffBound(gatewayConfig(gatewayTimes)).Seconds()}
@@ -125,32 +129,34 @@
 	return total.err()
 }
 
+// gatewayConfig returns the settings of a gateway member that its handoff bound depends on.
 func gatewayConfig(timing times) gateway.Config {
 	seconds := func(value float64) time.Duration { return time.Duration(value * float64(time.Second)) }
 	return gateway.Config{Members: make([]gateway.Member, 3), LeaseTime: seconds(timing.siteLease), StopTime: gateway.StopBound(seconds(timing.controllerLease), seconds(timing.workerLease))}
 }
 
-// answer is one answer that a user got.
+// answer is a member's answer to one request of a user.
 type answer struct {
 	receivedAt, sentAt time.Time
-	request            string
-	status             int
+	request            string // submit, poll or cancel
+	status             int    // of HTTP
 	jobState           string
-	member             string
+	member             string // that answered
 }
 
-// user is one job's user and its own log.
+// user is a simulated user with one job, and the answers that it received.
 type user struct {
 	id          string
 	body        []byte
 	tasks       int
-	cancelAfter time.Duration
+	cancelAfter time.Duration // from the acceptance of the job to the cancellation; 0: never cancels
 	mu          sync.Mutex
 	answers     []answer
-	ended       atomic.Bool
+	ended       atomic.Bool // got a final answer, or gave up submitting
 }
 
-// executeGatewayRun plays one seed.
+// executeGatewayRun starts a deployment, runs users while faults are injected from the seed, and
+// checks the answers, task runs and stores afterwards.
 func executeGatewayRun(ctx context.Context, bin, dir string, seed uint64, jobs int) *gatewayRunResult {
 	result := &gatewayRunResult{}
 	d, err := startDeployment(ctx, bin, dir, gatewayTimes, 12)
@@ -165,7 +171,7 @@
 	users, usersDone := d.startUsers(usersCtx, rng, seed, jobs)
 	faults := d.injectFaults(ctx, rng)
 	awaitFinalAnswers(ctx, users)
-	// Every user asks every member once more.
+	// At the end every user polls every member, so that the answers of all members are checked.
 	for _, u := range users {
 		for _, member := range d.members {
 			u.send(usersCtx, d, "poll", member)
@@ -186,8 +192,8 @@
 	return result
 }
 
-// startUsers lets users come over some seconds, each with a job of its own. gone is done when
-// all have left.
+// startUsers starts users at random times within 16 s, each with its own job. usersDone is done
+// when all users have returned.
 func (d *deployment) startUsers(ctx context.Context, rng *rand.Rand, seed uint64, jobs int) (users []*user, usersDone *sync.WaitGroup) {
 	usersDone = &sync.WaitGroup{}
 	for i := range jobs {
@@ -203,7 +209,7 @@
 	return users, usersDone
 }
 
-// awaitFinalAnswers waits until all users have a final answer, or a minute.
+// awaitFinalAnswers waits until all users have a final answer or have given up, for at most a minute.
 func awaitFinalAnswers(ctx context.Context, users []*user) {
 	for deadline := time.Now().Add(60 * time.Second); time.Now().Before(deadline) && ctx.Err() == nil; time.Sleep(200 * time.Millisecond) {
 		if !slices.ContainsFunc(users, func(u *user) bool { return !u.ended.Load() }) {
@@ -212,7 +218,7 @@
 	}
 }
 
-// writeUsersLog writes down what users were told and what was done to the world.
+// writeUsersLog writes the answers of all users and the injected faults to a file.
 func writeUsersLog(path string, users []*user, faults []fault) {
 	file, err := os.Create(path)
 	if err != nil {
@@ -229,7 +235,8 @@
 	}
 }
 
-// send makes one request and logs what the user was told.
+// send sends one request to a member. An answer is recorded; a request without one returns
+// status 0 and is not.
 func (u *user) send(ctx context.Context, d *deployment, request, member string) answer {
 	result := answer{sentAt: time.Now(), request: request, member: member}
 	method, path, body := "GET", "/api/jobs/"+u.id, []byte(nil)
@@ -253,7 +260,7 @@
 	return result
 }
 
-// sleepContext waits; false if ctx has ended meanwhile.
+// sleepContext sleeps for a duration. It returns false if ctx ended first.
 func sleepContext(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -263,8 +270,9 @@
 	}
 }
 
-// runUser is a user: it uploads the job's files, submits until the job is accepted,
-// and asks until it is over, each time at any member.
+// runUser runs a user: it uploads the job's description, submits the job until it is accepted, and
+// polls or cancels it until ctx ends. Each request goes to a random member. After the final answer
+// it polls less often, to check that the answer does not change.
 func (d *deployment) runUser(ctx context.Context, u *user, startDelay time.Duration, rng *rand.Rand) {
 	if !sleepContext(ctx, startDelay) || !d.upload(ctx, u) || !d.submit(ctx, u, rng) {
 		return
@@ -286,9 +294,10 @@
 	}
 }
 
+// randomMember returns the name of a random member.
 func (d *deployment) randomMember(rng *rand.Rand) string { return d.members[rng.IntN(len(d.members))] }
 
-// upload gives both sites' workers the description of a user's job.
+// upload sends the description of a user's job to the workers of both sites.
 func (d *deployment) upload(ctx context.Context, u *user) bool {
 	for _, site := range d.sites {
 		for status := 0; status != 200; {
@@ -301,8 +310,8 @@
 	return true
 }
 
-// submit submits until the job is accepted. After a minute the user takes it for turned
-// away for good: nothing was promised.
+// submit retries the submission until the job is accepted, for a minute. It returns false if the
+// job was not accepted; such a job is not checked, since no member has committed to it.
 func (d *deployment) submit(ctx context.Context, u *user, rng *rand.Rand) bool {
 	for startedAt := time.Now(); ; {
 		if answer := u.send(ctx, d, "submit", d.randomMember(rng)); answer.status == 200 || answer.status == 201 {
@@ -318,17 +327,17 @@
 	}
 }
 
-// fault is one thing done to the world.
+// fault is one injected fault.
 type fault struct {
 	kind, target string
 	at           time.Time
 	duration     time.Duration
-	lostSite     string // the site that is lost by it, if it is for long enough
-	drainedSite  string
+	lostSite     string // the site that is lost if the fault lasts long enough
+	drainedSite  string // the site that is drained
 }
 
-// injectFaults does bad things for some 20 s, the second often in the middle of the
-// handoff that the first caused, and heals everything.
+// injectFaults injects two or three faults within some 20 s and heals them all. The second fault
+// often occurs during the handoff that the first one caused.
 func (d *deployment) injectFaults(ctx context.Context, rng *rand.Rand) []fault {
 	var faults []fault
 	var healed sync.WaitGroup
@@ -356,24 +365,28 @@
 	return faults
 }
 
-// faultInjector does something to a site, or to the world, and says what in f; heal undoes it.
+// faultInjector injects a fault at a site or in the whole deployment and records it in f. heal
+// ends the fault.
 type faultInjector func(ctx context.Context, d *deployment, s *site, rng *rand.Rand, f *fault) (heal func())
 
-// faultInjectors are all there are; a seed's meaning depends on their order.
+// faultInjectors lists all fault injectors. A seed selects by index, so the order must not change.
 var faultInjectors = []faultInjector{killGateway, killDaemon, killControllers, suspendStateService, suspendDaemon, cutLink, isolateSite, suspendSite, drainSite}
 
+// killGateway kills the gateway and starts it again.
 func killGateway(_ context.Context, d *deployment, _ *site, _ *rand.Rand, f *fault) func() {
 	f.kind, f.target = "gateway killed", "gate"
 	d.gateway.kill()
 	return func() { d.gateway.start() }
 }
 
+// killDaemon kills a site daemon and starts it again.
 func killDaemon(_ context.Context, _ *deployment, s *site, _ *rand.Rand, f *fault) func() {
 	f.kind, f.lostSite = "daemon killed", s.name
 	s.daemon.kill()
 	return func() { s.daemon.start() }
 }
 
+// killControllers kills the controllers of a site and starts them again.
 func killControllers(_ context.Context, _ *deployment, s *site, _ *rand.Rand, f *fault) func() {
 	f.kind = "controllers killed"
 	for _, c := range s.controllers {
@@ -386,22 +399,25 @@
 	}
 }
 
+// suspendStateService suspends the state service of a site.
 func suspendStateService(_ context.Context, _ *deployment, s *site, _ *rand.Rand, f *fault) func() {
-	f.kind = "state service stands still"
+	f.kind = "state service suspended"
 	return suspendAll(s.state)
 }
 
+// suspendDaemon suspends a site daemon.
 func suspendDaemon(_ context.Context, _ *deployment, s *site, _ *rand.Rand, f *fault) func() {
-	f.kind, f.lostSite = "daemon stands still", s.name
+	f.kind, f.lostSite = "daemon suspended", s.name
 	return suspendAll(s.daemon)
 }
 
+// suspendSite suspends all processes of a site.
 func suspendSite(_ context.Context, _ *deployment, s *site, _ *rand.Rand, f *fault) func() {
-	f.kind, f.lostSite = "whole site stands still", s.name
+	f.kind, f.lostSite = "whole site suspended", s.name
 	return suspendAll(append([]*process{s.state, s.cloud, s.daemon}, s.controllers...)...)
 }
 
-// suspendAll makes processes stand still.
+// suspendAll suspends processes with SIGSTOP; resume continues them.
 func suspendAll(processes ...*process) (resume func()) {
 	for _, process := range processes {
 		process.signal(syscall.SIGSTOP)
@@ -413,6 +429,7 @@
 	}
 }
 
+// cutLink cuts the link between two random members, in one direction or both.
 func cutLink(_ context.Context, d *deployment, _ *site, rng *rand.Rand, f *fault) func() {
 	a, b := d.members[rng.IntN(3)], d.members[rng.IntN(3)]
 	if a == b {
@@ -427,6 +444,7 @@
 	return cutLinks(links, dropHeld)
 }
 
+// isolateSite cuts all links from and to a site.
 func isolateSite(_ context.Context, d *deployment, s *site, _ *rand.Rand, f *fault) func() {
 	f.kind, f.lostSite = "site cut off", s.name
 	var links []*link
@@ -438,7 +456,8 @@
 	return cutLinks(links, false)
 }
 
-// cutLinks cuts links. When they are healed, with reset what was held on them is dropped.
+// cutLinks cuts links. With dropHeld, healing them closes their connections, which drops the bytes
+// held back meanwhile.
 func cutLinks(links []*link, dropHeld bool) (heal func()) {
 	for _, l := range links {
 		l.setCut(true, false)
@@ -450,6 +469,7 @@
 	}
 }
 
+// drainSite drains a site and ends the drain again, with up to 40 attempts.
 func drainSite(ctx context.Context, d *deployment, s *site, _ *rand.Rand, f *fault) func() {
 	f.kind, f.drainedSite = "site drained", s.name
 	d.call(ctx, "PUT", s.daemonAPI, "/admin/gateway/drained", []byte(`{"on":true}`))
@@ -463,14 +483,14 @@
 	}
 }
 
-// taskRun is one time that a task was on a machine.
+// taskRun is one execution of a task on a machine.
 type taskRun struct {
 	site, task, machine string
-	startedAt, endedAt  time.Time // to zero: it still is
+	startedAt, endedAt  time.Time // endedAt is zero while it runs
 	completed           bool
 }
 
-// readTaskRuns reads what the machines of both sites logged.
+// readTaskRuns reads the task runs from the event logs of both sites' machines.
 func (d *deployment) readTaskRuns() []taskRun {
 	var runs []taskRun
 	for _, site := range d.sites {
@@ -501,10 +521,11 @@
 	return runs
 }
 
+// jobOfTask returns the id of the job that a task belongs to.
 func jobOfTask(task string) string { id, _, _ := strings.Cut(task, "/"); return id }
 
-// checkUsers holds what each user was told against all it had been told before it
-// asked, and against what machines completed.
+// checkUsers checks the answers of each user against its earlier answers and against the tasks
+// that machines completed.
 func (d *deployment) checkUsers(result *gatewayRunResult, users []*user, runs []taskRun) {
 	completedByJob := completedTasks(runs)
 	for _, u := range users {
@@ -528,7 +549,8 @@
 	}
 }
 
-// completedTasks are the tasks that machines completed, by job, and when each first was.
+// completedTasks returns the tasks that machines completed, by job, with the time at which each
+// was first completed.
 func completedTasks(runs []taskRun) map[string]map[string]time.Time {
 	completedByJob := map[string]map[string]time.Time{}
 	for _, run := range runs {
@@ -546,7 +568,7 @@
 	return completedByJob
 }
 
-// acceptedAt is when a user was first told that the job is accepted; zero: never.
+// acceptedAt returns when the user first received an answer that the job is accepted; zero if never.
 func (u *user) acceptedAt() (at time.Time) {
 	for _, answer := range u.answers {
 		if (answer.status == 200 || answer.status == 201) && (at.IsZero() || answer.receivedAt.Before(at)) {
@@ -556,7 +578,7 @@
 	return at
 }
 
-// cancelRequestedAt is when a user first asked for the cancellation; zero: never.
+// cancelRequestedAt returns when the user first requested the cancellation; zero if never.
 func (u *user) cancelRequestedAt() (at time.Time) {
 	for _, answer := range u.answers {
 		if answer.request == "cancel" && (at.IsZero() || answer.sentAt.Before(at)) {
@@ -566,8 +588,8 @@
 	return at
 }
 
-// checkAnswers finds answers that deny an accepted job or a final answer. It returns the
-// first final answer and when it came.
+// checkAnswers reports answers that contradict the acceptance of a job or an earlier final answer.
+// It returns the first final answer and the time at which it was received.
 func (u *user) checkAnswers(result *gatewayRunResult, acceptedAt time.Time) (final string, finalAt time.Time) {
 	for _, answer := range u.answers {
 		switch {
@@ -589,7 +611,7 @@
 	return final, finalAt
 }
 
-// checkDone holds a job that was called done to the tasks that machines completed.
+// checkDone checks that machines had completed all tasks of a job when it was reported as done.
 func (u *user) checkDone(result *gatewayRunResult, completedAt map[string]time.Time, finalAt time.Time) {
 	if len(completedAt) < u.tasks {
 		result.falseEnds = append(result.falseEnds, fmt.Sprintf("%s is called done and %d of %d tasks were", u.id, len(completedAt), u.tasks))
@@ -601,7 +623,8 @@
 	}
 }
 
-// checkCancelled finds tasks that ran too long after their job was called cancelled.
+// checkCancelled reports tasks that ran longer than the cancellation bound after their job was
+// reported as cancelled.
 func (u *user) checkCancelled(result *gatewayRunResult, runs []taskRun, finalAt time.Time) {
 	deadline := finalAt.Add(time.Duration(gatewayTimes.cancelBound * float64(time.Second)))
 	for _, run := range runs {
@@ -611,7 +634,8 @@
 	}
 }
 
-// checkConcurrentRuns finds tasks that were on two machines at once.
+// checkConcurrentRuns reports tasks that ran on two machines at once, and counts the jobs that ran
+// at both sites.
 func (d *deployment) checkConcurrentRuns(result *gatewayRunResult, users []*user, runs []taskRun) {
 	byTask := map[string][]taskRun{}
 	for _, run := range runs {
@@ -633,10 +657,11 @@
 	result.movedJobs = len(movedJobs)
 }
 
+// handoffLogLine matches the log line of a member that took a job over from another site.
 var handoffLogLine = regexp.MustCompile(`time=(\S+) .*msg="job handed over".* from=(\S+) to=\S+ epoch=\d+ proved=(\S+)`)
 
-// measureHandoffs measures how long after a site was lost, or asked to be drained, its
-// jobs had another one.
+// measureHandoffs measures the time from the loss or the drain of a site to the handoff of each of
+// its jobs to another site.
 func (d *deployment) measureHandoffs(result *gatewayRunResult, faults []fault) {
 	for _, member := range d.members {
 		logText, err := os.ReadFile(d.member(member).logPath)
@@ -653,7 +678,8 @@
 				continue
 			}
 			leaseReleased, _ := strconv.ParseBool(match[3])
-			// The first of the faults that together kept the site away until then.
+			// Several faults in a row may have kept the site unavailable until the handoff: the time
+			// counts from the first of them.
 			var lostAt time.Time
 			for i := len(faults) - 1; i >= 0; i-- {
 				fault := faults[i]
@@ -681,8 +707,8 @@
 	}
 }
 
-// checkStores ends the members and compares what their stores hold with what users
-// were told: of each final answer a majority must hold the same.
+// checkStores stops the members and checks that a majority of their stores holds the final answer
+// that each user received.
 func (d *deployment) checkStores(ctx context.Context, result *gatewayRunResult, users []*user) {
 	stores, err := d.readStores(ctx)
 	if err != nil {
@@ -706,7 +732,8 @@
 	}
 }
 
-// finalOutcome is the last final answer that a user was told, as records have it; Open if none.
+// finalOutcome returns the last final answer that a user received, as an outcome of a record; Open
+// if it received none.
 func (u *user) finalOutcome() uint8 {
 	final := uint8(wire.Open)
 	for _, answer := range u.answers {
@@ -720,7 +747,7 @@
 	return final
 }
 
-// readStores ends the members and reads the registers that each has stored, by job.
+// readStores stops the members and returns the registers that each of them has stored, by job.
 func (d *deployment) readStores(ctx context.Context) (stores []map[string]wire.Item, err error) {
 	byJob := func(items []wire.Item) map[string]wire.Item {
 		registers := map[string]wire.Item{}
--- a/cmd/lab/proof_test.go
+++ b/cmd/lab/proof_test.go
@@ -9,7 +9,9 @@
 // The checkers must find what they are there for: each case is one fault in what
 // users were told or machines logged.
 func TestGatewayChecksFindFaults(t *testing.T) {
-	at := func(seconds float64) time.Time { return time.Unix(1000, 0).Add(time.Duration(seconds * float64(time.Second))) }
+	at := func(seconds float64) time.Time {
+		return time.Unix(1000, 0).Add(time.Duration(seconds * float64(time.Second)))
+	}
 	answered := func(seconds float64, kind string, code int, state string) answer {
 		return answer{sentAt: at(seconds - 0.1), receivedAt: at(seconds), request: kind, status: code, jobState: state, member: "gate"}
 	}
--- a/cmd/lab/report.go
+++ b/cmd/lab/report.go
@@ -16,26 +16,27 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// What the account says is held to two other truths: the machines' own log and what the
-// run itself did to them.
+// The report proof checks the rows of the account against two independent sources: the event log of
+// the machines, and the faults that the run injected.
 
-// reportedJob is a job of a run.
+// reportedJob is a job that a run submitted.
 type reportedJob struct {
 	id              string
 	tasks           int
 	seconds         float64
-	stalledAt       time.Time // when its tasks were made to stand still; zero: never
-	reportedStuckAt time.Time // when it was first told to be stuck
+	stalledAt       time.Time // when its tasks were stalled; zero: never
+	reportedStuckAt time.Time // when a row first gave its state as stuck; zero: never
 }
 
-// observedRow is a row with the time at which it was asked for.
+// observedRow is a row of the account, with the node that returned it and the time of the request.
 type observedRow struct {
 	ledger.Row
 	requestedAt time.Time
 	node        string
 }
 
-// completionTime is when the last task of a job was done, by the machines; zero: not yet.
+// completionTime returns when the last task of a job was done, by the machines' event log; zero if
+// some task is not done.
 func completionTime(events []machineEvent, id string, tasks int) (completedAt time.Time) {
 	completedTasks := map[string]bool{}
 	for _, e := range events {
@@ -49,8 +50,8 @@
 	return time.Time{}
 }
 
-// checkRows says what is wrong with what was told of a job, given what its machines ran.
-// grace is how late an account may be.
+// checkRows returns the rows of a job that contradict the machines' event log. A row may be outdated
+// by up to the grace period.
 func checkRows(job *reportedJob, rows []observedRow, events []machineEvent, grace time.Duration) (wrong []string) {
 	completedAt := completionTime(events, job.id, job.tasks)
 	for _, row := range rows {
@@ -67,7 +68,7 @@
 	return wrong
 }
 
-// readAccount asks a node for all rows.
+// readAccount reads all rows of the account from a node, and the last page.
 func (site *testSite) readAccount(ctx context.Context, api string) (map[string]ledger.Row, *ledger.Page, error) {
 	rows := map[string]ledger.Row{}
 	after := ""
@@ -89,25 +90,26 @@
 	}
 }
 
-// reportResult is what a run showed.
+// reportResult holds the counts, violations and measured times of one run.
 type reportResult struct {
 	rowsChecked, rowsUnknown int
 	violations               []string
-	stuckDelays              []time.Duration // from a stall until it is told
+	stuckDelays              []time.Duration // from a stall to the first row that reports it
 	err                      error
 }
 
-// reportRun is a run under way: jobs, what was done to them and what nodes told of them.
+// reportRun is a run in progress: its jobs, the faults injected so far and the rows read so far.
 type reportRun struct {
 	*reportResult
 	site          *testSite
 	rng           *rand.Rand
 	jobs          []*reportedJob
-	stalledJobs   []*reportedJob           // of those, the ones whose tasks are made to stand still
-	rowsByJob     map[string][]observedRow // by job
-	suspendedNode string                   // the node that stands still
+	stalledJobs   []*reportedJob           // those of jobs whose tasks are stalled
+	rowsByJob     map[string][]observedRow // by job id
+	suspendedNode string                   // the node that is suspended; empty: none
 }
 
+// executeReportRun executes one run at a test site.
 func executeReportRun(ctx context.Context, bin, dir string, seed uint64) *reportResult {
 	result := &reportResult{}
 	site, err := startTestSite(ctx, bin, dir, 24, testSiteTimes)
@@ -126,7 +128,7 @@
 	return result
 }
 
-// submit submits a job whose tasks run for some seconds.
+// submit submits a job of one to four tasks that run for the given number of seconds.
 func (r *reportRun) submit(ctx context.Context, seconds float64) *reportedJob {
 	job := &reportedJob{id: fmt.Sprintf("job-%03d", len(r.jobs)+1), tasks: 1 + r.rng.IntN(4), seconds: seconds}
 	competing := waitCondition{}
@@ -137,11 +139,12 @@
 	return job
 }
 
+// submitShortJob submits a job whose tasks run for 2 to 4 s.
 func (r *reportRun) submitShortJob(ctx context.Context) *reportedJob {
 	return r.submit(ctx, 2+2*r.rng.Float64())
 }
 
-// pollNodes asks all nodes but the one that stands still for their rows.
+// pollNodes reads the account from all nodes that are not suspended, and records the rows.
 func (r *reportRun) pollNodes(ctx context.Context) {
 	for i, api := range r.site.apis {
 		node := fmt.Sprint("n-", i)
@@ -151,7 +154,7 @@
 		requestedAt := time.Now()
 		rows, page, err := r.site.readAccount(ctx, api)
 		if err != nil {
-			continue // not known: nothing is said
+			continue // no answer, so there is nothing to check
 		}
 		r.checkTotals(ctx, api, node, rows, page)
 		for id, row := range rows {
@@ -160,13 +163,13 @@
 	}
 }
 
-// checkTotals holds a node's sums and rows to the number of jobs accepted.
+// checkTotals checks a node's rows and totals against the number of accepted jobs.
 func (r *reportRun) checkTotals(ctx context.Context, api, node string, rows map[string]ledger.Row, page *ledger.Page) {
 	if r.suspendedNode != "" || len(rows) == len(r.jobs) && sumCounts(page.JobsByState) == len(rows) {
 		return
 	}
-	// A job may have been accepted a moment ago by the other node, or a share be on its way
-	// from one to the other while pages are asked for.
+	// The other node may just have accepted a job, or a partition may have changed its owner between
+	// two pages, so a mismatch only counts if it persists.
 	time.Sleep(600 * time.Millisecond)
 	secondRows, page, err := r.site.readAccount(ctx, api)
 	if err == nil && (len(secondRows) != len(r.jobs) || len(page.Unknown) == 0 && sumCounts(page.JobsByState) != len(secondRows)) {
@@ -174,7 +177,7 @@
 	}
 }
 
-// recordRow keeps a row, and when a stalled job was first told to be stuck.
+// recordRow stores a row. For a stalled job it notes when a row first reports it as stuck.
 func (r *reportRun) recordRow(id string, row observedRow) {
 	r.rowsChecked++
 	if row.State == ledger.Unknown {
@@ -188,7 +191,7 @@
 	}
 }
 
-// stallTwoJobs submits jobs, waits until two of them run and makes these stand still.
+// stallTwoJobs submits eight jobs, waits until the last one runs, and stalls the last two.
 func (r *reportRun) stallTwoJobs(ctx context.Context) {
 	for range 6 {
 		r.submitShortJob(ctx)
@@ -203,7 +206,8 @@
 	}
 }
 
-// injectFaults lets a machine vanish and controllers stand still while work goes on.
+// injectFaults kills a machine once and suspends a controller twice, while it submits jobs and polls
+// the nodes.
 func (r *reportRun) injectFaults(ctx context.Context) {
 	faults := r.rng.Perm(3)
 	startedAt := time.Now()
@@ -224,6 +228,7 @@
 	}
 }
 
+// killMachine kills a random machine.
 func (r *reportRun) killMachine(ctx context.Context) {
 	var list protocol.MachineList
 	if _, body, err := r.site.call(ctx, "GET", r.site.cloudAddr, "/hosts", nil); err == nil && json.Unmarshal(body, &list) == nil && len(list.Machines) > 0 {
@@ -231,8 +236,8 @@
 	}
 }
 
-// suspendController makes a controller stand still for a while. The other one must say unknown
-// of its jobs until it has taken them over.
+// suspendController suspends a controller for 0.9 to 3 s while it polls the other one. The other one
+// must report the jobs of the suspended one as unknown until it has taken them over.
 func (r *reportRun) suspendController(ctx context.Context) {
 	r.suspendedNode = fmt.Sprint("n-", r.rng.IntN(2))
 	r.site.signal(syscall.SIGSTOP, r.suspendedNode)
@@ -245,7 +250,8 @@
 	time.Sleep(4 * time.Second)
 }
 
-// awaitStallsReported asks until both stalls are told, or have had a minute for it.
+// awaitStallsReported polls the nodes until both stalled jobs are reported as stuck, or a minute has
+// passed since they stalled.
 func (r *reportRun) awaitStallsReported(ctx context.Context) {
 	waitUntil(ctx, 70*time.Second, func() bool {
 		r.pollNodes(ctx)
@@ -259,8 +265,8 @@
 	})
 }
 
-// restartStallClock counts a stall from the last start: a run that is lost meanwhile stalls anew on
-// another machine, and then that is the cause.
+// restartStallClock sets the time of a stall to the last start of a task. A task that is lost
+// meanwhile is started again on another machine and stalls there, and that is the stall to report.
 func (j *reportedJob) restartStallClock(events []machineEvent) {
 	for _, e := range events {
 		job, _, ok := protocol.ParseTaskID(e.Task)
@@ -270,22 +276,24 @@
 	}
 }
 
-// endStalls lets the stalled jobs go on, and says which were told late or not at all.
+// endStalls ends the stalls, and records a violation for a stalled job that was reported late or not
+// at all.
 func (r *reportRun) endStalls(ctx context.Context) {
 	for _, job := range r.stalledJobs {
 		postToCloud(ctx, r.site, "/stall/"+job.id+"/false")
 		switch delay := job.reportedStuckAt.Sub(job.stalledAt); {
 		case job.reportedStuckAt.IsZero():
-			r.violations = append(r.violations, job.id+": stalled, and not told as stuck")
+			r.violations = append(r.violations, job.id+": stalled, but not reported as stuck")
 		case delay > time.Minute:
-			r.violations = append(r.violations, fmt.Sprintf("%s: told as stuck after %v", job.id, delay))
+			r.violations = append(r.violations, fmt.Sprintf("%s: reported as stuck after %v", job.id, delay))
 		default:
 			r.stuckDelays = append(r.stuckDelays, delay)
 		}
 	}
 }
 
-// awaitCompletion asks until the machines have done all jobs, and once more a while later.
+// awaitCompletion polls the nodes until the machines have completed all jobs, and once more 4 s
+// later.
 func (r *reportRun) awaitCompletion(ctx context.Context) {
 	waitUntil(ctx, 40*time.Second, func() bool {
 		r.pollNodes(ctx)
@@ -302,11 +310,11 @@
 	r.pollNodes(ctx)
 }
 
-// maxAccountDelay is how late an account may be: a controller that stood still stores and tells
-// late, by its stop and a take-over.
+// maxAccountDelay is how long a row may be outdated. A controller that was suspended stores and
+// reports late, by the time of its suspension and of a takeover.
 const maxAccountDelay = 12 * time.Second
 
-// checkAllRows holds all rows to what the machines ran.
+// checkAllRows checks the recorded rows of all jobs, of which the last must be done.
 func (r *reportRun) checkAllRows() {
 	events, err := readMachineEvents(r.site.eventsPath)
 	if err != nil {
@@ -317,11 +325,12 @@
 		rows := r.rowsByJob[job.id]
 		r.violations = append(r.violations, checkRows(job, rows, events, maxAccountDelay)...)
 		if len(rows) == 0 || rows[len(rows)-1].State != ledger.Done {
-			r.violations = append(r.violations, job.id+": not told as done in the end")
+			r.violations = append(r.violations, job.id+": not reported as done in the end")
 		}
 	}
 }
 
+// sumCounts returns the sum of the map's values.
 func sumCounts(counts map[string]int) (total int) {
 	for _, count := range counts {
 		total += count
@@ -329,10 +338,12 @@
 	return total
 }
 
+// reportProofCommand returns the subcommand that checks the account.
 func reportProofCommand() *cobra.Command {
-	return newProofCommand("report", "Stall workers, lose machines, stop controllers, and hold the account to what machines ran", 6, 6, proveReport)
+	return newProofCommand("report", "Stall workers, kill machines, suspend controllers, and check the account against what machines ran", 6, 6, proveReport)
 }
 
+// proveReport executes the runs and prints their figures.
 func proveReport(ctx context.Context, out io.Writer, options runOptions) error {
 	stuckDelays := newLatencies()
 	figures := struct {
--- a/cmd/lab/standby.go
+++ b/cmd/lab/standby.go
@@ -16,17 +16,18 @@
 	"dapplestage.example/dapplestage/internal/coordination/node"
 )
 
-// standbyCauses are the ways in which a controller goes, and how.
+// standbyCauses lists the ways in which a controller fails: killed, terminated by a signal, suspended,
+// or killed and restarted at once.
 var standbyCauses = []string{"killed", "left", "stood_still", "restarted_at_once"}
 
-// standbyResult is what a run showed: by cause, for how long a share had nobody.
+// standbyResult holds, by cause, how long a partition had no owner, and the violations of one run.
 type standbyResult struct {
 	ownerlessTimes map[string][]time.Duration
 	violations     []string
 	err            error
 }
 
-// partitionOwners asks a controller who holds each share.
+// partitionOwners returns the owner of each partition, as reported by a controller.
 func (site *testSite) partitionOwners(ctx context.Context, api string) (map[int]string, error) {
 	var nodeStatus node.Status
 	status, body, err := site.call(ctx, "GET", api, "/admin/status", nil)
@@ -43,14 +44,16 @@
 	return owners, err
 }
 
-// standbyRun is a run under way.
+// standbyRun is a run in progress.
 type standbyRun struct {
 	*standbyResult
 	site  *testSite
 	rng   *rand.Rand
-	tasks map[string]int // by job
+	tasks map[string]int // number of tasks by job id
 }
 
+// executeStandbyRun lets controllers fail one after another, in a random order of the causes, and
+// checks the jobs at the end.
 func executeStandbyRun(ctx context.Context, bin, dir string, seed uint64, failures int, causes []string, timing times) *standbyResult {
 	result := &standbyResult{ownerlessTimes: map[string][]time.Duration{}}
 	site, err := startTestSite(ctx, bin, dir, 24, timing)
@@ -74,6 +77,7 @@
 	return result
 }
 
+// submit submits an array of 2 to 9 tasks that run for 1 to 4 s.
 func (r *standbyRun) submit(ctx context.Context) {
 	id := fmt.Sprintf("job-1%05d", len(r.tasks))
 	r.tasks[id] = 2 + r.rng.IntN(8)
@@ -83,17 +87,18 @@
 	}
 }
 
-// failController lets one controller go and measures until the other has its share; then the first is
-// back. It returns false if the run can't go on.
+// failController lets a random controller fail, measures the time until the other one owns its
+// partition, and starts the failed one again. It returns false if the run can't continue.
 func (r *standbyRun) failController(ctx context.Context, cause string) bool {
 	for range 2 {
 		r.submit(ctx)
 	}
 	if !waitUntil(ctx, 30*time.Second, func() bool { return r.eachOwnsOnePartition(ctx) }) {
-		r.violations = append(r.violations, "the shares did not spread over both controllers again")
+		r.violations = append(r.violations, "the partitions were not spread over both controllers again")
 		return false
 	}
-	// Its standby must have been told of it for a while, and its share served.
+	// The standby must have received updates of the partition for a while, and the partition must be
+	// in the serving phase.
 	time.Sleep(randomDuration(r.rng, 5500*time.Millisecond, 6500*time.Millisecond))
 	failedNode := r.rng.IntN(2)
 	name, otherAPI := fmt.Sprint("n-", failedNode), r.site.apis[1-failedNode]
@@ -108,7 +113,7 @@
 		return false
 	}
 	if !waitUntil(ctx, 12*time.Second, func() bool { return r.takenOver(ctx, name, otherAPI, cause, ownersBefore) }) {
-		r.violations = append(r.violations, fmt.Sprintf("%s %s: its share has nobody after 12 s", name, cause))
+		r.violations = append(r.violations, fmt.Sprintf("%s %s: its partition has no owner after 12 s", name, cause))
 		return false
 	}
 	r.ownerlessTimes[cause] = append(r.ownerlessTimes[cause], time.Since(failedAt))
@@ -116,7 +121,7 @@
 	time.Sleep(randomDuration(r.rng, 500*time.Millisecond, 2*time.Second))
 	process.signal(syscall.SIGCONT)
 	if cause == "left" {
-		process.kill() // it has ended; this takes note
+		process.kill() // the process has exited; this clears its state so that it can start again
 	}
 	if err := process.start(); err != nil {
 		r.err = err
@@ -125,13 +130,13 @@
 	return true
 }
 
-// eachOwnsOnePartition says whether each controller holds one of the two shares.
+// eachOwnsOnePartition reports whether each controller owns one of the two partitions.
 func (r *standbyRun) eachOwnsOnePartition(ctx context.Context) bool {
 	owners, err := r.site.partitionOwners(ctx, r.site.apis[0])
 	return err == nil && owners[0] != "" && owners[1] != "" && owners[0] != owners[1]
 }
 
-// failProcess makes a controller go.
+// failProcess lets a controller fail in the given way.
 func failProcess(process *process, cause string) error {
 	switch cause {
 	case "killed":
@@ -147,8 +152,8 @@
 	return nil
 }
 
-// takenOver says whether, as the other controller tells, what a controller held before is
-// held again.
+// takenOver reports whether the partitions that the failed controller owned have an owner again, as
+// seen by the other controller.
 func (r *standbyRun) takenOver(ctx context.Context, name, otherAPI, cause string, ownersBefore map[int]string) bool {
 	owners, err := r.site.partitionOwners(ctx, otherAPI)
 	if err != nil {
@@ -159,7 +164,7 @@
 			continue
 		}
 		if cause == "restarted_at_once" {
-			// It may have its share back in its new life, or the other one has it.
+			// Either the restarted controller or the other one may own the partition now.
 			if statuses, ok := r.site.partitionStatuses(ctx); !ok || statuses[partition].Phase == "" {
 				return false
 			}
@@ -170,20 +175,23 @@
 	return true
 }
 
+// standbyProofCommand returns the subcommand that measures how long a partition has no owner after
+// its controller failed.
 func standbyProofCommand() *cobra.Command {
 	failures, oldBinaries, mixedMachines := 4, "", false
-	command := newProofCommand("standby", "Kill, stop and restart a holder, and measure until its standby has the share", 4, 4, func(ctx context.Context, out io.Writer, options runOptions) error {
+	command := newProofCommand("standby", "Kill, suspend and restart a partition owner, and measure until its standby owns the partition", 4, 4, func(ctx context.Context, out io.Writer, options runOptions) error {
 		if err := checkRange("turns", failures, 1, 100); err != nil {
 			return err
 		}
 		return proveStandby(ctx, out, options, failures, oldBinaries, mixedMachines)
 	})
-	command.Flags().IntVar(&failures, "turns", failures, "times that a controller goes in a run")
+	command.Flags().IntVar(&failures, "turns", failures, "controller failures in a run")
 	addPlaceFlag(command, &mixedMachines)
-	command.Flags().StringVar(&oldBinaries, "before", oldBinaries, "a folder with an earlier version of dapplestage and today's standin, to be measured in turn")
+	command.Flags().StringVar(&oldBinaries, "before", oldBinaries, "a folder with an earlier version of dapplestage and the current standin, to be measured as well")
 	return command
 }
 
+// proveStandby executes the runs, with the old binaries too if there are any, and prints the figures.
 func proveStandby(ctx context.Context, out io.Writer, options runOptions, failures int, oldBinaries string, mixedMachines bool) error {
 	timing := restartTimes
 	timing.mixedMachines = mixedMachines
@@ -198,8 +206,9 @@
 		totals, err := options.executeRuns(ctx, out, "standby", func(bin, dir string, seed uint64) (func(), runOutcome) {
 			causes := standbyCauses
 			if oldBin != "" {
-				// With a stand-in that knows today's flags. Whether a node serves its share
-				// in a new life is not told by earlier versions.
+				// The folder also has the current standin, since an old one lacks flags. Earlier versions
+				// do not report whether a restarted node serves its partition, so the last cause is left
+				// out.
 				bin, causes = oldBin, causes[:3]
 			}
 			result := executeStandbyRun(ctx, bin, dir, seed, failures, causes, timing)
--- a/cmd/lab/tickets.go
+++ b/cmd/lab/tickets.go
@@ -27,26 +27,27 @@
 	"dapplestage.example/dapplestage/internal/standin"
 )
 
-// A farm is one site as real processes: a state service, render servers and two
-// controllers that take tickets. Two farms of the same seed are given the same tickets,
-// one by POST /tickets and one inside ordinary submissions. What their machines ran and
-// what their users were told must be equal, line by line, and equal to what the seed
-// says it must be.
+// The tickets proof submits the same tickets to two test sites of the same seed: to one by
+// POST /tickets, to the other inside ordinary submissions. The task runs of the machines and the
+// answers to users are written as lines of text. The lines of both sites must be equal, and equal
+// to the lines that follow from the seed.
 
+// testSite is one site of real processes: a state service, simulated machines and two controllers
+// that accept tickets.
 type testSite struct {
 	dir              string
 	procs            []*process
-	apis             []string
+	apis             []string // addresses of the controllers
 	cloudAddr        string
 	stateAddr        string
 	eventsPath       string
 	http             *http.Client
 	mixedMachines    bool     // several types of machine in three zones
-	startsOnCordoned []string // starts on machines that were held back
+	startsOnCordoned []string // violations: tasks that started on cordoned machines
 }
 
-// jobSubmission is the submission of a job of a shape. At a place with several types of machine
-// services and arrays need no GPU, and gangs a whole large machine for each task.
+// jobSubmission returns the submission of a job of a given shape. At a site with mixed machines,
+// services and arrays need no GPU, and each task of a gang needs a whole large machine.
 func (site *testSite) jobSubmission(id, team, shape string, tasks int, seconds float64) []byte {
 	body := strings.Replace(string(jobSubmission(id, team, tasks, seconds)), `"sweep"`, fmt.Sprintf("%q", shape), 1)
 	const defaultNeeds, defaultPlacement = `"vcpus":2.0,"cards":1.0,"memGb":8.0`, `"together":false,"scatter":false,"loaners":true`
@@ -63,9 +64,11 @@
 	return []byte(body)
 }
 
-// testSiteTimes are the times of a farm's site.
+// testSiteTimes are the default times and limits of a test site.
 var testSiteTimes = times{workerLease: 2.5, reportInterval: 0.5, cancelBound: 14, writeRPS: 150}
 
+// ticketClassesFormat is the settings file of the ticket classes, with the maximum of retries left
+// open.
 const ticketClassesFormat = `
 [[classes]]
 lot = "preview"
@@ -82,9 +85,11 @@
 expectS = 0.8
 `
 
-// classMaxRetries is what the class of a farm allows.
+// classMaxRetries is the maximum of retries per task that the ticket class allows.
 const classMaxRetries = 3
 
+// newTestSite starts the processes of a test site in dir and waits until they are ready. The caller
+// must end the site, also after an error.
 func newTestSite(ctx context.Context, bin, dir string, seed uint64, retries, machines int, timing times) (*testSite, error) {
 	site := &testSite{dir: dir, eventsPath: filepath.Join(dir, "events"), http: &http.Client{Timeout: 5 * time.Second}}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
@@ -132,7 +137,7 @@
 			status, _, err := site.call(ctx, "GET", api, "/ready", nil)
 			ready = ready && err == nil && status == 200
 		}
-		// Controllers are ready without the cloud, and the run begins with an upload there.
+		// Controllers report ready without the cloud, but a run begins with an upload to the cloud.
 		status, _, err := site.call(ctx, "GET", site.cloudAddr, "/hosts", nil)
 		ready = ready && err == nil && status == 200
 		if ready {
@@ -144,13 +149,13 @@
 	}
 }
 
-// startTestSite makes a farm without troubles of its own.
+// startTestSite starts a test site whose machines do not fail on their own.
 func startTestSite(ctx context.Context, bin, dir string, machines int, timing times) (*testSite, error) {
 	return startSeededTestSite(ctx, bin, dir, 0, classMaxRetries, machines, timing)
 }
 
-// startSeededTestSite makes a farm whose machines do what a seed says (0: nothing bad), anew if
-// another program took one of its ports meanwhile.
+// startSeededTestSite starts a test site whose machines fail as drawn from the seed (0: not at
+// all). It makes up to three attempts, since another program may take one of the ports first.
 func startSeededTestSite(ctx context.Context, bin, dir string, seed uint64, retries, machines int, timing times) (site *testSite, err error) {
 	for try := range 3 {
 		if site, err = newTestSite(ctx, bin, fmt.Sprintf("%s/%d", dir, try), seed, retries, machines, timing); err == nil {
@@ -161,13 +166,14 @@
 	return site, err
 }
 
+// end kills all processes of the site.
 func (site *testSite) end() {
 	for _, p := range site.procs {
 		p.kill()
 	}
 }
 
-// process is the process of a name; nil if there is none.
+// process returns the process with a given name, or nil.
 func (site *testSite) process(name string) *process {
 	for _, process := range site.procs {
 		if process.name == name {
@@ -177,7 +183,7 @@
 	return nil
 }
 
-// signal sends a signal to some of the farm's processes.
+// signal sends a signal to the processes with the given names.
 func (site *testSite) signal(s syscall.Signal, names ...string) {
 	for _, name := range names {
 		if p := site.process(name); p != nil {
@@ -186,6 +192,7 @@
 	}
 }
 
+// call sends an HTTP request and returns the status and the body of the response.
 func (site *testSite) call(ctx context.Context, method, addr, path string, body []byte) (int, []byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, strings.NewReader(string(body)))
 	if err != nil {
@@ -200,16 +207,17 @@
 	return resp.StatusCode, data, err
 }
 
-// testTicket is a ticket of a run.
+// testTicket is a ticket that a run submits.
 type testTicket struct {
 	id, name       string
-	steps          []string // "name tasks after..."
+	steps          []string // each "NAME TASKS DEPENDENCY...", with the number of tasks and the names of earlier steps
 	maxRetries     int
 	maxFailedTasks int
-	cancelled      bool // as soon as it is accepted
+	cancelled      bool // cancelled as soon as it is accepted
 }
 
-// body is the ticket's submission; carried: inside an ordinary one.
+// body returns the ticket's submission: an ordinary submission that contains the ticket if embedded
+// is set, a submission to /tickets otherwise.
 func (t *testTicket) body(embedded bool) []byte {
 	var steps []map[string]any
 	for _, step := range t.steps {
@@ -239,16 +247,16 @@
 	return encoded
 }
 
-// generateTickets draws the tickets of a run.
+// generateTickets returns the tickets of a run, drawn from the seed.
 func generateTickets(seed uint64) []*testTicket {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	var tickets []*testTicket
 	for i := range 6 {
 		ticket := &testTicket{id: fmt.Sprintf("job-%06d", i), name: fmt.Sprintf("t%d", i), maxRetries: 2 + rng.IntN(6)}
 		switch i {
-		case 0: // fails at once when its first task has used up its tries
+		case 0: // the ticket fails as soon as its first task has used up its retries
 			ticket.name = standin.Hopeless + " at once"
-		case 1: // survives that, and fails in the end
+		case 1: // the ticket may have two failed tasks, so it runs to its end and fails then
 			ticket.name, ticket.maxFailedTasks = standin.Hopeless+" survived", 2
 		case 2:
 			ticket.cancelled = true
@@ -267,7 +275,7 @@
 	return tickets
 }
 
-// jobDescriptions are the descriptions that a ticket's user uploads.
+// jobDescriptions returns the job descriptions that the user of a ticket uploads.
 func jobDescriptions(body []byte) ([]ticket.Description, error) {
 	submission, admitted, err := admitTicket(body)
 	if err != nil {
@@ -276,11 +284,12 @@
 	return ticket.Describe(submission, admitted)
 }
 
-// admit is the ticket as any node admits it.
+// admit returns the ticket as a controller admits it.
 func (t *testTicket) admit() (*format.Submission, *ticket.Admitted, error) {
 	return admitTicket(t.body(false))
 }
 
+// admitTicket parses a ticket and admits it with the same ticket class as ticketClassesFormat.
 func admitTicket(body []byte) (*format.Submission, *ticket.Admitted, error) {
 	submission, err := format.ParseTicket(body)
 	if err != nil {
@@ -291,7 +300,7 @@
 	return submission, admitted, err
 }
 
-// expectedLines are the lines that a ticket must give: the seed alone decides.
+// expectedLines returns the lines that a ticket must produce. They depend on the seed alone.
 func (t *testTicket) expectedLines(plan *standin.Farm) ([]string, error) {
 	_, admitted, err := t.admit()
 	if err != nil {
@@ -340,7 +349,8 @@
 	return lines, nil
 }
 
-// machineEvent is what a render server ran.
+// machineEvent is an entry of the event log of a site's machines: the start of a task, or its end
+// (done, error or end).
 type machineEvent struct {
 	At      int64
 	Event   string
@@ -348,6 +358,7 @@
 	Machine string
 }
 
+// readMachineEvents reads an event log. Lines that can't be parsed are skipped.
 func readMachineEvents(path string) ([]machineEvent, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -364,8 +375,9 @@
 	return events, nil
 }
 
-// observedLines are what a ticket gave: from the machines' own log and from what its user was
-// told, each for its own part.
+// observedLines returns the lines that a ticket produced. Errors, ends and order of tasks come from
+// the machines' event log; terms and status of the ticket and its steps come from the answer to its
+// user.
 func (t *testTicket) observedLines(status *node.TicketStatus, events []machineEvent) ([]string, error) {
 	_, admitted, err := t.admit()
 	if err != nil {
@@ -407,7 +419,7 @@
 		}
 		if status.Steps[i].Status == node.StepNotRun {
 			if firstStart[jobID] != 0 {
-				lines = append(lines, fmt.Sprintf("%s %s is told not to have run, and did", t.name, step.Name))
+				lines = append(lines, fmt.Sprintf("%s %s is reported as not run, but it ran", t.name, step.Name))
 			}
 			if !failsAtOnce {
 				lines = append(lines, fmt.Sprintf("%s %s %s", t.name, step.Name, status.Steps[i].Status))
@@ -424,7 +436,7 @@
 				outcome = "failed"
 			}
 			if failsAtOnce && !(i == 0 && index == 0) {
-				continue // what else ran until then is a matter of time
+				continue // which other tasks ran before the ticket failed depends on timing
 			}
 			lines = append(lines, fmt.Sprintf("%s %s/%d %d errors, %s", t.name, step.Name, index, errors[task], outcome))
 			if starts[task] < errors[task] || done[task] && starts[task] <= errors[task] {
@@ -438,7 +450,7 @@
 	return lines, nil
 }
 
-// diffLines tells the lines in which two accounts differ.
+// diffLines returns a description of each line in which a and b differ.
 func diffLines(nameA, nameB string, a, b []string) (differences []string) {
 	for i := range max(len(a), len(b)) {
 		lineA, lineB := "(nothing)", "(nothing)"
@@ -455,7 +467,8 @@
 	return differences
 }
 
-// runTickets gives a farm the tickets and waits for their ends.
+// runTickets submits the tickets to a site and waits until they have ended, while machines are
+// drained. It returns the final statuses by ticket name and the latencies of the submissions.
 func (site *testSite) runTickets(ctx context.Context, seed uint64, tickets []*testTicket, embedded bool) (map[string]*node.TicketStatus, []time.Duration, error) {
 	rng := rand.New(rand.NewPCG(seed, 12))
 	var acceptLatencies []time.Duration
@@ -477,8 +490,8 @@
 	return statuses, acceptLatencies, err
 }
 
-// submitTicket submits a ticket, by itself or carried by an ordinary submission, until it is
-// accepted; took is how long that was. One that is to be cancelled is cancelled.
+// submitTicket retries the submission of a ticket until it is accepted and returns how long that
+// took. A ticket that is to be cancelled is cancelled then.
 func (site *testSite) submitTicket(ctx context.Context, rng *rand.Rand, ticket *testTicket, embedded bool) (latency time.Duration, err error) {
 	if err := uploadDescriptions(ctx, site, ticket.body(false), len(ticket.steps)); err != nil {
 		return 0, err
@@ -507,7 +520,7 @@
 	return latency, nil
 }
 
-// awaitTickets asks until all tickets have ended and nothing of them runs.
+// awaitTickets polls until all tickets have ended and none of their tasks runs.
 func (site *testSite) awaitTickets(ctx context.Context, rng *rand.Rand, tickets []*testTicket) (map[string]*node.TicketStatus, error) {
 	statuses := map[string]*node.TicketStatus{}
 	for deadline := time.Now().Add(120 * time.Second); ; time.Sleep(300 * time.Millisecond) {
@@ -533,14 +546,14 @@
 	}
 }
 
-// ticketEnded says whether a ticket has ended and nothing of it runs.
+// ticketEnded reports whether a ticket has ended and none of its tasks runs.
 func ticketEnded(status *node.TicketStatus) bool {
 	ended := status.Status == protocol.JobDone || status.Status == protocol.JobFailed || status.Status == protocol.JobCancelled
 	return ended && status.Running == 0 && !slices.ContainsFunc(status.Steps, func(step node.StepStatus) bool { return step.Running > 0 })
 }
 
-// drainMachines holds back one machine after another, as an operator does, and notes
-// starts on them.
+// drainMachines cordons one random machine after another, as an operator does, until stop is
+// closed, and records tasks that start on a cordoned machine.
 func (site *testSite) drainMachines(ctx context.Context, rng *rand.Rand, stop chan struct{}) {
 	for {
 		var machines protocol.MachineList
@@ -558,12 +571,12 @@
 	}
 }
 
-// drain holds a machine back for a while and notes starts on it.
+// drain cordons a machine for 3 s and records tasks that start on it.
 func (site *testSite) drain(ctx context.Context, machine string) {
 	if !site.setCordoned(ctx, machine) {
 		return
 	}
-	// What was stored before the drain may still start; an image takes 0.15 s.
+	// Tasks placed before the machine was cordoned may still start; fetching an image takes 0.15 s.
 	cordonedFrom := time.Now().Add(1500 * time.Millisecond)
 	time.Sleep(3 * time.Second)
 	cordonedUntil := time.Now()
@@ -577,7 +590,8 @@
 	site.setCordoned(ctx)
 }
 
-// setCordoned holds back these machines and no others; false if that was not stored.
+// setCordoned replaces the set of cordoned machines. It returns false if the setting was not
+// stored.
 func (site *testSite) setCordoned(ctx context.Context, machines ...string) bool {
 	_, response, err := site.call(ctx, "GET", site.apis[0], "/admin/settings", nil)
 	var settings struct{ Stamp uint64 }
@@ -589,7 +603,7 @@
 	return err == nil && status == 200
 }
 
-// ticketComparison is what a run showed.
+// ticketComparison holds the counts, violations and latencies of one run.
 type ticketComparison struct {
 	lines           int
 	starts          int
@@ -600,7 +614,7 @@
 	err             error
 }
 
-// pathResult is what one of the two ways showed.
+// pathResult holds the lines, events and violations of one of the two submission paths.
 type pathResult struct {
 	lines           []string
 	events          []machineEvent
@@ -609,7 +623,7 @@
 	err             error
 }
 
-// runPath plays tickets one way, on a farm of its own.
+// runPath runs tickets by one submission path, at a test site of its own.
 func runPath(ctx context.Context, bin, dir string, seed uint64, tickets []*testTicket, retries int, embedded bool) (result pathResult) {
 	site, err := startSeededTestSite(ctx, bin, dir, seed, retries, 24, testSiteTimes)
 	defer site.end()
@@ -635,8 +649,9 @@
 	return result
 }
 
-// comparePaths plays the same tickets both ways. doorRetries is what the class of the
-// second farm allows: other than the first's it is a side door, which must be found.
+// comparePaths runs the same tickets by both submission paths. embeddedRetries is the maximum of
+// retries of the class at the second site. If it differs from the first site's, ordinary submissions
+// bypass a limit, and the comparison must find that.
 func comparePaths(ctx context.Context, bin, dir string, seed uint64, embeddedRetries int) *ticketComparison {
 	tickets := generateTickets(seed)
 	var paths [2]pathResult
@@ -665,7 +680,7 @@
 	return comparison
 }
 
-// add adds up what a way showed.
+// add adds the counts and violations of one submission path.
 func (r *ticketComparison) add(path pathResult) {
 	if path.err != nil {
 		r.err = cmp.Or(r.err, path.err)
@@ -685,7 +700,7 @@
 	}
 }
 
-// expectedLinesOfAll are what the seed says of all tickets.
+// expectedLinesOfAll returns the lines that all tickets must produce.
 func expectedLinesOfAll(seed uint64, tickets []*testTicket) (lines []string, err error) {
 	plan := standin.NewFarm(seed)
 	for _, ticket := range tickets {
@@ -698,10 +713,12 @@
 	return lines, nil
 }
 
+// ticketsProofCommand returns the subcommand that compares tickets with ordinary submissions.
 func ticketsProofCommand() *cobra.Command {
-	return newProofCommand("tickets", "Submit the same tickets both ways to render servers that fail, drain and vanish, and compare", 8, 8, proveTickets)
+	return newProofCommand("tickets", "Submit the same tickets by both paths to machines that fail, drain and vanish, and compare", 8, 8, proveTickets)
 }
 
+// proveTickets executes the runs and prints their figures.
 func proveTickets(ctx context.Context, out io.Writer, options runOptions) error {
 	acceptLatencies := newLatencies()
 	figures := struct {
--- a/cmd/lab/why.go
+++ b/cmd/lab/why.go
@@ -15,21 +15,25 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// waitCondition is a reason to wait, as real controllers and stand-in machines make it.
+// waitCondition is a reason why a job waits, together with the means to establish it at a test site
+// and to release it.
 type waitCondition struct {
-	name           string // of the cause
-	mustBeFirst    bool   // it must be the first that is told
-	competingTasks int    // tasks of another job that run meanwhile
-	shape          string // shape of the job that waits
+	name           string // name of the reason in an explanation
+	mustBeFirst    bool   // an explanation must list this reason first
+	competingTasks int    // number of tasks of the competing job, which runs meanwhile; 0: no such job
+	shape          string // shape of the waiting job; empty: an array
 	tasks          int
-	gpus           float64
+	gpus           float64 // for each task; 0: 1
 	establish      func(ctx context.Context, site *testSite, id string) error
 	release        func(ctx context.Context, site *testSite, id string) error
 }
 
-// whyFarm is what conditions are made of.
+// whyTimes are the times and limits of the test sites of the why proof. A team may use 8 GPUs, so
+// that a job can reach the team limit.
 var whyTimes = times{workerLease: 2.5, reportInterval: 0.5, cancelBound: 14, writeRPS: 150, maxTeamGPUs: 8}
 
+// changeSetting changes an operators' setting. It retries, since a concurrent change makes the stamp
+// that it read outdated.
 func changeSetting(ctx context.Context, site *testSite, name string, value any) error {
 	for try := 0; ; try++ {
 		_, response, err := site.call(ctx, "GET", site.apis[try%2], "/admin/settings", nil)
@@ -52,6 +56,7 @@
 	}
 }
 
+// postToCloud sends a control request to the simulated cloud.
 func postToCloud(ctx context.Context, site *testSite, path string) error {
 	status, response, err := site.call(ctx, "POST", site.cloudAddr, path, nil)
 	if err == nil && status != 200 {
@@ -60,6 +65,7 @@
 	return err
 }
 
+// cordonAll stops rentals and cordons all machines of the site.
 func cordonAll(ctx context.Context, site *testSite) error {
 	var machines protocol.MachineList
 	_, response, err := site.call(ctx, "GET", site.cloudAddr, "/hosts", nil)
@@ -71,7 +77,7 @@
 		names = append(names, m.ID)
 	}
 	if err == nil && len(names) == 0 {
-		err = fmt.Errorf("no machines to hold back")
+		err = fmt.Errorf("no machines to cordon")
 	}
 	if err == nil {
 		err = changeSetting(ctx, site, "stop_rentals", true)
@@ -82,6 +88,7 @@
 	return err
 }
 
+// uncordonAll uncordons all machines and allows rentals again.
 func uncordonAll(ctx context.Context, site *testSite, _ string) error {
 	if err := changeSetting(ctx, site, "held_back", []string{}); err != nil {
 		return err
@@ -89,9 +96,10 @@
 	return changeSetting(ctx, site, "stop_rentals", false)
 }
 
-// competingJobID is the id of the job that runs beside a condition's.
+// competingJobID returns the id of the job that runs while the job with the given id waits.
 func competingJobID(id string) string { return id + "9" }
 
+// cancelCompetingJob cancels the competing job, which releases a condition that is due to it.
 func cancelCompetingJob(ctx context.Context, site *testSite, id string) error {
 	for try := 0; ; try++ {
 		status, response, err := site.call(ctx, "POST", site.apis[try%2], "/api/jobs/"+competingJobID(id)+"/cancel", []byte("{}"))
@@ -105,8 +113,10 @@
 	}
 }
 
+// noAction is the establish function of a condition that the competing job alone brings about.
 func noAction(context.Context, *testSite, string) error { return nil }
 
+// waitConditions returns all conditions that the why proof checks.
 func waitConditions() []waitCondition {
 	limit := func(machines int) func(ctx context.Context, site *testSite, _ string) error {
 		return func(ctx context.Context, site *testSite, _ string) error {
@@ -143,6 +153,7 @@
 	}
 }
 
+// submission returns the submission of a job with the condition's shape and GPUs per task.
 func (c *waitCondition) submission(id string, tasks int, seconds float64) []byte {
 	shape, gpus := c.shape, c.gpus
 	if shape == "" {
@@ -154,6 +165,7 @@
 	return fmt.Appendf(nil, `{"id":%q,"lot":"proof","crew":"red","shape":%q,"urgency":"standard","pieces":%d,"vcpus":2.0,"cards":%g,"memGb":8.0,"bundle":"img-1","sizeGb":1.0,"together":false,"scatter":false,"loaners":true,"expectS":%g,"snapshotS":0.0,"storeS":0.0}`, id, shape, tasks, gpus, seconds)
 }
 
+// submit uploads the description of a job and retries its submission until it is accepted.
 func (site *testSite) submit(ctx context.Context, id string, body []byte) error {
 	if _, _, err := site.call(ctx, "POST", site.cloudAddr, "/upload", body); err != nil {
 		return err
@@ -170,6 +182,8 @@
 	}
 }
 
+// runningTasks returns the number of task starts of a job less its errors, by the machines' event
+// log. Tasks that are done still count.
 func (site *testSite) runningTasks(ctx context.Context, id string) int {
 	running := 0
 	events, err := readMachineEvents(site.eventsPath)
@@ -189,6 +203,7 @@
 	return running
 }
 
+// waitUntil checks a condition every 50 ms until it holds. It returns false on timeout or if ctx ends.
 func waitUntil(ctx context.Context, timeout time.Duration, condition func() bool) bool {
 	for end := time.Now().Add(timeout); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(50 * time.Millisecond) {
 		if condition() {
@@ -198,17 +213,17 @@
 	return false
 }
 
-// whyResult is what a run showed.
+// whyResult holds the counts, violations and measured times of one run.
 type whyResult struct {
-	checked     int
+	checked     int // explanations
 	violations  []string
-	startDelays []time.Duration // from release to start
-	answerTimes []time.Duration // time to answer
+	startDelays []time.Duration // from the release of the condition to the start of the job
+	answerTimes []time.Duration // latencies of the requests for an explanation
 	err         error
 }
 
-// verify builds a condition, holds what both nodes say to it, lifts it and waits for the
-// start.
+// verify establishes a condition, checks the explanations that the nodes give for the waiting job,
+// releases the condition and waits until the job starts.
 func (c *waitCondition) verify(ctx context.Context, site *testSite, id string, result *whyResult) error {
 	if err := c.prepare(ctx, site, id); err != nil {
 		return err
@@ -223,7 +238,7 @@
 	}
 	site.procs[0].signal(syscall.SIGCONT)
 	if site.runningTasks(ctx, id) > 0 {
-		result.violations = append(result.violations, c.name+": started though it was said to wait")
+		result.violations = append(result.violations, c.name+": started although the condition was not released")
 	}
 	if err := c.release(ctx, site, id); err != nil {
 		return err
@@ -231,13 +246,13 @@
 	releasedAt := time.Now()
 	if !waitUntil(ctx, 60*time.Second, func() bool { return site.runningTasks(ctx, id) > 0 }) {
 		result.violations = append(result.violations, c.name+": not started after its release")
-	} else if c.name != "fails_everywhere" { // that waits for its next try, up to a minute
+	} else if c.name != "fails_everywhere" { // a failed job waits for its next retry, up to a minute
 		result.startDelays = append(result.startDelays, time.Since(releasedAt))
 	}
 	return c.restore(ctx, site, id)
 }
 
-// prepare submits the job that is to wait, amid what makes it wait.
+// prepare starts the competing job, establishes the condition and submits the job that is to wait.
 func (c *waitCondition) prepare(ctx context.Context, site *testSite, id string) error {
 	if c.competingTasks > 0 {
 		competing := waitCondition{}
@@ -245,23 +260,26 @@
 			return err
 		}
 		if !waitUntil(ctx, 30*time.Second, func() bool { return site.runningTasks(ctx, competingJobID(id)) >= c.competingTasks }) {
-			return fmt.Errorf("%s: its rival did not start", c.name)
+			return fmt.Errorf("%s: the competing job did not start", c.name)
 		}
 	}
 	if err := c.establish(ctx, site, id); err != nil {
 		return err
 	}
-	time.Sleep(400 * time.Millisecond) // settings reach the nodes
+	time.Sleep(400 * time.Millisecond) // until the nodes have read the changed settings
 	return site.submit(ctx, id, c.submission(id, c.tasks, 600))
 }
 
-// suspendCause stops the process that a condition is about, if it is about one. It returns the
-// nodes to be asked then, and what lets the process go on.
+// suspendCause suspends the process whose outage is the condition, if there is one. It returns the
+// nodes to ask for an explanation, and resume, which continues the process.
 func (c *waitCondition) suspendCause(ctx context.Context, site *testSite, id string, result *whyResult) (nodes []string, resume func(), err error) {
 	switch c.name {
 	case "state_service_down":
-		for _, api := range site.apis { // who does not know a job can't explain it in an outage
-			waitUntil(ctx, 5*time.Second, func() bool { explanation, err := site.explain(ctx, api, id, result); return err == nil && explanation.Waiting > 0 })
+		for _, api := range site.apis { // a node that has not read the job can't explain it during the outage
+			waitUntil(ctx, 5*time.Second, func() bool {
+				explanation, err := site.explain(ctx, api, id, result)
+				return err == nil && explanation.Waiting > 0
+			})
 		}
 		site.procs[0].signal(syscall.SIGSTOP)
 		time.Sleep(3 * time.Second)
@@ -282,7 +300,7 @@
 	return site.apis, func() {}, nil
 }
 
-// explain asks a node why a job waits.
+// explain requests the explanation why a job waits from a node.
 func (site *testSite) explain(ctx context.Context, api, id string, result *whyResult) (*node.Explanation, error) {
 	var explanation node.Explanation
 	sentAt := time.Now()
@@ -297,7 +315,7 @@
 	return &explanation, err
 }
 
-// check holds what a node says to what was built.
+// check checks the explanation of a node against the established condition.
 func (c *waitCondition) check(ctx context.Context, site *testSite, api, id string, result *whyResult) {
 	var explanation *node.Explanation
 	var err error
@@ -316,15 +334,15 @@
 	}
 	switch {
 	case c.name == "holder_silent" && explanation.Unknown == "":
-		result.violations = append(result.violations, c.name+": not told as unknown")
+		result.violations = append(result.violations, c.name+": state not reported as unknown")
 	case c.name != "holder_silent" && len(explanation.Release) == 0:
-		result.violations = append(result.violations, c.name+": nothing is told to release it")
+		result.violations = append(result.violations, c.name+": the explanation names nothing that would release it")
 	case c.name == "state_service_down" && explanation.StateAge < 2:
-		result.violations = append(result.violations, fmt.Sprintf("%s: told as if it were %.1f s old", c.name, explanation.StateAge))
+		result.violations = append(result.violations, fmt.Sprintf("%s: the explanation gives its age as %.1f s", c.name, explanation.StateAge))
 	}
 }
 
-// namedBy says whether an answer names the condition, first if it must be.
+// namedBy reports whether an explanation lists the condition, at the first place if it must be first.
 func (c *waitCondition) namedBy(explanation *node.Explanation) bool {
 	for i, cause := range explanation.Causes {
 		if cause.Reason.String() == c.name {
@@ -334,8 +352,8 @@
 	return false
 }
 
-// answerTimeout is how long a node may take to name the condition. Looks are some hundred
-// milliseconds apart; a mistake takes a few tries to show.
+// answerTimeout returns how long a node may take to name the condition. Placement is decided every
+// few hundred milliseconds; a job that fails everywhere is recognized after a few retries.
 func (c *waitCondition) answerTimeout() time.Duration {
 	switch c.name {
 	case "fails_everywhere":
@@ -348,7 +366,7 @@
 	return 3 * time.Second
 }
 
-// restore leaves a farm as it was found.
+// restore cancels both jobs and undoes the changes of limits and settings.
 func (c *waitCondition) restore(ctx context.Context, site *testSite, id string) error {
 	for _, job := range []string{id, competingJobID(id)} {
 		site.call(ctx, "POST", site.apis[0], "/api/jobs/"+job+"/cancel", []byte("{}"))
@@ -359,13 +377,15 @@
 	return uncordonAll(ctx, site, id)
 }
 
+// executeWhyRun verifies all conditions in random order.
 func executeWhyRun(ctx context.Context, bin, dir string, seed uint64) *whyResult {
 	r := &whyResult{}
 	rng := rand.New(rand.NewPCG(seed, 21))
 	cs := waitConditions()
 	rng.Shuffle(len(cs), func(i, k int) { cs[i], cs[k] = cs[k], cs[i] })
 	for i := range cs {
-		// A farm for each: machines of the one before must not serve the next.
+		// Each condition gets a test site of its own, so that machines rented for the previous one are
+		// not available to the next.
 		f, err := startTestSite(ctx, bin, fmt.Sprintf("%s/%d", dir, i), 24, whyTimes)
 		if err == nil {
 			time.Sleep(time.Duration(rng.IntN(400)) * time.Millisecond)
@@ -380,10 +400,12 @@
 	return r
 }
 
+// whyProofCommand returns the subcommand that checks the explanations of waiting jobs.
 func whyProofCommand() *cobra.Command {
-	return newProofCommand("why", "Build each reason to wait with real controllers, check what is told, release it and time the start", 4, 4, proveWhy)
+	return newProofCommand("why", "Establish each reason to wait with real controllers, check its explanation, release it and time the start", 4, 4, proveWhy)
 }
 
+// proveWhy executes the runs and prints their figures.
 func proveWhy(ctx context.Context, out io.Writer, options runOptions) error {
 	sum := struct {
 		runTotals
--- a/cmd/lab/world.go
+++ b/cmd/lab/world.go
@@ -220,10 +220,10 @@
 // times of a world: shorter than a real deployment's, so that a handoff takes seconds.
 type times struct {
 	siteLease, controllerLease, workerLease, reportInterval, cancelBound float64
-	writeRPS                                                          float64
-	maxTeamGPUs                                                       float64 // of each team; 0: 400
-	maxInFlight                                                       int
-	mixedMachines                                                     bool // of a farm: several types of machine in three zones, some of which run already
+	writeRPS                                                             float64
+	maxTeamGPUs                                                          float64 // of each team; 0: 400
+	maxInFlight                                                          int
+	mixedMachines                                                        bool // of a farm: several types of machine in three zones, some of which run already
 }
 
 var gatewayTimes = times{siteLease: 2, controllerLease: 1, workerLease: 2.5, reportInterval: 0.5, cancelBound: 14, writeRPS: 40, maxInFlight: 500}
