--- a/cmd/lab/load.go
+++ b/cmd/lab/load.go
@@ -20,11 +20,11 @@
 	wire "dapplestage.example/dapplestage/internal/protocol/gateway"
 )
 
-// gatewayLoadCommand compares submissions through the gateway with submissions straight to
-// a site, in one run on the same processes.
+// gatewayLoadCommand returns the subcommand that compares submissions through the gateway with
+// submissions directly to a site, in one run on the same processes.
 func gatewayLoadCommand() *cobra.Command {
 	var seconds, clients, rate int
-	command := &cobra.Command{Use: "gateway-load", Short: "Jobs a second through the gateway against straight to a site", Args: cobra.NoArgs,
+	command := &cobra.Command{Use: "gateway-load", Short: "Compare jobs per second through the gateway and directly to a site", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			for _, argument := range []struct {
 				name                    string
@@ -36,12 +36,13 @@
 			}
 			return measureGatewayLoad(cmd.Context(), cmd.OutOrStdout(), seconds, clients, rate)
 		}}
-	command.Flags().IntVar(&seconds, "seconds", 10, "how long each way")
+	command.Flags().IntVar(&seconds, "seconds", 10, "duration of each of the two measurements")
 	command.Flags().IntVar(&clients, "clients", 32, "clients that submit one job after the other")
-	command.Flags().IntVar(&rate, "rate", 40, "changes a second of each site's state service")
+	command.Flags().IntVar(&rate, "rate", 40, "changes per second of each site's state service")
 	return command
 }
 
+// submissionFigures holds the figures of the submissions by one of the two paths.
 type submissionFigures struct {
 	Accepted  int     `json:"accepted"`
 	PerSecond float64 `json:"per_s"`
@@ -50,7 +51,7 @@
 	Refused   int     `json:"turned_away"`
 }
 
-// gatewayLoadFigures are the figures of a measurement.
+// gatewayLoadFigures is the last output line of the gateway load measurement.
 type gatewayLoadFigures struct {
 	Runs           int               `json:"runs"`
 	Broken         int               `json:"broken"`
@@ -64,6 +65,8 @@
 	JournalBytes   int64             `json:"journal_bytes"`
 }
 
+// measureGatewayLoad measures submissions directly to a site and then through the gateway, and prints
+// the figures.
 func measureGatewayLoad(ctx context.Context, out io.Writer, seconds, clients, rate int) error {
 	bin, err := buildPrograms(ctx)
 	if err != nil {
@@ -77,7 +80,7 @@
 	defer os.RemoveAll(dir)
 	timing := gatewayTimes
 	timing.siteLease, timing.cancelBound, timing.writeRPS, timing.maxInFlight = 6, 40, float64(rate), 2000
-	d, err := startDeployment(ctx, bin, dir, timing, 0) // no machines: what is measured is taking jobs
+	d, err := startDeployment(ctx, bin, dir, timing, 0) // no machines, since only the acceptance of jobs is measured
 	if err != nil {
 		return err
 	}
@@ -102,7 +105,7 @@
 	return printFigures(out, result)
 }
 
-// loadGenerator is clients that submit one job after the other.
+// loadGenerator runs clients that each submit one job after the other.
 type loadGenerator struct {
 	deployment *deployment
 	duration   time.Duration
@@ -110,7 +113,7 @@
 	lastJob    atomic.Int64 // number of the last job
 }
 
-// measure submits at some addresses for a while.
+// measure submits jobs to the given addresses for the generator's duration.
 func (l *loadGenerator) measure(ctx context.Context, addresses []string) submissionFigures {
 	latencyHistogram := hdrhistogram.New(1, 60_000_000, 3) // in microseconds
 	var mu sync.Mutex
@@ -147,8 +150,8 @@
 	return figures
 }
 
-// registerChanges is how many changes the registers have cost both sites. The daemons' logs
-// number their segments.
+// registerChanges returns how many state service changes the registers have cost at both sites. Each
+// change stores one segment of a daemon's log, and the segments are numbered.
 func (d *deployment) registerChanges(ctx context.Context) (changes float64, err error) {
 	for _, site := range d.sites {
 		var page struct {
@@ -164,20 +167,22 @@
 	return changes, nil
 }
 
-// gatewayGrowthCommand measures a gateway's journal and memory by the number of jobs.
+// gatewayGrowthCommand returns the subcommand that measures a gateway's journal, memory and start
+// time by the number of jobs.
 func gatewayGrowthCommand() *cobra.Command {
 	var maxJobs int
-	command := &cobra.Command{Use: "gateway-growth", Short: "Journal, memory and time to start of a gateway by number of ended jobs", Args: cobra.NoArgs,
+	command := &cobra.Command{Use: "gateway-growth", Short: "Journal size, memory and start time of a gateway by number of ended jobs", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := checkRange("jobs", maxJobs, 1000, 10_000_000); err != nil {
 				return err
 			}
 			return measureGatewayGrowth(cmd.OutOrStdout(), maxJobs)
 		}}
-	command.Flags().IntVar(&maxJobs, "jobs", 100_000, "up to how many jobs, by tens from 10,000")
+	command.Flags().IntVar(&maxJobs, "jobs", 100_000, "maximum number of jobs; sizes grow tenfold from 10,000")
 	return command
 }
 
+// growthFigures holds the figures for one number of jobs.
 type growthFigures struct {
 	Jobs         int     `json:"jobs"`
 	JournalBytes int64   `json:"journal_bytes"`
@@ -186,6 +191,7 @@
 	HeapBytes    uint64  `json:"heap_bytes"`
 }
 
+// measureGatewayGrowth measures for each number of jobs and prints the figures.
 func measureGatewayGrowth(out io.Writer, maxJobs int) error {
 	var sizes []growthFigures
 	for jobs := min(10_000, maxJobs); jobs <= maxJobs; jobs *= 10 {
@@ -210,7 +216,8 @@
 	}{Runs: len(sizes), Sizes: sizes})
 }
 
-// measureJournalGrowth writes n jobs as they are accepted and then as they end, 100 a write.
+// measureJournalGrowth writes the registers of all jobs to a journal, first as accepted and then as
+// ended, 100 in each write, and then measures the start of a gateway with that journal.
 func measureJournalGrowth(path string, jobs int) (growthFigures, error) {
 	figures := growthFigures{Jobs: jobs}
 	journal, _, _, err := gateway.OpenJournal(path, "gate")
--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -1,8 +1,8 @@
-// Command lab runs proofs and measurements that anyone can repeat: it starts real
-// processes of this repository on loopback ports, causes failures from a seed,
-// compares what users were told with what machines ran and what the stores hold, and
-// ends everything that it started. The last line of its output is one JSON object.
-// It exits with 1 if anything was broken and with 2 for a wrong argument.
+// Command lab runs repeatable proofs and measurements. It starts real processes of this repository
+// on loopback ports, injects faults drawn from a seed, and compares the answers to users with what
+// machines ran and what the stores contain. It ends every process that it started. The last line of
+// its output is one JSON object. The exit status is 1 if a proof found a violation or a run failed,
+// and 2 for an invalid argument or any other error.
 package main
 
 import (
@@ -15,7 +15,8 @@
 	"github.com/spf13/cobra"
 )
 
-// errUsage marks mistakes on the command line; errBroken a proof that failed.
+// errUsage marks invalid arguments. errBroken marks a proof that found a violation or in which a run
+// failed.
 var (
 	errUsage  = errors.New("usage")
 	errBroken = errors.New("broken")
@@ -38,7 +39,7 @@
 	}
 }
 
-// printFigures prints the last line.
+// printFigures prints the last line of the output, one JSON object.
 func printFigures(out io.Writer, value any) error {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -48,7 +49,7 @@
 	return err
 }
 
-// checkRange refuses an argument out of its bounds.
+// checkRange returns an error if an argument is out of its bounds.
 func checkRange(name string, value, minimum, maximum int) error {
 	if value < minimum || value > maximum {
 		return fmt.Errorf("%w: --%s %d is not within %d to %d", errUsage, name, value, minimum, maximum)
--- a/cmd/lab/proof_test.go
+++ b/cmd/lab/proof_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// The checkers must find what they are there for: each case is one fault in what
-// users were told or machines logged.
+// The checks of the gateway proof must find each kind of violation, or the proof would pass without
+// checking anything. Each case has at most one fault in the answers to a user or in the task runs.
 func TestGatewayChecksFindFaults(t *testing.T) {
 	at := func(seconds float64) time.Time {
 		return time.Unix(1000, 0).Add(time.Duration(seconds * float64(time.Second)))
@@ -21,23 +21,23 @@
 		name string
 		log  []answer
 		runs []taskRun
-		want string // "" for nothing
+		want string // part of the violation; "" for none
 	}{
 		{"done", []answer{accepted, answered(6, "poll", 200, "done")}, []taskRun{completedRun}, ""},
-		{"turned away for good", []answer{answered(1, "submit", 503, "")}, nil, ""},
-		{"unknown before it was accepted", []answer{answered(0.5, "poll", 404, ""), accepted, answered(6, "poll", 200, "done")}, []taskRun{completedRun}, ""},
-		{"unknown after", []answer{accepted, answered(3, "poll", 404, ""), answered(6, "poll", 200, "done")}, []taskRun{completedRun}, "is unknown"},
-		{"refused after", []answer{accepted, answered(3, "submit", 422, ""), answered(6, "poll", 200, "done")}, []taskRun{completedRun}, "gets 422"},
-		{"no answer", []answer{accepted, answered(6, "poll", 200, "running")}, []taskRun{completedRun}, "no final answer"},
-		{"two answers", []answer{accepted, answered(2, "cancel", 200, "withdrawn"), answered(6, "poll", 200, "done")}, []taskRun{completedRun}, "is called done"},
-		{"went back", []answer{accepted, answered(6, "poll", 200, "done"), answered(7, "poll", 200, "running")}, []taskRun{completedRun}, "is called running"},
-		{"nobody cancelled", []answer{accepted, answered(6, "poll", 200, "withdrawn")}, nil, "nobody asked"},
-		{"done and nothing ran", []answer{accepted, answered(6, "poll", 200, "done")}, nil, "0 of 1 tasks"},
-		{"done too early", []answer{accepted, answered(4, "poll", 200, "done")}, []taskRun{completedRun}, "before"},
-		{"cancelled and it runs on", []answer{accepted, answered(2, "cancel", 200, "withdrawn")}, []taskRun{{site: "quito", task: "job-1/0", startedAt: at(1), endedAt: at(60)}}, "after it was called cancelled"},
-		{"on two machines", []answer{accepted, answered(9, "poll", 200, "done")},
+		{"never accepted", []answer{answered(1, "submit", 503, "")}, nil, ""},
+		{"unknown before the acceptance", []answer{answered(0.5, "poll", 404, ""), accepted, answered(6, "poll", 200, "done")}, []taskRun{completedRun}, ""},
+		{"unknown after the acceptance", []answer{accepted, answered(3, "poll", 404, ""), answered(6, "poll", 200, "done")}, []taskRun{completedRun}, "is unknown"},
+		{"refused after the acceptance", []answer{accepted, answered(3, "submit", 422, ""), answered(6, "poll", 200, "done")}, []taskRun{completedRun}, "gets 422"},
+		{"no final answer", []answer{accepted, answered(6, "poll", 200, "running")}, []taskRun{completedRun}, "no final answer"},
+		{"two different final answers", []answer{accepted, answered(2, "cancel", 200, "withdrawn"), answered(6, "poll", 200, "done")}, []taskRun{completedRun}, "is called done"},
+		{"running after a final answer", []answer{accepted, answered(6, "poll", 200, "done"), answered(7, "poll", 200, "running")}, []taskRun{completedRun}, "is called running"},
+		{"cancelled without a request", []answer{accepted, answered(6, "poll", 200, "withdrawn")}, nil, "nobody asked"},
+		{"done but nothing ran", []answer{accepted, answered(6, "poll", 200, "done")}, nil, "0 of 1 tasks"},
+		{"done before its last task", []answer{accepted, answered(4, "poll", 200, "done")}, []taskRun{completedRun}, "before"},
+		{"runs on after the cancellation", []answer{accepted, answered(2, "cancel", 200, "withdrawn")}, []taskRun{{site: "quito", task: "job-1/0", startedAt: at(1), endedAt: at(60)}}, "after it was called cancelled"},
+		{"on two machines at once", []answer{accepted, answered(9, "poll", 200, "done")},
 			[]taskRun{{site: "xela", task: "job-1/0", machine: "host-9", startedAt: at(1), endedAt: at(3)}, completedRun}, "starts on host-1 of quito"},
-		{"still on one and on another", []answer{accepted, answered(9, "poll", 200, "done")},
+		{"still on one machine when it starts on another", []answer{accepted, answered(9, "poll", 200, "done")},
 			[]taskRun{{site: "xela", task: "job-1/0", machine: "host-9", startedAt: at(1)}, completedRun}, "starts on host-1 of quito"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -53,6 +53,7 @@
 	}
 }
 
+// The error for an argument out of range names the flag, its value and the bounds.
 func TestRangeErrorNamesBounds(t *testing.T) {
 	if err := checkRange("runs", 0, 1, 10); err == nil || !strings.Contains(err.Error(), "--runs 0 is not within 1 to 10") {
 		t.Errorf("%v", err)
--- a/cmd/lab/report_test.go
+++ b/cmd/lab/report_test.go
@@ -8,8 +8,8 @@
 	"dapplestage.example/dapplestage/internal/coordination/ledger"
 )
 
-// Accounts that say what was not are found: done too early, running long after it was
-// done, stuck though it moves. A true one is not called wrong.
+// checkRows finds rows that contradict the machines' events: done too early, running long after the
+// end, or stuck although no task was stalled. Correct rows give no violation.
 func TestCheckRowsFindsFalseRows(t *testing.T) {
 	at := func(seconds float64) time.Time { return time.Unix(1000, int64(seconds*1e9)) }
 	job := &reportedJob{id: "job-1", tasks: 2}
--- a/cmd/lab/runs.go
+++ b/cmd/lab/runs.go
@@ -13,15 +13,16 @@
 	"github.com/spf13/cobra"
 )
 
-// runOptions are the flags of a proof of many runs.
+// runOptions holds the flags of a proof that consists of several runs.
 type runOptions struct {
 	runs, parallel int
 	seed           uint64
-	asJSON         bool
-	keepFiles      bool // the files of all runs
+	asJSON         bool // print the last line only
+	keepFiles      bool // also the files of runs without violations
 }
 
-// newProofCommand makes a subcommand that proves something by runs with real processes.
+// newProofCommand returns a subcommand for a proof that consists of several runs with real processes.
+// runs and parallel are the defaults of the flags.
 func newProofCommand(use, short string, runs, parallel int, proof func(ctx context.Context, out io.Writer, options runOptions) error) *cobra.Command {
 	options := runOptions{}
 	command := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs,
@@ -37,20 +38,20 @@
 			return proof(ctx, cmd.OutOrStdout(), options)
 		}}
 	command.Flags().IntVar(&options.runs, "runs", runs, "how many runs")
-	command.Flags().IntVar(&options.parallel, "parallel", parallel, "runs at a time")
-	command.Flags().Uint64Var(&options.seed, "seed", 1, "the first run's seed; the next ones follow")
+	command.Flags().IntVar(&options.parallel, "parallel", parallel, "runs in parallel")
+	command.Flags().Uint64Var(&options.seed, "seed", 1, "seed of the first run; each further run uses the next number")
 	command.Flags().BoolVar(&options.asJSON, "json", false, "print the last line only")
 	return command
 }
 
-// runOutcome is what a run showed.
+// runOutcome is the outcome of one run.
 type runOutcome struct {
-	summary    string // if all was well
+	summary    string // printed if there are no violations
 	violations []string
 	err        error
 }
 
-// runTotals are the figures that every proof tells.
+// runTotals holds the figures that every proof prints.
 type runTotals struct {
 	Runs   int    `json:"runs"`
 	Broken int    `json:"broken"`
@@ -58,6 +59,7 @@
 	Failed int    `json:"failed_to_run"`
 }
 
+// err returns errBroken if a run found a violation or failed.
 func (t runTotals) err() error {
 	if t.Broken > 0 || t.Failed > 0 {
 		return errBroken
@@ -65,8 +67,9 @@
 	return nil
 }
 
-// executeRuns plays the runs, some at a time, and tells of each. The files of a run that broke
-// something stay. take is called with each run's number, one call at a time.
+// executeRuns executes the runs, several in parallel, and prints a line for each. The files of a run
+// that failed or found a violation are kept. The collect function that a run returns is called once
+// at its end, for one run at a time.
 func (options runOptions) executeRuns(ctx context.Context, out io.Writer, name string, execute func(bin, dir string, seed uint64) (collect func(), r runOutcome)) (runTotals, error) {
 	totals := runTotals{Runs: options.runs, Seed: options.seed}
 	bin, err := buildPrograms(ctx)
@@ -81,7 +84,7 @@
 		slots <- struct{}{}
 		if ctx.Err() != nil {
 			mu.Lock()
-			totals.Failed += options.runs - i // they were not begun
+			totals.Failed += options.runs - i // the runs that were not started
 			mu.Unlock()
 			break
 		}
--- a/cmd/lab/start.go
+++ b/cmd/lab/start.go
@@ -17,20 +17,21 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// restartTimes are those of a site whose controllers all go down: a worker's lease
-// outlives the time without any of them.
+// restartTimes are the times and limits of a site whose controllers are all down for a while. The
+// workers' lease outlasts that time, so running tasks are not lost.
 var restartTimes = times{workerLease: 9, reportInterval: 1.5, cancelBound: 22, writeRPS: 150, maxTeamGPUs: 4000}
 
-// startResult is what a run showed.
+// startResult holds the counts, violations and measured times of one run.
 type startResult struct {
-	servingDelays, halfReconciledDelays, reconciledDelays []time.Duration // from the last process being back
-	ordersGiven, ordersHeldBack                           map[string]int
-	serviceTasksEnded                                     int // tasks of services that ended though nobody cancelled them
+	servingDelays, halfReconciledDelays, reconciledDelays []time.Duration // from the restart of the last controller
+	ordersGiven, ordersHeldBack                           map[string]int  // by kind of order
+	serviceTasksEnded                                     int             // tasks of services that ended although no user cancelled them
 	violations                                            []string
 	err                                                   error
 }
 
-// partitionStatuses asks all controllers how far the shares are; false if one does not answer.
+// partitionStatuses returns the status of each partition as reported by its owner, by partition. It
+// returns false if a controller does not answer.
 func (site *testSite) partitionStatuses(ctx context.Context) (map[int]node.PartitionStatus, bool) {
 	statuses := map[int]node.PartitionStatus{}
 	for i, api := range site.apis {
@@ -48,7 +49,8 @@
 	return statuses, true
 }
 
-// countOrders reads what each controller has ordered since its start.
+// countOrders adds the orders that each controller has given or held back since its start, from its
+// metrics.
 func (site *testSite) countOrders(ctx context.Context, result *startResult) {
 	for _, api := range site.apis {
 		_, body, err := site.call(ctx, "GET", api, "/metrics", nil)
@@ -75,7 +77,8 @@
 	}
 }
 
-// checkTaskEvents says what machines ran twice at once, and what is called done and is not.
+// checkTaskEvents returns violations for tasks that ran on two machines at once and for jobs that
+// were reported as done before all their tasks were. ended counts the tasks of services that ended.
 func checkTaskEvents(events []machineEvent, tasks map[string]int, done map[string]bool) (wrong []string, ended int) {
 	runningOn := map[string]string{}
 	completedByJob := map[string]map[string]bool{}
@@ -113,15 +116,17 @@
 	return wrong, ended
 }
 
-// startRun is a run under way.
+// startRun is a run in progress.
 type startRun struct {
 	*startResult
 	site      *testSite
 	rng       *rand.Rand
-	tasks     map[string]int // by job
-	shortJobs int
+	tasks     map[string]int // number of tasks by job id
+	shortJobs int            // number of arrays submitted so far
 }
 
+// executeStartRun starts services, restarts all controllers several times, and checks the jobs and the
+// machines' events at the end.
 func executeStartRun(ctx context.Context, bin, dir string, seed uint64, machines, starts int, timing times) *startResult {
 	result := &startResult{ordersGiven: map[string]int{}, ordersHeldBack: map[string]int{}}
 	site, err := startTestSite(ctx, bin, dir, machines, timing)
@@ -151,6 +156,7 @@
 	return result
 }
 
+// submit submits a job, of the teams in turn.
 func (r *startRun) submit(ctx context.Context, id, shape string, tasks int, seconds float64) {
 	team := []string{"red", "blue"}[len(r.tasks)%2]
 	r.tasks[id] = tasks
@@ -162,8 +168,8 @@
 // tasksPerService is how many tasks each service of a run has.
 const tasksPerService = 8
 
-// startServices fills six tenths of the machines with services; false if they do not run in
-// time.
+// startServices fills 60 % of the machines with services; a machine has room for four of their tasks.
+// It returns false if the services do not run within 30 s.
 func (r *startRun) startServices(ctx context.Context, machines int) bool {
 	services := machines * 4 * 6 / 10 / tasksPerService
 	id := func(i int) string { return fmt.Sprintf("job-8%05d", i) }
@@ -179,8 +185,8 @@
 	})
 }
 
-// restartControllers submits some work, ends all controllers, one shortly after the other, and starts
-// them again. It returns false if the run can't go on.
+// restartControllers submits some jobs, kills all controllers, one shortly after the other, and starts
+// them again. It returns false if the run can't continue.
 func (r *startRun) restartControllers(ctx context.Context) bool {
 	for range 3 + r.rng.IntN(3) {
 		r.submit(ctx, fmt.Sprintf("job-1%05d", r.shortJobs), "sweep", 4+r.rng.IntN(12), 2+3*r.rng.Float64())
@@ -212,8 +218,9 @@
 	return true
 }
 
-// awaitReconciled measures from when the last process was back until both shares are served,
-// and half and all of their machines have spoken. It returns false if that takes too long.
+// awaitReconciled measures the time from the restart of the last controller until both partitions are
+// in the serving phase, and until half and all of their machines have reported. It returns false if
+// that takes more than 30 s.
 func (r *startRun) awaitReconciled(ctx context.Context, restartedAt time.Time) bool {
 	var serving, halfReconciled, reconciled time.Duration
 	if !waitUntil(ctx, 30*time.Second, func() bool {
@@ -234,23 +241,23 @@
 		setOnce(&reconciled, elapsed, awaitingReport == 0)
 		return serving > 0 && halfReconciled > 0 && reconciled > 0
 	}) {
-		r.violations = append(r.violations, fmt.Sprintf("not squared 30 s after the processes were back (serving after %v, half after %v)", serving, halfReconciled))
+		r.violations = append(r.violations, fmt.Sprintf("not reconciled 30 s after the restart (serving after %v, half after %v)", serving, halfReconciled))
 		return false
 	}
 	r.servingDelays, r.halfReconciledDelays, r.reconciledDelays = append(r.servingDelays, serving), append(r.halfReconciledDelays, halfReconciled), append(r.reconciledDelays, reconciled)
 	return true
 }
 
-// setOnce notes when something was so for the first time.
+// setOnce sets target to the elapsed time when reached is true for the first time.
 func setOnce(target *time.Duration, elapsed time.Duration, reached bool) {
 	if reached && *target == 0 {
 		*target = elapsed
 	}
 }
 
-// awaitJobsDone waits until users are told that all jobs but services are done, and says what
-// was wrong of what they were told and what machines ran; ended is how many tasks of
-// services ended.
+// awaitJobsDone polls until all jobs other than services are reported as done, or for a minute. It
+// returns the violations found in the answers and in the machines' events, and the number of service
+// tasks that ended.
 func (site *testSite) awaitJobsDone(ctx context.Context, tasks map[string]int) (wrong []string, ended int, err error) {
 	completed := map[string]bool{}
 	expected := 0
@@ -279,7 +286,7 @@
 		return len(completed) == expected || len(wrong) > 0
 	})
 	if len(completed) < expected {
-		wrong = append(wrong, fmt.Sprintf("%d of %d jobs never ended", expected-len(completed), expected))
+		wrong = append(wrong, fmt.Sprintf("%d of %d jobs did not end", expected-len(completed), expected))
 	}
 	events, err := readMachineEvents(site.eventsPath)
 	if err != nil {
@@ -289,12 +296,13 @@
 	return append(wrong, eventViolations...), ended, nil
 }
 
-// isService says whether a job of a run is a service, by its name.
+// isService reports whether a job of a run is a service, by its id.
 func isService(id string) bool { return strings.HasPrefix(id, "job-8") }
 
+// startProofCommand returns the subcommand that restarts all controllers repeatedly.
 func startProofCommand() *cobra.Command {
 	machines, starts, mixedMachines := 60, 3, false
-	command := newProofCommand("start", "End all controllers again and again, and hold what they say and order to what machines ran", 4, 4, func(ctx context.Context, out io.Writer, options runOptions) error {
+	command := newProofCommand("start", "Kill all controllers repeatedly, and check their answers and orders against what machines ran", 4, 4, func(ctx context.Context, out io.Writer, options runOptions) error {
 		if err := checkRange("machines", machines, 10, 1000); err != nil {
 			return err
 		}
@@ -303,17 +311,18 @@
 		}
 		return proveStart(ctx, out, options, machines, starts, mixedMachines)
 	})
-	command.Flags().IntVar(&machines, "machines", machines, "machines of a site")
+	command.Flags().IntVar(&machines, "machines", machines, "machines at a site")
 	addPlaceFlag(command, &mixedMachines)
-	command.Flags().IntVar(&starts, "starts", starts, "times that all controllers end in a run")
+	command.Flags().IntVar(&starts, "starts", starts, "restarts of all controllers in a run")
 	return command
 }
 
-// addPlaceFlag lets a proof run at a place with several types of machine.
+// addPlaceFlag adds the flag that runs a proof at a site with several types of machine.
 func addPlaceFlag(command *cobra.Command, mixedMachines *bool) {
 	command.Flags().BoolVar(mixedMachines, "place", false, "several types of machine in three zones, 68 of which run before the controllers; gangs, and work without GPUs")
 }
 
+// proveStart executes the runs and prints their figures.
 func proveStart(ctx context.Context, out io.Writer, options runOptions, machines, starts int, mixedMachines bool) error {
 	type quantiles struct {
 		Median float64 `json:"median_s"`
--- a/cmd/lab/start_test.go
+++ b/cmd/lab/start_test.go
@@ -5,9 +5,8 @@
 	"testing"
 )
 
-// The checker of starts and take-overs finds a task on two machines at once and a job
-// called done too soon, counts services' tasks that ended, and finds nothing in a run
-// that was right.
+// checkTaskEvents finds a task on two machines at once and a job that is reported as done too soon,
+// counts the service tasks that ended, and finds no violation in a correct run.
 func TestCheckTaskEvents(t *testing.T) {
 	event := func(kind, task, machine string) machineEvent {
 		return machineEvent{Event: kind, Task: task, Machine: machine}
--- a/cmd/lab/ticketload.go
+++ b/cmd/lab/ticketload.go
@@ -20,7 +20,7 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// ticketLoadFigures is one line of the load's figures.
+// ticketLoadFigures holds the figures of the submissions of one size.
 type ticketLoadFigures struct {
 	Tasks        int     `json:"tasks"`
 	OrdinaryJobs bool    `json:"ordinary_jobs,omitempty"`
@@ -28,21 +28,22 @@
 	PerSecond    float64 `json:"per_second"`
 	MedianMS     float64 `json:"median_ms"`
 	P99MS        float64 `json:"p99_ms"`
-	MemoryMB     float64 `json:"memory_mb"` // of the larger controller, then
+	MemoryMB     float64 `json:"memory_mb"` // the larger of the two controllers' resident memory at the end
 }
 
-// ticketCostFigures is what a ticket that runs to its end costs in stored changes.
+// ticketCostFigures holds the number of state service changes that a ticket costs until its end.
 type ticketCostFigures struct {
 	Steps            int     `json:"steps"` // 0: an ordinary job
 	ChangesPerTicket float64 `json:"changes_a_ticket"`
 	ChangesPerStep   float64 `json:"changes_a_step,omitempty"`
 }
 
+// ticketsLoadCommand returns the subcommand that measures the load of tickets.
 func ticketsLoadCommand() *cobra.Command {
 	var seconds, clients int
 	var writeRPS float64
 	var asJSON bool
-	command := &cobra.Command{Use: "tickets-load", Short: "Tickets accepted a second by size, memory with them, stored changes a step", Args: cobra.NoArgs,
+	command := &cobra.Command{Use: "tickets-load", Short: "Tickets accepted per second by size, memory used, state changes per step", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := checkRange("seconds", seconds, 1, 600); err != nil {
 				return err
@@ -57,13 +58,15 @@
 			defer stop()
 			return measureTickets(ctx, cmd.OutOrStdout(), time.Duration(seconds)*time.Second, clients, writeRPS, asJSON)
 		}}
-	command.Flags().IntVar(&seconds, "seconds", 5, "how long each size is submitted")
+	command.Flags().IntVar(&seconds, "seconds", 5, "duration of the submissions of each size")
 	command.Flags().IntVar(&clients, "clients", 16, "submissions under way")
-	command.Flags().Float64Var(&writeRPS, "write-rps", 2000, "the state service's changes a second")
+	command.Flags().Float64Var(&writeRPS, "write-rps", 2000, "changes per second of the state service")
 	command.Flags().BoolVar(&asJSON, "json", false, "print the last line only")
 	return command
 }
 
+// measureTickets measures submissions by size and state changes by number of steps, and prints the
+// figures.
 func measureTickets(ctx context.Context, out io.Writer, duration time.Duration, clients int, writeRPS float64, asJSON bool) error {
 	bin, err := buildPrograms(ctx)
 	if err != nil {
@@ -103,7 +106,7 @@
 	return printFigures(out, figures)
 }
 
-// withTestSite runs f on a farm of its own.
+// withTestSite calls use with a test site of its own, and ends the site afterwards.
 func withTestSite(ctx context.Context, bin string, timing times, machines int, use func(site *testSite) error) error {
 	dir, err := os.MkdirTemp("", "lab-tickets-")
 	if err != nil {
@@ -118,8 +121,8 @@
 	return use(site)
 }
 
-// loadBody is a ticket of steps in a row with so many tasks each; 0 steps: an ordinary
-// job.
+// loadBody returns the submission of a ticket with a chain of steps of the given number of tasks
+// each, or of an ordinary job if there are 0 steps.
 func loadBody(id string, steps, tasks int) []byte {
 	if steps == 0 {
 		return jobSubmission(id, "red", tasks, 0.5)
@@ -135,6 +138,7 @@
 	return ticket.body(false)
 }
 
+// submitPath returns the path to which loadBody's submission is sent.
 func submitPath(steps int) string {
 	if steps == 0 {
 		return "/api/jobs"
@@ -142,12 +146,14 @@
 	return "/tickets"
 }
 
-// measureTicketLoad submits tickets of a size to a farm without machines.
+// measureTicketLoad submits tickets of one size to a test site without machines; size 0 stands for
+// ordinary jobs of one task.
 func measureTicketLoad(ctx context.Context, bin string, timing times, size int, duration time.Duration, clients int) (ticketLoadFigures, error) {
 	load := ticketLoadFigures{Tasks: max(1, size), OrdinaryJobs: size == 0}
 	steps := min(1, size)
 	err := withTestSite(ctx, bin, timing, 0, func(site *testSite) error {
-		// The machine types are known a moment after the start.
+		// Submissions are refused until the controllers have read the machine types, shortly after the
+		// start.
 		for ctx.Err() == nil {
 			if status, _, err := site.call(ctx, "POST", site.apis[0], submitPath(steps), loadBody("job-1", steps, load.Tasks)); err == nil && status < 300 {
 				break
@@ -192,7 +198,7 @@
 	return load, err
 }
 
-// residentMB is what a process holds now.
+// residentMB returns the current resident memory of the process; 0 if it does not run.
 func (p *process) residentMB() float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -208,7 +214,8 @@
 	return kb / 1024
 }
 
-// measureTicketCost runs tickets one after the other and counts the changes of the state service.
+// measureTicketCost runs tickets one after the other and counts the changes of the state service per
+// ticket.
 func measureTicketCost(ctx context.Context, bin string, timing times, steps int) (ticketCostFigures, error) {
 	cost := ticketCostFigures{Steps: steps}
 	const tickets = 4
@@ -222,7 +229,7 @@
 			return counter.Changes, err
 		}
 		before := 0
-		for i := range tickets + 1 { // the first one rents the machines and is not counted
+		for i := range tickets + 1 { // the first ticket rents the machines and is not counted
 			id := fmt.Sprintf("job-%d", i+1)
 			body := loadBody(id, steps, 1)
 			if err := uploadDescriptions(ctx, site, body, steps); err != nil {
@@ -239,7 +246,7 @@
 				}
 			}
 			if i == 0 {
-				time.Sleep(3 * time.Second) // until what is new of the machines is stored
+				time.Sleep(3 * time.Second) // until the records of the new machines are stored
 				var err error
 				if before, err = readChanges(); err != nil {
 					return err
@@ -256,7 +263,7 @@
 	return cost, err
 }
 
-// uploadDescriptions gives the workers the descriptions of a submission's jobs.
+// uploadDescriptions sends the descriptions of a submission's jobs to the workers.
 func uploadDescriptions(ctx context.Context, site *testSite, body []byte, steps int) error {
 	if steps == 0 {
 		_, _, err := site.call(ctx, "POST", site.cloudAddr, "/upload", body)
--- a/cmd/lab/tickets_test.go
+++ b/cmd/lab/tickets_test.go
@@ -14,8 +14,9 @@
 	"dapplestage.example/dapplestage/internal/standin"
 )
 
-// A side door: ordinary submissions get one retry more than the class allows. The
-// comparison of both ways finds it, with real processes.
+// If ordinary submissions that contain a ticket bypassed the limits of its class, the two submission
+// paths would differ. Here the second site grants one retry more than the first, and the comparison
+// must find that, with real processes.
 func TestComparisonFindsUnequalRetries(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	defer cancel()
@@ -29,11 +30,12 @@
 		t.Fatal(comparison.err)
 	}
 	if !slices.ContainsFunc(comparison.violations, func(s string) bool { return strings.Contains(s, "granted 3") && strings.Contains(s, "granted 4") }) {
-		t.Errorf("not found: %v", comparison.violations)
+		t.Errorf("difference in retries not found: %v", comparison.violations)
 	}
 }
 
-// Two accounts that differ in one task's errors, order or end are told apart.
+// The observed lines of a ticket must show any difference in a task's errors, order or end, or in the
+// answer to the user. Otherwise the comparison with the expected lines would miss it.
 func TestObservedLinesShowDifferences(t *testing.T) {
 	plan := standin.NewFarm(5)
 	submitted := &testTicket{id: "job-1", name: "t", maxRetries: 3, steps: []string{"s0 3", "s1 1 s0"}}
@@ -67,16 +69,16 @@
 		t.Fatalf("%v\n%v\n%v", err, observed, expected)
 	}
 	for name, otherEvents := range map[string][]machineEvent{
-		"one error more":   append(slices.Clone(events), machineEvent{at, "start", events[0].Task, "m"}, machineEvent{at + 1, "error", events[0].Task, "m"}),
-		"a task that ends": slices.DeleteFunc(slices.Clone(events), func(e machineEvent) bool { return e.Event == "done" && e.Task == events[0].Task }),
-		"out of order":     append([]machineEvent{{5, "start", protocol.TaskID(ticket.StepSpec(admitted.Record, 1).ID, 0), "m"}}, events...),
+		"one more error":               append(slices.Clone(events), machineEvent{at, "start", events[0].Task, "m"}, machineEvent{at + 1, "error", events[0].Task, "m"}),
+		"a missing end of a task":      slices.DeleteFunc(slices.Clone(events), func(e machineEvent) bool { return e.Event == "done" && e.Task == events[0].Task }),
+		"a step before its dependency": append([]machineEvent{{5, "start", protocol.TaskID(ticket.StepSpec(admitted.Record, 1).ID, 0), "m"}}, events...),
 	} {
 		if got, _ := submitted.observedLines(status, otherEvents); len(diffLines("a", "b", got, expected)) == 0 {
-			t.Errorf("%s: not told apart", name)
+			t.Errorf("%s: difference not found", name)
 		}
 	}
 	status.Status = protocol.JobFailed
 	if got, _ := submitted.observedLines(status, events); len(diffLines("a", "b", got, expected)) == 0 {
-		t.Error("another answer: not told apart")
+		t.Error("another status: difference not found")
 	}
 }
--- a/cmd/lab/world.go
+++ b/cmd/lab/world.go
@@ -21,11 +21,7 @@
 	"dapplestage.example/dapplestage/internal/transport/keys"
 )
 
-// A world is two sites and a gateway as real processes: for each site a state
-// service, a cloud with its workers (stand-ins), two controllers and the site's
-// daemon. Members reach one another through proxies that can be cut one way.
-
-// buildPrograms makes the programs once, in a folder of their own that the caller removes.
+// buildPrograms builds the programs in a new folder, which the caller must remove.
 func buildPrograms(ctx context.Context) (dir string, err error) {
 	if dir, err = os.MkdirTemp("", "lab-bin-"); err != nil {
 		return "", err
@@ -40,7 +36,7 @@
 	return dir, nil
 }
 
-// process is one program that can be killed, stopped and started again.
+// process is a program that can be killed, suspended and started again.
 type process struct {
 	name    string
 	bin     string
@@ -51,6 +47,7 @@
 	exited  chan struct{}
 }
 
+// start starts the process unless it runs. Its output is appended to its log.
 func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -63,7 +60,7 @@
 	}
 	command := exec.Command(p.bin, p.args...)
 	command.Stdout, command.Stderr = logFile, logFile
-	// It ends with the lab, whatever happens to the lab.
+	// The kernel kills the process when the lab exits, however it exits.
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	command.Env = append(os.Environ(), "GOMAXPROCS=2")
 	if err := command.Start(); err != nil {
@@ -79,7 +76,7 @@
 	return nil
 }
 
-// signal sends a signal to the process that this lab started, if it runs.
+// signal sends a signal to the process if it runs.
 func (p *process) signal(signal syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -88,6 +85,7 @@
 	}
 }
 
+// kill kills the process if it runs and waits for its exit.
 func (p *process) kill() {
 	p.mu.Lock()
 	command, exited := p.cmd, p.exited
@@ -99,7 +97,8 @@
 	}
 }
 
-// link is a proxy for one direction of two members: who connects through it sends.
+// link is a proxy for the connections that one member opens to another. While it is cut, it holds
+// back what the connecting member sends; the other direction still passes.
 type link struct {
 	listener net.Listener
 	target   string
@@ -109,6 +108,7 @@
 	conns    map[net.Conn]struct{}
 }
 
+// newLink returns a link that accepts connections and forwards them to an address.
 func newLink(to string) (*link, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -127,7 +127,7 @@
 	return l, nil
 }
 
-// awaitHealed waits while the link is cut.
+// awaitHealed blocks while the link is cut.
 func (l *link) awaitHealed() {
 	for {
 		l.mu.Lock()
@@ -140,8 +140,8 @@
 	}
 }
 
-// setCut cuts the link, so that what is sent is held, or heals it. With reset the held
-// bytes are dropped with their connections.
+// setCut cuts or heals the link. With dropHeld it closes all connections, which drops the bytes that
+// were held back.
 func (l *link) setCut(cut, dropHeld bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -155,6 +155,7 @@
 	}
 }
 
+// forward forwards a client's connection to the target until either side closes it.
 func (l *link) forward(client net.Conn) {
 	defer client.Close()
 	l.awaitHealed()
@@ -191,7 +192,7 @@
 	}
 }
 
-// site is one site's processes and addresses.
+// site holds the processes and addresses of one site of a deployment.
 type site struct {
 	name                 string
 	state, cloud         *process
@@ -199,11 +200,14 @@
 	daemon               *process
 	stateAddr            string
 	cloudAddr            string
-	controllerAPIs       []string // of the controllers
+	controllerAPIs       []string // HTTP addresses of the controllers
 	localAddr, daemonAPI string
 	eventsPath           string
 }
 
+// deployment is two sites and a gateway as real processes. Each site has a state service and a cloud
+// with its workers (both simulated by standin), two controllers and the site daemon. Members reach
+// one another through links, which can be cut in one direction.
 type deployment struct {
 	dir        string
 	bin        string
@@ -211,25 +215,27 @@
 	gateway    *process
 	gatewayAPI string
 	links      map[[2]string]*link
-	members    []string          // gate, quito, xela
-	apiAddrs   map[string]string // by member
+	members    []string          // names: gate, quito, xela
+	apiAddrs   map[string]string // HTTP addresses by member
 	processes  []*process
 	http       *http.Client
 }
 
-// times of a world: shorter than a real deployment's, so that a handoff takes seconds.
+// times holds the times and limits of a deployment or test site. The durations, in seconds, are
+// shorter than in production, so that a handoff takes seconds.
 type times struct {
 	siteLease, controllerLease, workerLease, reportInterval, cancelBound float64
 	writeRPS                                                             float64
-	maxTeamGPUs                                                          float64 // of each team; 0: 400
+	maxTeamGPUs                                                          float64 // limit of each team; 0: 400
 	maxInFlight                                                          int
-	mixedMachines                                                        bool // of a farm: several types of machine in three zones, some of which run already
+	mixedMachines                                                        bool // test sites only: several types of machine in three zones, some of which run already
 }
 
+// gatewayTimes are the times and limits of a deployment in the gateway proof.
 var gatewayTimes = times{siteLease: 2, controllerLease: 1, workerLease: 2.5, reportInterval: 0.5, cancelBound: 14, writeRPS: 40, maxInFlight: 500}
 
-// freeAddresses finds free ports; another program may take one before it is used, which
-// shows as a world that does not start.
+// freeAddresses returns loopback addresses with free ports. Another program may take a port before
+// it is used; the deployment or site does not start then.
 func freeAddresses(n int) ([]string, error) {
 	var listeners []net.Listener
 	var addresses []string
@@ -247,8 +253,8 @@
 	return addresses, nil
 }
 
-// startDeployment makes and starts a world; if it does not start, since another program took
-// one of its ports, it tries others.
+// startDeployment creates and starts a deployment. It makes up to three attempts with new ports,
+// since another program may take one of the ports first.
 func startDeployment(ctx context.Context, bin, dir string, timing times, machines int) (*deployment, error) {
 	for try := 1; ; try++ {
 		attemptDir := filepath.Join(dir, fmt.Sprint("world-", try))
@@ -269,6 +275,8 @@
 	}
 }
 
+// newDeployment writes the keys and settings of a deployment and creates its links and processes. It
+// does not start the processes.
 func newDeployment(bin, dir string, timing times, machines int) (*deployment, error) {
 	d := &deployment{dir: dir, bin: bin, links: map[[2]string]*link{}, members: []string{"gate", "quito", "xela"}, apiAddrs: map[string]string{},
 		http: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
@@ -354,6 +362,7 @@
 	return d, nil
 }
 
+// site returns the site with a given name, or nil.
 func (d *deployment) site(name string) *site {
 	for _, s := range d.sites {
 		if s.name == name {
@@ -363,6 +372,7 @@
 	return nil
 }
 
+// member returns the process of a member: a site daemon or the gateway.
 func (d *deployment) member(name string) *process {
 	if s := d.site(name); s != nil {
 		return s.daemon
@@ -370,7 +380,8 @@
 	return d.gateway
 }
 
-// start starts everything, and waits until the gateway knows both sites.
+// start starts all processes and waits until the gateway has a majority, recent hints from both sites
+// and a granted lease for each.
 func (d *deployment) start(ctx context.Context) error {
 	for _, process := range d.processes {
 		if err := process.start(); err != nil {
@@ -400,7 +411,7 @@
 	}
 }
 
-// end ends everything that was started.
+// end kills all processes and closes the links.
 func (d *deployment) end() {
 	for _, process := range d.processes {
 		process.signal(syscall.SIGCONT)
@@ -412,18 +423,19 @@
 	}
 }
 
+// get requests a path and decodes the JSON response.
 func (d *deployment) get(ctx context.Context, addr, path string, into any) error {
 	status, data, _, err := d.call(ctx, "GET", addr, path, nil)
 	if err != nil {
 		return err
 	}
 	if status != 200 {
-		return fmt.Errorf("%s answers %d", addr, status)
+		return fmt.Errorf("%s returned status %d", addr, status)
 	}
 	return json.Unmarshal(data, into)
 }
 
-// call makes one request.
+// call sends an HTTP request and returns the status, body and header of the response.
 func (d *deployment) call(ctx context.Context, method, addr, path string, body []byte) (int, []byte, http.Header, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
@@ -438,17 +450,17 @@
 	return resp.StatusCode, data, resp.Header, err
 }
 
-// jobSubmission is a job that runs for some seconds.
+// jobSubmission returns the submission of an array whose tasks run for the given number of seconds.
 func jobSubmission(id, team string, tasks int, seconds float64) []byte {
 	return fmt.Appendf(nil, `{"id":%q,"lot":"proof","crew":%q,"shape":"sweep","urgency":"standard","pieces":%d,"vcpus":2.0,"cards":1.0,"memGb":8.0,"bundle":"img-1","sizeGb":1.0,"builds":null,"region":null,"together":false,"scatter":false,"loaners":true,"expectS":%g,"snapshotS":0.0,"storeS":0.0,"dueS":null}`, id, team, tasks, seconds)
 }
 
-// between draws a time.
+// randomDuration returns a random duration from minimum up to maximum.
 func randomDuration(rng *rand.Rand, minimum, maximum time.Duration) time.Duration {
 	return minimum + time.Duration(rng.Int64N(int64(maximum-minimum)))
 }
 
-// controllerSettings is the settings file of one of two controllers of a site.
+// controllerSettings returns the settings file of one of the two controllers of a site.
 func controllerSettings(node, other, zone, otherZone, api, peer, otherPeer, cloud, state string, timing times) string {
 	zones, guarantee := fmt.Sprintf("%q", zone), ""
 	if timing.mixedMachines {
