--- a/cmd/lab/load.go
+++ b/cmd/lab/load.go
@@ -86,21 +86,21 @@
 	}
 	defer d.end()
 	generator := &loadGenerator{deployment: d, duration: time.Duration(seconds) * time.Second, clients: clients}
-	straight := generator.measure(ctx, d.sites[0].controllerAPIs)
+	direct := generator.measure(ctx, d.sites[0].controllerAPIs)
 	time.Sleep(2 * time.Second)
-	through := generator.measure(ctx, []string{d.gatewayAPI})
+	throughGateway := generator.measure(ctx, []string{d.gatewayAPI})
 	time.Sleep(2 * time.Second)
 	changes, err := d.registerChanges(ctx)
 	if err != nil {
 		return err
 	}
 	journalFile, _ := os.Stat(filepath.Join(d.dir, "gate.journal"))
-	result := gatewayLoadFigures{Runs: 1, Clients: clients, Rate: rate, Direct: straight, ThroughGateway: through, JournalBytes: journalFile.Size()}
-	if through.Accepted > 0 {
-		result.ChangesPerJob = changes / 2 / float64(through.Accepted)
+	result := gatewayLoadFigures{Runs: 1, Clients: clients, Rate: rate, Direct: direct, ThroughGateway: throughGateway, JournalBytes: journalFile.Size()}
+	if throughGateway.Accepted > 0 {
+		result.ChangesPerJob = changes / 2 / float64(throughGateway.Accepted)
 	}
-	if straight.PerSecond > 0 {
-		result.Ratio = through.PerSecond / straight.PerSecond
+	if direct.PerSecond > 0 {
+		result.Ratio = throughGateway.PerSecond / direct.PerSecond
 	}
 	return printFigures(out, result)
 }
--- a/cmd/lab/proof.go
+++ b/cmd/lab/proof.go
@@ -101,7 +101,7 @@
 
 // proveGateway executes the runs and prints their figures.
 func proveGateway(ctx context.Context, out io.Writer, options runOptions, jobs int) error {
-	handoffs, drains, crossed := newLatencies(), newLatencies(), newLatencies()
+	handoffs, drains, overlapping := newLatencies(), newLatencies(), newLatencies()
 	total := gatewayFigures{HandoffBound: gateway.HandoffBound(gatewayConfig(gatewayTimes)).Seconds()}
 	totals, err := options.executeRuns(ctx, out, "gateway", func(bin, dir string, seed uint64) (func(), runOutcome) {
 		result := executeGatewayRun(ctx, bin, dir, seed, jobs)
@@ -112,7 +112,7 @@
 			}
 			total.add(result)
 			handoffs.record(result.handoffs...)
-			crossed.record(result.overlappingHandoffs...)
+			overlapping.record(result.overlappingHandoffs...)
 			drains.record(result.drains...)
 		}, runOutcome{summary, result.violations(), result.err}
 	})
@@ -121,7 +121,7 @@
 	}
 	total.runTotals = totals
 	total.Handoffs, total.HandoffMedian, total.HandoffP99, total.HandoffMax = handoffs.count(), handoffs.quantileSeconds(50), handoffs.quantileSeconds(99), handoffs.maxSeconds()
-	total.OverlappingHandoffs, total.OverlappingMax = crossed.count(), crossed.maxSeconds()
+	total.OverlappingHandoffs, total.OverlappingMax = overlapping.count(), overlapping.maxSeconds()
 	total.Drains, total.DrainMedian, total.DrainP99 = drains.count(), drains.quantileSeconds(50), drains.quantileSeconds(99)
 	if err := printFigures(out, total); err != nil {
 		return err
@@ -135,8 +135,8 @@
 	return gateway.Config{Members: make([]gateway.Member, 3), LeaseTime: seconds(timing.siteLease), StopTime: gateway.StopBound(seconds(timing.controllerLease), seconds(timing.workerLease))}
 }
 
-// answer is a member's answer to one request of a user.
-type answer struct {
+// userAnswer is a member's answer to one request of a user.
+type userAnswer struct {
 	receivedAt, sentAt time.Time
 	request            string // submit, poll or cancel
 	status             int    // of HTTP
@@ -151,7 +151,7 @@
 	tasks       int
 	cancelAfter time.Duration // from the acceptance of the job to the cancellation; 0: never cancels
 	mu          sync.Mutex
-	answers     []answer
+	answers     []userAnswer
 	ended       atomic.Bool // got a final answer, or gave up submitting
 }
 
@@ -219,7 +219,7 @@
 }
 
 // writeUsersLog writes the answers of all users and the injected faults to a file.
-func writeUsersLog(path string, users []*user, faults []fault) {
+func writeUsersLog(path string, users []*user, faults []injectedFault) {
 	file, err := os.Create(path)
 	if err != nil {
 		return
@@ -237,8 +237,8 @@
 
 // send sends one request to a member. An answer is recorded; a request without one returns
 // status 0 and is not.
-func (u *user) send(ctx context.Context, d *deployment, request, member string) answer {
-	result := answer{sentAt: time.Now(), request: request, member: member}
+func (u *user) send(ctx context.Context, d *deployment, request, member string) userAnswer {
+	result := userAnswer{sentAt: time.Now(), request: request, member: member}
 	method, path, body := "GET", "/api/jobs/"+u.id, []byte(nil)
 	switch request {
 	case "submit":
@@ -277,10 +277,10 @@
 	if !sleepContext(ctx, startDelay) || !d.upload(ctx, u) || !d.submit(ctx, u, rng) {
 		return
 	}
-	accepted := time.Now()
+	acceptedAt := time.Now()
 	for {
 		request := "poll"
-		if u.cancelAfter > 0 && time.Since(accepted) > u.cancelAfter {
+		if u.cancelAfter > 0 && time.Since(acceptedAt) > u.cancelAfter {
 			request = "cancel"
 		}
 		minPause, maxPause := 300*time.Millisecond, 900*time.Millisecond
@@ -327,8 +327,8 @@
 	}
 }
 
-// fault is one injected fault.
-type fault struct {
+// injectedFault is one injected fault.
+type injectedFault struct {
 	kind, target string
 	at           time.Time
 	duration     time.Duration
@@ -338,8 +338,8 @@
 
 // injectFaults injects two or three faults within some 20 s and heals them all. The second fault
 // often occurs during the handoff that the first one caused.
-func (d *deployment) injectFaults(ctx context.Context, rng *rand.Rand) []fault {
-	var faults []fault
+func (d *deployment) injectFaults(ctx context.Context, rng *rand.Rand) []injectedFault {
+	var faults []injectedFault
 	var healed sync.WaitGroup
 	sleep := func(d time.Duration) {
 		select {
@@ -350,7 +350,7 @@
 	sleep(randomDuration(rng, 2*time.Second, 6*time.Second))
 	for range 2 + rng.IntN(2) {
 		site := d.sites[rng.IntN(2)]
-		f := fault{at: time.Now(), target: site.name, duration: randomDuration(rng, 2*time.Second, 18*time.Second)}
+		f := injectedFault{at: time.Now(), target: site.name, duration: randomDuration(rng, 2*time.Second, 18*time.Second)}
 		inject := faultInjectors[rng.IntN(len(faultInjectors))]
 		heal := inject(ctx, d, site, rng, &f)
 		duration := f.duration
@@ -367,27 +367,27 @@
 
 // faultInjector injects a fault at a site or in the whole deployment and records it in f. heal
 // ends the fault.
-type faultInjector func(ctx context.Context, d *deployment, s *site, rng *rand.Rand, f *fault) (heal func())
+type faultInjector func(ctx context.Context, d *deployment, s *memberSite, rng *rand.Rand, f *injectedFault) (heal func())
 
 // faultInjectors lists all fault injectors. A seed selects by index, so the order must not change.
 var faultInjectors = []faultInjector{killGateway, killDaemon, killControllers, suspendStateService, suspendDaemon, cutLink, isolateSite, suspendSite, drainSite}
 
 // killGateway kills the gateway and starts it again.
-func killGateway(_ context.Context, d *deployment, _ *site, _ *rand.Rand, f *fault) func() {
+func killGateway(_ context.Context, d *deployment, _ *memberSite, _ *rand.Rand, f *injectedFault) func() {
 	f.kind, f.target = "gateway killed", "gate"
 	d.gateway.kill()
 	return func() { d.gateway.start() }
 }
 
 // killDaemon kills a site daemon and starts it again.
-func killDaemon(_ context.Context, _ *deployment, s *site, _ *rand.Rand, f *fault) func() {
+func killDaemon(_ context.Context, _ *deployment, s *memberSite, _ *rand.Rand, f *injectedFault) func() {
 	f.kind, f.lostSite = "daemon killed", s.name
 	s.daemon.kill()
 	return func() { s.daemon.start() }
 }
 
 // killControllers kills the controllers of a site and starts them again.
-func killControllers(_ context.Context, _ *deployment, s *site, _ *rand.Rand, f *fault) func() {
+func killControllers(_ context.Context, _ *deployment, s *memberSite, _ *rand.Rand, f *injectedFault) func() {
 	f.kind = "controllers killed"
 	for _, c := range s.controllers {
 		c.kill()
@@ -400,25 +400,25 @@
 }
 
 // suspendStateService suspends the state service of a site.
-func suspendStateService(_ context.Context, _ *deployment, s *site, _ *rand.Rand, f *fault) func() {
+func suspendStateService(_ context.Context, _ *deployment, s *memberSite, _ *rand.Rand, f *injectedFault) func() {
 	f.kind = "state service suspended"
 	return suspendAll(s.state)
 }
 
 // suspendDaemon suspends a site daemon.
-func suspendDaemon(_ context.Context, _ *deployment, s *site, _ *rand.Rand, f *fault) func() {
+func suspendDaemon(_ context.Context, _ *deployment, s *memberSite, _ *rand.Rand, f *injectedFault) func() {
 	f.kind, f.lostSite = "daemon suspended", s.name
 	return suspendAll(s.daemon)
 }
 
 // suspendSite suspends all processes of a site.
-func suspendSite(_ context.Context, _ *deployment, s *site, _ *rand.Rand, f *fault) func() {
+func suspendSite(_ context.Context, _ *deployment, s *memberSite, _ *rand.Rand, f *injectedFault) func() {
 	f.kind, f.lostSite = "whole site suspended", s.name
-	return suspendAll(append([]*process{s.state, s.cloud, s.daemon}, s.controllers...)...)
+	return suspendAll(append([]*childProcess{s.state, s.cloud, s.daemon}, s.controllers...)...)
 }
 
 // suspendAll suspends processes with SIGSTOP; resume continues them.
-func suspendAll(processes ...*process) (resume func()) {
+func suspendAll(processes ...*childProcess) (resume func()) {
 	for _, process := range processes {
 		process.signal(syscall.SIGSTOP)
 	}
@@ -430,22 +430,22 @@
 }
 
 // cutLink cuts the link between two random members, in one direction or both.
-func cutLink(_ context.Context, d *deployment, _ *site, rng *rand.Rand, f *fault) func() {
-	a, b := d.members[rng.IntN(3)], d.members[rng.IntN(3)]
-	if a == b {
-		b = d.members[(slices.Index(d.members, a)+1)%3]
+func cutLink(_ context.Context, d *deployment, _ *memberSite, rng *rand.Rand, f *injectedFault) func() {
+	from, to := d.members[rng.IntN(3)], d.members[rng.IntN(3)]
+	if from == to {
+		to = d.members[(slices.Index(d.members, from)+1)%3]
 	}
 	bothWays, dropHeld := rng.IntN(2) == 0, rng.IntN(2) == 0
-	f.kind, f.target = fmt.Sprintf("link cut (both ways %v)", bothWays), a+" to "+b
-	links := []*link{d.links[[2]string{a, b}]}
+	f.kind, f.target = fmt.Sprintf("link cut (both ways %v)", bothWays), from+" to "+to
+	links := []*link{d.links[[2]string{from, to}]}
 	if bothWays {
-		links = append(links, d.links[[2]string{b, a}])
+		links = append(links, d.links[[2]string{to, from}])
 	}
 	return cutLinks(links, dropHeld)
 }
 
 // isolateSite cuts all links from and to a site.
-func isolateSite(_ context.Context, d *deployment, s *site, _ *rand.Rand, f *fault) func() {
+func isolateSite(_ context.Context, d *deployment, s *memberSite, _ *rand.Rand, f *injectedFault) func() {
 	f.kind, f.lostSite = "site cut off", s.name
 	var links []*link
 	for ends, l := range d.links {
@@ -470,7 +470,7 @@
 }
 
 // drainSite drains a site and ends the drain again, with up to 40 attempts.
-func drainSite(ctx context.Context, d *deployment, s *site, _ *rand.Rand, f *fault) func() {
+func drainSite(ctx context.Context, d *deployment, s *memberSite, _ *rand.Rand, f *injectedFault) func() {
 	f.kind, f.drainedSite = "site drained", s.name
 	d.call(ctx, "PUT", s.daemonAPI, "/admin/gateway/drained", []byte(`{"on":true}`))
 	return func() {
@@ -529,17 +529,17 @@
 func (d *deployment) checkUsers(result *gatewayRunResult, users []*user, runs []taskRun) {
 	completedByJob := completedTasks(runs)
 	for _, u := range users {
-		accepted, cancelled := u.acceptedAt(), u.cancelRequestedAt()
-		if accepted.IsZero() {
+		acceptedAt, cancelRequestedAt := u.acceptedAt(), u.cancelRequestedAt()
+		if acceptedAt.IsZero() {
 			result.neverAccepted++
 			continue
 		}
 		result.accepted++
-		final, finalAt := u.checkAnswers(result, accepted)
+		final, finalAt := u.checkAnswers(result, acceptedAt)
 		switch {
 		case final == "":
 			result.unanswered = append(result.unanswered, u.id+" has no final answer")
-		case final == protocol.JobCancelled && (cancelled.IsZero() || cancelled.After(finalAt)):
+		case final == protocol.JobCancelled && (cancelRequestedAt.IsZero() || cancelRequestedAt.After(finalAt)):
 			result.falseEnds = append(result.falseEnds, u.id+" is cancelled and nobody asked")
 		case final == protocol.JobDone:
 			u.checkDone(result, completedByJob[u.id], finalAt)
@@ -662,7 +662,7 @@
 
 // measureHandoffs measures the time from the loss or the drain of a site to the handoff of each of
 // its jobs to another site.
-func (d *deployment) measureHandoffs(result *gatewayRunResult, faults []fault) {
+func (d *deployment) measureHandoffs(result *gatewayRunResult, faults []injectedFault) {
 	for _, member := range d.members {
 		logText, err := os.ReadFile(d.member(member).logPath)
 		if err != nil {
@@ -677,13 +677,13 @@
 			if err != nil {
 				continue
 			}
-			leaseReleased, _ := strconv.ParseBool(match[3])
+			stopConfirmed, _ := strconv.ParseBool(match[3])
 			// Several faults in a row may have kept the site unavailable until the handoff: the time
 			// counts from the first of them.
 			var lostAt time.Time
 			for i := len(faults) - 1; i >= 0; i-- {
 				fault := faults[i]
-				if fault.at.Before(handoffAt) && (leaseReleased && fault.drainedSite == match[2] || !leaseReleased && fault.lostSite == match[2]) && (lostAt.IsZero() || fault.at.Add(fault.duration).After(lostAt)) {
+				if fault.at.Before(handoffAt) && (stopConfirmed && fault.drainedSite == match[2] || !stopConfirmed && fault.lostSite == match[2]) && (lostAt.IsZero() || fault.at.Add(fault.duration).After(lostAt)) {
 					lostAt = fault.at
 				}
 			}
@@ -695,9 +695,9 @@
 			}
 			switch {
 			case lostAt.IsZero():
-			case leaseReleased && overlapping == 0:
+			case stopConfirmed && overlapping == 0:
 				result.drains = append(result.drains, handoffAt.Sub(lostAt))
-			case leaseReleased:
+			case stopConfirmed:
 			case overlapping == 0:
 				result.handoffs = append(result.handoffs, handoffAt.Sub(lostAt))
 			default:
--- a/cmd/lab/report.go
+++ b/cmd/lab/report.go
@@ -52,20 +52,20 @@
 
 // checkRows returns the rows of a job that contradict the machines' event log. A row may be outdated
 // by up to the grace period.
-func checkRows(job *reportedJob, rows []observedRow, events []machineEvent, grace time.Duration) (wrong []string) {
+func checkRows(job *reportedJob, rows []observedRow, events []machineEvent, grace time.Duration) (violations []string) {
 	completedAt := completionTime(events, job.id, job.tasks)
 	for _, row := range rows {
-		requestedAt := row.requestedAt.Format("05.000")
+		requestTime := row.requestedAt.Format("05.000")
 		switch {
 		case row.State == ledger.Done && (completedAt.IsZero() || completedAt.After(row.requestedAt.Add(100*time.Millisecond))):
-			wrong = append(wrong, fmt.Sprintf("%s: %s says done at %s, and it is not", job.id, row.node, requestedAt))
+			violations = append(violations, fmt.Sprintf("%s: %s says done at %s, and it is not", job.id, row.node, requestTime))
 		case !completedAt.IsZero() && row.requestedAt.After(completedAt.Add(grace)) && row.State != ledger.Done && row.State != ledger.Unknown:
-			wrong = append(wrong, fmt.Sprintf("%s: %s says %s at %s, %.1f s after it was done", job.id, row.node, row.State, requestedAt, row.requestedAt.Sub(completedAt).Seconds()))
+			violations = append(violations, fmt.Sprintf("%s: %s says %s at %s, %.1f s after it was done", job.id, row.node, row.State, requestTime, row.requestedAt.Sub(completedAt).Seconds()))
 		case row.State == ledger.Stuck && job.stalledAt.IsZero():
-			wrong = append(wrong, fmt.Sprintf("%s: %s calls it stuck (%s), and it was not", job.id, row.node, row.Why))
+			violations = append(violations, fmt.Sprintf("%s: %s calls it stuck (%s), and it was not", job.id, row.node, row.Why))
 		}
 	}
-	return wrong
+	return violations
 }
 
 // readAccount reads all rows of the account from a node, and the last page.
@@ -131,8 +131,8 @@
 // submit submits a job of one to four tasks that run for the given number of seconds.
 func (r *reportRun) submit(ctx context.Context, seconds float64) *reportedJob {
 	job := &reportedJob{id: fmt.Sprintf("job-%03d", len(r.jobs)+1), tasks: 1 + r.rng.IntN(4), seconds: seconds}
-	competing := waitCondition{}
-	if err := r.site.submit(ctx, job.id, competing.submission(job.id, job.tasks, seconds)); err != nil && r.err == nil {
+	template := waitCondition{}
+	if err := r.site.submit(ctx, job.id, template.submission(job.id, job.tasks, seconds)); err != nil && r.err == nil {
 		r.err = err
 	}
 	r.jobs = append(r.jobs, job)
@@ -197,7 +197,7 @@
 		r.submitShortJob(ctx)
 	}
 	r.stalledJobs = []*reportedJob{r.submit(ctx, 3), r.submit(ctx, 3)}
-	for end := time.Now().Add(20 * time.Second); time.Now().Before(end) && r.site.runningTasks(ctx, r.stalledJobs[1].id) == 0; r.pollNodes(ctx) {
+	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline) && r.site.runningTasks(ctx, r.stalledJobs[1].id) == 0; r.pollNodes(ctx) {
 		time.Sleep(200 * time.Millisecond)
 	}
 	for _, job := range r.stalledJobs {
@@ -230,9 +230,9 @@
 
 // killMachine kills a random machine.
 func (r *reportRun) killMachine(ctx context.Context) {
-	var list protocol.MachineList
-	if _, body, err := r.site.call(ctx, "GET", r.site.cloudAddr, "/hosts", nil); err == nil && json.Unmarshal(body, &list) == nil && len(list.Machines) > 0 {
-		postToCloud(ctx, r.site, "/kill/"+list.Machines[r.rng.IntN(len(list.Machines))].ID)
+	var machines protocol.MachineList
+	if _, body, err := r.site.call(ctx, "GET", r.site.cloudAddr, "/hosts", nil); err == nil && json.Unmarshal(body, &machines) == nil && len(machines.Machines) > 0 {
+		postToCloud(ctx, r.site, "/kill/"+machines.Machines[r.rng.IntN(len(machines.Machines))].ID)
 	}
 }
 
--- a/cmd/lab/standby.go
+++ b/cmd/lab/standby.go
@@ -69,8 +69,8 @@
 			return result
 		}
 	}
-	wrong, _, err := site.awaitJobsDone(ctx, run.tasks)
-	result.violations = append(result.violations, wrong...)
+	jobViolations, _, err := site.awaitJobsDone(ctx, run.tasks)
+	result.violations = append(result.violations, jobViolations...)
 	if err != nil {
 		result.err = err
 	}
@@ -137,7 +137,7 @@
 }
 
 // failProcess lets a controller fail in the given way.
-func failProcess(process *process, cause string) error {
+func failProcess(process *childProcess, cause string) error {
 	switch cause {
 	case "killed":
 		process.kill()
--- a/cmd/lab/start.go
+++ b/cmd/lab/start.go
@@ -79,7 +79,7 @@
 
 // checkTaskEvents returns violations for tasks that ran on two machines at once and for jobs that
 // were reported as done before all their tasks were. ended counts the tasks of services that ended.
-func checkTaskEvents(events []machineEvent, tasks map[string]int, done map[string]bool) (wrong []string, ended int) {
+func checkTaskEvents(events []machineEvent, tasks map[string]int, reportedDone map[string]bool) (violations []string, ended int) {
 	runningOn := map[string]string{}
 	completedByJob := map[string]map[string]bool{}
 	for _, event := range events {
@@ -90,7 +90,7 @@
 		switch event.Event {
 		case "start":
 			if current := runningOn[event.Task]; current != "" && current != event.Machine {
-				wrong = append(wrong, fmt.Sprintf("%s started on %s while on %s", event.Task, event.Machine, current))
+				violations = append(violations, fmt.Sprintf("%s started on %s while on %s", event.Task, event.Machine, current))
 			}
 			runningOn[event.Task] = event.Machine
 		case "done":
@@ -108,12 +108,12 @@
 			}
 		}
 	}
-	for id := range done {
+	for id := range reportedDone {
 		if len(completedByJob[id]) < tasks[id] {
-			wrong = append(wrong, fmt.Sprintf("%s is called done with %d of %d tasks", id, len(completedByJob[id]), tasks[id]))
+			violations = append(violations, fmt.Sprintf("%s is called done with %d of %d tasks", id, len(completedByJob[id]), tasks[id]))
 		}
 	}
-	return wrong, ended
+	return violations, ended
 }
 
 // startRun is a run in progress.
@@ -146,9 +146,9 @@
 		}
 		time.Sleep(randomDuration(run.rng, time.Millisecond, 3*time.Second))
 	}
-	var wrong []string
-	wrong, result.serviceTasksEnded, err = site.awaitJobsDone(ctx, run.tasks)
-	result.violations = append(result.violations, wrong...)
+	var jobViolations []string
+	jobViolations, result.serviceTasksEnded, err = site.awaitJobsDone(ctx, run.tasks)
+	result.violations = append(result.violations, jobViolations...)
 	if err != nil {
 		result.err = err
 	}
@@ -197,7 +197,7 @@
 	}
 	time.Sleep(randomDuration(r.rng, 200*time.Millisecond, 1500*time.Millisecond))
 	r.site.countOrders(ctx, r.startResult)
-	var nodes []*process
+	var nodes []*childProcess
 	for _, process := range r.site.procs {
 		if strings.HasPrefix(process.name, "n-") {
 			nodes = append(nodes, process)
@@ -258,7 +258,7 @@
 // awaitJobsDone polls until all jobs other than services are reported as done, or for a minute. It
 // returns the violations found in the answers and in the machines' events, and the number of service
 // tasks that ended.
-func (site *testSite) awaitJobsDone(ctx context.Context, tasks map[string]int) (wrong []string, ended int, err error) {
+func (site *testSite) awaitJobsDone(ctx context.Context, tasks map[string]int) (violations []string, ended int, err error) {
 	completed := map[string]bool{}
 	expected := 0
 	for id := range tasks {
@@ -276,24 +276,24 @@
 			switch {
 			case err != nil:
 			case status == 404:
-				wrong = append(wrong, id+" is forgotten")
+				violations = append(violations, id+" is forgotten")
 			case status == 200 && json.Unmarshal(body, &job) == nil && job.Status == protocol.JobDone:
 				completed[id] = true
 			case completed[id] && status == 200:
-				wrong = append(wrong, fmt.Sprintf("%s went back to %s", id, job.Status))
+				violations = append(violations, fmt.Sprintf("%s went back to %s", id, job.Status))
 			}
 		}
-		return len(completed) == expected || len(wrong) > 0
+		return len(completed) == expected || len(violations) > 0
 	})
 	if len(completed) < expected {
-		wrong = append(wrong, fmt.Sprintf("%d of %d jobs did not end", expected-len(completed), expected))
+		violations = append(violations, fmt.Sprintf("%d of %d jobs did not end", expected-len(completed), expected))
 	}
 	events, err := readMachineEvents(site.eventsPath)
 	if err != nil {
-		return wrong, 0, err
+		return violations, 0, err
 	}
 	eventViolations, ended := checkTaskEvents(events, tasks, completed)
-	return append(wrong, eventViolations...), ended, nil
+	return append(violations, eventViolations...), ended, nil
 }
 
 // isService reports whether a job of a run is a service, by its id.
--- a/cmd/lab/start_test.go
+++ b/cmd/lab/start_test.go
@@ -16,14 +16,14 @@
 		event("start", "job-800001/0", "m1"), event("end", "job-800001/0", "m1"),
 	}
 	tasks := map[string]int{"job-100001": 1, "job-800001": 1}
-	if wrong, ended := checkTaskEvents(correct, tasks, map[string]bool{"job-100001": true}); len(wrong) > 0 || ended != 1 {
-		t.Errorf("%v, %d service tasks ended", wrong, ended)
+	if violations, ended := checkTaskEvents(correct, tasks, map[string]bool{"job-100001": true}); len(violations) > 0 || ended != 1 {
+		t.Errorf("%v, %d service tasks ended", violations, ended)
 	}
 	concurrent := append([]machineEvent{event("start", "job-100001/0", "m9")}, correct...)
-	if wrong, _ := checkTaskEvents(concurrent, tasks, nil); len(wrong) != 1 || !strings.Contains(wrong[0], "while on m9") {
-		t.Errorf("twice: %v", wrong)
+	if violations, _ := checkTaskEvents(concurrent, tasks, nil); len(violations) != 1 || !strings.Contains(violations[0], "while on m9") {
+		t.Errorf("twice: %v", violations)
 	}
-	if wrong, _ := checkTaskEvents(correct[:3], tasks, map[string]bool{"job-100001": true}); len(wrong) != 1 || !strings.Contains(wrong[0], "called done") {
-		t.Errorf("done too soon: %v", wrong)
+	if violations, _ := checkTaskEvents(correct[:3], tasks, map[string]bool{"job-100001": true}); len(violations) != 1 || !strings.Contains(violations[0], "called done") {
+		t.Errorf("done too soon: %v", violations)
 	}
 }
--- a/cmd/lab/ticketload.go
+++ b/cmd/lab/ticketload.go
@@ -199,7 +199,7 @@
 }
 
 // residentMB returns the current resident memory of the process; 0 if it does not run.
-func (p *process) residentMB() float64 {
+func (p *childProcess) residentMB() float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
--- a/cmd/lab/tickets.go
+++ b/cmd/lab/tickets.go
@@ -36,7 +36,7 @@
 // that accept tickets.
 type testSite struct {
 	dir              string
-	procs            []*process
+	procs            []*childProcess
 	apis             []string // addresses of the controllers
 	cloudAddr        string
 	stateAddr        string
@@ -107,7 +107,7 @@
 		return site, err
 	}
 	addProcess := func(name, program string, args ...string) {
-		site.procs = append(site.procs, &process{name: name, bin: filepath.Join(bin, program), args: args, logPath: filepath.Join(dir, name+".log")})
+		site.procs = append(site.procs, &childProcess{name: name, bin: filepath.Join(bin, program), args: args, logPath: filepath.Join(dir, name+".log")})
 	}
 	nodes := []string{"n-0", "n-1"}
 	addProcess("state", "standin", "-state", stateAddr, "-cloud", "", "-nodes", "n-0="+site.apis[0])
@@ -174,7 +174,7 @@
 }
 
 // process returns the process with a given name, or nil.
-func (site *testSite) process(name string) *process {
+func (site *testSite) process(name string) *childProcess {
 	for _, process := range site.procs {
 		if process.name == name {
 			return process
@@ -451,14 +451,14 @@
 }
 
 // diffLines returns a description of each line in which a and b differ.
-func diffLines(nameA, nameB string, a, b []string) (differences []string) {
-	for i := range max(len(a), len(b)) {
+func diffLines(nameA, nameB string, linesA, linesB []string) (differences []string) {
+	for i := range max(len(linesA), len(linesB)) {
 		lineA, lineB := "(nothing)", "(nothing)"
-		if i < len(a) {
-			lineA = a[i]
+		if i < len(linesA) {
+			lineA = linesA[i]
 		}
-		if i < len(b) {
-			lineB = b[i]
+		if i < len(linesB) {
+			lineB = linesB[i]
 		}
 		if lineA != lineB {
 			differences = append(differences, fmt.Sprintf("%s: %s | %s: %s", nameA, lineA, nameB, lineB))
@@ -630,11 +630,11 @@
 	if err != nil {
 		return pathResult{err: err}
 	}
-	statuses, accepts, err := site.runTickets(ctx, seed, tickets, embedded)
+	statuses, acceptLatencies, err := site.runTickets(ctx, seed, tickets, embedded)
 	if err != nil {
 		return pathResult{err: err}
 	}
-	result = pathResult{acceptLatencies: accepts, violations: site.startsOnCordoned}
+	result = pathResult{acceptLatencies: acceptLatencies, violations: site.startsOnCordoned}
 	if result.events, result.err = readMachineEvents(site.eventsPath); result.err != nil {
 		return result
 	}
--- a/cmd/lab/why.go
+++ b/cmd/lab/why.go
@@ -379,25 +379,25 @@
 
 // executeWhyRun verifies all conditions in random order.
 func executeWhyRun(ctx context.Context, bin, dir string, seed uint64) *whyResult {
-	r := &whyResult{}
+	result := &whyResult{}
 	rng := rand.New(rand.NewPCG(seed, 21))
-	cs := waitConditions()
-	rng.Shuffle(len(cs), func(i, k int) { cs[i], cs[k] = cs[k], cs[i] })
-	for i := range cs {
+	conditions := waitConditions()
+	rng.Shuffle(len(conditions), func(i, k int) { conditions[i], conditions[k] = conditions[k], conditions[i] })
+	for i := range conditions {
 		// Each condition gets a test site of its own, so that machines rented for the previous one are
 		// not available to the next.
-		f, err := startTestSite(ctx, bin, fmt.Sprintf("%s/%d", dir, i), 24, whyTimes)
+		site, err := startTestSite(ctx, bin, fmt.Sprintf("%s/%d", dir, i), 24, whyTimes)
 		if err == nil {
 			time.Sleep(time.Duration(rng.IntN(400)) * time.Millisecond)
-			err = cs[i].verify(ctx, f, fmt.Sprintf("job-%d", 100+i), r)
+			err = conditions[i].verify(ctx, site, fmt.Sprintf("job-%d", 100+i), result)
 		}
-		f.end()
+		site.end()
 		if err != nil {
-			r.err = fmt.Errorf("%s: %w", cs[i].name, err)
-			return r
+			result.err = fmt.Errorf("%s: %w", conditions[i].name, err)
+			return result
 		}
 	}
-	return r
+	return result
 }
 
 // whyProofCommand returns the subcommand that checks the explanations of waiting jobs.
@@ -407,7 +407,7 @@
 
 // proveWhy executes the runs and prints their figures.
 func proveWhy(ctx context.Context, out io.Writer, options runOptions) error {
-	sum := struct {
+	figures := struct {
 		runTotals
 		Checked  int     `json:"answers_checked"`
 		Wrong    int     `json:"wrong"`
@@ -415,22 +415,22 @@
 		StartMax float64 `json:"start_after_release_max_s"`
 		ToldP99  float64 `json:"answer_p99_ms"`
 	}{}
-	starts, told := newLatencies(), newLatencies()
+	startDelays, answerTimes := newLatencies(), newLatencies()
 	var err error
-	sum.runTotals, err = options.executeRuns(ctx, out, "why", func(bin, dir string, seed uint64) (func(), runOutcome) {
-		r := executeWhyRun(ctx, bin, dir, seed)
+	figures.runTotals, err = options.executeRuns(ctx, out, "why", func(bin, dir string, seed uint64) (func(), runOutcome) {
+		result := executeWhyRun(ctx, bin, dir, seed)
 		return func() {
-			sum.Checked, sum.Wrong = sum.Checked+r.checked, sum.Wrong+len(r.violations)
-			starts.record(r.startDelays...)
-			told.record(r.answerTimes...)
-		}, runOutcome{fmt.Sprintf("%d answers checked, %d starts after a release", r.checked, len(r.startDelays)), r.violations, r.err}
+			figures.Checked, figures.Wrong = figures.Checked+result.checked, figures.Wrong+len(result.violations)
+			startDelays.record(result.startDelays...)
+			answerTimes.record(result.answerTimes...)
+		}, runOutcome{fmt.Sprintf("%d answers checked, %d starts after a release", result.checked, len(result.startDelays)), result.violations, result.err}
 	})
 	if err != nil {
 		return err
 	}
-	sum.StartP50, sum.StartMax, sum.ToldP99 = starts.quantileSeconds(50), starts.maxSeconds(), told.quantileMS(99)
-	if err := printFigures(out, sum); err != nil {
+	figures.StartP50, figures.StartMax, figures.ToldP99 = startDelays.quantileSeconds(50), startDelays.maxSeconds(), answerTimes.quantileMS(99)
+	if err := printFigures(out, figures); err != nil {
 		return err
 	}
-	return sum.err()
+	return figures.err()
 }
--- a/cmd/lab/world.go
+++ b/cmd/lab/world.go
@@ -36,8 +36,8 @@
 	return dir, nil
 }
 
-// process is a program that can be killed, suspended and started again.
-type process struct {
+// childProcess is a program that can be killed, suspended and started again.
+type childProcess struct {
 	name    string
 	bin     string
 	args    []string
@@ -48,7 +48,7 @@
 }
 
 // start starts the process unless it runs. Its output is appended to its log.
-func (p *process) start() error {
+func (p *childProcess) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
@@ -77,7 +77,7 @@
 }
 
 // signal sends a signal to the process if it runs.
-func (p *process) signal(signal syscall.Signal) {
+func (p *childProcess) signal(signal syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
@@ -86,7 +86,7 @@
 }
 
 // kill kills the process if it runs and waits for its exit.
-func (p *process) kill() {
+func (p *childProcess) kill() {
 	p.mu.Lock()
 	command, exited := p.cmd, p.exited
 	p.cmd = nil
@@ -110,14 +110,14 @@
 
 // newLink returns a link that accepts connections and forwards them to an address.
 func newLink(to string) (*link, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	l := &link{listener: ln, target: to, changed: make(chan struct{}), conns: map[net.Conn]struct{}{}}
+	l := &link{listener: listener, target: to, changed: make(chan struct{}), conns: map[net.Conn]struct{}{}}
 	go func() {
 		for {
-			conn, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -192,12 +192,12 @@
 	}
 }
 
-// site holds the processes and addresses of one site of a deployment.
-type site struct {
+// memberSite holds the processes and addresses of one site of a deployment.
+type memberSite struct {
 	name                 string
-	state, cloud         *process
-	controllers          []*process
-	daemon               *process
+	state, cloud         *childProcess
+	controllers          []*childProcess
+	daemon               *childProcess
 	stateAddr            string
 	cloudAddr            string
 	controllerAPIs       []string // HTTP addresses of the controllers
@@ -211,13 +211,13 @@
 type deployment struct {
 	dir        string
 	bin        string
-	sites      []*site
-	gateway    *process
+	sites      []*memberSite
+	gateway    *childProcess
 	gatewayAPI string
 	links      map[[2]string]*link
 	members    []string          // names: gate, quito, xela
 	apiAddrs   map[string]string // HTTP addresses by member
-	processes  []*process
+	processes  []*childProcess
 	http       *http.Client
 }
 
@@ -324,8 +324,8 @@
 		path := filepath.Join(dir, name+".toml")
 		return path, os.WriteFile(path, []byte(settings.String()), 0o644)
 	}
-	addProcess := func(name, program string, args ...string) *process {
-		process := &process{name: name, bin: filepath.Join(d.bin, program), args: args, logPath: filepath.Join(dir, name+".log")}
+	addProcess := func(name, program string, args ...string) *childProcess {
+		process := &childProcess{name: name, bin: filepath.Join(d.bin, program), args: args, logPath: filepath.Join(dir, name+".log")}
 		d.processes = append(d.processes, process)
 		return process
 	}
@@ -335,7 +335,7 @@
 	}
 	d.gateway = addProcess("gate", "dapplestage", "gateway", "--config", path)
 	for _, name := range d.members[1:] {
-		site := &site{name: name, stateAddr: nextAddress(), cloudAddr: nextAddress(), localAddr: nextAddress(), daemonAPI: d.apiAddrs[name], eventsPath: filepath.Join(dir, name+".events")}
+		site := &memberSite{name: name, stateAddr: nextAddress(), cloudAddr: nextAddress(), localAddr: nextAddress(), daemonAPI: d.apiAddrs[name], eventsPath: filepath.Join(dir, name+".events")}
 		nodeNames := []string{"n-0", "n-1"}
 		site.controllerAPIs = []string{nextAddress(), nextAddress()}
 		peerAddrs := []string{nextAddress(), nextAddress()}
@@ -363,7 +363,7 @@
 }
 
 // site returns the site with a given name, or nil.
-func (d *deployment) site(name string) *site {
+func (d *deployment) site(name string) *memberSite {
 	for _, s := range d.sites {
 		if s.name == name {
 			return s
@@ -373,7 +373,7 @@
 }
 
 // member returns the process of a member: a site daemon or the gateway.
-func (d *deployment) member(name string) *process {
+func (d *deployment) member(name string) *childProcess {
 	if s := d.site(name); s != nil {
 		return s.daemon
 	}
