--- a/cmd/lab/load.go
+++ b/cmd/lab/load.go
@@ -130,9 +130,9 @@
 			figures.Refused++
 		}
 	}
-	var clients sync.WaitGroup
+	var group sync.WaitGroup
 	for i := range l.clients {
-		clients.Go(func() {
+		group.Go(func() {
 			for ctx.Err() == nil {
 				body := jobSubmission(fmt.Sprintf("job-%09d", l.lastJob.Add(1)), "red", 1, 1)
 				sentAt := time.Now()
@@ -144,7 +144,7 @@
 			}
 		})
 	}
-	clients.Wait()
+	group.Wait()
 	figures.PerSecond = float64(figures.Accepted) / l.duration.Seconds()
 	figures.Median, figures.P99 = float64(latencyHistogram.ValueAtQuantile(50))/1000, float64(latencyHistogram.ValueAtQuantile(99))/1000
 	return figures
--- a/cmd/lab/proof.go
+++ b/cmd/lab/proof.go
@@ -49,16 +49,16 @@
 // gatewayProofCommand returns the subcommand that checks jobs submitted to two sites and a gateway
 // while faults are injected.
 func gatewayProofCommand() *cobra.Command {
-	jobs, keep := 24, false
+	jobs, keepFiles := 24, false
 	command := newProofCommand("gateway", "Kill, suspend and partition two sites and a gateway at random, and check every job", 10, 10, func(ctx context.Context, out io.Writer, options runOptions) error {
 		if err := checkRange("jobs", jobs, 1, 500); err != nil {
 			return err
 		}
-		options.keepFiles = keep
+		options.keepFiles = keepFiles
 		return proveGateway(ctx, out, options, jobs)
 	})
 	command.Flags().IntVar(&jobs, "jobs", jobs, "jobs in a run")
-	command.Flags().BoolVar(&keep, "keep", keep, "keep the files of all runs, not only of those with violations")
+	command.Flags().BoolVar(&keepFiles, "keep", keepFiles, "keep the files of all runs, not only of those with violations")
 	return command
 }
 
@@ -78,7 +78,7 @@
 	HandoffMedian       float64 `json:"handoff_median_s"`
 	HandoffP99          float64 `json:"handoff_p99_s"`
 	HandoffMax          float64 `json:"handoff_max_s"`
-	HandoffBound        float64 `json:"handoff_bound_s"`
+	HandoffLimit        float64 `json:"handoff_bound_s"`
 	OverlappingHandoffs int64   `json:"handoffs_amid_others"`
 	OverlappingMax      float64 `json:"handoff_amid_others_max_s"`
 	Drains              int64   `json:"drain_handoffs"`
@@ -86,8 +86,8 @@
 	DrainP99            float64 `json:"drain_p99_s"`
 }
 
-// add adds the counts of a completed run.
-func (f *gatewayFigures) add(run *gatewayRunResult) {
+// record adds the counts of a completed run.
+func (f *gatewayFigures) record(run *gatewayRunResult) {
 	f.Accepted += run.accepted
 	f.Lost += len(run.lost)
 	f.Contradictions += len(run.contradictions)
@@ -101,8 +101,8 @@
 
 // proveGateway executes the runs and prints their figures.
 func proveGateway(ctx context.Context, out io.Writer, options runOptions, jobs int) error {
-	handoffs, drains, overlapping := newLatencies(), newLatencies(), newLatencies()
-	total := gatewayFigures{HandoffBound: gateway.HandoffBound(gatewayConfig(gatewayTimes)).Seconds()}
+	handoffs, drains, overlappingHandoffs := newLatencies(), newLatencies(), newLatencies()
+	total := gatewayFigures{HandoffLimit: gateway.HandoffBound(gatewayConfig(gatewayTimes)).Seconds()}
 	totals, err := options.executeRuns(ctx, out, "gateway", func(bin, dir string, seed uint64) (func(), runOutcome) {
 		result := executeGatewayRun(ctx, bin, dir, seed, jobs)
 		summary := fmt.Sprintf("%d jobs accepted, %d moved to the other site, %d handoffs of a lost site, %d of a drained one", result.accepted, result.movedJobs, len(result.handoffs)+len(result.overlappingHandoffs), len(result.drains))
@@ -110,9 +110,9 @@
 			if result.err != nil {
 				return
 			}
-			total.add(result)
+			total.record(result)
 			handoffs.record(result.handoffs...)
-			overlapping.record(result.overlappingHandoffs...)
+			overlappingHandoffs.record(result.overlappingHandoffs...)
 			drains.record(result.drains...)
 		}, runOutcome{summary, result.violations(), result.err}
 	})
@@ -121,7 +121,7 @@
 	}
 	total.runTotals = totals
 	total.Handoffs, total.HandoffMedian, total.HandoffP99, total.HandoffMax = handoffs.count(), handoffs.quantileSeconds(50), handoffs.quantileSeconds(99), handoffs.maxSeconds()
-	total.OverlappingHandoffs, total.OverlappingMax = overlapping.count(), overlapping.maxSeconds()
+	total.OverlappingHandoffs, total.OverlappingMax = overlappingHandoffs.count(), overlappingHandoffs.maxSeconds()
 	total.Drains, total.DrainMedian, total.DrainP99 = drains.count(), drains.quantileSeconds(50), drains.quantileSeconds(99)
 	if err := printFigures(out, total); err != nil {
 		return err
@@ -141,7 +141,7 @@
 	request            string // submit, poll or cancel
 	status             int    // of HTTP
 	jobState           string
-	member             string // that answered
+	answeredBy         string // name of the member
 }
 
 // user is a simulated user with one job, and the answers that it received.
@@ -227,7 +227,7 @@
 	defer file.Close()
 	for _, u := range users {
 		for _, answer := range u.answers {
-			fmt.Fprintf(file, "%s %s %s at %s: %d %s\n", answer.receivedAt.Format("15:04:05.000"), u.id, answer.request, answer.member, answer.status, answer.jobState)
+			fmt.Fprintf(file, "%s %s %s at %s: %d %s\n", answer.receivedAt.Format("15:04:05.000"), u.id, answer.request, answer.answeredBy, answer.status, answer.jobState)
 		}
 	}
 	for _, fault := range faults {
@@ -238,7 +238,7 @@
 // send sends one request to a member. An answer is recorded; a request without one returns
 // status 0 and is not.
 func (u *user) send(ctx context.Context, d *deployment, request, member string) userAnswer {
-	result := userAnswer{sentAt: time.Now(), request: request, member: member}
+	result := userAnswer{sentAt: time.Now(), request: request, answeredBy: member}
 	method, path, body := "GET", "/api/jobs/"+u.id, []byte(nil)
 	switch request {
 	case "submit":
@@ -341,9 +341,9 @@
 func (d *deployment) injectFaults(ctx context.Context, rng *rand.Rand) []injectedFault {
 	var faults []injectedFault
 	var healed sync.WaitGroup
-	sleep := func(d time.Duration) {
+	sleep := func(pause time.Duration) {
 		select {
-		case <-time.After(d):
+		case <-time.After(pause):
 		case <-ctx.Done():
 		}
 	}
@@ -419,8 +419,8 @@
 
 // suspendAll suspends processes with SIGSTOP; resume continues them.
 func suspendAll(processes ...*childProcess) (resume func()) {
-	for _, process := range processes {
-		process.signal(syscall.SIGSTOP)
+	for _, p := range processes {
+		p.signal(syscall.SIGSTOP)
 	}
 	return func() {
 		for _, p := range processes {
@@ -529,17 +529,17 @@
 func (d *deployment) checkUsers(result *gatewayRunResult, users []*user, runs []taskRun) {
 	completedByJob := completedTasks(runs)
 	for _, u := range users {
-		acceptedAt, cancelRequestedAt := u.acceptedAt(), u.cancelRequestedAt()
-		if acceptedAt.IsZero() {
+		accepted, cancelled := u.acceptedAt(), u.cancelRequestedAt()
+		if accepted.IsZero() {
 			result.neverAccepted++
 			continue
 		}
 		result.accepted++
-		final, finalAt := u.checkAnswers(result, acceptedAt)
+		final, finalAt := u.checkAnswers(result, accepted)
 		switch {
 		case final == "":
 			result.unanswered = append(result.unanswered, u.id+" has no final answer")
-		case final == protocol.JobCancelled && (cancelRequestedAt.IsZero() || cancelRequestedAt.After(finalAt)):
+		case final == protocol.JobCancelled && (cancelled.IsZero() || cancelled.After(finalAt)):
 			result.falseEnds = append(result.falseEnds, u.id+" is cancelled and nobody asked")
 		case final == protocol.JobDone:
 			u.checkDone(result, completedByJob[u.id], finalAt)
@@ -552,30 +552,30 @@
 // completedTasks returns the tasks that machines completed, by job, with the time at which each
 // was first completed.
 func completedTasks(runs []taskRun) map[string]map[string]time.Time {
-	completedByJob := map[string]map[string]time.Time{}
+	completed := map[string]map[string]time.Time{}
 	for _, run := range runs {
 		if !run.completed {
 			continue
 		}
 		jobID := jobOfTask(run.task)
-		if completedByJob[jobID] == nil {
-			completedByJob[jobID] = map[string]time.Time{}
+		if completed[jobID] == nil {
+			completed[jobID] = map[string]time.Time{}
 		}
-		if at, ok := completedByJob[jobID][run.task]; !ok || run.endedAt.Before(at) {
-			completedByJob[jobID][run.task] = run.endedAt
+		if at, ok := completed[jobID][run.task]; !ok || run.endedAt.Before(at) {
+			completed[jobID][run.task] = run.endedAt
 		}
 	}
-	return completedByJob
+	return completed
 }
 
 // acceptedAt returns when the user first received an answer that the job is accepted; zero if never.
-func (u *user) acceptedAt() (at time.Time) {
+func (u *user) acceptedAt() (receivedAt time.Time) {
 	for _, answer := range u.answers {
-		if (answer.status == 200 || answer.status == 201) && (at.IsZero() || answer.receivedAt.Before(at)) {
-			at = answer.receivedAt
+		if (answer.status == 200 || answer.status == 201) && (receivedAt.IsZero() || answer.receivedAt.Before(receivedAt)) {
+			receivedAt = answer.receivedAt
 		}
 	}
-	return at
+	return receivedAt
 }
 
 // cancelRequestedAt returns when the user first requested the cancellation; zero if never.
@@ -594,16 +594,16 @@
 	for _, answer := range u.answers {
 		switch {
 		case answer.status == 404 && answer.sentAt.After(acceptedAt):
-			result.lost = append(result.lost, u.id+" was accepted and is unknown at "+answer.member)
+			result.lost = append(result.lost, u.id+" was accepted and is unknown at "+answer.answeredBy)
 		case (answer.status == 400 || answer.status == 422) && answer.sentAt.After(acceptedAt):
-			result.lost = append(result.lost, fmt.Sprintf("%s was accepted and gets %d at %s", u.id, answer.status, answer.member))
+			result.lost = append(result.lost, fmt.Sprintf("%s was accepted and gets %d at %s", u.id, answer.status, answer.answeredBy))
 		case answer.status != 200:
 			continue
 		}
 		isFinal := answer.jobState == protocol.JobDone || answer.jobState == protocol.JobCancelled
 		switch {
 		case final != "" && isFinal && answer.jobState != final, final != "" && !isFinal && answer.sentAt.After(finalAt):
-			result.contradictions = append(result.contradictions, fmt.Sprintf("%s was called %s and is called %s at %s", u.id, final, answer.jobState, answer.member))
+			result.contradictions = append(result.contradictions, fmt.Sprintf("%s was called %s and is called %s at %s", u.id, final, answer.jobState, answer.answeredBy))
 		case final == "" && isFinal:
 			final, finalAt = answer.jobState, answer.receivedAt
 		}
@@ -643,7 +643,7 @@
 	}
 	movedJobs := map[string]bool{}
 	for task, taskRuns := range byTask {
-		slices.SortFunc(taskRuns, func(a, b taskRun) int { return a.startedAt.Compare(b.startedAt) })
+		slices.SortFunc(taskRuns, func(previous, next taskRun) int { return previous.startedAt.Compare(next.startedAt) })
 		for i := 1; i < len(taskRuns); i++ {
 			previous, next := taskRuns[i-1], taskRuns[i]
 			if previous.endedAt.IsZero() || previous.endedAt.After(next.startedAt) {
@@ -663,8 +663,8 @@
 // measureHandoffs measures the time from the loss or the drain of a site to the handoff of each of
 // its jobs to another site.
 func (d *deployment) measureHandoffs(result *gatewayRunResult, faults []injectedFault) {
-	for _, member := range d.members {
-		logText, err := os.ReadFile(d.member(member).logPath)
+	for _, name := range d.members {
+		logText, err := os.ReadFile(d.member(name).logPath)
 		if err != nil {
 			continue
 		}
@@ -735,16 +735,16 @@
 // finalOutcome returns the last final answer that a user received, as an outcome of a record; Open
 // if it received none.
 func (u *user) finalOutcome() uint8 {
-	final := uint8(wire.Open)
+	finalOutcome := uint8(wire.Open)
 	for _, answer := range u.answers {
 		switch {
 		case answer.status == 200 && answer.jobState == protocol.JobDone:
-			final = wire.Done
+			finalOutcome = wire.Done
 		case answer.status == 200 && answer.jobState == protocol.JobCancelled:
-			final = wire.Cancelled
+			finalOutcome = wire.Cancelled
 		}
 	}
-	return final
+	return finalOutcome
 }
 
 // readStores stops the members and returns the registers that each of them has stored, by job.
--- a/cmd/lab/proof_test.go
+++ b/cmd/lab/proof_test.go
@@ -13,15 +13,15 @@
 		return time.Unix(1000, 0).Add(time.Duration(seconds * float64(time.Second)))
 	}
 	answered := func(seconds float64, request string, status int, jobState string) userAnswer {
-		return userAnswer{sentAt: timeAt(seconds - 0.1), receivedAt: timeAt(seconds), request: request, status: status, jobState: jobState, member: "gate"}
+		return userAnswer{sentAt: timeAt(seconds - 0.1), receivedAt: timeAt(seconds), request: request, status: status, jobState: jobState, answeredBy: "gate"}
 	}
 	accepted := answered(1, "submit", 201, "queued")
 	completedRun := taskRun{site: "quito", task: "job-1/0", machine: "host-1", startedAt: timeAt(2), endedAt: timeAt(5), completed: true}
 	for _, c := range []struct {
-		name string
-		log  []userAnswer
-		runs []taskRun
-		want string // part of the violation; "" for none
+		name    string
+		answers []userAnswer
+		runs    []taskRun
+		want    string // part of the violation; "" for none
 	}{
 		{"done", []userAnswer{accepted, answered(6, "poll", 200, "done")}, []taskRun{completedRun}, ""},
 		{"never accepted", []userAnswer{answered(1, "submit", 503, "")}, nil, ""},
@@ -42,7 +42,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d, result := &deployment{}, &gatewayRunResult{}
-			users := []*user{{id: "job-1", tasks: 1, answers: c.log}}
+			users := []*user{{id: "job-1", tasks: 1, answers: c.answers}}
 			d.checkUsers(result, users, c.runs)
 			d.checkConcurrentRuns(result, users, c.runs)
 			got := strings.Join(result.violations(), "; ")
--- a/cmd/lab/report.go
+++ b/cmd/lab/report.go
@@ -101,7 +101,7 @@
 // reportRun is a run in progress: its jobs, the faults injected so far and the rows read so far.
 type reportRun struct {
 	*reportResult
-	site          *testSite
+	testSite      *testSite
 	rng           *rand.Rand
 	jobs          []*reportedJob
 	stalledJobs   []*reportedJob           // those of jobs whose tasks are stalled
@@ -118,7 +118,7 @@
 		result.err = err
 		return result
 	}
-	run := &reportRun{reportResult: result, site: site, rng: rand.New(rand.NewPCG(seed, 31)), rowsByJob: map[string][]observedRow{}}
+	run := &reportRun{reportResult: result, testSite: site, rng: rand.New(rand.NewPCG(seed, 31)), rowsByJob: map[string][]observedRow{}}
 	run.stallTwoJobs(ctx)
 	run.injectFaults(ctx)
 	run.awaitStallsReported(ctx)
@@ -132,7 +132,7 @@
 func (r *reportRun) submit(ctx context.Context, seconds float64) *reportedJob {
 	job := &reportedJob{id: fmt.Sprintf("job-%03d", len(r.jobs)+1), tasks: 1 + r.rng.IntN(4), seconds: seconds}
 	template := waitCondition{}
-	if err := r.site.submit(ctx, job.id, template.submission(job.id, job.tasks, seconds)); err != nil && r.err == nil {
+	if err := r.testSite.submit(ctx, job.id, template.submission(job.id, job.tasks, seconds)); err != nil && r.err == nil {
 		r.err = err
 	}
 	r.jobs = append(r.jobs, job)
@@ -146,13 +146,13 @@
 
 // pollNodes reads the account from all nodes that are not suspended, and records the rows.
 func (r *reportRun) pollNodes(ctx context.Context) {
-	for i, api := range r.site.apis {
+	for i, api := range r.testSite.apis {
 		node := fmt.Sprint("n-", i)
 		if node == r.suspendedNode {
 			continue
 		}
 		requestedAt := time.Now()
-		rows, page, err := r.site.readAccount(ctx, api)
+		rows, page, err := r.testSite.readAccount(ctx, api)
 		if err != nil {
 			continue // no answer, so there is nothing to check
 		}
@@ -171,7 +171,7 @@
 	// The other node may just have accepted a job, or a partition may have changed its owner between
 	// two pages, so a mismatch only counts if it persists.
 	time.Sleep(600 * time.Millisecond)
-	secondRows, page, err := r.site.readAccount(ctx, api)
+	secondRows, page, err := r.testSite.readAccount(ctx, api)
 	if err == nil && (len(secondRows) != len(r.jobs) || len(page.Unknown) == 0 && sumCounts(page.JobsByState) != len(secondRows)) {
 		r.violations = append(r.violations, fmt.Sprintf("%s tells of %d jobs in %d rows, %d were accepted", node, sumCounts(page.JobsByState), len(secondRows), len(r.jobs)))
 	}
@@ -197,11 +197,11 @@
 		r.submitShortJob(ctx)
 	}
 	r.stalledJobs = []*reportedJob{r.submit(ctx, 3), r.submit(ctx, 3)}
-	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline) && r.site.runningTasks(ctx, r.stalledJobs[1].id) == 0; r.pollNodes(ctx) {
+	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline) && r.testSite.runningTasks(ctx, r.stalledJobs[1].id) == 0; r.pollNodes(ctx) {
 		time.Sleep(200 * time.Millisecond)
 	}
 	for _, job := range r.stalledJobs {
-		postToCloud(ctx, r.site, "/stall/"+job.id+"/true")
+		postToCloud(ctx, r.testSite, "/stall/"+job.id+"/true")
 		job.stalledAt = time.Now()
 	}
 }
@@ -231,8 +231,8 @@
 // killMachine kills a random machine.
 func (r *reportRun) killMachine(ctx context.Context) {
 	var machines protocol.MachineList
-	if _, body, err := r.site.call(ctx, "GET", r.site.cloudAddr, "/hosts", nil); err == nil && json.Unmarshal(body, &machines) == nil && len(machines.Machines) > 0 {
-		postToCloud(ctx, r.site, "/kill/"+machines.Machines[r.rng.IntN(len(machines.Machines))].ID)
+	if _, body, err := r.testSite.call(ctx, "GET", r.testSite.cloudAddr, "/hosts", nil); err == nil && json.Unmarshal(body, &machines) == nil && len(machines.Machines) > 0 {
+		postToCloud(ctx, r.testSite, "/kill/"+machines.Machines[r.rng.IntN(len(machines.Machines))].ID)
 	}
 }
 
@@ -240,12 +240,12 @@
 // must report the jobs of the suspended one as unknown until it has taken them over.
 func (r *reportRun) suspendController(ctx context.Context) {
 	r.suspendedNode = fmt.Sprint("n-", r.rng.IntN(2))
-	r.site.signal(syscall.SIGSTOP, r.suspendedNode)
+	r.testSite.signal(syscall.SIGSTOP, r.suspendedNode)
 	for range 3 + r.rng.IntN(8) {
 		time.Sleep(300 * time.Millisecond)
 		r.pollNodes(ctx)
 	}
-	r.site.signal(syscall.SIGCONT, r.suspendedNode)
+	r.testSite.signal(syscall.SIGCONT, r.suspendedNode)
 	r.suspendedNode = ""
 	time.Sleep(4 * time.Second)
 }
@@ -255,7 +255,7 @@
 func (r *reportRun) awaitStallsReported(ctx context.Context) {
 	waitUntil(ctx, 70*time.Second, func() bool {
 		r.pollNodes(ctx)
-		events, _ := readMachineEvents(r.site.eventsPath)
+		events, _ := readMachineEvents(r.testSite.eventsPath)
 		pending := false
 		for _, job := range r.stalledJobs {
 			job.restartStallClock(events)
@@ -280,7 +280,7 @@
 // at all.
 func (r *reportRun) endStalls(ctx context.Context) {
 	for _, job := range r.stalledJobs {
-		postToCloud(ctx, r.site, "/stall/"+job.id+"/false")
+		postToCloud(ctx, r.testSite, "/stall/"+job.id+"/false")
 		switch delay := job.reportedStuckAt.Sub(job.stalledAt); {
 		case job.reportedStuckAt.IsZero():
 			r.violations = append(r.violations, job.id+": stalled, but not reported as stuck")
@@ -298,7 +298,7 @@
 	waitUntil(ctx, 40*time.Second, func() bool {
 		r.pollNodes(ctx)
 		time.Sleep(500 * time.Millisecond)
-		events, err := readMachineEvents(r.site.eventsPath)
+		events, err := readMachineEvents(r.testSite.eventsPath)
 		for _, job := range r.jobs {
 			if err != nil || completionTime(events, job.id, job.tasks).IsZero() {
 				return false
@@ -316,7 +316,7 @@
 
 // checkAllRows checks the recorded rows of all jobs, of which the last must be done.
 func (r *reportRun) checkAllRows() {
-	events, err := readMachineEvents(r.site.eventsPath)
+	events, err := readMachineEvents(r.testSite.eventsPath)
 	if err != nil {
 		r.err = err
 		return
@@ -348,25 +348,25 @@
 	stuckDelays := newLatencies()
 	figures := struct {
 		runTotals
-		Rows    int     `json:"rows_checked"`
-		Unknown int     `json:"rows_not_known"`
-		Wrong   int     `json:"wrong"`
-		Shown   int64   `json:"stalls_shown"`
-		Median  float64 `json:"shown_after_median_s"`
-		Max     float64 `json:"shown_after_max_s"`
+		Rows           int     `json:"rows_checked"`
+		Unknown        int     `json:"rows_not_known"`
+		Violations     int     `json:"wrong"`
+		StallsReported int64   `json:"stalls_shown"`
+		ReportedMedian float64 `json:"shown_after_median_s"`
+		ReportedMax    float64 `json:"shown_after_max_s"`
 	}{}
 	var err error
 	figures.runTotals, err = options.executeRuns(ctx, out, "report", func(bin, dir string, seed uint64) (func(), runOutcome) {
 		result := executeReportRun(ctx, bin, dir, seed)
 		return func() {
-			figures.Rows, figures.Unknown, figures.Wrong = figures.Rows+result.rowsChecked, figures.Unknown+result.rowsUnknown, figures.Wrong+len(result.violations)
+			figures.Rows, figures.Unknown, figures.Violations = figures.Rows+result.rowsChecked, figures.Unknown+result.rowsUnknown, figures.Violations+len(result.violations)
 			stuckDelays.record(result.stuckDelays...)
 		}, runOutcome{fmt.Sprintf("%d rows checked, %d of them not known", result.rowsChecked, result.rowsUnknown), result.violations, result.err}
 	})
 	if err != nil {
 		return err
 	}
-	figures.Shown, figures.Median, figures.Max = stuckDelays.count(), stuckDelays.quantileSeconds(50), stuckDelays.maxSeconds()
+	figures.StallsReported, figures.ReportedMedian, figures.ReportedMax = stuckDelays.count(), stuckDelays.quantileSeconds(50), stuckDelays.maxSeconds()
 	if err := printFigures(out, figures); err != nil {
 		return err
 	}
--- a/cmd/lab/runs.go
+++ b/cmd/lab/runs.go
@@ -70,7 +70,7 @@
 // executeRuns executes the runs, several in parallel, and prints a line for each. The files of a run
 // that failed or found a violation are kept. The collect function that a run returns is called once
 // at its end, for one run at a time.
-func (options runOptions) executeRuns(ctx context.Context, out io.Writer, name string, execute func(bin, dir string, seed uint64) (collect func(), r runOutcome)) (runTotals, error) {
+func (options runOptions) executeRuns(ctx context.Context, out io.Writer, name string, execute func(bin, dir string, seed uint64) (collect func(), outcome runOutcome)) (runTotals, error) {
 	totals := runTotals{Runs: options.runs, Seed: options.seed}
 	bin, err := buildPrograms(ctx)
 	if err != nil {
--- a/cmd/lab/standby.go
+++ b/cmd/lab/standby.go
@@ -47,9 +47,9 @@
 // standbyRun is a run in progress.
 type standbyRun struct {
 	*standbyResult
-	site  *testSite
-	rng   *rand.Rand
-	tasks map[string]int // number of tasks by job id
+	testSite *testSite
+	rng      *rand.Rand
+	tasks    map[string]int // number of tasks by job id
 }
 
 // executeStandbyRun lets controllers fail one after another, in a random order of the causes, and
@@ -62,15 +62,15 @@
 		result.err = err
 		return result
 	}
-	run := &standbyRun{standbyResult: result, site: site, rng: rand.New(rand.NewPCG(seed, 53)), tasks: map[string]int{}}
+	run := &standbyRun{standbyResult: result, testSite: site, rng: rand.New(rand.NewPCG(seed, 53)), tasks: map[string]int{}}
 	order := run.rng.Perm(len(causes))
 	for failure := range failures {
 		if !run.failController(ctx, causes[order[failure%len(order)]]) {
 			return result
 		}
 	}
-	jobViolations, _, err := site.awaitJobsDone(ctx, run.tasks)
-	result.violations = append(result.violations, jobViolations...)
+	violations, _, err := site.awaitJobsDone(ctx, run.tasks)
+	result.violations = append(result.violations, violations...)
 	if err != nil {
 		result.err = err
 	}
@@ -82,7 +82,7 @@
 	id := fmt.Sprintf("job-1%05d", len(r.tasks))
 	r.tasks[id] = 2 + r.rng.IntN(8)
 	team := []string{"red", "blue"}[len(r.tasks)%2]
-	if err := r.site.submit(ctx, id, r.site.jobSubmission(id, team, "sweep", r.tasks[id], 1+3*r.rng.Float64())); err != nil && r.err == nil {
+	if err := r.testSite.submit(ctx, id, r.testSite.shapedJobSubmission(id, team, "sweep", r.tasks[id], 1+3*r.rng.Float64())); err != nil && r.err == nil {
 		r.err = err
 	}
 }
@@ -101,14 +101,14 @@
 	// in the serving phase.
 	time.Sleep(randomDuration(r.rng, 5500*time.Millisecond, 6500*time.Millisecond))
 	failedNode := r.rng.IntN(2)
-	name, otherAPI := fmt.Sprint("n-", failedNode), r.site.apis[1-failedNode]
-	process := r.site.process(name)
-	ownersBefore, err := r.site.partitionOwners(ctx, otherAPI)
+	name, otherAPI := fmt.Sprint("n-", failedNode), r.testSite.apis[1-failedNode]
+	controller := r.testSite.childProcess(name)
+	ownersBefore, err := r.testSite.partitionOwners(ctx, otherAPI)
 	if err != nil || ownersBefore[0] == ownersBefore[1] {
 		return true
 	}
 	failedAt := time.Now()
-	if err := failProcess(process, cause); err != nil {
+	if err := failProcess(controller, cause); err != nil {
 		r.err = err
 		return false
 	}
@@ -119,11 +119,11 @@
 	r.ownerlessTimes[cause] = append(r.ownerlessTimes[cause], time.Since(failedAt))
 	r.submit(ctx)
 	time.Sleep(randomDuration(r.rng, 500*time.Millisecond, 2*time.Second))
-	process.signal(syscall.SIGCONT)
+	controller.signal(syscall.SIGCONT)
 	if cause == "left" {
-		process.kill() // the process has exited; this clears its state so that it can start again
+		controller.kill() // the process has exited; this clears its state so that it can start again
 	}
-	if err := process.start(); err != nil {
+	if err := controller.start(); err != nil {
 		r.err = err
 		return false
 	}
@@ -132,7 +132,7 @@
 
 // eachOwnsOnePartition reports whether each controller owns one of the two partitions.
 func (r *standbyRun) eachOwnsOnePartition(ctx context.Context) bool {
-	owners, err := r.site.partitionOwners(ctx, r.site.apis[0])
+	owners, err := r.testSite.partitionOwners(ctx, r.testSite.apis[0])
 	return err == nil && owners[0] != "" && owners[1] != "" && owners[0] != owners[1]
 }
 
@@ -155,7 +155,7 @@
 // takenOver reports whether the partitions that the failed controller owned have an owner again, as
 // seen by the other controller.
 func (r *standbyRun) takenOver(ctx context.Context, name, otherAPI, cause string, ownersBefore map[int]string) bool {
-	owners, err := r.site.partitionOwners(ctx, otherAPI)
+	owners, err := r.testSite.partitionOwners(ctx, otherAPI)
 	if err != nil {
 		return false
 	}
@@ -165,7 +165,7 @@
 		}
 		if cause == "restarted_at_once" {
 			// Either the restarted controller or the other one may own the partition now.
-			if statuses, ok := r.site.partitionStatuses(ctx); !ok || statuses[partition].Phase == "" {
+			if statuses, ok := r.testSite.partitionStatuses(ctx); !ok || statuses[partition].Phase == "" {
 				return false
 			}
 		} else if owners[partition] == name || owners[partition] == "" {
@@ -219,40 +219,40 @@
 				}
 			}
 			return func() {
-				for cause, durations := range result.ownerlessTimes {
+				for cause, ownerlessTimes := range result.ownerlessTimes {
 					if _, known := byCause[cause]; !known {
 						byCause[cause] = newLatencies()
 					}
-					byCause[cause].record(durations...)
+					byCause[cause].record(ownerlessTimes...)
 				}
 			}, runOutcome{strings.Join(summary, ", "), result.violations, result.err}
 		})
 		byCauseQuantiles := map[string]quantiles{}
-		for cause, durations := range byCause {
-			byCauseQuantiles[cause] = quantiles{durations.count(), durations.quantileSeconds(50), durations.quantileSeconds(95), durations.maxSeconds()}
+		for cause, histogram := range byCause {
+			byCauseQuantiles[cause] = quantiles{histogram.count(), histogram.quantileSeconds(50), histogram.quantileSeconds(95), histogram.maxSeconds()}
 		}
 		return totals, byCauseQuantiles, err
 	}
 	figures := struct {
 		runTotals
-		Gaps   map[string]quantiles `json:"share_without_holder"`
-		Before map[string]quantiles `json:"before,omitempty"`
-		Old    *runTotals           `json:"before_runs,omitempty"`
+		Ownerless    map[string]quantiles `json:"share_without_holder"`
+		OldOwnerless map[string]quantiles `json:"before,omitempty"`
+		OldTotals    *runTotals           `json:"before_runs,omitempty"`
 	}{}
 	var err error
-	if figures.runTotals, figures.Gaps, err = measure(""); err != nil {
+	if figures.runTotals, figures.Ownerless, err = measure(""); err != nil {
 		return err
 	}
 	if oldBinaries != "" {
-		absolute, err := filepath.Abs(oldBinaries)
+		oldBin, err := filepath.Abs(oldBinaries)
 		if err != nil {
 			return err
 		}
-		var oldTotals runTotals
-		if oldTotals, figures.Before, err = measure(absolute); err != nil {
+		var totals runTotals
+		if totals, figures.OldOwnerless, err = measure(oldBin); err != nil {
 			return err
 		}
-		figures.Old = &oldTotals
+		figures.OldTotals = &totals
 	}
 	if err := printFigures(out, figures); err != nil {
 		return err
--- a/cmd/lab/start.go
+++ b/cmd/lab/start.go
@@ -119,7 +119,7 @@
 // startRun is a run in progress.
 type startRun struct {
 	*startResult
-	site      *testSite
+	testSite  *testSite
 	rng       *rand.Rand
 	tasks     map[string]int // number of tasks by job id
 	shortJobs int            // number of arrays submitted so far
@@ -135,7 +135,7 @@
 		result.err = err
 		return result
 	}
-	run := &startRun{startResult: result, site: site, rng: rand.New(rand.NewPCG(seed, 41)), tasks: map[string]int{}}
+	run := &startRun{startResult: result, testSite: site, rng: rand.New(rand.NewPCG(seed, 41)), tasks: map[string]int{}}
 	if !run.startServices(ctx, machines) {
 		result.err = fmt.Errorf("the services did not start")
 		return result
@@ -146,9 +146,9 @@
 		}
 		time.Sleep(randomDuration(run.rng, time.Millisecond, 3*time.Second))
 	}
-	var jobViolations []string
-	jobViolations, result.serviceTasksEnded, err = site.awaitJobsDone(ctx, run.tasks)
-	result.violations = append(result.violations, jobViolations...)
+	var violations []string
+	violations, result.serviceTasksEnded, err = site.awaitJobsDone(ctx, run.tasks)
+	result.violations = append(result.violations, violations...)
 	if err != nil {
 		result.err = err
 	}
@@ -157,10 +157,10 @@
 }
 
 // submit submits a job, of the teams in turn.
-func (r *startRun) submit(ctx context.Context, id, shape string, tasks int, seconds float64) {
+func (r *startRun) submit(ctx context.Context, id, shape string, taskCount int, seconds float64) {
 	team := []string{"red", "blue"}[len(r.tasks)%2]
-	r.tasks[id] = tasks
-	if err := r.site.submit(ctx, id, r.site.jobSubmission(id, team, shape, tasks, seconds)); err != nil && r.err == nil {
+	r.tasks[id] = taskCount
+	if err := r.testSite.submit(ctx, id, r.testSite.shapedJobSubmission(id, team, shape, taskCount, seconds)); err != nil && r.err == nil {
 		r.err = err
 	}
 }
@@ -179,7 +179,7 @@
 	return waitUntil(ctx, 30*time.Second, func() bool {
 		running := 0
 		for i := range services {
-			running += r.site.runningTasks(ctx, id(i))
+			running += r.testSite.runningTasks(ctx, id(i))
 		}
 		return running >= services*tasksPerService
 	})
@@ -192,13 +192,13 @@
 		r.submit(ctx, fmt.Sprintf("job-1%05d", r.shortJobs), "sweep", 4+r.rng.IntN(12), 2+3*r.rng.Float64())
 		r.shortJobs++
 	}
-	if r.site.mixedMachines {
+	if r.testSite.mixedMachines {
 		r.submit(ctx, fmt.Sprintf("job-3%05d", r.shortJobs), "gang", 1+r.rng.IntN(2), 2+3*r.rng.Float64())
 	}
 	time.Sleep(randomDuration(r.rng, 200*time.Millisecond, 1500*time.Millisecond))
-	r.site.countOrders(ctx, r.startResult)
+	r.testSite.countOrders(ctx, r.startResult)
 	var nodes []*childProcess
-	for _, process := range r.site.procs {
+	for _, process := range r.testSite.procs {
 		if strings.HasPrefix(process.name, "n-") {
 			nodes = append(nodes, process)
 		}
@@ -224,7 +224,7 @@
 func (r *startRun) awaitReconciled(ctx context.Context, restartedAt time.Time) bool {
 	var serving, halfReconciled, reconciled time.Duration
 	if !waitUntil(ctx, 30*time.Second, func() bool {
-		partitions, ok := r.site.partitionStatuses(ctx)
+		partitions, ok := r.testSite.partitionStatuses(ctx)
 		elapsed := time.Since(restartedAt)
 		if !ok || len(partitions) != 2 {
 			return false
@@ -330,16 +330,16 @@
 	}
 	figures := struct {
 		runTotals
-		Machines int            `json:"machines"`
-		Place    bool           `json:"place"`
-		Starts   int            `json:"starts"`
-		Serve    quantiles      `json:"serving_after"`
-		Half     quantiles      `json:"half_squared_after"`
-		All      quantiles      `json:"all_squared_after"`
-		Given    map[string]int `json:"orders_given"`
-		Held     map[string]int `json:"orders_held_back"`
-		Ended    int            `json:"service_tasks_ended"`
-	}{Machines: machines, Place: mixedMachines, Given: map[string]int{}, Held: map[string]int{}}
+		Machines          int            `json:"machines"`
+		MixedMachines     bool           `json:"place"`
+		Starts            int            `json:"starts"`
+		Serving           quantiles      `json:"serving_after"`
+		HalfReconciled    quantiles      `json:"half_squared_after"`
+		Reconciled        quantiles      `json:"all_squared_after"`
+		OrdersGiven       map[string]int `json:"orders_given"`
+		OrdersHeldBack    map[string]int `json:"orders_held_back"`
+		ServiceTasksEnded int            `json:"service_tasks_ended"`
+	}{Machines: machines, MixedMachines: mixedMachines, OrdersGiven: map[string]int{}, OrdersHeldBack: map[string]int{}}
 	servingDelays, halfReconciledDelays, reconciledDelays := newLatencies(), newLatencies(), newLatencies()
 	var err error
 	timing := restartTimes
@@ -348,12 +348,12 @@
 		result := executeStartRun(ctx, bin, dir, seed, machines, starts, timing)
 		return func() {
 			figures.Starts += len(result.reconciledDelays)
-			figures.Ended += result.serviceTasksEnded
+			figures.ServiceTasksEnded += result.serviceTasksEnded
 			for order, count := range result.ordersGiven {
-				figures.Given[order] += count
+				figures.OrdersGiven[order] += count
 			}
 			for order, count := range result.ordersHeldBack {
-				figures.Held[order] += count
+				figures.OrdersHeldBack[order] += count
 			}
 			servingDelays.record(result.servingDelays...)
 			halfReconciledDelays.record(result.halfReconciledDelays...)
@@ -364,7 +364,7 @@
 		return err
 	}
 	toQuantiles := func(delays latencies) quantiles { return quantiles{delays.quantileSeconds(50), delays.maxSeconds()} }
-	figures.Serve, figures.Half, figures.All = toQuantiles(servingDelays), toQuantiles(halfReconciledDelays), toQuantiles(reconciledDelays)
+	figures.Serving, figures.HalfReconciled, figures.Reconciled = toQuantiles(servingDelays), toQuantiles(halfReconciledDelays), toQuantiles(reconciledDelays)
 	if err := printFigures(out, figures); err != nil {
 		return err
 	}
--- a/cmd/lab/ticketload.go
+++ b/cmd/lab/ticketload.go
@@ -67,22 +67,22 @@
 
 // measureTickets measures submissions by size and state changes by number of steps, and prints the
 // figures.
-func measureTickets(ctx context.Context, out io.Writer, duration time.Duration, clients int, writeRPS float64, asJSON bool) error {
+func measureTickets(ctx context.Context, out io.Writer, duration time.Duration, clients int, writesPerSecond float64, asJSON bool) error {
 	bin, err := buildPrograms(ctx)
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(bin)
 	figures := struct {
-		Runs   int                 `json:"runs"`
-		Broken int                 `json:"broken"`
-		Seed   uint64              `json:"seed"`
-		Writes float64             `json:"write_rps"`
-		Load   []ticketLoadFigures `json:"load"`
-		Cost   []ticketCostFigures `json:"cost"`
-	}{Runs: 1, Writes: writeRPS}
+		Runs     int                 `json:"runs"`
+		Broken   int                 `json:"broken"`
+		Seed     uint64              `json:"seed"`
+		WriteRPS float64             `json:"write_rps"`
+		Load     []ticketLoadFigures `json:"load"`
+		Cost     []ticketCostFigures `json:"cost"`
+	}{Runs: 1, WriteRPS: writesPerSecond}
 	timing := testSiteTimes
-	timing.writeRPS = writeRPS
+	timing.writeRPS = writesPerSecond
 	for _, size := range []int{0, 1, 100, 10000, 100000} {
 		load, err := measureTicketLoad(ctx, bin, timing, size, duration, clients)
 		if err != nil {
--- a/cmd/lab/tickets.go
+++ b/cmd/lab/tickets.go
@@ -46,9 +46,9 @@
 	startsOnCordoned []string // violations: tasks that started on cordoned machines
 }
 
-// jobSubmission returns the submission of a job of a given shape. At a site with mixed machines,
+// shapedJobSubmission returns the submission of a job of a given shape. At a site with mixed machines,
 // services and arrays need no GPU, and each task of a gang needs a whole large machine.
-func (site *testSite) jobSubmission(id, team, shape string, tasks int, seconds float64) []byte {
+func (site *testSite) shapedJobSubmission(id, team, shape string, tasks int, seconds float64) []byte {
 	body := strings.Replace(string(jobSubmission(id, team, tasks, seconds)), `"sweep"`, fmt.Sprintf("%q", shape), 1)
 	const defaultNeeds, defaultPlacement = `"vcpus":2.0,"cards":1.0,"memGb":8.0`, `"together":false,"scatter":false,"loaners":true`
 	if site.mixedMachines {
@@ -173,11 +173,11 @@
 	}
 }
 
-// process returns the process with a given name, or nil.
-func (site *testSite) process(name string) *childProcess {
-	for _, process := range site.procs {
-		if process.name == name {
-			return process
+// childProcess returns the process with a given name, or nil.
+func (site *testSite) childProcess(name string) *childProcess {
+	for _, p := range site.procs {
+		if p.name == name {
+			return p
 		}
 	}
 	return nil
@@ -186,7 +186,7 @@
 // signal sends a signal to the processes with the given names.
 func (site *testSite) signal(s syscall.Signal, names ...string) {
 	for _, name := range names {
-		if p := site.process(name); p != nil {
+		if p := site.childProcess(name); p != nil {
 			p.signal(s)
 		}
 	}
@@ -284,8 +284,8 @@
 	return ticket.Describe(submission, admitted)
 }
 
-// admit returns the ticket as a controller admits it.
-func (t *testTicket) admit() (*format.Submission, *ticket.Admitted, error) {
+// admitTicket returns the ticket as a controller admits it.
+func (t *testTicket) admitTicket() (*format.Submission, *ticket.Admitted, error) {
 	return admitTicket(t.body(false))
 }
 
@@ -302,7 +302,7 @@
 
 // expectedLines returns the lines that a ticket must produce. They depend on the seed alone.
 func (t *testTicket) expectedLines(plan *standin.Farm) ([]string, error) {
-	_, admitted, err := t.admit()
+	_, admitted, err := t.admitTicket()
 	if err != nil {
 		return nil, err
 	}
@@ -379,7 +379,7 @@
 // the machines' event log; terms and status of the ticket and its steps come from the answer to its
 // user.
 func (t *testTicket) observedLines(status *node.TicketStatus, events []machineEvent) ([]string, error) {
-	_, admitted, err := t.admit()
+	_, admitted, err := t.admitTicket()
 	if err != nil {
 		return nil, err
 	}
@@ -704,11 +704,11 @@
 func expectedLinesOfAll(seed uint64, tickets []*testTicket) (lines []string, err error) {
 	plan := standin.NewFarm(seed)
 	for _, ticket := range tickets {
-		expected, err := ticket.expectedLines(plan)
+		expectedLines, err := ticket.expectedLines(plan)
 		if err != nil {
 			return nil, err
 		}
-		lines = append(lines, expected...)
+		lines = append(lines, expectedLines...)
 	}
 	return lines, nil
 }
@@ -723,20 +723,20 @@
 	acceptLatencies := newLatencies()
 	figures := struct {
 		runTotals
-		Tickets int     `json:"tickets_each_way"`
-		Lines   int     `json:"lines_compared"`
-		Starts  int     `json:"starts"`
-		Errors  int     `json:"errors"`
-		Lost    int     `json:"ended_otherwise"`
-		Median  float64 `json:"accept_median_ms"`
-		P99     float64 `json:"accept_p99_ms"`
+		TicketsPerPath int     `json:"tickets_each_way"`
+		Lines          int     `json:"lines_compared"`
+		Starts         int     `json:"starts"`
+		Errors         int     `json:"errors"`
+		EndedOtherwise int     `json:"ended_otherwise"`
+		Median         float64 `json:"accept_median_ms"`
+		P99            float64 `json:"accept_p99_ms"`
 	}{}
 	var err error
 	figures.runTotals, err = options.executeRuns(ctx, out, "tickets", func(bin, dir string, seed uint64) (func(), runOutcome) {
 		comparison := comparePaths(ctx, bin, dir, seed, classMaxRetries)
 		return func() {
-			figures.Tickets += 6
-			figures.Lines, figures.Starts, figures.Errors, figures.Lost = figures.Lines+comparison.lines, figures.Starts+comparison.starts, figures.Errors+comparison.errors, figures.Lost+comparison.endedOtherwise
+			figures.TicketsPerPath += 6
+			figures.Lines, figures.Starts, figures.Errors, figures.EndedOtherwise = figures.Lines+comparison.lines, figures.Starts+comparison.starts, figures.Errors+comparison.errors, figures.EndedOtherwise+comparison.endedOtherwise
 			acceptLatencies.record(comparison.acceptLatencies...)
 		}, runOutcome{fmt.Sprintf("%d lines equal, %d starts, %d errors, %d ended otherwise", comparison.lines, comparison.starts, comparison.errors, comparison.endedOtherwise), comparison.violations, comparison.err}
 	})
--- a/cmd/lab/tickets_test.go
+++ b/cmd/lab/tickets_test.go
@@ -39,7 +39,7 @@
 func TestObservedLinesShowDifferences(t *testing.T) {
 	plan := standin.NewFarm(5)
 	submitted := &testTicket{id: "job-1", name: "t", maxRetries: 3, steps: []string{"s0 3", "s1 1 s0"}}
-	_, admitted, err := submitted.admit()
+	_, admitted, err := submitted.admitTicket()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,9 +64,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	observed, err := submitted.observedLines(status, events)
-	if err != nil || len(diffLines("a", "b", observed, expected)) > 0 {
-		t.Fatalf("%v\n%v\n%v", err, observed, expected)
+	got, err := submitted.observedLines(status, events)
+	if err != nil || len(diffLines("a", "b", got, expected)) > 0 {
+		t.Fatalf("%v\n%v\n%v", err, got, expected)
 	}
 	for name, otherEvents := range map[string][]machineEvent{
 		"one more error":               append(slices.Clone(events), machineEvent{at, "start", events[0].Task, "m"}, machineEvent{at + 1, "error", events[0].Task, "m"}),
--- a/cmd/lab/why.go
+++ b/cmd/lab/why.go
@@ -21,7 +21,7 @@
 	name           string // name of the reason in an explanation
 	mustBeFirst    bool   // an explanation must list this reason first
 	competingTasks int    // number of tasks of the competing job, which runs meanwhile; 0: no such job
-	shape          string // shape of the waiting job; empty: an array
+	jobShape       string // shape of the waiting job; empty: an array
 	tasks          int
 	gpus           float64 // for each task; 0: 1
 	establish      func(ctx context.Context, site *testSite, id string) error
@@ -123,16 +123,16 @@
 			return postToCloud(ctx, site, fmt.Sprint("/limit/", machines))
 		}
 	}
-	signalNodes := func(signal syscall.Signal, names ...string) func(ctx context.Context, site *testSite, id string) error {
+	signalNodes := func(sig syscall.Signal, names ...string) func(ctx context.Context, site *testSite, id string) error {
 		return func(ctx context.Context, site *testSite, id string) error {
-			site.signal(signal, names...)
+			site.signal(sig, names...)
 			return nil
 		}
 	}
 	return []waitCondition{
 		{name: "team_limit", mustBeFirst: true, competingTasks: 8, tasks: 2, establish: noAction, release: cancelCompetingJob},
 		{name: "no_free_machine", competingTasks: 4, tasks: 1, establish: limit(1), release: cancelCompetingJob},
-		{name: "gang_incomplete", mustBeFirst: true, competingTasks: 2, shape: protocol.Gang, tasks: 4, establish: limit(1), release: cancelCompetingJob},
+		{name: "gang_incomplete", mustBeFirst: true, competingTasks: 2, jobShape: protocol.Gang, tasks: 4, establish: limit(1), release: cancelCompetingJob},
 		{name: "drained", mustBeFirst: true, competingTasks: 1, tasks: 2, establish: func(ctx context.Context, site *testSite, _ string) error { return cordonAll(ctx, site) }, release: uncordonAll},
 		{name: "rentals_stopped", tasks: 1, gpus: 4, competingTasks: 1, establish: func(ctx context.Context, site *testSite, _ string) error {
 			return changeSetting(ctx, site, "stop_rentals", true)
@@ -155,7 +155,7 @@
 
 // submission returns the submission of a job with the condition's shape and GPUs per task.
 func (c *waitCondition) submission(id string, tasks int, seconds float64) []byte {
-	shape, gpus := c.shape, c.gpus
+	shape, gpus := c.jobShape, c.gpus
 	if shape == "" {
 		shape = protocol.Array
 	}
@@ -352,8 +352,8 @@
 	return false
 }
 
-// answerTimeout returns how long a node may take to name the condition. Placement is decided every
-// few hundred milliseconds; a job that fails everywhere is recognized after a few retries.
+// answerTimeout returns how long a node may take to name the condition. Nodes evaluate waiting jobs
+// every few hundred milliseconds; a job that fails everywhere is recognized after a few retries.
 func (c *waitCondition) answerTimeout() time.Duration {
 	switch c.name {
 	case "fails_everywhere":
@@ -409,18 +409,18 @@
 func proveWhy(ctx context.Context, out io.Writer, options runOptions) error {
 	figures := struct {
 		runTotals
-		Checked  int     `json:"answers_checked"`
-		Wrong    int     `json:"wrong"`
-		StartP50 float64 `json:"start_after_release_median_s"`
-		StartMax float64 `json:"start_after_release_max_s"`
-		ToldP99  float64 `json:"answer_p99_ms"`
+		Explanations int     `json:"answers_checked"`
+		Violations   int     `json:"wrong"`
+		StartP50     float64 `json:"start_after_release_median_s"`
+		StartMax     float64 `json:"start_after_release_max_s"`
+		AnswerP99    float64 `json:"answer_p99_ms"`
 	}{}
 	startDelays, answerTimes := newLatencies(), newLatencies()
 	var err error
 	figures.runTotals, err = options.executeRuns(ctx, out, "why", func(bin, dir string, seed uint64) (func(), runOutcome) {
 		result := executeWhyRun(ctx, bin, dir, seed)
 		return func() {
-			figures.Checked, figures.Wrong = figures.Checked+result.checked, figures.Wrong+len(result.violations)
+			figures.Explanations, figures.Violations = figures.Explanations+result.checked, figures.Violations+len(result.violations)
 			startDelays.record(result.startDelays...)
 			answerTimes.record(result.answerTimes...)
 		}, runOutcome{fmt.Sprintf("%d answers checked, %d starts after a release", result.checked, len(result.startDelays)), result.violations, result.err}
@@ -428,7 +428,7 @@
 	if err != nil {
 		return err
 	}
-	figures.StartP50, figures.StartMax, figures.ToldP99 = startDelays.quantileSeconds(50), startDelays.maxSeconds(), answerTimes.quantileMS(99)
+	figures.StartP50, figures.StartMax, figures.AnswerP99 = startDelays.quantileSeconds(50), startDelays.maxSeconds(), answerTimes.quantileMS(99)
 	if err := printFigures(out, figures); err != nil {
 		return err
 	}
--- a/cmd/lab/world.go
+++ b/cmd/lab/world.go
@@ -58,18 +58,18 @@
 	if err != nil {
 		return err
 	}
-	command := exec.Command(p.bin, p.args...)
-	command.Stdout, command.Stderr = logFile, logFile
+	cmd := exec.Command(p.bin, p.args...)
+	cmd.Stdout, cmd.Stderr = logFile, logFile
 	// The kernel kills the process when the lab exits, however it exits.
-	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	command.Env = append(os.Environ(), "GOMAXPROCS=2")
-	if err := command.Start(); err != nil {
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	cmd.Env = append(os.Environ(), "GOMAXPROCS=2")
+	if err := cmd.Start(); err != nil {
 		return err
 	}
 	exited := make(chan struct{})
-	p.cmd, p.exited = command, exited
+	p.cmd, p.exited = cmd, exited
 	go func() {
-		command.Wait()
+		cmd.Wait()
 		logFile.Close()
 		close(exited)
 	}()
@@ -77,28 +77,29 @@
 }
 
 // signal sends a signal to the process if it runs.
-func (p *childProcess) signal(signal syscall.Signal) {
+func (p *childProcess) signal(sig syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
-		p.cmd.Process.Signal(signal)
+		p.cmd.Process.Signal(sig)
 	}
 }
 
 // kill kills the process if it runs and waits for its exit.
 func (p *childProcess) kill() {
 	p.mu.Lock()
-	command, exited := p.cmd, p.exited
+	cmd, exited := p.cmd, p.exited
 	p.cmd = nil
 	p.mu.Unlock()
-	if command != nil {
-		command.Process.Kill()
+	if cmd != nil {
+		cmd.Process.Kill()
 		<-exited
 	}
 }
 
 // link is a proxy for the connections that one member opens to another. While it is cut, it holds
-// back what the connecting member sends; the other direction still passes.
+// back new connections and the bytes that the connecting member sends; bytes in the other direction
+// still pass.
 type link struct {
 	listener net.Listener
 	target   string
@@ -109,12 +110,12 @@
 }
 
 // newLink returns a link that accepts connections and forwards them to an address.
-func newLink(to string) (*link, error) {
+func newLink(target string) (*link, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	l := &link{listener: listener, target: to, changed: make(chan struct{}), conns: map[net.Conn]struct{}{}}
+	l := &link{listener: listener, target: target, changed: make(chan struct{}), conns: map[net.Conn]struct{}{}}
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -159,22 +160,22 @@
 func (l *link) forward(client net.Conn) {
 	defer client.Close()
 	l.awaitHealed()
-	target, err := net.DialTimeout("tcp", l.target, 2*time.Second)
+	upstream, err := net.DialTimeout("tcp", l.target, 2*time.Second)
 	if err != nil {
 		return
 	}
-	defer target.Close()
+	defer upstream.Close()
 	l.mu.Lock()
-	l.conns[client], l.conns[target] = struct{}{}, struct{}{}
+	l.conns[client], l.conns[upstream] = struct{}{}, struct{}{}
 	l.mu.Unlock()
 	defer func() {
 		l.mu.Lock()
 		delete(l.conns, client)
-		delete(l.conns, target)
+		delete(l.conns, upstream)
 		l.mu.Unlock()
 	}()
 	go func() {
-		io.Copy(client, target)
+		io.Copy(client, upstream)
 		client.Close()
 	}()
 	buffer := make([]byte, 32<<10)
@@ -182,7 +183,7 @@
 		n, err := client.Read(buffer)
 		if n > 0 {
 			l.awaitHealed()
-			if _, err := target.Write(buffer[:n]); err != nil {
+			if _, err := upstream.Write(buffer[:n]); err != nil {
 				return
 			}
 		}
@@ -324,8 +325,8 @@
 		path := filepath.Join(dir, name+".toml")
 		return path, os.WriteFile(path, []byte(settings.String()), 0o644)
 	}
-	addProcess := func(name, program string, args ...string) *childProcess {
-		process := &childProcess{name: name, bin: filepath.Join(d.bin, program), args: args, logPath: filepath.Join(dir, name+".log")}
+	addProcess := func(name, bin string, args ...string) *childProcess {
+		process := &childProcess{name: name, bin: filepath.Join(d.bin, bin), args: args, logPath: filepath.Join(dir, name+".log")}
 		d.processes = append(d.processes, process)
 		return process
 	}
@@ -362,8 +363,8 @@
 	return d, nil
 }
 
-// site returns the site with a given name, or nil.
-func (d *deployment) site(name string) *memberSite {
+// memberSite returns the site with a given name, or nil.
+func (d *deployment) memberSite(name string) *memberSite {
 	for _, s := range d.sites {
 		if s.name == name {
 			return s
@@ -374,7 +375,7 @@
 
 // member returns the process of a member: a site daemon or the gateway.
 func (d *deployment) member(name string) *childProcess {
-	if s := d.site(name); s != nil {
+	if s := d.memberSite(name); s != nil {
 		return s.daemon
 	}
 	return d.gateway
