--- a/cmd/lab/why.go
+++ b/cmd/lab/why.go
@@ -183,7 +183,7 @@
 }
 
 // runningTasks returns the number of task starts of a job less its errors, by the machines' event
-// log. Tasks that are done still count.
+// log. Tasks that are done or were lost with their machine still count.
 func (site *testSite) runningTasks(ctx context.Context, id string) int {
 	running := 0
 	events, err := readMachineEvents(site.eventsPath)
