--- a/cmd/dapplestage/gateway.go
+++ b/cmd/dapplestage/gateway.go
@@ -82,7 +82,7 @@
 
 func memberConfig(s *wire.Settings) gateway.Config {
 	second := func(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
-	c := gateway.Config{LeaseTime: second(s.LeaseS), StopTime: gateway.StopBound(second(s.ControllerLeaseS), second(s.MaxWorkerLeaseS)), MaxInFlight: s.MaxInFlight,
+	c := gateway.Config{LeaseTime: second(s.LeaseS), StopTime: gateway.StopBound(second(s.ControllersS), second(s.WorkersLeaseS)), MaxInFlight: s.InFlight,
 		Route: gateway.RouteConfig{JobsPerSecond: s.Route.PerSecond, RampS: s.Route.RampS, HintMaxAgeS: s.Route.StaleS, MaxOpenPerSite: s.Route.Open, MoveAfterS: s.Route.MoveAfterS}}
 	for i, m := range s.Members {
 		c.Members = append(c.Members, gateway.Member{Name: m.Name, Site: m.Site})
@@ -157,7 +157,7 @@
 	serve(func() error { return m.receive(ctx, ln, cfg.Self, d) })
 	if st.local != nil {
 		serve(func() error {
-			return transport.Serve(ctx, st.local, d.LeaseHandler(time.Duration(s.ControllerLeaseS*float64(time.Second))))
+			return transport.Serve(ctx, st.local, d.LeaseHandler(time.Duration(s.ControllersS*float64(time.Second))))
 		})
 	}
 	serve(func() error { return transport.Serve(ctx, api, d.API(keyMetrics(ring, m.peers)...)) })
--- a/cmd/dapplestage/main.go
+++ b/cmd/dapplestage/main.go
@@ -272,13 +272,13 @@
 // connectSiblings sends the node's hints and questions to the other controllers.
 func connectSiblings(ctx context.Context, cfg *protocol.Settings, n *node.Node) {
 	addrs := map[string]string{}
-	for _, s := range cfg.Peers {
+	for _, s := range cfg.Siblings {
 		addrs[s.Node] = s.Addr
 	}
 	n.AskPeer = func(ctx context.Context, name string, question []byte) ([]byte, error) {
 		return transport.SendRequest(ctx, addrs[name], node.AskTimeout, question)
 	}
-	for _, s := range cfg.Peers {
+	for _, s := range cfg.Siblings {
 		go transport.SendFrames(ctx, s.Addr, node.HintInterval, node.HintTimeout, n.Hint, func(e transport.ConnEvent) { n.OnConnEvent(s.Node, e) })
 	}
 }
@@ -287,7 +287,7 @@
 // that one turn's processor time covers, as many waiting as two and a half seconds cover (at
 // 0.4 ms each, as measured on the bench's simulated machines; a worker waits for four), and sockets enough for calls to
 // the state service, the cloud, workers and siblings.
-func frontLimits(q protocol.NodeQuota) transport.AdmissionLimits {
+func frontLimits(q protocol.MachineQuota) transport.AdmissionLimits {
 	l := transport.AdmissionLimits{LowPriorityActive: 16, LowPriorityQueued: int(min(1500, max(160, 2.5*q.Cores/0.0004))), RateBeforeReady: 20, AcceptRate: int(max(100, q.Cores/0.00025))}
 	if q.FDLimit > 0 {
 		l.MaxOpen = max(q.FDLimit/2, q.FDLimit-130-q.FDLimit/32)
@@ -297,7 +297,7 @@
 
 // planMachine fits the runtime to the machine: one thread at a time, and memory
 // returned well before the limit at which the process would be killed.
-func planMachine(q protocol.NodeQuota) {
+func planMachine(q protocol.MachineQuota) {
 	if q.Cores < 2 {
 		runtime.GOMAXPROCS(1)
 	}
--- a/cmd/dapplestage/ticket.go
+++ b/cmd/dapplestage/ticket.go
@@ -572,7 +572,7 @@
 		if slices.Contains(v.Stored, lot) {
 			from = "operators"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%d\t%d\t%g\t%g\t%g\t%s\t%s\n", lot, c.MaxUrgency, strings.Join(c.Shapes, ","), c.MaxRetries, c.OnExcess, c.MaxFailedTasks, c.MaxTasks, c.CPUs, c.GPUs, c.MemoryGB, c.Image, from)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%d\t%d\t%g\t%g\t%g\t%s\t%s\n", lot, c.Urgency, strings.Join(c.Shapes, ","), c.Retries, c.Over, c.Failed, c.Tasks, c.VCPUs, c.Cards, c.MemGB, c.Bundle, from)
 	}
 	return w.Flush()
 }
--- a/cmd/lab/tickets.go
+++ b/cmd/lab/tickets.go
@@ -255,9 +255,9 @@
 		ticket := &testTicket{id: fmt.Sprintf("job-%06d", i), name: fmt.Sprintf("t%d", i), maxRetries: 2 + rng.IntN(6)}
 		switch i {
 		case 0: // the ticket fails as soon as its first task has used up its retries
-			ticket.name = standin.Hopeless + " at once"
+			ticket.name = standin.AlwaysFailsPrefix + " at once"
 		case 1: // the ticket may have two failed tasks, so it runs to its end and fails then
-			ticket.name, ticket.maxFailedTasks = standin.Hopeless+" survived", 2
+			ticket.name, ticket.maxFailedTasks = standin.AlwaysFailsPrefix+" survived", 2
 		case 2:
 			ticket.cancelled = true
 		}
@@ -295,22 +295,22 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	classes := ticket.ClassTable{"preview": {Name: "preview", MaxUrgency: "high", Shapes: []string{"sweep"}, OnExcess: ticket.ReduceExcess, MaxRetries: classMaxRetries, MaxFailedTasks: 3, MaxTasks: 100000, CPUs: 2, GPUs: 1, MemoryGB: 8, Image: "img-1", ImageGB: 1, Spot: true, EstimateS: 0.8}}
+	classes := ticket.ClassTable{"preview": {Lot: "preview", Urgency: "high", Shapes: []string{"sweep"}, Over: ticket.ReduceExcess, Retries: classMaxRetries, Failed: 3, Tasks: 100000, VCPUs: 2, Cards: 1, MemGB: 8, Bundle: "img-1", SizeGB: 1, Loaners: true, ExpectS: 0.8}}
 	admitted, err := ticket.Admit(submission, classes, ticket.Limits{MaxValueBytes: 8000})
 	return submission, admitted, err
 }
 
 // expectedLines returns the lines that a ticket must produce. They depend on the seed alone.
-func (t *testTicket) expectedLines(plan *standin.Farm) ([]string, error) {
+func (t *testTicket) expectedLines(plan *standin.RenderFaults) ([]string, error) {
 	_, admitted, err := t.admitTicket()
 	if err != nil {
 		return nil, err
 	}
 	record := admitted.Record
 	granted := record.Terms.MaxRetries.Granted
-	failsAtOnce := strings.HasPrefix(t.name, standin.Hopeless) && t.maxFailedTasks == 0
+	failsAtOnce := strings.HasPrefix(t.name, standin.AlwaysFailsPrefix) && t.maxFailedTasks == 0
 	status := protocol.JobDone
-	if strings.HasPrefix(t.name, standin.Hopeless) {
+	if strings.HasPrefix(t.name, standin.AlwaysFailsPrefix) {
 		status = protocol.JobFailed
 	}
 	lines := []string{fmt.Sprintf("%s retries asked %d granted %d urgency %s", t.name, t.maxRetries, min(t.maxRetries, classMaxRetries), "high")}
@@ -333,7 +333,7 @@
 			continue
 		}
 		for task := range step.Tasks {
-			errors := plan.Errors(t.name, step.Name, task)
+			errors := plan.FailuresBeforeSuccess(t.name, step.Name, task)
 			outcome := "done"
 			if errors < 0 || errors > granted {
 				errors, outcome, stepStatus[i] = granted+1, "failed", protocol.JobFailed
@@ -383,7 +383,7 @@
 	if err != nil {
 		return nil, err
 	}
-	failsAtOnce := strings.HasPrefix(t.name, standin.Hopeless) && t.maxFailedTasks == 0
+	failsAtOnce := strings.HasPrefix(t.name, standin.AlwaysFailsPrefix) && t.maxFailedTasks == 0
 	terms := status.Terms
 	requested := -1
 	if terms != nil && terms.MaxRetries.Requested != nil {
@@ -702,7 +702,7 @@
 
 // expectedLinesOfAll returns the lines that all tickets must produce.
 func expectedLinesOfAll(seed uint64, tickets []*testTicket) (lines []string, err error) {
-	plan := standin.NewFarm(seed)
+	plan := standin.NewRenderFaults(seed)
 	for _, ticket := range tickets {
 		expectedLines, err := ticket.expectedLines(plan)
 		if err != nil {
--- a/cmd/lab/tickets_test.go
+++ b/cmd/lab/tickets_test.go
@@ -37,7 +37,7 @@
 // The observed lines of a ticket must show any difference in a task's errors, order or end, or in the
 // answer to the user. Otherwise the comparison with the expected lines would miss it.
 func TestObservedLinesShowDifferences(t *testing.T) {
-	plan := standin.NewFarm(5)
+	plan := standin.NewRenderFaults(5)
 	submitted := &testTicket{id: "job-1", name: "t", maxRetries: 3, steps: []string{"s0 3", "s1 1 s0"}}
 	_, admitted, err := submitted.admitTicket()
 	if err != nil {
@@ -48,7 +48,7 @@
 	for i, step := range admitted.Record.Steps {
 		for k := range step.Tasks {
 			id := protocol.TaskID(ticket.StepSpec(admitted.Record, i).ID, k)
-			for range plan.Errors("t", step.Name, k) {
+			for range plan.FailuresBeforeSuccess("t", step.Name, k) {
 				events = append(events, machineEvent{at, "start", id, "m"}, machineEvent{at + 1, "error", id, "m"})
 				at += 2
 			}
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -64,10 +64,10 @@
 	}
 	uploaded := func([]byte) {}
 	if o.farm != 0 {
-		uploaded = standin.NewFarm(o.farm).Join(f)
+		uploaded = standin.NewRenderFaults(o.farm).InjectInto(f)
 	}
 	if o.place {
-		f.FoundAtPlace()
+		f.AddInitialMachines()
 	}
 	serve := func(addr string, h http.Handler) {
 		go func() { log.Fatal(http.ListenAndServe(addr, h)) }()
@@ -80,7 +80,7 @@
 	}
 	log.Printf("state service on %s, cloud on %s, workers report to %s", o.state, o.cloud, o.nodes)
 	<-ctx.Done()
-	for _, b := range f.Broken {
+	for _, b := range f.Violations {
 		fmt.Println("rule broken:", b)
 	}
 }
@@ -100,24 +100,24 @@
 	f.Types = []protocol.MachineType{{Name: "g4", CPUs: 24, GPUs: 4, MemoryGB: 192, CacheGB: 100, FetchGBPerS: 0.5,
 		Price: 10, SpotPrice: 4, BootS: o.boot.Seconds(), Zones: []string{o.zone}}}
 	f.Workers = protocol.WorkerSettings{ReportS: o.report, LeaseS: o.lease, GangWaitS: 30, GangPeerS: 5, CancelS: 40}
-	f.Most, f.Boot, f.Fetch = o.machines, o.boot, o.fetch
+	f.MaxMachines, f.BootTime, f.FetchTime = o.machines, o.boot, o.fetch
 	if o.place {
-		f.AtPlace(o.boot)
+		f.ConfigureMixedTypes(o.boot)
 	}
 	if o.events != "" {
 		file, err := os.OpenFile(o.events, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 		if err != nil {
 			return nil, err
 		}
-		f.Log = func(event, task, machine string, at time.Time) {
+		f.OnTaskEvent = func(event, task, machine string, at time.Time) {
 			line, _ := json.Marshal(map[string]any{"at": at.UnixNano(), "event": event, "task": task, "machine": machine})
 			file.Write(append(line, '\n')) // one write: whole lines
 		}
 	}
-	f.Link = reporter(addrs)
+	f.SendReport = reporter(addrs)
 	if o.workers > 0 {
-		f.Address = func(n int) string { return fmt.Sprintf("127.77.%d.%d:%d", n>>8&255, n&255, o.workers) }
-		f.Listen = func(addr string) { go serveWorker(ctx, f, addr) }
+		f.WorkerAddress = func(n int) string { return fmt.Sprintf("127.77.%d.%d:%d", n>>8&255, n&255, o.workers) }
+		f.StartListener = func(addr string) { go serveWorker(ctx, f, addr) }
 	}
 	return f, nil
 }
@@ -125,7 +125,7 @@
 // reporter is the workers' link over HTTP. Like real workers it fetches the
 // description of a job that it does not know; here the controllers' own
 // addresses do not serve one, so submissions pass through the stand-in cloud.
-func reporter(addrs map[string]string) standin.Link {
+func reporter(addrs map[string]string) standin.ReportFunc {
 	return func(ctx context.Context, node string, r protocol.Report) (int, protocol.Orders, string, error) {
 		data, err := json.Marshal(r)
 		if err != nil {
@@ -228,7 +228,7 @@
 }
 
 func (h stateHandlers) changes(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
-	send(w, 200, object{"changes": h.state.Changes()})
+	send(w, 200, object{"changes": h.state.ChangeCount()})
 }
 
 func (h stateHandlers) transaction(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
@@ -354,28 +354,28 @@
 		return
 	}
 	h.uploaded(data)
-	h.fleet.Submitted(s)
+	h.fleet.AddJob(s)
 	send(w, 200, struct{}{})
 }
 
 func (h cloudHandlers) limit(w http.ResponseWriter, _ *http.Request, p httprouter.Params) {
 	if n, err := strconv.Atoi(p.ByName("machines")); err == nil {
-		h.fleet.Limit(n)
+		h.fleet.SetMaxMachines(n)
 	}
 	send(w, 200, struct{}{})
 }
 
 func (h cloudHandlers) mistaken(w http.ResponseWriter, _ *http.Request, p httprouter.Params) {
 	if p.ByName("is") == "true" {
-		h.fleet.Mistaken(p.ByName("id"))
+		h.fleet.FailEverywhere(p.ByName("id"))
 	} else {
-		h.fleet.Fixed(p.ByName("id"))
+		h.fleet.StopFailing(p.ByName("id"))
 	}
 	send(w, 200, struct{}{})
 }
 
 func (h cloudHandlers) stall(w http.ResponseWriter, _ *http.Request, p httprouter.Params) {
-	h.fleet.Stall(p.ByName("id"), p.ByName("is") == "true")
+	h.fleet.SetStalled(p.ByName("id"), p.ByName("is") == "true")
 	send(w, 200, struct{}{})
 }
 
--- a/internal/coordination/decide/decide_test.go
+++ b/internal/coordination/decide/decide_test.go
@@ -76,7 +76,7 @@
 	spot, ordinary := g4Machine("m1", "a", 0), g4Machine("m2", "a", 0)
 	spot.Spot = true
 	v := viewOf(spot, ordinary)
-	v.Config.Objectives = []protocol.Objective{{Kind: "finished", Class: "c", WithinS: 120, Fraction: 0.9}}
+	v.Config.Objectives = []protocol.Objective{{Kind: "finished", Class: "c", WithinS: 120, Share: 0.9}}
 	j := gpuJob("job-1", 1, true)
 	j.Spec.Spot = true
 	for _, c := range []struct {
--- a/internal/coordination/node/account_test.go
+++ b/internal/coordination/node/account_test.go
@@ -81,7 +81,7 @@
 		for !w.isRunning("job-1") {
 			time.Sleep(time.Second)
 		}
-		w.fleet.Stall("job-1", true)
+		w.fleet.SetStalled("job-1", true)
 		from := time.Now()
 		for time.Since(from) < 2*time.Minute {
 			if rows, _ := w.readAccount("n-1"); rows["job-1"].State == ledger.Stuck {
@@ -108,7 +108,7 @@
 				t.Errorf("%s: %+v, %+v, %v", name, r, rows["job-2"], p.JobsByState)
 			}
 		}
-		w.fleet.Stall("job-1", false)
+		w.fleet.SetStalled("job-1", false)
 		time.Sleep(30 * time.Second)
 		if rows, _ := w.readAccount("n-0"); rows["job-1"].State != ledger.Done {
 			t.Errorf("after it continued: %+v", rows["job-1"])
@@ -124,7 +124,7 @@
 		for !w.isRunning("job-1") {
 			time.Sleep(time.Second)
 		}
-		w.fleet.Stall("job-1", true)
+		w.fleet.SetStalled("job-1", true)
 		from := time.Now()
 		rows, _ := w.readAccount("n-1")
 		go w.freeze(rows["job-1"].Node, 12*time.Second)
@@ -140,7 +140,7 @@
 		if took := time.Since(from); took > time.Minute {
 			t.Errorf("shown after %v", took)
 		}
-		w.fleet.Stall("job-1", false)
+		w.fleet.SetStalled("job-1", false)
 	})
 }
 
@@ -193,7 +193,7 @@
 			t.Errorf("without the state service: %v s, %v", p.SinceStateAnswer, p.Unknown)
 		}
 		w.withLock(func() { w.outage = false })
-		w.state.Refill()
+		w.state.RenewAllLeases()
 	})
 }
 
@@ -207,7 +207,7 @@
 			w.submit(s)
 		}
 		time.Sleep(35 * time.Second)
-		for _, m := range w.fleet.Names() {
+		for _, m := range w.fleet.MachineNames() {
 			w.fleet.Kill(m)
 		}
 		for i := range 90 {
--- a/internal/coordination/node/answers_test.go
+++ b/internal/coordination/node/answers_test.go
@@ -252,10 +252,10 @@
 	if jobStatus != protocol.JobCancelled {
 		return
 	}
-	if left := w.fleet.Left(id); w.fleet.ToldLate && left > 0 && u == nil {
+	if left := w.fleet.RemainingTasks(id); w.fleet.CancelConfirmedAfterStop && left > 0 && u == nil {
 		w.violation("%s is called cancelled with %d tasks left", id, left)
 	}
-	w.fleet.Cancelled(id)
+	w.fleet.NoteCancelConfirmed(id)
 }
 
 // Checks that each response that the rules forbid is detected and none that they allow.
--- a/internal/coordination/node/bad_input_test.go
+++ b/internal/coordination/node/bad_input_test.go
@@ -108,7 +108,7 @@
 		{Task: "job-777777/0", Attempt: 2, State: protocol.TaskExited, Cause: protocol.CauseDone},
 	}
 	reports := []protocol.Report{{Machine: fmt.Sprintf("host-9%05d", w.randInt(1000)), Type: "no such", Zone: "z", Session: 1, Seq: 1, Tasks: nonsense}}
-	if names := w.fleet.Names(); len(names) > 0 {
+	if names := w.fleet.MachineNames(); len(names) > 0 {
 		if r, err := w.fleet.Inspect(w.ctx, names[w.randInt(len(names))]+":9000"); err == nil {
 			contradicting := *r
 			contradicting.Session, contradicting.Seq, contradicting.Tasks = 0, 0, slices.Clone(nonsense)
--- a/internal/coordination/node/cancel_now_test.go
+++ b/internal/coordination/node/cancel_now_test.go
@@ -11,7 +11,7 @@
 	w.mu.Unlock()
 	var cancelling []*user
 	for _, u := range users {
-		if len(cancelling) < count && u.knownFinalStatus() == "" && w.fleet.Left(u.spec.ID) > 0 {
+		if len(cancelling) < count && u.knownFinalStatus() == "" && w.fleet.RemainingTasks(u.spec.ID) > 0 {
 			cancelling = append(cancelling, u)
 		}
 	}
@@ -27,8 +27,8 @@
 // hangMachinesOf makes the machines on which a job runs hang.
 func (w *simCluster) hangMachinesOf(job string, duration time.Duration) {
 	until := time.Now().Add(duration)
-	for _, machine := range w.fleet.Names() {
-		if w.fleet.Runs(machine, job) {
+	for _, machine := range w.fleet.MachineNames() {
+		if w.fleet.RunsJob(machine, job) {
 			w.withLock(func() { w.hungUntil[machine] = until })
 			w.recordEvent("machine of a cancelled job hangs")
 		}
--- a/internal/coordination/node/cancels_test.go
+++ b/internal/coordination/node/cancels_test.go
@@ -38,14 +38,14 @@
 		w.submit(spec("job-000001"))
 		w.submit(spec("job-000002"))
 		time.Sleep(30 * time.Second)
-		if r := w.fleet.Running(); r != 4 {
+		if r := w.fleet.RunningTasks(); r != 4 {
 			t.Fatalf("%d tasks run, want 4", r)
 		}
 		for i, name := range w.names {
 			from := time.Now()
 			a := w.cancelOnce(name, "job-000001")
-			if took := time.Since(from); a.status != 200 || took > time.Second || w.fleet.Left("job-000001") != 0 {
-				t.Errorf("cancel %d at %s: %+v after %v, %d tasks left", i, name, a, took, w.fleet.Left("job-000001"))
+			if took := time.Since(from); a.status != 200 || took > time.Second || w.fleet.RemainingTasks("job-000001") != 0 {
+				t.Errorf("cancel %d at %s: %+v after %v, %d tasks left", i, name, a, took, w.fleet.RemainingTasks("job-000001"))
 			}
 		}
 		w.withLock(func() { w.lossRate = 1 }) // every report and answer is lost
@@ -71,8 +71,8 @@
 		}
 		w.withLock(func() { clear(w.workersUnreachable) })
 		time.Sleep(8 * time.Second)
-		if a := w.cancelOnce("n-1", "job-000002"); a.status != 200 || w.fleet.Left("job-000002") != 0 {
-			t.Errorf("after the machines are reachable again: %+v, %d tasks left", a, w.fleet.Left("job-000002"))
+		if a := w.cancelOnce("n-1", "job-000002"); a.status != 200 || w.fleet.RemainingTasks("job-000002") != 0 {
+			t.Errorf("after the machines are reachable again: %+v, %d tasks left", a, w.fleet.RemainingTasks("job-000002"))
 		}
 		cancel()
 		time.Sleep(2 * time.Minute)
@@ -89,18 +89,18 @@
 			ctx, cancel := context.WithCancel(context.Background())
 			w := newSimCluster(t, ctx, 7, defaultSettings)
 			if early {
-				w.fleet.ToldLate = false
+				w.fleet.CancelConfirmedAfterStop = false
 				w.state.Put(protocol.NodeKey("n-9"), map[string]uint64{"lease": 1})
 			}
 			w.submit(&protocol.JobSpec{ID: "job-000001", Team: "red", Class: "c", Shape: protocol.Service, Priority: "critical", Tasks: 4, CPUs: 4, GPUs: 1, Image: "i"})
 			time.Sleep(30 * time.Second)
 			w.withLock(func() { w.outage = true })
 			time.Sleep(90 * time.Second)
-			if _, expired := w.fleet.Ended(); (expired > 0) != early {
+			if _, expired := w.fleet.InterruptedTasks(); (expired > 0) != early {
 				t.Errorf("%d tasks ended with expired leases; a node of an earlier version lives: %v", expired, early)
 			}
 			w.withLock(func() { w.outage = false })
-			w.state.Refill()
+			w.state.RenewAllLeases()
 			cancel()
 			time.Sleep(2 * time.Minute)
 			synctest.Wait()
--- a/internal/coordination/node/close_looks_test.go
+++ b/internal/coordination/node/close_looks_test.go
@@ -32,7 +32,7 @@
 	s := &protocol.JobSpec{ID: fmt.Sprintf("job-95%05d", number), Team: []string{"red", "blue", "green"}[number%3], Class: "c", Shape: protocol.Array,
 		Priority: "high", Tasks: 1, CPUs: 1, GPUs: 0.25, Image: "i", ImageGB: 1, EstimateS: 1}
 	shape(s)
-	w.fleet.Submitted(s)
+	w.fleet.AddJob(s)
 	u := &user{w: w, spec: s}
 	w.withLock(func() { w.userOf[s.ID] = u })
 	return u
--- a/internal/coordination/node/closing_check_test.go
+++ b/internal/coordination/node/closing_check_test.go
@@ -104,7 +104,7 @@
 // next one or, for a gang, for all that are missing.
 func (r *recovery) couldRun(view *standin.View, job *protocol.JobSpec) bool {
 	occupied := map[string]int{} // tasks of the job by zone
-	waiting := view.Unfinished[job.ID]
+	waiting := view.UnfinishedTasks[job.ID]
 	for _, machine := range view.Machines {
 		for i := range machine.Tasks {
 			if t := &machine.Tasks[i]; t.Job.ID == job.ID && t.Occupies() {
@@ -113,7 +113,7 @@
 			}
 		}
 	}
-	if waiting <= 0 || view.Mistaken[job.ID] || job.Shape == protocol.Gang && view.Unfinished[job.ID] < job.Tasks {
+	if waiting <= 0 || view.FailsEverywhere[job.ID] || job.Shape == protocol.Gang && view.UnfinishedTasks[job.ID] < job.Tasks {
 		return false
 	}
 	need := 1
@@ -143,7 +143,7 @@
 func slotsFor(view *standin.View, job *protocol.JobSpec, occupied map[string]int, maxSlots int) int {
 	byZone := map[string]int{}
 	for _, machine := range view.Machines {
-		if machine.Up && !machine.Noticed && allows(job, &machine) {
+		if machine.Booted && !machine.InterruptionNotice && allows(job, &machine) {
 			byZone[machine.Zone] += roomFor(&machine, job)
 		}
 	}
@@ -267,7 +267,7 @@
 func TestClosingCheckDetectsViolations(t *testing.T) {
 	g4 := &protocol.MachineType{Name: "g4", CPUs: 24, GPUs: 4, MemoryGB: 192}
 	machine := func(name, zone string, tasks ...standin.TaskView) standin.MachineView {
-		return standin.MachineView{Name: name, Type: g4, Zone: zone, Up: true, Tasks: tasks}
+		return standin.MachineView{Name: name, Type: g4, Zone: zone, Booted: true, Tasks: tasks}
 	}
 	array := protocol.JobSpec{ID: "job-1", Team: "red", Shape: protocol.Array, Tasks: 2, CPUs: 4, GPUs: 1, MemoryGB: 20}
 	otherTeam := &protocol.JobSpec{ID: "job-2", Team: "blue", Shape: protocol.Array, Tasks: 8, CPUs: 4, GPUs: 1, MemoryGB: 20}
@@ -296,8 +296,8 @@
 		{name: "no room", job: &array, machines: []standin.MachineView{full}},
 		{name: "no machine", job: &array},
 		{name: "room left by exited tasks", job: &array, machines: []standin.MachineView{machine("host-1", "a", tasksOf(otherTeam, 4, protocol.TaskExited)...)}, fails: true},
-		{name: "a booting machine", job: &array, machines: []standin.MachineView{machine("host-1", "a")}, change: func(view *standin.View) { view.Machines[0].Up = false }},
-		{name: "a machine with a spot notice", job: &array, machines: []standin.MachineView{machine("host-1", "a")}, change: func(view *standin.View) { view.Machines[0].Noticed = true }},
+		{name: "a booting machine", job: &array, machines: []standin.MachineView{machine("host-1", "a")}, change: func(view *standin.View) { view.Machines[0].Booted = false }},
+		{name: "a machine with a spot notice", job: &array, machines: []standin.MachineView{machine("host-1", "a")}, change: func(view *standin.View) { view.Machines[0].InterruptionNotice = true }},
 		{name: "a spot machine that the job does not allow", job: &array, machines: []standin.MachineView{machine("host-1", "a")}, change: func(view *standin.View) { view.Machines[0].Spot = true }},
 		{name: "another zone", job: arrayWith(func(job *protocol.JobSpec) { job.Zone = "b" }), machines: []standin.MachineView{machine("host-1", "a")}},
 		{name: "its zone", job: arrayWith(func(job *protocol.JobSpec) { job.Zone = "a" }), machines: []standin.MachineView{machine("host-1", "a")}, fails: true},
@@ -306,8 +306,8 @@
 		{name: "its team just below the limit", job: &array, machines: []standin.MachineView{machine("host-1", "a", tasksOf(sameTeam, 4, running)...), machine("host-2", "a", tasksOf(sameTeam, 3, running)...)}, fails: true},
 		{name: "all tasks run", job: &array, machines: []standin.MachineView{machine("host-1", "a", tasksOf(&array, 2, running)...)}},
 		{name: "one task waits", job: &array, machines: []standin.MachineView{machine("host-1", "a", tasksOf(&array, 1, running)...)}, fails: true},
-		{name: "the other task has completed", job: &array, machines: []standin.MachineView{machine("host-1", "a", tasksOf(&array, 1, running)...)}, change: func(view *standin.View) { view.Unfinished["job-1"] = 1 }},
-		{name: "a job that fails on every machine", job: &array, machines: []standin.MachineView{machine("host-1", "a")}, change: func(view *standin.View) { view.Mistaken["job-1"] = true }},
+		{name: "the other task has completed", job: &array, machines: []standin.MachineView{machine("host-1", "a", tasksOf(&array, 1, running)...)}, change: func(view *standin.View) { view.UnfinishedTasks["job-1"] = 1 }},
+		{name: "a job that fails on every machine", job: &array, machines: []standin.MachineView{machine("host-1", "a")}, change: func(view *standin.View) { view.FailsEverywhere["job-1"] = true }},
 		{name: "a gang with room for all", job: arrayWith(func(job *protocol.JobSpec) { job.Shape = protocol.Gang }), machines: []standin.MachineView{machine("host-1", "a", tasksOf(otherTeam, 3, running)...), machine("host-2", "b", tasksOf(otherTeam, 3, running)...)}, fails: true},
 		{name: "a gang with room for a part", job: arrayWith(func(job *protocol.JobSpec) { job.Shape = protocol.Gang }), machines: []standin.MachineView{machine("host-1", "a", tasksOf(otherTeam, 3, running)...)}},
 		{name: "a gang for one zone with room in two", job: arrayWith(func(job *protocol.JobSpec) { job.Shape, job.OneZone = protocol.Gang, true }), machines: []standin.MachineView{machine("host-1", "a", tasksOf(otherTeam, 3, running)...), machine("host-2", "b", tasksOf(otherTeam, 3, running)...)}},
@@ -316,7 +316,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			teams := map[string]protocol.Team{"red": {GPUsMax: 8}, "blue": {GPUsMax: 8}}
-			view := &standin.View{Machines: c.machines, Unfinished: map[string]int{c.job.ID: c.job.Tasks}, Mistaken: map[string]bool{}}
+			view := &standin.View{Machines: c.machines, UnfinishedTasks: map[string]int{c.job.ID: c.job.Tasks}, FailsEverywhere: map[string]bool{}}
 			if c.change != nil {
 				c.change(view)
 			}
@@ -334,8 +334,8 @@
 	}
 	t.Run("interrupted waits", func(t *testing.T) {
 		began := time.Now()
-		room := &standin.View{Machines: []standin.MachineView{machine("host-1", "a")}, Unfinished: map[string]int{"job-1": 2}}
-		none := &standin.View{Machines: []standin.MachineView{full}, Unfinished: map[string]int{"job-1": 2}}
+		room := &standin.View{Machines: []standin.MachineView{machine("host-1", "a")}, UnfinishedTasks: map[string]int{"job-1": 2}}
+		none := &standin.View{Machines: []standin.MachineView{full}, UnfinishedTasks: map[string]int{"job-1": 2}}
 		r := newRecovery(nil)
 		for i, view := range []*standin.View{room, none, room} {
 			r.observe(view, []*protocol.JobSpec{&array}, began.Add(time.Duration(i)*maxWaiting/2))
--- a/internal/coordination/node/faults_test.go
+++ b/internal/coordination/node/faults_test.go
@@ -26,7 +26,7 @@
 	restartAll(w, 6*time.Second, 6500*time.Millisecond, 7*time.Second)
 	from := time.Now().Unix()
 	time.Sleep(time.Minute)
-	if _, expired := w.fleet.Ended(); expired > 0 {
+	if _, expired := w.fleet.InterruptedTasks(); expired > 0 {
 		w.size.reportProblem("%d tasks ended with their leases", expired)
 	}
 	for name, perSecond := range w.size.directCalls {
--- a/internal/coordination/node/gap_test.go
+++ b/internal/coordination/node/gap_test.go
@@ -55,7 +55,7 @@
 		w := newSimCluster(t, ctx, g.seed, func(p *protocol.WorkerSettings) { p.ReportS, p.LeaseS, p.CancelS = 3, 20, 40 })
 		w.disabledGuard, w.collectOnly = g.disabledGuard, g.disabledGuard != ""
 		if g.earlierVersion {
-			w.fleet.ToldLate = false
+			w.fleet.CancelConfirmedAfterStop = false
 			w.state.Put(protocol.NodeKey("n-9"), map[string]uint64{"lease": 1})
 		}
 		for i := range 12 {
@@ -78,7 +78,7 @@
 			others = []string{leader}
 		}
 		// Some machines are reachable only from the leader, so that they go on reporting to it.
-		for i, host := range w.fleet.Names() {
+		for i, host := range w.fleet.MachineNames() {
 			if i%3 == 0 {
 				for _, name := range others {
 					if name != leader {
@@ -106,7 +106,7 @@
 				outageFrom = time.Now()
 			} else {
 				outageUntil = time.Now()
-				w.state.Refill()
+				w.state.RenewAllLeases()
 			}
 		}
 		if g.staleWatch {
@@ -177,7 +177,7 @@
 			t.Errorf("the outage lasted %v, not longer than cancel_s", lasted)
 		}
 		time.Sleep(60 * time.Second)
-		for _, b := range w.fleet.Broken {
+		for _, b := range w.fleet.Violations {
 			w.violation("rule broken: %s", b)
 		}
 		result.violations = w.violations
--- a/internal/coordination/node/guards_test.go
+++ b/internal/coordination/node/guards_test.go
@@ -517,7 +517,7 @@
 			m.images = []protocol.CachedImage{{Name: "i", GB: 30}}
 		}
 	}
-	b.cfg.Params.Aims = []protocol.Objective{{Kind: "wait", Class: "s", WithinS: 10, Fraction: 0.9}}
+	b.cfg.Params.Aims = []protocol.Objective{{Kind: "wait", Class: "s", WithinS: 10, Share: 0.9}}
 	b.teams[0].Limit = Resources{}
 	var placed []protocol.Placement
 	for i := range 4 {
--- a/internal/coordination/node/jobs_test.go
+++ b/internal/coordination/node/jobs_test.go
@@ -92,7 +92,7 @@
 		if us[0].knownFinalStatus() != protocol.JobDone || us[1].knownFinalStatus() != protocol.JobCancelled {
 			t.Errorf("the jobs ended as %q and %q", us[0].knownFinalStatus(), us[1].knownFinalStatus())
 		}
-		for _, b := range w.fleet.Broken {
+		for _, b := range w.fleet.Violations {
 			t.Errorf("rule broken: %s", b)
 		}
 		cancel()
--- a/internal/coordination/node/leadership_meetings_test.go
+++ b/internal/coordination/node/leadership_meetings_test.go
@@ -132,16 +132,16 @@
 		}
 	}},
 	{name: "new machines at work while writes lag", mustOccur: []string{"owner ends as a new machine begins"}, configure: func(_ *protocol.WorkerSettings, w *simCluster) {
-		w.fleet.Boot = 1500 * time.Millisecond
+		w.fleet.BootTime = 1500 * time.Millisecond
 	}, inject: func(w *simCluster) {
 		for range 6 {
 			w.withLock(func() { w.delayedTxnRate, w.stateDelay = 0.25, 200*time.Millisecond })
-			for i, m := range w.fleet.Names() {
+			for i, m := range w.fleet.MachineNames() {
 				if i%2 == 0 {
 					w.fleet.Kill(m)
 				}
 			}
-			before := w.fleet.Names()
+			before := w.fleet.MachineNames()
 			users := w.addUserPerTeam(4, 10)
 			if w.waitForNewBusyMachine(before, 15*time.Second) {
 				changes := w.eventCount("handed over")
@@ -186,7 +186,7 @@
 			case 7:
 				w.withLock(func() { w.outage = false })
 				if w.chance(&half) {
-					w.state.Refill()
+					w.state.RenewAllLeases()
 				}
 			}
 			if i%2 == 0 {
@@ -240,15 +240,15 @@
 		for way := range 4 {
 			w.addUserPerTeam(2, 25)
 			time.Sleep(w.randDuration(8*time.Second, 12*time.Second))
-			_, before := w.fleet.Ended()
+			_, before := w.fleet.InterruptedTasks()
 			w.cancelRunningJobs(2, 0)
 			time.Sleep(w.randDuration(0, time.Second))
 			w.takeControllersDown(way, w.workerLease()+w.randDuration(2*time.Second, 15*time.Second))
-			if _, expired := w.fleet.Ended(); expired > before {
+			if _, expired := w.fleet.InterruptedTasks(); expired > before {
 				w.recordEvent("worker leases expired")
 			}
 			time.Sleep(w.randDuration(10*time.Second, 15*time.Second))
-			if w.fleet.Running() > 0 {
+			if w.fleet.RunningTasks() > 0 {
 				w.recordEvent("tasks run again")
 			}
 		}
--- a/internal/coordination/node/machine_meetings_test.go
+++ b/internal/coordination/node/machine_meetings_test.go
@@ -52,7 +52,7 @@
 	users := slices.Clone(w.users)
 	w.mu.Unlock()
 	for _, u := range users {
-		if u.spec.Team == team && u.knownFinalStatus() == "" && w.fleet.Left(u.spec.ID) > 0 {
+		if u.spec.Team == team && u.knownFinalStatus() == "" && w.fleet.RemainingTasks(u.spec.ID) > 0 {
 			out = append(out, u)
 		}
 	}
@@ -191,7 +191,7 @@
 // cancelJobsOn lets users of a team cancel up to most jobs that run on some machines.
 func (w *simCluster) cancelJobsOn(machines []string, team string, most int) {
 	for _, u := range w.runningUsersOf(team) {
-		if most > 0 && slices.ContainsFunc(machines, func(machine string) bool { return w.fleet.Runs(machine, u.spec.ID) }) {
+		if most > 0 && slices.ContainsFunc(machines, func(machine string) bool { return w.fleet.RunsJob(machine, u.spec.ID) }) {
 			most--
 			w.recordEvent("cancelled on an unreachable machine")
 			go u.cancelUntilConfirmed(w.randDuration(0, 2*time.Second))
@@ -242,8 +242,8 @@
 // image takes 8 s and a lease lasts more than three times as long.
 func fewMachinesOverSlowLinks(p *protocol.WorkerSettings, w *simCluster) {
 	p.ReportS, p.LeaseS, p.CancelS = 4, 30, 50
-	w.fleet.Fetch = 8 * time.Second
-	w.fleet.Room = map[standin.Kind]int{
+	w.fleet.FetchTime = 8 * time.Second
+	w.fleet.Capacity = map[standin.MachineKind]int{
 		{Type: "g4", Zone: "a"}: 2, {Type: "g4", Zone: "b"}: 1, {Type: "g4", Zone: "a", Spot: true}: 1,
 	}
 }
@@ -269,7 +269,7 @@
 			w.withLock(func() { w.lossRate = 0.1 })
 			machine, till := w.fetchingMachine(), time.Now().Add(24*time.Second)
 			w.withLock(func() { w.hungUntil[machine] = till })
-			if names := w.fleet.Names(); len(names) > 0 {
+			if names := w.fleet.MachineNames(); len(names) > 0 {
 				w.fleet.Kill(names[w.randInt(len(names))])
 			}
 		}
@@ -373,7 +373,7 @@
 	for _, u := range w.users {
 		number := 0
 		fmt.Sscanf(strings.TrimPrefix(u.spec.ID, "job-97"), "%d", &number)
-		if number < from || number >= to || !u.accepted || u.finalStatus != "" || view.Unfinished[u.spec.ID] < u.spec.Tasks || view.Occupying(u.spec.ID) > 0 {
+		if number < from || number >= to || !u.accepted || u.finalStatus != "" || view.UnfinishedTasks[u.spec.ID] < u.spec.Tasks || view.OccupyingTasks(u.spec.ID) > 0 {
 			continue
 		}
 		w.eventCounts["urgent work had to wait"]++
@@ -386,7 +386,7 @@
 // scenarios starts, with or without notice.
 func spotMachinesReclaimed(_ *protocol.WorkerSettings, w *simCluster) {
 	fleet := w.fleet
-	fleet.Taken = func(job *protocol.JobSpec, task int) (lost bool, notice time.Duration) {
+	fleet.LosesFirstMachine = func(job *protocol.JobSpec, task int) (lost bool, notice time.Duration) {
 		if !strings.HasPrefix(job.ID, "job-97") || task != 1 {
 			return false, 0
 		}
@@ -408,7 +408,7 @@
 		case 0:
 			w.loseMachines(zone, 2)
 		case 1:
-			w.loseMachines(zone, len(w.fleet.Names()))
+			w.loseMachines(zone, len(w.fleet.MachineNames()))
 			w.recordEvent("a zone was lost")
 			back = w.replaceOwner(w.randInt(3), false)
 		case 2:
@@ -471,7 +471,7 @@
 func (w *simCluster) watchNotices() {
 	for ; w.ctx.Err() == nil; time.Sleep(200 * time.Millisecond) {
 		for _, machine := range w.fleet.View().Machines {
-			if machine.Noticed && holdsBoundTask(&machine) {
+			if machine.InterruptionNotice && holdsBoundTask(&machine) {
 				w.recordEvent("spot notice where a job bound to a zone runs")
 			}
 		}
@@ -552,7 +552,7 @@
 	for round := range 4 {
 		first := 6000 + 100*w.eventCount("rounds with a deposed owner") + 20*round
 		w.withLock(func() { w.delayedCommandRate = 0.7 })
-		before := w.fleet.Refused()
+		before := w.fleet.RefusedStarts()
 		for i := range 6 {
 			w.addUsersFor(arrayFor([]string{"red", "blue", "green"}[i%3], first+i, 2, "high", 20))
 		}
@@ -561,7 +561,7 @@
 		time.Sleep(w.randDuration(time.Second, 6*time.Second))
 		w.cancelRunningJobs(2, 0)
 		time.Sleep(w.randDuration(10*time.Second, 14*time.Second))
-		if w.fleet.Refused() > before {
+		if w.fleet.RefusedStarts() > before {
 			w.recordEvent("start of an earlier owner refused")
 		}
 		w.withLock(func() { w.delayedCommandRate = 0 })
--- a/internal/coordination/node/meetings_test.go
+++ b/internal/coordination/node/meetings_test.go
@@ -77,7 +77,7 @@
 
 // busyMachines returns the machines on which tasks run.
 func (w *simCluster) busyMachines() (out []string) {
-	for _, m := range w.fleet.Names() {
+	for _, m := range w.fleet.MachineNames() {
 		if w.fleet.Busy(m) {
 			out = append(out, m)
 		}
@@ -122,7 +122,7 @@
 		time.Sleep(12 * time.Second)
 	}},
 	{name: "ends far apart", mustOccur: []string{"tasks ended before and after an owner change"}, configure: func(_ *protocol.WorkerSettings, w *simCluster) {
-		w.fleet.Takes = func(j *protocol.JobSpec, task int) time.Duration {
+		w.fleet.RunTime = func(j *protocol.JobSpec, task int) time.Duration {
 			if j.Shape != protocol.Array || j.Tasks > 3 {
 				return time.Duration(j.EstimateS * float64(time.Second))
 			}
@@ -161,8 +161,8 @@
 					switch done := w.pollStatus(w.randomNode(), id) == protocol.JobDone; {
 					case !done:
 						open++
-					case w.fleet.Finished(id) != 2+i%2:
-						w.violation("%s is called done with %d tasks completed", id, w.fleet.Finished(id))
+					case w.fleet.FinishedTasks(id) != 2+i%2:
+						w.violation("%s is called done with %d tasks completed", id, w.fleet.FinishedTasks(id))
 					}
 				}
 			}
@@ -202,7 +202,7 @@
 			w.recordEvent("users polled during the outage")
 		}
 		w.withLock(func() { w.outage, w.stateDelay = false, 0 })
-		w.state.Refill()
+		w.state.RenewAllLeases()
 		time.Sleep(5 * time.Second)
 		w.withLock(func() { w.stateRefused[leader] = false })
 		time.Sleep(10 * time.Second)
@@ -246,7 +246,7 @@
 	{name: "held commands", mustOccur: []string{"delayed command executed"}, configure: infrequentReports, inject: func(w *simCluster) {
 		w.withLock(func() { w.delayedCommandRate = 0.4 })
 		for round := range 6 {
-			for i, m := range w.fleet.Names() {
+			for i, m := range w.fleet.MachineNames() {
 				if i%3 == 0 {
 					till := time.Now().Add(w.randDuration(2*time.Second, 12*time.Second))
 					w.withLock(func() { w.hungUntil[m] = till })
@@ -265,7 +265,7 @@
 		w.withLock(func() { w.duplicateReportRate = 0.6 })
 		for round := range 6 {
 			earlierReports := map[string]protocol.Report{}
-			for i, m := range w.fleet.Names() {
+			for i, m := range w.fleet.MachineNames() {
 				if r, err := w.fleet.Inspect(w.ctx, m+":9000"); i%2 == 0 && err == nil {
 					earlierReports[m] = *r
 					w.withLock(func() { w.noInbound[m] = true })
@@ -322,7 +322,7 @@
 func (w *simCluster) partlyDoneJobs() (out []string) {
 	for round := range 5 {
 		for i := range 3 {
-			if id := fmt.Sprintf("job-92%02d%02d", round, i); w.fleet.Finished(id) > 0 && w.fleet.Left(id) > 0 {
+			if id := fmt.Sprintf("job-92%02d%02d", round, i); w.fleet.FinishedTasks(id) > 0 && w.fleet.RemainingTasks(id) > 0 {
 				out = append(out, id)
 			}
 		}
--- a/internal/coordination/node/node.go
+++ b/internal/coordination/node/node.go
@@ -264,7 +264,7 @@
 	n.incarnations.ownLeases, n.incarnations.leaseOf = map[uint64]bool{}, map[string]uint64{}
 	n.account = newAccount(AccountSettings{}, time.Now())
 	n.peers = map[string]*peer{}
-	for _, s := range cfg.Peers {
+	for _, s := range cfg.Siblings {
 		n.peers[s.Node] = &peer{zone: s.Zone}
 	}
 	classes := map[string]bool{}
--- a/internal/coordination/node/packed_test.go
+++ b/internal/coordination/node/packed_test.go
@@ -157,7 +157,7 @@
 		w := newSimCluster(t, ctx, seed, defaultSettings)
 		time.Sleep(10 * time.Second) // until entries may be written
 		day(w)
-		for _, b := range w.fleet.Broken {
+		for _, b := range w.fleet.Violations {
 			t.Errorf("rule broken: %s", b)
 		}
 		for _, stop := range w.stop {
@@ -190,14 +190,14 @@
 // limits. If two nodes accept the same id at once, only one job may result.
 func TestBurstIsStoredInFewChanges(t *testing.T) {
 	withEntries(t, 1, func(w *simCluster) {
-		before := w.state.Changes()
+		before := w.state.ChangeCount()
 		var answers []answer
 		open := map[int]bool{}
 		for i := range 240 {
-			w.fleet.Submitted(tinyArray(i, 1))
+			w.fleet.AddJob(tinyArray(i, 1))
 			open[i] = true
 		}
-		w.fleet.Submitted(tinyArray(240, 2000))
+		w.fleet.AddJob(tinyArray(240, 2000))
 		open[240] = true
 		from := time.Now()
 		for len(open) > 0 && time.Since(from) < time.Minute {
@@ -225,7 +225,7 @@
 		if len(open) > 0 || took > 10*time.Second {
 			t.Errorf("%d of 241 jobs not accepted after %v", len(open), took)
 		}
-		if made := w.state.Changes() - before; made > 150 {
+		if made := w.state.ChangeCount() - before; made > 150 {
 			t.Errorf("%d changes", made)
 		}
 		time.Sleep(20 * time.Second)
--- a/internal/coordination/node/place_test.go
+++ b/internal/coordination/node/place_test.go
@@ -14,7 +14,7 @@
 // configurePlace sets up a site with several machine types in three zones, jobs that need no GPU, few
 // changes per second, and machines that run before the first controller starts.
 func configurePlace(cfg *protocol.Settings, f *standin.Fleet) {
-	zones := standin.PlaceZones
+	zones := standin.MixedZones
 	p := &cfg.Params
 	p.Zones = zones
 	for i, name := range []string{"n-0", "n-1", "n-2"} {
@@ -22,15 +22,15 @@
 			cfg.Zone = zones[i]
 		}
 	}
-	for i := range cfg.Peers {
-		cfg.Peers[i].Zone = zones[int(cfg.Peers[i].Node[2]-'0')]
+	for i := range cfg.Siblings {
+		cfg.Siblings[i].Zone = zones[int(cfg.Siblings[i].Node[2]-'0')]
 	}
 	p.Teams = []protocol.Team{{Name: "red", CPUs: 60, CPUsMax: 200, GPUs: 8, GPUsMax: 16}, {Name: "blue", CPUs: 60, CPUsMax: 200, GPUs: 8, GPUsMax: 16},
 		{Name: "green", CPUs: 60, CPUsMax: 200, GPUs: 8, GPUsMax: 16}}
 	p.Workers = protocol.WorkerSettings{ReportS: 4, LeaseS: 24, GangWaitS: 40, GangPeerS: 5, CancelS: 49}
 	p.State = protocol.StateSettings{RPS: 100, WriteRPS: 20, ValueKB: 8, TxnOps: 12}
 	p.Cloud = protocol.CloudSettings{RPS: 8, ListLagS: 6}
-	f.AtPlace(10 * time.Second)
+	f.ConfigureMixedTypes(10 * time.Second)
 }
 
 // atPlace runs a test in that site.
@@ -39,7 +39,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		w := newConfiguredSimCluster(t, ctx, seed, nil, configurePlace)
 		day(w)
-		for _, b := range w.fleet.Broken {
+		for _, b := range w.fleet.Violations {
 			t.Errorf("rule broken: %s", b)
 		}
 		for _, stop := range w.stop {
@@ -63,21 +63,21 @@
 // day had less than half of its gangs served.
 func TestUnrecordedMachinesAreAdopted(t *testing.T) {
 	atPlace(t, 3, func(w *simCluster) {
-		there := w.fleet.FoundAtPlace()
+		there := w.fleet.AddInitialMachines()
 		for i := range 12 {
 			go w.submit(pageService(i, 5))
 		}
 		time.Sleep(8 * time.Second)
-		names := w.fleet.Names()
+		names := w.fleet.MachineNames()
 		if recorded := w.recorded(names...); recorded != there || len(names) != there {
 			t.Errorf("%d of %d machines are recorded after 8 s, and there are %d", recorded, there, len(names))
 		}
 		time.Sleep(10 * time.Second)
-		if r := w.fleet.Running(); r != 60 {
+		if r := w.fleet.RunningTasks(); r != 60 {
 			t.Errorf("%d of 60 tasks run after 18 s", r)
 		}
 		time.Sleep(20 * time.Second)
-		if left := len(w.fleet.Names()); left < there {
+		if left := len(w.fleet.MachineNames()); left < there {
 			t.Errorf("%d of %d machines are left after 38 s", left, there)
 		}
 	})
@@ -92,7 +92,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(w.fleet.Boot + 4*time.Second)
+		time.Sleep(w.fleet.BootTime + 4*time.Second)
 		if k := w.recorded(lost...); k != 0 {
 			t.Errorf("%d recorded before the answer had time to arrive", k)
 		}
@@ -164,7 +164,7 @@
 // and nothing was placed until the outage was over.
 func TestTypesAreKnownWithoutTheCloud(t *testing.T) {
 	atPlace(t, 5, func(w *simCluster) {
-		w.fleet.FoundAtPlace()
+		w.fleet.AddInitialMachines()
 		time.Sleep(20 * time.Second)
 		w.withLock(func() { w.cloudDown = true })
 		for _, name := range w.names {
@@ -178,7 +178,7 @@
 		time.Sleep(12 * time.Second)
 		s := pageService(1, 4)
 		ask := func(s *protocol.JobSpec) int {
-			w.fleet.Submitted(s)
+			w.fleet.AddJob(s)
 			a, _ := w.submitAt(w.ctx, "n-1", s)
 			return a.status
 		}
@@ -191,7 +191,7 @@
 			t.Errorf("a job that fits no type is answered %d", got)
 		}
 		time.Sleep(10 * time.Second)
-		if r := w.fleet.Running(); r != 4 {
+		if r := w.fleet.RunningTasks(); r != 4 {
 			t.Errorf("%d of 4 tasks run", r)
 		}
 		w.withLock(func() { w.cloudDown = false })
--- a/internal/coordination/node/reads_test.go
+++ b/internal/coordination/node/reads_test.go
@@ -121,7 +121,7 @@
 	for k := 0; time.Now().Before(l.endsAt); k++ {
 		s := &protocol.JobSpec{ID: fmt.Sprintf("job-9%02d%03d", user, k), Team: "red", Class: "c", Priority: "standard", Shape: protocol.Service,
 			Tasks: 1, CPUs: 1, GPUs: 0.1, MemoryGB: 1, Image: "img-0", ImageGB: 1}
-		l.cluster.fleet.Submitted(s)
+		l.cluster.fleet.AddJob(s)
 		if !l.submitJob(node, s) {
 			return
 		}
@@ -153,7 +153,7 @@
 	for time.Now().Before(l.endsAt) {
 		a := l.cancels.measure(l.cluster, node, userSubmitTimeout, func(n *Node, reply chan<- answer) { n.onCancel(id, 5, reply) })
 		if a.status == 200 {
-			l.cluster.fleet.Cancelled(id)
+			l.cluster.fleet.NoteCancelConfirmed(id)
 			l.pollAllNodes(id, true)
 			return
 		}
--- a/internal/coordination/node/scaled_test.go
+++ b/internal/coordination/node/scaled_test.go
@@ -40,9 +40,9 @@
 	sockets  int
 
 	mu            sync.Mutex // guards the following fields
-	cpu           map[string]*standin.Processor
-	conns         map[string]*standin.Gauge
-	state         *standin.Gauge
+	cpu           map[string]*standin.SimulatedCPU
+	conns         map[string]*standin.LoadLimiter
+	state         *standin.LoadLimiter
 	directCalls   map[string]map[int64]int // direct calls by controller and second of simulated time
 	stops         int
 	returned      map[int64]int // machines returned in each second
@@ -78,14 +78,14 @@
 		return
 	}
 	if z.cpu == nil {
-		z.cpu, z.conns = map[string]*standin.Processor{}, map[string]*standin.Gauge{}
+		z.cpu, z.conns = map[string]*standin.SimulatedCPU{}, map[string]*standin.LoadLimiter{}
 		z.directCalls, z.returned = map[string]map[int64]int{}, map[int64]int{}
 	}
 	p := &cfg.Params
 	if z.cores == 0 { // two nodes can just serve all machines: the third is a reserve
 		z.cores = reservedCores + float64(z.machines)/p.Workers.ReportS*reportCost.Seconds()/1.5
 	}
-	p.Quota = protocol.NodeQuota{Cores: z.cores, MemoryMB: 400, FDLimit: z.sockets}
+	p.Quota = protocol.MachineQuota{Cores: z.cores, MemoryMB: 400, FDLimit: z.sockets}
 	p.State = protocol.StateSettings{RPS: 90, WriteRPS: 60, ValueKB: 32, TxnOps: 32}
 	for i := range p.Teams {
 		if p.Teams[i].GPUs > 0 {
@@ -93,11 +93,11 @@
 		}
 	}
 	if z.state == nil {
-		z.state = &standin.Gauge{PerSecond: int(p.State.RPS)}
+		z.state = &standin.LoadLimiter{PerSecond: int(p.State.RPS)}
 	}
-	f.Most = z.machines + z.machines/10
-	z.cpu[cfg.Node] = &standin.Processor{Cores: z.cores}
-	z.conns[cfg.Node] = &standin.Gauge{Most: z.sockets}
+	f.MaxMachines = z.machines + z.machines/10
+	z.cpu[cfg.Node] = &standin.SimulatedCPU{Cores: z.cores}
+	z.conns[cfg.Node] = &standin.LoadLimiter{MaxOpen: z.sockets}
 }
 
 // startSabotage starts running the injected fault on a node.
@@ -135,7 +135,7 @@
 	if z == nil {
 		return true
 	}
-	if !z.conns[name].Begin() {
+	if !z.conns[name].TryBegin() {
 		return false
 	}
 	z.spendCPU(name, reportCost-turnCost)
@@ -175,7 +175,7 @@
 		return true
 	}
 	z.spendCPU(name, storeCost)
-	if !z.state.Begin() {
+	if !z.state.TryBegin() {
 		return false
 	}
 	z.state.End()
@@ -216,7 +216,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		w = newSimClusterOfSize(t, ctx, seed, func(p *protocol.WorkerSettings) { p.ReportS, p.LeaseS, p.CancelS, p.GangWaitS = 6, 36, 56, 50 }, fleet)
-		w.fleet.Boot = 10 * time.Second
+		w.fleet.BootTime = 10 * time.Second
 		teams := []string{"red", "blue", "green"}
 		var services, arrays []*user
 		submit := func(i int, s *protocol.JobSpec) *user {
@@ -270,14 +270,14 @@
 		if c := open(); c > 0 {
 			fleet.reportProblem("%d of %d arrays and gangs did not end", c, len(arrays))
 		}
-		for _, b := range w.fleet.Broken {
+		for _, b := range w.fleet.Violations {
 			fleet.reportProblem("rule broken: %s", b)
 		}
-		if running := w.fleet.Running(); running < 7*len(services) {
+		if running := w.fleet.RunningTasks(); running < 7*len(services) {
 			fleet.reportProblem("%d tasks of %d services run", running, len(services))
 		}
-		if len(w.fleet.Names()) < fleet.machines*6/10 {
-			t.Errorf("only %d machines: the fleet is too small to show anything", len(w.fleet.Names()))
+		if len(w.fleet.MachineNames()) < fleet.machines*6/10 {
+			t.Errorf("only %d machines: the fleet is too small to show anything", len(w.fleet.MachineNames()))
 		}
 		for _, stop := range w.stop {
 			stop()
@@ -373,11 +373,11 @@
 			restartAll(w, 5*time.Second, 6*time.Second, 7*time.Second)
 			time.Sleep(5 * time.Second)
 			w.withLock(func() { w.outage = false })
-			w.state.Refill()
+			w.state.RenewAllLeases()
 			time.Sleep(minute)
 		}},
 		{"with a tenth of the machines lost meanwhile, and a tenth of the messages", func(w *simCluster) {
-			names := w.fleet.Names()
+			names := w.fleet.MachineNames()
 			restartAllWhile(w, func() {
 				for i, name := range names {
 					if i%10 == 3 {
--- a/internal/coordination/node/shares.go
+++ b/internal/coordination/node/shares.go
@@ -265,7 +265,7 @@
 		return delay
 	}
 	names := []string{n.cfg.Node}
-	for _, other := range n.cfg.Peers {
+	for _, other := range n.cfg.Siblings {
 		names = append(names, other.Node)
 	}
 	slices.Sort(names)
--- a/internal/coordination/node/sim_test.go
+++ b/internal/coordination/node/sim_test.go
@@ -96,7 +96,7 @@
 	s := &protocol.Settings{Node: names[i], Zone: "a"}
 	for k, name := range names {
 		if k != i {
-			s.Peers = append(s.Peers, protocol.Peer{Node: name, Zone: "a"})
+			s.Siblings = append(s.Siblings, protocol.Sibling{Node: name, Zone: "a"})
 		}
 	}
 	p := &s.Params
@@ -106,7 +106,7 @@
 	p.Workers = protocol.WorkerSettings{ReportS: 2, LeaseS: 10, GangWaitS: 40, GangPeerS: 6, CancelS: 40}
 	p.State = protocol.StateSettings{RPS: 100, WriteRPS: 40, ValueKB: 8, TxnOps: 12}
 	p.Cloud = protocol.CloudSettings{RPS: 4, ListLagS: 4}
-	p.Quota = protocol.NodeQuota{Cores: 1, MemoryMB: 100, FDLimit: 1000}
+	p.Quota = protocol.MachineQuota{Cores: 1, MemoryMB: 100, FDLimit: 1000}
 	return s
 }
 
@@ -133,7 +133,7 @@
 	w.ctx, w.classes = ctx, nodeTicketClasses
 	f := standin.NewFleet(ctx)
 	f.Types = []protocol.MachineType{{Name: "g4", CPUs: 24, GPUs: 4, MemoryGB: 192, CacheGB: 100, FetchGBPerS: 1, Price: 10, SpotPrice: 4, BootS: 5, Zones: []string{"a", "b"}}}
-	f.Most, f.Boot, f.Nodes, f.ToldLate = 10, 5*time.Second, w.names, true
+	f.MaxMachines, f.BootTime, f.Nodes, f.CancelConfirmedAfterStop = 10, 5*time.Second, w.names, true
 	f.Teams = map[string]protocol.Team{}
 	for i := range w.names {
 		w.cfg[w.names[i]] = settingsFor(w.names, i)
@@ -143,7 +143,7 @@
 	for _, tm := range w.cfg["n-0"].Params.Teams {
 		f.Teams[tm.Name] = tm
 	}
-	f.Link = w.deliverReport
+	f.SendReport = w.deliverReport
 	w.fleet = f
 	for _, name := range w.names {
 		w.startNode(name)
@@ -320,8 +320,8 @@
 
 // isRunning reports whether a task of a job runs.
 func (w *simCluster) isRunning(job string) bool {
-	for _, m := range w.fleet.Names() {
-		if w.fleet.Runs(m, job) {
+	for _, m := range w.fleet.MachineNames() {
+		if w.fleet.RunsJob(m, job) {
 			return true
 		}
 	}
@@ -764,7 +764,7 @@
 	defer done()
 	w := u.w
 	start := time.Now()
-	w.fleet.Submitted(u.spec)
+	w.fleet.AddJob(u.spec)
 	w.withLock(func() { w.userOf[u.spec.ID] = u })
 	for !u.accepted {
 		ctx, cancel := context.WithTimeout(w.ctx, 5*time.Second)
@@ -812,12 +812,12 @@
 	u.w.eventCounts["asked"]++
 	switch status {
 	case protocol.JobDone:
-		if n, of := u.w.fleet.Finished(u.spec.ID), u.spec.Tasks; u.finalStatus == "" && n < of && (u.spec.Shape != protocol.Gang || n == 0) {
+		if n, of := u.w.fleet.FinishedTasks(u.spec.ID), u.spec.Tasks; u.finalStatus == "" && n < of && (u.spec.Shape != protocol.Gang || n == 0) {
 			violations = append(violations, fmt.Sprintf("%s is called done with %d of %d tasks completed", u.spec.ID, n, of))
 		}
 		u.finalStatus = status
 	case protocol.JobCancelled:
-		if left := u.w.fleet.Left(u.spec.ID); u.finalStatus == "" && left > 0 {
+		if left := u.w.fleet.RemainingTasks(u.spec.ID); u.finalStatus == "" && left > 0 {
 			violations = append(violations, fmt.Sprintf("%s is called cancelled with %d tasks left", u.spec.ID, left))
 		}
 		u.finalStatus = status
@@ -848,7 +848,7 @@
 			}))
 		}
 	}
-	fmt.Fprintf(&out, "\n%d machines", len(w.fleet.Names()))
+	fmt.Fprintf(&out, "\n%d machines", len(w.fleet.MachineNames()))
 	return out.String()
 }
 
@@ -872,7 +872,7 @@
 		}
 		u := &user{w: w, spec: spec}
 		if w.plan.IntN(8) == 0 {
-			w.fleet.Mistaken(spec.ID) // fails until its user cancels it
+			w.fleet.FailEverywhere(spec.ID) // fails until its user cancels it
 			u.cancelAt = time.Duration(20+w.plan.IntN(90)) * time.Second
 		}
 		if u.cancelAt == 0 && (w.plan.IntN(4) == 0 || spec.Shape == protocol.Service) {
@@ -903,11 +903,11 @@
 		}
 	})
 	w.closingCheck(6 * time.Minute)
-	for _, b := range w.fleet.Broken {
+	for _, b := range w.fleet.Violations {
 		w.violation("rule broken: %s", b)
 	}
-	if w.fleet.Started == 0 || checkedPlacements.Load() == 0 {
-		w.violation("%d tasks started, %d decisions checked", w.fleet.Started, checkedPlacements.Load())
+	if w.fleet.StartedTasks == 0 || checkedPlacements.Load() == 0 {
+		w.violation("%d tasks started, %d decisions checked", w.fleet.StartedTasks, checkedPlacements.Load())
 	}
 	for _, stop := range w.stop {
 		stop()
@@ -980,7 +980,7 @@
 			w.withLock(func() { w.outage = true })
 			time.Sleep(duration)
 			w.withLock(func() { w.outage = false })
-			w.state.Refill()
+			w.state.RenewAllLeases()
 		case 2:
 			w.withLock(func() { w.stateRefused[name] = true })
 			time.Sleep(duration)
@@ -994,7 +994,7 @@
 			time.Sleep(duration)
 			w.withLock(func() { w.workersUnreachable[name] = false })
 		case 5:
-			if ms := w.fleet.Names(); len(ms) > 0 {
+			if ms := w.fleet.MachineNames(); len(ms) > 0 {
 				w.fleet.Kill(ms[w.plan.IntN(len(ms))])
 			}
 		case 6:
@@ -1008,7 +1008,7 @@
 
 // submit submits a job, retrying until it is accepted.
 func (w *simCluster) submit(spec *protocol.JobSpec) {
-	w.fleet.Submitted(spec)
+	w.fleet.AddJob(spec)
 	w.withLock(func() { w.submitted = append(w.submitted, spec) })
 	for k := range 60 {
 		response, err := w.submitAt(w.ctx, w.names[k%3], spec)
--- a/internal/coordination/node/sitejobs_test.go
+++ b/internal/coordination/node/sitejobs_test.go
@@ -262,7 +262,7 @@
 				running := map[string]int{}
 				leaseEnd := time.Now().Add(time.Hour) // end of the daemon's lease
 				w.withLock(func() {
-					w.fleet.Log = func(event, task, machine string, at time.Time) {
+					w.fleet.OnTaskEvent = func(event, task, machine string, at time.Time) {
 						id, _, _ := protocol.ParseTaskID(task)
 						w.mu.Lock()
 						defer w.mu.Unlock()
@@ -294,7 +294,7 @@
 					ids = append(ids, id)
 					spec := &protocol.JobSpec{ID: id, Team: []string{"red", "blue", "green"}[i%3], Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 1 + i%3,
 						CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "i", ImageGB: 1, EstimateS: 60, Spot: true}
-					w.fleet.Submitted(spec)
+					w.fleet.AddJob(spec)
 					go func() {
 						data := mustJSON(spec)
 						for w.ctx.Err() == nil {
@@ -329,7 +329,7 @@
 							}
 						})
 					}
-					ran = ran || w.fleet.Started > 0
+					ran = ran || w.fleet.StartedTasks > 0
 					time.Sleep(500 * time.Millisecond)
 				}
 				time.Sleep(3 * time.Minute) // the injected faults are over
@@ -348,7 +348,7 @@
 						t.Errorf("%s is not done: %s", id, j.Value)
 					}
 				}
-				for _, b := range w.fleet.Broken {
+				for _, b := range w.fleet.Violations {
 					t.Errorf("rule broken: %s", b)
 				}
 				if !ran {
--- a/internal/coordination/node/tickets_test.go
+++ b/internal/coordination/node/tickets_test.go
@@ -20,8 +20,8 @@
 
 // ticketClasses are the ticket classes of these tests.
 var ticketClasses = ticket.ClassTable{
-	"render": {Name: "render", MaxUrgency: "standard", Shapes: []string{"sweep"}, OnExcess: ticket.ReduceExcess, MaxRetries: 2, MaxFailedTasks: 3, MaxTasks: 1000, CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img-r", ImageGB: 1, Spot: true, EstimateS: 4},
-	"strict": {Name: "strict", MaxUrgency: "standard", Shapes: []string{"sweep", "gang"}, OnExcess: ticket.RefuseExcess, MaxRetries: 1, MaxTasks: 50, CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img-s", ImageGB: 1, EstimateS: 3},
+	"render": {Lot: "render", Urgency: "standard", Shapes: []string{"sweep"}, Over: ticket.ReduceExcess, Retries: 2, Failed: 3, Tasks: 1000, VCPUs: 4, Cards: 1, MemGB: 20, Bundle: "img-r", SizeGB: 1, Loaners: true, ExpectS: 4},
+	"strict": {Lot: "strict", Urgency: "standard", Shapes: []string{"sweep", "gang"}, Over: ticket.RefuseExcess, Retries: 1, Tasks: 50, VCPUs: 4, Cards: 1, MemGB: 20, Bundle: "img-s", SizeGB: 1, ExpectS: 3},
 }
 
 // ticketBody returns the body of a ticket. Each of steps is "NAME TASKS [DEPENDENCY...]".
@@ -90,7 +90,7 @@
 	}
 	u := &ticketUser{cluster: w, body: body, id: s.ID, submission: s, admitted: admitted}
 	for i := range admitted.Record.Steps {
-		w.fleet.Submitted(ticket.StepSpec(admitted.Record, i))
+		w.fleet.AddJob(ticket.StepSpec(admitted.Record, i))
 	}
 	return u
 }
@@ -190,10 +190,10 @@
 		if status == protocol.JobCancelled {
 			for i := range u.admitted.Record.Steps {
 				step := ticket.StepSpec(u.admitted.Record, i).ID
-				if left := u.cluster.fleet.Left(step); left > 0 {
+				if left := u.cluster.fleet.RemainingTasks(step); left > 0 {
 					u.cluster.t.Errorf("%s is reported as cancelled with %d tasks of %s left", u.id, left, step)
 				}
-				u.cluster.fleet.Cancelled(step)
+				u.cluster.fleet.NoteCancelConfirmed(step)
 			}
 		}
 	}
@@ -211,7 +211,7 @@
 // recordTasks returns the log of what the machines run from now on.
 func recordTasks(w *simCluster) *taskLog {
 	log := &taskLog{firstStart: map[string]time.Time{}, doneAt: map[string]time.Time{}, starts: map[string]int{}, errorCounts: map[string]int{}}
-	w.fleet.Log = func(event, task, _ string, at time.Time) {
+	w.fleet.OnTaskEvent = func(event, task, _ string, at time.Time) {
 		log.mu.Lock()
 		defer log.mu.Unlock()
 		switch event {
@@ -300,7 +300,7 @@
 		}
 	}
 	salt := w.plan.Uint64()
-	w.fleet.Fails = func(job *protocol.JobSpec, task, errors int) bool {
+	w.fleet.TaskFails = func(job *protocol.JobSpec, task, errors int) bool {
 		u := stepUsers[job.ID]
 		if u == nil {
 			return false
@@ -396,7 +396,7 @@
 		time.Sleep(2 * time.Minute)
 		synctest.Wait()
 		u.check(log)
-		for _, b := range w.fleet.Broken {
+		for _, b := range w.fleet.Violations {
 			t.Error(b)
 		}
 	})
@@ -409,7 +409,7 @@
 	var terms *protocol.TicketTerms
 	runSingleTicket(t, ticketBody("job-90", "render", "red", `"maxRetriesPerTask":50,`, "a 3", "b 1 a"), func(w *simCluster, u *ticketUser) {
 		u.expectedFinal = protocol.JobFailed
-		w.fleet.Fails = func(_ *protocol.JobSpec, task, _ int) bool { return task == 1 }
+		w.fleet.TaskFails = func(_ *protocol.JobSpec, task, _ int) bool { return task == 1 }
 	}, func(w *simCluster, u *ticketUser, _ *taskLog) {
 		if a, err := w.sendChecked(w.ctx, statusRequest, "n-0", "job-90", func(n *Node, reply chan<- answer) { n.onTicketPoll("job-90", reply) }); err == nil && a.status == 200 {
 			terms = a.body.(*TicketStatus).Terms
@@ -434,10 +434,10 @@
 		runSingleTicket(t, ticketBody("job-92", "render", "red", "", "a 1"), func(w *simCluster, u *ticketUser) {
 			u.expectedFinal = protocol.JobFailed
 			task = protocol.TaskID(ticket.StepSpec(u.admitted.Record, 0).ID, 0)
-			w.fleet.Fails = func(*protocol.JobSpec, int, int) bool { return true }
+			w.fleet.TaskFails = func(*protocol.JobSpec, int, int) bool { return true }
 		}, func(w *simCluster, u *ticketUser, observed *taskLog) {
 			log = observed
-			if ownersEnd && !crashed && w.fleet.Errors(task) == 3 {
+			if ownersEnd && !crashed && w.fleet.ErrorCount(task) == 3 {
 				crashed = true
 				for _, name := range w.names {
 					go w.crash(name)
@@ -456,15 +456,15 @@
 	runSingleTicket(t, ticketBody("job-93", "render", "red", `"maxFailedTasksCount":2,"maxRetriesPerTask":0,`, "a 4", "b 2 a", "c 2"), func(w *simCluster, u *ticketUser) {
 		u.expectedFinal = protocol.JobFailed
 		a := ticket.StepSpec(u.admitted.Record, 0).ID
-		w.fleet.Fails = func(j *protocol.JobSpec, task, _ int) bool { return j.ID == a && task < 2 }
+		w.fleet.TaskFails = func(j *protocol.JobSpec, task, _ int) bool { return j.ID == a && task < 2 }
 	}, noObservation)
 	runSingleTicket(t, ticketBody("job-94", "render", "red", `"maxFailedTasksCount":2,"maxRetriesPerTask":0,`, "a 4", "c 2"), func(w *simCluster, u *ticketUser) {
 		u.expectedFinal = protocol.JobFailed
 		a := ticket.StepSpec(u.admitted.Record, 0).ID
-		w.fleet.Fails = func(j *protocol.JobSpec, task, _ int) bool { return j.ID == a && task == 0 }
+		w.fleet.TaskFails = func(j *protocol.JobSpec, task, _ int) bool { return j.ID == a && task == 0 }
 		t.Cleanup(func() {
 			for k := range 3 {
-				if u.cluster.fleet.Errors(protocol.TaskID(a, k+1)) > 0 {
+				if u.cluster.fleet.ErrorCount(protocol.TaskID(a, k+1)) > 0 {
 					t.Error("another task failed")
 				}
 			}
@@ -595,10 +595,10 @@
 			filler.submit("n-0")
 			time.Sleep(3 * time.Second)
 			u.submit("n-1")
-			holdBack(w.fleet.Names())
+			holdBack(w.fleet.MachineNames())
 			time.Sleep(10 * time.Second)
 		} else {
-			holdBack(w.fleet.Names())
+			holdBack(w.fleet.MachineNames())
 			u.submit("n-1")
 		}
 		time.Sleep(8 * time.Second)
--- a/internal/coordination/node/unreachable_controllers_test.go
+++ b/internal/coordination/node/unreachable_controllers_test.go
@@ -54,8 +54,8 @@
 
 // machinesRunning returns the machines on which a job runs.
 func (w *simCluster) machinesRunning(job string) (machines []string) {
-	for _, m := range w.fleet.Names() {
-		if w.fleet.Runs(m, job) {
+	for _, m := range w.fleet.MachineNames() {
+		if w.fleet.RunsJob(m, job) {
 			machines = append(machines, m)
 		}
 	}
@@ -75,7 +75,7 @@
 			params.Teams[i].GPUs, params.Teams[i].GPUsMax = 28, 40
 		}
 		f.Types[0].Zones = params.Zones
-		f.Most, f.Log = 20, log.add
+		f.MaxMachines, f.OnTaskEvent = 20, log.add
 	})
 	for i, team := range []string{"red", "blue", "green"} {
 		w.submit(&protocol.JobSpec{ID: fmt.Sprint("job-00010", i), Team: team, Class: "c", Priority: "critical", Shape: protocol.Service, Tasks: 12, CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "i", ImageGB: 2})
@@ -104,7 +104,7 @@
 
 // checkAndStop checks the rules and stops the cluster.
 func (w *simCluster) checkAndStop(cancel context.CancelFunc) {
-	for _, b := range w.fleet.Broken {
+	for _, b := range w.fleet.Violations {
 		w.t.Errorf("rule broken: %s", b)
 	}
 	for _, stop := range w.stop {
@@ -153,12 +153,12 @@
 					t.Fatalf("the jobs run on %v, %v and %v", w.machinesRunning(savingJob), w.machinesRunning(gangJob), w.machinesRunning(replicaJob))
 				}
 				silent := slices.Concat(w.machinesRunning(savingJob), w.machinesRunning(gangJob)[:1], w.machinesRunning(replicaJob))
-				before := w.fleet.Running()
+				before := w.fleet.RunningTasks()
 				began := time.Now()
 				w.setNoOutbound(true, silent...)
 				w.withLock(func() { w.outage = outage })
 				time.Sleep(43 * time.Second)
-				if stopped, expired := w.fleet.Ended(); stopped != 3 || expired != 1 {
+				if stopped, expired := w.fleet.InterruptedTasks(); stopped != 3 || expired != 1 {
 					t.Errorf("%d tasks were stopped, %d ended with a lease; expected 3 and 1", stopped, expired)
 				}
 				log.checkReplicaRestarted(t, began, silent, 1)
@@ -172,7 +172,7 @@
 				if on := w.machinesRunning(replicaJob); !outage && slices.Equal(on, silent[2:]) {
 					t.Errorf("the replica still runs on %v", on)
 				}
-				if now := w.fleet.Running(); now != before {
+				if now := w.fleet.RunningTasks(); now != before {
 					t.Errorf("%d tasks run, %d did before", now, before)
 				}
 				w.checkAndStop(cancel)
@@ -214,10 +214,10 @@
 		if len(silent) != 2 {
 			t.Fatalf("the gang runs on %v", silent)
 		}
-		w.fleet.Limit(len(w.fleet.Names())) // no other machines can be rented
+		w.fleet.SetMaxMachines(len(w.fleet.MachineNames())) // no other machines can be rented
 		w.setNoOutbound(true, silent...)
 		time.Sleep(6 * time.Second)
-		if n := w.fleet.Finished(gangJob); n != 2 {
+		if n := w.fleet.FinishedTasks(gangJob); n != 2 {
 			t.Fatalf("%d tasks of the gang have completed", n)
 		}
 		if status := w.pollStatus(w.names[0], gangJob); status != protocol.JobDone {
@@ -236,7 +236,7 @@
 		if on := w.machinesRunning(waits); !slices.Equal(on, silent) {
 			t.Errorf("%v report again; the job that waits runs on %v: %v", silent, on, log.eventsOf(waits, time.Time{}))
 		}
-		if stopped, expired := w.fleet.Ended(); stopped != 0 || expired != 0 {
+		if stopped, expired := w.fleet.InterruptedTasks(); stopped != 0 || expired != 0 {
 			t.Errorf("%d tasks were stopped and %d ended with a lease", stopped, expired)
 		}
 		w.checkAndStop(cancel)
@@ -249,7 +249,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		w, _ := newUnreportedCluster(t, ctx, &protocol.JobSpec{ID: savingJob, Priority: "high", Shape: protocol.Array, Tasks: 4, GPUs: 1, EstimateS: 300, CheckpointS: 100, SaveS: 3})
-		all := w.fleet.Names()
+		all := w.fleet.MachineNames()
 		w.setNoOutbound(true, all...)
 		time.Sleep(30 * time.Second)
 		polled := 0
@@ -266,8 +266,8 @@
 		if polled != len(all) {
 			t.Errorf("%d of %d machines have answered polls", polled, len(all))
 		}
-		if stopped, _ := w.fleet.Ended(); stopped != 0 || len(w.fleet.Names()) != len(all) {
-			t.Errorf("%d tasks were stopped, %d of %d machines are left", stopped, len(w.fleet.Names()), len(all))
+		if stopped, _ := w.fleet.InterruptedTasks(); stopped != 0 || len(w.fleet.MachineNames()) != len(all) {
+			t.Errorf("%d tasks were stopped, %d of %d machines are left", stopped, len(w.fleet.MachineNames()), len(all))
 		}
 		w.setNoOutbound(false, all...)
 		time.Sleep(20 * time.Second)
@@ -300,7 +300,7 @@
 // to 40 s.
 func (w *simCluster) silenceRandomMachines(ctx context.Context) {
 	for ctx.Err() == nil {
-		for _, m := range w.fleet.Names() {
+		for _, m := range w.fleet.MachineNames() {
 			w.setNoOutbound(w.randInt(5) < 2, m)
 		}
 		time.Sleep(w.randDuration(5*time.Second, 40*time.Second))
--- a/internal/coordination/node/user_meetings_test.go
+++ b/internal/coordination/node/user_meetings_test.go
@@ -27,7 +27,7 @@
 // around its report.
 func (u *user) awaitEndOfLastTask() {
 	for u.w.ctx.Err() == nil {
-		if since := u.w.fleet.AllRunSince(u.spec.ID); !since.IsZero() {
+		if since := u.w.fleet.AllRunningSince(u.spec.ID); !since.IsZero() {
 			end := since.Add(time.Duration(u.spec.EstimateS * float64(time.Second)))
 			if u.w.chance(&half) {
 				time.Sleep(time.Until(end.Add(u.w.randDuration(-aroundJobEnd, aroundJobEnd))))
--- a/internal/coordination/node/why_test.go
+++ b/internal/coordination/node/why_test.go
@@ -110,27 +110,27 @@
 		{decide.Drained, func(w *simCluster) {
 			w.submit(spec("job-5", "red", 2))
 			time.Sleep(40 * time.Second)
-			policy(func(p *Policy) { p.HeldBack, p.StopRentals = w.fleet.Names(), true })(w)
+			policy(func(p *Policy) { p.HeldBack, p.StopRentals = w.fleet.MachineNames(), true })(w)
 			time.Sleep(time.Second)
 		}, nil, policy(func(p *Policy) {}), 15 * time.Second},
 		{decide.RentalsStopped, policy(func(p *Policy) { p.StopRentals = true }), nil, policy(func(p *Policy) {}), 30 * time.Second},
-		{decide.CloudRefused, func(w *simCluster) { w.fleet.Most = 0 }, nil, func(w *simCluster) { w.fleet.Most = 10 }, 40 * time.Second},
+		{decide.CloudRefused, func(w *simCluster) { w.fleet.MaxMachines = 0 }, nil, func(w *simCluster) { w.fleet.MaxMachines = 10 }, 40 * time.Second},
 		{decide.NoFreeMachine, func(w *simCluster) {
-			w.fleet.Most = 1
+			w.fleet.MaxMachines = 1
 			w.submit(spec("job-5", "red", 4))
 			time.Sleep(40 * time.Second)
 		}, nil, func(w *simCluster) { w.cancel("job-5") }, 20 * time.Second},
 		{decide.GangIncomplete, func(w *simCluster) {
-			w.fleet.Most = 1
+			w.fleet.MaxMachines = 1
 			w.submit(spec("job-5", "red", 2))
 			time.Sleep(40 * time.Second)
 		}, func(s *protocol.JobSpec) { s.Shape, s.Tasks = protocol.Gang, 4 }, func(w *simCluster) { w.cancel("job-5") }, 20 * time.Second},
-		{decide.Booting, func(w *simCluster) { w.fleet.Boot = 40 * time.Second }, nil, func(w *simCluster) {}, 60 * time.Second},
-		{decide.FailsEverywhere, func(w *simCluster) { w.fleet.Mistaken("job-6") }, nil, func(w *simCluster) { w.fleet.Fixed("job-6") }, 90 * time.Second},
+		{decide.Booting, func(w *simCluster) { w.fleet.BootTime = 40 * time.Second }, nil, func(w *simCluster) {}, 60 * time.Second},
+		{decide.FailsEverywhere, func(w *simCluster) { w.fleet.FailEverywhere("job-6") }, nil, func(w *simCluster) { w.fleet.StopFailing("job-6") }, 90 * time.Second},
 		{decide.StateServiceDown, func(w *simCluster) {
 			w.submit(spec("job-5", "red", 2))
 			time.Sleep(40 * time.Second)
-			policy(func(p *Policy) { p.StopRentals, p.HeldBack = true, w.fleet.Names() })(w)
+			policy(func(p *Policy) { p.StopRentals, p.HeldBack = true, w.fleet.MachineNames() })(w)
 		}, nil, policy(func(p *Policy) {}), 15 * time.Second},
 	} {
 		t.Run(c.cause.String(), func(t *testing.T) {
@@ -167,7 +167,7 @@
 				}
 				if c.cause == decide.StateServiceDown {
 					w.withLock(func() { w.outage = false })
-					w.state.Refill()
+					w.state.RenewAllLeases()
 					time.Sleep(time.Second)
 				}
 				c.release(w)
@@ -189,7 +189,7 @@
 		defer func() { cancel(); time.Sleep(2 * time.Minute); synctest.Wait() }()
 		time.Sleep(6 * time.Second)
 		w.connectPeers()
-		w.fleet.Most = 0
+		w.fleet.MaxMachines = 0
 		w.submit(&protocol.JobSpec{ID: "job-1", Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 2, CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img", ImageGB: 1, EstimateS: 10})
 		time.Sleep(2 * time.Second)
 		owner := w.explanation("n-0", "job-1").Owner
--- a/internal/coordination/node/zone_cut_test.go
+++ b/internal/coordination/node/zone_cut_test.go
@@ -50,7 +50,7 @@
 	running := 0
 	listed, _ := w.fleet.List(w.ctx)
 	for _, m := range listed {
-		if m.Zone == zone && w.fleet.Runs(m.ID, job) {
+		if m.Zone == zone && w.fleet.RunsJob(m.ID, job) {
 			running++
 		}
 	}
@@ -60,8 +60,8 @@
 // assignZones sets the zones of the controllers in a node's settings.
 func assignZones(cfg *protocol.Settings, zones map[string]string) {
 	cfg.Zone = zones[cfg.Node]
-	for i := range cfg.Peers {
-		cfg.Peers[i].Zone = zones[cfg.Peers[i].Node]
+	for i := range cfg.Siblings {
+		cfg.Siblings[i].Zone = zones[cfg.Siblings[i].Node]
 	}
 }
 
--- a/internal/coordination/ticket/admit.go
+++ b/internal/coordination/ticket/admit.go
@@ -55,8 +55,8 @@
 	if err != nil {
 		return nil, malformed("%v", err)
 	}
-	if plan.Tasks > c.MaxTasks {
-		return nil, neverRuns("a ticket of %s may have %d tasks, this one has %d", c.Name, c.MaxTasks, plan.Tasks)
+	if plan.Tasks > c.Tasks {
+		return nil, neverRuns("a ticket of %s may have %d tasks, this one has %d", c.Lot, c.Tasks, plan.Tasks)
 	}
 	if s.Tasks != nil && *s.Tasks != plan.Tasks {
 		return nil, malformed("pieces: %d, but the ticket has %d tasks", *s.Tasks, plan.Tasks)
@@ -86,11 +86,11 @@
 func (c Class) baseSpec(s *format.Submission, tasks int, urgency string) (*protocol.JobSpec, error) {
 	shape := cmp.Or(s.Shape, c.Shapes[0])
 	if !slices.Contains(c.Shapes, shape) {
-		return nil, neverRuns("shape: %s is not among those of %s: %s", shape, c.Name, strings.Join(c.Shapes, ", "))
+		return nil, neverRuns("shape: %s is not among those of %s: %s", shape, c.Lot, strings.Join(c.Shapes, ", "))
 	}
 	b := &protocol.JobSpec{ID: s.ID, Class: s.Class, Team: s.Team, Shape: shape, Priority: urgency, Tasks: tasks,
-		Image: c.Image, ImageGB: c.ImageGB, Types: s.Types, Zone: s.Zone, OneZone: s.OneZone, Spread: s.Spread, Spot: c.Spot,
-		EstimateS: cmp.Or(s.EstimateS, c.EstimateS), CheckpointS: s.CheckpointS, SaveS: s.SaveS, DeadlineS: s.DeadlineS}
+		Image: c.Bundle, ImageGB: c.SizeGB, Types: s.Types, Zone: s.Zone, OneZone: s.OneZone, Spread: s.Spread, Spot: c.Loaners,
+		EstimateS: cmp.Or(s.EstimateS, c.ExpectS), CheckpointS: s.CheckpointS, SaveS: s.SaveS, DeadlineS: s.DeadlineS}
 	if s.Image != "" {
 		b.Image, b.ImageGB = s.Image, *s.ImageGB
 	}
@@ -100,7 +100,7 @@
 	if s.Spot != nil {
 		b.Spot = *s.Spot
 	}
-	b.CPUs, b.GPUs, b.MemoryGB = valueOr(s.CPUs, c.CPUs), valueOr(s.GPUs, c.GPUs), valueOr(s.MemoryGB, c.MemoryGB)
+	b.CPUs, b.GPUs, b.MemoryGB = valueOr(s.CPUs, c.VCPUs), valueOr(s.GPUs, c.Cards), valueOr(s.MemoryGB, c.MemGB)
 	return b, nil
 }
 
@@ -119,10 +119,10 @@
 	switch {
 	case st.CPUs == 0 && st.GPUs == 0 && st.MemoryGB == 0:
 		return st, malformed("step %s: a task takes nothing; say so in its hostRequirements, the submission or the class", ps.Name)
-	case c.MaxCPUs > 0 && st.CPUs > c.MaxCPUs:
-		return st, neverRuns("step %s: %g vcpus a task, %s allows %g", ps.Name, st.CPUs, c.Name, c.MaxCPUs)
-	case c.MaxGPUs > 0 && st.GPUs > c.MaxGPUs:
-		return st, neverRuns("step %s: %g cards a task, %s allows %g", ps.Name, st.GPUs, c.Name, c.MaxGPUs)
+	case c.MostVCPU > 0 && st.CPUs > c.MostVCPU:
+		return st, neverRuns("step %s: %g vcpus a task, %s allows %g", ps.Name, st.CPUs, c.Lot, c.MostVCPU)
+	case c.MostGPU > 0 && st.GPUs > c.MostGPU:
+		return st, neverRuns("step %s: %g cards a task, %s allows %g", ps.Name, st.GPUs, c.Lot, c.MostGPU)
 	}
 	return st, nil
 }
@@ -165,27 +165,27 @@
 	number := func(name string, asked *int, otherwise, most int) protocol.GrantedLimit {
 		g := protocol.GrantedLimit{Requested: asked, Granted: otherwise}
 		if asked != nil {
-			if g.Granted = min(*asked, most); *asked > most && c.OnExcess == RefuseExcess && err == nil {
-				err = neverRuns("%s: %d asked for, %s allows %d", name, *asked, c.Name, most)
+			if g.Granted = min(*asked, most); *asked > most && c.Over == RefuseExcess && err == nil {
+				err = neverRuns("%s: %d asked for, %s allows %d", name, *asked, c.Lot, most)
 			}
 		}
 		return g
 	}
-	t.MaxRetries = number("maxRetriesPerTask", s.MaxRetries, c.MaxRetries, c.MaxRetries)
-	t.MaxFailedTasks = number("maxFailedTasksCount", s.MaxFailedTasks, 0, c.MaxFailedTasks)
+	t.MaxRetries = number("maxRetriesPerTask", s.MaxRetries, c.Retries, c.Retries)
+	t.MaxFailedTasks = number("maxFailedTasksCount", s.MaxFailedTasks, 0, c.Failed)
 	asked := s.Priority
 	if asked == "" && s.TicketPriority != nil {
 		asked = urgencyOfPriority(*s.TicketPriority)
 	}
 	t.Priority = asked
 	if asked == "" {
-		t.Priority = urgencies[min(slices.Index(urgencies, "standard"), slices.Index(urgencies, c.MaxUrgency))]
+		t.Priority = urgencies[min(slices.Index(urgencies, "standard"), slices.Index(urgencies, c.Urgency))]
 	}
-	if slices.Index(urgencies, t.Priority) > slices.Index(urgencies, c.MaxUrgency) {
-		if c.OnExcess == RefuseExcess && err == nil {
-			err = neverRuns("urgency: %s asked for, %s allows %s", asked, c.Name, c.MaxUrgency)
+	if slices.Index(urgencies, t.Priority) > slices.Index(urgencies, c.Urgency) {
+		if c.Over == RefuseExcess && err == nil {
+			err = neverRuns("urgency: %s asked for, %s allows %s", asked, c.Lot, c.Urgency)
 		}
-		t.Priority, t.RequestedPriority = c.MaxUrgency, asked
+		t.Priority, t.RequestedPriority = c.Urgency, asked
 	}
 	return t, err
 }
--- a/internal/coordination/ticket/classes.go
+++ b/internal/coordination/ticket/classes.go
@@ -26,22 +26,22 @@
 // Class says what tickets of a lot may have. Its fields bear the names of the
 // submission's.
 type Class struct {
-	Name           string   `toml:"lot" json:"lot"`
-	MaxUrgency     string   `toml:"urgency" json:"urgency"`     // the most urgent
-	Shapes         []string `toml:"shapes" json:"shapes"`       // the first is what a ticket gets that asks for none
-	OnExcess       string   `toml:"over" json:"over"`           // grant or refuse
-	MaxRetries     int      `toml:"retries" json:"retries"`     // of a task, after its first run
-	MaxFailedTasks int      `toml:"failed" json:"failed"`       // tasks that a ticket may survive
-	MaxTasks       int      `toml:"tasks" json:"tasks"`         // of a ticket
-	CPUs           float64  `toml:"vcpus" json:"vcpus"`         // of a task whose step says nothing
-	GPUs           float64  `toml:"cards" json:"cards"`         // of such a task
-	MemoryGB       float64  `toml:"memGb" json:"memGb"`         // of such a task
-	Image          string   `toml:"bundle" json:"bundle"`       // image of a ticket that names none
-	ImageGB        float64  `toml:"sizeGb" json:"sizeGb"`       // its size
-	Spot           bool     `toml:"loaners" json:"loaners"`     // spot machines, unless the ticket says
-	EstimateS      float64  `toml:"expectS" json:"expectS"`     // run time of a task, unless the ticket says
-	MaxCPUs        float64  `toml:"mostVcpus" json:"mostVcpus"` // of a task; 0: any
-	MaxGPUs        float64  `toml:"mostCards" json:"mostCards"` // of a task; 0: any
+	Lot      string   `toml:"lot" json:"lot"`
+	Urgency  string   `toml:"urgency" json:"urgency"`     // the most urgent
+	Shapes   []string `toml:"shapes" json:"shapes"`       // the first is what a ticket gets that asks for none
+	Over     string   `toml:"over" json:"over"`           // grant or refuse
+	Retries  int      `toml:"retries" json:"retries"`     // of a task, after its first run
+	Failed   int      `toml:"failed" json:"failed"`       // tasks that a ticket may survive
+	Tasks    int      `toml:"tasks" json:"tasks"`         // of a ticket
+	VCPUs    float64  `toml:"vcpus" json:"vcpus"`         // of a task whose step says nothing
+	Cards    float64  `toml:"cards" json:"cards"`         // of such a task
+	MemGB    float64  `toml:"memGb" json:"memGb"`         // of such a task
+	Bundle   string   `toml:"bundle" json:"bundle"`       // image of a ticket that names none
+	SizeGB   float64  `toml:"sizeGb" json:"sizeGb"`       // its size
+	Loaners  bool     `toml:"loaners" json:"loaners"`     // spot machines, unless the ticket says
+	ExpectS  float64  `toml:"expectS" json:"expectS"`     // run time of a task, unless the ticket says
+	MostVCPU float64  `toml:"mostVcpus" json:"mostVcpus"` // of a task; 0: any
+	MostGPU  float64  `toml:"mostCards" json:"mostCards"` // of a task; 0: any
 }
 
 // ClassTable is the classes by lot.
@@ -68,10 +68,10 @@
 		if err := c.Validate(); err != nil {
 			return nil, fmt.Errorf("%s: classes[%d].%w", path, i, err)
 		}
-		if _, twice := t[c.Name]; twice {
-			return nil, fmt.Errorf("%s: classes[%d].lot: %q is there twice", path, i, c.Name)
+		if _, twice := t[c.Lot]; twice {
+			return nil, fmt.Errorf("%s: classes[%d].lot: %q is there twice", path, i, c.Lot)
 		}
-		t[c.Name] = c
+		t[c.Lot] = c
 	}
 	if len(t) == 0 || len(t) > MaxClasses {
 		return nil, fmt.Errorf("%s: classes: %d of them, must be 1 to %d", path, len(t), MaxClasses)
@@ -87,11 +87,11 @@
 	if err := d.Decode(&c); err != nil {
 		return c, fmt.Errorf("class: %v", err)
 	}
-	if c.Name == "" {
-		c.Name = lot
+	if c.Lot == "" {
+		c.Lot = lot
 	}
-	if c.Name != lot {
-		return c, fmt.Errorf("lot: %q is not the one that is set, %q", c.Name, lot)
+	if c.Lot != lot {
+		return c, fmt.Errorf("lot: %q is not the one that is set, %q", c.Lot, lot)
 	}
 	c = c.withDefaults()
 	return c, c.Validate()
@@ -99,17 +99,17 @@
 
 // withDefaults gives what was left out its default.
 func (c Class) withDefaults() Class {
-	if c.MaxUrgency == "" {
-		c.MaxUrgency = "standard"
+	if c.Urgency == "" {
+		c.Urgency = "standard"
 	}
 	if c.Shapes == nil {
 		c.Shapes = []string{protocol.Array}
 	}
-	if c.OnExcess == "" {
-		c.OnExcess = ReduceExcess
+	if c.Over == "" {
+		c.Over = ReduceExcess
 	}
-	if c.MaxTasks == 0 {
-		c.MaxTasks = format.MaxTasks
+	if c.Tasks == 0 {
+		c.Tasks = format.MaxTasks
 	}
 	return c
 }
@@ -120,28 +120,28 @@
 // Validate says what is wrong with a class, field and bound named.
 func (c Class) Validate() error {
 	switch {
-	case c.Name == "" || len(c.Name) > 200 || strings.ContainsAny(c.Name, "/ "):
+	case c.Lot == "" || len(c.Lot) > 200 || strings.ContainsAny(c.Lot, "/ "):
 		return errors.New("lot: must be 1 to 200 characters without / and space")
-	case !slices.Contains(urgencies, c.MaxUrgency):
+	case !slices.Contains(urgencies, c.Urgency):
 		return fmt.Errorf("urgency: must be one of %s", strings.Join(urgencies, ", "))
 	case len(c.Shapes) == 0 || slices.ContainsFunc(c.Shapes, func(s string) bool { return s != protocol.Array && s != protocol.Gang }):
 		return fmt.Errorf("shapes: must be of %s, %s (a service is never done, so no step could follow it)", protocol.Array, protocol.Gang)
-	case c.OnExcess != ReduceExcess && c.OnExcess != RefuseExcess:
+	case c.Over != ReduceExcess && c.Over != RefuseExcess:
 		return fmt.Errorf("over: must be %s or %s", ReduceExcess, RefuseExcess)
-	case len(c.Image) > 200:
+	case len(c.Bundle) > 200:
 		return errors.New("bundle: must be at most 200 characters")
 	}
 	for _, f := range []struct {
 		name string
 		v    float64
 		most float64
-	}{{"retries", float64(c.MaxRetries), maxRetries}, {"failed", float64(c.MaxFailedTasks), format.MaxTasks}, {"vcpus", c.CPUs, 1e6}, {"cards", c.GPUs, 1e6},
-		{"memGb", c.MemoryGB, 1e6}, {"sizeGb", c.ImageGB, 1e6}, {"expectS", c.EstimateS, 1e9}, {"mostVcpus", c.MaxCPUs, 1e6}, {"mostCards", c.MaxGPUs, 1e6}} {
+	}{{"retries", float64(c.Retries), maxRetries}, {"failed", float64(c.Failed), format.MaxTasks}, {"vcpus", c.VCPUs, 1e6}, {"cards", c.Cards, 1e6},
+		{"memGb", c.MemGB, 1e6}, {"sizeGb", c.SizeGB, 1e6}, {"expectS", c.ExpectS, 1e9}, {"mostVcpus", c.MostVCPU, 1e6}, {"mostCards", c.MostGPU, 1e6}} {
 		if !(f.v >= 0 && f.v <= f.most) {
 			return fmt.Errorf("%s: must be 0 to %g", f.name, f.most)
 		}
 	}
-	if c.MaxTasks < 1 || c.MaxTasks > format.MaxTasks {
+	if c.Tasks < 1 || c.Tasks > format.MaxTasks {
 		return fmt.Errorf("tasks: must be 1 to %d", format.MaxTasks)
 	}
 	return nil
--- a/internal/coordination/ticket/ticket_test.go
+++ b/internal/coordination/ticket/ticket_test.go
@@ -159,7 +159,7 @@
 }
 
 func TestClassesDecide(t *testing.T) {
-	c := Class{Name: "l", MaxUrgency: "standard", Shapes: []string{"sweep"}, OnExcess: ReduceExcess, MaxRetries: 2, MaxFailedTasks: 1, MaxTasks: 11, CPUs: 2, GPUs: 1, MemoryGB: 8, Image: "img", ImageGB: 3}
+	c := Class{Lot: "l", Urgency: "standard", Shapes: []string{"sweep"}, Over: ReduceExcess, Retries: 2, Failed: 1, Tasks: 11, VCPUs: 2, Cards: 1, MemGB: 8, Bundle: "img", SizeGB: 3}
 	lim := Limits{MaxValueBytes: 8000}
 	a, err := Admit(parseSubmission(t, `"priority":95,"maxRetriesPerTask":7,"maxFailedTasksCount":4,"builds":["g8"],"expectS":9,`), ClassTable{"l": c}, lim)
 	if err != nil {
@@ -173,11 +173,11 @@
 		t.Errorf("%+v", b)
 	}
 	refuse := c
-	refuse.OnExcess = RefuseExcess
+	refuse.Over = RefuseExcess
 	small, gpu := c, c
-	small.MaxTasks, gpu.MaxGPUs = 10, 1
+	small.Tasks, gpu.MostGPU = 10, 1
 	nothing := c
-	nothing.CPUs, nothing.GPUs, nothing.MemoryGB = 0, 0, 0
+	nothing.VCPUs, nothing.Cards, nothing.MemGB = 0, 0, 0
 	for _, x := range []struct {
 		extra string
 		class Class
@@ -197,7 +197,7 @@
 		{``, Class{}, lim, "takes no tickets"},
 	} {
 		table := ClassTable{}
-		if x.class.Name != "" {
+		if x.class.Lot != "" {
 			table["l"] = x.class
 		}
 		if _, err := Admit(parseSubmission(t, x.extra), table, x.lim); err == nil || !strings.Contains(err.Error(), x.want) {
@@ -225,8 +225,8 @@
 	if err != nil || len(table) != 2 {
 		t.Fatal(err)
 	}
-	over := ClassTable{"proofs": {Name: "proofs", MaxUrgency: "high", Shapes: []string{"sweep"}, OnExcess: ReduceExcess, MaxTasks: 1}, "broken": {}}
-	if both := table.WithStored(over); both["proofs"].MaxUrgency != "high" || len(both) != 2 || table["proofs"].MaxUrgency != "standard" {
+	over := ClassTable{"proofs": {Lot: "proofs", Urgency: "high", Shapes: []string{"sweep"}, Over: ReduceExcess, Tasks: 1}, "broken": {}}
+	if both := table.WithStored(over); both["proofs"].Urgency != "high" || len(both) != 2 || table["proofs"].Urgency != "standard" {
 		t.Errorf("%+v", both)
 	}
 	if _, err := ParseClass("a", []byte(`{"urgency":"high","retires":3}`)); err == nil || !strings.Contains(err.Error(), "retires") {
@@ -237,7 +237,7 @@
 // What workers are given reads as a submission, as any other job's description does.
 func TestDescriptionsAreSubmissions(t *testing.T) {
 	s := parseSubmission(t, "")
-	a, err := Admit(s, ClassTable{"l": {Name: "l", MaxUrgency: "standard", Shapes: []string{"sweep"}, OnExcess: ReduceExcess, MaxTasks: 50, CPUs: 1, Image: "i", ImageGB: 1}}, Limits{8000})
+	a, err := Admit(s, ClassTable{"l": {Lot: "l", Urgency: "standard", Shapes: []string{"sweep"}, Over: ReduceExcess, Tasks: 50, VCPUs: 1, Bundle: "i", SizeGB: 1}}, Limits{8000})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/protocol/gateway/settings.go
+++ b/internal/protocol/gateway/settings.go
@@ -19,13 +19,13 @@
 	Listen string `toml:"listen"`   // for the other members
 	API    string `toml:"api_addr"` // for users and operators
 
-	LeaseS           float64 `toml:"lease_s"`
-	ControllerLeaseS float64 `toml:"controllers_s"`
-	MaxWorkerLeaseS  float64 `toml:"workers_lease_s"` // the longest of any site
-	MinCancelS       float64 `toml:"cancel_s"`        // the shortest of any site
-	MaxInFlight      int     `toml:"in_flight"`
+	LeaseS        float64 `toml:"lease_s"`
+	ControllersS  float64 `toml:"controllers_s"`
+	WorkersLeaseS float64 `toml:"workers_lease_s"` // the longest of any site
+	CancelS       float64 `toml:"cancel_s"`        // the shortest of any site
+	InFlight      int     `toml:"in_flight"`
 
-	Members []Member `toml:"members"`
+	Members []Peer `toml:"members"`
 	Keys    struct {
 		Dir       string `toml:"dir"`
 		Member    string `toml:"member"`
@@ -55,8 +55,8 @@
 	dir string
 }
 
-// Member is a member as the others know it.
-type Member struct {
+// Peer is a member as the others know it.
+type Peer struct {
 	Name string `toml:"name"`
 	Addr string `toml:"addr"`
 	Site bool   `toml:"site"`
@@ -70,7 +70,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	s := &Settings{LeaseS: 8, ControllerLeaseS: 3, MaxInFlight: 500, dir: filepath.Dir(path)}
+	s := &Settings{LeaseS: 8, ControllersS: 3, InFlight: 500, dir: filepath.Dir(path)}
 	s.Route.Open = 20000
 	s.Route.PerSecond, s.Route.RampS, s.Route.StaleS, s.Route.MoveAfterS = 50, 60, 10, 60
 	s.Site.Part = 0.25
@@ -83,14 +83,14 @@
 	if s.IsSite() && s.Site.Settings != "" {
 		if site, err = protocol.ReadSettings(s.ResolvePath(s.Site.Settings)); err != nil {
 			mistakes.Add("site.settings: %w", err)
-		} else if w := site.Params.Workers; w.LeaseS > s.MaxWorkerLeaseS || w.CancelS < s.MinCancelS {
-			mistakes.Add("workers_lease_s: the site's lease_s %g must be at most that (%g), and its cancel_s %g at least cancel_s (%g)", w.LeaseS, s.MaxWorkerLeaseS, w.CancelS, s.MinCancelS)
+		} else if w := site.Params.Workers; w.LeaseS > s.WorkersLeaseS || w.CancelS < s.CancelS {
+			mistakes.Add("workers_lease_s: the site's lease_s %g must be at most that (%g), and its cancel_s %g at least cancel_s (%g)", w.LeaseS, s.WorkersLeaseS, w.CancelS, s.CancelS)
 		}
 	}
 	if err := mistakes.Err(); err != nil {
 		return nil, nil, err
 	}
-	slices.SortFunc(s.Members, func(a, b Member) int {
+	slices.SortFunc(s.Members, func(a, b Peer) int {
 		if a.Name < b.Name {
 			return -1
 		}
@@ -101,7 +101,7 @@
 
 // IsSite says whether this member is a site's.
 func (s *Settings) IsSite() bool {
-	return slices.ContainsFunc(s.Members, func(p Member) bool { return p.Name == s.Member && p.Site })
+	return slices.ContainsFunc(s.Members, func(p Peer) bool { return p.Name == s.Member && p.Site })
 }
 
 // ResolvePath is a file named in the settings: relative to their own place.
@@ -116,7 +116,7 @@
 // reach one another by different ways.
 func (s *Settings) Checksum() uint64 {
 	h := fnv.New64a()
-	fmt.Fprint(h, Version, s.LeaseS, s.ControllerLeaseS, s.MaxWorkerLeaseS, s.MinCancelS)
+	fmt.Fprint(h, Version, s.LeaseS, s.ControllersS, s.WorkersLeaseS, s.CancelS)
 	for _, m := range s.Members {
 		fmt.Fprint(h, m.Name, m.Site)
 	}
@@ -140,17 +140,17 @@
 
 func (s *Settings) checkTimes(m *protocol.SettingErrors) {
 	m.CheckRange("lease_s", s.LeaseS, 2, 60)
-	m.CheckRange("controllers_s", s.ControllerLeaseS, 1, 30)
-	m.CheckRange("workers_lease_s", s.MaxWorkerLeaseS, 1, 3600)
-	m.CheckRange("in_flight", float64(s.MaxInFlight), 1, 100000)
+	m.CheckRange("controllers_s", s.ControllersS, 1, 30)
+	m.CheckRange("workers_lease_s", s.WorkersLeaseS, 1, 3600)
+	m.CheckRange("in_flight", float64(s.InFlight), 1, 100000)
 	m.CheckRange("route.per_second", s.Route.PerSecond, 0.1, 10000)
 	m.CheckRange("route.ramp_s", s.Route.RampS, 0, 3600)
 	m.CheckRange("route.stale_s", s.Route.StaleS, 3, 600)
 	m.CheckRange("route.open_per_site", float64(s.Route.Open), 1, 1e6)
 	m.CheckRange("route.move_after_s", s.Route.MoveAfterS, 0, 86400)
 	// A cancellation must end what the site's workers run though the site can't be told.
-	if most := s.MinCancelS - s.MaxWorkerLeaseS - s.ControllerLeaseS - 4; s.LeaseS*1.002 >= most {
-		m.Add("lease_s: %g must be below %g (cancel_s %g less workers_lease_s %g, controllers_s %g and 4)", s.LeaseS, most, s.MinCancelS, s.MaxWorkerLeaseS, s.ControllerLeaseS)
+	if most := s.CancelS - s.WorkersLeaseS - s.ControllersS - 4; s.LeaseS*1.002 >= most {
+		m.Add("lease_s: %g must be below %g (cancel_s %g less workers_lease_s %g, controllers_s %g and 4)", s.LeaseS, most, s.CancelS, s.WorkersLeaseS, s.ControllersS)
 	}
 }
 
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -9,11 +9,11 @@
 
 // Settings is the file that the platform hands over. Unknown fields are ignored.
 type Settings struct {
-	Node     string `toml:"node"`
-	Zone     string `toml:"location"`
-	APIAddr  string `toml:"api_addr"`
-	PeerAddr string `toml:"cluster_listen"`
-	Peers    []Peer `toml:"siblings"`
+	Node     string    `toml:"node"`
+	Zone     string    `toml:"location"`
+	APIAddr  string    `toml:"api_addr"`
+	PeerAddr string    `toml:"cluster_listen"`
+	Siblings []Sibling `toml:"siblings"`
 	External struct {
 		Cloud string `toml:"cloud"`
 		State string `toml:"state"`
@@ -27,12 +27,12 @@
 		Workers WorkerSettings `toml:"workers"`
 		State   StateSettings  `toml:"state"`
 		Cloud   CloudSettings  `toml:"cloud"`
-		Quota   NodeQuota      `toml:"quota"`
+		Quota   MachineQuota   `toml:"quota"`
 	} `toml:"params"`
 }
 
-// Peer is another controller node.
-type Peer struct {
+// Sibling is another controller node.
+type Sibling struct {
 	Node string `toml:"node"`
 	Zone string `toml:"location"`
 	Addr string `toml:"peer_addr"`
@@ -49,10 +49,10 @@
 
 // Objective is an aim on starting or finishing.
 type Objective struct {
-	Kind     string  `toml:"kind"`
-	Class    string  `toml:"class"`
-	WithinS  float64 `toml:"within_s"`
-	Fraction float64 `toml:"share"`
+	Kind    string  `toml:"kind"`
+	Class   string  `toml:"class"`
+	WithinS float64 `toml:"within_s"`
+	Share   float64 `toml:"share"`
 }
 
 // WorkerSettings are the workers' times.
@@ -78,8 +78,8 @@
 	ListLagS float64 `toml:"list_lag_s"`
 }
 
-// NodeQuota is what this node may use.
-type NodeQuota struct {
+// MachineQuota is what this node may use.
+type MachineQuota struct {
 	Cores    float64 `toml:"cores"`
 	MemoryMB float64 `toml:"memory_mb"`
 	FDLimit  int     `toml:"fd_limit"`
@@ -116,7 +116,7 @@
 	s.checkSiblings(m)
 	p := &s.Params
 	if p.Nodes == 0 {
-		p.Nodes = len(s.Peers) + 1
+		p.Nodes = len(s.Siblings) + 1
 	}
 	if p.Nodes < 1 || p.Nodes > 1000 {
 		m.Add("params.initial_size: out of range: %d", p.Nodes)
@@ -128,7 +128,7 @@
 
 func (s *Settings) checkSiblings(m *SettingErrors) {
 	seen := map[string]bool{s.Node: true}
-	for i, sib := range s.Peers {
+	for i, sib := range s.Siblings {
 		if sib.Node == "" || seen[sib.Node] {
 			m.Add("siblings[%d].node: missing or repeated: %q", i, sib.Node)
 		}
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -11,131 +11,131 @@
 	"dapplestage.example/dapplestage/internal/storage"
 )
 
-// Link carries a worker's report to a node. It returns the node's answer, or an
+// ReportFunc carries a worker's report to a node. It returns the node's answer, or an
 // error if none came.
-type Link func(ctx context.Context, node string, r protocol.Report) (status int, o protocol.Orders, to string, err error)
+type ReportFunc func(ctx context.Context, node string, r protocol.Report) (status int, o protocol.Orders, to string, err error)
 
 // Fleet is the cloud and the workers on its machines. It watches over the
 // rules that can be seen from the machines: Broken lists what was broken.
 type Fleet struct {
-	Types   []protocol.MachineType
-	Workers protocol.WorkerSettings
-	Teams   map[string]protocol.Team
-	Most    int           // machines to give
-	Room    map[Kind]int  // of each kind, if set; of one that is not in it there is none
-	Boot    time.Duration // boot time
-	Nodes   []string
-	Link    Link
+	Types       []protocol.MachineType
+	Workers     protocol.WorkerSettings
+	Teams       map[string]protocol.Team
+	MaxMachines int                 // machines to give
+	Capacity    map[MachineKind]int // of each kind, if set; of one that is not in it there is none
+	BootTime    time.Duration       // boot time
+	Nodes       []string
+	SendReport  ReportFunc
 	// Slow, if set, delays what a request to the cloud does.
-	Slow func() time.Duration
-	// Fetch is what an image takes; 0: fetchTime.
-	Fetch time.Duration
+	CallDelay func() time.Duration
+	// FetchTime is what an image takes; 0: fetchTime.
+	FetchTime time.Duration
 	// Takes, if set, is how long a task runs; else it is what its job estimates.
-	Takes func(job *protocol.JobSpec, task int) time.Duration
-	// ToldLate says that users are told that a job is cancelled when nothing of it is left:
+	RunTime func(job *protocol.JobSpec, task int) time.Duration
+	// CancelConfirmedAfterStop says that users are told that a job is cancelled when nothing of it is left:
 	// then nothing of it may be started after, however soon.
-	ToldLate bool
+	CancelConfirmedAfterStop bool
 	// IgnoreTokens leaves out that workers refuse lower tokens, for tests of tests.
 	IgnoreTokens bool
 	// Fails, if set, says whether a task that failed so often fails once more.
-	Fails func(job *protocol.JobSpec, task, errors int) bool
+	TaskFails func(job *protocol.JobSpec, task, errors int) bool
 	// Taken, if set, says whether the machine on which a task starts for the first time
 	// is lost, and after which notice (0: without a word).
-	Taken func(job *protocol.JobSpec, task int) (lost bool, notice time.Duration)
+	LosesFirstMachine func(job *protocol.JobSpec, task int) (lost bool, notice time.Duration)
 	// Address, if set, is where a new machine's worker will be, by its number; else it is
 	// its name with port 9000. Listen, if set, is told of each such address.
-	Address func(number int) string
-	Listen  func(addr string)
+	WorkerAddress func(number int) string
+	StartListener func(addr string)
 	// Log, if set, is told what runs: "start" when a task has its image, then "done"
 	// or "end". It must not block.
-	Log func(event, task, machine string, at time.Time)
-
-	mu        sync.Mutex
-	ctx       context.Context
-	last      int
-	machines  map[string]*Machine
-	at        map[string]*Machine // by address
-	asked     map[string][]string
-	jobs      map[string]*protocol.JobSpec
-	cancelled map[string]time.Time
-	mistaken  map[string]bool
-	errors    map[string]int // by task
-	began     map[string]bool
-	stalled   map[string]bool      // jobs
-	finished  map[string]int       // tasks that completed, by job
-	complete  map[string]bool      // those tasks
-	over      map[string]time.Time // when the last task of a job completed
-	newest    map[string]uint64    // the latest attempt that was started, by task
-	Started   int
-	Stopped   int // running tasks that were told to stop
-	Expired   int // tasks that ended with their worker's lease
-	Broken    []string
-	outdated  int // direct commands with starts that were refused for their token
-}
-
-// Kind is a kind of machine that the cloud gives.
-type Kind struct {
+	OnTaskEvent func(event, task, machine string, at time.Time)
+
+	mu              sync.Mutex
+	ctx             context.Context
+	lastNumber      int
+	machines        map[string]*Machine
+	byAddress       map[string]*Machine // by address
+	rentedByRequest map[string][]string
+	jobs            map[string]*protocol.JobSpec
+	cancelledAt     map[string]time.Time
+	failsEverywhere map[string]bool
+	errorCounts     map[string]int // by task
+	everStarted     map[string]bool
+	stalledJobs     map[string]bool      // jobs
+	finishedTasks   map[string]int       // tasks that completed, by job
+	completedTasks  map[string]bool      // those tasks
+	completedAt     map[string]time.Time // when the last task of a job completed
+	latestAttempt   map[string]uint64    // the latest attempt that was started, by task
+	StartedTasks    int
+	StoppedTasks    int // running tasks that were told to stop
+	ExpiredTasks    int // tasks that ended with their worker's lease
+	Violations      []string
+	refusedStarts   int // direct commands with starts that were refused for their token
+}
+
+// MachineKind is a kind of machine that the cloud gives.
+type MachineKind struct {
 	Type, Zone string
 	Spot       bool
 }
 
 // Machine is one rented machine with its worker.
 type Machine struct {
-	f       *Fleet
-	info    protocol.ListedMachine
-	number  int
-	born    time.Time
-	up      bool
-	gone    bool
-	notice  time.Time // when it is taken; zero: no notice
-	session uint64
-	seq     uint64
-	token   uint64
-	answers time.Time // when the last answered report was sent
-	tasks   map[string]*proc
-	kick    chan struct{}
-	stop    context.CancelFunc
-}
-
-type proc struct {
-	job     *protocol.JobSpec
-	num     int
-	attempt uint64
-	state   string
-	cause   string
-	since   time.Time
-	ran     time.Duration
+	fleet          *Fleet
+	info           protocol.ListedMachine
+	number         int
+	createdAt      time.Time
+	booted         bool
+	removed        bool
+	interruptionAt time.Time // when it is taken; zero: no notice
+	session        uint64
+	seq            uint64
+	token          uint64
+	lastAnswered   time.Time // when the last answered report was sent
+	tasks          map[string]*workerTask
+	reportSoon     chan struct{}
+	cancel         context.CancelFunc
+}
+
+type workerTask struct {
+	job        *protocol.JobSpec
+	number     int
+	attempt    uint64
+	state      string
+	cause      string
+	stateSince time.Time
+	runTime    time.Duration
 }
 
 // NewFleet makes a fleet that lives until ctx ends.
 func NewFleet(ctx context.Context) *Fleet {
-	return &Fleet{ctx: ctx, machines: map[string]*Machine{}, at: map[string]*Machine{}, asked: map[string][]string{}, jobs: map[string]*protocol.JobSpec{}, cancelled: map[string]time.Time{}, mistaken: map[string]bool{}, errors: map[string]int{}, began: map[string]bool{}, stalled: map[string]bool{}, finished: map[string]int{}, complete: map[string]bool{}, over: map[string]time.Time{}, newest: map[string]uint64{}}
+	return &Fleet{ctx: ctx, machines: map[string]*Machine{}, byAddress: map[string]*Machine{}, rentedByRequest: map[string][]string{}, jobs: map[string]*protocol.JobSpec{}, cancelledAt: map[string]time.Time{}, failsEverywhere: map[string]bool{}, errorCounts: map[string]int{}, everStarted: map[string]bool{}, stalledJobs: map[string]bool{}, finishedTasks: map[string]int{}, completedTasks: map[string]bool{}, completedAt: map[string]time.Time{}, latestAttempt: map[string]uint64{}}
 }
 
-// Submitted tells the workers of a job, as users do.
-func (f *Fleet) Submitted(s *protocol.JobSpec) {
+// AddJob tells the workers of a job, as users do.
+func (f *Fleet) AddJob(s *protocol.JobSpec) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.jobs[s.ID] = s
 }
 
-// Mistaken makes a job fail on every machine.
-func (f *Fleet) Mistaken(id string) {
+// FailEverywhere makes a job fail on every machine.
+func (f *Fleet) FailEverywhere(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.mistaken[id] = true
+	f.failsEverywhere[id] = true
 }
 
-// Stall makes a job's tasks run on without getting anywhere, while their machines
+// SetStalled makes a job's tasks run on without getting anywhere, while their machines
 // report.
-func (f *Fleet) Stall(job string, is bool) {
+func (f *Fleet) SetStalled(job string, is bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.stalled[job] = is
+	f.stalledJobs[job] = is
 }
 
-// Runs says whether a task of a job runs on a machine.
-func (f *Fleet) Runs(machine, job string) bool {
+// RunsJob says whether a task of a job runs on a machine.
+func (f *Fleet) RunsJob(machine, job string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m := f.machines[machine]; m != nil {
@@ -164,8 +164,8 @@
 	return false
 }
 
-// Running is how many tasks run.
-func (f *Fleet) Running() int {
+// RunningTasks is how many tasks run.
+func (f *Fleet) RunningTasks() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	c := 0
@@ -179,51 +179,51 @@
 	return c
 }
 
-// Ended are how many running tasks were told to stop, and how many ended with their
+// InterruptedTasks are how many running tasks were told to stop, and how many ended with their
 // worker's lease, so far.
-func (f *Fleet) Ended() (stopped, expired int) {
+func (f *Fleet) InterruptedTasks() (stopped, expired int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.Stopped, f.Expired
+	return f.StoppedTasks, f.ExpiredTasks
 }
 
-// Limit changes how many machines there are to give.
-func (f *Fleet) Limit(machines int) {
+// SetMaxMachines changes how many machines there are to give.
+func (f *Fleet) SetMaxMachines(machines int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.Most = machines
+	f.MaxMachines = machines
 }
 
-// Fixed makes a job fail no more.
-func (f *Fleet) Fixed(id string) {
+// StopFailing makes a job fail no more.
+func (f *Fleet) StopFailing(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.mistaken, id)
+	delete(f.failsEverywhere, id)
 }
 
-// Errors is how often a task ended with an error.
-func (f *Fleet) Errors(task string) int {
+// ErrorCount is how often a task ended with an error.
+func (f *Fleet) ErrorCount(task string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.errors[task]
+	return f.errorCounts[task]
 }
 
-// Cancelled tells the checker that a user was told that a job is cancelled.
-func (f *Fleet) Cancelled(id string) {
+// NoteCancelConfirmed tells the checker that a user was told that a job is cancelled.
+func (f *Fleet) NoteCancelConfirmed(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if _, ok := f.cancelled[id]; !ok {
-		f.cancelled[id] = time.Now()
+	if _, ok := f.cancelledAt[id]; !ok {
+		f.cancelledAt[id] = time.Now()
 	}
 }
 
-// Left is how many tasks of a job are on machines, in any state but exited.
-func (f *Fleet) Left(job string) int {
+// RemainingTasks is how many tasks of a job are on machines, in any state but exited.
+func (f *Fleet) RemainingTasks(job string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	c := 0
 	for _, m := range f.machines {
-		m.expire()
+		m.checkLease()
 		for _, p := range m.tasks {
 			if p.job.ID == job && p.state != protocol.TaskExited {
 				c++
@@ -236,56 +236,56 @@
 // Catalog lists the machine types.
 func (f *Fleet) Catalog(context.Context) ([]protocol.MachineType, error) { return f.Types, nil }
 
-func (f *Fleet) wait() {
-	if f.Slow != nil {
-		time.Sleep(f.Slow())
+func (f *Fleet) delayCall() {
+	if f.CallDelay != nil {
+		time.Sleep(f.CallDelay())
 	}
 }
 
 // Rent gives machines.
 func (f *Fleet) Rent(_ context.Context, r protocol.RentRequest) ([]string, error) {
-	f.wait()
+	f.delayCall()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if names, ok := f.asked[r.RequestID]; ok {
+	if names, ok := f.rentedByRequest[r.RequestID]; ok {
 		return names, nil
 	}
 	var names []string
 	for range r.Count {
-		k := Kind{r.Type, r.Zone, r.Spot}
-		if len(f.machines) >= f.Most || f.Room != nil && f.count(k) >= f.Room[k] {
+		k := MachineKind{r.Type, r.Zone, r.Spot}
+		if len(f.machines) >= f.MaxMachines || f.Capacity != nil && f.countKind(k) >= f.Capacity[k] {
 			break
 		}
-		names = append(names, f.add(k, f.Boot))
+		names = append(names, f.addMachine(k, f.BootTime))
 	}
 	if len(names) == 0 {
 		return nil, storage.ErrNoCapacity
 	}
-	f.asked[r.RequestID] = names
+	f.rentedByRequest[r.RequestID] = names
 	return names, nil
 }
 
-// add begins a machine that boots for a while.
-func (f *Fleet) add(k Kind, boot time.Duration) string {
-	f.last++
-	name := fmt.Sprintf("host-%06d", f.last)
+// addMachine begins a machine that boots for a while.
+func (f *Fleet) addMachine(k MachineKind, boot time.Duration) string {
+	f.lastNumber++
+	name := fmt.Sprintf("host-%06d", f.lastNumber)
 	ctx, stop := context.WithCancel(f.ctx)
-	m := &Machine{f: f, number: f.last, born: time.Now(), session: 1, tasks: map[string]*proc{}, kick: make(chan struct{}, 1), stop: stop,
+	m := &Machine{fleet: f, number: f.lastNumber, createdAt: time.Now(), session: 1, tasks: map[string]*workerTask{}, reportSoon: make(chan struct{}, 1), cancel: stop,
 		info: protocol.ListedMachine{ID: name, Addr: name + ":9000", Type: k.Type, Zone: k.Zone, Spot: k.Spot}}
-	if f.Address != nil {
-		m.info.Addr = f.Address(f.last)
+	if f.WorkerAddress != nil {
+		m.info.Addr = f.WorkerAddress(f.lastNumber)
 	}
 	f.machines[name] = m
-	f.at[m.info.Addr] = m
-	if f.Listen != nil {
-		f.Listen(m.info.Addr)
+	f.byAddress[m.info.Addr] = m
+	if f.StartListener != nil {
+		f.StartListener(m.info.Addr)
 	}
-	go m.run(ctx, boot)
+	go m.runWorker(ctx, boot)
 	return name
 }
 
-// count is how many machines of a kind there are.
-func (f *Fleet) count(k Kind) int {
+// countKind is how many machines of a kind there are.
+func (f *Fleet) countKind(k MachineKind) int {
 	c := 0
 	for _, m := range f.machines {
 		if m.info.Type == k.Type && m.info.Zone == k.Zone && m.info.Spot == k.Spot {
@@ -295,22 +295,22 @@
 	return c
 }
 
-// Found adds machines that run already, which nobody here has rented.
-func (f *Fleet) Found(k Kind, machines int) {
+// AddRunningMachines adds machines that run already, which nobody here has rented.
+func (f *Fleet) AddRunningMachines(k MachineKind, machines int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for range machines {
-		f.add(k, time.Duration(f.last%40)*100*time.Millisecond) // their reports are not in step
+		f.addMachine(k, time.Duration(f.lastNumber%40)*100*time.Millisecond) // their reports are not in step
 	}
 }
 
 // Return takes machines back, with everything on them.
 func (f *Fleet) Return(_ context.Context, names []string) error {
-	f.wait()
+	f.delayCall()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, name := range names {
-		f.kill(name)
+		f.removeMachine(name)
 	}
 	return nil
 }
@@ -319,35 +319,35 @@
 func (f *Fleet) Kill(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.kill(name)
+	f.removeMachine(name)
 }
 
-// take takes a machine, though not while it has an error to tell: what the controllers
+// loseMachine takes a machine, though not while it has an error to tell: what the controllers
 // know of errors must not depend on the moment.
-func (f *Fleet) take(m *Machine) {
+func (f *Fleet) loseMachine(m *Machine) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, p := range m.tasks {
-		if p.state == protocol.TaskExited && p.cause == protocol.CauseError && !m.gone {
-			time.AfterFunc(50*time.Millisecond, func() { f.take(m) })
+		if p.state == protocol.TaskExited && p.cause == protocol.CauseError && !m.removed {
+			time.AfterFunc(50*time.Millisecond, func() { f.loseMachine(m) })
 			return
 		}
 	}
-	f.kill(m.info.ID)
+	f.removeMachine(m.info.ID)
 }
 
-func (f *Fleet) kill(name string) {
+func (f *Fleet) removeMachine(name string) {
 	if m := f.machines[name]; m != nil {
-		m.gone = true
-		m.forget(time.Now())
-		m.stop()
+		m.removed = true
+		m.endAllTasks(time.Now())
+		m.cancel()
 		delete(f.machines, name)
-		delete(f.at, m.info.Addr)
+		delete(f.byAddress, m.info.Addr)
 	}
 }
 
-// Names are the machines that there are.
-func (f *Fleet) Names() []string {
+// MachineNames are the machines that there are.
+func (f *Fleet) MachineNames() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []string
@@ -365,8 +365,8 @@
 	var out []protocol.ListedMachine
 	for _, m := range f.machines {
 		l := m.info
-		l.State, l.AgeS = "booting", time.Since(m.born).Seconds()
-		if m.up {
+		l.State, l.AgeS = "booting", time.Since(m.createdAt).Seconds()
+		if m.booted {
 			l.State = "running"
 		}
 		out = append(out, l)
@@ -379,22 +379,22 @@
 func (f *Fleet) Command(_ context.Context, addr string, o protocol.Orders) (*protocol.Report, bool, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	m := f.at[addr]
-	if m == nil || !m.up || m.gone {
+	m := f.byAddress[addr]
+	if m == nil || !m.booted || m.removed {
 		return nil, false, storage.ErrUnknown
 	}
-	m.expire()
+	m.checkLease()
 	ok := (o.Token >= m.token || f.IgnoreTokens) && o.Session == m.session
 	if ok {
 		if o.Token > m.token {
 			m.token = o.Token
-			m.changed()
+			m.requestReport()
 		}
-		m.obey(o.Commands)
+		m.executeCommands(o.Commands)
 	} else {
-		m.refuse(o)
+		m.countRefusedStarts(o)
 	}
-	r := m.report()
+	r := m.buildReport()
 	return &r, ok, nil
 }
 
@@ -402,63 +402,63 @@
 func (f *Fleet) Inspect(_ context.Context, addr string) (*protocol.Report, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	m := f.at[addr]
-	if m == nil || !m.up || m.gone {
+	m := f.byAddress[addr]
+	if m == nil || !m.booted || m.removed {
 		return nil, storage.ErrUnknown
 	}
-	m.expire()
-	r := m.report()
+	m.checkLease()
+	r := m.buildReport()
 	return &r, nil
 }
 
-func (f *Fleet) broken(format string, a ...any) {
-	f.Broken = append(f.Broken, fmt.Sprintf(format, a...))
+func (f *Fleet) violation(format string, a ...any) {
+	f.Violations = append(f.Violations, fmt.Sprintf(format, a...))
 }
 
-func (m *Machine) changed() {
+func (m *Machine) requestReport() {
 	select {
-	case m.kick <- struct{}{}:
+	case m.reportSoon <- struct{}{}:
 	default:
 	}
 }
 
-// expire ends the session if the lease has run out.
-func (m *Machine) expire() {
-	if time.Since(m.answers).Seconds() > m.f.Workers.LeaseS {
+// checkLease ends the session if the lease has run out.
+func (m *Machine) checkLease() {
+	if time.Since(m.lastAnswered).Seconds() > m.fleet.Workers.LeaseS {
 		m.session++
 		m.seq = 0
 		for _, p := range m.tasks {
 			if p.state != protocol.TaskExited {
-				m.f.Expired++
+				m.fleet.ExpiredTasks++
 			}
 		}
 		// They ended with the lease, also if this machine stood still then.
-		m.forget(m.answers.Add(time.Duration(m.f.Workers.LeaseS * float64(time.Second))))
-		m.answers = time.Now()
+		m.endAllTasks(m.lastAnswered.Add(time.Duration(m.fleet.Workers.LeaseS * float64(time.Second))))
+		m.lastAnswered = time.Now()
 	}
 }
 
-// forget ends all tasks.
-func (m *Machine) forget(at time.Time) {
+// endAllTasks ends all tasks.
+func (m *Machine) endAllTasks(at time.Time) {
 	for id, p := range m.tasks {
-		m.ended("end", id, p, at)
+		m.logTaskEnd("end", id, p, at)
 	}
-	m.tasks = map[string]*proc{}
+	m.tasks = map[string]*workerTask{}
 }
 
-// ended logs the end of a task that was on its machine.
-func (m *Machine) ended(event, id string, p *proc, at time.Time) {
-	if m.f.Log != nil && (p.state == protocol.TaskRunning || p.state == protocol.TaskWaiting) {
-		m.f.Log(event, id, m.info.ID, at)
+// logTaskEnd logs the end of a task that was on its machine.
+func (m *Machine) logTaskEnd(event, id string, p *workerTask, at time.Time) {
+	if m.fleet.OnTaskEvent != nil && (p.state == protocol.TaskRunning || p.state == protocol.TaskWaiting) {
+		m.fleet.OnTaskEvent(event, id, m.info.ID, at)
 	}
 }
 
-func (m *Machine) report() protocol.Report {
+func (m *Machine) buildReport() protocol.Report {
 	m.seq++
 	r := protocol.Report{Machine: m.info.ID, Addr: m.info.Addr, Type: m.info.Type, Zone: m.info.Zone, Spot: m.info.Spot,
 		Session: m.session, Seq: m.seq, Token: m.token, Tasks: []protocol.TaskReport{}}
-	if !m.notice.IsZero() {
-		left := time.Until(m.notice).Seconds()
+	if !m.interruptionAt.IsZero() {
+		left := time.Until(m.interruptionAt).Seconds()
 		r.NoticeS = &left
 	}
 	var ids []string
@@ -473,18 +473,18 @@
 	return r
 }
 
-// fetchTime is what an image takes here.
-const fetchTime = 2 * time.Second
+// defaultFetchTime is what an image takes here.
+const defaultFetchTime = 2 * time.Second
 
-func (f *Fleet) fetch() time.Duration {
-	if f.Fetch > 0 {
-		return f.Fetch
+func (f *Fleet) imageFetchTime() time.Duration {
+	if f.FetchTime > 0 {
+		return f.FetchTime
 	}
-	return fetchTime
+	return defaultFetchTime
 }
 
-// run boots the machine and reports until it is gone.
-func (m *Machine) run(ctx context.Context, boot time.Duration) {
+// runWorker boots the machine and reports until it is gone.
+func (m *Machine) runWorker(ctx context.Context, boot time.Duration) {
 	sleep := func(d time.Duration) bool {
 		select {
 		case <-ctx.Done():
@@ -496,41 +496,41 @@
 	if !sleep(boot) {
 		return
 	}
-	m.f.mu.Lock()
-	m.up, m.answers = true, time.Now()
-	m.f.mu.Unlock()
-	go m.work(ctx)
-	node := m.number % len(m.f.Nodes)
+	m.fleet.mu.Lock()
+	m.booted, m.lastAnswered = true, time.Now()
+	m.fleet.mu.Unlock()
+	go m.runTasks(ctx)
+	node := m.number % len(m.fleet.Nodes)
 	for ctx.Err() == nil {
-		m.f.mu.Lock()
-		m.expire()
-		r := m.report()
-		m.f.mu.Unlock()
+		m.fleet.mu.Lock()
+		m.checkLease()
+		r := m.buildReport()
+		m.fleet.mu.Unlock()
 		sent := time.Now()
 		call, cancel := context.WithTimeout(ctx, 4*time.Second)
-		status, o, to, err := m.f.Link(call, m.f.Nodes[node], r)
+		status, o, to, err := m.fleet.SendReport(call, m.fleet.Nodes[node], r)
 		late := call.Err() != nil
 		cancel()
 		switch {
 		case err == nil && !late && status == 200:
-			m.f.mu.Lock()
-			if r.Session == m.session && (o.Token >= m.token || m.f.IgnoreTokens) && !m.gone {
+			m.fleet.mu.Lock()
+			if r.Session == m.session && (o.Token >= m.token || m.fleet.IgnoreTokens) && !m.removed {
 				if o.Token > m.token {
 					m.token = o.Token
-					m.changed()
+					m.requestReport()
 				}
-				m.answers = sent
-				m.obey(o.Commands)
+				m.lastAnswered = sent
+				m.executeCommands(o.Commands)
 			}
-			m.f.mu.Unlock()
+			m.fleet.mu.Unlock()
 			select {
 			case <-ctx.Done():
-			case <-time.After(time.Duration(m.f.Workers.ReportS * float64(time.Second))):
-			case <-m.kick:
+			case <-time.After(time.Duration(m.fleet.Workers.ReportS * float64(time.Second))):
+			case <-m.reportSoon:
 				sleep(500 * time.Millisecond)
 			}
 		case err == nil && !late && status == 421 && to != "":
-			for i, name := range m.f.Nodes {
+			for i, name := range m.fleet.Nodes {
 				if name == to {
 					node = i
 				}
@@ -538,13 +538,13 @@
 			sleep(200 * time.Millisecond)
 		default:
 			sleep(time.Second)
-			node = (node + 1) % len(m.f.Nodes)
+			node = (node + 1) % len(m.fleet.Nodes)
 		}
 	}
 }
 
-// work moves the tasks along.
-func (m *Machine) work(ctx context.Context) {
+// runTasks moves the tasks along.
+func (m *Machine) runTasks(ctx context.Context) {
 	const step = 200 * time.Millisecond
 	for ctx.Err() == nil {
 		select {
@@ -552,75 +552,75 @@
 			return
 		case <-time.After(step):
 		}
-		m.f.mu.Lock()
-		if m.gone {
-			m.f.mu.Unlock()
+		m.fleet.mu.Lock()
+		if m.removed {
+			m.fleet.mu.Unlock()
 			return
 		}
-		m.expire()
+		m.checkLease()
 		for id, p := range m.tasks {
 			switch p.state {
 			case protocol.TaskFetching:
-				if time.Since(p.since) >= m.f.fetch() {
-					m.begin(id, p)
+				if time.Since(p.stateSince) >= m.fleet.imageFetchTime() {
+					m.startTask(id, p)
 				}
 			case protocol.TaskWaiting:
-				if m.f.gangComplete(p) {
-					p.state, p.since = protocol.TaskRunning, time.Now()
-					m.changed()
+				if m.fleet.gangComplete(p) {
+					p.state, p.stateSince = protocol.TaskRunning, time.Now()
+					m.requestReport()
 				}
 			case protocol.TaskRunning:
-				if !m.f.stalled[p.job.ID] {
-					p.ran += step
+				if !m.fleet.stalledJobs[p.job.ID] {
+					p.runTime += step
 				}
-				if at, ok := m.f.cancelled[p.job.ID]; ok && time.Since(at).Seconds() > m.f.Workers.CancelS {
-					m.f.broken("ran_cancelled %s", id)
+				if at, ok := m.fleet.cancelledAt[p.job.ID]; ok && time.Since(at).Seconds() > m.fleet.Workers.CancelS {
+					m.fleet.violation("ran_cancelled %s", id)
 				}
-				if p.job.Shape != protocol.Service && p.ran >= m.f.takes(p) {
-					m.ended("done", id, p, time.Now())
-					if !m.f.complete[id] {
-						m.f.complete[id] = true
-						m.f.finished[p.job.ID]++
-						if m.f.finished[p.job.ID] == p.job.Tasks {
-							m.f.over[p.job.ID] = time.Now()
+				if p.job.Shape != protocol.Service && p.runTime >= m.fleet.taskRunTime(p) {
+					m.logTaskEnd("done", id, p, time.Now())
+					if !m.fleet.completedTasks[id] {
+						m.fleet.completedTasks[id] = true
+						m.fleet.finishedTasks[p.job.ID]++
+						if m.fleet.finishedTasks[p.job.ID] == p.job.Tasks {
+							m.fleet.completedAt[p.job.ID] = time.Now()
 						}
 					}
 					p.state, p.cause = protocol.TaskExited, protocol.CauseDone
-					m.changed()
+					m.requestReport()
 				}
 			}
 		}
-		m.f.mu.Unlock()
+		m.fleet.mu.Unlock()
 	}
 }
 
-// takes is how long a task runs. One that completed before exits as soon as it has its image.
-func (f *Fleet) takes(p *proc) time.Duration {
-	switch id := protocol.TaskID(p.job.ID, p.num); {
-	case f.complete[id]:
+// taskRunTime is how long a task runs. One that completed before exits as soon as it has its image.
+func (f *Fleet) taskRunTime(p *workerTask) time.Duration {
+	switch id := protocol.TaskID(p.job.ID, p.number); {
+	case f.completedTasks[id]:
 		return 0
-	case f.Takes != nil:
-		return f.Takes(p.job, p.num)
+	case f.RunTime != nil:
+		return f.RunTime(p.job, p.number)
 	}
 	return time.Duration(p.job.EstimateS * float64(time.Second))
 }
 
-// Finished is how many tasks of a job have completed.
-func (f *Fleet) Finished(job string) int {
+// FinishedTasks is how many tasks of a job have completed.
+func (f *Fleet) FinishedTasks(job string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.finished[job]
+	return f.finishedTasks[job]
 }
 
 // CompletedAt is when the last task of a job completed; zero: not all have.
 func (f *Fleet) CompletedAt(job string) time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.over[job]
+	return f.completedAt[job]
 }
 
-// AllRunSince is when the last task of a job began to run; zero: not all of them run.
-func (f *Fleet) AllRunSince(job string) (since time.Time) {
+// AllRunningSince is when the last task of a job began to run; zero: not all of them run.
+func (f *Fleet) AllRunningSince(job string) (since time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	count := 0
@@ -629,8 +629,8 @@
 			if p.job.ID != job || p.state != protocol.TaskRunning {
 				continue
 			}
-			if count++; p.since.After(since) {
-				since = p.since
+			if count++; p.stateSince.After(since) {
+				since = p.stateSince
 			}
 		}
 	}
@@ -640,25 +640,25 @@
 	return since
 }
 
-// begin is when a task counts as on its machine: the rules are checked.
-func (m *Machine) begin(id string, p *proc) {
-	f := m.f
-	f.Started++
-	p.state, p.since = protocol.TaskRunning, time.Now()
+// startTask is when a task counts as on its machine: the rules are checked.
+func (m *Machine) startTask(id string, p *workerTask) {
+	f := m.fleet
+	f.StartedTasks++
+	p.state, p.stateSince = protocol.TaskRunning, time.Now()
 	if p.job.Shape == protocol.Gang {
 		p.state = protocol.TaskWaiting
 	}
-	m.changed()
-	if f.Log != nil {
-		f.Log("start", id, m.info.ID, time.Now())
+	m.requestReport()
+	if f.OnTaskEvent != nil {
+		f.OnTaskEvent("start", id, m.info.ID, time.Now())
 	}
-	if first := !f.began[id]; f.Taken != nil && first {
-		f.began[id] = true
-		if lost, notice := f.Taken(p.job, p.num); lost {
-			if m.notice.IsZero() {
-				m.notice = time.Now().Add(notice)
+	if first := !f.everStarted[id]; f.LosesFirstMachine != nil && first {
+		f.everStarted[id] = true
+		if lost, notice := f.LosesFirstMachine(p.job, p.number); lost {
+			if m.interruptionAt.IsZero() {
+				m.interruptionAt = time.Now().Add(notice)
 			}
-			time.AfterFunc(notice, func() { f.take(m) })
+			time.AfterFunc(notice, func() { f.loseMachine(m) })
 		}
 	}
 	zones := map[string]int{m.info.Zone: 1}
@@ -669,7 +669,7 @@
 				continue
 			}
 			if oid == id {
-				f.broken("ran_twice %s on %s and %s", id, o.info.ID, m.info.ID)
+				f.violation("ran_twice %s on %s and %s", id, o.info.ID, m.info.ID)
 			}
 			if q.job.ID == p.job.ID {
 				zones[o.info.Zone]++
@@ -681,27 +681,27 @@
 		}
 	}
 	if t := f.Teams[p.job.Team]; t.GPUsMax > 0 && used > t.GPUsMax+1e-6 {
-		f.broken("quota %s uses %v", p.job.Team, used)
+		f.violation("quota %s uses %v", p.job.Team, used)
 	}
 	if t := f.Teams[p.job.Team]; t.CPUsMax > 0 && cpus > t.CPUsMax+1e-6 {
-		f.broken("quota %s uses %v CPUs", p.job.Team, cpus)
+		f.violation("quota %s uses %v CPUs", p.job.Team, cpus)
 	}
 	if p.job.OneZone && len(zones) > 1 || p.job.Spread && zones[m.info.Zone] > (p.job.Tasks+1)/2 ||
 		m.info.Spot && !p.job.Spot || p.job.Zone != "" && p.job.Zone != m.info.Zone {
-		f.broken("wrong_place %s on %s", id, m.info.ID)
+		f.violation("wrong_place %s on %s", id, m.info.ID)
 	}
-	if at, ok := f.cancelled[p.job.ID]; ok && time.Since(at).Seconds() > f.Workers.CancelS {
-		f.broken("ran_cancelled %s", id)
+	if at, ok := f.cancelledAt[p.job.ID]; ok && time.Since(at).Seconds() > f.Workers.CancelS {
+		f.violation("ran_cancelled %s", id)
 	}
-	if f.mistaken[p.job.ID] || f.Fails != nil && f.Fails(p.job, p.num, f.errors[id]) {
-		f.errors[id]++
-		m.ended("error", id, p, time.Now())
+	if f.failsEverywhere[p.job.ID] || f.TaskFails != nil && f.TaskFails(p.job, p.number, f.errorCounts[id]) {
+		f.errorCounts[id]++
+		m.logTaskEnd("error", id, p, time.Now())
 		p.state, p.cause = protocol.TaskExited, protocol.CauseError
 	}
 }
 
 // gangComplete says whether all tasks of p's attempt wait or run.
-func (f *Fleet) gangComplete(p *proc) bool {
+func (f *Fleet) gangComplete(p *workerTask) bool {
 	n := 0
 	for _, m := range f.machines {
 		for _, q := range m.tasks {
@@ -713,9 +713,9 @@
 	return n == p.job.Tasks
 }
 
-// fits says whether a machine has room for one more task of a job.
-func (m *Machine) fits(job *protocol.JobSpec) bool {
-	for _, t := range m.f.Types {
+// hasCapacity says whether a machine has room for one more task of a job.
+func (m *Machine) hasCapacity(job *protocol.JobSpec) bool {
+	for _, t := range m.fleet.Types {
 		if t.Name != m.info.Type {
 			continue
 		}
@@ -730,39 +730,39 @@
 	return true
 }
 
-// obey executes commands in order.
-func (m *Machine) obey(cmds []protocol.Command) {
+// executeCommands executes commands in order.
+func (m *Machine) executeCommands(cmds []protocol.Command) {
 	for _, c := range cmds {
 		p := m.tasks[c.Task]
 		switch c.Op {
 		case protocol.OpStart:
 			id, num, _ := protocol.ParseTaskID(c.Task)
-			job := m.f.jobs[id]
+			job := m.fleet.jobs[id]
 			switch {
 			case p != nil && p.attempt == c.Attempt || job == nil:
-			case m.f.ToldLate && !m.f.cancelled[id].IsZero():
-				m.f.broken("started_cancelled %s on %s", c.Task, m.info.ID)
-			case c.Attempt < m.f.newest[c.Task]:
+			case m.fleet.CancelConfirmedAfterStop && !m.fleet.cancelledAt[id].IsZero():
+				m.fleet.violation("started_cancelled %s on %s", c.Task, m.info.ID)
+			case c.Attempt < m.fleet.latestAttempt[c.Task]:
 				// It was proven gone before the later attempt was decided.
-				m.f.broken("started_older %s attempt %d on %s after attempt %d", c.Task, c.Attempt, m.info.ID, m.f.newest[c.Task])
+				m.fleet.violation("started_older %s attempt %d on %s after attempt %d", c.Task, c.Attempt, m.info.ID, m.fleet.latestAttempt[c.Task])
 			case p != nil && p.state != protocol.TaskExited:
-				m.f.broken("in_use %s on %s", c.Task, m.info.ID)
-			case !m.fits(job):
-				m.tasks[c.Task] = &proc{job: job, num: num, attempt: c.Attempt, state: protocol.TaskExited, cause: protocol.CauseNoCapacity, since: time.Now()}
-				m.changed()
+				m.fleet.violation("in_use %s on %s", c.Task, m.info.ID)
+			case !m.hasCapacity(job):
+				m.tasks[c.Task] = &workerTask{job: job, number: num, attempt: c.Attempt, state: protocol.TaskExited, cause: protocol.CauseNoCapacity, stateSince: time.Now()}
+				m.requestReport()
 			default:
-				m.f.newest[c.Task] = c.Attempt
-				m.tasks[c.Task] = &proc{job: job, num: num, attempt: c.Attempt, state: protocol.TaskFetching, since: time.Now()}
-				m.changed()
+				m.fleet.latestAttempt[c.Task] = c.Attempt
+				m.tasks[c.Task] = &workerTask{job: job, number: num, attempt: c.Attempt, state: protocol.TaskFetching, stateSince: time.Now()}
+				m.requestReport()
 			}
 		case protocol.OpStop:
 			if p != nil && p.attempt == c.Attempt && p.state != protocol.TaskExited {
-				m.ended("end", c.Task, p, time.Now())
+				m.logTaskEnd("end", c.Task, p, time.Now())
 				if p.state == protocol.TaskRunning {
-					m.f.Stopped++
+					m.fleet.StoppedTasks++
 				}
 				p.state, p.cause = protocol.TaskExited, protocol.CauseStopped
-				m.changed()
+				m.requestReport()
 			}
 		case protocol.OpForget:
 			if p != nil && p.attempt == c.Attempt && p.state == protocol.TaskExited {
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -14,99 +14,99 @@
 // State is a small consistent store with leases and watches. It implements
 // storage.Service.
 type State struct {
-	mu      sync.Mutex
-	rev     uint64
-	keys    map[string]storage.Item
-	leaseOf map[string]uint64
-	leases  map[uint64]*lease
-	last    uint64
-	log     []storage.Item
-	changes int // puts and deletions so far
-	changed chan struct{}
+	mu           sync.Mutex
+	revision     uint64
+	items        map[string]storage.Item
+	leaseByKey   map[string]uint64
+	leases       map[uint64]*lease
+	lastLeaseID  uint64
+	history      []storage.Item
+	changeCount  int // puts and deletions so far
+	changeSignal chan struct{}
 }
 
 type lease struct {
-	life time.Duration
-	end  time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
 // NewState makes an empty store.
 func NewState() *State {
-	return &State{keys: map[string]storage.Item{}, leaseOf: map[string]uint64{}, leases: map[uint64]*lease{}, changed: make(chan struct{})}
+	return &State{items: map[string]storage.Item{}, leaseByKey: map[string]uint64{}, leases: map[uint64]*lease{}, changeSignal: make(chan struct{})}
 }
 
-// expire ends leases whose time has come. Callers hold mu.
-func (s *State) expire() {
+// expireLeases ends leases whose time has come. Callers hold mu.
+func (s *State) expireLeases() {
 	now := time.Now()
 	for id, l := range s.leases {
-		if now.After(l.end) {
+		if now.After(l.expiresAt) {
 			delete(s.leases, id)
 			var gone []storage.Write
-			for k, of := range s.leaseOf {
+			for k, of := range s.leaseByKey {
 				if of == id {
 					gone = append(gone, storage.Write{Delete: k})
 				}
 			}
 			if len(gone) > 0 {
-				s.write(gone)
+				s.applyWrites(gone)
 			}
 		}
 	}
 }
 
-func (s *State) write(writes []storage.Write) {
-	s.rev++
-	s.changes += len(writes)
+func (s *State) applyWrites(writes []storage.Write) {
+	s.revision++
+	s.changeCount += len(writes)
 	for _, w := range writes {
 		if w.Put != "" {
-			it := storage.Item{Key: w.Put, Value: w.Value, Revision: s.rev}
-			s.keys[w.Put] = it
-			delete(s.leaseOf, w.Put)
+			it := storage.Item{Key: w.Put, Value: w.Value, Revision: s.revision}
+			s.items[w.Put] = it
+			delete(s.leaseByKey, w.Put)
 			if w.Lease != 0 {
-				s.leaseOf[w.Put] = w.Lease
+				s.leaseByKey[w.Put] = w.Lease
 			}
-			s.log = append(s.log, it)
-		} else if _, ok := s.keys[w.Delete]; ok {
-			delete(s.keys, w.Delete)
-			delete(s.leaseOf, w.Delete)
-			s.log = append(s.log, storage.Item{Key: w.Delete, Revision: s.rev})
+			s.history = append(s.history, it)
+		} else if _, ok := s.items[w.Delete]; ok {
+			delete(s.items, w.Delete)
+			delete(s.leaseByKey, w.Delete)
+			s.history = append(s.history, storage.Item{Key: w.Delete, Revision: s.revision})
 		}
 	}
-	close(s.changed)
-	s.changed = make(chan struct{})
+	close(s.changeSignal)
+	s.changeSignal = make(chan struct{})
 }
 
 // Get reads a key; a missing one has no Value and the store's revision.
 func (s *State) Get(_ context.Context, key string) (storage.Item, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
-	if it, ok := s.keys[key]; ok {
+	s.expireLeases()
+	if it, ok := s.items[key]; ok {
 		return it, nil
 	}
-	return storage.Item{Key: key, Revision: s.rev}, nil
+	return storage.Item{Key: key, Revision: s.revision}, nil
 }
 
 // List reads all keys with a prefix.
 func (s *State) List(_ context.Context, prefix string) ([]storage.Item, uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
+	s.expireLeases()
 	var out []storage.Item
-	for k, it := range s.keys {
+	for k, it := range s.items {
 		if strings.HasPrefix(k, prefix) {
 			out = append(out, it)
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Key < out[j].Key })
-	return out, s.rev, nil
+	return out, s.revision, nil
 }
 
 // Txn compares and writes.
 func (s *State) Txn(_ context.Context, conds []storage.Cond, writes []storage.Write) (bool, uint64, []string, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
+	s.expireLeases()
 	for _, w := range writes {
 		if w.Lease != 0 && s.leases[w.Lease] == nil {
 			return false, 0, nil, storage.ErrNoLease
@@ -114,38 +114,38 @@
 	}
 	var failed []string
 	for _, c := range conds {
-		if s.keys[c.Key].Revision != c.Revision {
+		if s.items[c.Key].Revision != c.Revision {
 			failed = append(failed, c.Key)
 		}
 	}
 	if failed != nil {
-		return false, s.rev, failed, nil
+		return false, s.revision, failed, nil
 	}
 	if len(writes) > 0 {
-		s.write(writes)
+		s.applyWrites(writes)
 	}
-	return true, s.rev, nil, nil
+	return true, s.revision, nil, nil
 }
 
 // Grant opens a lease.
 func (s *State) Grant(_ context.Context, life time.Duration) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.last++
-	s.leases[s.last] = &lease{life, time.Now().Add(life)}
-	return s.last, nil
+	s.lastLeaseID++
+	s.leases[s.lastLeaseID] = &lease{life, time.Now().Add(life)}
+	return s.lastLeaseID, nil
 }
 
 // Renew extends a lease.
 func (s *State) Renew(_ context.Context, id uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
+	s.expireLeases()
 	l := s.leases[id]
 	if l == nil {
 		return storage.ErrNoLease
 	}
-	l.end = time.Now().Add(l.life)
+	l.expiresAt = time.Now().Add(l.ttl)
 	return nil
 }
 
@@ -154,18 +154,18 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if l := s.leases[id]; l != nil {
-		l.end = time.Time{}
-		s.expire()
+		l.expiresAt = time.Time{}
+		s.expireLeases()
 	}
 	return nil
 }
 
-// Refill gives all leases their full time back, as after an outage.
-func (s *State) Refill() {
+// RenewAllLeases gives all leases their full time back, as after an outage.
+func (s *State) RenewAllLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range s.leases {
-		l.end = time.Now().Add(l.life)
+		l.expiresAt = time.Now().Add(l.ttl)
 	}
 }
 
@@ -174,14 +174,14 @@
 	end := time.Now().Add(hold)
 	for {
 		s.mu.Lock()
-		s.expire()
+		s.expireLeases()
 		var out []storage.Item
-		for _, it := range s.log {
+		for _, it := range s.history {
 			if it.Revision > since && strings.HasPrefix(it.Key, prefix) {
 				out = append(out, it)
 			}
 		}
-		rev, changed := s.rev, s.changed
+		rev, changed := s.revision, s.changeSignal
 		s.mu.Unlock()
 		left := time.Until(end)
 		if len(out) > 0 || left <= 0 {
@@ -196,11 +196,11 @@
 	}
 }
 
-// Changes is how many puts and deletions there were.
-func (s *State) Changes() int {
+// ChangeCount is how many puts and deletions there were.
+func (s *State) ChangeCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.changes
+	return s.changeCount
 }
 
 // Put writes one value, for tests and tools.
@@ -211,5 +211,5 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.write([]storage.Write{{Put: key, Value: b}})
+	s.applyWrites([]storage.Write{{Put: key, Value: b}})
 }
--- a/internal/standin/view.go
+++ b/internal/standin/view.go
@@ -22,37 +22,37 @@
 
 // MachineView is one machine and what its worker holds at a moment.
 type MachineView struct {
-	Name    string
-	Type    *protocol.MachineType
-	Zone    string
-	Spot    bool
-	Up      bool // it has booted
-	Noticed bool // the cloud takes it back
-	Token   uint64
-	Tasks   []TaskView
+	Name               string
+	Type               *protocol.MachineType
+	Zone               string
+	Spot               bool
+	Booted             bool // it has booted
+	InterruptionNotice bool // the cloud takes it back
+	Token              uint64
+	Tasks              []TaskView
 }
 
 // View is the fleet as it really is at a moment, whatever the controllers know of it.
 type View struct {
 	Machines []MachineView // by name
-	// Unfinished are the tasks of each job that have never completed, for all jobs that
+	// UnfinishedTasks are the tasks of each job that have never completed, for all jobs that
 	// were submitted.
-	Unfinished map[string]int
-	// Mistaken are the jobs that fail on every machine.
-	Mistaken map[string]bool
+	UnfinishedTasks map[string]int
+	// FailsEverywhere are the jobs that fail on every machine.
+	FailsEverywhere map[string]bool
 }
 
 // View is how the fleet is now.
 func (f *Fleet) View() *View {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	v := &View{Unfinished: map[string]int{}, Mistaken: map[string]bool{}}
+	v := &View{UnfinishedTasks: map[string]int{}, FailsEverywhere: map[string]bool{}}
 	for id, job := range f.jobs {
-		v.Unfinished[id] = job.Tasks - f.finished[id]
-		v.Mistaken[id] = f.mistaken[id]
+		v.UnfinishedTasks[id] = job.Tasks - f.finishedTasks[id]
+		v.FailsEverywhere[id] = f.failsEverywhere[id]
 	}
 	for _, m := range f.machines {
-		m.expire()
+		m.checkLease()
 		v.Machines = append(v.Machines, m.view())
 	}
 	slices.SortFunc(v.Machines, func(a, b MachineView) int { return strings.Compare(a.Name, b.Name) })
@@ -60,14 +60,14 @@
 }
 
 func (m *Machine) view() MachineView {
-	out := MachineView{Name: m.info.ID, Zone: m.info.Zone, Spot: m.info.Spot, Up: m.up, Noticed: !m.notice.IsZero(), Token: m.token}
-	for i := range m.f.Types {
-		if m.f.Types[i].Name == m.info.Type {
-			out.Type = &m.f.Types[i]
+	out := MachineView{Name: m.info.ID, Zone: m.info.Zone, Spot: m.info.Spot, Booted: m.booted, InterruptionNotice: !m.interruptionAt.IsZero(), Token: m.token}
+	for i := range m.fleet.Types {
+		if m.fleet.Types[i].Name == m.info.Type {
+			out.Type = &m.fleet.Types[i]
 		}
 	}
 	for _, p := range m.tasks {
-		out.Tasks = append(out.Tasks, TaskView{Job: p.job, Number: p.num, Attempt: p.attempt, State: p.state, Cause: p.cause})
+		out.Tasks = append(out.Tasks, TaskView{Job: p.job, Number: p.number, Attempt: p.attempt, State: p.state, Cause: p.cause})
 	}
 	slices.SortFunc(out.Tasks, func(a, b TaskView) int {
 		return cmp.Or(strings.Compare(a.Job.ID, b.Job.ID), a.Number-b.Number)
@@ -100,8 +100,8 @@
 	return out
 }
 
-// Occupying is how many tasks of a job take room on machines.
-func (v *View) Occupying(job string) int {
+// OccupyingTasks is how many tasks of a job take room on machines.
+func (v *View) OccupyingTasks(job string) int {
 	tasks := 0
 	for _, m := range v.Machines {
 		for i := range m.Tasks {
@@ -113,18 +113,18 @@
 	return tasks
 }
 
-// Refused is how many direct commands with starts were refused so far, since their token was
+// RefusedStarts is how many direct commands with starts were refused so far, since their token was
 // lower than one that the worker had seen.
-func (f *Fleet) Refused() int {
+func (f *Fleet) RefusedStarts() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.outdated
+	return f.refusedStarts
 }
 
-// refuse counts a direct command that is refused.
-func (m *Machine) refuse(o protocol.Orders) {
+// countRefusedStarts counts a direct command that is refused.
+func (m *Machine) countRefusedStarts(o protocol.Orders) {
 	starts := slices.ContainsFunc(o.Commands, func(c protocol.Command) bool { return c.Op == protocol.OpStart })
 	if o.Token < m.token && starts {
-		m.f.outdated++
+		m.fleet.refusedStarts++
 	}
 }
