--- a/cmd/lab/load.go
+++ b/cmd/lab/load.go
@@ -20,52 +20,55 @@
 	wire "dapplestage.example/dapplestage/internal/protocol/gateway"
 )
 
-// gatewayLoad compares submissions through the gateway with submissions straight to
-// a site, in one run on the same processes.
-func gatewayLoad() *cobra.Command {
+// gatewayLoadCommand returns the subcommand that compares submissions through the gateway with
+// submissions directly to a site, in one run on the same processes.
+func gatewayLoadCommand() *cobra.Command {
 	var seconds, clients, rate int
-	c := &cobra.Command{Use: "gateway-load", Short: "Jobs a second through the gateway against straight to a site", Args: cobra.NoArgs,
+	command := &cobra.Command{Use: "gateway-load", Short: "Compare jobs per second through the gateway and directly to a site", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			for _, b := range []struct {
-				name           string
-				v, least, most int
+			for _, argument := range []struct {
+				name                    string
+				value, minimum, maximum int
 			}{{"seconds", seconds, 1, 600}, {"clients", clients, 1, 500}, {"rate", rate, 1, 100000}} {
-				if err := between(b.name, b.v, b.least, b.most); err != nil {
+				if err := checkRange(argument.name, argument.value, argument.minimum, argument.maximum); err != nil {
 					return err
 				}
 			}
-			return loadGateway(cmd.Context(), cmd.OutOrStdout(), seconds, clients, rate)
+			return measureGatewayLoad(cmd.Context(), cmd.OutOrStdout(), seconds, clients, rate)
 		}}
-	c.Flags().IntVar(&seconds, "seconds", 10, "how long each way")
-	c.Flags().IntVar(&clients, "clients", 32, "clients that submit one job after the other")
-	c.Flags().IntVar(&rate, "rate", 40, "changes a second of each site's state service")
-	return c
+	command.Flags().IntVar(&seconds, "seconds", 10, "duration of each of the two measurements")
+	command.Flags().IntVar(&clients, "clients", 32, "clients that submit one job after the other")
+	command.Flags().IntVar(&rate, "rate", 40, "changes per second of each site's state service")
+	return command
 }
 
-type way struct {
+// submissionFigures holds the figures of the submissions by one of the two paths.
+type submissionFigures struct {
 	Accepted  int     `json:"accepted"`
 	PerSecond float64 `json:"per_s"`
 	Median    float64 `json:"median_ms"`
 	P99       float64 `json:"p99_ms"`
-	Turned    int     `json:"turned_away"`
+	Refused   int     `json:"turned_away"`
 }
 
-// loadResult are the figures of a measurement.
-type loadResult struct {
-	Runs     int     `json:"runs"`
-	Broken   int     `json:"broken"`
-	Seed     int     `json:"seed"`
-	Clients  int     `json:"clients"`
-	Rate     int     `json:"state_changes_per_s"`
-	Straight way     `json:"straight_to_one_site"`
-	Through  way     `json:"through_the_gateway"`
-	Ratio    float64 `json:"through_over_straight"`
-	Changes  float64 `json:"changes_per_job_and_site"`
-	Journal  int64   `json:"journal_bytes"`
+// gatewayLoadFigures is the last output line of the gateway load measurement.
+type gatewayLoadFigures struct {
+	Runs           int               `json:"runs"`
+	Broken         int               `json:"broken"`
+	Seed           int               `json:"seed"`
+	Clients        int               `json:"clients"`
+	Rate           int               `json:"state_changes_per_s"`
+	Direct         submissionFigures `json:"straight_to_one_site"`
+	ThroughGateway submissionFigures `json:"through_the_gateway"`
+	Ratio          float64           `json:"through_over_straight"`
+	ChangesPerJob  float64           `json:"changes_per_job_and_site"`
+	JournalBytes   int64             `json:"journal_bytes"`
 }
 
-func loadGateway(ctx context.Context, out io.Writer, seconds, clients, rate int) error {
-	bin, err := build(ctx)
+// measureGatewayLoad measures submissions directly to a site and then through the gateway, and prints
+// the figures.
+func measureGatewayLoad(ctx context.Context, out io.Writer, seconds, clients, rate int) error {
+	bin, err := buildPrograms(ctx)
 	if err != nil {
 		return err
 	}
@@ -75,185 +78,189 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	t := quick
-	t.lease, t.cancel, t.writeRPS, t.inFlight = 6, 40, float64(rate), 2000
-	w, err := launch(ctx, bin, dir, t, 0) // no machines: what is measured is taking jobs
+	timing := gatewayTimes
+	timing.siteLease, timing.cancelBound, timing.writeRPS, timing.maxInFlight = 6, 40, float64(rate), 2000
+	d, err := startDeployment(ctx, bin, dir, timing, 0) // no machines, since only the acceptance of jobs is measured
 	if err != nil {
 		return err
 	}
-	defer w.end()
-	load := &jobLoad{world: w, lasts: time.Duration(seconds) * time.Second, clients: clients}
-	straight := load.measure(ctx, w.sites[0].apis)
+	defer d.end()
+	generator := &loadGenerator{deployment: d, duration: time.Duration(seconds) * time.Second, clients: clients}
+	direct := generator.measure(ctx, d.sites[0].controllerAPIs)
 	time.Sleep(2 * time.Second)
-	through := load.measure(ctx, []string{w.gateAPI})
+	throughGateway := generator.measure(ctx, []string{d.gatewayAPI})
 	time.Sleep(2 * time.Second)
-	changes, err := w.registerChanges(ctx)
+	changes, err := d.registerChanges(ctx)
 	if err != nil {
 		return err
 	}
-	st, _ := os.Stat(filepath.Join(w.dir, "gate.journal"))
-	res := loadResult{Runs: 1, Clients: clients, Rate: rate, Straight: straight, Through: through, Journal: st.Size()}
-	if through.Accepted > 0 {
-		res.Changes = changes / 2 / float64(through.Accepted)
+	journalFile, _ := os.Stat(filepath.Join(d.dir, "gate.journal"))
+	result := gatewayLoadFigures{Runs: 1, Clients: clients, Rate: rate, Direct: direct, ThroughGateway: throughGateway, JournalBytes: journalFile.Size()}
+	if throughGateway.Accepted > 0 {
+		result.ChangesPerJob = changes / 2 / float64(throughGateway.Accepted)
 	}
-	if straight.PerSecond > 0 {
-		res.Ratio = through.PerSecond / straight.PerSecond
+	if direct.PerSecond > 0 {
+		result.Ratio = throughGateway.PerSecond / direct.PerSecond
 	}
-	return figures(out, res)
+	return printFigures(out, result)
 }
 
-// jobLoad is clients that submit one job after the other.
-type jobLoad struct {
-	world   *world
-	lasts   time.Duration
-	clients int
-	next    atomic.Int64 // number of the last job
+// loadGenerator runs clients that each submit one job after the other.
+type loadGenerator struct {
+	deployment *deployment
+	duration   time.Duration
+	clients    int
+	lastJob    atomic.Int64 // number of the last job
 }
 
-// measure submits at some addresses for a while.
-func (l *jobLoad) measure(ctx context.Context, addrs []string) way {
-	hist := hdrhistogram.New(1, 60_000_000, 3) // in microseconds
+// measure submits jobs to the given addresses for the generator's duration.
+func (l *loadGenerator) measure(ctx context.Context, addresses []string) submissionFigures {
+	latencyHistogram := hdrhistogram.New(1, 60_000_000, 3) // in microseconds
 	var mu sync.Mutex
-	var r way
-	ctx, cancel := context.WithTimeout(ctx, l.lasts)
+	var figures submissionFigures
+	ctx, cancel := context.WithTimeout(ctx, l.duration)
 	defer cancel()
-	note := func(code int, err error, took time.Duration) {
+	recordAnswer := func(status int, err error, latency time.Duration) {
 		mu.Lock()
 		defer mu.Unlock()
-		if err == nil && code == 201 {
-			r.Accepted++
-			hist.RecordValue(took.Microseconds())
+		if err == nil && status == 201 {
+			figures.Accepted++
+			latencyHistogram.RecordValue(latency.Microseconds())
 		} else if err == nil {
-			r.Turned++
+			figures.Refused++
 		}
 	}
-	var all sync.WaitGroup
+	var group sync.WaitGroup
 	for i := range l.clients {
-		all.Go(func() {
+		group.Go(func() {
 			for ctx.Err() == nil {
-				body := submission(fmt.Sprintf("job-%09d", l.next.Add(1)), "red", 1, 1)
-				begun := time.Now()
-				code, _, _, err := l.world.call(ctx, "POST", addrs[i%len(addrs)], "/api/jobs", body)
-				note(code, err, time.Since(begun))
-				if code != 201 {
+				body := jobSubmission(fmt.Sprintf("job-%09d", l.lastJob.Add(1)), "red", 1, 1)
+				sentAt := time.Now()
+				status, _, _, err := l.deployment.call(ctx, "POST", addresses[i%len(addresses)], "/api/jobs", body)
+				recordAnswer(status, err, time.Since(sentAt))
+				if status != 201 {
 					time.Sleep(100 * time.Millisecond)
 				}
 			}
 		})
 	}
-	all.Wait()
-	r.PerSecond = float64(r.Accepted) / l.lasts.Seconds()
-	r.Median, r.P99 = float64(hist.ValueAtQuantile(50))/1000, float64(hist.ValueAtQuantile(99))/1000
-	return r
+	group.Wait()
+	figures.PerSecond = float64(figures.Accepted) / l.duration.Seconds()
+	figures.Median, figures.P99 = float64(latencyHistogram.ValueAtQuantile(50))/1000, float64(latencyHistogram.ValueAtQuantile(99))/1000
+	return figures
 }
 
-// registerChanges is how many changes the registers have cost both sites. The daemons' logs
-// number their segments.
-func (w *world) registerChanges(ctx context.Context) (changes float64, err error) {
-	for _, s := range w.sites {
+// registerChanges returns how many state service changes the registers have cost at both sites. Each
+// change stores one segment of a daemon's log, and the segments are numbered.
+func (d *deployment) registerChanges(ctx context.Context) (changes float64, err error) {
+	for _, site := range d.sites {
 		var page struct {
 			Items []struct{ Path string }
 		}
-		if err := w.get(ctx, s.stateAddr, "/store?under=g/s/", &page); err != nil || len(page.Items) == 0 {
-			return 0, fmt.Errorf("the log of %s can't be read: %v", s.name, err)
+		if err := d.get(ctx, site.stateAddr, "/store?under=g/s/", &page); err != nil || len(page.Items) == 0 {
+			return 0, fmt.Errorf("the log of %s can't be read: %v", site.name, err)
 		}
-		var last uint64
-		fmt.Sscanf(page.Items[len(page.Items)-1].Path, "g/s/%x", &last)
-		changes += float64(last)
+		var lastSegment uint64
+		fmt.Sscanf(page.Items[len(page.Items)-1].Path, "g/s/%x", &lastSegment)
+		changes += float64(lastSegment)
 	}
 	return changes, nil
 }
 
-// gatewayGrowth measures a gateway's journal and memory by the number of jobs.
-func gatewayGrowth() *cobra.Command {
-	var most int
-	c := &cobra.Command{Use: "gateway-growth", Short: "Journal, memory and time to start of a gateway by number of ended jobs", Args: cobra.NoArgs,
+// gatewayGrowthCommand returns the subcommand that measures a gateway's journal, memory and start
+// time by the number of jobs.
+func gatewayGrowthCommand() *cobra.Command {
+	var maxJobs int
+	command := &cobra.Command{Use: "gateway-growth", Short: "Journal size, memory and start time of a gateway by number of ended jobs", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := between("jobs", most, 1000, 10_000_000); err != nil {
+			if err := checkRange("jobs", maxJobs, 1000, 10_000_000); err != nil {
 				return err
 			}
-			return growGateway(cmd.OutOrStdout(), most)
+			return measureGatewayGrowth(cmd.OutOrStdout(), maxJobs)
 		}}
-	c.Flags().IntVar(&most, "jobs", 100_000, "up to how many jobs, by tens from 10,000")
-	return c
+	command.Flags().IntVar(&maxJobs, "jobs", 100_000, "maximum number of jobs; sizes grow tenfold from 10,000")
+	return command
 }
 
-type growth struct {
-	Jobs    int     `json:"jobs"`
-	Journal int64   `json:"journal_bytes"`
-	Write   float64 `json:"write_s"`
-	Start   float64 `json:"start_s"`
-	Heap    uint64  `json:"heap_bytes"`
+// growthFigures holds the figures for one number of jobs.
+type growthFigures struct {
+	Jobs         int     `json:"jobs"`
+	JournalBytes int64   `json:"journal_bytes"`
+	WriteSeconds float64 `json:"write_s"`
+	StartSeconds float64 `json:"start_s"`
+	HeapBytes    uint64  `json:"heap_bytes"`
 }
 
-func growGateway(out io.Writer, most int) error {
-	var sizes []growth
-	for n := min(10_000, most); n <= most; n *= 10 {
+// measureGatewayGrowth measures for each number of jobs and prints the figures.
+func measureGatewayGrowth(out io.Writer, maxJobs int) error {
+	var sizes []growthFigures
+	for jobs := min(10_000, maxJobs); jobs <= maxJobs; jobs *= 10 {
 		dir, err := os.MkdirTemp("", "lab-growth-")
 		if err != nil {
 			return err
 		}
-		g, err := grow(filepath.Join(dir, "j"), n)
+		figures, err := measureJournalGrowth(filepath.Join(dir, "j"), jobs)
 		os.RemoveAll(dir)
 		if err != nil {
 			return err
 		}
-		line, _ := json.Marshal(g)
-		fmt.Fprintln(out, string(line))
-		sizes = append(sizes, g)
+		encoded, _ := json.Marshal(figures)
+		fmt.Fprintln(out, string(encoded))
+		sizes = append(sizes, figures)
 	}
-	return figures(out, struct {
-		Runs   int      `json:"runs"`
-		Broken int      `json:"broken"`
-		Seed   int      `json:"seed"`
-		Sizes  []growth `json:"sizes"`
+	return printFigures(out, struct {
+		Runs   int             `json:"runs"`
+		Broken int             `json:"broken"`
+		Seed   int             `json:"seed"`
+		Sizes  []growthFigures `json:"sizes"`
 	}{Runs: len(sizes), Sizes: sizes})
 }
 
-// grow writes n jobs as they are accepted and then as they end, 100 a write.
-func grow(path string, n int) (growth, error) {
-	g := growth{Jobs: n}
-	j, _, _, err := gateway.OpenJournal(path, "gate")
+// measureJournalGrowth writes the registers of all jobs to a journal, first as accepted and then as
+// ended, 100 in each write, and then measures the start of a gateway with that journal.
+func measureJournalGrowth(path string, jobs int) (growthFigures, error) {
+	figures := growthFigures{Jobs: jobs}
+	journal, _, _, err := gateway.OpenJournal(path, "gate")
 	if err != nil {
-		return g, err
+		return figures, err
 	}
-	store := gateway.JournalStore{Journal: j}
-	begun := time.Now()
-	for _, final := range []uint8{wire.Open, wire.Done} {
-		for i := 0; i < n; i += 100 {
+	store := gateway.JournalStore{Journal: journal}
+	startedAt := time.Now()
+	for _, outcome := range []uint8{wire.Open, wire.Done} {
+		for batchStart := 0; batchStart < jobs; batchStart += 100 {
 			var items []wire.Item
-			for k := i; k < min(n, i+100); k++ {
-				id := fmt.Sprintf("job-%09d", k)
-				it := wire.Item{Kind: wire.RegisterState, ID: id, HasRecord: true, Ballot: wire.Ballot{Number: uint64(k), Proposer: 256}, Accepted: wire.Ballot{Number: uint64(k), Proposer: 256},
-					Record: wire.Record{Epoch: 1, Owner: 2, CreatedMS: 1, Tasks: 1, Outcome: final}}
-				if final == wire.Open {
-					it.Record.Spec = submission(id, "red", 1, 1)
+			for job := batchStart; job < min(jobs, batchStart+100); job++ {
+				id := fmt.Sprintf("job-%09d", job)
+				item := wire.Item{Kind: wire.RegisterState, ID: id, HasRecord: true, Ballot: wire.Ballot{Number: uint64(job), Proposer: 256}, Accepted: wire.Ballot{Number: uint64(job), Proposer: 256},
+					Record: wire.Record{Epoch: 1, Owner: 2, CreatedMS: 1, Tasks: 1, Outcome: outcome}}
+				if outcome == wire.Open {
+					item.Record.Spec = jobSubmission(id, "red", 1, 1)
 				} else {
-					it.Committed, it.Record.FinishedBy = true, 2
+					item.Committed, item.Record.FinishedBy = true, 2
 				}
-				items = append(items, it)
+				items = append(items, item)
 			}
 			if err := store.Write(context.Background(), items); err != nil {
-				return g, err
+				return figures, err
 			}
 		}
 	}
-	g.Write, g.Journal = time.Since(begun).Seconds(), j.Size()
-	j.Close()
-	begun = time.Now()
-	j, items, start, err := gateway.OpenJournal(path, "gate")
+	figures.WriteSeconds, figures.JournalBytes = time.Since(startedAt).Seconds(), journal.Size()
+	journal.Close()
+	startedAt = time.Now()
+	journal, items, incarnation, err := gateway.OpenJournal(path, "gate")
 	if err != nil {
-		return g, err
+		return figures, err
 	}
-	defer j.Close()
+	defer journal.Close()
 	core := gateway.New(gateway.Config{Members: []gateway.Member{{Name: "gate"}, {Name: "quito", Site: true}, {Name: "xela", Site: true}}, LeaseTime: 8 * time.Second, StopTime: 17 * time.Second, MaxInFlight: 500},
-		start, items, 1, slog.New(slog.DiscardHandler), 0)
-	g.Start = time.Since(begun).Seconds()
+		incarnation, items, 1, slog.New(slog.DiscardHandler), 0)
+	figures.StartSeconds = time.Since(startedAt).Seconds()
 	items = nil
 	runtime.GC()
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	g.Heap = m.HeapAlloc
+	var memory runtime.MemStats
+	runtime.ReadMemStats(&memory)
+	figures.HeapBytes = memory.HeapAlloc
 	runtime.KeepAlive(core)
-	return g, nil
+	return figures, nil
 }
--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -1,8 +1,8 @@
-// Command lab runs proofs and measurements that anyone can repeat: it starts real
-// processes of this repository on loopback ports, causes failures from a seed,
-// compares what users were told with what machines ran and what the stores hold, and
-// ends everything that it started. The last line of its output is one JSON object.
-// It exits with 1 if anything was broken and with 2 for a wrong argument.
+// Command lab runs repeatable proofs and measurements. It starts real processes of this repository
+// on loopback ports, injects faults drawn from a seed, and compares the answers to users with what
+// machines ran and what the stores contain. It ends every process that it started. The last line of
+// its output is one JSON object. The exit status is 1 if a proof found a violation or a run failed,
+// and 2 for an invalid argument or any other error.
 package main
 
 import (
@@ -15,7 +15,8 @@
 	"github.com/spf13/cobra"
 )
 
-// errUsage marks mistakes on the command line; errBroken a proof that failed.
+// errUsage marks invalid arguments. errBroken marks a proof that found a violation or in which a run
+// failed.
 var (
 	errUsage  = errors.New("usage")
 	errBroken = errors.New("broken")
@@ -24,7 +25,7 @@
 func main() {
 	root := &cobra.Command{Use: "lab", Short: "Proofs and measurements with real processes on loopback", SilenceErrors: true, SilenceUsage: true}
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return fmt.Errorf("%w: %v", errUsage, err) })
-	root.AddCommand(gatewayProof(), gatewayLoad(), gatewayGrowth(), ticketsProof(), ticketsLoad(), whyProof(), reportProof(), startProof(), standbyProof())
+	root.AddCommand(gatewayProofCommand(), gatewayLoadCommand(), gatewayGrowthCommand(), ticketsProofCommand(), ticketsLoadCommand(), whyProofCommand(), reportProofCommand(), startProofCommand(), standbyProofCommand())
 	err := root.Execute()
 	if err != nil && !errors.Is(err, errBroken) {
 		fmt.Fprintln(os.Stderr, err)
@@ -38,9 +39,9 @@
 	}
 }
 
-// figures prints the last line.
-func figures(out io.Writer, v any) error {
-	data, err := json.Marshal(v)
+// printFigures prints the last line of the output, one JSON object.
+func printFigures(out io.Writer, value any) error {
+	data, err := json.Marshal(value)
 	if err != nil {
 		return err
 	}
@@ -48,10 +49,10 @@
 	return err
 }
 
-// between refuses an argument out of its bounds.
-func between(name string, v, least, most int) error {
-	if v < least || v > most {
-		return fmt.Errorf("%w: --%s %d is not within %d to %d", errUsage, name, v, least, most)
+// checkRange returns an error if an argument is out of its bounds.
+func checkRange(name string, value, minimum, maximum int) error {
+	if value < minimum || value > maximum {
+		return fmt.Errorf("%w: --%s %d is not within %d to %d", errUsage, name, value, minimum, maximum)
 	}
 	return nil
 }
--- a/cmd/lab/proof.go
+++ b/cmd/lab/proof.go
@@ -28,272 +28,281 @@
 	"dapplestage.example/dapplestage/internal/storage/segments"
 )
 
-// runResult is what one run showed.
-type runResult struct {
-	accepted, refusals      int
-	lost, doubled, ranTwice []string
-	unanswered, untrue      []string
-	lateCancels             []string
-	stores                  []string
-	handoffs, drains        []time.Duration
-	crossed                 []time.Duration // handoffs of lost sites amid other trouble
-	moved                   int
-	err                     error
-}
-
-func (r *runResult) broken() []string {
-	return slices.Concat(r.lost, r.doubled, r.ranTwice, r.unanswered, r.untrue, r.lateCancels, r.stores)
-}
-
-func gatewayProof() *cobra.Command {
-	jobs, keep := 24, false
-	c := runsProof("gateway", "Kill, stop and cut sides of two sites and a gateway at random, and check every job", 10, 10, func(ctx context.Context, out io.Writer, o runOptions) error {
-		if err := between("jobs", jobs, 1, 500); err != nil {
+// gatewayRunResult holds the counts, violations and measured times of one run.
+type gatewayRunResult struct {
+	accepted, neverAccepted              int      // jobs
+	lost, contradictions, concurrentRuns []string // violations, one line each
+	unanswered, falseEnds                []string
+	lateCancels                          []string
+	storeMismatches                      []string
+	handoffs, drains                     []time.Duration // from the fault to the handoff of a job
+	overlappingHandoffs                  []time.Duration // handoffs of lost sites while another fault was active
+	movedJobs                            int
+	err                                  error
+}
+
+// violations returns all violations of the run.
+func (result *gatewayRunResult) violations() []string {
+	return slices.Concat(result.lost, result.contradictions, result.concurrentRuns, result.unanswered, result.falseEnds, result.lateCancels, result.storeMismatches)
+}
+
+// gatewayProofCommand returns the subcommand that checks jobs submitted to two sites and a gateway
+// while faults are injected.
+func gatewayProofCommand() *cobra.Command {
+	jobs, keepFiles := 24, false
+	command := newProofCommand("gateway", "Kill, suspend and partition two sites and a gateway at random, and check every job", 10, 10, func(ctx context.Context, out io.Writer, options runOptions) error {
+		if err := checkRange("jobs", jobs, 1, 500); err != nil {
 			return err
 		}
-		o.keep = keep
-		return proveGateway(ctx, out, o, jobs)
+		options.keepFiles = keepFiles
+		return proveGateway(ctx, out, options, jobs)
 	})
-	c.Flags().IntVar(&jobs, "jobs", jobs, "jobs of a run")
-	c.Flags().BoolVar(&keep, "keep", keep, "keep the files of all runs, not only of broken ones")
-	return c
+	command.Flags().IntVar(&jobs, "jobs", jobs, "jobs in a run")
+	command.Flags().BoolVar(&keepFiles, "keep", keepFiles, "keep the files of all runs, not only of those with violations")
+	return command
 }
 
-// gatewayFigures are the figures of all runs.
+// gatewayFigures is the last output line of the gateway proof: the figures of all runs.
 type gatewayFigures struct {
 	runTotals
-	Accepted   int     `json:"accepted"`
-	Lost       int     `json:"lost"`
-	Doubled    int     `json:"doubled"`
-	RanTwice   int     `json:"ran_at_both"`
-	Unanswered int     `json:"unanswered"`
-	Untrue     int     `json:"untrue_done"`
-	Late       int     `json:"late_cancels"`
-	Stores     int     `json:"stores_differ"`
-	Moved      int     `json:"moved"`
-	Handoffs   int64   `json:"handoffs"`
-	Median     float64 `json:"handoff_median_s"`
-	P99        float64 `json:"handoff_p99_s"`
-	Max        float64 `json:"handoff_max_s"`
-	Bound      float64 `json:"handoff_bound_s"`
-	Crossed    int64   `json:"handoffs_amid_others"`
-	CrossMax   float64 `json:"handoff_amid_others_max_s"`
-	Drains     int64   `json:"drain_handoffs"`
-	DrainMed   float64 `json:"drain_median_s"`
-	DrainP99   float64 `json:"drain_p99_s"`
-}
-
-// add counts what a run that came to its end showed.
-func (s *gatewayFigures) add(r *runResult) {
-	s.Accepted += r.accepted
-	s.Lost += len(r.lost)
-	s.Doubled += len(r.doubled)
-	s.RanTwice += len(r.ranTwice)
-	s.Unanswered += len(r.unanswered)
-	s.Untrue += len(r.untrue)
-	s.Late += len(r.lateCancels)
-	s.Stores += len(r.stores)
-	s.Moved += r.moved
-}
-
-func proveGateway(ctx context.Context, out io.Writer, o runOptions, jobs int) error {
-	handoffs, drains, crossed := newLatencies(), newLatencies(), newLatencies()
-	sum := gatewayFigures{Bound: gateway.HandoffBound(memberTimes(quick)).Seconds()}
-	totals, err := o.each(ctx, out, "gateway", func(bin, dir string, seed uint64) (func(), runOutcome) {
-		r := oneRun(ctx, bin, dir, seed, jobs)
-		text := fmt.Sprintf("%d jobs accepted, %d moved to the other site, %d handoffs of a lost site, %d of a drained one", r.accepted, r.moved, len(r.handoffs)+len(r.crossed), len(r.drains))
+	Accepted            int     `json:"accepted"`
+	Lost                int     `json:"lost"`
+	Contradictions      int     `json:"doubled"`
+	ConcurrentRuns      int     `json:"ran_at_both"`
+	Unanswered          int     `json:"unanswered"`
+	FalseEnds           int     `json:"untrue_done"`
+	LateCancels         int     `json:"late_cancels"`
+	StoreMismatches     int     `json:"stores_differ"`
+	MovedJobs           int     `json:"moved"`
+	Handoffs            int64   `json:"handoffs"`
+	HandoffMedian       float64 `json:"handoff_median_s"`
+	HandoffP99          float64 `json:"handoff_p99_s"`
+	HandoffMax          float64 `json:"handoff_max_s"`
+	HandoffLimit        float64 `json:"handoff_bound_s"`
+	OverlappingHandoffs int64   `json:"handoffs_amid_others"`
+	OverlappingMax      float64 `json:"handoff_amid_others_max_s"`
+	Drains              int64   `json:"drain_handoffs"`
+	DrainMedian         float64 `json:"drain_median_s"`
+	DrainP99            float64 `json:"drain_p99_s"`
+}
+
+// record adds the counts of a completed run.
+func (f *gatewayFigures) record(run *gatewayRunResult) {
+	f.Accepted += run.accepted
+	f.Lost += len(run.lost)
+	f.Contradictions += len(run.contradictions)
+	f.ConcurrentRuns += len(run.concurrentRuns)
+	f.Unanswered += len(run.unanswered)
+	f.FalseEnds += len(run.falseEnds)
+	f.LateCancels += len(run.lateCancels)
+	f.StoreMismatches += len(run.storeMismatches)
+	f.MovedJobs += run.movedJobs
+}
+
+// proveGateway executes the runs and prints their figures.
+func proveGateway(ctx context.Context, out io.Writer, options runOptions, jobs int) error {
+	handoffs, drains, overlappingHandoffs := newLatencies(), newLatencies(), newLatencies()
+	total := gatewayFigures{HandoffLimit: gateway.HandoffBound(gatewayConfig(gatewayTimes)).Seconds()}
+	totals, err := options.executeRuns(ctx, out, "gateway", func(bin, dir string, seed uint64) (func(), runOutcome) {
+		result := executeGatewayRun(ctx, bin, dir, seed, jobs)
+		summary := fmt.Sprintf("%d jobs accepted, %d moved to the other site, %d handoffs of a lost site, %d of a drained one", result.accepted, result.movedJobs, len(result.handoffs)+len(result.overlappingHandoffs), len(result.drains))
 		return func() {
-			if r.err != nil {
+			if result.err != nil {
 				return
 			}
-			sum.add(r)
-			handoffs.add(r.handoffs...)
-			crossed.add(r.crossed...)
-			drains.add(r.drains...)
-		}, runOutcome{text, r.broken(), r.err}
+			total.record(result)
+			handoffs.record(result.handoffs...)
+			overlappingHandoffs.record(result.overlappingHandoffs...)
+			drains.record(result.drains...)
+		}, runOutcome{summary, result.violations(), result.err}
 	})
 	if err != nil {
 		return err
 	}
-	sum.runTotals = totals
-	sum.Handoffs, sum.Median, sum.P99, sum.Max = handoffs.count(), handoffs.seconds(50), handoffs.seconds(99), handoffs.maxSeconds()
-	sum.Crossed, sum.CrossMax = crossed.count(), crossed.maxSeconds()
-	sum.Drains, sum.DrainMed, sum.DrainP99 = drains.count(), drains.seconds(50), drains.seconds(99)
-	if err := figures(out, sum); err != nil {
+	total.runTotals = totals
+	total.Handoffs, total.HandoffMedian, total.HandoffP99, total.HandoffMax = handoffs.count(), handoffs.quantileSeconds(50), handoffs.quantileSeconds(99), handoffs.maxSeconds()
+	total.OverlappingHandoffs, total.OverlappingMax = overlappingHandoffs.count(), overlappingHandoffs.maxSeconds()
+	total.Drains, total.DrainMedian, total.DrainP99 = drains.count(), drains.quantileSeconds(50), drains.quantileSeconds(99)
+	if err := printFigures(out, total); err != nil {
 		return err
 	}
-	return sum.err()
+	return total.err()
 }
 
-func memberTimes(t times) gateway.Config {
-	second := func(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
-	return gateway.Config{Members: make([]gateway.Member, 3), LeaseTime: second(t.lease), StopTime: gateway.StopBound(second(t.controllers), second(t.workersLease))}
+// gatewayConfig returns the settings of a gateway member that its handoff bound depends on.
+func gatewayConfig(timing times) gateway.Config {
+	seconds := func(value float64) time.Duration { return time.Duration(value * float64(time.Second)) }
+	return gateway.Config{Members: make([]gateway.Member, 3), LeaseTime: seconds(timing.siteLease), StopTime: gateway.StopBound(seconds(timing.controllerLease), seconds(timing.workerLease))}
 }
 
-// told is one answer that a user got.
-type told struct {
-	at, asked time.Time
-	kind      string
-	code      int
-	state     string
-	from      string
+// userAnswer is a member's answer to one request of a user.
+type userAnswer struct {
+	receivedAt, sentAt time.Time
+	request            string // submit, poll or cancel
+	status             int    // of HTTP
+	jobState           string
+	answeredBy         string // name of the member
 }
 
-// user is one job's user and its own log.
+// user is a simulated user with one job, and the answers that it received.
 type user struct {
-	id       string
-	body     []byte
-	tasks    int
-	cancelAt time.Duration
-	mu       sync.Mutex
-	log      []told
-	over     atomic.Bool
-}
-
-// oneRun plays one seed.
-func oneRun(ctx context.Context, bin, dir string, seed uint64, jobs int) *runResult {
-	r := &runResult{}
-	w, err := launch(ctx, bin, dir, quick, 12)
+	id          string
+	body        []byte
+	tasks       int
+	cancelAfter time.Duration // from the acceptance of the job to the cancellation; 0: never cancels
+	mu          sync.Mutex
+	answers     []userAnswer
+	ended       atomic.Bool // got a final answer, or gave up submitting
+}
+
+// executeGatewayRun starts a deployment, runs users while faults are injected from the seed, and
+// checks the answers, task runs and stores afterwards.
+func executeGatewayRun(ctx context.Context, bin, dir string, seed uint64, jobs int) *gatewayRunResult {
+	result := &gatewayRunResult{}
+	d, err := startDeployment(ctx, bin, dir, gatewayTimes, 12)
 	if err != nil {
-		r.err = err
-		return r
+		result.err = err
+		return result
 	}
-	defer w.end()
+	defer d.end()
 	rng := rand.New(rand.NewPCG(seed, 5))
 	usersCtx, stopUsers := context.WithCancel(ctx)
 	defer stopUsers()
-	users, gone := w.beginUsers(usersCtx, rng, seed, jobs)
-	faults := w.troubles(ctx, rng)
-	awaitAnswers(ctx, users)
-	// Every user asks every member once more.
+	users, usersDone := d.startUsers(usersCtx, rng, seed, jobs)
+	faults := d.injectFaults(ctx, rng)
+	awaitFinalAnswers(ctx, users)
+	// At the end every user polls every member, so that the answers of all members are checked.
 	for _, u := range users {
-		for _, m := range w.members {
-			u.ask(usersCtx, w, "poll", m)
+		for _, member := range d.members {
+			u.send(usersCtx, d, "poll", member)
 		}
 	}
 	stopUsers()
-	gone.Wait()
+	usersDone.Wait()
 	if ctx.Err() != nil {
-		r.err = ctx.Err()
-		return r
-	}
-	runs := w.readEvents()
-	w.checkUsers(r, users, runs)
-	w.checkRuns(r, users, runs)
-	w.checkHandoffs(r, faults)
-	w.checkStores(ctx, r, users)
+		result.err = ctx.Err()
+		return result
+	}
+	taskRuns := d.readTaskRuns()
+	d.checkUsers(result, users, taskRuns)
+	d.checkConcurrentRuns(result, users, taskRuns)
+	d.measureHandoffs(result, faults)
+	d.checkStores(ctx, result, users)
 	writeUsersLog(filepath.Join(dir, "users.log"), users, faults)
-	return r
+	return result
 }
 
-// beginUsers lets users come over some seconds, each with a job of its own. gone is done when
-// all have left.
-func (w *world) beginUsers(ctx context.Context, rng *rand.Rand, seed uint64, jobs int) (users []*user, gone *sync.WaitGroup) {
-	gone = &sync.WaitGroup{}
+// startUsers starts users at random times within 16 s, each with its own job. usersDone is done
+// when all users have returned.
+func (d *deployment) startUsers(ctx context.Context, rng *rand.Rand, seed uint64, jobs int) (users []*user, usersDone *sync.WaitGroup) {
+	usersDone = &sync.WaitGroup{}
 	for i := range jobs {
 		u := &user{id: fmt.Sprintf("job-%d%04d", seed, i), tasks: 1 + rng.IntN(3)}
-		u.body = submission(u.id, []string{"red", "blue"}[rng.IntN(2)], u.tasks, 0.5+rng.Float64()*5)
+		u.body = jobSubmission(u.id, []string{"red", "blue"}[rng.IntN(2)], u.tasks, 0.5+rng.Float64()*5)
 		if rng.IntN(5) == 0 {
-			u.cancelAt = span(rng, 500*time.Millisecond, 10*time.Second)
+			u.cancelAfter = randomDuration(rng, 500*time.Millisecond, 10*time.Second)
 		}
 		users = append(users, u)
-		wait, useed := span(rng, 0, 16*time.Second), rng.Uint64()
-		gone.Go(func() { w.live(ctx, u, wait, rand.New(rand.NewPCG(useed, 3))) })
+		startDelay, userSeed := randomDuration(rng, 0, 16*time.Second), rng.Uint64()
+		usersDone.Go(func() { d.runUser(ctx, u, startDelay, rand.New(rand.NewPCG(userSeed, 3))) })
 	}
-	return users, gone
+	return users, usersDone
 }
 
-// awaitAnswers waits until all users have a final answer, or a minute.
-func awaitAnswers(ctx context.Context, users []*user) {
+// awaitFinalAnswers waits until all users have a final answer or have given up, for at most a minute.
+func awaitFinalAnswers(ctx context.Context, users []*user) {
 	for deadline := time.Now().Add(60 * time.Second); time.Now().Before(deadline) && ctx.Err() == nil; time.Sleep(200 * time.Millisecond) {
-		if !slices.ContainsFunc(users, func(u *user) bool { return !u.over.Load() }) {
+		if !slices.ContainsFunc(users, func(u *user) bool { return !u.ended.Load() }) {
 			return
 		}
 	}
 }
 
-// writeUsersLog writes down what users were told and what was done to the world.
-func writeUsersLog(path string, users []*user, faults []fault) {
-	f, err := os.Create(path)
+// writeUsersLog writes the answers of all users and the injected faults to a file.
+func writeUsersLog(path string, users []*user, faults []injectedFault) {
+	file, err := os.Create(path)
 	if err != nil {
 		return
 	}
-	defer f.Close()
+	defer file.Close()
 	for _, u := range users {
-		for _, t := range u.log {
-			fmt.Fprintf(f, "%s %s %s at %s: %d %s\n", t.at.Format("15:04:05.000"), u.id, t.kind, t.from, t.code, t.state)
+		for _, answer := range u.answers {
+			fmt.Fprintf(file, "%s %s %s at %s: %d %s\n", answer.receivedAt.Format("15:04:05.000"), u.id, answer.request, answer.answeredBy, answer.status, answer.jobState)
 		}
 	}
-	for _, x := range faults {
-		fmt.Fprintf(f, "%s fault %s of %s for %v\n", x.at.Format("15:04:05.000"), x.kind, x.where, x.long)
+	for _, fault := range faults {
+		fmt.Fprintf(file, "%s fault %s of %s for %v\n", fault.at.Format("15:04:05.000"), fault.kind, fault.target, fault.duration)
 	}
 }
 
-// ask makes one request and logs what the user was told.
-func (u *user) ask(ctx context.Context, w *world, kind, member string) told {
-	t := told{asked: time.Now(), kind: kind, from: member}
+// send sends one request to a member. An answer is recorded; a request without one returns
+// status 0 and is not.
+func (u *user) send(ctx context.Context, d *deployment, request, member string) userAnswer {
+	result := userAnswer{sentAt: time.Now(), request: request, answeredBy: member}
 	method, path, body := "GET", "/api/jobs/"+u.id, []byte(nil)
-	switch kind {
+	switch request {
 	case "submit":
 		method, path, body = "POST", "/api/jobs", u.body
 	case "cancel":
 		method, path = "POST", path+"/cancel"
 	}
-	code, data, _, err := w.call(ctx, method, w.apiOf[member], path, body)
-	t.at = time.Now()
+	status, data, _, err := d.call(ctx, method, d.apiAddrs[member], path, body)
+	result.receivedAt = time.Now()
 	if err != nil {
-		return t
+		return result
 	}
-	var s protocol.JobStatus
-	json.Unmarshal(data, &s)
-	t.code, t.state = code, s.Status
+	var job protocol.JobStatus
+	json.Unmarshal(data, &job)
+	result.status, result.jobState = status, job.Status
 	u.mu.Lock()
-	u.log = append(u.log, t)
+	u.answers = append(u.answers, result)
 	u.mu.Unlock()
-	return t
+	return result
 }
 
-// pause waits; false if ctx has ended meanwhile.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleepContext sleeps for a duration. It returns false if ctx ended first.
+func sleepContext(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(d):
+	case <-time.After(duration):
 		return true
 	}
 }
 
-// live is a user: it uploads the job's files, submits until the job is accepted,
-// and asks until it is over, each time at any member.
-func (w *world) live(ctx context.Context, u *user, wait time.Duration, rng *rand.Rand) {
-	if !pause(ctx, wait) || !w.upload(ctx, u) || !w.submit(ctx, u, rng) {
+// runUser runs a user: it uploads the job's description, submits the job until it is accepted, and
+// polls or cancels it until ctx ends. Each request goes to a random member. After the final answer
+// it polls less often, to check that the answer does not change.
+func (d *deployment) runUser(ctx context.Context, u *user, startDelay time.Duration, rng *rand.Rand) {
+	if !sleepContext(ctx, startDelay) || !d.upload(ctx, u) || !d.submit(ctx, u, rng) {
 		return
 	}
-	accepted := time.Now()
+	acceptedAt := time.Now()
 	for {
-		kind := "poll"
-		if u.cancelAt > 0 && time.Since(accepted) > u.cancelAt {
-			kind = "cancel"
+		request := "poll"
+		if u.cancelAfter > 0 && time.Since(acceptedAt) > u.cancelAfter {
+			request = "cancel"
 		}
-		least, most := 300*time.Millisecond, 900*time.Millisecond
-		if t := u.ask(ctx, w, kind, w.anyMember(rng)); t.code == 200 && (t.state == protocol.JobDone || t.state == protocol.JobCancelled) {
-			u.over.Store(true)
-			least, most = 2*time.Second, 4*time.Second
+		minPause, maxPause := 300*time.Millisecond, 900*time.Millisecond
+		if answer := u.send(ctx, d, request, d.randomMember(rng)); answer.status == 200 && (answer.jobState == protocol.JobDone || answer.jobState == protocol.JobCancelled) {
+			u.ended.Store(true)
+			minPause, maxPause = 2*time.Second, 4*time.Second
 		}
-		if !pause(ctx, span(rng, least, most)) {
+		if !sleepContext(ctx, randomDuration(rng, minPause, maxPause)) {
 			return
 		}
 	}
 }
 
-func (w *world) anyMember(rng *rand.Rand) string { return w.members[rng.IntN(len(w.members))] }
+// randomMember returns the name of a random member.
+func (d *deployment) randomMember(rng *rand.Rand) string { return d.members[rng.IntN(len(d.members))] }
 
-// upload gives both sites' workers the description of a user's job.
-func (w *world) upload(ctx context.Context, u *user) bool {
-	for _, s := range w.sites {
-		for code := 0; code != 200; {
+// upload sends the description of a user's job to the workers of both sites.
+func (d *deployment) upload(ctx context.Context, u *user) bool {
+	for _, site := range d.sites {
+		for status := 0; status != 200; {
 			var err error
-			if code, _, _, err = w.call(ctx, "POST", s.cloudAddr, "/upload", u.body); err != nil && !pause(ctx, 500*time.Millisecond) {
+			if status, _, _, err = d.call(ctx, "POST", site.cloudAddr, "/upload", u.body); err != nil && !sleepContext(ctx, 500*time.Millisecond) {
 				return false
 			}
 		}
@@ -301,80 +310,84 @@
 	return true
 }
 
-// submit submits until the job is accepted. After a minute the user takes it for turned
-// away for good: nothing was promised.
-func (w *world) submit(ctx context.Context, u *user, rng *rand.Rand) bool {
-	for begun := time.Now(); ; {
-		if t := u.ask(ctx, w, "submit", w.anyMember(rng)); t.code == 200 || t.code == 201 {
+// submit retries the submission until the job is accepted, for a minute. It returns false if the
+// job was not accepted; such a job is not checked, since no member has committed to it.
+func (d *deployment) submit(ctx context.Context, u *user, rng *rand.Rand) bool {
+	for startedAt := time.Now(); ; {
+		if answer := u.send(ctx, d, "submit", d.randomMember(rng)); answer.status == 200 || answer.status == 201 {
 			return true
 		}
-		if !pause(ctx, span(rng, 500*time.Millisecond, 1500*time.Millisecond)) {
+		if !sleepContext(ctx, randomDuration(rng, 500*time.Millisecond, 1500*time.Millisecond)) {
 			return false
 		}
-		if time.Since(begun) > 60*time.Second {
-			u.over.Store(true)
+		if time.Since(startedAt) > 60*time.Second {
+			u.ended.Store(true)
 			return false
 		}
 	}
 }
 
-// fault is one thing done to the world.
-type fault struct {
-	kind, where string
-	at          time.Time
-	long        time.Duration
-	loses       string // the site that is lost by it, if it is for long enough
-	drained     string
+// injectedFault is one injected fault.
+type injectedFault struct {
+	kind, target string
+	at           time.Time
+	duration     time.Duration
+	lostSite     string // the site that is lost if the fault lasts long enough
+	drainedSite  string // the site that is drained
 }
 
-// troubles does bad things for some 20 s, the second often in the middle of the
-// handoff that the first caused, and heals everything.
-func (w *world) troubles(ctx context.Context, rng *rand.Rand) []fault {
-	var out []fault
+// injectFaults injects two or three faults within some 20 s and heals them all. The second fault
+// often occurs during the handoff that the first one caused.
+func (d *deployment) injectFaults(ctx context.Context, rng *rand.Rand) []injectedFault {
+	var faults []injectedFault
 	var healed sync.WaitGroup
-	sleep := func(d time.Duration) {
+	sleep := func(pause time.Duration) {
 		select {
-		case <-time.After(d):
+		case <-time.After(pause):
 		case <-ctx.Done():
 		}
 	}
-	sleep(span(rng, 2*time.Second, 6*time.Second))
+	sleep(randomDuration(rng, 2*time.Second, 6*time.Second))
 	for range 2 + rng.IntN(2) {
-		s := w.sites[rng.IntN(2)]
-		f := fault{at: time.Now(), where: s.name, long: span(rng, 2*time.Second, 18*time.Second)}
-		cause := troubles[rng.IntN(len(troubles))]
-		heal := cause(ctx, w, s, rng, &f)
-		long := f.long
+		site := d.sites[rng.IntN(2)]
+		f := injectedFault{at: time.Now(), target: site.name, duration: randomDuration(rng, 2*time.Second, 18*time.Second)}
+		inject := faultInjectors[rng.IntN(len(faultInjectors))]
+		heal := inject(ctx, d, site, rng, &f)
+		duration := f.duration
 		healed.Go(func() {
-			sleep(long)
+			sleep(duration)
 			heal()
 		})
-		out = append(out, f)
-		sleep(span(rng, 1*time.Second, 11*time.Second))
+		faults = append(faults, f)
+		sleep(randomDuration(rng, 1*time.Second, 11*time.Second))
 	}
 	healed.Wait()
-	return out
+	return faults
 }
 
-// trouble does something to a site, or to the world, and says what in f; heal undoes it.
-type trouble func(ctx context.Context, w *world, s *site, rng *rand.Rand, f *fault) (heal func())
+// faultInjector injects a fault at a site or in the whole deployment and records it in f. heal
+// ends the fault.
+type faultInjector func(ctx context.Context, d *deployment, s *memberSite, rng *rand.Rand, f *injectedFault) (heal func())
 
-// troubles are all there are; a seed's meaning depends on their order.
-var troubles = []trouble{killGateway, killDaemon, killControllers, stopState, stopDaemon, cutLink, cutSite, stopSite, drainSite}
+// faultInjectors lists all fault injectors. A seed selects by index, so the order must not change.
+var faultInjectors = []faultInjector{killGateway, killDaemon, killControllers, suspendStateService, suspendDaemon, cutLink, isolateSite, suspendSite, drainSite}
 
-func killGateway(_ context.Context, w *world, _ *site, _ *rand.Rand, f *fault) func() {
-	f.kind, f.where = "gateway killed", "gate"
-	w.gateway.kill()
-	return func() { w.gateway.start() }
+// killGateway kills the gateway and starts it again.
+func killGateway(_ context.Context, d *deployment, _ *memberSite, _ *rand.Rand, f *injectedFault) func() {
+	f.kind, f.target = "gateway killed", "gate"
+	d.gateway.kill()
+	return func() { d.gateway.start() }
 }
 
-func killDaemon(_ context.Context, _ *world, s *site, _ *rand.Rand, f *fault) func() {
-	f.kind, f.loses = "daemon killed", s.name
+// killDaemon kills a site daemon and starts it again.
+func killDaemon(_ context.Context, _ *deployment, s *memberSite, _ *rand.Rand, f *injectedFault) func() {
+	f.kind, f.lostSite = "daemon killed", s.name
 	s.daemon.kill()
 	return func() { s.daemon.start() }
 }
 
-func killControllers(_ context.Context, _ *world, s *site, _ *rand.Rand, f *fault) func() {
+// killControllers kills the controllers of a site and starts them again.
+func killControllers(_ context.Context, _ *deployment, s *memberSite, _ *rand.Rand, f *injectedFault) func() {
 	f.kind = "controllers killed"
 	for _, c := range s.controllers {
 		c.kill()
@@ -386,76 +399,83 @@
 	}
 }
 
-func stopState(_ context.Context, _ *world, s *site, _ *rand.Rand, f *fault) func() {
-	f.kind = "state service stands still"
-	return stopAll(s.state)
+// suspendStateService suspends the state service of a site.
+func suspendStateService(_ context.Context, _ *deployment, s *memberSite, _ *rand.Rand, f *injectedFault) func() {
+	f.kind = "state service suspended"
+	return suspendAll(s.state)
 }
 
-func stopDaemon(_ context.Context, _ *world, s *site, _ *rand.Rand, f *fault) func() {
-	f.kind, f.loses = "daemon stands still", s.name
-	return stopAll(s.daemon)
+// suspendDaemon suspends a site daemon.
+func suspendDaemon(_ context.Context, _ *deployment, s *memberSite, _ *rand.Rand, f *injectedFault) func() {
+	f.kind, f.lostSite = "daemon suspended", s.name
+	return suspendAll(s.daemon)
 }
 
-func stopSite(_ context.Context, _ *world, s *site, _ *rand.Rand, f *fault) func() {
-	f.kind, f.loses = "whole site stands still", s.name
-	return stopAll(append([]*process{s.state, s.cloud, s.daemon}, s.controllers...)...)
+// suspendSite suspends all processes of a site.
+func suspendSite(_ context.Context, _ *deployment, s *memberSite, _ *rand.Rand, f *injectedFault) func() {
+	f.kind, f.lostSite = "whole site suspended", s.name
+	return suspendAll(append([]*childProcess{s.state, s.cloud, s.daemon}, s.controllers...)...)
 }
 
-// stopAll makes processes stand still.
-func stopAll(all ...*process) (goOn func()) {
-	for _, p := range all {
+// suspendAll suspends processes with SIGSTOP; resume continues them.
+func suspendAll(processes ...*childProcess) (resume func()) {
+	for _, p := range processes {
 		p.signal(syscall.SIGSTOP)
 	}
 	return func() {
-		for _, p := range all {
+		for _, p := range processes {
 			p.signal(syscall.SIGCONT)
 		}
 	}
 }
 
-func cutLink(_ context.Context, w *world, _ *site, rng *rand.Rand, f *fault) func() {
-	a, b := w.members[rng.IntN(3)], w.members[rng.IntN(3)]
-	if a == b {
-		b = w.members[(slices.Index(w.members, a)+1)%3]
+// cutLink cuts the link between two random members, in one direction or both.
+func cutLink(_ context.Context, d *deployment, _ *memberSite, rng *rand.Rand, f *injectedFault) func() {
+	from, to := d.members[rng.IntN(3)], d.members[rng.IntN(3)]
+	if from == to {
+		to = d.members[(slices.Index(d.members, from)+1)%3]
 	}
-	both, reset := rng.IntN(2) == 0, rng.IntN(2) == 0
-	f.kind, f.where = fmt.Sprintf("link cut (both ways %v)", both), a+" to "+b
-	links := []*link{w.links[[2]string{a, b}]}
-	if both {
-		links = append(links, w.links[[2]string{b, a}])
+	bothWays, dropHeld := rng.IntN(2) == 0, rng.IntN(2) == 0
+	f.kind, f.target = fmt.Sprintf("link cut (both ways %v)", bothWays), from+" to "+to
+	links := []*link{d.links[[2]string{from, to}]}
+	if bothWays {
+		links = append(links, d.links[[2]string{to, from}])
 	}
-	return cutAll(links, reset)
+	return cutLinks(links, dropHeld)
 }
 
-func cutSite(_ context.Context, w *world, s *site, _ *rand.Rand, f *fault) func() {
-	f.kind, f.loses = "site cut off", s.name
+// isolateSite cuts all links from and to a site.
+func isolateSite(_ context.Context, d *deployment, s *memberSite, _ *rand.Rand, f *injectedFault) func() {
+	f.kind, f.lostSite = "site cut off", s.name
 	var links []*link
-	for ends, l := range w.links {
+	for ends, l := range d.links {
 		if ends[0] == s.name || ends[1] == s.name {
 			links = append(links, l)
 		}
 	}
-	return cutAll(links, false)
+	return cutLinks(links, false)
 }
 
-// cutAll cuts links. When they are healed, with reset what was held on them is dropped.
-func cutAll(links []*link, reset bool) (heal func()) {
+// cutLinks cuts links. With dropHeld, healing them closes their connections, which drops the bytes
+// held back meanwhile.
+func cutLinks(links []*link, dropHeld bool) (heal func()) {
 	for _, l := range links {
-		l.set(true, false)
+		l.setCut(true, false)
 	}
 	return func() {
 		for _, l := range links {
-			l.set(false, reset)
+			l.setCut(false, dropHeld)
 		}
 	}
 }
 
-func drainSite(ctx context.Context, w *world, s *site, _ *rand.Rand, f *fault) func() {
-	f.kind, f.drained = "site drained", s.name
-	w.call(ctx, "PUT", s.api, "/admin/gateway/drained", []byte(`{"on":true}`))
+// drainSite drains a site and ends the drain again, with up to 40 attempts.
+func drainSite(ctx context.Context, d *deployment, s *memberSite, _ *rand.Rand, f *injectedFault) func() {
+	f.kind, f.drainedSite = "site drained", s.name
+	d.call(ctx, "PUT", s.daemonAPI, "/admin/gateway/drained", []byte(`{"on":true}`))
 	return func() {
 		for range 40 {
-			if code, _, _, _ := w.call(ctx, "PUT", s.api, "/admin/gateway/drained", []byte(`{"on":false}`)); code == 200 || ctx.Err() != nil {
+			if status, _, _, _ := d.call(ctx, "PUT", s.daemonAPI, "/admin/gateway/drained", []byte(`{"on":false}`)); status == 200 || ctx.Err() != nil {
 				return
 			}
 			time.Sleep(300 * time.Millisecond)
@@ -463,283 +483,290 @@
 	}
 }
 
-// ran is one time that a task was on a machine.
-type ran struct {
+// taskRun is one execution of a task on a machine.
+type taskRun struct {
 	site, task, machine string
-	from, to            time.Time // to zero: it still is
-	done                bool
+	startedAt, endedAt  time.Time // endedAt is zero while it runs
+	completed           bool
 }
 
-// readEvents reads what the machines of both sites logged.
-func (w *world) readEvents() []ran {
-	var out []ran
-	for _, s := range w.sites {
-		f, err := os.Open(s.events)
+// readTaskRuns reads the task runs from the event logs of both sites' machines.
+func (d *deployment) readTaskRuns() []taskRun {
+	var runs []taskRun
+	for _, site := range d.sites {
+		file, err := os.Open(site.eventsPath)
 		if err != nil {
 			continue
 		}
-		on := map[string]int{}
-		for sc := bufio.NewScanner(f); sc.Scan(); {
-			var e struct {
+		running := map[string]int{}
+		for scanner := bufio.NewScanner(file); scanner.Scan(); {
+			var event struct {
 				At                   int64
 				Event, Task, Machine string
 			}
-			if json.Unmarshal(sc.Bytes(), &e) != nil {
+			if json.Unmarshal(scanner.Bytes(), &event) != nil {
 				continue
 			}
-			at, key := time.Unix(0, e.At), e.Task+" "+e.Machine
-			if e.Event == "start" {
-				on[key] = len(out)
-				out = append(out, ran{site: s.name, task: e.Task, machine: e.Machine, from: at})
-			} else if i, ok := on[key]; ok {
-				delete(on, key)
-				out[i].to, out[i].done = at, e.Event == "done"
+			eventTime, key := time.Unix(0, event.At), event.Task+" "+event.Machine
+			if event.Event == "start" {
+				running[key] = len(runs)
+				runs = append(runs, taskRun{site: site.name, task: event.Task, machine: event.Machine, startedAt: eventTime})
+			} else if runIndex, ok := running[key]; ok {
+				delete(running, key)
+				runs[runIndex].endedAt, runs[runIndex].completed = eventTime, event.Event == "done"
 			}
 		}
-		f.Close()
+		file.Close()
 	}
-	return out
+	return runs
 }
 
-func jobOf(task string) string { id, _, _ := strings.Cut(task, "/"); return id }
+// jobOfTask returns the id of the job that a task belongs to.
+func jobOfTask(task string) string { id, _, _ := strings.Cut(task, "/"); return id }
 
-// checkUsers holds what each user was told against all it had been told before it
-// asked, and against what machines completed.
-func (w *world) checkUsers(r *runResult, users []*user, runs []ran) {
-	done := completed(runs)
+// checkUsers checks the answers of each user against its earlier answers and against the tasks
+// that machines completed.
+func (d *deployment) checkUsers(result *gatewayRunResult, users []*user, runs []taskRun) {
+	completedByJob := completedTasks(runs)
 	for _, u := range users {
-		accepted, cancelled := u.accepted(), u.cancelled()
+		accepted, cancelled := u.acceptedAt(), u.cancelRequestedAt()
 		if accepted.IsZero() {
-			r.refusals++
+			result.neverAccepted++
 			continue
 		}
-		r.accepted++
-		final, at := u.checkAnswers(r, accepted)
+		result.accepted++
+		final, finalAt := u.checkAnswers(result, accepted)
 		switch {
 		case final == "":
-			r.unanswered = append(r.unanswered, u.id+" has no final answer")
-		case final == protocol.JobCancelled && (cancelled.IsZero() || cancelled.After(at)):
-			r.untrue = append(r.untrue, u.id+" is cancelled and nobody asked")
+			result.unanswered = append(result.unanswered, u.id+" has no final answer")
+		case final == protocol.JobCancelled && (cancelled.IsZero() || cancelled.After(finalAt)):
+			result.falseEnds = append(result.falseEnds, u.id+" is cancelled and nobody asked")
 		case final == protocol.JobDone:
-			u.checkDone(r, done[u.id], at)
+			u.checkDone(result, completedByJob[u.id], finalAt)
 		case final == protocol.JobCancelled:
-			u.checkCancelled(r, runs, at)
+			u.checkCancelled(result, runs, finalAt)
 		}
 	}
 }
 
-// completed are the tasks that machines completed, by job, and when each first was.
-func completed(runs []ran) map[string]map[string]time.Time {
-	done := map[string]map[string]time.Time{}
-	for _, x := range runs {
-		if !x.done {
+// completedTasks returns the tasks that machines completed, by job, with the time at which each
+// was first completed.
+func completedTasks(runs []taskRun) map[string]map[string]time.Time {
+	completed := map[string]map[string]time.Time{}
+	for _, run := range runs {
+		if !run.completed {
 			continue
 		}
-		job := jobOf(x.task)
-		if done[job] == nil {
-			done[job] = map[string]time.Time{}
+		jobID := jobOfTask(run.task)
+		if completed[jobID] == nil {
+			completed[jobID] = map[string]time.Time{}
 		}
-		if at, ok := done[job][x.task]; !ok || x.to.Before(at) {
-			done[job][x.task] = x.to
+		if at, ok := completed[jobID][run.task]; !ok || run.endedAt.Before(at) {
+			completed[jobID][run.task] = run.endedAt
 		}
 	}
-	return done
+	return completed
 }
 
-// accepted is when a user was first told that the job is accepted; zero: never.
-func (u *user) accepted() (at time.Time) {
-	for _, t := range u.log {
-		if (t.code == 200 || t.code == 201) && (at.IsZero() || t.at.Before(at)) {
-			at = t.at
+// acceptedAt returns when the user first received an answer that the job is accepted; zero if never.
+func (u *user) acceptedAt() (receivedAt time.Time) {
+	for _, answer := range u.answers {
+		if (answer.status == 200 || answer.status == 201) && (receivedAt.IsZero() || answer.receivedAt.Before(receivedAt)) {
+			receivedAt = answer.receivedAt
 		}
 	}
-	return at
+	return receivedAt
 }
 
-// cancelled is when a user first asked for the cancellation; zero: never.
-func (u *user) cancelled() (at time.Time) {
-	for _, t := range u.log {
-		if t.kind == "cancel" && (at.IsZero() || t.asked.Before(at)) {
-			at = t.asked
+// cancelRequestedAt returns when the user first requested the cancellation; zero if never.
+func (u *user) cancelRequestedAt() (at time.Time) {
+	for _, answer := range u.answers {
+		if answer.request == "cancel" && (at.IsZero() || answer.sentAt.Before(at)) {
+			at = answer.sentAt
 		}
 	}
 	return at
 }
 
-// checkAnswers finds answers that deny an accepted job or a final answer. It returns the
-// first final answer and when it came.
-func (u *user) checkAnswers(r *runResult, accepted time.Time) (final string, at time.Time) {
-	for _, t := range u.log {
+// checkAnswers reports answers that contradict the acceptance of a job or an earlier final answer.
+// It returns the first final answer and the time at which it was received.
+func (u *user) checkAnswers(result *gatewayRunResult, acceptedAt time.Time) (final string, finalAt time.Time) {
+	for _, answer := range u.answers {
 		switch {
-		case t.code == 404 && t.asked.After(accepted):
-			r.lost = append(r.lost, u.id+" was accepted and is unknown at "+t.from)
-		case (t.code == 400 || t.code == 422) && t.asked.After(accepted):
-			r.lost = append(r.lost, fmt.Sprintf("%s was accepted and gets %d at %s", u.id, t.code, t.from))
-		case t.code != 200:
+		case answer.status == 404 && answer.sentAt.After(acceptedAt):
+			result.lost = append(result.lost, u.id+" was accepted and is unknown at "+answer.answeredBy)
+		case (answer.status == 400 || answer.status == 422) && answer.sentAt.After(acceptedAt):
+			result.lost = append(result.lost, fmt.Sprintf("%s was accepted and gets %d at %s", u.id, answer.status, answer.answeredBy))
+		case answer.status != 200:
 			continue
 		}
-		isFinal := t.state == protocol.JobDone || t.state == protocol.JobCancelled
+		isFinal := answer.jobState == protocol.JobDone || answer.jobState == protocol.JobCancelled
 		switch {
-		case final != "" && isFinal && t.state != final, final != "" && !isFinal && t.asked.After(at):
-			r.doubled = append(r.doubled, fmt.Sprintf("%s was called %s and is called %s at %s", u.id, final, t.state, t.from))
+		case final != "" && isFinal && answer.jobState != final, final != "" && !isFinal && answer.sentAt.After(finalAt):
+			result.contradictions = append(result.contradictions, fmt.Sprintf("%s was called %s and is called %s at %s", u.id, final, answer.jobState, answer.answeredBy))
 		case final == "" && isFinal:
-			final, at = t.state, t.at
+			final, finalAt = answer.jobState, answer.receivedAt
 		}
 	}
-	return final, at
+	return final, finalAt
 }
 
-// checkDone holds a job that was called done to the tasks that machines completed.
-func (u *user) checkDone(r *runResult, done map[string]time.Time, finalAt time.Time) {
-	if len(done) < u.tasks {
-		r.untrue = append(r.untrue, fmt.Sprintf("%s is called done and %d of %d tasks were", u.id, len(done), u.tasks))
+// checkDone checks that machines had completed all tasks of a job when it was reported as done.
+func (u *user) checkDone(result *gatewayRunResult, completedAt map[string]time.Time, finalAt time.Time) {
+	if len(completedAt) < u.tasks {
+		result.falseEnds = append(result.falseEnds, fmt.Sprintf("%s is called done and %d of %d tasks were", u.id, len(completedAt), u.tasks))
 	}
-	for task, at := range done {
+	for task, at := range completedAt {
 		if at.After(finalAt) {
-			r.untrue = append(r.untrue, fmt.Sprintf("%s was called done before %s was", u.id, task))
+			result.falseEnds = append(result.falseEnds, fmt.Sprintf("%s was called done before %s was", u.id, task))
 		}
 	}
 }
 
-// checkCancelled finds tasks that ran too long after their job was called cancelled.
-func (u *user) checkCancelled(r *runResult, runs []ran, finalAt time.Time) {
-	most := finalAt.Add(time.Duration(quick.cancel * float64(time.Second)))
-	for _, x := range runs {
-		if jobOf(x.task) == u.id && (x.from.After(most) || !x.to.IsZero() && x.to.After(most)) {
-			r.lateCancels = append(r.lateCancels, fmt.Sprintf("%s ran at %s after it was called cancelled", x.task, x.site))
+// checkCancelled reports tasks that ran longer than the cancellation bound after their job was
+// reported as cancelled.
+func (u *user) checkCancelled(result *gatewayRunResult, runs []taskRun, finalAt time.Time) {
+	deadline := finalAt.Add(time.Duration(gatewayTimes.cancelBound * float64(time.Second)))
+	for _, run := range runs {
+		if jobOfTask(run.task) == u.id && (run.startedAt.After(deadline) || !run.endedAt.IsZero() && run.endedAt.After(deadline)) {
+			result.lateCancels = append(result.lateCancels, fmt.Sprintf("%s ran at %s after it was called cancelled", run.task, run.site))
 		}
 	}
 }
 
-// checkRuns finds tasks that were on two machines at once.
-func (w *world) checkRuns(r *runResult, users []*user, runs []ran) {
-	byTask := map[string][]ran{}
-	for _, x := range runs {
-		byTask[x.task] = append(byTask[x.task], x)
+// checkConcurrentRuns reports tasks that ran on two machines at once, and counts the jobs that ran
+// at both sites.
+func (d *deployment) checkConcurrentRuns(result *gatewayRunResult, users []*user, runs []taskRun) {
+	byTask := map[string][]taskRun{}
+	for _, run := range runs {
+		byTask[run.task] = append(byTask[run.task], run)
 	}
-	moved := map[string]bool{}
-	for task, xs := range byTask {
-		slices.SortFunc(xs, func(a, b ran) int { return a.from.Compare(b.from) })
-		for i := 1; i < len(xs); i++ {
-			a, b := xs[i-1], xs[i]
-			if a.to.IsZero() || a.to.After(b.from) {
-				r.ranTwice = append(r.ranTwice, fmt.Sprintf("%s is on %s of %s and starts on %s of %s", task, a.machine, a.site, b.machine, b.site))
+	movedJobs := map[string]bool{}
+	for task, taskRuns := range byTask {
+		slices.SortFunc(taskRuns, func(previous, next taskRun) int { return previous.startedAt.Compare(next.startedAt) })
+		for i := 1; i < len(taskRuns); i++ {
+			previous, next := taskRuns[i-1], taskRuns[i]
+			if previous.endedAt.IsZero() || previous.endedAt.After(next.startedAt) {
+				result.concurrentRuns = append(result.concurrentRuns, fmt.Sprintf("%s is on %s of %s and starts on %s of %s", task, previous.machine, previous.site, next.machine, next.site))
 			}
-			if a.site != b.site {
-				moved[jobOf(task)] = true
+			if previous.site != next.site {
+				movedJobs[jobOfTask(task)] = true
 			}
 		}
 	}
-	r.moved = len(moved)
+	result.movedJobs = len(movedJobs)
 }
 
-var handedOver = regexp.MustCompile(`time=(\S+) .*msg="job handed over".* from=(\S+) to=\S+ epoch=\d+ proved=(\S+)`)
+// handoffLogLine matches the log line of a member that took a job over from another site.
+var handoffLogLine = regexp.MustCompile(`time=(\S+) .*msg="job handed over".* from=(\S+) to=\S+ epoch=\d+ proved=(\S+)`)
 
-// checkHandoffs measures how long after a site was lost, or asked to be drained, its
-// jobs had another one.
-func (w *world) checkHandoffs(r *runResult, faults []fault) {
-	for _, m := range w.members {
-		data, err := os.ReadFile(w.member(m).log)
+// measureHandoffs measures the time from the loss or the drain of a site to the handoff of each of
+// its jobs to another site.
+func (d *deployment) measureHandoffs(result *gatewayRunResult, faults []injectedFault) {
+	for _, name := range d.members {
+		logText, err := os.ReadFile(d.member(name).logPath)
 		if err != nil {
 			continue
 		}
-		for _, line := range strings.Split(string(data), "\n") {
-			g := handedOver.FindStringSubmatch(line)
-			if g == nil {
+		for _, line := range strings.Split(string(logText), "\n") {
+			match := handoffLogLine.FindStringSubmatch(line)
+			if match == nil {
 				continue
 			}
-			at, err := time.Parse(time.RFC3339Nano, g[1])
+			handoffAt, err := time.Parse(time.RFC3339Nano, match[1])
 			if err != nil {
 				continue
 			}
-			proved, _ := strconv.ParseBool(g[3])
-			// The first of the faults that together kept the site away until then.
-			var since time.Time
+			stopConfirmed, _ := strconv.ParseBool(match[3])
+			// Several faults in a row may have kept the site unavailable until the handoff: the time
+			// counts from the first of them.
+			var lostAt time.Time
 			for i := len(faults) - 1; i >= 0; i-- {
-				f := faults[i]
-				if f.at.Before(at) && (proved && f.drained == g[2] || !proved && f.loses == g[2]) && (since.IsZero() || f.at.Add(f.long).After(since)) {
-					since = f.at
+				fault := faults[i]
+				if fault.at.Before(handoffAt) && (stopConfirmed && fault.drainedSite == match[2] || !stopConfirmed && fault.lostSite == match[2]) && (lostAt.IsZero() || fault.at.Add(fault.duration).After(lostAt)) {
+					lostAt = fault.at
 				}
 			}
-			others := 0
-			for _, f := range faults {
-				if !since.IsZero() && !f.at.Equal(since) && f.at.Before(at) && f.at.Add(f.long+2*time.Second).After(since) {
-					others++
+			overlapping := 0
+			for _, fault := range faults {
+				if !lostAt.IsZero() && !fault.at.Equal(lostAt) && fault.at.Before(handoffAt) && fault.at.Add(fault.duration+2*time.Second).After(lostAt) {
+					overlapping++
 				}
 			}
 			switch {
-			case since.IsZero():
-			case proved && others == 0:
-				r.drains = append(r.drains, at.Sub(since))
-			case proved:
-			case others == 0:
-				r.handoffs = append(r.handoffs, at.Sub(since))
+			case lostAt.IsZero():
+			case stopConfirmed && overlapping == 0:
+				result.drains = append(result.drains, handoffAt.Sub(lostAt))
+			case stopConfirmed:
+			case overlapping == 0:
+				result.handoffs = append(result.handoffs, handoffAt.Sub(lostAt))
 			default:
-				r.crossed = append(r.crossed, at.Sub(since))
+				result.overlappingHandoffs = append(result.overlappingHandoffs, handoffAt.Sub(lostAt))
 			}
 		}
 	}
 }
 
-// checkStores ends the members and compares what their stores hold with what users
-// were told: of each final answer a majority must hold the same.
-func (w *world) checkStores(ctx context.Context, r *runResult, users []*user) {
-	stores, err := w.readStores(ctx)
+// checkStores stops the members and checks that a majority of their stores holds the final answer
+// that each user received.
+func (d *deployment) checkStores(ctx context.Context, result *gatewayRunResult, users []*user) {
+	stores, err := d.readStores(ctx)
 	if err != nil {
-		r.stores = append(r.stores, err.Error())
+		result.storeMismatches = append(result.storeMismatches, err.Error())
 		return
 	}
 	for _, u := range users {
-		want := u.final()
-		if want == wire.Open {
+		expected := u.finalOutcome()
+		if expected == wire.Open {
 			continue
 		}
-		has := 0
-		for _, s := range stores {
-			if it, ok := s[u.id]; ok && it.Record.Outcome == want {
-				has++
+		copies := 0
+		for _, store := range stores {
+			if item, ok := store[u.id]; ok && item.Record.Outcome == expected {
+				copies++
 			}
 		}
-		if has < 2 {
-			r.stores = append(r.stores, fmt.Sprintf("the end of %s is stored by %d of 3 members", u.id, has))
+		if copies < 2 {
+			result.storeMismatches = append(result.storeMismatches, fmt.Sprintf("the end of %s is stored by %d of 3 members", u.id, copies))
 		}
 	}
 }
 
-// final is the last final answer that a user was told, as records have it; Open if none.
-func (u *user) final() uint8 {
-	final := uint8(wire.Open)
-	for _, t := range u.log {
+// finalOutcome returns the last final answer that a user received, as an outcome of a record; Open
+// if it received none.
+func (u *user) finalOutcome() uint8 {
+	finalOutcome := uint8(wire.Open)
+	for _, answer := range u.answers {
 		switch {
-		case t.code == 200 && t.state == protocol.JobDone:
-			final = wire.Done
-		case t.code == 200 && t.state == protocol.JobCancelled:
-			final = wire.Cancelled
+		case answer.status == 200 && answer.jobState == protocol.JobDone:
+			finalOutcome = wire.Done
+		case answer.status == 200 && answer.jobState == protocol.JobCancelled:
+			finalOutcome = wire.Cancelled
 		}
 	}
-	return final
+	return finalOutcome
 }
 
-// readStores ends the members and reads the registers that each has stored, by job.
-func (w *world) readStores(ctx context.Context) (stores []map[string]wire.Item, err error) {
+// readStores stops the members and returns the registers that each of them has stored, by job.
+func (d *deployment) readStores(ctx context.Context) (stores []map[string]wire.Item, err error) {
 	byJob := func(items []wire.Item) map[string]wire.Item {
-		m := map[string]wire.Item{}
-		for _, it := range items {
-			m[it.ID] = it
+		registers := map[string]wire.Item{}
+		for _, item := range items {
+			registers[item.ID] = item
 		}
-		return m
+		return registers
 	}
-	w.gateway.kill()
-	j, items, _, err := gateway.OpenJournal(filepath.Join(w.dir, "gate.journal"), "gate")
+	d.gateway.kill()
+	journal, items, _, err := gateway.OpenJournal(filepath.Join(d.dir, "gate.journal"), "gate")
 	if err != nil {
 		return nil, err
 	}
-	j.Close()
+	journal.Close()
 	stores = append(stores, byJob(items))
-	for _, s := range w.sites {
-		s.daemon.kill()
-		svc := storage.NewStore(s.stateAddr, protocol.StateSettings{RPS: 1000, WriteRPS: 1000, ValueKB: 8, TxnOps: 12}, 1)
-		_, entries, _, err := segments.Open(ctx, svc, s.name, segments.Limits{ValueKB: 8, TxnOps: 12, ChangesPerS: 100}, slog.New(slog.DiscardHandler))
+	for _, site := range d.sites {
+		site.daemon.kill()
+		stateService := storage.NewStore(site.stateAddr, protocol.StateSettings{RPS: 1000, WriteRPS: 1000, ValueKB: 8, TxnOps: 12}, 1)
+		_, entries, _, err := segments.Open(ctx, stateService, site.name, segments.Limits{ValueKB: 8, TxnOps: 12, ChangesPerS: 100}, slog.New(slog.DiscardHandler))
 		if err == nil {
 			items, err = gateway.DecodeEntries(entries)
 		}
--- a/cmd/lab/report.go
+++ b/cmd/lab/report.go
@@ -16,32 +16,33 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// What the account says is held to two other truths: the machines' own log and what the
-// run itself did to them.
+// The report proof checks the rows of the account against two independent sources: the event log of
+// the machines, and the faults that the run injected.
 
-// reported is a job of a run.
-type reported struct {
-	id      string
-	tasks   int
-	seconds float64
-	stalled time.Time // when its tasks were made to stand still; zero: never
-	shown   time.Time // when it was first told to be stuck
+// reportedJob is a job that a run submitted.
+type reportedJob struct {
+	id              string
+	tasks           int
+	seconds         float64
+	stalledAt       time.Time // when its tasks were stalled; zero: never
+	reportedStuckAt time.Time // when a row first gave its state as stuck; zero: never
 }
 
-// seenRow is a row with the time at which it was asked for.
-type seenRow struct {
+// observedRow is a row of the account, with the node that returned it and the time of the request.
+type observedRow struct {
 	ledger.Row
-	asked time.Time
-	node  string
+	requestedAt time.Time
+	node        string
 }
 
-// doneAt is when the last task of a job was done, by the machines; zero: not yet.
-func doneAt(events []farmEvent, id string, tasks int) (at time.Time) {
-	done := map[string]bool{}
+// completionTime returns when the last task of a job was done, by the machines' event log; zero if
+// some task is not done.
+func completionTime(events []machineEvent, id string, tasks int) (completedAt time.Time) {
+	completedTasks := map[string]bool{}
 	for _, e := range events {
-		if job, _, ok := protocol.ParseTaskID(e.Task); ok && job == id && e.Event == "done" && !done[e.Task] {
-			done[e.Task] = true
-			if len(done) == tasks {
+		if job, _, ok := protocol.ParseTaskID(e.Task); ok && job == id && e.Event == "done" && !completedTasks[e.Task] {
+			completedTasks[e.Task] = true
+			if len(completedTasks) == tasks {
 				return time.Unix(0, e.At)
 			}
 		}
@@ -49,315 +50,325 @@
 	return time.Time{}
 }
 
-// judgeRows says what is wrong with what was told of a job, given what its machines ran.
-// grace is how late an account may be.
-func judgeRows(j *reported, rows []seenRow, events []farmEvent, grace time.Duration) (wrong []string) {
-	done := doneAt(events, j.id, j.tasks)
-	for _, r := range rows {
-		when := r.asked.Format("05.000")
+// checkRows returns the rows of a job that contradict the machines' event log. A row may be outdated
+// by up to the grace period.
+func checkRows(job *reportedJob, rows []observedRow, events []machineEvent, grace time.Duration) (violations []string) {
+	completedAt := completionTime(events, job.id, job.tasks)
+	for _, row := range rows {
+		requestTime := row.requestedAt.Format("05.000")
 		switch {
-		case r.State == ledger.Done && (done.IsZero() || done.After(r.asked.Add(100*time.Millisecond))):
-			wrong = append(wrong, fmt.Sprintf("%s: %s says done at %s, and it is not", j.id, r.node, when))
-		case !done.IsZero() && r.asked.After(done.Add(grace)) && r.State != ledger.Done && r.State != ledger.Unknown:
-			wrong = append(wrong, fmt.Sprintf("%s: %s says %s at %s, %.1f s after it was done", j.id, r.node, r.State, when, r.asked.Sub(done).Seconds()))
-		case r.State == ledger.Stuck && j.stalled.IsZero():
-			wrong = append(wrong, fmt.Sprintf("%s: %s calls it stuck (%s), and it was not", j.id, r.node, r.Why))
+		case row.State == ledger.Done && (completedAt.IsZero() || completedAt.After(row.requestedAt.Add(100*time.Millisecond))):
+			violations = append(violations, fmt.Sprintf("%s: %s says done at %s, and it is not", job.id, row.node, requestTime))
+		case !completedAt.IsZero() && row.requestedAt.After(completedAt.Add(grace)) && row.State != ledger.Done && row.State != ledger.Unknown:
+			violations = append(violations, fmt.Sprintf("%s: %s says %s at %s, %.1f s after it was done", job.id, row.node, row.State, requestTime, row.requestedAt.Sub(completedAt).Seconds()))
+		case row.State == ledger.Stuck && job.stalledAt.IsZero():
+			violations = append(violations, fmt.Sprintf("%s: %s calls it stuck (%s), and it was not", job.id, row.node, row.Why))
 		}
 	}
-	return wrong
+	return violations
 }
 
-// account asks a node for all rows.
-func (f *farm) account(ctx context.Context, api string) (map[string]ledger.Row, *ledger.Page, error) {
+// readAccount reads all rows of the account from a node, and the last page.
+func (site *testSite) readAccount(ctx context.Context, api string) (map[string]ledger.Row, *ledger.Page, error) {
 	rows := map[string]ledger.Row{}
 	after := ""
 	for {
-		status, out, err := f.call(ctx, "GET", api, "/admin/account?limit=50&after="+url.QueryEscape(after), nil)
+		status, body, err := site.call(ctx, "GET", api, "/admin/account?limit=50&after="+url.QueryEscape(after), nil)
 		if err != nil || status != 200 {
 			return nil, nil, fmt.Errorf("account: %d %v", status, err)
 		}
-		var p ledger.Page
-		if err := json.Unmarshal(out, &p); err != nil {
+		var page ledger.Page
+		if err := json.Unmarshal(body, &page); err != nil {
 			return nil, nil, err
 		}
-		for _, r := range p.Rows {
-			rows[r.Job] = r
+		for _, row := range page.Rows {
+			rows[row.Job] = row
 		}
-		if after = p.After; after == "" {
-			return rows, &p, nil
+		if after = page.After; after == "" {
+			return rows, &page, nil
 		}
 	}
 }
 
-// reportResult is what a run showed.
+// reportResult holds the counts, violations and measured times of one run.
 type reportResult struct {
-	rows, unknown int
-	wrong         []string
-	shown         []time.Duration // from a stall until it is told
-	err           error
+	rowsChecked, rowsUnknown int
+	violations               []string
+	stuckDelays              []time.Duration // from a stall to the first row that reports it
+	err                      error
 }
 
-// reportRun is a run under way: jobs, what was done to them and what nodes told of them.
+// reportRun is a run in progress: its jobs, the faults injected so far and the rows read so far.
 type reportRun struct {
 	*reportResult
-	farm    *farm
-	rng     *rand.Rand
-	jobs    []*reported
-	stalls  []*reported          // of those, the ones whose tasks are made to stand still
-	told    map[string][]seenRow // by job
-	stopped string               // the node that stands still
+	testSite      *testSite
+	rng           *rand.Rand
+	jobs          []*reportedJob
+	stalledJobs   []*reportedJob           // those of jobs whose tasks are stalled
+	rowsByJob     map[string][]observedRow // by job id
+	suspendedNode string                   // the node that is suspended; empty: none
 }
 
-func oneReportRun(ctx context.Context, bin, dir string, seed uint64) *reportResult {
-	r := &reportResult{}
-	f, err := startFarm(ctx, bin, dir, 24, farmTimes)
-	defer f.end()
+// executeReportRun executes one run at a test site.
+func executeReportRun(ctx context.Context, bin, dir string, seed uint64) *reportResult {
+	result := &reportResult{}
+	site, err := startTestSite(ctx, bin, dir, 24, testSiteTimes)
+	defer site.end()
 	if err != nil {
-		r.err = err
-		return r
+		result.err = err
+		return result
 	}
-	run := &reportRun{reportResult: r, farm: f, rng: rand.New(rand.NewPCG(seed, 31)), told: map[string][]seenRow{}}
-	run.stallTwo(ctx)
-	run.causeTroubles(ctx)
-	run.awaitStallsTold(ctx)
+	run := &reportRun{reportResult: result, testSite: site, rng: rand.New(rand.NewPCG(seed, 31)), rowsByJob: map[string][]observedRow{}}
+	run.stallTwoJobs(ctx)
+	run.injectFaults(ctx)
+	run.awaitStallsReported(ctx)
 	run.endStalls(ctx)
-	run.awaitDone(ctx)
-	run.judge()
-	return r
+	run.awaitCompletion(ctx)
+	run.checkAllRows()
+	return result
 }
 
-// submit submits a job whose tasks run for some seconds.
-func (r *reportRun) submit(ctx context.Context, seconds float64) *reported {
-	j := &reported{id: fmt.Sprintf("job-%03d", len(r.jobs)+1), tasks: 1 + r.rng.IntN(4), seconds: seconds}
-	plain := condition{}
-	if err := r.farm.submit(ctx, j.id, plain.submission(j.id, j.tasks, seconds)); err != nil && r.err == nil {
+// submit submits a job of one to four tasks that run for the given number of seconds.
+func (r *reportRun) submit(ctx context.Context, seconds float64) *reportedJob {
+	job := &reportedJob{id: fmt.Sprintf("job-%03d", len(r.jobs)+1), tasks: 1 + r.rng.IntN(4), seconds: seconds}
+	template := waitCondition{}
+	if err := r.testSite.submit(ctx, job.id, template.submission(job.id, job.tasks, seconds)); err != nil && r.err == nil {
 		r.err = err
 	}
-	r.jobs = append(r.jobs, j)
-	return j
+	r.jobs = append(r.jobs, job)
+	return job
 }
 
-func (r *reportRun) submitShort(ctx context.Context) *reported {
+// submitShortJob submits a job whose tasks run for 2 to 4 s.
+func (r *reportRun) submitShortJob(ctx context.Context) *reportedJob {
 	return r.submit(ctx, 2+2*r.rng.Float64())
 }
 
-// ask asks all nodes but the one that stands still for their rows.
-func (r *reportRun) ask(ctx context.Context) {
-	for i, api := range r.farm.apis {
-		name := fmt.Sprint("n-", i)
-		if name == r.stopped {
+// pollNodes reads the account from all nodes that are not suspended, and records the rows.
+func (r *reportRun) pollNodes(ctx context.Context) {
+	for i, api := range r.testSite.apis {
+		node := fmt.Sprint("n-", i)
+		if node == r.suspendedNode {
 			continue
 		}
-		asked := time.Now()
-		rows, page, err := r.farm.account(ctx, api)
+		requestedAt := time.Now()
+		rows, page, err := r.testSite.readAccount(ctx, api)
 		if err != nil {
-			continue // not known: nothing is said
+			continue // no answer, so there is nothing to check
 		}
-		r.checkSums(ctx, api, name, rows, page)
+		r.checkTotals(ctx, api, node, rows, page)
 		for id, row := range rows {
-			r.note(id, seenRow{row, asked, name})
+			r.recordRow(id, observedRow{row, requestedAt, node})
 		}
 	}
 }
 
-// checkSums holds a node's sums and rows to the number of jobs accepted.
-func (r *reportRun) checkSums(ctx context.Context, api, name string, rows map[string]ledger.Row, page *ledger.Page) {
-	if r.stopped != "" || len(rows) == len(r.jobs) && sum(page.JobsByState) == len(rows) {
+// checkTotals checks a node's rows and totals against the number of accepted jobs.
+func (r *reportRun) checkTotals(ctx context.Context, api, node string, rows map[string]ledger.Row, page *ledger.Page) {
+	if r.suspendedNode != "" || len(rows) == len(r.jobs) && sumCounts(page.JobsByState) == len(rows) {
 		return
 	}
-	// A job may have been accepted a moment ago by the other node, or a share be on its way
-	// from one to the other while pages are asked for.
+	// The other node may just have accepted a job, or a partition may have changed its owner between
+	// two pages, so a mismatch only counts if it persists.
 	time.Sleep(600 * time.Millisecond)
-	again, page, err := r.farm.account(ctx, api)
-	if err == nil && (len(again) != len(r.jobs) || len(page.Unknown) == 0 && sum(page.JobsByState) != len(again)) {
-		r.wrong = append(r.wrong, fmt.Sprintf("%s tells of %d jobs in %d rows, %d were accepted", name, sum(page.JobsByState), len(again), len(r.jobs)))
+	secondRows, page, err := r.testSite.readAccount(ctx, api)
+	if err == nil && (len(secondRows) != len(r.jobs) || len(page.Unknown) == 0 && sumCounts(page.JobsByState) != len(secondRows)) {
+		r.violations = append(r.violations, fmt.Sprintf("%s tells of %d jobs in %d rows, %d were accepted", node, sumCounts(page.JobsByState), len(secondRows), len(r.jobs)))
 	}
 }
 
-// note keeps a row, and when a stalled job was first told to be stuck.
-func (r *reportRun) note(id string, row seenRow) {
-	r.rows++
+// recordRow stores a row. For a stalled job it notes when a row first reports it as stuck.
+func (r *reportRun) recordRow(id string, row observedRow) {
+	r.rowsChecked++
 	if row.State == ledger.Unknown {
-		r.unknown++
+		r.rowsUnknown++
 	}
-	r.told[id] = append(r.told[id], row)
-	for _, j := range r.jobs {
-		if j.id == id && row.State == ledger.Stuck && j.shown.IsZero() && !j.stalled.IsZero() {
-			j.shown = time.Now()
+	r.rowsByJob[id] = append(r.rowsByJob[id], row)
+	for _, job := range r.jobs {
+		if job.id == id && row.State == ledger.Stuck && job.reportedStuckAt.IsZero() && !job.stalledAt.IsZero() {
+			job.reportedStuckAt = time.Now()
 		}
 	}
 }
 
-// stallTwo submits jobs, waits until two of them run and makes these stand still.
-func (r *reportRun) stallTwo(ctx context.Context) {
+// stallTwoJobs submits eight jobs, waits until the last one runs, and stalls the last two.
+func (r *reportRun) stallTwoJobs(ctx context.Context) {
 	for range 6 {
-		r.submitShort(ctx)
+		r.submitShortJob(ctx)
 	}
-	r.stalls = []*reported{r.submit(ctx, 3), r.submit(ctx, 3)}
-	for end := time.Now().Add(20 * time.Second); time.Now().Before(end) && r.farm.running(ctx, r.stalls[1].id) == 0; r.ask(ctx) {
+	r.stalledJobs = []*reportedJob{r.submit(ctx, 3), r.submit(ctx, 3)}
+	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline) && r.testSite.runningTasks(ctx, r.stalledJobs[1].id) == 0; r.pollNodes(ctx) {
 		time.Sleep(200 * time.Millisecond)
 	}
-	for _, j := range r.stalls {
-		post(ctx, r.farm, "/stall/"+j.id+"/true")
-		j.stalled = time.Now()
+	for _, job := range r.stalledJobs {
+		postToCloud(ctx, r.testSite, "/stall/"+job.id+"/true")
+		job.stalledAt = time.Now()
 	}
 }
 
-// causeTroubles lets a machine vanish and controllers stand still while work goes on.
-func (r *reportRun) causeTroubles(ctx context.Context) {
-	troubles := r.rng.Perm(3)
-	began := time.Now()
-	for step := 0; time.Since(began) < 50*time.Second && ctx.Err() == nil; step++ {
+// injectFaults kills a machine once and suspends a controller twice, while it submits jobs and polls
+// the nodes.
+func (r *reportRun) injectFaults(ctx context.Context) {
+	faults := r.rng.Perm(3)
+	startedAt := time.Now()
+	for step := 0; time.Since(startedAt) < 50*time.Second && ctx.Err() == nil; step++ {
 		time.Sleep(500 * time.Millisecond)
-		r.ask(ctx)
+		r.pollNodes(ctx)
 		if step%12 == 6 {
-			r.submitShort(ctx)
+			r.submitShortJob(ctx)
 		}
-		if step%16 != 8 || step/16 >= len(troubles) {
+		if step%16 != 8 || step/16 >= len(faults) {
 			continue
 		}
-		if troubles[step/16] == 0 {
+		if faults[step/16] == 0 {
 			r.killMachine(ctx)
 		} else {
-			r.stopController(ctx)
+			r.suspendController(ctx)
 		}
 	}
 }
 
+// killMachine kills a random machine.
 func (r *reportRun) killMachine(ctx context.Context) {
-	var list protocol.MachineList
-	if _, out, err := r.farm.call(ctx, "GET", r.farm.cloud, "/hosts", nil); err == nil && json.Unmarshal(out, &list) == nil && len(list.Machines) > 0 {
-		post(ctx, r.farm, "/kill/"+list.Machines[r.rng.IntN(len(list.Machines))].ID)
+	var machines protocol.MachineList
+	if _, body, err := r.testSite.call(ctx, "GET", r.testSite.cloudAddr, "/hosts", nil); err == nil && json.Unmarshal(body, &machines) == nil && len(machines.Machines) > 0 {
+		postToCloud(ctx, r.testSite, "/kill/"+machines.Machines[r.rng.IntN(len(machines.Machines))].ID)
 	}
 }
 
-// stopController makes a controller stand still for a while. The other one must say unknown
-// of its jobs until it has taken them over.
-func (r *reportRun) stopController(ctx context.Context) {
-	r.stopped = fmt.Sprint("n-", r.rng.IntN(2))
-	r.farm.signal(syscall.SIGSTOP, r.stopped)
+// suspendController suspends a controller for 0.9 to 3 s while it polls the other one. The other one
+// must report the jobs of the suspended one as unknown until it has taken them over.
+func (r *reportRun) suspendController(ctx context.Context) {
+	r.suspendedNode = fmt.Sprint("n-", r.rng.IntN(2))
+	r.testSite.signal(syscall.SIGSTOP, r.suspendedNode)
 	for range 3 + r.rng.IntN(8) {
 		time.Sleep(300 * time.Millisecond)
-		r.ask(ctx)
+		r.pollNodes(ctx)
 	}
-	r.farm.signal(syscall.SIGCONT, r.stopped)
-	r.stopped = ""
+	r.testSite.signal(syscall.SIGCONT, r.suspendedNode)
+	r.suspendedNode = ""
 	time.Sleep(4 * time.Second)
 }
 
-// awaitStallsTold asks until both stalls are told, or have had a minute for it.
-func (r *reportRun) awaitStallsTold(ctx context.Context) {
-	until(ctx, 70*time.Second, func() bool {
-		r.ask(ctx)
-		events, _ := readEvents(r.farm.events)
-		open := false
-		for _, j := range r.stalls {
-			j.stalledAnew(events)
-			open = open || j.shown.IsZero() && time.Since(j.stalled) < time.Minute
+// awaitStallsReported polls the nodes until both stalled jobs are reported as stuck, or a minute has
+// passed since they stalled.
+func (r *reportRun) awaitStallsReported(ctx context.Context) {
+	waitUntil(ctx, 70*time.Second, func() bool {
+		r.pollNodes(ctx)
+		events, _ := readMachineEvents(r.testSite.eventsPath)
+		pending := false
+		for _, job := range r.stalledJobs {
+			job.restartStallClock(events)
+			pending = pending || job.reportedStuckAt.IsZero() && time.Since(job.stalledAt) < time.Minute
 		}
-		return !open
+		return !pending
 	})
 }
 
-// stalledAnew counts a stall from the last start: a run that is lost meanwhile stalls anew on
-// another machine, and then that is the cause.
-func (j *reported) stalledAnew(events []farmEvent) {
+// restartStallClock sets the time of a stall to the last start of a task. A task that is lost
+// meanwhile is started again on another machine and stalls there, and that is the stall to report.
+func (j *reportedJob) restartStallClock(events []machineEvent) {
 	for _, e := range events {
 		job, _, ok := protocol.ParseTaskID(e.Task)
-		if at := time.Unix(0, e.At); ok && job == j.id && e.Event == "start" && at.After(j.stalled) && j.shown.IsZero() {
-			j.stalled = at
+		if at := time.Unix(0, e.At); ok && job == j.id && e.Event == "start" && at.After(j.stalledAt) && j.reportedStuckAt.IsZero() {
+			j.stalledAt = at
 		}
 	}
 }
 
-// endStalls lets the stalled jobs go on, and says which were told late or not at all.
+// endStalls ends the stalls, and records a violation for a stalled job that was reported late or not
+// at all.
 func (r *reportRun) endStalls(ctx context.Context) {
-	for _, j := range r.stalls {
-		post(ctx, r.farm, "/stall/"+j.id+"/false")
-		switch took := j.shown.Sub(j.stalled); {
-		case j.shown.IsZero():
-			r.wrong = append(r.wrong, j.id+": stalled, and not told as stuck")
-		case took > time.Minute:
-			r.wrong = append(r.wrong, fmt.Sprintf("%s: told as stuck after %v", j.id, took))
+	for _, job := range r.stalledJobs {
+		postToCloud(ctx, r.testSite, "/stall/"+job.id+"/false")
+		switch delay := job.reportedStuckAt.Sub(job.stalledAt); {
+		case job.reportedStuckAt.IsZero():
+			r.violations = append(r.violations, job.id+": stalled, but not reported as stuck")
+		case delay > time.Minute:
+			r.violations = append(r.violations, fmt.Sprintf("%s: reported as stuck after %v", job.id, delay))
 		default:
-			r.shown = append(r.shown, took)
+			r.stuckDelays = append(r.stuckDelays, delay)
 		}
 	}
 }
 
-// awaitDone asks until the machines have done all jobs, and once more a while later.
-func (r *reportRun) awaitDone(ctx context.Context) {
-	until(ctx, 40*time.Second, func() bool {
-		r.ask(ctx)
+// awaitCompletion polls the nodes until the machines have completed all jobs, and once more 4 s
+// later.
+func (r *reportRun) awaitCompletion(ctx context.Context) {
+	waitUntil(ctx, 40*time.Second, func() bool {
+		r.pollNodes(ctx)
 		time.Sleep(500 * time.Millisecond)
-		events, err := readEvents(r.farm.events)
-		for _, j := range r.jobs {
-			if err != nil || doneAt(events, j.id, j.tasks).IsZero() {
+		events, err := readMachineEvents(r.testSite.eventsPath)
+		for _, job := range r.jobs {
+			if err != nil || completionTime(events, job.id, job.tasks).IsZero() {
 				return false
 			}
 		}
 		return true
 	})
 	time.Sleep(4 * time.Second)
-	r.ask(ctx)
+	r.pollNodes(ctx)
 }
 
-// accountGrace is how late an account may be: a controller that stood still stores and tells
-// late, by its stop and a take-over.
-const accountGrace = 12 * time.Second
+// maxAccountDelay is how long a row may be outdated. A controller that was suspended stores and
+// reports late, by the time of its suspension and of a takeover.
+const maxAccountDelay = 12 * time.Second
 
-// judge holds all rows to what the machines ran.
-func (r *reportRun) judge() {
-	events, err := readEvents(r.farm.events)
+// checkAllRows checks the recorded rows of all jobs, of which the last must be done.
+func (r *reportRun) checkAllRows() {
+	events, err := readMachineEvents(r.testSite.eventsPath)
 	if err != nil {
 		r.err = err
 		return
 	}
-	for _, j := range r.jobs {
-		rows := r.told[j.id]
-		r.wrong = append(r.wrong, judgeRows(j, rows, events, accountGrace)...)
+	for _, job := range r.jobs {
+		rows := r.rowsByJob[job.id]
+		r.violations = append(r.violations, checkRows(job, rows, events, maxAccountDelay)...)
 		if len(rows) == 0 || rows[len(rows)-1].State != ledger.Done {
-			r.wrong = append(r.wrong, j.id+": not told as done in the end")
+			r.violations = append(r.violations, job.id+": not reported as done in the end")
 		}
 	}
 }
 
-func sum(m map[string]int) (n int) {
-	for _, c := range m {
-		n += c
+// sumCounts returns the sum of the map's values.
+func sumCounts(counts map[string]int) (total int) {
+	for _, count := range counts {
+		total += count
 	}
-	return n
+	return total
 }
 
-func reportProof() *cobra.Command {
-	return runsProof("report", "Stall workers, lose machines, stop controllers, and hold the account to what machines ran", 6, 6, proveReport)
+// reportProofCommand returns the subcommand that checks the account.
+func reportProofCommand() *cobra.Command {
+	return newProofCommand("report", "Stall workers, kill machines, suspend controllers, and check the account against what machines ran", 6, 6, proveReport)
 }
 
-func proveReport(ctx context.Context, out io.Writer, o runOptions) error {
-	shown := newLatencies()
-	s := struct {
+// proveReport executes the runs and prints their figures.
+func proveReport(ctx context.Context, out io.Writer, options runOptions) error {
+	stuckDelays := newLatencies()
+	figures := struct {
 		runTotals
-		Rows    int     `json:"rows_checked"`
-		Unknown int     `json:"rows_not_known"`
-		Wrong   int     `json:"wrong"`
-		Shown   int64   `json:"stalls_shown"`
-		Median  float64 `json:"shown_after_median_s"`
-		Max     float64 `json:"shown_after_max_s"`
+		Rows           int     `json:"rows_checked"`
+		Unknown        int     `json:"rows_not_known"`
+		Violations     int     `json:"wrong"`
+		StallsReported int64   `json:"stalls_shown"`
+		ReportedMedian float64 `json:"shown_after_median_s"`
+		ReportedMax    float64 `json:"shown_after_max_s"`
 	}{}
 	var err error
-	s.runTotals, err = o.each(ctx, out, "report", func(bin, dir string, seed uint64) (func(), runOutcome) {
-		r := oneReportRun(ctx, bin, dir, seed)
+	figures.runTotals, err = options.executeRuns(ctx, out, "report", func(bin, dir string, seed uint64) (func(), runOutcome) {
+		result := executeReportRun(ctx, bin, dir, seed)
 		return func() {
-			s.Rows, s.Unknown, s.Wrong = s.Rows+r.rows, s.Unknown+r.unknown, s.Wrong+len(r.wrong)
-			shown.add(r.shown...)
-		}, runOutcome{fmt.Sprintf("%d rows checked, %d of them not known", r.rows, r.unknown), r.wrong, r.err}
+			figures.Rows, figures.Unknown, figures.Violations = figures.Rows+result.rowsChecked, figures.Unknown+result.rowsUnknown, figures.Violations+len(result.violations)
+			stuckDelays.record(result.stuckDelays...)
+		}, runOutcome{fmt.Sprintf("%d rows checked, %d of them not known", result.rowsChecked, result.rowsUnknown), result.violations, result.err}
 	})
 	if err != nil {
 		return err
 	}
-	s.Shown, s.Median, s.Max = shown.count(), shown.seconds(50), shown.maxSeconds()
-	if err := figures(out, s); err != nil {
+	figures.StallsReported, figures.ReportedMedian, figures.ReportedMax = stuckDelays.count(), stuckDelays.quantileSeconds(50), stuckDelays.maxSeconds()
+	if err := printFigures(out, figures); err != nil {
 		return err
 	}
-	return s.err()
+	return figures.err()
 }
--- a/cmd/lab/runs.go
+++ b/cmd/lab/runs.go
@@ -13,44 +13,45 @@
 	"github.com/spf13/cobra"
 )
 
-// runOptions are the flags of a proof of many runs.
+// runOptions holds the flags of a proof that consists of several runs.
 type runOptions struct {
 	runs, parallel int
 	seed           uint64
-	asJSON         bool
-	keep           bool // the files of all runs
+	asJSON         bool // print the last line only
+	keepFiles      bool // also the files of runs without violations
 }
 
-// runsProof makes a subcommand that proves something by runs with real processes.
-func runsProof(use, short string, runs, parallel int, prove func(ctx context.Context, out io.Writer, o runOptions) error) *cobra.Command {
-	o := runOptions{}
-	c := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs,
+// newProofCommand returns a subcommand for a proof that consists of several runs with real processes.
+// runs and parallel are the defaults of the flags.
+func newProofCommand(use, short string, runs, parallel int, proof func(ctx context.Context, out io.Writer, options runOptions) error) *cobra.Command {
+	options := runOptions{}
+	command := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := between("runs", o.runs, 1, 10000); err != nil {
+			if err := checkRange("runs", options.runs, 1, 10000); err != nil {
 				return err
 			}
-			if err := between("parallel", o.parallel, 1, 16); err != nil {
+			if err := checkRange("parallel", options.parallel, 1, 16); err != nil {
 				return err
 			}
 			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
-			return prove(ctx, cmd.OutOrStdout(), o)
+			return proof(ctx, cmd.OutOrStdout(), options)
 		}}
-	c.Flags().IntVar(&o.runs, "runs", runs, "how many runs")
-	c.Flags().IntVar(&o.parallel, "parallel", parallel, "runs at a time")
-	c.Flags().Uint64Var(&o.seed, "seed", 1, "the first run's seed; the next ones follow")
-	c.Flags().BoolVar(&o.asJSON, "json", false, "print the last line only")
-	return c
+	command.Flags().IntVar(&options.runs, "runs", runs, "how many runs")
+	command.Flags().IntVar(&options.parallel, "parallel", parallel, "runs in parallel")
+	command.Flags().Uint64Var(&options.seed, "seed", 1, "seed of the first run; each further run uses the next number")
+	command.Flags().BoolVar(&options.asJSON, "json", false, "print the last line only")
+	return command
 }
 
-// runOutcome is what a run showed.
+// runOutcome is the outcome of one run.
 type runOutcome struct {
-	text  string // if all was well
-	wrong []string
-	err   error
+	summary    string // printed if there are no violations
+	violations []string
+	err        error
 }
 
-// runTotals are the figures that every proof tells.
+// runTotals holds the figures that every proof prints.
 type runTotals struct {
 	Runs   int    `json:"runs"`
 	Broken int    `json:"broken"`
@@ -58,6 +59,7 @@
 	Failed int    `json:"failed_to_run"`
 }
 
+// err returns errBroken if a run found a violation or failed.
 func (t runTotals) err() error {
 	if t.Broken > 0 || t.Failed > 0 {
 		return errBroken
@@ -65,23 +67,24 @@
 	return nil
 }
 
-// each plays the runs, some at a time, and tells of each. The files of a run that broke
-// something stay. take is called with each run's number, one call at a time.
-func (o runOptions) each(ctx context.Context, out io.Writer, name string, play func(bin, dir string, seed uint64) (take func(), r runOutcome)) (runTotals, error) {
-	t := runTotals{Runs: o.runs, Seed: o.seed}
-	bin, err := build(ctx)
+// executeRuns executes the runs, several in parallel, and prints a line for each. The files of a run
+// that failed or found a violation are kept. The collect function that a run returns is called once
+// at its end, for one run at a time.
+func (options runOptions) executeRuns(ctx context.Context, out io.Writer, name string, execute func(bin, dir string, seed uint64) (collect func(), outcome runOutcome)) (runTotals, error) {
+	totals := runTotals{Runs: options.runs, Seed: options.seed}
+	bin, err := buildPrograms(ctx)
 	if err != nil {
-		return t, err
+		return totals, err
 	}
 	defer os.RemoveAll(bin)
-	slots := make(chan struct{}, o.parallel)
+	slots := make(chan struct{}, options.parallel)
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	for i := range o.runs {
+	for i := range options.runs {
 		slots <- struct{}{}
 		if ctx.Err() != nil {
 			mu.Lock()
-			t.Failed += o.runs - i // they were not begun
+			totals.Failed += options.runs - i // the runs that were not started
 			mu.Unlock()
 			break
 		}
@@ -90,28 +93,28 @@
 			defer wg.Done()
 			defer func() { <-slots }()
 			dir, err := os.MkdirTemp("", "lab-"+name+"-")
-			take, r := func() {}, runOutcome{err: err}
+			collect, outcome := func() {}, runOutcome{err: err}
 			if err == nil {
-				take, r = play(bin, dir, o.seed+uint64(i))
+				collect, outcome = execute(bin, dir, options.seed+uint64(i))
 			}
 			mu.Lock()
 			defer mu.Unlock()
 			switch {
-			case r.err != nil:
-				t.Failed++
-				r.text = fmt.Sprintf("%v (files in %s)", r.err, dir)
-			case len(r.wrong) > 0:
-				t.Broken++
-				r.text = fmt.Sprintf("BROKEN %s (files in %s)", strings.Join(r.wrong[:min(8, len(r.wrong))], "; "), dir)
-			case !o.keep:
+			case outcome.err != nil:
+				totals.Failed++
+				outcome.summary = fmt.Sprintf("%v (files in %s)", outcome.err, dir)
+			case len(outcome.violations) > 0:
+				totals.Broken++
+				outcome.summary = fmt.Sprintf("BROKEN %s (files in %s)", strings.Join(outcome.violations[:min(8, len(outcome.violations))], "; "), dir)
+			case !options.keepFiles:
 				os.RemoveAll(dir)
 			}
-			if !o.asJSON {
-				fmt.Fprintf(out, "run %d, seed %d: %s\n", i+1, o.seed+uint64(i), r.text)
+			if !options.asJSON {
+				fmt.Fprintf(out, "run %d, seed %d: %s\n", i+1, options.seed+uint64(i), outcome.summary)
 			}
-			take()
+			collect()
 		}()
 	}
 	wg.Wait()
-	return t, nil
+	return totals, nil
 }
--- a/cmd/lab/standby.go
+++ b/cmd/lab/standby.go
@@ -16,237 +16,246 @@
 	"dapplestage.example/dapplestage/internal/coordination/node"
 )
 
-// standbyCauses are the ways in which a controller goes, and how.
+// standbyCauses lists the ways in which a controller fails: killed, terminated by a signal, suspended,
+// or killed and restarted at once.
 var standbyCauses = []string{"killed", "left", "stood_still", "restarted_at_once"}
 
-// standbyResult is what a run showed: by cause, for how long a share had nobody.
+// standbyResult holds, by cause, how long a partition had no owner, and the violations of one run.
 type standbyResult struct {
-	gaps  map[string][]time.Duration
-	wrong []string
-	err   error
+	ownerlessTimes map[string][]time.Duration
+	violations     []string
+	err            error
 }
 
-// holder asks a controller who holds each share.
-func (f *farm) holder(ctx context.Context, api string) (map[int]string, error) {
-	var s node.Status
-	status, data, err := f.call(ctx, "GET", api, "/admin/status", nil)
+// partitionOwners returns the owner of each partition, as reported by a controller.
+func (site *testSite) partitionOwners(ctx context.Context, api string) (map[int]string, error) {
+	var nodeStatus node.Status
+	status, body, err := site.call(ctx, "GET", api, "/admin/status", nil)
 	if err == nil && status != 200 {
 		err = fmt.Errorf("status %d", status)
 	}
 	if err == nil {
-		err = json.Unmarshal(data, &s)
+		err = json.Unmarshal(body, &nodeStatus)
 	}
-	out := map[int]string{}
-	for _, sh := range s.Shares {
-		out[sh.Share] = sh.Holder
+	owners := map[int]string{}
+	for _, partition := range nodeStatus.Shares {
+		owners[partition.Share] = partition.Holder
 	}
-	return out, err
+	return owners, err
 }
 
-// standbyRun is a run under way.
+// standbyRun is a run in progress.
 type standbyRun struct {
 	*standbyResult
-	farm  *farm
-	rng   *rand.Rand
-	tasks map[string]int // by job
+	testSite *testSite
+	rng      *rand.Rand
+	tasks    map[string]int // number of tasks by job id
 }
 
-func oneStandbyRun(ctx context.Context, bin, dir string, seed uint64, turns int, causes []string, t times) *standbyResult {
-	r := &standbyResult{gaps: map[string][]time.Duration{}}
-	f, err := startFarm(ctx, bin, dir, 24, t)
-	defer f.end()
+// executeStandbyRun lets controllers fail one after another, in a random order of the causes, and
+// checks the jobs at the end.
+func executeStandbyRun(ctx context.Context, bin, dir string, seed uint64, failures int, causes []string, timing times) *standbyResult {
+	result := &standbyResult{ownerlessTimes: map[string][]time.Duration{}}
+	site, err := startTestSite(ctx, bin, dir, 24, timing)
+	defer site.end()
 	if err != nil {
-		r.err = err
-		return r
+		result.err = err
+		return result
 	}
-	run := &standbyRun{standbyResult: r, farm: f, rng: rand.New(rand.NewPCG(seed, 53)), tasks: map[string]int{}}
+	run := &standbyRun{standbyResult: result, testSite: site, rng: rand.New(rand.NewPCG(seed, 53)), tasks: map[string]int{}}
 	order := run.rng.Perm(len(causes))
-	for turn := range turns {
-		if !run.turn(ctx, causes[order[turn%len(order)]]) {
-			return r
+	for failure := range failures {
+		if !run.failController(ctx, causes[order[failure%len(order)]]) {
+			return result
 		}
 	}
-	wrong, _, err := f.settled(ctx, run.tasks)
-	r.wrong = append(r.wrong, wrong...)
+	violations, _, err := site.awaitJobsDone(ctx, run.tasks)
+	result.violations = append(result.violations, violations...)
 	if err != nil {
-		r.err = err
+		result.err = err
 	}
-	return r
+	return result
 }
 
+// submit submits an array of 2 to 9 tasks that run for 1 to 4 s.
 func (r *standbyRun) submit(ctx context.Context) {
 	id := fmt.Sprintf("job-1%05d", len(r.tasks))
 	r.tasks[id] = 2 + r.rng.IntN(8)
 	team := []string{"red", "blue"}[len(r.tasks)%2]
-	if err := r.farm.submit(ctx, id, r.farm.job(id, team, "sweep", r.tasks[id], 1+3*r.rng.Float64())); err != nil && r.err == nil {
+	if err := r.testSite.submit(ctx, id, r.testSite.shapedJobSubmission(id, team, "sweep", r.tasks[id], 1+3*r.rng.Float64())); err != nil && r.err == nil {
 		r.err = err
 	}
 }
 
-// turn lets one controller go and measures until the other has its share; then the first is
-// back. It returns false if the run can't go on.
-func (r *standbyRun) turn(ctx context.Context, cause string) bool {
+// failController lets a random controller fail, measures the time until the other one owns its
+// partition, and starts the failed one again. It returns false if the run can't continue.
+func (r *standbyRun) failController(ctx context.Context, cause string) bool {
 	for range 2 {
 		r.submit(ctx)
 	}
-	if !until(ctx, 30*time.Second, func() bool { return r.eachHoldsOne(ctx) }) {
-		r.wrong = append(r.wrong, "the shares did not spread over both controllers again")
+	if !waitUntil(ctx, 30*time.Second, func() bool { return r.eachOwnsOnePartition(ctx) }) {
+		r.violations = append(r.violations, "the partitions were not spread over both controllers again")
 		return false
 	}
-	// Its standby must have been told of it for a while, and its share served.
-	time.Sleep(span(r.rng, 5500*time.Millisecond, 6500*time.Millisecond))
-	i := r.rng.IntN(2)
-	name, other := fmt.Sprint("n-", i), r.farm.apis[1-i]
-	p := r.farm.process(name)
-	before, err := r.farm.holder(ctx, other)
-	if err != nil || before[0] == before[1] {
+	// The standby must have received updates of the partition for a while, and the partition must be
+	// in the serving phase.
+	time.Sleep(randomDuration(r.rng, 5500*time.Millisecond, 6500*time.Millisecond))
+	failedNode := r.rng.IntN(2)
+	name, otherAPI := fmt.Sprint("n-", failedNode), r.testSite.apis[1-failedNode]
+	controller := r.testSite.childProcess(name)
+	ownersBefore, err := r.testSite.partitionOwners(ctx, otherAPI)
+	if err != nil || ownersBefore[0] == ownersBefore[1] {
 		return true
 	}
-	began := time.Now()
-	if err := goBy(p, cause); err != nil {
+	failedAt := time.Now()
+	if err := failProcess(controller, cause); err != nil {
 		r.err = err
 		return false
 	}
-	if !until(ctx, 12*time.Second, func() bool { return r.takenOver(ctx, name, other, cause, before) }) {
-		r.wrong = append(r.wrong, fmt.Sprintf("%s %s: its share has nobody after 12 s", name, cause))
+	if !waitUntil(ctx, 12*time.Second, func() bool { return r.takenOver(ctx, name, otherAPI, cause, ownersBefore) }) {
+		r.violations = append(r.violations, fmt.Sprintf("%s %s: its partition has no owner after 12 s", name, cause))
 		return false
 	}
-	r.gaps[cause] = append(r.gaps[cause], time.Since(began))
+	r.ownerlessTimes[cause] = append(r.ownerlessTimes[cause], time.Since(failedAt))
 	r.submit(ctx)
-	time.Sleep(span(r.rng, 500*time.Millisecond, 2*time.Second))
-	p.signal(syscall.SIGCONT)
+	time.Sleep(randomDuration(r.rng, 500*time.Millisecond, 2*time.Second))
+	controller.signal(syscall.SIGCONT)
 	if cause == "left" {
-		p.kill() // it has ended; this takes note
+		controller.kill() // the process has exited; this clears its state so that it can start again
 	}
-	if err := p.start(); err != nil {
+	if err := controller.start(); err != nil {
 		r.err = err
 		return false
 	}
 	return true
 }
 
-// eachHoldsOne says whether each controller holds one of the two shares.
-func (r *standbyRun) eachHoldsOne(ctx context.Context) bool {
-	h, err := r.farm.holder(ctx, r.farm.apis[0])
-	return err == nil && h[0] != "" && h[1] != "" && h[0] != h[1]
+// eachOwnsOnePartition reports whether each controller owns one of the two partitions.
+func (r *standbyRun) eachOwnsOnePartition(ctx context.Context) bool {
+	owners, err := r.testSite.partitionOwners(ctx, r.testSite.apis[0])
+	return err == nil && owners[0] != "" && owners[1] != "" && owners[0] != owners[1]
 }
 
-// goBy makes a controller go.
-func goBy(p *process, cause string) error {
+// failProcess lets a controller fail in the given way.
+func failProcess(process *childProcess, cause string) error {
 	switch cause {
 	case "killed":
-		p.kill()
+		process.kill()
 	case "left":
-		p.signal(syscall.SIGTERM)
+		process.signal(syscall.SIGTERM)
 	case "stood_still":
-		p.signal(syscall.SIGSTOP)
+		process.signal(syscall.SIGSTOP)
 	case "restarted_at_once":
-		p.kill()
-		return p.start()
+		process.kill()
+		return process.start()
 	}
 	return nil
 }
 
-// takenOver says whether, as the other controller tells, what a controller held before is
-// held again.
-func (r *standbyRun) takenOver(ctx context.Context, name, other, cause string, before map[int]string) bool {
-	holders, err := r.farm.holder(ctx, other)
+// takenOver reports whether the partitions that the failed controller owned have an owner again, as
+// seen by the other controller.
+func (r *standbyRun) takenOver(ctx context.Context, name, otherAPI, cause string, ownersBefore map[int]string) bool {
+	owners, err := r.testSite.partitionOwners(ctx, otherAPI)
 	if err != nil {
 		return false
 	}
-	for share, was := range before {
-		if was != name {
+	for partition, previousOwner := range ownersBefore {
+		if previousOwner != name {
 			continue
 		}
 		if cause == "restarted_at_once" {
-			// It may have its share back in its new life, or the other one has it.
-			if s, ok := r.farm.shares(ctx); !ok || s[share].Phase == "" {
+			// Either the restarted controller or the other one may own the partition now.
+			if statuses, ok := r.testSite.partitionStatuses(ctx); !ok || statuses[partition].Phase == "" {
 				return false
 			}
-		} else if holders[share] == name || holders[share] == "" {
+		} else if owners[partition] == name || owners[partition] == "" {
 			return false
 		}
 	}
 	return true
 }
 
-func standbyProof() *cobra.Command {
-	turns, before, place := 4, "", false
-	c := runsProof("standby", "Kill, stop and restart a holder, and measure until its standby has the share", 4, 4, func(ctx context.Context, out io.Writer, o runOptions) error {
-		if err := between("turns", turns, 1, 100); err != nil {
+// standbyProofCommand returns the subcommand that measures how long a partition has no owner after
+// its controller failed.
+func standbyProofCommand() *cobra.Command {
+	failures, oldBinaries, mixedMachines := 4, "", false
+	command := newProofCommand("standby", "Kill, suspend and restart a partition owner, and measure until its standby owns the partition", 4, 4, func(ctx context.Context, out io.Writer, options runOptions) error {
+		if err := checkRange("turns", failures, 1, 100); err != nil {
 			return err
 		}
-		return proveStandby(ctx, out, o, turns, before, place)
+		return proveStandby(ctx, out, options, failures, oldBinaries, mixedMachines)
 	})
-	c.Flags().IntVar(&turns, "turns", turns, "times that a controller goes in a run")
-	placeFlag(c, &place)
-	c.Flags().StringVar(&before, "before", before, "a folder with an earlier version of dapplestage and today's standin, to be measured in turn")
-	return c
+	command.Flags().IntVar(&failures, "turns", failures, "controller failures in a run")
+	addPlaceFlag(command, &mixedMachines)
+	command.Flags().StringVar(&oldBinaries, "before", oldBinaries, "a folder with an earlier version of dapplestage and the current standin, to be measured as well")
+	return command
 }
 
-func proveStandby(ctx context.Context, out io.Writer, o runOptions, turns int, before string, place bool) error {
-	times := startTimes
-	times.place = place
+// proveStandby executes the runs, with the old binaries too if there are any, and prints the figures.
+func proveStandby(ctx context.Context, out io.Writer, options runOptions, failures int, oldBinaries string, mixedMachines bool) error {
+	timing := restartTimes
+	timing.mixedMachines = mixedMachines
 	type quantiles struct {
 		Count  int64   `json:"count"`
 		Median float64 `json:"median_s"`
 		P95    float64 `json:"p95_s"`
 		Max    float64 `json:"max_s"`
 	}
-	measure := func(old string) (runTotals, map[string]quantiles, error) {
+	measure := func(oldBin string) (runTotals, map[string]quantiles, error) {
 		byCause := map[string]latencies{}
-		t, err := o.each(ctx, out, "standby", func(bin, dir string, seed uint64) (func(), runOutcome) {
+		totals, err := options.executeRuns(ctx, out, "standby", func(bin, dir string, seed uint64) (func(), runOutcome) {
 			causes := standbyCauses
-			if old != "" {
-				// With a stand-in that knows today's flags. Whether a node serves its share
-				// in a new life is not told by earlier versions.
-				bin, causes = old, causes[:3]
+			if oldBin != "" {
+				// The folder also has the current standin, since an old one lacks flags. Earlier versions
+				// do not report whether a restarted node serves its partition, so the last cause is left
+				// out.
+				bin, causes = oldBin, causes[:3]
 			}
-			r := oneStandbyRun(ctx, bin, dir, seed, turns, causes, times)
-			var text []string
-			for _, c := range standbyCauses {
-				if r.gaps[c] != nil {
-					text = append(text, fmt.Sprint(c, " ", r.gaps[c]))
+			result := executeStandbyRun(ctx, bin, dir, seed, failures, causes, timing)
+			var summary []string
+			for _, cause := range standbyCauses {
+				if result.ownerlessTimes[cause] != nil {
+					summary = append(summary, fmt.Sprint(cause, " ", result.ownerlessTimes[cause]))
 				}
 			}
 			return func() {
-				for c, gaps := range r.gaps {
-					if _, known := byCause[c]; !known {
-						byCause[c] = newLatencies()
+				for cause, ownerlessTimes := range result.ownerlessTimes {
+					if _, known := byCause[cause]; !known {
+						byCause[cause] = newLatencies()
 					}
-					byCause[c].add(gaps...)
+					byCause[cause].record(ownerlessTimes...)
 				}
-			}, runOutcome{strings.Join(text, ", "), r.wrong, r.err}
+			}, runOutcome{strings.Join(summary, ", "), result.violations, result.err}
 		})
-		told := map[string]quantiles{}
-		for c, l := range byCause {
-			told[c] = quantiles{l.count(), l.seconds(50), l.seconds(95), l.maxSeconds()}
+		byCauseQuantiles := map[string]quantiles{}
+		for cause, histogram := range byCause {
+			byCauseQuantiles[cause] = quantiles{histogram.count(), histogram.quantileSeconds(50), histogram.quantileSeconds(95), histogram.maxSeconds()}
 		}
-		return t, told, err
+		return totals, byCauseQuantiles, err
 	}
-	s := struct {
+	figures := struct {
 		runTotals
-		Gaps   map[string]quantiles `json:"share_without_holder"`
-		Before map[string]quantiles `json:"before,omitempty"`
-		Old    *runTotals           `json:"before_runs,omitempty"`
+		Ownerless    map[string]quantiles `json:"share_without_holder"`
+		OldOwnerless map[string]quantiles `json:"before,omitempty"`
+		OldTotals    *runTotals           `json:"before_runs,omitempty"`
 	}{}
 	var err error
-	if s.runTotals, s.Gaps, err = measure(""); err != nil {
+	if figures.runTotals, figures.Ownerless, err = measure(""); err != nil {
 		return err
 	}
-	if before != "" {
-		old, err := filepath.Abs(before)
+	if oldBinaries != "" {
+		oldBin, err := filepath.Abs(oldBinaries)
 		if err != nil {
 			return err
 		}
-		var t runTotals
-		if t, s.Before, err = measure(old); err != nil {
+		var totals runTotals
+		if totals, figures.OldOwnerless, err = measure(oldBin); err != nil {
 			return err
 		}
-		s.Old = &t
+		figures.OldTotals = &totals
 	}
-	if err := figures(out, s); err != nil {
+	if err := printFigures(out, figures); err != nil {
 		return err
 	}
-	return s.err()
+	return figures.err()
 }
--- a/cmd/lab/start.go
+++ b/cmd/lab/start.go
@@ -17,347 +17,356 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// startTimes are those of a site whose controllers all go down: a worker's lease
-// outlives the time without any of them.
-var startTimes = times{workersLease: 9, report: 1.5, cancel: 22, writeRPS: 150, gpusMax: 4000}
+// restartTimes are the times and limits of a site whose controllers are all down for a while. The
+// workers' lease outlasts that time, so running tasks are not lost.
+var restartTimes = times{workerLease: 9, reportInterval: 1.5, cancelBound: 22, writeRPS: 150, maxTeamGPUs: 4000}
 
-// startResult is what a run showed.
+// startResult holds the counts, violations and measured times of one run.
 type startResult struct {
-	serve, half, all []time.Duration // from the last process being back
-	given, held      map[string]int
-	ended            int // tasks of services that ended though nobody cancelled them
-	wrong            []string
-	err              error
+	servingDelays, halfReconciledDelays, reconciledDelays []time.Duration // from the restart of the last controller
+	ordersGiven, ordersHeldBack                           map[string]int  // by kind of order
+	serviceTasksEnded                                     int             // tasks of services that ended although no user cancelled them
+	violations                                            []string
+	err                                                   error
 }
 
-// shares asks all controllers how far the shares are; false if one does not answer.
-func (f *farm) shares(ctx context.Context) (map[int]node.PartitionStatus, bool) {
-	out := map[int]node.PartitionStatus{}
-	for i, api := range f.apis {
-		var s node.Status
-		status, data, err := f.call(ctx, "GET", api, "/admin/status", nil)
-		if err != nil || status != 200 || json.Unmarshal(data, &s) != nil {
+// partitionStatuses returns the status of each partition as reported by its owner, by partition. It
+// returns false if a controller does not answer.
+func (site *testSite) partitionStatuses(ctx context.Context) (map[int]node.PartitionStatus, bool) {
+	statuses := map[int]node.PartitionStatus{}
+	for i, api := range site.apis {
+		var nodeStatus node.Status
+		status, body, err := site.call(ctx, "GET", api, "/admin/status", nil)
+		if err != nil || status != 200 || json.Unmarshal(body, &nodeStatus) != nil {
 			return nil, false
 		}
-		for _, sh := range s.Shares {
-			if sh.Holder == fmt.Sprint("n-", i) && sh.Phase != "" {
-				out[sh.Share] = sh
+		for _, partition := range nodeStatus.Shares {
+			if partition.Holder == fmt.Sprint("n-", i) && partition.Phase != "" {
+				statuses[partition.Share] = partition
 			}
 		}
 	}
-	return out, true
+	return statuses, true
 }
 
-// orders reads what each controller has ordered since its start.
-func (f *farm) orders(ctx context.Context, r *startResult) {
-	for _, api := range f.apis {
-		_, data, err := f.call(ctx, "GET", api, "/metrics", nil)
+// countOrders adds the orders that each controller has given or held back since its start, from its
+// metrics.
+func (site *testSite) countOrders(ctx context.Context, result *startResult) {
+	for _, api := range site.apis {
+		_, body, err := site.call(ctx, "GET", api, "/metrics", nil)
 		if err != nil {
 			continue
 		}
-		p := expfmt.NewTextParser(model.UTF8Validation)
-		families, err := p.TextToMetricFamilies(strings.NewReader(string(data)))
+		parser := expfmt.NewTextParser(model.UTF8Validation)
+		families, err := parser.TextToMetricFamilies(strings.NewReader(string(body)))
 		if err != nil {
-			r.wrong = append(r.wrong, "metrics: "+err.Error())
+			result.violations = append(result.violations, "metrics: "+err.Error())
 			continue
 		}
-		for _, m := range families["dapplestage_orders_total"].GetMetric() {
-			l := map[string]string{}
-			for _, p := range m.GetLabel() {
-				l[p.GetName()] = p.GetValue()
+		for _, metric := range families["dapplestage_orders_total"].GetMetric() {
+			labels := map[string]string{}
+			for _, label := range metric.GetLabel() {
+				labels[label.GetName()] = label.GetValue()
 			}
-			into := r.given
-			if l["outcome"] == "held_back" {
-				into = r.held
+			counts := result.ordersGiven
+			if labels["outcome"] == "held_back" {
+				counts = result.ordersHeldBack
 			}
-			into[l["order"]] += int(m.GetCounter().GetValue())
+			counts[labels["order"]] += int(metric.GetCounter().GetValue())
 		}
 	}
 }
 
-// judgeStarts says what machines ran twice at once, and what is called done and is not.
-func judgeStarts(events []farmEvent, tasks map[string]int, done map[string]bool) (wrong []string, ended int) {
-	on := map[string]string{}
-	finished := map[string]map[string]bool{}
-	for _, e := range events {
-		job, _, ok := protocol.ParseTaskID(e.Task)
+// checkTaskEvents returns violations for tasks that ran on two machines at once and for jobs that
+// were reported as done before all their tasks were. ended counts the tasks of services that ended.
+func checkTaskEvents(events []machineEvent, tasks map[string]int, reportedDone map[string]bool) (violations []string, ended int) {
+	runningOn := map[string]string{}
+	completedByJob := map[string]map[string]bool{}
+	for _, event := range events {
+		job, _, ok := protocol.ParseTaskID(event.Task)
 		if !ok {
 			continue
 		}
-		switch e.Event {
+		switch event.Event {
 		case "start":
-			if m := on[e.Task]; m != "" && m != e.Machine {
-				wrong = append(wrong, fmt.Sprintf("%s started on %s while on %s", e.Task, e.Machine, m))
+			if current := runningOn[event.Task]; current != "" && current != event.Machine {
+				violations = append(violations, fmt.Sprintf("%s started on %s while on %s", event.Task, event.Machine, current))
 			}
-			on[e.Task] = e.Machine
+			runningOn[event.Task] = event.Machine
 		case "done":
-			if finished[job] == nil {
-				finished[job] = map[string]bool{}
+			if completedByJob[job] == nil {
+				completedByJob[job] = map[string]bool{}
 			}
-			finished[job][e.Task] = true
-			delete(on, e.Task)
+			completedByJob[job][event.Task] = true
+			delete(runningOn, event.Task)
 		default:
-			if on[e.Task] == e.Machine {
-				delete(on, e.Task)
+			if runningOn[event.Task] == event.Machine {
+				delete(runningOn, event.Task)
 			}
-			if service(job) {
+			if isService(job) {
 				ended++
 			}
 		}
 	}
-	for id := range done {
-		if len(finished[id]) < tasks[id] {
-			wrong = append(wrong, fmt.Sprintf("%s is called done with %d of %d tasks", id, len(finished[id]), tasks[id]))
+	for id := range reportedDone {
+		if len(completedByJob[id]) < tasks[id] {
+			violations = append(violations, fmt.Sprintf("%s is called done with %d of %d tasks", id, len(completedByJob[id]), tasks[id]))
 		}
 	}
-	return wrong, ended
+	return violations, ended
 }
 
-// startRun is a run under way.
+// startRun is a run in progress.
 type startRun struct {
 	*startResult
-	farm   *farm
-	rng    *rand.Rand
-	tasks  map[string]int // by job
-	arrays int
+	testSite  *testSite
+	rng       *rand.Rand
+	tasks     map[string]int // number of tasks by job id
+	shortJobs int            // number of arrays submitted so far
 }
 
-func oneStartRun(ctx context.Context, bin, dir string, seed uint64, machines, starts int, t times) *startResult {
-	r := &startResult{given: map[string]int{}, held: map[string]int{}}
-	f, err := startFarm(ctx, bin, dir, machines, t)
-	defer f.end()
+// executeStartRun starts services, restarts all controllers several times, and checks the jobs and the
+// machines' events at the end.
+func executeStartRun(ctx context.Context, bin, dir string, seed uint64, machines, starts int, timing times) *startResult {
+	result := &startResult{ordersGiven: map[string]int{}, ordersHeldBack: map[string]int{}}
+	site, err := startTestSite(ctx, bin, dir, machines, timing)
+	defer site.end()
 	if err != nil {
-		r.err = err
-		return r
+		result.err = err
+		return result
 	}
-	run := &startRun{startResult: r, farm: f, rng: rand.New(rand.NewPCG(seed, 41)), tasks: map[string]int{}}
+	run := &startRun{startResult: result, testSite: site, rng: rand.New(rand.NewPCG(seed, 41)), tasks: map[string]int{}}
 	if !run.startServices(ctx, machines) {
-		r.err = fmt.Errorf("the services did not start")
-		return r
+		result.err = fmt.Errorf("the services did not start")
+		return result
 	}
 	for range starts {
-		if !run.endAll(ctx) || !run.awaitServing(ctx, time.Now()) {
-			return r
+		if !run.restartControllers(ctx) || !run.awaitReconciled(ctx, time.Now()) {
+			return result
 		}
-		time.Sleep(span(run.rng, time.Millisecond, 3*time.Second))
+		time.Sleep(randomDuration(run.rng, time.Millisecond, 3*time.Second))
 	}
-	var wrong []string
-	wrong, r.ended, err = f.settled(ctx, run.tasks)
-	r.wrong = append(r.wrong, wrong...)
+	var violations []string
+	violations, result.serviceTasksEnded, err = site.awaitJobsDone(ctx, run.tasks)
+	result.violations = append(result.violations, violations...)
 	if err != nil {
-		r.err = err
+		result.err = err
 	}
-	f.orders(ctx, r)
-	return r
+	site.countOrders(ctx, result)
+	return result
 }
 
-func (r *startRun) submit(ctx context.Context, id, shape string, n int, seconds float64) {
+// submit submits a job, of the teams in turn.
+func (r *startRun) submit(ctx context.Context, id, shape string, taskCount int, seconds float64) {
 	team := []string{"red", "blue"}[len(r.tasks)%2]
-	r.tasks[id] = n
-	if err := r.farm.submit(ctx, id, r.farm.job(id, team, shape, n, seconds)); err != nil && r.err == nil {
+	r.tasks[id] = taskCount
+	if err := r.testSite.submit(ctx, id, r.testSite.shapedJobSubmission(id, team, shape, taskCount, seconds)); err != nil && r.err == nil {
 		r.err = err
 	}
 }
 
-// serviceTasks is how many tasks each service of a run has.
-const serviceTasks = 8
+// tasksPerService is how many tasks each service of a run has.
+const tasksPerService = 8
 
-// startServices fills six tenths of the machines with services; false if they do not run in
-// time.
+// startServices fills 60 % of the machines with services; a machine has room for four of their tasks.
+// It returns false if the services do not run within 30 s.
 func (r *startRun) startServices(ctx context.Context, machines int) bool {
-	services := machines * 4 * 6 / 10 / serviceTasks
+	services := machines * 4 * 6 / 10 / tasksPerService
 	id := func(i int) string { return fmt.Sprintf("job-8%05d", i) }
 	for i := range services {
-		r.submit(ctx, id(i), "standing", serviceTasks, 0)
+		r.submit(ctx, id(i), "standing", tasksPerService, 0)
 	}
-	return until(ctx, 30*time.Second, func() bool {
+	return waitUntil(ctx, 30*time.Second, func() bool {
 		running := 0
 		for i := range services {
-			running += r.farm.running(ctx, id(i))
+			running += r.testSite.runningTasks(ctx, id(i))
 		}
-		return running >= services*serviceTasks
+		return running >= services*tasksPerService
 	})
 }
 
-// endAll submits some work, ends all controllers, one shortly after the other, and starts
-// them again. It returns false if the run can't go on.
-func (r *startRun) endAll(ctx context.Context) bool {
+// restartControllers submits some jobs, kills all controllers, one shortly after the other, and starts
+// them again. It returns false if the run can't continue.
+func (r *startRun) restartControllers(ctx context.Context) bool {
 	for range 3 + r.rng.IntN(3) {
-		r.submit(ctx, fmt.Sprintf("job-1%05d", r.arrays), "sweep", 4+r.rng.IntN(12), 2+3*r.rng.Float64())
-		r.arrays++
+		r.submit(ctx, fmt.Sprintf("job-1%05d", r.shortJobs), "sweep", 4+r.rng.IntN(12), 2+3*r.rng.Float64())
+		r.shortJobs++
 	}
-	if r.farm.place {
-		r.submit(ctx, fmt.Sprintf("job-3%05d", r.arrays), "gang", 1+r.rng.IntN(2), 2+3*r.rng.Float64())
+	if r.testSite.mixedMachines {
+		r.submit(ctx, fmt.Sprintf("job-3%05d", r.shortJobs), "gang", 1+r.rng.IntN(2), 2+3*r.rng.Float64())
 	}
-	time.Sleep(span(r.rng, 200*time.Millisecond, 1500*time.Millisecond))
-	r.farm.orders(ctx, r.startResult)
-	var nodes []*process
-	for _, p := range r.farm.procs {
-		if strings.HasPrefix(p.name, "n-") {
-			nodes = append(nodes, p)
+	time.Sleep(randomDuration(r.rng, 200*time.Millisecond, 1500*time.Millisecond))
+	r.testSite.countOrders(ctx, r.startResult)
+	var nodes []*childProcess
+	for _, process := range r.testSite.procs {
+		if strings.HasPrefix(process.name, "n-") {
+			nodes = append(nodes, process)
 		}
 	}
-	for _, p := range nodes {
-		p.kill()
-		time.Sleep(span(r.rng, time.Millisecond, 300*time.Millisecond))
+	for _, process := range nodes {
+		process.kill()
+		time.Sleep(randomDuration(r.rng, time.Millisecond, 300*time.Millisecond))
 	}
-	time.Sleep(span(r.rng, 200*time.Millisecond, 2*time.Second))
+	time.Sleep(randomDuration(r.rng, 200*time.Millisecond, 2*time.Second))
 	for _, i := range r.rng.Perm(len(nodes)) {
 		if err := nodes[i].start(); err != nil {
 			r.err = err
 			return false
 		}
-		time.Sleep(span(r.rng, time.Millisecond, 700*time.Millisecond))
+		time.Sleep(randomDuration(r.rng, time.Millisecond, 700*time.Millisecond))
 	}
 	return true
 }
 
-// awaitServing measures from when the last process was back until both shares are served,
-// and half and all of their machines have spoken. It returns false if that takes too long.
-func (r *startRun) awaitServing(ctx context.Context, back time.Time) bool {
-	var serve, half, all time.Duration
-	if !until(ctx, 30*time.Second, func() bool {
-		shares, ok := r.farm.shares(ctx)
-		took := time.Since(back)
-		if !ok || len(shares) != 2 {
+// awaitReconciled measures the time from the restart of the last controller until both partitions are
+// in the serving phase, and until half and all of their machines have reported. It returns false if
+// that takes more than 30 s.
+func (r *startRun) awaitReconciled(ctx context.Context, restartedAt time.Time) bool {
+	var serving, halfReconciled, reconciled time.Duration
+	if !waitUntil(ctx, 30*time.Second, func() bool {
+		partitions, ok := r.testSite.partitionStatuses(ctx)
+		elapsed := time.Since(restartedAt)
+		if !ok || len(partitions) != 2 {
 			return false
 		}
-		unheard, total, serving := 0, 0, 0
-		for _, s := range shares {
-			unheard, total = unheard+s.Unheard, total+s.Machines
-			if s.Phase == "serving" {
-				serving++
+		awaitingReport, machines, servingPartitions := 0, 0, 0
+		for _, partition := range partitions {
+			awaitingReport, machines = awaitingReport+partition.Unheard, machines+partition.Machines
+			if partition.Phase == "serving" {
+				servingPartitions++
 			}
 		}
-		first(&serve, took, serving == 2)
-		first(&half, took, 2*unheard <= total)
-		first(&all, took, unheard == 0)
-		return serve > 0 && half > 0 && all > 0
+		setOnce(&serving, elapsed, servingPartitions == 2)
+		setOnce(&halfReconciled, elapsed, 2*awaitingReport <= machines)
+		setOnce(&reconciled, elapsed, awaitingReport == 0)
+		return serving > 0 && halfReconciled > 0 && reconciled > 0
 	}) {
-		r.wrong = append(r.wrong, fmt.Sprintf("not squared 30 s after the processes were back (serving after %v, half after %v)", serve, half))
+		r.violations = append(r.violations, fmt.Sprintf("not reconciled 30 s after the restart (serving after %v, half after %v)", serving, halfReconciled))
 		return false
 	}
-	r.serve, r.half, r.all = append(r.serve, serve), append(r.half, half), append(r.all, all)
+	r.servingDelays, r.halfReconciledDelays, r.reconciledDelays = append(r.servingDelays, serving), append(r.halfReconciledDelays, halfReconciled), append(r.reconciledDelays, reconciled)
 	return true
 }
 
-// first notes when something was so for the first time.
-func first(at *time.Duration, now time.Duration, is bool) {
-	if is && *at == 0 {
-		*at = now
+// setOnce sets target to the elapsed time when reached is true for the first time.
+func setOnce(target *time.Duration, elapsed time.Duration, reached bool) {
+	if reached && *target == 0 {
+		*target = elapsed
 	}
 }
 
-// settled waits until users are told that all jobs but services are done, and says what
-// was wrong of what they were told and what machines ran; ended is how many tasks of
-// services ended.
-func (f *farm) settled(ctx context.Context, tasks map[string]int) (wrong []string, ended int, err error) {
-	done := map[string]bool{}
-	open := 0
+// awaitJobsDone polls until all jobs other than services are reported as done, or for a minute. It
+// returns the violations found in the answers and in the machines' events, and the number of service
+// tasks that ended.
+func (site *testSite) awaitJobsDone(ctx context.Context, tasks map[string]int) (violations []string, ended int, err error) {
+	completed := map[string]bool{}
+	expected := 0
 	for id := range tasks {
-		if !service(id) {
-			open++
+		if !isService(id) {
+			expected++
 		}
 	}
-	until(ctx, 60*time.Second, func() bool {
+	waitUntil(ctx, 60*time.Second, func() bool {
 		for id := range tasks {
-			if service(id) {
+			if isService(id) {
 				continue
 			}
-			var s protocol.JobStatus
-			status, out, err := f.call(ctx, "GET", f.apis[len(done)%2], "/api/jobs/"+id, nil)
+			var job protocol.JobStatus
+			status, body, err := site.call(ctx, "GET", site.apis[len(completed)%2], "/api/jobs/"+id, nil)
 			switch {
 			case err != nil:
 			case status == 404:
-				wrong = append(wrong, id+" is forgotten")
-			case status == 200 && json.Unmarshal(out, &s) == nil && s.Status == protocol.JobDone:
-				done[id] = true
-			case done[id] && status == 200:
-				wrong = append(wrong, fmt.Sprintf("%s went back to %s", id, s.Status))
+				violations = append(violations, id+" is forgotten")
+			case status == 200 && json.Unmarshal(body, &job) == nil && job.Status == protocol.JobDone:
+				completed[id] = true
+			case completed[id] && status == 200:
+				violations = append(violations, fmt.Sprintf("%s went back to %s", id, job.Status))
 			}
 		}
-		return len(done) == open || len(wrong) > 0
+		return len(completed) == expected || len(violations) > 0
 	})
-	if len(done) < open {
-		wrong = append(wrong, fmt.Sprintf("%d of %d jobs never ended", open-len(done), open))
+	if len(completed) < expected {
+		violations = append(violations, fmt.Sprintf("%d of %d jobs did not end", expected-len(completed), expected))
 	}
-	events, err := readEvents(f.events)
+	events, err := readMachineEvents(site.eventsPath)
 	if err != nil {
-		return wrong, 0, err
+		return violations, 0, err
 	}
-	more, ended := judgeStarts(events, tasks, done)
-	return append(wrong, more...), ended, nil
+	eventViolations, ended := checkTaskEvents(events, tasks, completed)
+	return append(violations, eventViolations...), ended, nil
 }
 
-// service says whether a job of a run is a service, by its name.
-func service(id string) bool { return strings.HasPrefix(id, "job-8") }
+// isService reports whether a job of a run is a service, by its id.
+func isService(id string) bool { return strings.HasPrefix(id, "job-8") }
 
-func startProof() *cobra.Command {
-	machines, starts, place := 60, 3, false
-	c := runsProof("start", "End all controllers again and again, and hold what they say and order to what machines ran", 4, 4, func(ctx context.Context, out io.Writer, o runOptions) error {
-		if err := between("machines", machines, 10, 1000); err != nil {
+// startProofCommand returns the subcommand that restarts all controllers repeatedly.
+func startProofCommand() *cobra.Command {
+	machines, starts, mixedMachines := 60, 3, false
+	command := newProofCommand("start", "Kill all controllers repeatedly, and check their answers and orders against what machines ran", 4, 4, func(ctx context.Context, out io.Writer, options runOptions) error {
+		if err := checkRange("machines", machines, 10, 1000); err != nil {
 			return err
 		}
-		if err := between("starts", starts, 1, 50); err != nil {
+		if err := checkRange("starts", starts, 1, 50); err != nil {
 			return err
 		}
-		return proveStart(ctx, out, o, machines, starts, place)
+		return proveStart(ctx, out, options, machines, starts, mixedMachines)
 	})
-	c.Flags().IntVar(&machines, "machines", machines, "machines of a site")
-	placeFlag(c, &place)
-	c.Flags().IntVar(&starts, "starts", starts, "times that all controllers end in a run")
-	return c
+	command.Flags().IntVar(&machines, "machines", machines, "machines at a site")
+	addPlaceFlag(command, &mixedMachines)
+	command.Flags().IntVar(&starts, "starts", starts, "restarts of all controllers in a run")
+	return command
 }
 
-// placeFlag lets a proof run at a place with several types of machine.
-func placeFlag(c *cobra.Command, place *bool) {
-	c.Flags().BoolVar(place, "place", false, "several types of machine in three zones, 68 of which run before the controllers; gangs, and work without GPUs")
+// addPlaceFlag adds the flag that runs a proof at a site with several types of machine.
+func addPlaceFlag(command *cobra.Command, mixedMachines *bool) {
+	command.Flags().BoolVar(mixedMachines, "place", false, "several types of machine in three zones, 68 of which run before the controllers; gangs, and work without GPUs")
 }
 
-func proveStart(ctx context.Context, out io.Writer, o runOptions, machines, starts int, place bool) error {
+// proveStart executes the runs and prints their figures.
+func proveStart(ctx context.Context, out io.Writer, options runOptions, machines, starts int, mixedMachines bool) error {
 	type quantiles struct {
 		Median float64 `json:"median_s"`
 		Max    float64 `json:"max_s"`
 	}
-	s := struct {
+	figures := struct {
 		runTotals
-		Machines int            `json:"machines"`
-		Place    bool           `json:"place"`
-		Starts   int            `json:"starts"`
-		Serve    quantiles      `json:"serving_after"`
-		Half     quantiles      `json:"half_squared_after"`
-		All      quantiles      `json:"all_squared_after"`
-		Given    map[string]int `json:"orders_given"`
-		Held     map[string]int `json:"orders_held_back"`
-		Ended    int            `json:"service_tasks_ended"`
-	}{Machines: machines, Place: place, Given: map[string]int{}, Held: map[string]int{}}
-	serve, half, all := newLatencies(), newLatencies(), newLatencies()
+		Machines          int            `json:"machines"`
+		MixedMachines     bool           `json:"place"`
+		Starts            int            `json:"starts"`
+		Serving           quantiles      `json:"serving_after"`
+		HalfReconciled    quantiles      `json:"half_squared_after"`
+		Reconciled        quantiles      `json:"all_squared_after"`
+		OrdersGiven       map[string]int `json:"orders_given"`
+		OrdersHeldBack    map[string]int `json:"orders_held_back"`
+		ServiceTasksEnded int            `json:"service_tasks_ended"`
+	}{Machines: machines, MixedMachines: mixedMachines, OrdersGiven: map[string]int{}, OrdersHeldBack: map[string]int{}}
+	servingDelays, halfReconciledDelays, reconciledDelays := newLatencies(), newLatencies(), newLatencies()
 	var err error
-	t := startTimes
-	t.place = place
-	s.runTotals, err = o.each(ctx, out, "start", func(bin, dir string, seed uint64) (func(), runOutcome) {
-		r := oneStartRun(ctx, bin, dir, seed, machines, starts, t)
+	timing := restartTimes
+	timing.mixedMachines = mixedMachines
+	figures.runTotals, err = options.executeRuns(ctx, out, "start", func(bin, dir string, seed uint64) (func(), runOutcome) {
+		result := executeStartRun(ctx, bin, dir, seed, machines, starts, timing)
 		return func() {
-			s.Starts += len(r.all)
-			s.Ended += r.ended
-			for k, n := range r.given {
-				s.Given[k] += n
+			figures.Starts += len(result.reconciledDelays)
+			figures.ServiceTasksEnded += result.serviceTasksEnded
+			for order, count := range result.ordersGiven {
+				figures.OrdersGiven[order] += count
 			}
-			for k, n := range r.held {
-				s.Held[k] += n
+			for order, count := range result.ordersHeldBack {
+				figures.OrdersHeldBack[order] += count
 			}
-			serve.add(r.serve...)
-			half.add(r.half...)
-			all.add(r.all...)
-		}, runOutcome{fmt.Sprintf("%d starts, all squared after %v, %d service tasks ended", len(r.all), r.all, r.ended), r.wrong, r.err}
+			servingDelays.record(result.servingDelays...)
+			halfReconciledDelays.record(result.halfReconciledDelays...)
+			reconciledDelays.record(result.reconciledDelays...)
+		}, runOutcome{fmt.Sprintf("%d starts, all squared after %v, %d service tasks ended", len(result.reconciledDelays), result.reconciledDelays, result.serviceTasksEnded), result.violations, result.err}
 	})
 	if err != nil {
 		return err
 	}
-	told := func(l latencies) quantiles { return quantiles{l.seconds(50), l.maxSeconds()} }
-	s.Serve, s.Half, s.All = told(serve), told(half), told(all)
-	if err := figures(out, s); err != nil {
+	toQuantiles := func(delays latencies) quantiles { return quantiles{delays.quantileSeconds(50), delays.maxSeconds()} }
+	figures.Serving, figures.HalfReconciled, figures.Reconciled = toQuantiles(servingDelays), toQuantiles(halfReconciledDelays), toQuantiles(reconciledDelays)
+	if err := printFigures(out, figures); err != nil {
 		return err
 	}
-	return s.err()
+	return figures.err()
 }
--- a/cmd/lab/start_test.go
+++ b/cmd/lab/start_test.go
@@ -5,26 +5,25 @@
 	"testing"
 )
 
-// The checker of starts and take-overs finds a task on two machines at once and a job
-// called done too soon, counts services' tasks that ended, and finds nothing in a run
-// that was right.
-func TestJudgeStarts(t *testing.T) {
-	at := func(event, task, machine string) farmEvent {
-		return farmEvent{Event: event, Task: task, Machine: machine}
+// checkTaskEvents finds a task on two machines at once and a job that is reported as done too soon,
+// counts the service tasks that ended, and finds no violation in a correct run.
+func TestCheckTaskEvents(t *testing.T) {
+	event := func(kind, task, machine string) machineEvent {
+		return machineEvent{Event: kind, Task: task, Machine: machine}
 	}
-	right := []farmEvent{
-		at("start", "job-100001/0", "m1"), at("end", "job-100001/0", "m1"), at("start", "job-100001/0", "m2"), at("done", "job-100001/0", "m2"),
-		at("start", "job-800001/0", "m1"), at("end", "job-800001/0", "m1"),
+	correct := []machineEvent{
+		event("start", "job-100001/0", "m1"), event("end", "job-100001/0", "m1"), event("start", "job-100001/0", "m2"), event("done", "job-100001/0", "m2"),
+		event("start", "job-800001/0", "m1"), event("end", "job-800001/0", "m1"),
 	}
 	tasks := map[string]int{"job-100001": 1, "job-800001": 1}
-	if wrong, ended := judgeStarts(right, tasks, map[string]bool{"job-100001": true}); len(wrong) > 0 || ended != 1 {
-		t.Errorf("%v, %d service tasks ended", wrong, ended)
+	if violations, ended := checkTaskEvents(correct, tasks, map[string]bool{"job-100001": true}); len(violations) > 0 || ended != 1 {
+		t.Errorf("%v, %d service tasks ended", violations, ended)
 	}
-	twice := append([]farmEvent{at("start", "job-100001/0", "m9")}, right...)
-	if wrong, _ := judgeStarts(twice, tasks, nil); len(wrong) != 1 || !strings.Contains(wrong[0], "while on m9") {
-		t.Errorf("twice: %v", wrong)
+	concurrent := append([]machineEvent{event("start", "job-100001/0", "m9")}, correct...)
+	if violations, _ := checkTaskEvents(concurrent, tasks, nil); len(violations) != 1 || !strings.Contains(violations[0], "while on m9") {
+		t.Errorf("twice: %v", violations)
 	}
-	if wrong, _ := judgeStarts(right[:3], tasks, map[string]bool{"job-100001": true}); len(wrong) != 1 || !strings.Contains(wrong[0], "called done") {
-		t.Errorf("done too soon: %v", wrong)
+	if violations, _ := checkTaskEvents(correct[:3], tasks, map[string]bool{"job-100001": true}); len(violations) != 1 || !strings.Contains(violations[0], "called done") {
+		t.Errorf("done too soon: %v", violations)
 	}
 }
--- a/cmd/lab/tickets.go
+++ b/cmd/lab/tickets.go
@@ -27,46 +27,49 @@
 	"dapplestage.example/dapplestage/internal/standin"
 )
 
-// A farm is one site as real processes: a state service, render servers and two
-// controllers that take tickets. Two farms of the same seed are given the same tickets,
-// one by POST /tickets and one inside ordinary submissions. What their machines ran and
-// what their users were told must be equal, line by line, and equal to what the seed
-// says it must be.
-
-type farm struct {
-	dir       string
-	procs     []*process
-	apis      []string
-	cloud     string
-	state     string
-	events    string
-	http      *http.Client
-	place     bool     // several types of machine in three zones
-	heldStart []string // starts on machines that were held back
-}
-
-// job is the submission of a job of a shape. At a place with several types of machine
-// services and arrays need no GPU, and gangs a whole large machine for each task.
-func (f *farm) job(id, team, shape string, tasks int, seconds float64) []byte {
-	body := strings.Replace(string(submission(id, team, tasks, seconds)), `"sweep"`, fmt.Sprintf("%q", shape), 1)
-	const needs, zones = `"vcpus":2.0,"cards":1.0,"memGb":8.0`, `"together":false,"scatter":false,"loaners":true`
-	if f.place {
+// The tickets proof submits the same tickets to two test sites of the same seed: to one by
+// POST /tickets, to the other inside ordinary submissions. The task runs of the machines and the
+// answers to users are written as lines of text. The lines of both sites must be equal, and equal
+// to the lines that follow from the seed.
+
+// testSite is one site of real processes: a state service, simulated machines and two controllers
+// that accept tickets.
+type testSite struct {
+	dir              string
+	procs            []*childProcess
+	apis             []string // addresses of the controllers
+	cloudAddr        string
+	stateAddr        string
+	eventsPath       string
+	http             *http.Client
+	mixedMachines    bool     // several types of machine in three zones
+	startsOnCordoned []string // violations: tasks that started on cordoned machines
+}
+
+// shapedJobSubmission returns the submission of a job of a given shape. At a site with mixed machines,
+// services and arrays need no GPU, and each task of a gang needs a whole large machine.
+func (site *testSite) shapedJobSubmission(id, team, shape string, tasks int, seconds float64) []byte {
+	body := strings.Replace(string(jobSubmission(id, team, tasks, seconds)), `"sweep"`, fmt.Sprintf("%q", shape), 1)
+	const defaultNeeds, defaultPlacement = `"vcpus":2.0,"cards":1.0,"memGb":8.0`, `"together":false,"scatter":false,"loaners":true`
+	if site.mixedMachines {
 		switch shape {
 		case "standing":
-			body = strings.NewReplacer(needs, `"vcpus":1.0,"cards":0.0,"memGb":2.5`, zones, `"together":false,"scatter":true,"loaners":false`, `"standard"`, `"critical"`).Replace(body)
+			body = strings.NewReplacer(defaultNeeds, `"vcpus":1.0,"cards":0.0,"memGb":2.5`, defaultPlacement, `"together":false,"scatter":true,"loaners":false`, `"standard"`, `"critical"`).Replace(body)
 		case "gang":
-			body = strings.NewReplacer(needs, `"vcpus":43.0,"cards":4.0,"memGb":310.0`, zones, `"together":true,"scatter":false,"loaners":false`, `"standard"`, `"high"`).Replace(body)
+			body = strings.NewReplacer(defaultNeeds, `"vcpus":43.0,"cards":4.0,"memGb":310.0`, defaultPlacement, `"together":true,"scatter":false,"loaners":false`, `"standard"`, `"high"`).Replace(body)
 		default:
-			body = strings.NewReplacer(needs, `"vcpus":1.0,"cards":0.0,"memGb":2.9`, `"standard"`, `"best_effort"`).Replace(body)
+			body = strings.NewReplacer(defaultNeeds, `"vcpus":1.0,"cards":0.0,"memGb":2.9`, `"standard"`, `"best_effort"`).Replace(body)
 		}
 	}
 	return []byte(body)
 }
 
-// farmTimes are the times of a farm's site.
-var farmTimes = times{workersLease: 2.5, report: 0.5, cancel: 14, writeRPS: 150}
+// testSiteTimes are the default times and limits of a test site.
+var testSiteTimes = times{workerLease: 2.5, reportInterval: 0.5, cancelBound: 14, writeRPS: 150}
 
-const farmClasses = `
+// ticketClassesFormat is the settings file of the ticket classes, with the maximum of retries left
+// open.
+const ticketClassesFormat = `
 [[classes]]
 lot = "preview"
 urgency = "high"
@@ -82,94 +85,97 @@
 expectS = 0.8
 `
 
-// farmRetries is what the class of a farm allows.
-const farmRetries = 3
+// classMaxRetries is the maximum of retries per task that the ticket class allows.
+const classMaxRetries = 3
 
-func newFarm(ctx context.Context, bin, dir string, seed uint64, retries, machines int, t times) (*farm, error) {
-	f := &farm{dir: dir, events: filepath.Join(dir, "events"), http: &http.Client{Timeout: 5 * time.Second}}
+// newTestSite starts the processes of a test site in dir and waits until they are ready. The caller
+// must end the site, also after an error.
+func newTestSite(ctx context.Context, bin, dir string, seed uint64, retries, machines int, timing times) (*testSite, error) {
+	site := &testSite{dir: dir, eventsPath: filepath.Join(dir, "events"), http: &http.Client{Timeout: 5 * time.Second}}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return f, err
+		return site, err
 	}
-	a, err := ports(7)
+	addresses, err := freeAddresses(7)
 	if err != nil {
-		return f, err
+		return site, err
 	}
-	state, cloud, peers := a[0], a[1], a[4:6]
-	_, workers, _ := net.SplitHostPort(a[6])
-	f.cloud, f.state, f.apis = cloud, state, a[2:4]
-	classes := filepath.Join(dir, "tickets.toml")
-	if err := os.WriteFile(classes, fmt.Appendf(nil, farmClasses, retries), 0o644); err != nil {
-		return f, err
+	stateAddr, cloudAddr, peerAddrs := addresses[0], addresses[1], addresses[4:6]
+	_, workersPort, _ := net.SplitHostPort(addresses[6])
+	site.cloudAddr, site.stateAddr, site.apis = cloudAddr, stateAddr, addresses[2:4]
+	classesPath := filepath.Join(dir, "tickets.toml")
+	if err := os.WriteFile(classesPath, fmt.Appendf(nil, ticketClassesFormat, retries), 0o644); err != nil {
+		return site, err
 	}
-	proc := func(name, program string, args ...string) {
-		f.procs = append(f.procs, &process{name: name, bin: filepath.Join(bin, program), args: args, log: filepath.Join(dir, name+".log")})
+	addProcess := func(name, program string, args ...string) {
+		site.procs = append(site.procs, &childProcess{name: name, bin: filepath.Join(bin, program), args: args, logPath: filepath.Join(dir, name+".log")})
 	}
 	nodes := []string{"n-0", "n-1"}
-	proc("state", "standin", "-state", state, "-cloud", "", "-nodes", "n-0="+f.apis[0])
-	proc("cloud", "standin", "-state", "", "-cloud", cloud, "-nodes", "n-0="+f.apis[0]+",n-1="+f.apis[1], "-boot", "400ms", "-fetch", "150ms",
-		"-lease", fmt.Sprint(t.workersLease), "-report", fmt.Sprint(t.report), "-zone", "a", "-machines", fmt.Sprint(machines), "-events", f.events, "-farm", fmt.Sprint(seed), "-workers", workers, fmt.Sprintf("-place=%v", t.place))
-	f.place = t.place
+	addProcess("state", "standin", "-state", stateAddr, "-cloud", "", "-nodes", "n-0="+site.apis[0])
+	addProcess("cloud", "standin", "-state", "", "-cloud", cloudAddr, "-nodes", "n-0="+site.apis[0]+",n-1="+site.apis[1], "-boot", "400ms", "-fetch", "150ms",
+		"-lease", fmt.Sprint(timing.workerLease), "-report", fmt.Sprint(timing.reportInterval), "-zone", "a", "-machines", fmt.Sprint(machines), "-events", site.eventsPath, "-farm", fmt.Sprint(seed), "-workers", workersPort, fmt.Sprintf("-place=%v", timing.mixedMachines))
+	site.mixedMachines = timing.mixedMachines
 	zones := []string{"a", "a"}
-	if t.place {
+	if timing.mixedMachines {
 		zones[1] = "c"
 	}
-	for i, n := range nodes {
-		path := filepath.Join(dir, n+".toml")
-		text := controllerSettings(n, nodes[1-i], zones[i], zones[1-i], f.apis[i], peers[i], peers[1-i], cloud, state, t)
-		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
-			return f, err
+	for i, nodeName := range nodes {
+		path := filepath.Join(dir, nodeName+".toml")
+		settings := controllerSettings(nodeName, nodes[1-i], zones[i], zones[1-i], site.apis[i], peerAddrs[i], peerAddrs[1-i], cloudAddr, stateAddr, timing)
+		if err := os.WriteFile(path, []byte(settings), 0o644); err != nil {
+			return site, err
 		}
-		proc(n, "dapplestage", "--tickets", classes, "--config", path)
+		addProcess(nodeName, "dapplestage", "--tickets", classesPath, "--config", path)
 	}
-	for _, p := range f.procs {
-		if err := p.start(); err != nil {
-			return f, err
+	for _, process := range site.procs {
+		if err := process.start(); err != nil {
+			return site, err
 		}
 	}
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(50 * time.Millisecond) {
-		ok := true
-		for _, api := range f.apis {
-			status, _, err := f.call(ctx, "GET", api, "/ready", nil)
-			ok = ok && err == nil && status == 200
+		ready := true
+		for _, api := range site.apis {
+			status, _, err := site.call(ctx, "GET", api, "/ready", nil)
+			ready = ready && err == nil && status == 200
 		}
-		// Controllers are ready without the cloud, and the run begins with an upload there.
-		status, _, err := f.call(ctx, "GET", f.cloud, "/hosts", nil)
-		ok = ok && err == nil && status == 200
-		if ok {
-			return f, nil
+		// Controllers report ready without the cloud, but a run begins with an upload to the cloud.
+		status, _, err := site.call(ctx, "GET", site.cloudAddr, "/hosts", nil)
+		ready = ready && err == nil && status == 200
+		if ready {
+			return site, nil
 		}
 		if time.Now().After(deadline) || ctx.Err() != nil {
-			return f, fmt.Errorf("the farm in %s did not start", dir)
+			return site, fmt.Errorf("the farm in %s did not start", dir)
 		}
 	}
 }
 
-// startFarm makes a farm without troubles of its own.
-func startFarm(ctx context.Context, bin, dir string, machines int, t times) (*farm, error) {
-	return startFarmOf(ctx, bin, dir, 0, farmRetries, machines, t)
+// startTestSite starts a test site whose machines do not fail on their own.
+func startTestSite(ctx context.Context, bin, dir string, machines int, timing times) (*testSite, error) {
+	return startSeededTestSite(ctx, bin, dir, 0, classMaxRetries, machines, timing)
 }
 
-// startFarmOf makes a farm whose machines do what a seed says (0: nothing bad), anew if
-// another program took one of its ports meanwhile.
-func startFarmOf(ctx context.Context, bin, dir string, seed uint64, retries, machines int, t times) (f *farm, err error) {
+// startSeededTestSite starts a test site whose machines fail as drawn from the seed (0: not at
+// all). It makes up to three attempts, since another program may take one of the ports first.
+func startSeededTestSite(ctx context.Context, bin, dir string, seed uint64, retries, machines int, timing times) (site *testSite, err error) {
 	for try := range 3 {
-		if f, err = newFarm(ctx, bin, fmt.Sprintf("%s/%d", dir, try), seed, retries, machines, t); err == nil {
+		if site, err = newTestSite(ctx, bin, fmt.Sprintf("%s/%d", dir, try), seed, retries, machines, timing); err == nil {
 			break
 		}
-		f.end()
+		site.end()
 	}
-	return f, err
+	return site, err
 }
 
-func (f *farm) end() {
-	for _, p := range f.procs {
+// end kills all processes of the site.
+func (site *testSite) end() {
+	for _, p := range site.procs {
 		p.kill()
 	}
 }
 
-// process is the process of a name; nil if there is none.
-func (f *farm) process(name string) *process {
-	for _, p := range f.procs {
+// childProcess returns the process with a given name, or nil.
+func (site *testSite) childProcess(name string) *childProcess {
+	for _, p := range site.procs {
 		if p.name == name {
 			return p
 		}
@@ -177,21 +183,22 @@
 	return nil
 }
 
-// signal sends a signal to some of the farm's processes.
-func (f *farm) signal(s syscall.Signal, names ...string) {
+// signal sends a signal to the processes with the given names.
+func (site *testSite) signal(s syscall.Signal, names ...string) {
 	for _, name := range names {
-		if p := f.process(name); p != nil {
+		if p := site.childProcess(name); p != nil {
 			p.signal(s)
 		}
 	}
 }
 
-func (f *farm) call(ctx context.Context, method, addr, path string, body []byte) (int, []byte, error) {
+// call sends an HTTP request and returns the status and the body of the response.
+func (site *testSite) call(ctx context.Context, method, addr, path string, body []byte) (int, []byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, strings.NewReader(string(body)))
 	if err != nil {
 		return 0, nil, err
 	}
-	resp, err := f.http.Do(req)
+	resp, err := site.http.Do(req)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -200,353 +207,359 @@
 	return resp.StatusCode, data, err
 }
 
-// farmTicket is a ticket of a run.
-type farmTicket struct {
-	id, name  string
-	steps     []string // "name tasks after..."
-	retries   int
-	failed    int
-	cancelled bool // as soon as it is accepted
+// testTicket is a ticket that a run submits.
+type testTicket struct {
+	id, name       string
+	steps          []string // each "NAME TASKS DEPENDENCY...", with the number of tasks and the names of earlier steps
+	maxRetries     int
+	maxFailedTasks int
+	cancelled      bool // cancelled as soon as it is accepted
 }
 
-// body is the ticket's submission; carried: inside an ordinary one.
-func (t *farmTicket) body(carried bool) []byte {
+// body returns the ticket's submission: an ordinary submission that contains the ticket if embedded
+// is set, a submission to /tickets otherwise.
+func (t *testTicket) body(embedded bool) []byte {
 	var steps []map[string]any
-	for _, s := range t.steps {
-		f := strings.Fields(s)
-		step := map[string]any{"name": f[0], "script": map[string]any{"actions": map[string]any{"onRun": map[string]any{"command": "render", "args": []string{"{{Task.Param.F}}"}}}},
-			"parameterSpace": map[string]any{"taskParameterDefinitions": []any{map[string]any{"name": "F", "type": "INT", "range": "1-" + f[1]}}}}
-		var deps []any
-		for _, d := range f[2:] {
-			deps = append(deps, map[string]any{"dependsOn": d})
+	for _, step := range t.steps {
+		fields := strings.Fields(step)
+		encodedStep := map[string]any{"name": fields[0], "script": map[string]any{"actions": map[string]any{"onRun": map[string]any{"command": "render", "args": []string{"{{Task.Param.F}}"}}}},
+			"parameterSpace": map[string]any{"taskParameterDefinitions": []any{map[string]any{"name": "F", "type": "INT", "range": "1-" + fields[1]}}}}
+		var dependencies []any
+		for _, dependency := range fields[2:] {
+			dependencies = append(dependencies, map[string]any{"dependsOn": dependency})
 		}
-		if deps != nil {
-			step["dependencies"] = deps
+		if dependencies != nil {
+			encodedStep["dependencies"] = dependencies
 		}
-		steps = append(steps, step)
+		steps = append(steps, encodedStep)
 	}
-	tk := map[string]any{"maxRetriesPerTask": t.retries, "maxFailedTasksCount": t.failed, "priority": 100,
+	settings := map[string]any{"maxRetriesPerTask": t.maxRetries, "maxFailedTasksCount": t.maxFailedTasks, "priority": 100,
 		"template": map[string]any{"specificationVersion": format.Version, "name": t.name, "steps": steps}}
-	out := map[string]any{"id": t.id, "lot": "preview", "crew": "red"}
-	if carried {
-		out["ticket"] = tk
+	submission := map[string]any{"id": t.id, "lot": "preview", "crew": "red"}
+	if embedded {
+		submission["ticket"] = settings
 	} else {
-		for k, v := range tk {
-			out[k] = v
+		for key, value := range settings {
+			submission[key] = value
 		}
 	}
-	data, _ := json.Marshal(out)
-	return data
+	encoded, _ := json.Marshal(submission)
+	return encoded
 }
 
-// drawTickets draws the tickets of a run.
-func drawTickets(seed uint64) []*farmTicket {
+// generateTickets returns the tickets of a run, drawn from the seed.
+func generateTickets(seed uint64) []*testTicket {
 	rng := rand.New(rand.NewPCG(seed, 11))
-	var out []*farmTicket
+	var tickets []*testTicket
 	for i := range 6 {
-		t := &farmTicket{id: fmt.Sprintf("job-%06d", i), name: fmt.Sprintf("t%d", i), retries: 2 + rng.IntN(6)}
+		ticket := &testTicket{id: fmt.Sprintf("job-%06d", i), name: fmt.Sprintf("t%d", i), maxRetries: 2 + rng.IntN(6)}
 		switch i {
-		case 0: // fails at once when its first task has used up its tries
-			t.name = standin.AlwaysFailsPrefix + " at once"
-		case 1: // survives that, and fails in the end
-			t.name, t.failed = standin.AlwaysFailsPrefix+" survived", 2
+		case 0: // the ticket fails as soon as its first task has used up its retries
+			ticket.name = standin.AlwaysFailsPrefix + " at once"
+		case 1: // the ticket may have two failed tasks, so it runs to its end and fails then
+			ticket.name, ticket.maxFailedTasks = standin.AlwaysFailsPrefix+" survived", 2
 		case 2:
-			t.cancelled = true
+			ticket.cancelled = true
 		}
-		for k := range 1 + rng.IntN(3) {
-			s := fmt.Sprintf("s%d %d", k, 1+rng.IntN(6))
-			for d := range k {
+		for step := range 1 + rng.IntN(3) {
+			description := fmt.Sprintf("s%d %d", step, 1+rng.IntN(6))
+			for earlier := range step {
 				if rng.IntN(2) == 0 {
-					s += fmt.Sprintf(" s%d", d)
+					description += fmt.Sprintf(" s%d", earlier)
 				}
 			}
-			t.steps = append(t.steps, s)
+			ticket.steps = append(ticket.steps, description)
 		}
-		out = append(out, t)
+		tickets = append(tickets, ticket)
 	}
-	return out
+	return tickets
 }
 
-// describe are the descriptions that a ticket's user uploads.
-func describe(body []byte) ([]ticket.Description, error) {
-	s, a, err := admitted(body)
+// jobDescriptions returns the job descriptions that the user of a ticket uploads.
+func jobDescriptions(body []byte) ([]ticket.Description, error) {
+	submission, admitted, err := admitTicket(body)
 	if err != nil {
 		return nil, err
 	}
-	return ticket.Describe(s, a)
+	return ticket.Describe(submission, admitted)
 }
 
-// admitted is the ticket as any node admits it.
-func (t *farmTicket) admitted() (*format.Submission, *ticket.Admitted, error) {
-	return admitted(t.body(false))
+// admitTicket returns the ticket as a controller admits it.
+func (t *testTicket) admitTicket() (*format.Submission, *ticket.Admitted, error) {
+	return admitTicket(t.body(false))
 }
 
-func admitted(body []byte) (*format.Submission, *ticket.Admitted, error) {
-	s, err := format.ParseTicket(body)
+// admitTicket parses a ticket and admits it with the same ticket class as ticketClassesFormat.
+func admitTicket(body []byte) (*format.Submission, *ticket.Admitted, error) {
+	submission, err := format.ParseTicket(body)
 	if err != nil {
 		return nil, nil, err
 	}
-	classes := ticket.ClassTable{"preview": {Lot: "preview", Urgency: "high", Shapes: []string{"sweep"}, Over: ticket.ReduceExcess, Retries: farmRetries, Failed: 3, Tasks: 100000, VCPUs: 2, Cards: 1, MemGB: 8, Bundle: "img-1", SizeGB: 1, Loaners: true, ExpectS: 0.8}}
-	a, err := ticket.Admit(s, classes, ticket.Limits{MaxValueBytes: 8000})
-	return s, a, err
+	classes := ticket.ClassTable{"preview": {Lot: "preview", Urgency: "high", Shapes: []string{"sweep"}, Over: ticket.ReduceExcess, Retries: classMaxRetries, Failed: 3, Tasks: 100000, VCPUs: 2, Cards: 1, MemGB: 8, Bundle: "img-1", SizeGB: 1, Loaners: true, ExpectS: 0.8}}
+	admitted, err := ticket.Admit(submission, classes, ticket.Limits{MaxValueBytes: 8000})
+	return submission, admitted, err
 }
 
-// expected are the lines that a ticket must give: the seed alone decides.
-func (t *farmTicket) expected(f *standin.RenderFaults) ([]string, error) {
-	_, a, err := t.admitted()
+// expectedLines returns the lines that a ticket must produce. They depend on the seed alone.
+func (t *testTicket) expectedLines(plan *standin.RenderFaults) ([]string, error) {
+	_, admitted, err := t.admitTicket()
 	if err != nil {
 		return nil, err
 	}
-	rec := a.Record
-	granted := rec.Terms.MaxRetries.Granted
-	atOnce := strings.HasPrefix(t.name, standin.AlwaysFailsPrefix) && t.failed == 0
+	record := admitted.Record
+	granted := record.Terms.MaxRetries.Granted
+	failsAtOnce := strings.HasPrefix(t.name, standin.AlwaysFailsPrefix) && t.maxFailedTasks == 0
 	status := protocol.JobDone
 	if strings.HasPrefix(t.name, standin.AlwaysFailsPrefix) {
 		status = protocol.JobFailed
 	}
-	lines := []string{fmt.Sprintf("%s retries asked %d granted %d urgency %s", t.name, t.retries, min(t.retries, farmRetries), "high")}
+	lines := []string{fmt.Sprintf("%s retries asked %d granted %d urgency %s", t.name, t.maxRetries, min(t.maxRetries, classMaxRetries), "high")}
 	if t.cancelled {
 		return append(lines, t.name+" withdrawn"), nil
 	}
 	lines = append(lines, t.name+" "+status)
-	state := make([]string, len(rec.Steps))
-	for i, st := range rec.Steps {
-		state[i] = protocol.JobDone
-		for _, d := range st.Deps {
-			if state[d] != protocol.JobDone {
-				state[i] = node.StepNotRun
+	stepStatus := make([]string, len(record.Steps))
+	for i, step := range record.Steps {
+		stepStatus[i] = protocol.JobDone
+		for _, dependency := range step.Deps {
+			if stepStatus[dependency] != protocol.JobDone {
+				stepStatus[i] = node.StepNotRun
 			}
 		}
-		if state[i] == node.StepNotRun {
-			if !atOnce {
-				lines = append(lines, fmt.Sprintf("%s %s %s", t.name, st.Name, state[i]))
+		if stepStatus[i] == node.StepNotRun {
+			if !failsAtOnce {
+				lines = append(lines, fmt.Sprintf("%s %s %s", t.name, step.Name, stepStatus[i]))
 			}
 			continue
 		}
-		for k := range st.Tasks {
-			n := f.FailuresBeforeSuccess(t.name, st.Name, k)
-			end := "done"
-			if n < 0 || n > granted {
-				n, end, state[i] = granted+1, "failed", protocol.JobFailed
+		for task := range step.Tasks {
+			errors := plan.FailuresBeforeSuccess(t.name, step.Name, task)
+			outcome := "done"
+			if errors < 0 || errors > granted {
+				errors, outcome, stepStatus[i] = granted+1, "failed", protocol.JobFailed
 			}
-			if !atOnce || end == "failed" {
-				lines = append(lines, fmt.Sprintf("%s %s/%d %d errors, %s", t.name, st.Name, k, n, end))
+			if !failsAtOnce || outcome == "failed" {
+				lines = append(lines, fmt.Sprintf("%s %s/%d %d errors, %s", t.name, step.Name, task, errors, outcome))
 			}
 		}
-		if !atOnce {
-			lines = append(lines, fmt.Sprintf("%s %s %s", t.name, st.Name, state[i]))
+		if !failsAtOnce {
+			lines = append(lines, fmt.Sprintf("%s %s %s", t.name, step.Name, stepStatus[i]))
 		}
 	}
 	return lines, nil
 }
 
-// farmEvent is what a render server ran.
-type farmEvent struct {
+// machineEvent is an entry of the event log of a site's machines: the start of a task, or its end
+// (done, error or end).
+type machineEvent struct {
 	At      int64
 	Event   string
 	Task    string
 	Machine string
 }
 
-func readEvents(path string) ([]farmEvent, error) {
+// readMachineEvents reads an event log. Lines that can't be parsed are skipped.
+func readMachineEvents(path string) ([]machineEvent, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer file.Close()
-	var out []farmEvent
-	for sc := bufio.NewScanner(file); sc.Scan(); {
-		var e farmEvent
-		if json.Unmarshal(sc.Bytes(), &e) == nil {
-			out = append(out, e)
+	var events []machineEvent
+	for scanner := bufio.NewScanner(file); scanner.Scan(); {
+		var event machineEvent
+		if json.Unmarshal(scanner.Bytes(), &event) == nil {
+			events = append(events, event)
 		}
 	}
-	return out, nil
+	return events, nil
 }
 
-// lines are what a ticket gave: from the machines' own log and from what its user was
-// told, each for its own part.
-func (t *farmTicket) lines(told *node.TicketStatus, events []farmEvent) ([]string, error) {
-	_, a, err := t.admitted()
+// observedLines returns the lines that a ticket produced. Errors, ends and order of tasks come from
+// the machines' event log; terms and status of the ticket and its steps come from the answer to its
+// user.
+func (t *testTicket) observedLines(status *node.TicketStatus, events []machineEvent) ([]string, error) {
+	_, admitted, err := t.admitTicket()
 	if err != nil {
 		return nil, err
 	}
-	atOnce := strings.HasPrefix(t.name, standin.AlwaysFailsPrefix) && t.failed == 0
-	terms := told.Terms
-	asked := -1
+	failsAtOnce := strings.HasPrefix(t.name, standin.AlwaysFailsPrefix) && t.maxFailedTasks == 0
+	terms := status.Terms
+	requested := -1
 	if terms != nil && terms.MaxRetries.Requested != nil {
-		asked = *terms.MaxRetries.Requested
+		requested = *terms.MaxRetries.Requested
 	}
-	lines := []string{fmt.Sprintf("%s retries asked %d granted %d urgency %s", t.name, asked, terms.MaxRetries.Granted, terms.Priority), t.name + " " + told.Status}
+	lines := []string{fmt.Sprintf("%s retries asked %d granted %d urgency %s", t.name, requested, terms.MaxRetries.Granted, terms.Priority), t.name + " " + status.Status}
 	if t.cancelled {
 		return lines, nil
 	}
-	starts, errs, done := map[string]int{}, map[string]int{}, map[string]bool{}
+	starts, errors, done := map[string]int{}, map[string]int{}, map[string]bool{}
 	lastDone, firstStart := map[string]int64{}, map[string]int64{}
-	for _, e := range events {
-		job, _, _ := protocol.ParseTaskID(e.Task)
-		switch e.Event {
+	for _, event := range events {
+		job, _, _ := protocol.ParseTaskID(event.Task)
+		switch event.Event {
 		case "start":
-			starts[e.Task]++
+			starts[event.Task]++
 			if firstStart[job] == 0 {
-				firstStart[job] = e.At
+				firstStart[job] = event.At
 			}
 		case "error":
-			errs[e.Task]++
+			errors[event.Task]++
 		case "done":
-			done[e.Task] = true
-			lastDone[job] = max(lastDone[job], e.At)
+			done[event.Task] = true
+			lastDone[job] = max(lastDone[job], event.At)
 		}
 	}
-	for i, st := range a.Record.Steps {
-		id := ticket.StepSpec(a.Record, i).ID
-		for _, d := range st.Deps {
-			if dep := ticket.StepSpec(a.Record, d).ID; firstStart[id] != 0 && firstStart[id] < lastDone[dep] {
-				lines = append(lines, fmt.Sprintf("%s %s started before %s was done", t.name, st.Name, a.Record.Steps[d].Name))
+	for i, step := range admitted.Record.Steps {
+		jobID := ticket.StepSpec(admitted.Record, i).ID
+		for _, dependency := range step.Deps {
+			if dependencyID := ticket.StepSpec(admitted.Record, dependency).ID; firstStart[jobID] != 0 && firstStart[jobID] < lastDone[dependencyID] {
+				lines = append(lines, fmt.Sprintf("%s %s started before %s was done", t.name, step.Name, admitted.Record.Steps[dependency].Name))
 			}
 		}
-		if told.Steps[i].Status == node.StepNotRun {
-			if firstStart[id] != 0 {
-				lines = append(lines, fmt.Sprintf("%s %s is told not to have run, and did", t.name, st.Name))
+		if status.Steps[i].Status == node.StepNotRun {
+			if firstStart[jobID] != 0 {
+				lines = append(lines, fmt.Sprintf("%s %s is reported as not run, but it ran", t.name, step.Name))
 			}
-			if !atOnce {
-				lines = append(lines, fmt.Sprintf("%s %s %s", t.name, st.Name, told.Steps[i].Status))
+			if !failsAtOnce {
+				lines = append(lines, fmt.Sprintf("%s %s %s", t.name, step.Name, status.Steps[i].Status))
 			}
 			continue
 		}
-		for k := range st.Tasks {
-			task := protocol.TaskID(id, k)
-			end := "not run"
+		for index := range step.Tasks {
+			task := protocol.TaskID(jobID, index)
+			outcome := "not run"
 			switch {
 			case done[task]:
-				end = "done"
-			case errs[task] > 0:
-				end = "failed"
+				outcome = "done"
+			case errors[task] > 0:
+				outcome = "failed"
 			}
-			if atOnce && !(i == 0 && k == 0) {
-				continue // what else ran until then is a matter of time
+			if failsAtOnce && !(i == 0 && index == 0) {
+				continue // which other tasks ran before the ticket failed depends on timing
 			}
-			lines = append(lines, fmt.Sprintf("%s %s/%d %d errors, %s", t.name, st.Name, k, errs[task], end))
-			if starts[task] < errs[task] || done[task] && starts[task] <= errs[task] {
+			lines = append(lines, fmt.Sprintf("%s %s/%d %d errors, %s", t.name, step.Name, index, errors[task], outcome))
+			if starts[task] < errors[task] || done[task] && starts[task] <= errors[task] {
 				lines = append(lines, fmt.Sprintf("%s ended more often than it started", task))
 			}
 		}
-		if !atOnce {
-			lines = append(lines, fmt.Sprintf("%s %s %s", t.name, st.Name, told.Steps[i].Status))
+		if !failsAtOnce {
+			lines = append(lines, fmt.Sprintf("%s %s %s", t.name, step.Name, status.Steps[i].Status))
 		}
 	}
 	return lines, nil
 }
 
-// compare tells the lines in which two accounts differ.
-func compare(nameA, nameB string, a, b []string) (out []string) {
-	for i := range max(len(a), len(b)) {
-		x, y := "(nothing)", "(nothing)"
-		if i < len(a) {
-			x = a[i]
+// diffLines returns a description of each line in which a and b differ.
+func diffLines(nameA, nameB string, linesA, linesB []string) (differences []string) {
+	for i := range max(len(linesA), len(linesB)) {
+		lineA, lineB := "(nothing)", "(nothing)"
+		if i < len(linesA) {
+			lineA = linesA[i]
 		}
-		if i < len(b) {
-			y = b[i]
+		if i < len(linesB) {
+			lineB = linesB[i]
 		}
-		if x != y {
-			out = append(out, fmt.Sprintf("%s: %s | %s: %s", nameA, x, nameB, y))
+		if lineA != lineB {
+			differences = append(differences, fmt.Sprintf("%s: %s | %s: %s", nameA, lineA, nameB, lineB))
 		}
 	}
-	return out
+	return differences
 }
 
-// play gives a farm the tickets and waits for their ends.
-func (f *farm) play(ctx context.Context, seed uint64, tickets []*farmTicket, carried bool) (map[string]*node.TicketStatus, []time.Duration, error) {
+// runTickets submits the tickets to a site and waits until they have ended, while machines are
+// drained. It returns the final statuses by ticket name and the latencies of the submissions.
+func (site *testSite) runTickets(ctx context.Context, seed uint64, tickets []*testTicket, embedded bool) (map[string]*node.TicketStatus, []time.Duration, error) {
 	rng := rand.New(rand.NewPCG(seed, 12))
-	var accepts []time.Duration
-	for _, t := range tickets {
-		took, err := f.give(ctx, rng, t, carried)
+	var acceptLatencies []time.Duration
+	for _, ticket := range tickets {
+		latency, err := site.submitTicket(ctx, rng, ticket, embedded)
 		if err != nil {
 			return nil, nil, err
 		}
-		accepts = append(accepts, took)
+		acceptLatencies = append(acceptLatencies, latency)
 	}
 	stop := make(chan struct{})
-	var drains sync.WaitGroup
-	drains.Go(func() { f.drainSome(ctx, rand.New(rand.NewPCG(seed, 13)), stop) })
+	var drainer sync.WaitGroup
+	drainer.Go(func() { site.drainMachines(ctx, rand.New(rand.NewPCG(seed, 13)), stop) })
 	defer func() {
 		close(stop)
-		drains.Wait()
+		drainer.Wait()
 	}()
-	told, err := f.awaitTickets(ctx, rng, tickets)
-	return told, accepts, err
+	statuses, err := site.awaitTickets(ctx, rng, tickets)
+	return statuses, acceptLatencies, err
 }
 
-// give submits a ticket, by itself or carried by an ordinary submission, until it is
-// accepted; took is how long that was. One that is to be cancelled is cancelled.
-func (f *farm) give(ctx context.Context, rng *rand.Rand, t *farmTicket, carried bool) (took time.Duration, err error) {
-	if err := uploadAll(ctx, f, t.body(false), len(t.steps)); err != nil {
+// submitTicket retries the submission of a ticket until it is accepted and returns how long that
+// took. A ticket that is to be cancelled is cancelled then.
+func (site *testSite) submitTicket(ctx context.Context, rng *rand.Rand, ticket *testTicket, embedded bool) (latency time.Duration, err error) {
+	if err := uploadDescriptions(ctx, site, ticket.body(false), len(ticket.steps)); err != nil {
 		return 0, err
 	}
 	path := "/tickets"
-	if carried {
+	if embedded {
 		path = "/api/jobs"
 	}
-	came := time.Now()
+	sentAt := time.Now()
 	for try := 0; ; try++ {
-		status, out, err := f.call(ctx, "POST", f.apis[rng.IntN(2)], path, t.body(carried))
+		status, response, err := site.call(ctx, "POST", site.apis[rng.IntN(2)], path, ticket.body(embedded))
 		if err == nil && (status == 200 || status == 201) {
 			break
 		}
 		if try > 60 || ctx.Err() != nil || err == nil && status < 500 {
-			return 0, fmt.Errorf("%s: %d %s %v", t.name, status, out, err)
+			return 0, fmt.Errorf("%s: %d %s %v", ticket.name, status, response, err)
 		}
 		time.Sleep(time.Second)
 	}
-	took = time.Since(came)
-	if t.cancelled {
-		if status, out, err := f.call(ctx, "POST", f.apis[rng.IntN(2)], "/tickets/"+t.id+"/cancel", []byte("{}")); err != nil || status != 200 {
-			return 0, fmt.Errorf("%s: cancel: %d %s %v", t.name, status, out, err)
+	latency = time.Since(sentAt)
+	if ticket.cancelled {
+		if status, response, err := site.call(ctx, "POST", site.apis[rng.IntN(2)], "/tickets/"+ticket.id+"/cancel", []byte("{}")); err != nil || status != 200 {
+			return 0, fmt.Errorf("%s: cancel: %d %s %v", ticket.name, status, response, err)
 		}
 	}
-	return took, nil
+	return latency, nil
 }
 
-// awaitTickets asks until all tickets have ended and nothing of them runs.
-func (f *farm) awaitTickets(ctx context.Context, rng *rand.Rand, tickets []*farmTicket) (map[string]*node.TicketStatus, error) {
-	told := map[string]*node.TicketStatus{}
+// awaitTickets polls until all tickets have ended and none of their tasks runs.
+func (site *testSite) awaitTickets(ctx context.Context, rng *rand.Rand, tickets []*testTicket) (map[string]*node.TicketStatus, error) {
+	statuses := map[string]*node.TicketStatus{}
 	for deadline := time.Now().Add(120 * time.Second); ; time.Sleep(300 * time.Millisecond) {
-		open := 0
-		for _, t := range tickets {
-			status, out, err := f.call(ctx, "GET", f.apis[rng.IntN(2)], "/tickets/"+t.id, nil)
-			var st node.TicketStatus
-			if err != nil || status != 200 || json.Unmarshal(out, &st) != nil {
-				open++
+		pending := 0
+		for _, ticket := range tickets {
+			status, response, err := site.call(ctx, "GET", site.apis[rng.IntN(2)], "/tickets/"+ticket.id, nil)
+			var ticketStatus node.TicketStatus
+			if err != nil || status != 200 || json.Unmarshal(response, &ticketStatus) != nil {
+				pending++
 				continue
 			}
-			told[t.name] = &st
-			if !ticketOver(&st) {
-				open++
+			statuses[ticket.name] = &ticketStatus
+			if !ticketEnded(&ticketStatus) {
+				pending++
 			}
 		}
-		if open == 0 {
-			return told, nil
+		if pending == 0 {
+			return statuses, nil
 		}
 		if time.Now().After(deadline) || ctx.Err() != nil {
-			return told, fmt.Errorf("%d tickets did not end", open)
+			return statuses, fmt.Errorf("%d tickets did not end", pending)
 		}
 	}
 }
 
-// ticketOver says whether a ticket has ended and nothing of it runs.
-func ticketOver(st *node.TicketStatus) bool {
-	ended := st.Status == protocol.JobDone || st.Status == protocol.JobFailed || st.Status == protocol.JobCancelled
-	return ended && st.Running == 0 && !slices.ContainsFunc(st.Steps, func(s node.StepStatus) bool { return s.Running > 0 })
+// ticketEnded reports whether a ticket has ended and none of its tasks runs.
+func ticketEnded(status *node.TicketStatus) bool {
+	ended := status.Status == protocol.JobDone || status.Status == protocol.JobFailed || status.Status == protocol.JobCancelled
+	return ended && status.Running == 0 && !slices.ContainsFunc(status.Steps, func(step node.StepStatus) bool { return step.Running > 0 })
 }
 
-// drainSome holds back one machine after another, as an operator does, and notes
-// starts on them.
-func (f *farm) drainSome(ctx context.Context, rng *rand.Rand, stop chan struct{}) {
+// drainMachines cordons one random machine after another, as an operator does, until stop is
+// closed, and records tasks that start on a cordoned machine.
+func (site *testSite) drainMachines(ctx context.Context, rng *rand.Rand, stop chan struct{}) {
 	for {
-		var list protocol.MachineList
-		_, out, err := f.call(ctx, "GET", f.cloud, "/hosts", nil)
-		if err == nil && json.Unmarshal(out, &list) == nil && len(list.Machines) > 0 {
-			f.drain(ctx, list.Machines[rng.IntN(len(list.Machines))].ID)
+		var machines protocol.MachineList
+		_, response, err := site.call(ctx, "GET", site.cloudAddr, "/hosts", nil)
+		if err == nil && json.Unmarshal(response, &machines) == nil && len(machines.Machines) > 0 {
+			site.drain(ctx, machines.Machines[rng.IntN(len(machines.Machines))].ID)
 		}
 		select {
 		case <-stop:
@@ -558,177 +571,181 @@
 	}
 }
 
-// drain holds a machine back for a while and notes starts on it.
-func (f *farm) drain(ctx context.Context, machine string) {
-	if !f.holdBack(ctx, machine) {
+// drain cordons a machine for 3 s and records tasks that start on it.
+func (site *testSite) drain(ctx context.Context, machine string) {
+	if !site.setCordoned(ctx, machine) {
 		return
 	}
-	// What was stored before the drain may still start; an image takes 0.15 s.
-	from := time.Now().Add(1500 * time.Millisecond)
+	// Tasks placed before the machine was cordoned may still start; fetching an image takes 0.15 s.
+	cordonedFrom := time.Now().Add(1500 * time.Millisecond)
 	time.Sleep(3 * time.Second)
-	until := time.Now()
-	if events, err := readEvents(f.events); err == nil {
-		for _, e := range events {
-			if at := time.Unix(0, e.At); e.Event == "start" && e.Machine == machine && at.After(from) && at.Before(until) {
-				f.heldStart = append(f.heldStart, fmt.Sprintf("%s started on %s, which was held back", e.Task, machine))
+	cordonedUntil := time.Now()
+	if events, err := readMachineEvents(site.eventsPath); err == nil {
+		for _, event := range events {
+			if at := time.Unix(0, event.At); event.Event == "start" && event.Machine == machine && at.After(cordonedFrom) && at.Before(cordonedUntil) {
+				site.startsOnCordoned = append(site.startsOnCordoned, fmt.Sprintf("%s started on %s, which was held back", event.Task, machine))
 			}
 		}
 	}
-	f.holdBack(ctx)
+	site.setCordoned(ctx)
 }
 
-// holdBack holds back these machines and no others; false if that was not stored.
-func (f *farm) holdBack(ctx context.Context, machines ...string) bool {
-	_, out, err := f.call(ctx, "GET", f.apis[0], "/admin/settings", nil)
-	var v struct{ Stamp uint64 }
-	if err != nil || json.Unmarshal(out, &v) != nil {
+// setCordoned replaces the set of cordoned machines. It returns false if the setting was not
+// stored.
+func (site *testSite) setCordoned(ctx context.Context, machines ...string) bool {
+	_, response, err := site.call(ctx, "GET", site.apis[0], "/admin/settings", nil)
+	var settings struct{ Stamp uint64 }
+	if err != nil || json.Unmarshal(response, &settings) != nil {
 		return false
 	}
-	body, _ := json.Marshal(map[string]any{"value": append([]string{}, machines...), "stamp": v.Stamp})
-	status, _, err := f.call(ctx, "PUT", f.apis[0], "/admin/settings/held_back", body)
+	body, _ := json.Marshal(map[string]any{"value": append([]string{}, machines...), "stamp": settings.Stamp})
+	status, _, err := site.call(ctx, "PUT", site.apis[0], "/admin/settings/held_back", body)
 	return err == nil && status == 200
 }
 
-// farmResult is what a run showed.
-type farmResult struct {
-	lines   int
-	starts  int
-	errors  int
-	lost    int
-	broken  []string
-	accepts []time.Duration
-	err     error
+// ticketComparison holds the counts, violations and latencies of one run.
+type ticketComparison struct {
+	lines           int
+	starts          int
+	errors          int
+	endedOtherwise  int
+	violations      []string
+	acceptLatencies []time.Duration
+	err             error
 }
 
-// wayResult is what one of the two ways showed.
-type wayResult struct {
-	lines   []string
-	events  []farmEvent
-	accepts []time.Duration
-	broken  []string
-	err     error
+// pathResult holds the lines, events and violations of one of the two submission paths.
+type pathResult struct {
+	lines           []string
+	events          []machineEvent
+	acceptLatencies []time.Duration
+	violations      []string
+	err             error
 }
 
-// playWay plays tickets one way, on a farm of its own.
-func playWay(ctx context.Context, bin, dir string, seed uint64, tickets []*farmTicket, retries int, carried bool) (r wayResult) {
-	f, err := startFarmOf(ctx, bin, dir, seed, retries, 24, farmTimes)
-	defer f.end()
+// runPath runs tickets by one submission path, at a test site of its own.
+func runPath(ctx context.Context, bin, dir string, seed uint64, tickets []*testTicket, retries int, embedded bool) (result pathResult) {
+	site, err := startSeededTestSite(ctx, bin, dir, seed, retries, 24, testSiteTimes)
+	defer site.end()
 	if err != nil {
-		return wayResult{err: err}
+		return pathResult{err: err}
 	}
-	told, accepts, err := f.play(ctx, seed, tickets, carried)
+	statuses, acceptLatencies, err := site.runTickets(ctx, seed, tickets, embedded)
 	if err != nil {
-		return wayResult{err: err}
+		return pathResult{err: err}
 	}
-	r = wayResult{accepts: accepts, broken: f.heldStart}
-	if r.events, r.err = readEvents(f.events); r.err != nil {
-		return r
+	result = pathResult{acceptLatencies: acceptLatencies, violations: site.startsOnCordoned}
+	if result.events, result.err = readMachineEvents(site.eventsPath); result.err != nil {
+		return result
 	}
-	for _, t := range tickets {
-		lines, err := t.lines(told[t.name], r.events)
+	for _, ticket := range tickets {
+		lines, err := ticket.observedLines(statuses[ticket.name], result.events)
 		if err != nil {
-			r.err = err
-			return r
+			result.err = err
+			return result
 		}
-		r.lines = append(r.lines, lines...)
+		result.lines = append(result.lines, lines...)
 	}
-	return r
+	return result
 }
 
-// compareWays plays the same tickets both ways. doorRetries is what the class of the
-// second farm allows: other than the first's it is a side door, which must be found.
-func compareWays(ctx context.Context, bin, dir string, seed uint64, doorRetries int) *farmResult {
-	tickets := drawTickets(seed)
-	var ways [2]wayResult
-	var both sync.WaitGroup
-	for i, retries := range []int{farmRetries, doorRetries} {
-		both.Go(func() {
-			ways[i] = playWay(ctx, bin, filepath.Join(dir, fmt.Sprint("way-", i)), seed, tickets, retries, i == 1)
+// comparePaths runs the same tickets by both submission paths. embeddedRetries is the maximum of
+// retries of the class at the second site. If it differs from the first site's, ordinary submissions
+// bypass a limit, and the comparison must find that.
+func comparePaths(ctx context.Context, bin, dir string, seed uint64, embeddedRetries int) *ticketComparison {
+	tickets := generateTickets(seed)
+	var paths [2]pathResult
+	var running sync.WaitGroup
+	for i, retries := range []int{classMaxRetries, embeddedRetries} {
+		running.Go(func() {
+			paths[i] = runPath(ctx, bin, filepath.Join(dir, fmt.Sprint("way-", i)), seed, tickets, retries, i == 1)
 		})
 	}
-	both.Wait()
-	r := &farmResult{}
-	for _, w := range ways {
-		r.take(w)
+	running.Wait()
+	comparison := &ticketComparison{}
+	for _, path := range paths {
+		comparison.add(path)
 	}
-	if r.err != nil {
-		return r
+	if comparison.err != nil {
+		return comparison
 	}
-	want, err := expectedLines(seed, tickets)
+	expected, err := expectedLinesOfAll(seed, tickets)
 	if err != nil {
-		r.err = err
-		return r
+		comparison.err = err
+		return comparison
 	}
-	r.lines = len(want)
-	r.broken = append(r.broken, compare("tickets", "ordinary", ways[0].lines, ways[1].lines)...)
-	r.broken = append(r.broken, compare("tickets", "the seed", ways[0].lines, want)...)
-	return r
+	comparison.lines = len(expected)
+	comparison.violations = append(comparison.violations, diffLines("tickets", "ordinary", paths[0].lines, paths[1].lines)...)
+	comparison.violations = append(comparison.violations, diffLines("tickets", "the seed", paths[0].lines, expected)...)
+	return comparison
 }
 
-// take adds up what a way showed.
-func (r *farmResult) take(w wayResult) {
-	if w.err != nil {
-		r.err = cmp.Or(r.err, w.err)
+// add adds the counts and violations of one submission path.
+func (r *ticketComparison) add(path pathResult) {
+	if path.err != nil {
+		r.err = cmp.Or(r.err, path.err)
 		return
 	}
-	r.accepts = append(r.accepts, w.accepts...)
-	r.broken = append(r.broken, w.broken...)
-	for _, e := range w.events {
-		switch e.Event {
+	r.acceptLatencies = append(r.acceptLatencies, path.acceptLatencies...)
+	r.violations = append(r.violations, path.violations...)
+	for _, event := range path.events {
+		switch event.Event {
 		case "start":
 			r.starts++
 		case "error":
 			r.errors++
 		case "end":
-			r.lost++
+			r.endedOtherwise++
 		}
 	}
 }
 
-// expectedLines are what the seed says of all tickets.
-func expectedLines(seed uint64, tickets []*farmTicket) (lines []string, err error) {
+// expectedLinesOfAll returns the lines that all tickets must produce.
+func expectedLinesOfAll(seed uint64, tickets []*testTicket) (lines []string, err error) {
 	plan := standin.NewRenderFaults(seed)
-	for _, t := range tickets {
-		expected, err := t.expected(plan)
+	for _, ticket := range tickets {
+		expectedLines, err := ticket.expectedLines(plan)
 		if err != nil {
 			return nil, err
 		}
-		lines = append(lines, expected...)
+		lines = append(lines, expectedLines...)
 	}
 	return lines, nil
 }
 
-func ticketsProof() *cobra.Command {
-	return runsProof("tickets", "Submit the same tickets both ways to render servers that fail, drain and vanish, and compare", 8, 8, proveTickets)
+// ticketsProofCommand returns the subcommand that compares tickets with ordinary submissions.
+func ticketsProofCommand() *cobra.Command {
+	return newProofCommand("tickets", "Submit the same tickets by both paths to machines that fail, drain and vanish, and compare", 8, 8, proveTickets)
 }
 
-func proveTickets(ctx context.Context, out io.Writer, o runOptions) error {
-	accepts := newLatencies()
-	sum := struct {
+// proveTickets executes the runs and prints their figures.
+func proveTickets(ctx context.Context, out io.Writer, options runOptions) error {
+	acceptLatencies := newLatencies()
+	figures := struct {
 		runTotals
-		Tickets int     `json:"tickets_each_way"`
-		Lines   int     `json:"lines_compared"`
-		Starts  int     `json:"starts"`
-		Errors  int     `json:"errors"`
-		Lost    int     `json:"ended_otherwise"`
-		Median  float64 `json:"accept_median_ms"`
-		P99     float64 `json:"accept_p99_ms"`
+		TicketsPerPath int     `json:"tickets_each_way"`
+		Lines          int     `json:"lines_compared"`
+		Starts         int     `json:"starts"`
+		Errors         int     `json:"errors"`
+		EndedOtherwise int     `json:"ended_otherwise"`
+		Median         float64 `json:"accept_median_ms"`
+		P99            float64 `json:"accept_p99_ms"`
 	}{}
 	var err error
-	sum.runTotals, err = o.each(ctx, out, "tickets", func(bin, dir string, seed uint64) (func(), runOutcome) {
-		r := compareWays(ctx, bin, dir, seed, farmRetries)
+	figures.runTotals, err = options.executeRuns(ctx, out, "tickets", func(bin, dir string, seed uint64) (func(), runOutcome) {
+		comparison := comparePaths(ctx, bin, dir, seed, classMaxRetries)
 		return func() {
-			sum.Tickets += 6
-			sum.Lines, sum.Starts, sum.Errors, sum.Lost = sum.Lines+r.lines, sum.Starts+r.starts, sum.Errors+r.errors, sum.Lost+r.lost
-			accepts.add(r.accepts...)
-		}, runOutcome{fmt.Sprintf("%d lines equal, %d starts, %d errors, %d ended otherwise", r.lines, r.starts, r.errors, r.lost), r.broken, r.err}
+			figures.TicketsPerPath += 6
+			figures.Lines, figures.Starts, figures.Errors, figures.EndedOtherwise = figures.Lines+comparison.lines, figures.Starts+comparison.starts, figures.Errors+comparison.errors, figures.EndedOtherwise+comparison.endedOtherwise
+			acceptLatencies.record(comparison.acceptLatencies...)
+		}, runOutcome{fmt.Sprintf("%d lines equal, %d starts, %d errors, %d ended otherwise", comparison.lines, comparison.starts, comparison.errors, comparison.endedOtherwise), comparison.violations, comparison.err}
 	})
 	if err != nil {
 		return err
 	}
-	sum.Median, sum.P99 = accepts.milliseconds(50), accepts.milliseconds(99)
-	if err := figures(out, sum); err != nil {
+	figures.Median, figures.P99 = acceptLatencies.quantileMS(50), acceptLatencies.quantileMS(99)
+	if err := printFigures(out, figures); err != nil {
 		return err
 	}
-	return sum.err()
+	return figures.err()
 }
