--- a/cmd/lab/why.go
+++ b/cmd/lab/why.go
@@ -15,32 +15,36 @@
 	"dapplestage.example/dapplestage/internal/protocol"
 )
 
-// condition is a reason to wait, as real controllers and stand-in machines make it.
-type condition struct {
-	name   string // of the cause
-	binds  bool   // it must be the first that is told
-	rivals int    // tasks of another job that run meanwhile
-	own    string // shape of the job that waits
-	tasks  int
-	cards  float64
-	build  func(ctx context.Context, f *farm, id string) error
-	lift   func(ctx context.Context, f *farm, id string) error
+// waitCondition is a reason why a job waits, together with the means to establish it at a test site
+// and to release it.
+type waitCondition struct {
+	name           string // name of the reason in an explanation
+	mustBeFirst    bool   // an explanation must list this reason first
+	competingTasks int    // number of tasks of the competing job, which runs meanwhile; 0: no such job
+	jobShape       string // shape of the waiting job; empty: an array
+	tasks          int
+	gpus           float64 // for each task; 0: 1
+	establish      func(ctx context.Context, site *testSite, id string) error
+	release        func(ctx context.Context, site *testSite, id string) error
 }
 
-// whyFarm is what conditions are made of.
-var whyTimes = times{workersLease: 2.5, report: 0.5, cancel: 14, writeRPS: 150, gpusMax: 8}
+// whyTimes are the times and limits of the test sites of the why proof. A team may use 8 GPUs, so
+// that a job can reach the team limit.
+var whyTimes = times{workerLease: 2.5, reportInterval: 0.5, cancelBound: 14, writeRPS: 150, maxTeamGPUs: 8}
 
-func setPolicy(ctx context.Context, f *farm, name string, value any) error {
+// changeSetting changes an operators' setting. It retries, since a concurrent change makes the stamp
+// that it read outdated.
+func changeSetting(ctx context.Context, site *testSite, name string, value any) error {
 	for try := 0; ; try++ {
-		_, out, err := f.call(ctx, "GET", f.apis[try%2], "/admin/settings", nil)
-		var v struct{ Stamp uint64 }
+		_, response, err := site.call(ctx, "GET", site.apis[try%2], "/admin/settings", nil)
+		var settings struct{ Stamp uint64 }
 		if err == nil {
-			err = json.Unmarshal(out, &v)
+			err = json.Unmarshal(response, &settings)
 		}
 		status := 0
 		if err == nil {
-			body, _ := json.Marshal(map[string]any{"value": value, "stamp": v.Stamp})
-			status, _, err = f.call(ctx, "PUT", f.apis[try%2], "/admin/settings/"+name, body)
+			body, _ := json.Marshal(map[string]any{"value": value, "stamp": settings.Stamp})
+			status, _, err = site.call(ctx, "PUT", site.apis[try%2], "/admin/settings/"+name, body)
 		}
 		if err == nil && status == 200 {
 			return nil
@@ -52,283 +56,305 @@
 	}
 }
 
-func post(ctx context.Context, f *farm, path string) error {
-	status, out, err := f.call(ctx, "POST", f.cloud, path, nil)
+// postToCloud sends a control request to the simulated cloud.
+func postToCloud(ctx context.Context, site *testSite, path string) error {
+	status, response, err := site.call(ctx, "POST", site.cloudAddr, path, nil)
 	if err == nil && status != 200 {
-		err = fmt.Errorf("%s: %d %s", path, status, out)
+		err = fmt.Errorf("%s: %d %s", path, status, response)
 	}
 	return err
 }
 
-func holdAll(ctx context.Context, f *farm) error {
-	var list protocol.MachineList
-	_, out, err := f.call(ctx, "GET", f.cloud, "/hosts", nil)
+// cordonAll stops rentals and cordons all machines of the site.
+func cordonAll(ctx context.Context, site *testSite) error {
+	var machines protocol.MachineList
+	_, response, err := site.call(ctx, "GET", site.cloudAddr, "/hosts", nil)
 	if err == nil {
-		err = json.Unmarshal(out, &list)
+		err = json.Unmarshal(response, &machines)
 	}
 	names := []string{}
-	for _, m := range list.Machines {
+	for _, m := range machines.Machines {
 		names = append(names, m.ID)
 	}
 	if err == nil && len(names) == 0 {
-		err = fmt.Errorf("no machines to hold back")
+		err = fmt.Errorf("no machines to cordon")
 	}
 	if err == nil {
-		err = setPolicy(ctx, f, "stop_rentals", true)
+		err = changeSetting(ctx, site, "stop_rentals", true)
 	}
 	if err == nil {
-		err = setPolicy(ctx, f, "held_back", names)
+		err = changeSetting(ctx, site, "held_back", names)
 	}
 	return err
 }
 
-func release(ctx context.Context, f *farm, _ string) error {
-	if err := setPolicy(ctx, f, "held_back", []string{}); err != nil {
+// uncordonAll uncordons all machines and allows rentals again.
+func uncordonAll(ctx context.Context, site *testSite, _ string) error {
+	if err := changeSetting(ctx, site, "held_back", []string{}); err != nil {
 		return err
 	}
-	return setPolicy(ctx, f, "stop_rentals", false)
+	return changeSetting(ctx, site, "stop_rentals", false)
 }
 
-// rivalOf is the id of the job that runs beside a condition's.
-func rivalOf(id string) string { return id + "9" }
+// competingJobID returns the id of the job that runs while the job with the given id waits.
+func competingJobID(id string) string { return id + "9" }
 
-func cancelRival(ctx context.Context, f *farm, id string) error {
+// cancelCompetingJob cancels the competing job, which releases a condition that is due to it.
+func cancelCompetingJob(ctx context.Context, site *testSite, id string) error {
 	for try := 0; ; try++ {
-		status, out, err := f.call(ctx, "POST", f.apis[try%2], "/api/jobs/"+rivalOf(id)+"/cancel", []byte("{}"))
+		status, response, err := site.call(ctx, "POST", site.apis[try%2], "/api/jobs/"+competingJobID(id)+"/cancel", []byte("{}"))
 		if err == nil && status == 200 {
 			return nil
 		}
 		if try > 50 || ctx.Err() != nil {
-			return fmt.Errorf("cancel: %d %s %v", status, out, err)
+			return fmt.Errorf("cancel: %d %s %v", status, response, err)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-func nothingToDo(context.Context, *farm, string) error { return nil }
+// noAction is the establish function of a condition that the competing job alone brings about.
+func noAction(context.Context, *testSite, string) error { return nil }
 
-func conditions() []condition {
-	limit := func(n int) func(ctx context.Context, f *farm, _ string) error {
-		return func(ctx context.Context, f *farm, _ string) error { return post(ctx, f, fmt.Sprint("/limit/", n)) }
+// waitConditions returns all conditions that the why proof checks.
+func waitConditions() []waitCondition {
+	limit := func(machines int) func(ctx context.Context, site *testSite, _ string) error {
+		return func(ctx context.Context, site *testSite, _ string) error {
+			return postToCloud(ctx, site, fmt.Sprint("/limit/", machines))
+		}
 	}
-	stop := func(s syscall.Signal, names ...string) func(ctx context.Context, f *farm, id string) error {
-		return func(ctx context.Context, f *farm, id string) error {
-			f.signal(s, names...)
+	signalNodes := func(sig syscall.Signal, names ...string) func(ctx context.Context, site *testSite, id string) error {
+		return func(ctx context.Context, site *testSite, id string) error {
+			site.signal(sig, names...)
 			return nil
 		}
 	}
-	return []condition{
-		{name: "team_limit", binds: true, rivals: 8, tasks: 2, build: nothingToDo, lift: cancelRival},
-		{name: "no_free_machine", rivals: 4, tasks: 1, build: limit(1), lift: cancelRival},
-		{name: "gang_incomplete", binds: true, rivals: 2, own: protocol.Gang, tasks: 4, build: limit(1), lift: cancelRival},
-		{name: "drained", binds: true, rivals: 1, tasks: 2, build: func(ctx context.Context, f *farm, _ string) error { return holdAll(ctx, f) }, lift: release},
-		{name: "rentals_stopped", tasks: 1, cards: 4, rivals: 1, build: func(ctx context.Context, f *farm, _ string) error { return setPolicy(ctx, f, "stop_rentals", true) }, lift: release},
-		{name: "cloud_refused", tasks: 1, cards: 4, rivals: 1, build: limit(0), lift: limit(24)},
-		{name: "fails_everywhere", tasks: 2, build: func(ctx context.Context, f *farm, id string) error { return post(ctx, f, "/mistaken/"+id+"/true") },
-			lift: func(ctx context.Context, f *farm, id string) error { return post(ctx, f, "/mistaken/"+id+"/false") }},
-		{name: "state_service_down", binds: true, rivals: 1, tasks: 2, build: func(ctx context.Context, f *farm, _ string) error { return holdAll(ctx, f) }, lift: release},
-		{name: "holder_silent", binds: true, rivals: 1, tasks: 2, build: func(ctx context.Context, f *farm, _ string) error { return holdAll(ctx, f) },
-			lift: func(ctx context.Context, f *farm, id string) error {
-				stop(syscall.SIGCONT, "n-0", "n-1")(ctx, f, id)
-				return release(ctx, f, id)
+	return []waitCondition{
+		{name: "team_limit", mustBeFirst: true, competingTasks: 8, tasks: 2, establish: noAction, release: cancelCompetingJob},
+		{name: "no_free_machine", competingTasks: 4, tasks: 1, establish: limit(1), release: cancelCompetingJob},
+		{name: "gang_incomplete", mustBeFirst: true, competingTasks: 2, jobShape: protocol.Gang, tasks: 4, establish: limit(1), release: cancelCompetingJob},
+		{name: "drained", mustBeFirst: true, competingTasks: 1, tasks: 2, establish: func(ctx context.Context, site *testSite, _ string) error { return cordonAll(ctx, site) }, release: uncordonAll},
+		{name: "rentals_stopped", tasks: 1, gpus: 4, competingTasks: 1, establish: func(ctx context.Context, site *testSite, _ string) error {
+			return changeSetting(ctx, site, "stop_rentals", true)
+		}, release: uncordonAll},
+		{name: "cloud_refused", tasks: 1, gpus: 4, competingTasks: 1, establish: limit(0), release: limit(24)},
+		{name: "fails_everywhere", tasks: 2, establish: func(ctx context.Context, site *testSite, id string) error {
+			return postToCloud(ctx, site, "/mistaken/"+id+"/true")
+		},
+			release: func(ctx context.Context, site *testSite, id string) error {
+				return postToCloud(ctx, site, "/mistaken/"+id+"/false")
+			}},
+		{name: "state_service_down", mustBeFirst: true, competingTasks: 1, tasks: 2, establish: func(ctx context.Context, site *testSite, _ string) error { return cordonAll(ctx, site) }, release: uncordonAll},
+		{name: "holder_silent", mustBeFirst: true, competingTasks: 1, tasks: 2, establish: func(ctx context.Context, site *testSite, _ string) error { return cordonAll(ctx, site) },
+			release: func(ctx context.Context, site *testSite, id string) error {
+				signalNodes(syscall.SIGCONT, "n-0", "n-1")(ctx, site, id)
+				return uncordonAll(ctx, site, id)
 			}},
 	}
 }
 
-func (c *condition) submission(id string, tasks int, seconds float64) []byte {
-	shape, cards := c.own, c.cards
+// submission returns the submission of a job with the condition's shape and GPUs per task.
+func (c *waitCondition) submission(id string, tasks int, seconds float64) []byte {
+	shape, gpus := c.jobShape, c.gpus
 	if shape == "" {
 		shape = protocol.Array
 	}
-	if cards == 0 {
-		cards = 1
+	if gpus == 0 {
+		gpus = 1
 	}
-	return fmt.Appendf(nil, `{"id":%q,"lot":"proof","crew":"red","shape":%q,"urgency":"standard","pieces":%d,"vcpus":2.0,"cards":%g,"memGb":8.0,"bundle":"img-1","sizeGb":1.0,"together":false,"scatter":false,"loaners":true,"expectS":%g,"snapshotS":0.0,"storeS":0.0}`, id, shape, tasks, cards, seconds)
+	return fmt.Appendf(nil, `{"id":%q,"lot":"proof","crew":"red","shape":%q,"urgency":"standard","pieces":%d,"vcpus":2.0,"cards":%g,"memGb":8.0,"bundle":"img-1","sizeGb":1.0,"together":false,"scatter":false,"loaners":true,"expectS":%g,"snapshotS":0.0,"storeS":0.0}`, id, shape, tasks, gpus, seconds)
 }
 
-func (f *farm) submit(ctx context.Context, id string, body []byte) error {
-	if _, _, err := f.call(ctx, "POST", f.cloud, "/upload", body); err != nil {
+// submit uploads the description of a job and retries its submission until it is accepted.
+func (site *testSite) submit(ctx context.Context, id string, body []byte) error {
+	if _, _, err := site.call(ctx, "POST", site.cloudAddr, "/upload", body); err != nil {
 		return err
 	}
 	for try := 0; ; try++ {
-		status, out, err := f.call(ctx, "POST", f.apis[try%2], "/api/jobs", body)
+		status, response, err := site.call(ctx, "POST", site.apis[try%2], "/api/jobs", body)
 		if err == nil && status < 300 {
 			return nil
 		}
 		if try > 60 || ctx.Err() != nil {
-			return fmt.Errorf("%s: %d %s %v", id, status, out, err)
+			return fmt.Errorf("%s: %d %s %v", id, status, response, err)
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
 }
 
-func (f *farm) running(ctx context.Context, id string) int {
-	n := 0
-	events, err := readEvents(f.events)
+// runningTasks returns the number of task starts of a job less its errors, by the machines' event
+// log. Tasks that are done or were lost with their machine still count.
+func (site *testSite) runningTasks(ctx context.Context, id string) int {
+	running := 0
+	events, err := readMachineEvents(site.eventsPath)
 	if err != nil {
 		return 0
 	}
-	for _, e := range events {
-		if job, _, ok := protocol.ParseTaskID(e.Task); ok && job == id {
-			switch e.Event {
+	for _, event := range events {
+		if job, _, ok := protocol.ParseTaskID(event.Task); ok && job == id {
+			switch event.Event {
 			case "start":
-				n++
+				running++
 			case "error":
-				n--
+				running--
 			}
 		}
 	}
-	return n
+	return running
 }
 
-func until(ctx context.Context, most time.Duration, done func() bool) bool {
-	for end := time.Now().Add(most); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(50 * time.Millisecond) {
-		if done() {
+// waitUntil checks a condition every 50 ms until it holds. It returns false on timeout or if ctx ends.
+func waitUntil(ctx context.Context, timeout time.Duration, condition func() bool) bool {
+	for end := time.Now().Add(timeout); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(50 * time.Millisecond) {
+		if condition() {
 			return true
 		}
 	}
 	return false
 }
 
-// whyResult is what a run showed.
+// whyResult holds the counts, violations and measured times of one run.
 type whyResult struct {
-	checked int
-	wrong   []string
-	starts  []time.Duration // from release to start
-	told    []time.Duration // time to answer
-	err     error
+	checked     int // explanations
+	violations  []string
+	startDelays []time.Duration // from the release of the condition to the start of the job
+	answerTimes []time.Duration // latencies of the requests for an explanation
+	err         error
 }
 
-// one builds a condition, holds what both nodes say to it, lifts it and waits for the
-// start.
-func (c *condition) one(ctx context.Context, f *farm, id string, r *whyResult) error {
-	if err := c.prepare(ctx, f, id); err != nil {
+// verify establishes a condition, checks the explanations that the nodes give for the waiting job,
+// releases the condition and waits until the job starts.
+func (c *waitCondition) verify(ctx context.Context, site *testSite, id string, result *whyResult) error {
+	if err := c.prepare(ctx, site, id); err != nil {
 		return err
 	}
-	nodes, undo, err := c.disturb(ctx, f, id, r)
+	nodes, resume, err := c.suspendCause(ctx, site, id, result)
 	if err != nil {
 		return err
 	}
-	defer undo()
+	defer resume()
 	for _, api := range nodes {
-		c.check(ctx, f, api, id, r)
+		c.check(ctx, site, api, id, result)
 	}
-	f.procs[0].signal(syscall.SIGCONT)
-	if f.running(ctx, id) > 0 {
-		r.wrong = append(r.wrong, c.name+": started though it was said to wait")
+	site.procs[0].signal(syscall.SIGCONT)
+	if site.runningTasks(ctx, id) > 0 {
+		result.violations = append(result.violations, c.name+": started although the condition was not released")
 	}
-	if err := c.lift(ctx, f, id); err != nil {
+	if err := c.release(ctx, site, id); err != nil {
 		return err
 	}
-	from := time.Now()
-	if !until(ctx, 60*time.Second, func() bool { return f.running(ctx, id) > 0 }) {
-		r.wrong = append(r.wrong, c.name+": not started after its release")
-	} else if c.name != "fails_everywhere" { // that waits for its next try, up to a minute
-		r.starts = append(r.starts, time.Since(from))
+	releasedAt := time.Now()
+	if !waitUntil(ctx, 60*time.Second, func() bool { return site.runningTasks(ctx, id) > 0 }) {
+		result.violations = append(result.violations, c.name+": not started after its release")
+	} else if c.name != "fails_everywhere" { // a failed job waits for its next retry, up to a minute
+		result.startDelays = append(result.startDelays, time.Since(releasedAt))
 	}
-	return c.restore(ctx, f, id)
+	return c.restore(ctx, site, id)
 }
 
-// prepare submits the job that is to wait, amid what makes it wait.
-func (c *condition) prepare(ctx context.Context, f *farm, id string) error {
-	if c.rivals > 0 {
-		rival := condition{}
-		if err := f.submit(ctx, rivalOf(id), rival.submission(rivalOf(id), c.rivals, 600)); err != nil {
+// prepare starts the competing job, establishes the condition and submits the job that is to wait.
+func (c *waitCondition) prepare(ctx context.Context, site *testSite, id string) error {
+	if c.competingTasks > 0 {
+		competing := waitCondition{}
+		if err := site.submit(ctx, competingJobID(id), competing.submission(competingJobID(id), c.competingTasks, 600)); err != nil {
 			return err
 		}
-		if !until(ctx, 30*time.Second, func() bool { return f.running(ctx, rivalOf(id)) >= c.rivals }) {
-			return fmt.Errorf("%s: its rival did not start", c.name)
+		if !waitUntil(ctx, 30*time.Second, func() bool { return site.runningTasks(ctx, competingJobID(id)) >= c.competingTasks }) {
+			return fmt.Errorf("%s: the competing job did not start", c.name)
 		}
 	}
-	if err := c.build(ctx, f, id); err != nil {
+	if err := c.establish(ctx, site, id); err != nil {
 		return err
 	}
-	time.Sleep(400 * time.Millisecond) // settings reach the nodes
-	return f.submit(ctx, id, c.submission(id, c.tasks, 600))
+	time.Sleep(400 * time.Millisecond) // until the nodes have read the changed settings
+	return site.submit(ctx, id, c.submission(id, c.tasks, 600))
 }
 
-// disturb stops the process that a condition is about, if it is about one. It returns the
-// nodes to be asked then, and what lets the process go on.
-func (c *condition) disturb(ctx context.Context, f *farm, id string, r *whyResult) (nodes []string, undo func(), err error) {
+// suspendCause suspends the process whose outage is the condition, if there is one. It returns the
+// nodes to ask for an explanation, and resume, which continues the process.
+func (c *waitCondition) suspendCause(ctx context.Context, site *testSite, id string, result *whyResult) (nodes []string, resume func(), err error) {
 	switch c.name {
 	case "state_service_down":
-		for _, api := range f.apis { // who does not know a job can't explain it in an outage
-			until(ctx, 5*time.Second, func() bool { w, err := f.why(ctx, api, id, r); return err == nil && w.Waiting > 0 })
+		for _, api := range site.apis { // a node that has not read the job can't explain it during the outage
+			waitUntil(ctx, 5*time.Second, func() bool {
+				explanation, err := site.explain(ctx, api, id, result)
+				return err == nil && explanation.Waiting > 0
+			})
 		}
-		f.procs[0].signal(syscall.SIGSTOP)
+		site.procs[0].signal(syscall.SIGSTOP)
 		time.Sleep(3 * time.Second)
-		return f.apis, func() { f.procs[0].signal(syscall.SIGCONT) }, nil
+		return site.apis, func() { site.procs[0].signal(syscall.SIGCONT) }, nil
 	case "holder_silent":
 		time.Sleep(500 * time.Millisecond)
-		w, err := f.why(ctx, f.apis[0], id, r)
+		explanation, err := site.explain(ctx, site.apis[0], id, result)
 		if err != nil {
 			return nil, nil, err
 		}
-		f.signal(syscall.SIGSTOP, w.Owner)
-		nodes = f.apis[:1]
-		if w.Owner == "n-0" {
-			nodes = f.apis[1:]
+		site.signal(syscall.SIGSTOP, explanation.Owner)
+		nodes = site.apis[:1]
+		if explanation.Owner == "n-0" {
+			nodes = site.apis[1:]
 		}
-		return nodes, func() { f.signal(syscall.SIGCONT, w.Owner) }, nil
+		return nodes, func() { site.signal(syscall.SIGCONT, explanation.Owner) }, nil
 	}
-	return f.apis, func() {}, nil
+	return site.apis, func() {}, nil
 }
 
-// why asks a node why a job waits.
-func (f *farm) why(ctx context.Context, api, id string, r *whyResult) (*node.Explanation, error) {
-	var w node.Explanation
-	from := time.Now()
-	status, out, err := f.call(ctx, "GET", api, "/admin/why/"+id, nil)
+// explain requests the explanation why a job waits from a node.
+func (site *testSite) explain(ctx context.Context, api, id string, result *whyResult) (*node.Explanation, error) {
+	var explanation node.Explanation
+	sentAt := time.Now()
+	status, response, err := site.call(ctx, "GET", api, "/admin/why/"+id, nil)
 	if err == nil {
-		r.told = append(r.told, time.Since(from))
+		result.answerTimes = append(result.answerTimes, time.Since(sentAt))
 		if status != 200 {
-			return nil, fmt.Errorf("%d %s", status, out)
+			return nil, fmt.Errorf("%d %s", status, response)
 		}
-		err = json.Unmarshal(out, &w)
+		err = json.Unmarshal(response, &explanation)
 	}
-	return &w, err
+	return &explanation, err
 }
 
-// check holds what a node says to what was built.
-func (c *condition) check(ctx context.Context, f *farm, api, id string, r *whyResult) {
-	var w *node.Explanation
+// check checks the explanation of a node against the established condition.
+func (c *waitCondition) check(ctx context.Context, site *testSite, api, id string, result *whyResult) {
+	var explanation *node.Explanation
 	var err error
-	r.checked++
-	if !until(ctx, c.patience(), func() bool {
-		w, err = f.why(ctx, api, id, r)
-		return err == nil && c.toldBy(w)
+	result.checked++
+	if !waitUntil(ctx, c.answerTimeout(), func() bool {
+		explanation, err = site.explain(ctx, api, id, result)
+		return err == nil && c.namedBy(explanation)
 	}) {
-		said := fmt.Sprint(err)
-		if w != nil {
-			data, _ := json.Marshal(w)
-			said = string(data)
+		answer := fmt.Sprint(err)
+		if explanation != nil {
+			data, _ := json.Marshal(explanation)
+			answer = string(data)
 		}
-		r.wrong = append(r.wrong, fmt.Sprintf("%s: %s", c.name, said))
+		result.violations = append(result.violations, fmt.Sprintf("%s: %s", c.name, answer))
 		return
 	}
 	switch {
-	case c.name == "holder_silent" && w.Unknown == "":
-		r.wrong = append(r.wrong, c.name+": not told as unknown")
-	case c.name != "holder_silent" && len(w.Release) == 0:
-		r.wrong = append(r.wrong, c.name+": nothing is told to release it")
-	case c.name == "state_service_down" && w.StateAge < 2:
-		r.wrong = append(r.wrong, fmt.Sprintf("%s: told as if it were %.1f s old", c.name, w.StateAge))
+	case c.name == "holder_silent" && explanation.Unknown == "":
+		result.violations = append(result.violations, c.name+": state not reported as unknown")
+	case c.name != "holder_silent" && len(explanation.Release) == 0:
+		result.violations = append(result.violations, c.name+": the explanation names nothing that would release it")
+	case c.name == "state_service_down" && explanation.StateAge < 2:
+		result.violations = append(result.violations, fmt.Sprintf("%s: the explanation gives its age as %.1f s", c.name, explanation.StateAge))
 	}
 }
 
-// toldBy says whether an answer names the condition, first if it must be.
-func (c *condition) toldBy(w *node.Explanation) bool {
-	for i, cause := range w.Causes {
+// namedBy reports whether an explanation lists the condition, at the first place if it must be first.
+func (c *waitCondition) namedBy(explanation *node.Explanation) bool {
+	for i, cause := range explanation.Causes {
 		if cause.Reason.String() == c.name {
-			return i == 0 || !c.binds
+			return i == 0 || !c.mustBeFirst
 		}
 	}
 	return false
 }
 
-// patience is how long a node may take to name the condition. Looks are some hundred
-// milliseconds apart; a mistake takes a few tries to show.
-func (c *condition) patience() time.Duration {
+// answerTimeout returns how long a node may take to name the condition. Nodes evaluate waiting jobs
+// every few hundred milliseconds; a job that fails everywhere is recognized after a few retries.
+func (c *waitCondition) answerTimeout() time.Duration {
 	switch c.name {
 	case "fails_everywhere":
 		return 20 * time.Second
@@ -340,67 +366,71 @@
 	return 3 * time.Second
 }
 
-// restore leaves a farm as it was found.
-func (c *condition) restore(ctx context.Context, f *farm, id string) error {
-	for _, job := range []string{id, rivalOf(id)} {
-		f.call(ctx, "POST", f.apis[0], "/api/jobs/"+job+"/cancel", []byte("{}"))
+// restore cancels both jobs and undoes the changes of limits and settings.
+func (c *waitCondition) restore(ctx context.Context, site *testSite, id string) error {
+	for _, job := range []string{id, competingJobID(id)} {
+		site.call(ctx, "POST", site.apis[0], "/api/jobs/"+job+"/cancel", []byte("{}"))
 	}
-	if err := post(ctx, f, "/limit/24"); err != nil {
+	if err := postToCloud(ctx, site, "/limit/24"); err != nil {
 		return err
 	}
-	return release(ctx, f, id)
+	return uncordonAll(ctx, site, id)
 }
 
-func oneWhyRun(ctx context.Context, bin, dir string, seed uint64) *whyResult {
-	r := &whyResult{}
+// executeWhyRun verifies all conditions in random order.
+func executeWhyRun(ctx context.Context, bin, dir string, seed uint64) *whyResult {
+	result := &whyResult{}
 	rng := rand.New(rand.NewPCG(seed, 21))
-	cs := conditions()
-	rng.Shuffle(len(cs), func(i, k int) { cs[i], cs[k] = cs[k], cs[i] })
-	for i := range cs {
-		// A farm for each: machines of the one before must not serve the next.
-		f, err := startFarm(ctx, bin, fmt.Sprintf("%s/%d", dir, i), 24, whyTimes)
+	conditions := waitConditions()
+	rng.Shuffle(len(conditions), func(i, k int) { conditions[i], conditions[k] = conditions[k], conditions[i] })
+	for i := range conditions {
+		// Each condition gets a test site of its own, so that machines rented for the previous one are
+		// not available to the next.
+		site, err := startTestSite(ctx, bin, fmt.Sprintf("%s/%d", dir, i), 24, whyTimes)
 		if err == nil {
 			time.Sleep(time.Duration(rng.IntN(400)) * time.Millisecond)
-			err = cs[i].one(ctx, f, fmt.Sprintf("job-%d", 100+i), r)
+			err = conditions[i].verify(ctx, site, fmt.Sprintf("job-%d", 100+i), result)
 		}
-		f.end()
+		site.end()
 		if err != nil {
-			r.err = fmt.Errorf("%s: %w", cs[i].name, err)
-			return r
+			result.err = fmt.Errorf("%s: %w", conditions[i].name, err)
+			return result
 		}
 	}
-	return r
+	return result
 }
 
-func whyProof() *cobra.Command {
-	return runsProof("why", "Build each reason to wait with real controllers, check what is told, release it and time the start", 4, 4, proveWhy)
+// whyProofCommand returns the subcommand that checks the explanations of waiting jobs.
+func whyProofCommand() *cobra.Command {
+	return newProofCommand("why", "Establish each reason to wait with real controllers, check its explanation, release it and time the start", 4, 4, proveWhy)
 }
 
-func proveWhy(ctx context.Context, out io.Writer, o runOptions) error {
-	sum := struct {
+// proveWhy executes the runs and prints their figures.
+func proveWhy(ctx context.Context, out io.Writer, options runOptions) error {
+	figures := struct {
 		runTotals
-		Checked  int     `json:"answers_checked"`
-		Wrong    int     `json:"wrong"`
-		StartP50 float64 `json:"start_after_release_median_s"`
-		StartMax float64 `json:"start_after_release_max_s"`
-		ToldP99  float64 `json:"answer_p99_ms"`
+		Explanations int     `json:"answers_checked"`
+		Violations   int     `json:"wrong"`
+		StartP50     float64 `json:"start_after_release_median_s"`
+		StartMax     float64 `json:"start_after_release_max_s"`
+		AnswerP99    float64 `json:"answer_p99_ms"`
 	}{}
-	starts, told := newLatencies(), newLatencies()
+	startDelays, answerTimes := newLatencies(), newLatencies()
 	var err error
-	sum.runTotals, err = o.each(ctx, out, "why", func(bin, dir string, seed uint64) (func(), runOutcome) {
-		r := oneWhyRun(ctx, bin, dir, seed)
+	figures.runTotals, err = options.executeRuns(ctx, out, "why", func(bin, dir string, seed uint64) (func(), runOutcome) {
+		result := executeWhyRun(ctx, bin, dir, seed)
 		return func() {
-			sum.Checked, sum.Wrong = sum.Checked+r.checked, sum.Wrong+len(r.wrong)
-			starts.add(r.starts...)
-			told.add(r.told...)
-		}, runOutcome{fmt.Sprintf("%d answers checked, %d starts after a release", r.checked, len(r.starts)), r.wrong, r.err}
+			figures.Explanations, figures.Violations = figures.Explanations+result.checked, figures.Violations+len(result.violations)
+			startDelays.record(result.startDelays...)
+			answerTimes.record(result.answerTimes...)
+		}, runOutcome{fmt.Sprintf("%d answers checked, %d starts after a release", result.checked, len(result.startDelays)), result.violations, result.err}
 	})
 	if err != nil {
 		return err
 	}
-	sum.StartP50, sum.StartMax, sum.ToldP99 = starts.seconds(50), starts.maxSeconds(), told.milliseconds(99)
-	if err := figures(out, sum); err != nil {
+	figures.StartP50, figures.StartMax, figures.AnswerP99 = startDelays.quantileSeconds(50), startDelays.maxSeconds(), answerTimes.quantileMS(99)
+	if err := printFigures(out, figures); err != nil {
 		return err
 	}
-	return sum.err()
+	return figures.err()
 }
--- a/cmd/lab/world.go
+++ b/cmd/lab/world.go
@@ -21,167 +21,169 @@
 	"dapplestage.example/dapplestage/internal/transport/keys"
 )
 
-// A world is two sites and a gateway as real processes: for each site a state
-// service, a cloud with its workers (stand-ins), two controllers and the site's
-// daemon. Members reach one another through proxies that can be cut one way.
-
-// build makes the programs once, in a folder of their own that the caller removes.
-func build(ctx context.Context) (dir string, err error) {
+// buildPrograms builds the programs in a new folder, which the caller must remove.
+func buildPrograms(ctx context.Context) (dir string, err error) {
 	if dir, err = os.MkdirTemp("", "lab-bin-"); err != nil {
 		return "", err
 	}
-	for _, p := range []string{"dapplestage", "standin"} {
-		cmd := exec.CommandContext(ctx, "go", "build", "-o", filepath.Join(dir, p), "dapplestage.example/dapplestage/cmd/"+p)
-		if out, err := cmd.CombinedOutput(); err != nil {
+	for _, program := range []string{"dapplestage", "standin"} {
+		command := exec.CommandContext(ctx, "go", "build", "-o", filepath.Join(dir, program), "dapplestage.example/dapplestage/cmd/"+program)
+		if output, err := command.CombinedOutput(); err != nil {
 			os.RemoveAll(dir)
-			return "", fmt.Errorf("building %s: %v\n%s", p, err, out)
+			return "", fmt.Errorf("building %s: %v\n%s", program, err, output)
 		}
 	}
 	return dir, nil
 }
 
-// process is one program that can be killed, stopped and started again.
-type process struct {
-	name string
-	bin  string
-	args []string
-	log  string
-	mu   sync.Mutex
-	cmd  *exec.Cmd
-	gone chan struct{}
+// childProcess is a program that can be killed, suspended and started again.
+type childProcess struct {
+	name    string
+	bin     string
+	args    []string
+	logPath string
+	mu      sync.Mutex
+	cmd     *exec.Cmd
+	exited  chan struct{}
 }
 
-func (p *process) start() error {
+// start starts the process unless it runs. Its output is appended to its log.
+func (p *childProcess) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
 		return nil
 	}
-	out, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	logFile, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
 	cmd := exec.Command(p.bin, p.args...)
-	cmd.Stdout, cmd.Stderr = out, out
-	// It ends with the lab, whatever happens to the lab.
+	cmd.Stdout, cmd.Stderr = logFile, logFile
+	// The kernel kills the process when the lab exits, however it exits.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	cmd.Env = append(os.Environ(), "GOMAXPROCS=2")
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	gone := make(chan struct{})
-	p.cmd, p.gone = cmd, gone
+	exited := make(chan struct{})
+	p.cmd, p.exited = cmd, exited
 	go func() {
 		cmd.Wait()
-		out.Close()
-		close(gone)
+		logFile.Close()
+		close(exited)
 	}()
 	return nil
 }
 
-// signal sends a signal to the process that this lab started, if it runs.
-func (p *process) signal(s syscall.Signal) {
+// signal sends a signal to the process if it runs.
+func (p *childProcess) signal(sig syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
-		p.cmd.Process.Signal(s)
+		p.cmd.Process.Signal(sig)
 	}
 }
 
-func (p *process) kill() {
+// kill kills the process if it runs and waits for its exit.
+func (p *childProcess) kill() {
 	p.mu.Lock()
-	cmd, gone := p.cmd, p.gone
+	cmd, exited := p.cmd, p.exited
 	p.cmd = nil
 	p.mu.Unlock()
 	if cmd != nil {
 		cmd.Process.Kill()
-		<-gone
+		<-exited
 	}
 }
 
-// link is a proxy for one direction of two members: who connects through it sends.
+// link is a proxy for the connections that one member opens to another. While it is cut, it holds
+// back new connections and the bytes that the connecting member sends; bytes in the other direction
+// still pass.
 type link struct {
-	ln    net.Listener
-	to    string
-	mu    sync.Mutex
-	cut   bool
-	wake  chan struct{}
-	conns map[net.Conn]struct{}
+	listener net.Listener
+	target   string
+	mu       sync.Mutex
+	cut      bool
+	changed  chan struct{}
+	conns    map[net.Conn]struct{}
 }
 
-func newLink(to string) (*link, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// newLink returns a link that accepts connections and forwards them to an address.
+func newLink(target string) (*link, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	l := &link{ln: ln, to: to, wake: make(chan struct{}), conns: map[net.Conn]struct{}{}}
+	l := &link{listener: listener, target: target, changed: make(chan struct{}), conns: map[net.Conn]struct{}{}}
 	go func() {
 		for {
-			c, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go l.carry(c)
+			go l.forward(conn)
 		}
 	}()
 	return l, nil
 }
 
-// passable waits while the link is cut.
-func (l *link) passable() {
+// awaitHealed blocks while the link is cut.
+func (l *link) awaitHealed() {
 	for {
 		l.mu.Lock()
-		cut, wake := l.cut, l.wake
+		cut, changed := l.cut, l.changed
 		l.mu.Unlock()
 		if !cut {
 			return
 		}
-		<-wake
+		<-changed
 	}
 }
 
-// set cuts the link, so that what is sent is held, or heals it. With reset the held
-// bytes are dropped with their connections.
-func (l *link) set(cut, reset bool) {
+// setCut cuts or heals the link. With dropHeld it closes all connections, which drops the bytes that
+// were held back.
+func (l *link) setCut(cut, dropHeld bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cut = cut
-	close(l.wake)
-	l.wake = make(chan struct{})
-	if reset {
+	close(l.changed)
+	l.changed = make(chan struct{})
+	if dropHeld {
 		for c := range l.conns {
 			c.Close()
 		}
 	}
 }
 
-func (l *link) carry(c net.Conn) {
-	defer c.Close()
-	l.passable()
-	d, err := net.DialTimeout("tcp", l.to, 2*time.Second)
+// forward forwards a client's connection to the target until either side closes it.
+func (l *link) forward(client net.Conn) {
+	defer client.Close()
+	l.awaitHealed()
+	upstream, err := net.DialTimeout("tcp", l.target, 2*time.Second)
 	if err != nil {
 		return
 	}
-	defer d.Close()
+	defer upstream.Close()
 	l.mu.Lock()
-	l.conns[c], l.conns[d] = struct{}{}, struct{}{}
+	l.conns[client], l.conns[upstream] = struct{}{}, struct{}{}
 	l.mu.Unlock()
 	defer func() {
 		l.mu.Lock()
-		delete(l.conns, c)
-		delete(l.conns, d)
+		delete(l.conns, client)
+		delete(l.conns, upstream)
 		l.mu.Unlock()
 	}()
 	go func() {
-		io.Copy(c, d)
-		c.Close()
+		io.Copy(client, upstream)
+		client.Close()
 	}()
-	buf := make([]byte, 32<<10)
+	buffer := make([]byte, 32<<10)
 	for {
-		n, err := c.Read(buf)
+		n, err := client.Read(buffer)
 		if n > 0 {
-			l.passable()
-			if _, err := d.Write(buf[:n]); err != nil {
+			l.awaitHealed()
+			if _, err := upstream.Write(buffer[:n]); err != nil {
 				return
 			}
 		}
@@ -191,171 +193,179 @@
 	}
 }
 
-// site is one site's processes and addresses.
-type site struct {
-	name         string
-	state, cloud *process
-	controllers  []*process
-	daemon       *process
-	stateAddr    string
-	cloudAddr    string
-	apis         []string // of the controllers
-	local, api   string
-	events       string
+// memberSite holds the processes and addresses of one site of a deployment.
+type memberSite struct {
+	name                 string
+	state, cloud         *childProcess
+	controllers          []*childProcess
+	daemon               *childProcess
+	stateAddr            string
+	cloudAddr            string
+	controllerAPIs       []string // HTTP addresses of the controllers
+	localAddr, daemonAPI string
+	eventsPath           string
 }
 
-type world struct {
-	dir     string
-	bin     string
-	sites   []*site
-	gateway *process
-	gateAPI string
-	links   map[[2]string]*link
-	members []string          // gate, quito, xela
-	apiOf   map[string]string // by member
-	all     []*process
-	http    *http.Client
+// deployment is two sites and a gateway as real processes. Each site has a state service and a cloud
+// with its workers (both simulated by standin), two controllers and the site daemon. Members reach
+// one another through links, which can be cut in one direction.
+type deployment struct {
+	dir        string
+	bin        string
+	sites      []*memberSite
+	gateway    *childProcess
+	gatewayAPI string
+	links      map[[2]string]*link
+	members    []string          // names: gate, quito, xela
+	apiAddrs   map[string]string // HTTP addresses by member
+	processes  []*childProcess
+	http       *http.Client
 }
 
-// times of a world: shorter than a real deployment's, so that a handoff takes seconds.
+// times holds the times and limits of a deployment or test site. The durations, in seconds, are
+// shorter than in production, so that a handoff takes seconds.
 type times struct {
-	lease, controllers, workersLease, report, cancel float64
-	writeRPS                                         float64
-	gpusMax                                          float64 // of each team; 0: 400
-	inFlight                                         int
-	place                                            bool // of a farm: several types of machine in three zones, some of which run already
+	siteLease, controllerLease, workerLease, reportInterval, cancelBound float64
+	writeRPS                                                             float64
+	maxTeamGPUs                                                          float64 // limit of each team; 0: 400
+	maxInFlight                                                          int
+	mixedMachines                                                        bool // test sites only: several types of machine in three zones, some of which run already
 }
 
-var quick = times{lease: 2, controllers: 1, workersLease: 2.5, report: 0.5, cancel: 14, writeRPS: 40, inFlight: 500}
+// gatewayTimes are the times and limits of a deployment in the gateway proof.
+var gatewayTimes = times{siteLease: 2, controllerLease: 1, workerLease: 2.5, reportInterval: 0.5, cancelBound: 14, writeRPS: 40, maxInFlight: 500}
 
-// ports finds free ports; another program may take one before it is used, which
-// shows as a world that does not start.
-func ports(n int) ([]string, error) {
-	var lns []net.Listener
-	var out []string
+// freeAddresses returns loopback addresses with free ports. Another program may take a port before
+// it is used; the deployment or site does not start then.
+func freeAddresses(n int) ([]string, error) {
+	var listeners []net.Listener
+	var addresses []string
 	for range n {
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return nil, err
 		}
-		lns = append(lns, ln)
-		out = append(out, ln.Addr().String())
+		listeners = append(listeners, listener)
+		addresses = append(addresses, listener.Addr().String())
 	}
-	for _, ln := range lns {
-		ln.Close()
+	for _, listener := range listeners {
+		listener.Close()
 	}
-	return out, nil
+	return addresses, nil
 }
 
-// launch makes and starts a world; if it does not start, since another program took
-// one of its ports, it tries others.
-func launch(ctx context.Context, bin, dir string, t times, machines int) (*world, error) {
+// startDeployment creates and starts a deployment. It makes up to three attempts with new ports,
+// since another program may take one of the ports first.
+func startDeployment(ctx context.Context, bin, dir string, timing times, machines int) (*deployment, error) {
 	for try := 1; ; try++ {
-		sub := filepath.Join(dir, fmt.Sprint("world-", try))
-		if err := os.Mkdir(sub, 0o755); err != nil {
+		attemptDir := filepath.Join(dir, fmt.Sprint("world-", try))
+		if err := os.Mkdir(attemptDir, 0o755); err != nil {
 			return nil, err
 		}
-		w, err := newWorld(bin, sub, t, machines)
+		d, err := newDeployment(bin, attemptDir, timing, machines)
 		if err != nil {
 			return nil, err
 		}
-		if err = w.start(ctx); err == nil {
-			return w, nil
+		if err = d.start(ctx); err == nil {
+			return d, nil
 		}
-		w.end()
+		d.end()
 		if try == 3 || ctx.Err() != nil {
 			return nil, err
 		}
 	}
 }
 
-func newWorld(bin, dir string, t times, machines int) (*world, error) {
-	w := &world{dir: dir, bin: bin, links: map[[2]string]*link{}, members: []string{"gate", "quito", "xela"}, apiOf: map[string]string{},
+// newDeployment writes the keys and settings of a deployment and creates its links and processes. It
+// does not start the processes.
+func newDeployment(bin, dir string, timing times, machines int) (*deployment, error) {
+	d := &deployment{dir: dir, bin: bin, links: map[[2]string]*link{}, members: []string{"gate", "quito", "xela"}, apiAddrs: map[string]string{},
 		http: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
 	keyDir := filepath.Join(dir, "keys")
 	if err := keys.MakeAuthority(keyDir, time.Now(), 10); err != nil {
 		return nil, err
 	}
-	for _, m := range w.members {
-		if err := keys.Issue(keyDir, m, time.Now(), 2); err != nil {
+	for _, member := range d.members {
+		if err := keys.Issue(keyDir, member, time.Now(), 2); err != nil {
 			return nil, err
 		}
 	}
-	addrs, err := ports(4 + 2*10)
+	addresses, err := freeAddresses(4 + 2*10)
 	if err != nil {
 		return nil, err
 	}
-	next := func() string { a := addrs[0]; addrs = addrs[1:]; return a }
-	listen := map[string]string{}
-	for _, m := range w.members {
-		listen[m] = next()
-		w.apiOf[m] = next()
-	}
-	w.gateAPI = w.apiOf["gate"]
-	for _, a := range w.members {
-		for _, b := range w.members {
-			if a != b {
-				if w.links[[2]string{a, b}], err = newLink(listen[b]); err != nil {
+	nextAddress := func() string { address := addresses[0]; addresses = addresses[1:]; return address }
+	listenAddrs := map[string]string{}
+	for _, member := range d.members {
+		listenAddrs[member] = nextAddress()
+		d.apiAddrs[member] = nextAddress()
+	}
+	d.gatewayAPI = d.apiAddrs["gate"]
+	for _, from := range d.members {
+		for _, to := range d.members {
+			if from != to {
+				if d.links[[2]string{from, to}], err = newLink(listenAddrs[to]); err != nil {
 					return nil, err
 				}
 			}
 		}
 	}
-	member := func(name, extra string) (string, error) {
-		var b strings.Builder
-		fmt.Fprintf(&b, "member = %q\nlisten = %q\napi_addr = %q\nlease_s = %g\ncontrollers_s = %g\nworkers_lease_s = %g\ncancel_s = %g\nin_flight = %d\n",
-			name, listen[name], w.apiOf[name], t.lease, t.controllers, t.workersLease, t.cancel, t.inFlight)
-		fmt.Fprintf(&b, "[keys]\ndir = %q\n[route]\nramp_s = 5.0\nmove_after_s = 20.0\nper_second = 2000.0\n%s", keyDir, extra)
-		for _, m := range w.members {
-			addr := listen[m]
-			if m != name {
-				addr = w.links[[2]string{name, m}].ln.Addr().String()
+	writeMemberSettings := func(name, extra string) (string, error) {
+		var settings strings.Builder
+		fmt.Fprintf(&settings, "member = %q\nlisten = %q\napi_addr = %q\nlease_s = %g\ncontrollers_s = %g\nworkers_lease_s = %g\ncancel_s = %g\nin_flight = %d\n",
+			name, listenAddrs[name], d.apiAddrs[name], timing.siteLease, timing.controllerLease, timing.workerLease, timing.cancelBound, timing.maxInFlight)
+		fmt.Fprintf(&settings, "[keys]\ndir = %q\n[route]\nramp_s = 5.0\nmove_after_s = 20.0\nper_second = 2000.0\n%s", keyDir, extra)
+		for _, member := range d.members {
+			addr := listenAddrs[member]
+			if member != name {
+				addr = d.links[[2]string{name, member}].listener.Addr().String()
 			}
-			fmt.Fprintf(&b, "[[members]]\nname = %q\naddr = %q\nsite = %v\n", m, addr, m != "gate")
+			fmt.Fprintf(&settings, "[[members]]\nname = %q\naddr = %q\nsite = %v\n", member, addr, member != "gate")
 		}
 		path := filepath.Join(dir, name+".toml")
-		return path, os.WriteFile(path, []byte(b.String()), 0o644)
+		return path, os.WriteFile(path, []byte(settings.String()), 0o644)
 	}
-	proc := func(name, bin string, args ...string) *process {
-		p := &process{name: name, bin: filepath.Join(w.bin, bin), args: args, log: filepath.Join(dir, name+".log")}
-		w.all = append(w.all, p)
-		return p
+	addProcess := func(name, bin string, args ...string) *childProcess {
+		process := &childProcess{name: name, bin: filepath.Join(d.bin, bin), args: args, logPath: filepath.Join(dir, name+".log")}
+		d.processes = append(d.processes, process)
+		return process
 	}
-	path, err := member("gate", "[journal]\npath = \"gate.journal\"\n")
+	path, err := writeMemberSettings("gate", "[journal]\npath = \"gate.journal\"\n")
 	if err != nil {
 		return nil, err
 	}
-	w.gateway = proc("gate", "dapplestage", "gateway", "--config", path)
-	for _, name := range w.members[1:] {
-		s := &site{name: name, stateAddr: next(), cloudAddr: next(), local: next(), api: w.apiOf[name], events: filepath.Join(dir, name+".events")}
-		nodes := []string{"n-0", "n-1"}
-		s.apis = []string{next(), next()}
-		peers := []string{next(), next()}
-		s.state = proc(name+"-state", "standin", "-state", s.stateAddr, "-cloud", "", "-nodes", "n-0="+s.apis[0])
-		s.cloud = proc(name+"-cloud", "standin", "-state", "", "-cloud", s.cloudAddr, "-nodes", "n-0="+s.apis[0]+",n-1="+s.apis[1],
-			"-boot", "500ms", "-fetch", "200ms", "-lease", fmt.Sprint(t.workersLease), "-report", fmt.Sprint(t.report), "-zone", name, "-machines", fmt.Sprint(machines), "-events", s.events)
-		var settings string
-		for i, n := range nodes {
-			o := 1 - i
-			text := controllerSettings(n, nodes[o], name, name, s.apis[i], peers[i], peers[o], s.cloudAddr, s.stateAddr, t)
-			settings = filepath.Join(dir, name+"-"+n+".toml")
-			if err := os.WriteFile(settings, []byte(text), 0o644); err != nil {
+	d.gateway = addProcess("gate", "dapplestage", "gateway", "--config", path)
+	for _, name := range d.members[1:] {
+		site := &memberSite{name: name, stateAddr: nextAddress(), cloudAddr: nextAddress(), localAddr: nextAddress(), daemonAPI: d.apiAddrs[name], eventsPath: filepath.Join(dir, name+".events")}
+		nodeNames := []string{"n-0", "n-1"}
+		site.controllerAPIs = []string{nextAddress(), nextAddress()}
+		peerAddrs := []string{nextAddress(), nextAddress()}
+		site.state = addProcess(name+"-state", "standin", "-state", site.stateAddr, "-cloud", "", "-nodes", "n-0="+site.controllerAPIs[0])
+		site.cloud = addProcess(name+"-cloud", "standin", "-state", "", "-cloud", site.cloudAddr, "-nodes", "n-0="+site.controllerAPIs[0]+",n-1="+site.controllerAPIs[1],
+			"-boot", "500ms", "-fetch", "200ms", "-lease", fmt.Sprint(timing.workerLease), "-report", fmt.Sprint(timing.reportInterval), "-zone", name, "-machines", fmt.Sprint(machines), "-events", site.eventsPath)
+		var settingsPath string
+		for i, nodeName := range nodeNames {
+			other := 1 - i
+			controllerText := controllerSettings(nodeName, nodeNames[other], name, name, site.controllerAPIs[i], peerAddrs[i], peerAddrs[other], site.cloudAddr, site.stateAddr, timing)
+			settingsPath = filepath.Join(dir, name+"-"+nodeName+".toml")
+			if err := os.WriteFile(settingsPath, []byte(controllerText), 0o644); err != nil {
 				return nil, err
 			}
-			s.controllers = append(s.controllers, proc(name+"-"+n, "dapplestage", "--site-daemon", s.local, "--config", settings))
+			site.controllers = append(site.controllers, addProcess(name+"-"+nodeName, "dapplestage", "--site-daemon", site.localAddr, "--config", settingsPath))
 		}
-		path, err := member(name, fmt.Sprintf("[site]\nsettings = %q\nlocal = %q\ncontrollers = [%q, %q]\n", settings, s.local, s.apis[0], s.apis[1]))
+		path, err := writeMemberSettings(name, fmt.Sprintf("[site]\nsettings = %q\nlocal = %q\ncontrollers = [%q, %q]\n", settingsPath, site.localAddr, site.controllerAPIs[0], site.controllerAPIs[1]))
 		if err != nil {
 			return nil, err
 		}
-		s.daemon = proc(name, "dapplestage", "gateway", "--config", path)
-		w.sites = append(w.sites, s)
+		site.daemon = addProcess(name, "dapplestage", "gateway", "--config", path)
+		d.sites = append(d.sites, site)
 	}
-	return w, nil
+	return d, nil
 }
 
-func (w *world) site(name string) *site {
-	for _, s := range w.sites {
+// memberSite returns the site with a given name, or nil.
+func (d *deployment) memberSite(name string) *memberSite {
+	for _, s := range d.sites {
 		if s.name == name {
 			return s
 		}
@@ -363,17 +373,19 @@
 	return nil
 }
 
-func (w *world) member(name string) *process {
-	if s := w.site(name); s != nil {
+// member returns the process of a member: a site daemon or the gateway.
+func (d *deployment) member(name string) *childProcess {
+	if s := d.memberSite(name); s != nil {
 		return s.daemon
 	}
-	return w.gateway
+	return d.gateway
 }
 
-// start starts everything, and waits until the gateway knows both sites.
-func (w *world) start(ctx context.Context) error {
-	for _, p := range w.all {
-		if err := p.start(); err != nil {
+// start starts all processes and waits until the gateway has a majority, recent hints from both sites
+// and a granted lease for each.
+func (d *deployment) start(ctx context.Context) error {
+	for _, process := range d.processes {
+		if err := process.start(); err != nil {
 			return err
 		}
 	}
@@ -386,50 +398,51 @@
 		}
 	}
 	for deadline := time.Now().Add(10 * time.Second); ; {
-		ready := w.get(ctx, w.gateAPI, "/admin/gateway/status", &status) == nil && status.Majority
-		for _, m := range status.Members {
-			ready = ready && (!m.Site || m.HintAge >= 0 && m.HintAge < 5 && strings.HasPrefix(m.Lease, "granted"))
+		ready := d.get(ctx, d.gatewayAPI, "/admin/gateway/status", &status) == nil && status.Majority
+		for _, member := range status.Members {
+			ready = ready && (!member.Site || member.HintAge >= 0 && member.HintAge < 5 && strings.HasPrefix(member.Lease, "granted"))
 		}
 		if ready {
 			return nil
 		}
 		if time.Now().After(deadline) || ctx.Err() != nil {
-			return fmt.Errorf("the world in %s did not start", w.dir)
+			return fmt.Errorf("the world in %s did not start", d.dir)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-// end ends everything that was started.
-func (w *world) end() {
-	for _, p := range w.all {
-		p.signal(syscall.SIGCONT)
-		p.kill()
+// end kills all processes and closes the links.
+func (d *deployment) end() {
+	for _, process := range d.processes {
+		process.signal(syscall.SIGCONT)
+		process.kill()
 	}
-	for _, l := range w.links {
-		l.set(false, true)
-		l.ln.Close()
+	for _, link := range d.links {
+		link.setCut(false, true)
+		link.listener.Close()
 	}
 }
 
-func (w *world) get(ctx context.Context, addr, path string, into any) error {
-	status, data, _, err := w.call(ctx, "GET", addr, path, nil)
+// get requests a path and decodes the JSON response.
+func (d *deployment) get(ctx context.Context, addr, path string, into any) error {
+	status, data, _, err := d.call(ctx, "GET", addr, path, nil)
 	if err != nil {
 		return err
 	}
 	if status != 200 {
-		return fmt.Errorf("%s answers %d", addr, status)
+		return fmt.Errorf("%s returned status %d", addr, status)
 	}
 	return json.Unmarshal(data, into)
 }
 
-// call makes one request.
-func (w *world) call(ctx context.Context, method, addr, path string, body []byte) (int, []byte, http.Header, error) {
+// call sends an HTTP request and returns the status, body and header of the response.
+func (d *deployment) call(ctx context.Context, method, addr, path string, body []byte) (int, []byte, http.Header, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, nil, err
 	}
-	resp, err := w.http.Do(req)
+	resp, err := d.http.Do(req)
 	if err != nil {
 		return 0, nil, nil, err
 	}
@@ -438,20 +451,20 @@
 	return resp.StatusCode, data, resp.Header, err
 }
 
-// submission is a job that runs for some seconds.
-func submission(id, team string, tasks int, seconds float64) []byte {
+// jobSubmission returns the submission of an array whose tasks run for the given number of seconds.
+func jobSubmission(id, team string, tasks int, seconds float64) []byte {
 	return fmt.Appendf(nil, `{"id":%q,"lot":"proof","crew":%q,"shape":"sweep","urgency":"standard","pieces":%d,"vcpus":2.0,"cards":1.0,"memGb":8.0,"bundle":"img-1","sizeGb":1.0,"builds":null,"region":null,"together":false,"scatter":false,"loaners":true,"expectS":%g,"snapshotS":0.0,"storeS":0.0,"dueS":null}`, id, team, tasks, seconds)
 }
 
-// between draws a time.
-func span(rng *rand.Rand, a, b time.Duration) time.Duration {
-	return a + time.Duration(rng.Int64N(int64(b-a)))
+// randomDuration returns a random duration from minimum up to maximum.
+func randomDuration(rng *rand.Rand, minimum, maximum time.Duration) time.Duration {
+	return minimum + time.Duration(rng.Int64N(int64(maximum-minimum)))
 }
 
-// controllerSettings is the settings file of one of two controllers of a site.
-func controllerSettings(node, other, zone, otherZone, api, peer, otherPeer, cloud, state string, t times) string {
+// controllerSettings returns the settings file of one of the two controllers of a site.
+func controllerSettings(node, other, zone, otherZone, api, peer, otherPeer, cloud, state string, timing times) string {
 	zones, guarantee := fmt.Sprintf("%q", zone), ""
-	if t.place {
+	if timing.mixedMachines {
 		zones, guarantee = `"a", "b", "c"`, "cpus = 120.0\ncpus_max = 400.0\n"
 	}
 	return fmt.Sprintf(`node = %[1]q
@@ -495,5 +508,5 @@
 cores = 2.0
 memory_mb = 400.0
 fd_limit = 1000
-`, node, zone, api, peer, other, otherZone, otherPeer, cloud, state, zones, t.report, t.workersLease, t.cancel, t.writeRPS, cmp.Or(t.gpusMax, 400), guarantee)
+`, node, zone, api, peer, other, otherZone, otherPeer, cloud, state, zones, timing.reportInterval, timing.workerLease, timing.cancelBound, timing.writeRPS, cmp.Or(timing.maxTeamGPUs, 400), guarantee)
 }
