--- a/internal/coordination/node/api.go
+++ b/internal/coordination/node/api.go
@@ -71,7 +71,7 @@
 // errTooLong is the error for a request body that exceeds its bound.
 var errTooLong = errors.New("body over 64 KiB")
 
-// readBody reads the body of a request, up to protocol.MaxBody bytes.
+// readBody reads the body of a request, up to protocol.MaxBodyBytes bytes.
 func readBody(r *http.Request) ([]byte, error) {
 	data, err := io.ReadAll(io.LimitReader(r.Body, protocol.MaxBodyBytes+1))
 	if err == nil && len(data) > protocol.MaxBodyBytes {
