--- a/internal/coordination/node/account.go
+++ b/internal/coordination/node/account.go
@@ -323,18 +323,18 @@
 		sample.Ended = n.account.endedCount // counted by the leader only, since every node sees each end
 	}
 	n.account.lostRuns, n.account.endedCount = 0, 0
-	for _, part := range n.partitions {
-		if !n.owns(part) {
+	for _, p := range n.partitions {
+		if !n.owns(p) {
 			continue
 		}
-		for _, m := range part.machines {
+		for _, m := range p.machines {
 			if !m.lastFencedReport.IsZero() {
 				if sample.Machines++; n.silent(m, now) {
 					sample.Silent++
 				}
 			}
 		}
-		for _, j := range part.jobs {
+		for _, j := range p.jobs {
 			if !j.cancelled {
 				sample.Waiting += j.nWaiting()
 			}
@@ -514,14 +514,14 @@
 func (n *Node) accountOfOwned(query *ledger.Query, now time.Time) *ledger.Page {
 	page := ledger.NewPage(n.cfg.Node, now)
 	page.SinceStateAnswer = roundToTenth(min(n.sinceContact(now), now.Sub(n.startedAt)).Seconds())
-	for _, part := range n.partitions {
-		if !n.owns(part) {
+	for _, p := range n.partitions {
+		if !n.owns(p) {
 			continue
 		}
-		for _, j := range part.jobs {
+		for _, j := range p.jobs {
 			page.Add(query, n.jobRow(j, now))
 		}
-		for _, m := range part.machines {
+		for _, m := range p.machines {
 			sums := ledger.ZoneSums{}
 			switch {
 			case m.returned:
@@ -548,11 +548,11 @@
 
 // addUnknown adds the stored state of partitions whose owner did not answer.
 func (n *Node) addUnknown(page *ledger.Page, query *ledger.Query, partitions []*partition, why string, since, now time.Time) {
-	for _, part := range partitions {
-		for _, j := range part.jobs {
+	for _, p := range partitions {
+		for _, j := range p.jobs {
 			page.Add(query, n.unknownRow(j, why, since, now))
 		}
-		for _, m := range part.machines {
+		for _, m := range p.machines {
 			page.Zones[m.rec.Zone] = page.Zones[m.rec.Zone].Add(ledger.ZoneSums{Unknown: 1})
 		}
 	}
@@ -578,8 +578,8 @@
 		page.Unknown = append(page.Unknown, fmt.Sprintf("the state service last answered %s %.0f s ago: what others accepted or ended since is not known", n.cfg.Node, page.SinceStateAnswer))
 	}
 	byOwner, vacant := n.peerPartitions()
-	for _, part := range vacant {
-		n.addUnknown(page, &query, []*partition{part}, fmt.Sprintf("share %d has no holder since %.0f s", part.index, now.Sub(part.vacantSince).Seconds()), part.vacantSince, now)
+	for _, p := range vacant {
+		n.addUnknown(page, &query, []*partition{p}, fmt.Sprintf("share %d has no holder since %.0f s", p.index, now.Sub(p.vacantSince).Seconds()), p.vacantSince, now)
 	}
 	question := protocol.PeerQuery{Kind: protocol.QueryAccount, State: query.State, Team: query.Team, Class: query.Class, Zone: query.Zone, Image: query.Image, Text: query.Text, SinceMS: query.Since, After: query.After, Limit: query.Limit}
 	askOwners(n, byOwner, question, func(owner string, part ledger.Page, unknown string) {
--- a/internal/coordination/node/carry_over_test.go
+++ b/internal/coordination/node/carry_over_test.go
@@ -21,10 +21,10 @@
 }
 
 // awaitStored runs queued actor functions until no change of a partition's jobs is in flight.
-func (b *testNode) awaitStored(s *partition) {
+func (b *testNode) awaitStored(p *partition) {
 	b.t.Helper()
 	busy := func(j *job) bool { return j.writePending }
-	for s.pendingAppend != nil || s.pendingRecords > 0 || slices.ContainsFunc(s.jobs, busy) {
+	for p.pendingAppend != nil || p.pendingRecords > 0 || slices.ContainsFunc(p.jobs, busy) {
 		select {
 		case f := <-b.mailbox:
 			f()
@@ -92,15 +92,15 @@
 	for _, recordFirst := range []bool{true, false} {
 		t.Run(fmt.Sprintf("record first %v", recordFirst), func(t *testing.T) {
 			b, service := newTestNodeWithLog(t)
-			s := b.partitions[0]
+			p := b.partitions[0]
 			array := b.addProposedArray("job-2")
 			b.flush(time.Now())
-			if s.pendingAppend == nil {
+			if p.pendingAppend == nil {
 				t.Fatal("no entry is being stored")
 			}
 			b.recordOutcome(service, 0, outcomeGone)
 			b.flush(time.Now())
-			if s.pendingRecords != 1 {
+			if p.pendingRecords != 1 {
 				t.Fatal("the service's own record is not being stored at the same time")
 			}
 			first, second := b.urgentCommitter, b.backgroundCommitter
@@ -110,9 +110,9 @@
 			go first.Run(t.Context())
 			(<-b.mailbox)()
 			go second.Run(t.Context())
-			b.awaitStored(s)
+			b.awaitStored(p)
 			b.flush(time.Now()) // stores what was refused
-			b.awaitStored(s)
+			b.awaitStored(p)
 			if is := &service.tasks[0]; is.phase != phaseWaiting {
 				t.Errorf("the node that stored the end knows the task as %v with attempt %d", is.phase, is.attempt)
 			}
@@ -122,7 +122,7 @@
 			if array.tasks[0].phase == phaseWaiting { // its entry was refused
 				b.proposePlacements(array, []int{0}, []*machine{b.machines["host-1"]}, time.Now())
 				b.flush(time.Now())
-				b.awaitStored(s)
+				b.awaitStored(p)
 			}
 			if array.tasks[0].phase != phasePlaced {
 				t.Error("the array's placement was not stored in the end")
@@ -135,9 +135,9 @@
 // the transaction stays within the state service's limit of conditions.
 func TestConditionsOfCarriedJobsFit(t *testing.T) {
 	b, _ := newTestNodeWithLog(t)
-	s := b.partitions[0]
+	p := b.partitions[0]
 	b.cfg.Params.State.ValueKB = 64
-	e := *s.log.Overwritten()
+	e := *p.log.Overwritten()
 	for i := range 60 { // more than the limit of conditions
 		id := fmt.Sprintf("job-10%02d", i)
 		spec := &protocol.JobSpec{ID: id, Team: "red", Class: "c", Shape: protocol.Array, Priority: "standard", Tasks: 2, CPUs: 0.1, Image: "i"}
@@ -153,9 +153,9 @@
 	array := b.addProposedArray("job-2")
 	for range 5 {
 		b.flush(time.Now())
-		b.awaitStored(s)
+		b.awaitStored(p)
 	}
-	if _, seq := s.log.Next(); seq != 6 || array.tasks[0].phase != phasePlaced {
+	if _, seq := p.log.Next(); seq != 6 || array.tasks[0].phase != phasePlaced {
 		t.Errorf("the next entry is %d, the phase of the array's task %v", seq, array.tasks[0].phase)
 	}
 	live, read := b.jobSummaries(), newNodeFromStore(t, b.cfg, b.state).jobSummaries()
--- a/internal/coordination/node/corrupt.go
+++ b/internal/coordination/node/corrupt.go
@@ -50,8 +50,8 @@
 
 // hasCorruptOwner reports whether the owner record of a partition, or the token counter that is
 // needed to take it, can't be decoded.
-func (n *Node) hasCorruptOwner(partition *partition) bool {
-	_, owner := n.corruptKeys[protocol.OwnerKey(partition.index)]
+func (n *Node) hasCorruptOwner(p *partition) bool {
+	_, owner := n.corruptKeys[protocol.OwnerKey(p.index)]
 	_, counter := n.corruptKeys[protocol.TokenCounterKey]
 	return owner || counter
 }
--- a/internal/coordination/node/facts.go
+++ b/internal/coordination/node/facts.go
@@ -145,9 +145,9 @@
 }
 
 // view returns a partition's state as the input of one decision.
-func (n *Node) view(partition *partition, now time.Time) *decide.View {
+func (n *Node) view(p *partition, now time.Time) *decide.View {
 	n.refreshIndex(now)
-	view := &decide.View{Now: now, Partition: partition.index, NoPreemption: n.owns(partition) && !partition.reconciliation.MayPreempt(), Types: n.machineTypes, Index: n.planningFacts.index, GPUTypesInDemand: n.currentGPUTypes(now),
+	view := &decide.View{Now: now, Partition: p.index, NoPreemption: n.owns(p) && !p.reconciliation.MayPreempt(), Types: n.machineTypes, Index: n.planningFacts.index, GPUTypesInDemand: n.currentGPUTypes(now),
 		Config: decide.Config{ReportS: n.cfg.Params.Workers.ReportS, Objectives: n.cfg.Params.Aims, MoveS: n.policy.MoveS}}
 	for _, t := range n.teams {
 		view.Teams = append(view.Teams, &t.Team)
@@ -168,8 +168,8 @@
 	for _, j := range n.jobs {
 		decide.MarkGPUTypesInDemand(n.planningFacts.gpuTypesInDemand, n.machineTypes, j.spec)
 	}
-	for _, partition := range n.partitions {
-		for _, a := range decide.TrimArrivals(partition.recentArrivals, now) {
+	for _, p := range n.partitions {
+		for _, a := range decide.TrimArrivals(p.recentArrivals, now) {
 			decide.MarkGPUTypesInDemand(n.planningFacts.gpuTypesInDemand, n.machineTypes, a.Spec)
 		}
 	}
--- a/internal/coordination/node/guards_test.go
+++ b/internal/coordination/node/guards_test.go
@@ -242,11 +242,11 @@
 		time.Sleep(8 * time.Second)
 		synctest.Wait()
 		seen := map[uint64]bool{}
-		for _, s := range w.nodes["n-0"].partitions {
-			if s.owner.Token <= 41 || seen[s.owner.Token] {
-				t.Errorf("partition %d is owned under token %d", s.index, s.owner.Token)
+		for _, p := range w.nodes["n-0"].partitions {
+			if p.owner.Token <= 41 || seen[p.owner.Token] {
+				t.Errorf("partition %d is owned under token %d", p.index, p.owner.Token)
 			}
-			seen[s.owner.Token] = true
+			seen[p.owner.Token] = true
 		}
 		cancel()
 		time.Sleep(time.Minute)
@@ -375,15 +375,15 @@
 				if known := m != nil && m.recorded; known != (where[name] != "") {
 					rt.Fatalf("%s in batch %q: known is %v", name, where[name], known)
 				}
-				for _, s := range b.partitions {
+				for _, p := range b.partitions {
 					in := 0
-					for _, x := range s.machines {
+					for _, x := range p.machines {
 						if x.name == name {
 							in++
 						}
 					}
-					if want := where[name] != "" && share[where[name]] == s.index; in > 1 || (in == 1) != want {
-						rt.Fatalf("%s is %d times in partition %d, batch %q", name, in, s.index, where[name])
+					if want := where[name] != "" && share[where[name]] == p.index; in > 1 || (in == 1) != want {
+						rt.Fatalf("%s is %d times in partition %d, batch %q", name, in, p.index, where[name])
 					}
 				}
 			}
--- a/internal/coordination/node/incarnations.go
+++ b/internal/coordination/node/incarnations.go
@@ -95,9 +95,9 @@
 // releaseFormerLeases releases the leases of this node's earlier processes that the records name.
 func (n *Node) releaseFormerLeases() {
 	former := map[uint64]bool{n.incarnations.leaseOf[n.cfg.Node]: true}
-	for _, part := range n.partitions {
-		if part.owner.Token != 0 && part.owner.Node == n.cfg.Node {
-			former[part.owner.Lease] = true
+	for _, p := range n.partitions {
+		if p.owner.Token != 0 && p.owner.Node == n.cfg.Node {
+			former[p.owner.Lease] = true
 		}
 	}
 	delete(former, 0)
--- a/internal/coordination/node/jobs.go
+++ b/internal/coordination/node/jobs.go
@@ -436,8 +436,8 @@
 	delete(n.dirty, j)
 	delete(n.cancelling, j)
 	n.releaseLimitReservation(j)
-	if partition := n.partitions[j.partition]; len(partition.newJobs) > 0 {
-		partition.newJobs = slices.DeleteFunc(partition.newJobs, func(o *job) bool { return o == j })
+	if p := n.partitions[j.partition]; len(p.newJobs) > 0 {
+		p.newJobs = slices.DeleteFunc(p.newJobs, func(o *job) bool { return o == j })
 	}
 	list := &n.partitions[j.partition].jobs
 	if at, found := slices.BinarySearchFunc(*list, j, byPriority); found {
@@ -718,18 +718,18 @@
 		n.deferChunks(j, touched, op)
 	}
 	j.writePending = true
-	partition := n.partitions[j.partition]
-	partition.pendingRecords++
+	p := n.partitions[j.partition]
+	p.pendingRecords++
 	n.pendingWrites[committer] += len(op.Writes)
 	op.Done = func(r storage.Result) {
 		n.post(func() {
-			partition.pendingRecords--
+			p.pendingRecords--
 			n.pendingWrites[committer] -= len(op.Writes)
 			n.onJobStored(j, op, r)
 		})
 	}
 	if !committer.Submit(op) {
-		partition.pendingRecords--
+		p.pendingRecords--
 		n.pendingWrites[committer] -= len(op.Writes)
 		j.writePending = false
 		n.stepChangeFinished(j)
--- a/internal/coordination/node/jobs_test.go
+++ b/internal/coordination/node/jobs_test.go
@@ -113,16 +113,16 @@
 	}
 	b.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-1", Token: 8, Lease: 9})
 	b.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-0", Token: 9, Lease: 3})
-	s := b.partitions[0]
-	b.countArrivals(s)
-	if s.window.Len() != 4 || b.jobs["job-3"].heavy || !b.jobs["job-0"].heavy {
-		t.Fatalf("window %+v; the 1 GB job among 8 GB ones should be light", s.window)
+	p := b.partitions[0]
+	b.countArrivals(p)
+	if p.window.Len() != 4 || b.jobs["job-3"].heavy || !b.jobs["job-0"].heavy {
+		t.Fatalf("window %+v; the 1 GB job among 8 GB ones should be light", p.window)
 	}
 	b.dropJob("job-2")
 	b.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-1", Token: 10, Lease: 9})
 	b.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-0", Token: 11, Lease: 3})
-	if b.countArrivals(s); s.window.Len() != 4 {
-		t.Errorf("%d arrivals after another takeover: ended jobs count too", s.window.Len())
+	if b.countArrivals(p); p.window.Len() != 4 {
+		t.Errorf("%d arrivals after another takeover: ended jobs count too", p.window.Len())
 	}
 }
 
--- a/internal/coordination/node/leadership_scenarios_test.go
+++ b/internal/coordination/node/leadership_scenarios_test.go
@@ -319,16 +319,16 @@
 		node.watchPut(protocol.OwnerKey(0), before)
 		own := storage.Write{Put: protocol.OwnerKey(0), Value: mustJSON(protocol.OwnerRecord{Node: "n-0", Token: 9, Lease: 3})}
 		node.applyOwnWrite(own, node.revision+5)
-		if s := node.partitions[0]; node.owns(s) || !s.ownerChanging() {
-			t.Fatalf("after %+v the partition counts as owned: %+v", before, s.owner)
+		if p := node.partitions[0]; node.owns(p) || !p.ownerChanging() {
+			t.Fatalf("after %+v the partition counts as owned: %+v", before, p.owner)
 		}
 		node.applyWatch(nil, node.revision+4)
 		if node.owns(node.partitions[0]) {
 			t.Fatalf("after %+v the partition counts as owned one revision too early", before)
 		}
 		node.applyWatch([]storage.Item{{Key: own.Put, Value: own.Value, Revision: node.revision + 5}}, node.revision+5)
-		if s := node.partitions[0]; !node.owns(s) || s.ownerChanging() || node.revisionOf(own.Put) != node.revision+5 {
-			t.Fatalf("after %+v the partition is not owned with a complete replica: %+v", before, s.owner)
+		if p := node.partitions[0]; !node.owns(p) || p.ownerChanging() || node.revisionOf(own.Put) != node.revision+5 {
+			t.Fatalf("after %+v the partition is not owned with a complete replica: %+v", before, p.owner)
 		}
 	}
 }
@@ -360,8 +360,8 @@
 // ownBeforeReplica makes a node own a partition before its replica is complete, for tests of
 // disabled guards.
 func ownBeforeReplica(n *Node, index int) {
-	if s := n.partitions[index]; s.unconfirmedOwner != nil {
-		n.setOwner(s, *s.unconfirmedOwner)
+	if p := n.partitions[index]; p.unconfirmedOwner != nil {
+		n.setOwner(p, *p.unconfirmedOwner)
 	}
 }
 
--- a/internal/coordination/node/log_progress_test.go
+++ b/internal/coordination/node/log_progress_test.go
@@ -8,13 +8,13 @@
 )
 
 // flushTimes flushes a partition's changes a number of times and waits for each to be stored.
-func (b *testNode) flushTimes(s *partition, times int) {
+func (b *testNode) flushTimes(p *partition, times int) {
 	b.t.Helper()
 	go b.urgentCommitter.Run(b.t.Context())
 	go b.backgroundCommitter.Run(b.t.Context())
 	for range times {
 		b.flush(time.Now())
-		b.awaitStored(s)
+		b.awaitStored(p)
 	}
 }
 
--- a/internal/coordination/node/packed.go
+++ b/internal/coordination/node/packed.go
@@ -143,8 +143,8 @@
 
 // logReadable reports whether all entries of a partition's log are known. If not, more may be stored
 // than is known: a task may be gone, or a job may have ended.
-func (n *Node) logReadable(partition *partition) bool {
-	return !n.mayHaveEntries() || partition.log.Complete() && !n.logUnreadable(partition.index)
+func (n *Node) logReadable(p *partition) bool {
+	return !n.mayHaveEntries() || p.log.Complete() && !n.logUnreadable(p.index)
 }
 
 // anyInboxUnreadable reports whether an entry in any inbox can't be decoded.
@@ -168,8 +168,8 @@
 	if !ok {
 		return
 	}
-	partition := n.partitions[i]
-	if _, err := partition.log.Put(slot, e); err != nil {
+	p := n.partitions[i]
+	if _, err := p.log.Put(slot, e); err != nil {
 		n.markUnreadable(it.Key, err)
 		return
 	}
@@ -352,8 +352,8 @@
 // storePartition stores the jobs of a partition that are due. A single job goes into its own
 // record as long as the rate limit has reserve. Several go into one log entry, together with
 // whatever else is new.
-func (n *Node) storePartition(partition *partition, requests []storeRequest, maxWrites int, now time.Time) {
-	if !n.logReadable(partition) {
+func (n *Node) storePartition(p *partition, requests []storeRequest, maxWrites int, now time.Time) {
+	if !n.logReadable(p) {
 		return
 	}
 	committerFor := func(request storeRequest) *storage.Committer {
@@ -380,25 +380,25 @@
 				inRecords = append(inRecords, request)
 			}
 		}
-		if len(inLog) > 0 && partition.pendingAppend == nil {
-			n.appendLog(partition, inLog, now)
+		if len(inLog) > 0 && p.pendingAppend == nil {
+			n.appendLog(p, inLog, now)
 		}
 		storeSingly(inRecords)
 		return
 	}
 	switch {
-	case partition.pendingAppend != nil && !partition.pendingAppend.urgent:
+	case p.pendingAppend != nil && !p.pendingAppend.urgent:
 		// Urgent changes need not wait for an append that is not urgent.
 		storeSingly(slices.DeleteFunc(requests, func(request storeRequest) bool {
 			return request.urgency > storeUrgentStart || n.mustStoreInLog(request.job)
 		}))
-	case partition.pendingAppend != nil || partition.pendingRecords > 0:
-	case requests[0].urgency > storeUrgentStart && !n.rateLimiter.HasSpareRate() && now.Sub(partition.lastAppend) < entryBatchDelay:
+	case p.pendingAppend != nil || p.pendingRecords > 0:
+	case requests[0].urgency > storeUrgentStart && !n.rateLimiter.HasSpareRate() && now.Sub(p.lastAppend) < entryBatchDelay:
 		// All these changes can wait: no user and no start depends on them.
 	case len(requests) == 1 && n.rateLimiter.HasSpareRate() && !n.mustStoreInLog(requests[0].job) && !alwaysPack:
 		storeSingly(requests)
 	case n.pendingWrites[committerFor(requests[0])] < maxWrites:
-		n.appendLog(partition, append(requests, n.additionalRequests(partition, requests)...), now)
+		n.appendLog(p, append(requests, n.additionalRequests(p, requests)...), now)
 	}
 }
 
@@ -409,13 +409,13 @@
 
 // additionalRequests returns the other jobs of a partition with something new that are not due yet:
 // storing them in the same entry costs nothing.
-func (n *Node) additionalRequests(partition *partition, requests []storeRequest) (out []storeRequest) {
+func (n *Node) additionalRequests(p *partition, requests []storeRequest) (out []storeRequest) {
 	included := map[*job]bool{}
 	for _, request := range requests {
 		included[request.job] = true
 	}
 	for j := range n.dirty {
-		if j.partition == partition.index && !included[j] && !j.writePending && !n.jobChangesPaused(j) && j.step == nil {
+		if j.partition == p.index && !included[j] && !j.writePending && !n.jobChangesPaused(j) && j.step == nil {
 			out = append(out, storeRequest{j, storeOutcomes, forTaskEnds})
 		}
 	}
@@ -427,15 +427,15 @@
 
 // appendLog stores what is new of jobs of a partition in one entry of its log, in the given order, as
 // far as it fits. It returns false if nothing was sent.
-func (n *Node) appendLog(partition *partition, requests []storeRequest, now time.Time) bool {
-	writer := packed.NewWriter(partition.log, int(entryFill*1024*n.cfg.Params.State.ValueKB))
-	carried, fits := n.carryOver(partition, writer)
+func (n *Node) appendLog(p *partition, requests []storeRequest, now time.Time) bool {
+	writer := packed.NewWriter(p.log, int(entryFill*1024*n.cfg.Params.State.ValueKB))
+	carried, fits := n.carryOver(p, writer)
 	if !fits {
 		return false
 	}
 	pending := &logAppend{urgent: requests[0].urgency <= storeUrgentStart}
-	slot, _ := partition.log.Next()
-	op := &storage.Op{Purpose: uint8(requests[0].purpose), Conds: []storage.Cond{n.unchanged(protocol.OwnerKey(partition.index)), n.unchanged(protocol.LogKey(partition.index, slot)), n.unchanged(protocol.FormatKey)}}
+	slot, _ := p.log.Next()
+	op := &storage.Op{Purpose: uint8(requests[0].purpose), Conds: []storage.Cond{n.unchanged(protocol.OwnerKey(p.index)), n.unchanged(protocol.LogKey(p.index, slot)), n.unchanged(protocol.FormatKey)}}
 	op.Conds = append(op.Conds, n.recordsUnchanged(carried)...)
 	maxEnds := n.maxEndsPerEntry()
 	var finals []storage.Write
@@ -479,22 +479,22 @@
 		return false
 	}
 	// The final records of jobs come before the log entry that ends them.
-	op.Writes = append(finals, storage.Write{Put: protocol.LogKey(partition.index, slot), Value: mustJSON(writer.Entry())})
+	op.Writes = append(finals, storage.Write{Put: protocol.LogKey(p.index, slot), Value: mustJSON(writer.Entry())})
 	committer := n.backgroundCommitter
 	if pending.urgent {
 		committer = n.urgentCommitter
 	}
-	partition.pendingAppend, partition.lastAppend = pending, now
+	p.pendingAppend, p.lastAppend = pending, now
 	n.pendingWrites[committer] += len(op.Writes)
 	op.Done = func(r storage.Result) {
 		n.post(func() {
 			n.pendingWrites[committer] -= len(op.Writes)
-			n.onAppended(partition, pending, op, r)
+			n.onAppended(p, pending, op, r)
 		})
 	}
 	if !committer.Submit(op) {
 		n.pendingWrites[committer] -= len(op.Writes)
-		n.onAppendFailed(partition, pending)
+		n.onAppendFailed(p, pending)
 	}
 	n.metrics.entries.WithLabelValues("log").Observe(float64(len(pending.jobs)))
 	return true
@@ -569,13 +569,13 @@
 // carryOver adds to the next entry what is still needed of the entry that it replaces, and returns the
 // open jobs concerned. If that takes too much space or too many conditions, it compacts some jobs into
 // records of their own first and returns false.
-func (n *Node) carryOver(partition *partition, writer *packed.Writer) ([]packed.CarriedJob, bool) {
-	old := partition.log.Overwritten()
+func (n *Node) carryOver(p *partition, writer *packed.Writer) ([]packed.CarriedJob, bool) {
+	old := p.log.Overwritten()
 	if old == nil {
 		return nil, true
 	}
-	carried, fits := partition.log.Carry(writer, n.mayBeListedElsewhere(partition, old), func(id string, seq uint64) packed.Draft {
-		if j := n.jobs[id]; j != nil && j.partition == partition.index {
+	carried, fits := p.log.Carry(writer, n.mayBeListedElsewhere(p, old), func(id string, seq uint64) packed.Draft {
+		if j := n.jobs[id]; j != nil && j.partition == p.index {
 			return n.stateFromEntry(j, seq)
 		}
 		return packed.Draft{}
@@ -623,8 +623,8 @@
 // mayBeListedElsewhere returns a function that reports whether a job that an entry ended may still be
 // in a record of its own or in an inbox. If the stored state is not known up to that entry, or can't
 // be decoded, that is possible for any job.
-func (n *Node) mayBeListedElsewhere(partition *partition, e *protocol.Entry) func(id string) bool {
-	unknown := n.revisions[protocol.LogKey(partition.index, int(e.Seq%uint64(ringSlots)))] > n.completeRevision
+func (n *Node) mayBeListedElsewhere(p *partition, e *protocol.Entry) func(id string) bool {
+	unknown := n.revisions[protocol.LogKey(p.index, int(e.Seq%uint64(ringSlots)))] > n.completeRevision
 	return func(id string) bool {
 		_, head := n.packed.endedRecords[id]
 		_, unreadable := n.corruptKeys[protocol.JobKey(id)]
@@ -646,15 +646,15 @@
 }
 
 // onAppended handles the result of a log append.
-func (n *Node) onAppended(partition *partition, pending *logAppend, op *storage.Op, r storage.Result) {
+func (n *Node) onAppended(p *partition, pending *logAppend, op *storage.Op, r storage.Result) {
 	if !r.OK {
 		n.metrics.stateCalls.WithLabelValues("refused").Inc()
-		n.log.Info("partition log entry refused", "share", partition.index, "jobs", len(pending.jobs), "failed", strings.Join(r.Failed, " "), "why", r.Err)
-		n.resync(r.Failed, func([]storage.Item, error) { n.onAppendFailed(partition, pending) })
+		n.log.Info("partition log entry refused", "share", p.index, "jobs", len(pending.jobs), "failed", strings.Join(r.Failed, " "), "why", r.Err)
+		n.resync(r.Failed, func([]storage.Item, error) { n.onAppendFailed(p, pending) })
 		return
 	}
 	n.metrics.stateCalls.WithLabelValues("stored").Inc()
-	partition.pendingAppend = nil
+	p.pendingAppend = nil
 	for _, w := range op.Writes {
 		n.applyOwnWrite(w, r.Revision)
 	}
@@ -669,8 +669,8 @@
 }
 
 // onAppendFailed marks the jobs of an entry that was not stored to be stored again.
-func (n *Node) onAppendFailed(partition *partition, pending *logAppend) {
-	partition.pendingAppend = nil
+func (n *Node) onAppendFailed(p *partition, pending *logAppend) {
+	p.pendingAppend = nil
 	for _, j := range pending.jobs {
 		j.writePending = false
 		n.revertProposals(j)
@@ -1023,12 +1023,12 @@
 func (n *Node) unpackEntries(now time.Time) {
 	state := &n.packed
 	compacted := 0
-	for _, partition := range n.partitions {
-		if !n.owns(partition) || partition.pendingAppend != nil || !partition.log.Complete() {
+	for _, p := range n.partitions {
+		if !n.owns(p) || p.pendingAppend != nil || !p.log.Complete() {
 			continue
 		}
 		remaining := false
-		for _, j := range partition.jobs {
+		for _, j := range p.jobs {
 			if !n.dependsOnEntries(j) {
 				continue
 			}
@@ -1039,15 +1039,15 @@
 				n.compactJob(j, 0)
 			}
 		}
-		if remaining || partition.log.Empty() {
+		if remaining || p.log.Empty() {
 			continue
 		}
 		// All that may still be needed in it are the ends of jobs that a record or an inbox
 		// still lists.
-		n.emptySlots(partition.log, func(slot int) string { return protocol.LogKey(partition.index, slot) }, func(e *protocol.Entry) bool {
-			listed := n.mayBeListedElsewhere(partition, e)
+		n.emptySlots(p.log, func(slot int) string { return protocol.LogKey(p.index, slot) }, func(e *protocol.Entry) bool {
+			listed := n.mayBeListedElsewhere(p, e)
 			return slices.ContainsFunc(e.Parts, func(x protocol.Part) bool { return x.FinalStatus != "" && listed(x.Job) })
-		}, n.unchanged(protocol.OwnerKey(partition.index)))
+		}, n.unchanged(protocol.OwnerKey(p.index)))
 	}
 	for node, r := range state.inboxes {
 		_, live := n.liveNodes[node]
--- a/internal/coordination/node/partitions.go
+++ b/internal/coordination/node/partitions.go
@@ -50,16 +50,16 @@
 // is 0.
 func (n *Node) setLease(id uint64) {
 	var owned []*partition
-	for _, part := range n.partitions {
-		if n.owns(part) {
-			owned = append(owned, part)
+	for _, p := range n.partitions {
+		if n.owns(p) {
+			owned = append(owned, p)
 		}
 	}
 	n.lease = id
 	n.incarnations.hintLease.Store(id)
 	if id == 0 {
-		for _, part := range owned {
-			n.onPartitionLost(part)
+		for _, p := range owned {
+			n.onPartitionLost(p)
 		}
 		n.noteOverload(len(owned), time.Now())
 		return
@@ -69,14 +69,14 @@
 }
 
 // owns reports whether this process of the node owns a partition.
-func (n *Node) owns(part *partition) bool {
-	return n.lease != 0 && part.owner.Token != 0 && part.owner.Node == n.cfg.Node && part.owner.Lease == n.lease
+func (n *Node) owns(p *partition) bool {
+	return n.lease != 0 && p.owner.Token != 0 && p.owner.Node == n.cfg.Node && p.owner.Lease == n.lease
 }
 
 func (n *Node) ownedPartitionCount() int {
 	count := 0
-	for _, part := range n.partitions {
-		if n.owns(part) {
+	for _, p := range n.partitions {
+		if n.owns(p) {
 			count++
 		}
 	}
@@ -94,23 +94,23 @@
 // revision. By then everything that earlier owners stored is known, and their later writes fail.
 // Without this, a standby whose watch was some seconds behind restarted tasks whose users had just
 // been told that they were cancelled.
-func (n *Node) applyOwnerRecord(part *partition, record protocol.OwnerRecord) {
-	part.unconfirmedOwner = nil
-	if record.Node == n.cfg.Node && record != part.owner && n.revisions[protocol.OwnerKey(part.index)] > n.completeRevision {
-		part.unconfirmedOwner = &record
+func (n *Node) applyOwnerRecord(p *partition, record protocol.OwnerRecord) {
+	p.unconfirmedOwner = nil
+	if record.Node == n.cfg.Node && record != p.owner && n.revisions[protocol.OwnerKey(p.index)] > n.completeRevision {
+		p.unconfirmedOwner = &record
 		n.wakeWatch()
 		return
 	}
-	n.setOwner(part, record)
+	n.setOwner(p, record)
 }
 
 // advanceReplica records that the replica is complete up to a revision, and applies owner records
 // that waited for it.
 func (n *Node) advanceReplica(revision uint64) {
 	n.completeRevision = max(n.completeRevision, revision)
-	for _, part := range n.partitions {
-		if part.unconfirmedOwner != nil && n.revisions[protocol.OwnerKey(part.index)] <= n.completeRevision {
-			n.applyOwnerRecord(part, *part.unconfirmedOwner)
+	for _, p := range n.partitions {
+		if p.unconfirmedOwner != nil && n.revisions[protocol.OwnerKey(p.index)] <= n.completeRevision {
+			n.applyOwnerRecord(p, *p.unconfirmedOwner)
 		}
 	}
 }
@@ -119,33 +119,33 @@
 func (p *partition) ownerChanging() bool { return p.ownerChangePending || p.unconfirmedOwner != nil }
 
 // setOwner changes the owner of a partition.
-func (n *Node) setOwner(part *partition, record protocol.OwnerRecord) {
-	if record == part.owner {
+func (n *Node) setOwner(p *partition, record protocol.OwnerRecord) {
+	if record == p.owner {
 		return
 	}
-	wasOwner, previous := n.owns(part), part.owner
-	part.owner = record
+	wasOwner, previous := n.owns(p), p.owner
+	p.owner = record
 	now := time.Now()
 	if record.Token == 0 {
-		part.vacantSince = now
+		p.vacantSince = now
 	}
 	if previous.Token != 0 {
-		part.previousOwner = previous.Node
+		p.previousOwner = previous.Node
 	}
 	// Only the decision facts of the partition's machines and of the jobs on them change, so the
 	// cost of an ownership change depends on the size of the partition and not of the fleet.
-	for _, m := range part.machines {
+	for _, m := range p.machines {
 		m.unfence()
 		n.markStale(m)
 	}
 	if wasOwner {
-		n.onPartitionLost(part)
+		n.onPartitionLost(p)
 	}
-	if n.owns(part) {
-		part.acquiredAt = now
-		n.recordTakeover(part, previous, now)
-		n.log.Info("share taken", "share", part.index, "token", record.Token, "cause", part.takeover.cause, "gap_s", part.takeover.gap.Seconds())
-		for _, j := range part.jobs {
+	if n.owns(p) {
+		p.acquiredAt = now
+		n.recordTakeover(p, previous, now)
+		n.log.Info("share taken", "share", p.index, "token", record.Token, "cause", p.takeover.cause, "gap_s", p.takeover.gap.Seconds())
+		for _, j := range p.jobs {
 			// If an earlier owner recorded or withdrew only part of a gang, the gang cannot start:
 			// its remaining tasks must end before the next attempt.
 			j.abortAttempt = j.spec.Shape == protocol.Gang && j.nPlaced > 0 && j.nWaiting() > 0
@@ -155,12 +155,12 @@
 			}
 			j.history.addEvent(now, "its share was taken by "+n.cfg.Node)
 		}
-		n.tickets.ownershipAcquired(part.index)
-		for _, m := range part.machines {
+		n.tickets.ownershipAcquired(p.index)
+		for _, m := range p.machines {
 			m.trackedSince, m.lastFencedReport = now, time.Time{}
 			m.moving, m.returning, m.spotNotice = false, false, false
 		}
-		n.beginReconciliation(part, now)
+		n.beginReconciliation(p, now)
 	}
 }
 
@@ -173,13 +173,13 @@
 }
 
 // onPartitionLost drops the state that only a partition's owner may keep.
-func (n *Node) onPartitionLost(part *partition) {
-	n.log.Info("share lost", "share", part.index)
-	part.reconciliation = nil
-	for _, m := range part.machines {
+func (n *Node) onPartitionLost(p *partition) {
+	n.log.Info("share lost", "share", p.index)
+	p.reconciliation = nil
+	for _, m := range p.machines {
 		n.rejectDeferred(m)
 	}
-	for _, j := range part.jobs {
+	for _, j := range p.jobs {
 		if !j.writePending {
 			n.revertProposals(j)
 		}
@@ -198,12 +198,12 @@
 	n.assignStandbys(now)
 	n.checkSuspectedPeers(now)
 	owned := n.ownedPartitionCount()
-	for _, part := range n.partitions {
-		if part.owner.Token != 0 || part.ownerChanging() || n.hasCorruptOwner(part) {
+	for _, p := range n.partitions {
+		if p.owner.Token != 0 || p.ownerChanging() || n.hasCorruptOwner(p) {
 			continue
 		}
-		if now.Sub(part.vacantSince) >= n.takeoverDelay(part, owned, now) && n.mayTake(part, owned, now) {
-			n.takePartition(part)
+		if now.Sub(p.vacantSince) >= n.takeoverDelay(p, owned, now) && n.mayTake(p, owned, now) {
+			n.takePartition(p)
 			owned++
 		}
 	}
@@ -256,9 +256,9 @@
 // takeoverDelay returns how long this node waits before it takes over a partition without an owner.
 // The delays are staggered so that each partition has a first candidate: its standby, or, if the
 // partition has had no owner since this node started, the node that owns the fewest.
-func (n *Node) takeoverDelay(part *partition, owned int, now time.Time) time.Duration {
-	if part.previousOwner != "" && now.Sub(n.startedAt) > 6*time.Second {
-		delay := n.standby.standbys[part.index].TakeoverDelay(n.cfg.Node) + n.extraTakeDelay(owned, now)
+func (n *Node) takeoverDelay(p *partition, owned int, now time.Time) time.Duration {
+	if p.previousOwner != "" && now.Sub(n.startedAt) > 6*time.Second {
+		delay := n.standby.standbys[p.index].TakeoverDelay(n.cfg.Node) + n.extraTakeDelay(owned, now)
 		if n.reachability.workersUnreachable.Load() {
 			delay += noWorkersDelay
 		}
@@ -269,7 +269,7 @@
 		names = append(names, other.Node)
 	}
 	slices.Sort(names)
-	rank := (slices.Index(names, n.cfg.Node) + len(names) - part.index%len(names)) % len(names)
+	rank := (slices.Index(names, n.cfg.Node) + len(names) - p.index%len(names)) % len(names)
 	delay := time.Duration(owned)*500*time.Millisecond + time.Duration(rank)*150*time.Millisecond
 	if now.Sub(n.startedAt) < 6*time.Second && rank > 0 {
 		delay += 1500 * time.Millisecond
@@ -286,10 +286,10 @@
 
 // takePartition stores this node as the owner of a partition, with a token above all earlier ones,
 // provided that the additional conditions hold.
-func (n *Node) takePartition(part *partition, conditions ...storage.Cond) {
-	part.ownerChangePending = true
+func (n *Node) takePartition(p *partition, conditions ...storage.Cond) {
+	p.ownerChangePending = true
 	token := n.tokenCounter + 1
-	key := protocol.OwnerKey(part.index)
+	key := protocol.OwnerKey(p.index)
 	op := &storage.Op{
 		Conds: append([]storage.Cond{n.unchanged(key), n.unchanged(protocol.TokenCounterKey)}, conditions...),
 		Writes: []storage.Write{
@@ -297,7 +297,7 @@
 			{Put: protocol.TokenCounterKey, Value: mustJSON(protocol.TokenCounterRecord{Token: token})},
 		},
 	}
-	n.submit(op, func(storage.Result) { part.ownerChangePending = false })
+	n.submit(op, func(storage.Result) { p.ownerChangePending = false })
 }
 
 // submit queues a change that somebody waits for. Its outcome is in the replica when the callback
@@ -333,19 +333,19 @@
 	}
 	var candidate *partition
 	owned := map[string]int{}
-	for _, part := range n.partitions {
-		if part.ownerChanging() || part.owner.Token == 0 {
+	for _, p := range n.partitions {
+		if p.ownerChanging() || p.owner.Token == 0 {
 			return
 		}
-		if part.owner.Node == n.cfg.Node && !n.owns(part) {
+		if p.owner.Node == n.cfg.Node && !n.owns(p) {
 			return // owned by an earlier process of this node until its lease ends
 		}
-		owned[part.owner.Node]++
-		if n.owns(part) {
-			if now.Sub(part.acquiredAt) < 5*time.Second {
+		owned[p.owner.Node]++
+		if n.owns(p) {
+			if now.Sub(p.acquiredAt) < 5*time.Second {
 				return
 			}
-			candidate = part
+			candidate = p
 		}
 	}
 	if owned[n.cfg.Node] < 2 {
@@ -360,14 +360,14 @@
 }
 
 // releasePartition gives up the ownership of a partition so that another node can take it over.
-func (n *Node) releasePartition(part *partition, reason string, now time.Time) {
-	n.log.Info("share given up", "share", part.index, "why", reason)
+func (n *Node) releasePartition(p *partition, reason string, now time.Time) {
+	n.log.Info("share given up", "share", p.index, "why", reason)
 	n.lastRelease = now
-	part.ownerChangePending = true
-	key := protocol.OwnerKey(part.index)
+	p.ownerChangePending = true
+	key := protocol.OwnerKey(p.index)
 	n.submit(&storage.Op{Conds: []storage.Cond{n.unchanged(key)}, Writes: []storage.Write{{Delete: key}}},
 		func(storage.Result) {
-			part.ownerChangePending = false
-			part.vacantSince = time.Now().Add(time.Second) // let other nodes take it over first
+			p.ownerChangePending = false
+			p.vacantSince = time.Now().Add(time.Second) // let other nodes take it over first
 		})
 }
--- a/internal/coordination/node/peers.go
+++ b/internal/coordination/node/peers.go
@@ -52,9 +52,9 @@
 	}
 	n.cacheHints.lastUpdate = now
 	var machines []*machine
-	for _, part := range n.partitions {
-		if n.owns(part) {
-			machines = append(machines, part.machines...)
+	for _, p := range n.partitions {
+		if n.owns(p) {
+			machines = append(machines, p.machines...)
 		}
 	}
 	caches := []protocol.ImageCache{}
@@ -150,10 +150,10 @@
 // that owner does not take the end of a lease as proof either. Without this, all machines of an
 // owner that stalled during an outage lost their leases.
 func (n *Node) answerForOwner(m *machine, report *protocol.Report, now time.Time) (protocol.Orders, bool) {
-	part := n.partitions[m.rec.Partition]
+	p := n.partitions[m.rec.Partition]
 	token := n.fencingToken(m)
-	owner := n.peers[part.owner.Node]
-	if part.owner.Token == 0 || n.peerReachable(part.owner.Node, now) && !owner.workersUnreachable || !n.mayExtendLeases(now) || report.Token > token {
+	owner := n.peers[p.owner.Node]
+	if p.owner.Token == 0 || n.peerReachable(p.owner.Node, now) && !owner.workersUnreachable || !n.mayExtendLeases(now) || report.Token > token {
 		return protocol.Orders{}, false
 	}
 	return protocol.Orders{Token: token, Commands: n.stopsForReport(report, now)}, true
--- a/internal/coordination/node/policyset.go
+++ b/internal/coordination/node/policyset.go
@@ -91,8 +91,8 @@
 		return
 	}
 	n.policy = policy
-	for _, partition := range n.partitions {
-		partition.window.Resize(policy.Window)
+	for _, p := range n.partitions {
+		p.window.Resize(policy.Window)
 	}
 	for _, m := range n.machines {
 		m.cordoned = slices.Contains(policy.HeldBack, m.name)
--- a/internal/coordination/node/replica.go
+++ b/internal/coordination/node/replica.go
@@ -124,8 +124,8 @@
 		if n.OnLoaded != nil {
 			n.OnLoaded()
 		}
-		for _, partition := range n.partitions {
-			partition.vacantSince = now
+		for _, p := range n.partitions {
+			p.vacantSince = now
 		}
 		n.log.Info("replica loaded", "jobs", len(n.jobs), "machines", len(n.machines), "revision", first)
 	}
@@ -191,8 +191,8 @@
 		_, ok := n.liveNodes[strings.TrimPrefix(key, protocol.NodeRoot)]
 		return ok
 	case strings.HasPrefix(key, protocol.OwnerRoot):
-		partition := n.partitionOfKey(key)
-		return partition != nil && (partition.owner.Token != 0 || partition.unconfirmedOwner != nil)
+		p := n.partitionOfKey(key)
+		return p != nil && (p.owner.Token != 0 || p.unconfirmedOwner != nil)
 	case strings.HasPrefix(key, protocol.LogRoot):
 		i, slot, ok := packed.ParseLogKey(key)
 		return ok && i < len(n.partitions) && n.partitions[i].log.HasEntry(slot)
@@ -361,10 +361,10 @@
 			n.answerLivenessCheck(d.RequestedBy)
 		}
 	case strings.HasPrefix(item.Key, protocol.OwnerRoot):
-		if partition := n.partitionOfKey(item.Key); partition != nil {
+		if p := n.partitionOfKey(item.Key); p != nil {
 			var h protocol.OwnerRecord
 			if read(&h); !corrupt {
-				n.applyOwnerRecord(partition, h)
+				n.applyOwnerRecord(p, h)
 			}
 		}
 	}
--- a/internal/coordination/node/schedule.go
+++ b/internal/coordination/node/schedule.go
@@ -22,14 +22,14 @@
 		return // nothing could be stored
 	}
 	guaranteedWaits := n.anyGuaranteedWorkWaits(now)
-	for _, partition := range n.partitions {
-		n.countArrivals(partition)
-		if !n.owns(partition) || n.standby.leaving || !n.mayDecide(partition, now) {
+	for _, p := range n.partitions {
+		n.countArrivals(p)
+		if !n.owns(p) || n.standby.leaving || !n.mayDecide(p, now) {
 			continue
 		}
-		view := n.view(partition, now)
+		view := n.view(p, now)
 		var waiting []*job
-		for _, j := range partition.jobs {
+		for _, j := range p.jobs {
 			if j.nWaiting() == 0 || j.cancelled || j.abortAttempt {
 				n.endReservation(j, now)
 				continue
@@ -41,7 +41,7 @@
 			if !j.writePending && !now.Before(j.notBefore) {
 				n.place(view, j, now)
 			}
-			if j.failures.failsEverywhere && len(partition.machines) > 0 {
+			if j.failures.failsEverywhere && len(p.machines) > 0 {
 				continue // nothing is rented or preempted for it
 			}
 			switch {
@@ -52,12 +52,12 @@
 				waiting = append(waiting, j)
 			}
 		}
-		if partition.reconciliation.MayPreempt() {
+		if p.reconciliation.MayPreempt() {
 			n.preempt(view, waiting, now)
 		}
-		if !now.Before(partition.nextRent) && !n.awaitsAdoption(now) {
-			partition.nextRent = now.Add(rentInterval)
-			n.rent(view, partition, waiting, now)
+		if !now.Before(p.nextRent) && !n.awaitsAdoption(now) {
+			p.nextRent = now.Add(rentInterval)
+			n.rent(view, p, waiting, now)
 		}
 	}
 }
@@ -72,20 +72,20 @@
 // countArrivals adds new jobs to the partition's window in the order of their arrival. Every node does
 // so, and a node that takes the partition over thus has the same window as the previous owner. When a
 // node starts, it counts the jobs that are present, so that the window's means have initial values.
-func (n *Node) countArrivals(partition *partition) {
-	if len(partition.newJobs) == 0 {
+func (n *Node) countArrivals(p *partition) {
+	if len(p.newJobs) == 0 {
 		return
 	}
-	slices.SortFunc(partition.newJobs, func(a, b *job) int {
+	slices.SortFunc(p.newJobs, func(a, b *job) int {
 		return cmp.Or(a.submitted.Compare(b.submitted), cmp.Compare(a.id, b.id))
 	})
-	present := len(partition.jobs) - len(partition.newJobs)
-	for _, j := range partition.newJobs {
+	present := len(p.jobs) - len(p.newJobs)
+	for _, j := range p.newJobs {
 		present++
-		j.heavy = partition.window.RecordArrival(present, j.spec.ImageGB) || n.policy.Greedy
+		j.heavy = p.window.RecordArrival(present, j.spec.ImageGB) || n.policy.Greedy
 	}
-	clear(partition.newJobs)
-	partition.newJobs = partition.newJobs[:0]
+	clear(p.newJobs)
+	p.newJobs = p.newJobs[:0]
 }
 
 // revokeProposals takes back placements of less urgent jobs of the partition that are not being stored
@@ -310,18 +310,18 @@
 
 // rent requests the machines that the waiting jobs need beyond those requested already, and those that
 // jobs like the recent ones are expected to need.
-func (n *Node) rent(view *decide.View, partition *partition, waiting []*job, now time.Time) {
+func (n *Node) rent(view *decide.View, p *partition, waiting []*job, now time.Time) {
 	if len(n.machineTypes) == 0 {
 		return
 	}
 	market := &decide.Market{RefusedUntil: n.cloudState.refusedUntil}
 	for r, k := range n.cloudState.requested {
-		if r.partition == partition.index {
+		if r.partition == p.index {
 			market.Pending = append(market.Pending, decide.PendingRental{Offer: r.offer, Count: k})
 		}
 	}
 	for _, other := range n.partitions {
-		if other != partition && !n.hasWaitingTasks(other.index, now) {
+		if other != p && !n.hasWaitingTasks(other.index, now) {
 			market.DonorPartitions = append(market.DonorPartitions, other.index)
 		}
 	}
@@ -329,8 +329,8 @@
 	for _, j := range waiting {
 		facts = append(facts, n.jobFactsWithZones(j, now))
 	}
-	partition.recentArrivals = decide.TrimArrivals(partition.recentArrivals, now)
-	decision := view.Rent(facts, view.ExpectedJobs(partition.recentArrivals, now.Sub(n.loadControl.followingSince), n.policy.Headroom), market)
+	p.recentArrivals = decide.TrimArrivals(p.recentArrivals, now)
+	decision := view.Rent(facts, view.ExpectedJobs(p.recentArrivals, now.Sub(n.loadControl.followingSince), n.policy.Headroom), market)
 	for i, j := range waiting {
 		if j.waitCause != decide.ReservingForGang {
 			j.waitCause = decision.Reasons[i]
@@ -343,21 +343,21 @@
 		}
 	}
 	if !n.policy.StopRentals {
-		n.requestLargest(partition, decision.ToRent, now)
+		n.requestLargest(p, decision.ToRent, now)
 	}
 }
 
 // requestLargest sends the request for the largest number of machines, if the cloud's rate limit allows
 // one now. Waiting with the decision instead of queueing requests lets a request cover all that is
 // needed when it is sent.
-func (n *Node) requestLargest(partition *partition, want map[offer]int, now time.Time) {
+func (n *Node) requestLargest(p *partition, want map[offer]int, now time.Time) {
 	if now.Before(n.cloudState.nextRequest) {
 		return
 	}
 	var best rentalKey
 	count := 0
 	for o, k := range want {
-		r := rentalKey{partition.index, o}
+		r := rentalKey{p.index, o}
 		if n.cloudState.requested[r] == 0 && (k > count || k == count && compareNames(o.Zone, best.Zone) < 0) {
 			best, count = r, k
 		}
@@ -376,7 +376,7 @@
 	}
 	n.cloudState.wantedSince = time.Time{}
 	n.cloudState.nextRequest = now.Add(time.Duration(float64(n.cfg.Params.Nodes) / n.cfg.Params.Cloud.RPS * float64(time.Second)))
-	n.rentMachines(partition, best, min(count, 50))
+	n.rentMachines(p, best, min(count, 50))
 }
 
 func compareNames(a, b string) int { return cmp.Compare(a, b) }
--- a/internal/coordination/node/sim_test.go
+++ b/internal/coordination/node/sim_test.go
@@ -841,8 +841,8 @@
 		if n := w.node(name); n != nil {
 			fmt.Fprintf(&out, "\n%s: %s; %s", name, mustJSON(w.explanation(name, id)), onActor(n, func() string {
 				owned := fmt.Sprintf("lease %d", n.lease)
-				for _, s := range n.partitions {
-					owned += fmt.Sprintf(", partition %d %+v pending %v takeover %+v owned %v", s.index, s.owner, s.ownerChangePending, s.takeover, n.owns(s))
+				for _, p := range n.partitions {
+					owned += fmt.Sprintf(", partition %d %+v pending %v takeover %+v owned %v", p.index, p.owner, p.ownerChangePending, p.takeover, n.owns(p))
 				}
 				return owned
 			}))
--- a/internal/coordination/node/sitejobs.go
+++ b/internal/coordination/node/sitejobs.go
@@ -481,11 +481,11 @@
 		}
 	}
 	waiting := make([]int, len(n.teams))
-	for _, s := range n.partitions {
-		if !n.owns(s) {
+	for _, p := range n.partitions {
+		if !n.owns(p) {
 			continue
 		}
-		for _, j := range s.jobs {
+		for _, j := range p.jobs {
 			if !j.cancelled && !n.blockedBySiteLease(j, now) {
 				hint.Waiting += j.nWaiting()
 				waiting[j.team] += j.nWaiting()
--- a/internal/coordination/node/standby.go
+++ b/internal/coordination/node/standby.go
@@ -56,9 +56,9 @@
 	state.seq++
 	payload := &hintPayload{seq: state.seq}
 	var machines []*machine
-	for _, part := range n.partitions {
-		if n.owns(part) {
-			machines = append(machines, part.machines...)
+	for _, p := range n.partitions {
+		if n.owns(p) {
+			machines = append(machines, p.machines...)
 		}
 	}
 	for range min(machinesPerHint, len(machines)) {
@@ -137,14 +137,14 @@
 const machineHintMaxAge = 20 * time.Second
 
 // standbyFreshness returns how much this node knows of a partition that another node owns.
-func (n *Node) standbyFreshness(part *partition, now time.Time) StandbyFreshness {
+func (n *Node) standbyFreshness(p *partition, now time.Time) StandbyFreshness {
 	freshness := StandbyFreshness{AgeS: -1}
-	owner := n.peers[part.owner.Node]
+	owner := n.peers[p.owner.Node]
 	if owner == nil || owner.lastNewHint.IsZero() {
 		return freshness
 	}
 	running, known := 0, 0
-	for _, m := range part.machines {
+	for _, m := range p.machines {
 		if m.rec.Addr != "" {
 			running++
 			if now.Sub(m.lastHint) < machineHintMaxAge {
@@ -182,10 +182,10 @@
 func (n *Node) assignStandbys(now time.Time) {
 	var partitions []standby.Partition
 	owned := map[string]int{}
-	for _, part := range n.partitions {
-		partitions = append(partitions, standby.Partition{Index: part.index, Owner: part.owner.Node})
-		if part.owner.Token != 0 {
-			owned[part.owner.Node]++
+	for _, p := range n.partitions {
+		partitions = append(partitions, standby.Partition{Index: p.index, Owner: p.owner.Node})
+		if p.owner.Token != 0 {
+			owned[p.owner.Node]++
 		}
 	}
 	var nodes []standby.Node
@@ -213,10 +213,10 @@
 	for name, suspect := range n.peers {
 		evidence := standby.PeerEvidence{LastHint: suspect.lastHint, ConnLostAt: suspect.connLostAt, ConnRefusedAt: suspect.connRefusedAt, Revision: n.revisionOf(protocol.NodeKey(name))}
 		isStandby := false
-		for _, part := range n.partitions {
-			if part.owner.Token != 0 && part.owner.Node == name {
+		for _, p := range n.partitions {
+			if p.owner.Token != 0 && p.owner.Node == name {
 				evidence.OwnsPartition = true
-				pair := n.standby.standbys[part.index]
+				pair := n.standby.standbys[p.index]
 				isStandby = isStandby || pair.First == n.cfg.Node || pair.Second == n.cfg.Node
 			}
 		}
@@ -236,10 +236,10 @@
 			n.standby.presumedEnded[name] = now
 			n.log.Info("has ended, by all evidence", "sibling", name, "silent_s", roundToTenth(now.Sub(suspect.lastHint).Seconds()))
 		}
-		for _, part := range n.partitions {
-			if part.owner.Token != 0 && part.owner.Node == name && !part.ownerChanging() && now.Sub(n.standby.presumedEnded[name]) >= n.standby.standbys[part.index].TakeoverDelay(n.cfg.Node) {
+		for _, p := range n.partitions {
+			if p.owner.Token != 0 && p.owner.Node == name && !p.ownerChanging() && now.Sub(n.standby.presumedEnded[name]) >= n.standby.standbys[p.index].TakeoverDelay(n.cfg.Node) {
 				// The condition makes the takeover fail if the owner answers before it is stored.
-				n.takePartition(part, n.unchanged(protocol.NodeKey(name)))
+				n.takePartition(p, n.unchanged(protocol.NodeKey(name)))
 			}
 		}
 	}
@@ -255,18 +255,18 @@
 }
 
 // recordTakeover records how a partition came to this node.
-func (n *Node) recordTakeover(part *partition, previous protocol.OwnerRecord, now time.Time) {
-	part.takeover = takeover{cause: standby.AtStart, blockedBy: standby.Check(math.MaxUint8)}
-	previousOwner := n.peers[part.previousOwner]
+func (n *Node) recordTakeover(p *partition, previous protocol.OwnerRecord, now time.Time) {
+	p.takeover = takeover{cause: standby.AtStart, blockedBy: standby.Check(math.MaxUint8)}
+	previousOwner := n.peers[p.previousOwner]
 	switch {
 	case previous.Token != 0:
-		part.takeover.cause = standby.ProcessEnded
-	case previousOwner == nil || part.vacantSince.Sub(n.loadControl.followingSince) < leaseTTL:
+		p.takeover.cause = standby.ProcessEnded
+	case previousOwner == nil || p.vacantSince.Sub(n.loadControl.followingSince) < leaseTTL:
 		return // vacant since this node started: the other nodes start too, and release the leases of their earlier processes
-	case part.vacantSince.Sub(previousOwner.lastHint) < leaseTTL*3/4:
-		part.takeover.cause = standby.HandedOver
+	case p.vacantSince.Sub(previousOwner.lastHint) < leaseTTL*3/4:
+		p.takeover.cause = standby.HandedOver
 	default:
-		part.takeover.cause = standby.LeaseExpired
+		p.takeover.cause = standby.LeaseExpired
 	}
 	if previousOwner != nil {
 		for _, r := range previousOwner.refusedOffers {
@@ -274,38 +274,38 @@
 		}
 	}
 	if previousOwner != nil && !previousOwner.lastHint.IsZero() {
-		part.takeover.gap = now.Sub(previousOwner.lastHint)
-		if part.takeover.cause == standby.HandedOver {
-			part.takeover.gap = now.Sub(part.vacantSince)
+		p.takeover.gap = now.Sub(previousOwner.lastHint)
+		if p.takeover.cause == standby.HandedOver {
+			p.takeover.gap = now.Sub(p.vacantSince)
 		}
 	}
-	n.metrics.takeover.WithLabelValues(part.takeover.cause.String()).Observe(part.takeover.gap.Seconds())
+	n.metrics.takeover.WithLabelValues(p.takeover.cause.String()).Observe(p.takeover.gap.Seconds())
 }
 
 // mayDecide delays a partition's first decision until all conditions hold.
-func (n *Node) mayDecide(part *partition, now time.Time) bool {
-	if !n.logReadable(part) {
+func (n *Node) mayDecide(p *partition, now time.Time) bool {
+	if !n.logReadable(p) {
 		return false
 	}
-	if part.takeover.decided {
+	if p.takeover.decided {
 		return true
 	}
-	facts := standby.TakeoverFacts{Owned: n.owns(part), SinceContact: n.sinceContact(now), SinceStall: now.Sub(n.reachability.stallEnded), MachineTypes: len(n.machineTypes), ReconciliationStarted: part.reconciliation != nil}
-	if part.reconciliation != nil {
-		facts.Machines, facts.Reported, _ = part.reconciliation.Counts()
-		if part.reconciliation.MayPreempt() {
+	facts := standby.TakeoverFacts{Owned: n.owns(p), SinceContact: n.sinceContact(now), SinceStall: now.Sub(n.reachability.stallEnded), MachineTypes: len(n.machineTypes), ReconciliationStarted: p.reconciliation != nil}
+	if p.reconciliation != nil {
+		facts.Machines, facts.Reported, _ = p.reconciliation.Counts()
+		if p.reconciliation.MayPreempt() {
 			facts.Machines = 0 // the remaining machines had enough time to report
 		}
 	}
 	check, decided := standby.FirstFailing(facts)
 	if decided {
-		part.takeover.decided = true
-		n.log.Info("first decision", "share", part.index, "cause", part.takeover.cause, "gap_s", part.takeover.gap.Seconds(), "after_s", now.Sub(part.acquiredAt).Seconds())
+		p.takeover.decided = true
+		n.log.Info("first decision", "share", p.index, "cause", p.takeover.cause, "gap_s", p.takeover.gap.Seconds(), "after_s", now.Sub(p.acquiredAt).Seconds())
 		return true
 	}
-	if check != part.takeover.blockedBy {
-		part.takeover.blockedBy = check
-		n.log.Info("first decision waits", "share", part.index, "for", check, "guards_against", check.GuardsAgainst())
+	if check != p.takeover.blockedBy {
+		p.takeover.blockedBy = check
+		n.log.Info("first decision waits", "share", p.index, "for", check, "guards_against", check.GuardsAgainst())
 	}
 	return false
 }
--- a/internal/coordination/node/standby_hints_test.go
+++ b/internal/coordination/node/standby_hints_test.go
@@ -74,10 +74,10 @@
 		for _, a := range arrivals[40:] {
 			b.watchPut(protocol.JobKey(a.id), protocol.JobRecord{Spec: spec(a), SubmittedMS: now.UnixMilli(), NextAttempt: 1})
 		}
-		part := b.partitions[0]
-		b.countArrivals(part)
+		p := b.partitions[0]
+		b.countArrivals(p)
 		for _, a := range arrivals[40:] {
-			p := b.view(part, now).Place(b.jobFactsWithZones(b.jobs[a.id], now))
+			p := b.view(p, now).Place(b.jobFactsWithZones(b.jobs[a.id], now))
 			for _, m := range p.Machines {
 				out = append(out, a.id+" on "+m.Name)
 			}
--- a/internal/coordination/node/standby_test.go
+++ b/internal/coordination/node/standby_test.go
@@ -269,26 +269,26 @@
 	node.addFleet(4, 1)
 	node.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-1", Token: 8, Lease: 9})
 	node.watchPut(protocol.OwnerKey(0), protocol.OwnerRecord{Node: "n-0", Token: 9, Lease: 3})
-	part, now := node.partitions[0], time.Now()
+	p, now := node.partitions[0], time.Now()
 	node.RecordContact(now)
-	if node.mayDecide(part, now) {
+	if node.mayDecide(p, now) {
 		t.Fatal("decides before any machine has reported under its token")
 	}
-	m := part.machines[1]
+	m := p.machines[1]
 	node.acceptWorkerReport(m, &protocol.Report{Machine: m.name, Session: 1, Seq: 1, Token: 9}, 9, now)
 	node.reachability.stallEnded = now
-	if node.mayDecide(part, now) {
+	if node.mayDecide(p, now) {
 		t.Fatal("decides right after a stall")
 	}
 	now = now.Add(time.Second)
 	types := node.machineTypes
 	node.machineTypes = nil
-	if node.mayDecide(part, now) {
+	if node.mayDecide(p, now) {
 		t.Fatal("decides without machine types")
 	}
 	node.machineTypes = types
-	if !node.mayDecide(part, now) || !part.takeover.decided {
-		t.Fatalf("does not decide: waits for %v", part.takeover.blockedBy)
+	if !node.mayDecide(p, now) || !p.takeover.decided {
+		t.Fatalf("does not decide: waits for %v", p.takeover.blockedBy)
 	}
 	if node.mayDecide(node.partitions[1], now) {
 		t.Error("decides for a partition that it does not own")
--- a/internal/coordination/node/status.go
+++ b/internal/coordination/node/status.go
@@ -94,21 +94,21 @@
 func (n *Node) status(now time.Time) Status {
 	status := Status{Node: n.cfg.Node, Version: Version, StateAgeS: roundToTenth(min(n.sinceContact(now), now.Sub(n.startedAt)).Seconds()), Loaded: n.loaded, Jobs: len(n.jobs),
 		Shares: []PartitionStatus{}, Teams: []TeamStatus{}, Stuck: []StuckJob{}, Ended: []EndedJob{}}
-	for _, part := range n.partitions {
-		row := PartitionStatus{Share: part.index, Holder: part.owner.Node}
-		if part.reconciliation != nil {
-			all, heard, asked := part.reconciliation.Counts()
-			row.Phase, row.Unheard, row.Polled = part.reconciliation.Phase().String(), all-heard, asked
-			row.Cause, row.GapS = part.takeover.cause.String(), roundToTenth(part.takeover.gap.Seconds())
+	for _, p := range n.partitions {
+		row := PartitionStatus{Share: p.index, Holder: p.owner.Node}
+		if p.reconciliation != nil {
+			all, heard, asked := p.reconciliation.Counts()
+			row.Phase, row.Unheard, row.Polled = p.reconciliation.Phase().String(), all-heard, asked
+			row.Cause, row.GapS = p.takeover.cause.String(), roundToTenth(p.takeover.gap.Seconds())
 		}
-		pair := n.standby.standbys[part.index]
+		pair := n.standby.standbys[p.index]
 		row.FirstStandby, row.SecondStandby = pair.First, pair.Second
 		if pair.First == n.cfg.Node || pair.Second == n.cfg.Node {
-			freshness := n.standbyFreshness(part, now)
+			freshness := n.standbyFreshness(p, now)
 			row.Freshness = &freshness
 		}
 		for _, m := range n.machines {
-			if !m.recorded || m.rec.Partition != part.index {
+			if !m.recorded || m.rec.Partition != p.index {
 				continue
 			}
 			row.Machines++
@@ -197,14 +197,14 @@
 		return result, false
 	}
 	result.SinceS = roundToTenth(now.Sub(since).Seconds())
-	part := n.partitions[j.partition]
+	p := n.partitions[j.partition]
 	switch {
 	case n.sinceContact(now) > stateServiceTimeout:
 		result.Why = "state service down"
-	case part.owner.Token == 0:
+	case p.owner.Token == 0:
 		result.Why = "its share has no holder"
-	case !n.owns(part):
-		result.Why = "see " + part.owner.Node
+	case !n.owns(p):
+		result.Why = "see " + p.owner.Node
 	case j.failed:
 		result.Why = "its ticket failed, being stopped"
 	case j.cancelled:
@@ -217,7 +217,7 @@
 		result.Why = j.describeFailures(now)
 	case result.Waiting > 0 && j.waitCause != decide.NoReason:
 		if result.Why = j.waitCause.Text(); j.step != nil {
-			result.Why += n.drainNote(part, j)
+			result.Why += n.drainNote(p, j)
 		}
 	case fetching > 0:
 		result.Why = "image being fetched"
--- a/internal/coordination/node/why.go
+++ b/internal/coordination/node/why.go
@@ -127,9 +127,9 @@
 }
 
 // unknownCause is the cause given if the owner of a partition does not answer.
-func unknownCause(part *partition) ExplainedCause {
+func unknownCause(p *partition) ExplainedCause {
 	kind := decide.OwnerUnresponsive
-	if part.owner.Token == 0 {
+	if p.owner.Token == 0 {
 		kind = decide.NoOwner
 	}
 	return ExplainedCause{decide.Cause{Reason: kind}, kind.Text()}
@@ -137,10 +137,10 @@
 
 // askOwner asks the owner of a partition and passes its answer, or the reason why there is
 // none, to callback.
-func (n *Node) askOwner(part *partition, question protocol.PeerQuery, callback func(reply protocol.PeerAnswer, unknown string)) {
-	owner := part.owner.Node
+func (n *Node) askOwner(p *partition, question protocol.PeerQuery, callback func(reply protocol.PeerAnswer, unknown string)) {
+	owner := p.owner.Node
 	switch {
-	case part.owner.Token == 0:
+	case p.owner.Token == 0:
 		callback(protocol.PeerAnswer{}, "its share has no holder")
 		return
 	case owner == n.cfg.Node || n.AskPeer == nil || n.peers[owner] == nil:
@@ -171,13 +171,13 @@
 // owner.
 func (n *Node) peerPartitions() (byOwner map[string][]*partition, vacant []*partition) {
 	byOwner = map[string][]*partition{}
-	for _, part := range n.partitions {
+	for _, p := range n.partitions {
 		switch {
-		case n.owns(part):
-		case part.owner.Token == 0:
-			vacant = append(vacant, part)
+		case n.owns(p):
+		case p.owner.Token == 0:
+			vacant = append(vacant, p)
 		default:
-			byOwner[part.owner.Node] = append(byOwner[part.owner.Node], part)
+			byOwner[p.owner.Node] = append(byOwner[p.owner.Node], p)
 		}
 	}
 	return byOwner, vacant
@@ -285,9 +285,9 @@
 // explain explains a job of a partition that this node owns.
 func (n *Node) explain(j *job, now time.Time) *Explanation {
 	explanation := n.baseExplanation(j, now)
-	part := n.partitions[j.partition]
-	conditions := n.decisionContext(part, j, now)
-	view := n.view(part, now)
+	p := n.partitions[j.partition]
+	conditions := n.decisionContext(p, j, now)
+	view := n.view(p, now)
 	facts := n.jobFactsWithZones(j, now)
 	add := func(cause decide.Cause) {
 		explanation.Causes = append(explanation.Causes, ExplainedCause{cause, cause.String()})
@@ -344,9 +344,9 @@
 
 // decisionContext returns the circumstances that affect a job's start, besides the machines of its
 // partition and its team's limits.
-func (n *Node) decisionContext(part *partition, j *job, now time.Time) *decide.ExplainContext {
+func (n *Node) decisionContext(p *partition, j *job, now time.Time) *decide.ExplainContext {
 	conditions := &decide.ExplainContext{SinceStateAnswer: min(n.sinceContact(now), now.Sub(n.startedAt)), RentalsStopped: n.policy.StopRentals, GuaranteedWaiting: n.anyGuaranteedWorkWaits(now), Market: &decide.Market{RefusedUntil: n.cloudState.refusedUntil}}
-	for _, other := range part.jobs {
+	for _, other := range p.jobs {
 		if other == j {
 			break
 		}
@@ -380,11 +380,11 @@
 func (n *Node) explanationPage(question protocol.PeerQuery, now time.Time) *ExplanationPage {
 	page := &ExplanationPage{Node: n.cfg.Node, TasksByCause: map[string]int{}, Jobs: []ExplanationLine{}}
 	var lines []ExplanationLine
-	for _, part := range n.partitions {
-		if !n.owns(part) {
+	for _, p := range n.partitions {
+		if !n.owns(p) {
 			continue
 		}
-		for _, j := range part.jobs {
+		for _, j := range p.jobs {
 			if j.nWaiting() == 0 || j.cancelled {
 				continue
 			}
@@ -440,8 +440,8 @@
 	}
 	total := n.explanationPage(question, now)
 	byOwner, vacant := n.peerPartitions()
-	for _, part := range vacant {
-		total.Unknown = append(total.Unknown, fmt.Sprintf("share %d has no holder", part.index))
+	for _, p := range vacant {
+		total.Unknown = append(total.Unknown, fmt.Sprintf("share %d has no holder", p.index))
 	}
 	askOwners(n, byOwner, question, func(_ string, part ExplanationPage, unknown string) {
 		if unknown != "" {
@@ -468,9 +468,9 @@
 // updateWaitingMetric updates the metric of waiting tasks by cause.
 func (n *Node) updateWaitingMetric(now time.Time) {
 	sums := map[decide.Reason]int{}
-	for _, part := range n.partitions {
-		if n.owns(part) {
-			for _, j := range part.jobs {
+	for _, p := range n.partitions {
+		if n.owns(p) {
+			for _, j := range p.jobs {
 				if !j.cancelled && j.nWaiting() > 0 {
 					sums[n.bindingCause(j, now)] += j.nWaiting()
 				}
